--- a/src/test/java/io/sillreel/RandomScheduleTest.java
+++ b/src/test/java/io/sillreel/RandomScheduleTest.java
@@ -11,6 +11,7 @@
 import io.sillreel.sim.SimWorker;
 import io.sillreel.sim.Troubles;
 import io.sillreel.sim.World;
+import io.sillreel.sim.World.Version;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashSet;
@@ -61,6 +62,12 @@
         playSeeds(RandomScheduleTest::playChains);
     }
 
+    /** The same while controllers are upgraded one by one, and now and then come back as the previous version. */
+    @Test
+    void theRulesHoldDuringUpgradesWhenTroublesMeet() {
+        playSeeds(RandomScheduleTest::playUpgrade);
+    }
+
     /** Plays the usual seeds, or only the one that was asked for; false in that case. */
     private static boolean playSeeds(LongConsumer play) {
         Long chosen = Long.getLong("sillreel.seed");
@@ -142,15 +149,22 @@
     }
 
     private static void playMeetings(long seed) {
-        playMeetings(seed, false);
+        playMeetings(world(seed), seed, Play.JOBS);
     }
 
     private static void playChains(long seed) {
-        playMeetings(seed, true);
+        playMeetings(world(seed), seed, Play.CHAINS);
     }
 
-    private static void playMeetings(long seed, boolean chains) {
-        World world = world(seed);
+    private static void playUpgrade(long seed) {
+        World world = new World(seed, TEAM_CPUS, seed % 3 == 0 ? 5 : 3, Version.PREVIOUS);
+        playMeetings(world, seed, Play.UPGRADE);
+    }
+
+    /** What is played besides the troubles. */
+    private enum Play { JOBS, CHAINS, UPGRADE }
+
+    private static void playMeetings(World world, long seed, Play play) {
         Random random = new Random(seed);
         Set<String> submitted = new LinkedHashSet<>();
         Set<String> withdrawn = new HashSet<>();
@@ -164,11 +178,14 @@
                     String uid = "job-%06d".formatted(submitted.size() + 1);
                     submitted.add(uid);
                     ObjectNode submission = someJob(uid);
-                    if (chains) {
+                    if (play == Play.CHAINS) {
                         await(world, random, submission);
                     }
                     world.submitMeanwhile(random.nextInt(world.nodes()), submission);
                 }
+                if (play == Play.UPGRADE) {
+                    changeVersions(world, random);
+                }
                 world.seconds(random.nextDouble() * 3);
                 withdrawSome(world, random, List.copyOf(submitted), withdrawn, random.nextInt(3));
             }
@@ -181,10 +198,19 @@
                 machine.runMicros(1_000_000 + random.nextInt(12_000_000));
             }
         }
-        if (chains) {
+        if (play != Play.JOBS) {
             world.state().limits(6, 2 * 1024, 60);
         }
+        for (int node = 0; node < world.nodes(); node++) {
+            if (world.version(node) == Version.PREVIOUS) {
+                world.restart(node, Version.CURRENT);
+                world.seconds(random.nextDouble());
+            }
+        }
         endTroubles(world, cuts);
+        if (play == Play.UPGRADE) {
+            submitChains(world, random, submitted);
+        }
         world.cloud().machines().values().forEach(machine -> machine.runMicros(3_000_000));
         submitted.removeIf(uid -> world.told(uid) == null && world.state().value("plan/" + uid) == null);
         everythingEnds(world, random, submitted, withdrawn, seed);
@@ -208,6 +234,29 @@
         }
     }
 
+    /** Some get the present version; a process that dies may find the previous one again. */
+    private static void changeVersions(World world, Random random) {
+        for (int node = 0; node < world.nodes(); node++) {
+            switch (random.nextInt(10)) {
+                case 0, 1 -> world.restart(node, Version.CURRENT);
+                case 2 -> world.restart(node, Version.PREVIOUS);
+                default -> { }
+            }
+        }
+    }
+
+    /** Jobs that await what both versions accepted, done, cancelled or neither. */
+    private static void submitChains(World world, Random random, Set<String> submitted) {
+        world.seconds(10);
+        for (int each = 0; each < 8; each++) {
+            ObjectNode job = someJob("job-%06d".formatted(submitted.size() + 1));
+            await(world, random, job);
+            submitted.add(job.path("uid").asText());
+            world.submitMeanwhile(random.nextInt(world.nodes()), job);
+            world.seconds(random.nextDouble());
+        }
+    }
+
     private static void withdrawSome(World world, Random random, List<String> jobs, Set<String> withdrawn, int count) {
         for (int each = 0; each < count && !jobs.isEmpty(); each++) {
             String uid = jobs.get(Math.max(0, jobs.size() - 1 - random.nextInt(8)));
--- /dev/null
+++ b/src/test/java/io/sillreel/UpgradeTest.java
@@ -0,0 +1,318 @@
+package io.sillreel;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.sillreel.http.Reply;
+import io.sillreel.sim.SimNetwork.Fate;
+import io.sillreel.sim.SimNetwork.Rule;
+import io.sillreel.sim.Troubles;
+import io.sillreel.sim.World;
+import io.sillreel.sim.World.Version;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/**
+ * Controllers of the present version beside controllers of the previous one ({@code PreviousVersion}), as leaders and as
+ * followers, and on each other's data. The world checks the users' rules throughout.
+ */
+class UpgradeTest {
+    private static final int NODES = 3;
+    private static final int TEAM_CPUS = 10;
+    private static final long SECOND = 1_000_000;
+    /** Longer than the lease that a leader holds. */
+    private static final double LEADER_GONE_SECONDS = 4;
+
+    private static World previousVersion(long seed) {
+        World world = new World(seed, TEAM_CPUS, NODES, Version.PREVIOUS);
+        world.seconds(2);
+        return world;
+    }
+
+    private static Version other(Version version) {
+        return version == Version.PREVIOUS ? Version.CURRENT : Version.PREVIOUS;
+    }
+
+    private static String uid(int number) {
+        return "job-%06d".formatted(number);
+    }
+
+    /** Brings about that a controller of that version leads and all the others run the other version. */
+    private static int leadAlone(World world, Version version) {
+        world.until(() -> world.leader() >= 0);
+        int leader = world.leader();
+        for (int node = 0; node < NODES; node++) {
+            if (node != leader) {
+                world.kill(node);
+            }
+        }
+        world.restart(leader, version);
+        world.until(() -> world.leader() == leader && world.isOpen(leader));
+        for (int node = 0; node < NODES; node++) {
+            if (node != leader) {
+                world.restart(node, other(version));
+            }
+        }
+        world.until(() -> world.isOpen(0) && world.isOpen(1) && world.isOpen(2));
+        world.seconds(2);
+        return leader;
+    }
+
+    /** Ends leaders until a controller of that version leads; each comes back with the version that it had. */
+    private static void leadNext(World world, Version version) {
+        for (int node = 0; node < NODES; node++) {
+            if (world.version(node) != version) {
+                world.kill(node);
+            }
+        }
+        world.seconds(LEADER_GONE_SECONDS);
+        for (int node = 0; node < NODES; node++) {
+            if (!world.isUp(node)) {
+                world.restart(node);
+            }
+        }
+        world.until(() -> world.leader() >= 0 && world.version(world.leader()) == version);
+    }
+
+    private static void upgradeAll(World world) {
+        for (int node = 0; node < NODES; node++) {
+            if (world.version(node) == Version.PREVIOUS || !world.isUp(node)) {
+                world.restart(node, Version.CURRENT);
+                world.seconds(1.5);
+            }
+        }
+    }
+
+    private static void submitMeanwhile(World world, int number, int pieces) {
+        world.submitMeanwhile(number % NODES, World.job(uid(number), pieces));
+    }
+
+    private static void everyNodeSays(World world, String uid, String stage) {
+        for (int node = 0; node < NODES; node++) {
+            assertThat(world.stage(node, uid)).as("%s at %d", uid, node).isEqualTo(stage);
+        }
+    }
+
+    /** All that was accepted is done or, if its user asked for that, cancelled, whichever controller is asked. */
+    private static void everythingEnds(World world, int jobs, List<String> cancelled) {
+        world.seconds(90);
+        for (int number = 1; number <= jobs; number++) {
+            String uid = uid(number);
+            if (world.told(uid) == null && world.state().value("plan/" + uid) == null) {
+                continue;
+            }
+            String stage = world.stage(0, uid);
+            assertThat(stage).as(uid).isIn(cancelled.contains(uid) ? List.of("done", "withdrawn") : List.of("done"));
+            everyNodeSays(world, uid, stage);
+        }
+        assertThat(world.broken()).isEmpty();
+    }
+
+    @ParameterizedTest
+    @EnumSource
+    void allJobsAreServedWhileOneVersionLeadsAndTheOthersFollow(Version leading) {
+        World world = previousVersion(51);
+        int leader = leadAlone(world, leading);
+        int follower = (leader + 1) % NODES;
+        for (int number = 1; number <= 9; number++) {
+            assertThat(world.submit(number % NODES, World.job(uid(number), 4)).status()).isEqualTo(201);
+            world.seconds(0.5);
+        }
+        assertThat(world.withdraw(follower, uid(8)).ok()).isTrue();
+        assertThat(world.withdraw(leader, uid(9)).ok()).isTrue();
+        everythingEnds(world, 9, List.of(uid(8), uid(9)));
+        assertThat(world.leader()).isEqualTo(leader);
+    }
+
+    @Test
+    void jobsSurviveTenChangesOfLeaderBetweenVersionsInTwoMinutes() {
+        World world = previousVersion(52);
+        leadAlone(world, Version.PREVIOUS);
+        world.restart((world.leader() + 1) % NODES, Version.PREVIOUS);
+        Random random = new Random(52);
+        List<String> cancelled = new ArrayList<>();
+        int jobs = 0;
+        for (int change = 0; change < 10; change++) {
+            leadNext(world, change % 2 == 0 ? Version.CURRENT : Version.PREVIOUS);
+            for (int each = 0; each < 4; each++) {
+                submitMeanwhile(world, ++jobs, 1 + random.nextInt(6));
+                world.seconds(random.nextDouble() * 3);
+                if (random.nextInt(4) == 0) {
+                    cancelled.add(uid(jobs));
+                    world.withdrawMeanwhile(random.nextInt(NODES), uid(jobs));
+                }
+                world.pollMeanwhile(random.nextInt(NODES), uid(1 + random.nextInt(jobs)));
+            }
+        }
+        everythingEnds(world, jobs, cancelled);
+    }
+
+    /** The moments run from the start of the process to well after the end of the election. */
+    @ParameterizedTest
+    @ValueSource(doubles = {0.01, 0.05, 0.3, 1, 2, 3, 3.5, 4, 5, 7})
+    void aControllerThatDiesInAnElectionComesBackAsThePreviousVersion(double seconds) {
+        World world = previousVersion(53);
+        for (int number = 1; number <= 6; number++) {
+            submitMeanwhile(world, number, 5);
+        }
+        world.untilStarted(4, 6 * SECOND);
+        int leader = world.leader();
+        world.kill(leader);
+        int upgraded = (leader + 1) % NODES;
+        world.restart(upgraded, Version.CURRENT);
+        world.seconds(seconds);
+        world.restart(upgraded, Version.PREVIOUS);
+        world.seconds(1);
+        world.restart(leader, Version.CURRENT);
+        world.seconds(20);
+        upgradeAll(world);
+        everythingEnds(world, 6, List.of());
+    }
+
+    /** Guards everything that is stored against writes and reports that were held up until their sender was gone. */
+    @Test
+    void lateMessagesOfThePreviousVersionChangeNothingAfterTheUpgrade() {
+        World world = previousVersion(54);
+        for (int number = 1; number <= 8; number++) {
+            submitMeanwhile(world, number, 4);
+        }
+        world.untilStarted(6, 4 * SECOND);
+        Rule held = world.network().add((from, to, call) -> from.startsWith("10.0.0.")
+                && (call.route().equals("/txn") && new String(call.body(), StandardCharsets.UTF_8)
+                        .contains("\"set\"") || call.route().equals("/peer/beats")) ? Fate.HOLD : null);
+        world.seconds(3);
+        for (int node = 0; node < NODES; node++) {
+            world.kill(node);
+        }
+        world.network().remove(held);
+        world.seconds(1);
+        for (int node = 0; node < NODES; node++) {
+            world.restart(node, Version.CURRENT);
+        }
+        world.until(() -> world.leader() >= 0);
+        world.seconds(12);
+        String cancelled = uid(8);
+        world.withdraw(0, cancelled);
+        world.network().release();
+        everythingEnds(world, 8, List.of(cancelled));
+    }
+
+    /** The write may have been carried out or not; who leads next has to find out from the store. */
+    @ParameterizedTest
+    @EnumSource
+    void writesWhoseAnswersAreLostAtTheChangeOfLeaderCountForTheOtherVersion(Version leading) {
+        World world = previousVersion(55);
+        int leader = leadAlone(world, leading);
+        for (int number = 1; number <= 6; number++) {
+            submitMeanwhile(world, number, 4);
+        }
+        world.untilStarted(5, 3 * SECOND);
+        Random random = new Random(55);
+        Rule unanswered = world.network().add(Troubles.writes("\"set\"", Fate.LOSE_ANSWER, 0.7, random));
+        world.seconds(4);
+        submitMeanwhile(world, 7, 2);
+        world.withdrawMeanwhile((leader + 1) % NODES, uid(6));
+        world.seconds(0.2);
+        world.kill(leader);
+        world.seconds(LEADER_GONE_SECONDS);
+        world.network().remove(unanswered);
+        world.until(() -> world.leader() >= 0 && world.version(world.leader()) == other(leading));
+        world.restart(leader, Version.CURRENT);
+        everythingEnds(world, 7, List.of(uid(6)));
+    }
+
+    /** The state service refuses the leader alone, and then everybody, while one version confirms and the other leads. */
+    @ParameterizedTest
+    @EnumSource
+    void tasksOfAJobThatTheOtherVersionCancelledEndInTime(Version leading) {
+        World world = previousVersion(56);
+        int leader = leadAlone(world, leading);
+        int follower = (leader + 1) % NODES;
+        for (int number = 1; number <= 3; number++) {
+            submitMeanwhile(world, number, 3);
+        }
+        world.untilStarted(9, 200 * SECOND);
+        assertThat(world.withdraw(follower, uid(1)).json().path("stage").asText()).isEqualTo("withdrawn");
+        everyNodeSays(world, uid(1), "withdrawn");
+        world.seconds(3);
+        Rule refused = world.network().add(Troubles.refused(leader));
+        world.seconds(1);
+        assertThat(world.withdraw(follower, uid(2)).json().path("stage").asText()).isEqualTo("withdrawn");
+        world.state().outage(true);
+        world.seconds(35);
+        world.state().outage(false);
+        world.network().remove(refused);
+        upgradeAll(world);
+        world.cloud().machines().values().forEach(machine -> machine.runMicros(3 * SECOND));
+        world.seconds(200);
+        everyNodeSays(world, uid(2), "withdrawn");
+        everythingEnds(world, 3, List.of(uid(1), uid(2)));
+    }
+
+    /** The announced limits may come while the last controllers of the previous version are still there. */
+    @ParameterizedTest
+    @ValueSource(ints = {0, 1, 2, 3})
+    void nothingIsLostWhenTheLimitsFallDuringTheUpgrade(int upgradedBefore) {
+        World world = previousVersion(57 + upgradedBefore);
+        int jobs = 0;
+        for (int node = 0; node < NODES; node++) {
+            if (node == upgradedBefore) {
+                world.state().limits(6, 2 * 1024, 30);
+            }
+            for (int each = 0; each < 5; each++) {
+                submitMeanwhile(world, ++jobs, 4);
+                world.seconds(0.3);
+            }
+            world.restart(node, Version.CURRENT);
+            world.seconds(3);
+        }
+        world.state().limits(6, 2 * 1024, 30);
+        world.seconds(40);
+        everythingEnds(world, jobs, List.of());
+    }
+
+    @Test
+    void afterTheUpgradeJobsMayAwaitWhatThePreviousVersionAccepted() {
+        World world = previousVersion(61);
+        int done = 1;
+        int running = 2;
+        int cancelled = 3;
+        world.submit(0, World.job(uid(done), 2));
+        world.untilStarted(2, SECOND);
+        world.until(() -> world.stage(1, uid(done)).equals("done"));
+        world.submit(1, World.job(uid(running), 2));
+        world.submit(2, World.job(uid(cancelled), 2));
+        world.untilStarted(5, 30 * SECOND);
+        world.withdraw(1, uid(cancelled));
+        upgradeAll(world);
+        for (int node = 0; node < NODES; node++) {
+            int number = 10 + 10 * node;
+            ObjectNode awaitsNothing = World.job(uid(number), 1).putNull("awaits");
+            assertThat(world.submit(node, awaitsNothing).status()).isEqualTo(201);
+            assertThat(world.submit(node, World.job(uid(number + 1), 1, uid(done))).status()).isEqualTo(201);
+            assertThat(world.submit(node, World.job(uid(number + 2), 1, uid(running), uid(done))).status()).isEqualTo(201);
+            Reply closed = world.submit(node, World.job(uid(number + 3), 1, uid(running), uid(cancelled)));
+            assertThat(closed.status()).isEqualTo(201);
+            assertThat(closed.json().path("stage").asText()).isEqualTo("withdrawn");
+            assertThat(world.submit(node, World.job(uid(number + 4), 1, uid(99))).status()).isEqualTo(422);
+            ObjectNode malformed = World.job(uid(number + 5), 1).put("awaits", uid(done));
+            assertThat(world.submit(node, malformed).status()).isEqualTo(400);
+            // A job that the previous version accepted stays as it was, whatever a repeat names.
+            assertThat(world.submit(node, World.job(uid(done), 2, uid(99))).json().path("stage").asText()).isEqualTo("done");
+        }
+        world.seconds(60);
+        for (int number = 10; number <= 30; number += 10) {
+            everyNodeSays(world, uid(number), "done");
+            everyNodeSays(world, uid(number + 1), "done");
+            everyNodeSays(world, uid(number + 2), "done");
+            everyNodeSays(world, uid(number + 3), "withdrawn");
+        }
+        assertThat(world.broken()).isEmpty();
+    }
+}
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.fleet.Hire;
 import io.sillreel.http.Json;
 import io.sillreel.http.Reply;
@@ -15,6 +16,7 @@
 import io.sillreel.pipeline.RetrySchedule;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.pipeline.RunRecord.Head;
+import io.sillreel.sim.PreviousVersion;
 import io.sillreel.sim.SimNetwork;
 import io.sillreel.sim.SimState;
 import io.sillreel.sim.SimTime;
@@ -99,6 +101,21 @@
         assertThat(hire.mayHold("host-000232")).isFalse();
     }
 
+    /** Guards the stand-in for that version in the simulated cluster: it hides and forbids nothing that the version knew. */
+    @Test
+    void theStandInLeavesItsSamplesAsTheyAre() {
+        Map<String, String> samples = new HashMap<>(CHUNKED);
+        samples.putAll(Map.of("plan/job-000412", PLAN, "run/job-000412", RUNNING, "run/job-000414", DONE,
+                "run/job-000415", FAILED, "hire/r-5-12", HIRE));
+        samples.forEach((key, value) -> assertThat(PreviousVersion.understood(key, json(value))).isEqualTo(json(value)));
+        ObjectNode chained = (ObjectNode) json(PLAN);
+        ((ObjectNode) chained.path("job")).putArray("awaits").add("job-000398");
+        assertThat(PreviousVersion.understood("plan/job-000412", chained)).isEqualTo(json(PLAN));
+        ObjectNode inParts = ((ObjectNode) json(RUNNING)).put("per", 8).put("ready_us", 7);
+        inParts.putArray("gens").add(1);
+        assertThat(PreviousVersion.understood("run/job-000412", inParts)).isEqualTo(json(RUNNING));
+    }
+
     /** Guards its readers: nothing is added or ordered otherwise in what they take up. */
     @Test
     void whatItReadsIsWrittenAsItWroteIt() {
--- a/src/test/java/io/sillreel/sim/World.java
+++ b/src/test/java/io/sillreel/sim/World.java
@@ -12,6 +12,7 @@
 import io.sillreel.settings.SettingsReader;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.Comparator;
 import java.util.Deque;
 import java.util.HashMap;
@@ -35,6 +36,18 @@
     private static final int USUAL_NODES = 3;
     private static final long ASKER_WAITS_MICROS = 4 * SECOND;
 
+    /** What a controller runs: the version before chains of jobs (5806758), or the present one. */
+    public enum Version { PREVIOUS, CURRENT }
+
+
+    /** The previous version does not know that limits may be announced. */
+    private static final String ANNOUNCED_LIMITS = """
+            [params.state.next]
+            write_rps = 60.0
+            value_kb = 2.0
+            txn_ops = 6
+            """;
+
     private final SimTime time = new SimTime();
     private final SimNetwork network;
     private final SimState state;
@@ -43,6 +56,8 @@
     private final int nodes;
     private final Controller[] controllers;
     private final SimTime.Process[] processes;
+    private final Version[] versions;
+    private final double cpusMax;
     private final Caller users;
     private final Set<String> completed = new HashSet<>();
     private final Set<String> mistaken = new HashSet<>();
@@ -68,10 +83,18 @@
     }
 
     public World(long seed, double cpusMax, int nodes) {
+        this(seed, cpusMax, nodes, Version.CURRENT);
+    }
+
+    /** @param version what all controllers run at first */
+    public World(long seed, double cpusMax, int nodes, Version version) {
         this.nodes = nodes;
+        this.cpusMax = cpusMax;
         controllers = new Controller[nodes];
         processes = new SimTime.Process[nodes];
-        settings = SettingsReader.parse(toml(0, cpusMax));
+        versions = new Version[nodes];
+        Arrays.fill(versions, version);
+        settings = SettingsReader.parse(toml(0));
         network = new SimNetwork(time, seed);
         state = new SimState(time, 20, 8 * 1024, 100);
         cloud = new SimCloud(this);
@@ -80,12 +103,12 @@
         users = network.from("users", time.new Process());
         state.onLeader(() -> network.letKeptGo(publicAddresses()));
         for (int node = 0; node < nodes; node++) {
-            start(node, cpusMax);
+            start(node);
         }
         time.after(SECOND / 5, this::watch);
     }
 
-    private String toml(int node, double cpusMax) {
+    private String toml(int node) {
         StringBuilder toml = new StringBuilder("""
                 node_name = "hopper-%1$d"
                 area = "a"
@@ -121,10 +144,7 @@
                 write_rps = 100.0
                 value_kb = 8.0
                 txn_ops = 20
-                [params.state.next]
-                write_rps = 60.0
-                value_kb = 2.0
-                txn_ops = 6
+                %s
                 [params.cloud]
                 rps = 10.0
                 list_lag_s = 2.0
@@ -132,21 +152,24 @@
                 cores = 1.0
                 memory_mb = 200.0
                 max_sockets = 500
-                """.formatted(cpusMax)).toString();
+                """.formatted(cpusMax, versions[node] == Version.PREVIOUS ? "" : ANNOUNCED_LIMITS)).toString();
     }
 
-    private void start(int node, double cpusMax) {
+    private void start(int node) {
         SimTime.Process process = time.new Process();
         String host = "10.0.0." + node;
-        Caller caller = network.from(host, process);
-        Controller controller = new Controller(process, caller, caller,
-                SettingsReader.parse(toml(node, cpusMax)), OperatorProperties.defaults());
+        boolean previous = versions[node] == Version.PREVIOUS;
+        Caller direct = network.from(host, process);
+        Caller caller = previous ? new PreviousVersion(direct, broken::add)::call : direct;
+        Controller controller = new Controller(process, caller, caller, SettingsReader.parse(toml(node)),
+                OperatorProperties.defaults());
         processes[node] = process;
         controllers[node] = controller;
         network.listen(host + ":8081", call -> process.awake(() -> controller.internalCall(call)));
         controller.start(() -> {
             if (!process.killed()) {
-                network.listen(host + ":8080", call -> process.awake(() -> inTurn(controller, call)));
+                network.listen(host + ":8080", call ->
+                        process.awake(() -> inTurn(controller, previous ? PreviousVersion.understood(call) : call)));
             }
         });
     }
@@ -178,7 +201,17 @@
 
     public void restart(int node) {
         kill(node);
-        start(node, settings.teams().get("t").cpusMax());
+        start(node);
+    }
+
+    /** Ends the process and starts it again with that version, which it keeps from then on. */
+    public void restart(int node, Version version) {
+        versions[node] = version;
+        restart(node);
+    }
+
+    public Version version(int node) {
+        return versions[node];
     }
 
     public boolean isUp(int node) {
