--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -52,6 +52,7 @@
     private static final long STORE_SILENCE_MICROS = 4_000_000;
     /** The parts of the shared rates that one of several controllers allows itself. */
     private static final double REQUEST_PART = 0.5;
+
     private static final double WRITE_PART = 0.7;
     private static final double CLOUD_PART = 0.8;
 
@@ -90,16 +91,23 @@
         double requests = settings.state().requestsPerSecond() * REQUEST_PART;
         double writes = settings.state().writesPerSecond() * WRITE_PART;
         double calls = settings.cloud().requestsPerSecond() * CLOUD_PART;
-        this.store = new StateStore(caller, leaseCaller, loop, settings.stateAddress(), new Pacer(loop, requests, requests),
+        this.store = new StateStore(
+                caller,
+                leaseCaller,
+                loop,
+                settings.stateAddress(),
+                new Pacer(loop, requests, requests),
                 new Pacer(loop, writes, writes));
-        this.cloud = new CloudClient(caller, loop, settings.cloudAddress(),
-                new Pacer(loop, calls, Math.max(1, calls)));
+        this.cloud = new CloudClient(caller, loop, settings.cloudAddress(), new Pacer(loop, calls, Math.max(1, calls)));
         this.leadership = new Leadership(store, loop, settings.nodeName(), operator.stateLeaseMicros(), this);
         this.flavors = new FlavorBook(store, cloud, loop, () -> leadership.heldTerm() > 0);
-        this.users = new AdaptiveLimit(new Admission(store, loop, settings, flavors::types, this, this::tellWithdrawn),
-                operator.maxRequests(), loop::nowMicros);
+        this.users = new AdaptiveLimit(
+                new Admission(store, loop, settings, flavors::types, this, this::tellWithdrawn),
+                operator.maxRequests(),
+                loop::nowMicros);
         this.peers = new Peers(loop);
-        this.spread = new WorkerSpread(loop, peers, settings.nodeName(), settings.workers().reportMicros());
+        this.spread = new WorkerSpread(
+                loop, peers, settings.nodeName(), settings.workers().reportMicros());
         this.relay = new ReportRelay(loop, caller, spread::workers);
     }
 
@@ -212,7 +220,9 @@
         }
         spread.seen(report.machine());
         String elsewhere = spread.moveTo(report.machine());
-        if (elsewhere == null && current == null && !relay.works(leader.get().address())
+        if (elsewhere == null
+                && current == null
+                && !relay.works(leader.get().address())
                 && !spread.sentOnLately(report.machine())) {
             elsewhere = leader.get().nodeName();
         }
@@ -279,7 +289,8 @@
 
     /** True if workers that report here have their reports answered. */
     private boolean serves() {
-        return tenure != null || leader().map(member -> relay.works(member.address())).orElse(false);
+        return tenure != null
+                || leader().map(member -> relay.works(member.address())).orElse(false);
     }
 
     private void hello() {
@@ -306,7 +317,13 @@
 
     private Hello ownHello() {
         Leadership.Leader leader = leadership.known();
-        return new Hello(settings.nodeName(), leader.node(), leader.term(), storeAnswers(), spread.workers(), serves(),
+        return new Hello(
+                settings.nodeName(),
+                leader.node(),
+                leader.term(),
+                storeAnswers(),
+                spread.workers(),
+                serves(),
                 unanswered + unansweredBefore);
     }
 
@@ -319,8 +336,8 @@
 
     @Override
     public void took(long term, long leaderStamp) {
-        tenure = new Tenure(loop, store, cloud, caller, settings, operator, leadership, term, leaderStamp,
-                flavors::types, peers);
+        tenure = new Tenure(
+                loop, store, cloud, caller, settings, operator, leadership, term, leaderStamp, flavors::types, peers);
         tenure.start();
     }
 
@@ -342,20 +359,29 @@
     @Override
     public void bindTo(MeterRegistry to) {
         FunctionCounter.builder("sillreel.reports", this, each -> each.reports).register(to);
-        FunctionCounter.builder("sillreel.reports.handed", this, each -> each.handed).register(to);
-        FunctionCounter.builder("sillreel.reports.passed", relay, ReportRelay::passed).register(to);
-        FunctionCounter.builder("sillreel.reports.lost", relay, ReportRelay::lost).register(to);
-        FunctionCounter.builder("sillreel.reports.batches", relay, ReportRelay::batchesSent).register(to);
-        FunctionCounter.builder("sillreel.workers.moved", this, each -> each.moved).register(to);
-        FunctionCounter.builder("sillreel.requests.refused", users, AdaptiveLimit::refused).register(to);
+        FunctionCounter.builder("sillreel.reports.handed", this, each -> each.handed)
+                .register(to);
+        FunctionCounter.builder("sillreel.reports.passed", relay, ReportRelay::passed)
+                .register(to);
+        FunctionCounter.builder("sillreel.reports.lost", relay, ReportRelay::lost)
+                .register(to);
+        FunctionCounter.builder("sillreel.reports.batches", relay, ReportRelay::batchesSent)
+                .register(to);
+        FunctionCounter.builder("sillreel.workers.moved", this, each -> each.moved)
+                .register(to);
+        FunctionCounter.builder("sillreel.requests.refused", users, AdaptiveLimit::refused)
+                .register(to);
         Gauge.builder("sillreel.requests.limit", users, AdaptiveLimit::limit).register(to);
         Gauge.builder("sillreel.workers", spread, WorkerSpread::workers).register(to);
         Gauge.builder("sillreel.version", () -> 1).tag("version", version()).register(to);
         Gauge.builder("sillreel.leads", leadership, Leadership::heldTerm).register(to);
-        Gauge.builder("sillreel.late.ms", lateness, each -> each.micros() / 1_000.0).register(to);
-        Gauge.builder("sillreel.late.most.ms", lateness, each -> each.mostMicros() / 1_000.0).register(to);
+        Gauge.builder("sillreel.late.ms", lateness, each -> each.micros() / 1_000.0)
+                .register(to);
+        Gauge.builder("sillreel.late.most.ms", lateness, each -> each.mostMicros() / 1_000.0)
+                .register(to);
         Gauge.builder("sillreel.requests.waiting", turns, Turns::waiting).register(to);
-        FunctionCounter.builder("sillreel.requests.given.up", turns, Turns::givenUp).register(to);
+        FunctionCounter.builder("sillreel.requests.given.up", turns, Turns::givenUp)
+                .register(to);
         new JvmMemoryMetrics().bindTo(to);
     }
 
--- a/src/main/java/io/sillreel/admission/Admission.java
+++ b/src/main/java/io/sillreel/admission/Admission.java
@@ -42,8 +42,13 @@
     private final JobViews views;
 
     /** @param onWithdrawn told of each withdrawal that is stored here, before its user is */
-    public Admission(StateStore store, Loop loop, Settings settings, Supplier<Map<String, MachineType>> types,
-            LiveCounts live, Consumer<String> onWithdrawn) {
+    public Admission(
+            StateStore store,
+            Loop loop,
+            Settings settings,
+            Supplier<Map<String, MachineType>> types,
+            LiveCounts live,
+            Consumer<String> onWithdrawn) {
         this.store = store;
         this.loop = loop;
         this.settings = settings;
@@ -145,13 +150,20 @@
             return unlessKnown(uid, Reply.refusal(422, "the job's description is too large to be stored"));
         }
         Txn txn = new Txn().require(key, 0).set(key, plan);
-        Optional<JobView> withdrawn = awaited.stream().filter(JobView::withdrawn).findFirst();
+        Optional<JobView> withdrawn =
+                awaited.stream().filter(JobView::withdrawn).findFirst();
         if (withdrawn.isPresent()) {
-            txn.require("withdraw/" + uid, 0).set("withdraw/" + uid,
-                    Json.object().put("at_us", now).put("by", withdrawn.get().uid()));
+            txn.require("withdraw/" + uid, 0)
+                    .set(
+                            "withdraw/" + uid,
+                            Json.object()
+                                    .put("at_us", now)
+                                    .put("by", withdrawn.get().uid()));
         } else {
             // As far as there is room: what is withdrawn in this very moment closes the job all the same.
-            awaited.stream().filter(each -> !each.done()).limit(4L * settings.state().txnOps() - 1)
+            awaited.stream()
+                    .filter(each -> !each.done())
+                    .limit(4L * settings.state().txnOps() - 1)
                     .forEach(each -> txn.require("withdraw/" + each.uid(), 0));
         }
         return store.commit(txn).thenCompose(commit -> {
@@ -160,8 +172,14 @@
                     JobView view = JobViews.planned(uid, commit.ledger(), spec);
                     view = withdrawn.isPresent() ? view.closedBy() : view;
                     views.remember(view);
-                    LOG.info("admitted {}: {} x {} cpus, {} of {}, rank {}{}", uid, spec.pieces(), spec.cpus(),
-                            spec.lot(), spec.crew(), spec.rank().wire(),
+                    LOG.info(
+                            "admitted {}: {} x {} cpus, {} of {}, rank {}{}",
+                            uid,
+                            spec.pieces(),
+                            spec.cpus(),
+                            spec.lot(),
+                            spec.crew(),
+                            spec.rank().wire(),
                             awaited.isEmpty() ? "" : ", after " + String.join(", ", spec.awaits()));
                     String stage = view.withdrawn() ? "withdrawn" : "queued";
                     return done(Reply.of(201, Json.object().put("uid", uid).put("stage", stage)));
@@ -173,7 +191,8 @@
                     return unlessKnown(uid, Reply.refusal(422, "the job's description is too large to be stored"));
                 }
                 default -> {
-                    boolean moved = commit.outcome() == Outcome.CONFLICT && !commit.failed().contains(key);
+                    boolean moved = commit.outcome() == Outcome.CONFLICT
+                            && !commit.failed().contains(key);
                     if (moved && tries > 1) {
                         // One of those that it awaits has been withdrawn since.
                         return admit(spec, tries - 1);
@@ -211,12 +230,21 @@
             }
             String key = "withdraw/" + uid;
             // Conditional on the record as read: done and withdrawn exclude each other.
-            Txn txn = new Txn().require(key, 0).require(RunRecord.key(uid), view.runStamp())
+            Txn txn = new Txn()
+                    .require(key, 0)
+                    .require(RunRecord.key(uid), view.runStamp())
                     .set(key, Json.object().put("at_us", loop.wallMicros()));
             return store.commit(txn).thenCompose(commit -> {
                 if (commit.outcome() == Outcome.OK) {
-                    JobView withdrawn = new JobView(uid, view.planStamp(), view.pieces(), view.awaits(), view.runStamp(),
-                            view.head(), commit.ledger(), false);
+                    JobView withdrawn = new JobView(
+                            uid,
+                            view.planStamp(),
+                            view.pieces(),
+                            view.awaits(),
+                            view.runStamp(),
+                            view.head(),
+                            commit.ledger(),
+                            false);
                     views.remember(withdrawn);
                     LOG.info("withdrawn {}", uid);
                     onWithdrawn.accept(uid);
--- a/src/main/java/io/sillreel/admission/JobReader.java
+++ b/src/main/java/io/sillreel/admission/JobReader.java
@@ -29,8 +29,7 @@
         }
     }
 
-    private JobReader() {
-    }
+    private JobReader() {}
 
     static boolean isUid(String text) {
         return UID.matcher(text).matches();
@@ -46,15 +45,33 @@
         }
         Rank rank = Rank.of(text(body, "rank")).orElseThrow(() -> new Malformed("rank: is not a known rank"));
         JsonNode pieces = field(body, "pieces");
-        if (!pieces.isIntegralNumber() || !pieces.canConvertToInt() || pieces.asInt() < 1
+        if (!pieces.isIntegralNumber()
+                || !pieces.canConvertToInt()
+                || pieces.asInt() < 1
                 || pieces.asInt() > MOST_PIECES) {
             throw new Malformed("pieces: is not a whole number from 1 to " + MOST_PIECES);
         }
-        return new JobSpec(uid, text(body, "lot"), text(body, "crew"), rank, pieces.asInt(), amount(body, "vcpus"),
-                amount(body, "cards"), amount(body, "ram_gb"), text(body, "reel"), amount(body, "image_gb"),
-                texts(body, "builds"), optionalText(body, "yard"), flag(body, "one_zone"), flag(body, "spread"),
-                flag(body, "loaners"), micros(body, "guess_s"), micros(body, "mark_every_s"), micros(body, "stash_s"),
-                body.hasNonNull("due_s") ? micros(body, "due_s") : -1, awaits(body));
+        return new JobSpec(
+                uid,
+                text(body, "lot"),
+                text(body, "crew"),
+                rank,
+                pieces.asInt(),
+                amount(body, "vcpus"),
+                amount(body, "cards"),
+                amount(body, "ram_gb"),
+                text(body, "reel"),
+                amount(body, "image_gb"),
+                texts(body, "builds"),
+                optionalText(body, "yard"),
+                flag(body, "one_zone"),
+                flag(body, "spread"),
+                flag(body, "loaners"),
+                micros(body, "guess_s"),
+                micros(body, "mark_every_s"),
+                micros(body, "stash_s"),
+                body.hasNonNull("due_s") ? micros(body, "due_s") : -1,
+                awaits(body));
     }
 
     /** The jobs to be done first; a name that stands twice counts once. */
@@ -82,9 +99,12 @@
         if (spec.oneZone() && spec.mostInOneYard() < spec.pieces()) {
             return Optional.of("one_zone and spread exclude each other");
         }
-        boolean fits = types.stream().anyMatch(type -> spec.allowsBuild(type.name())
-                && (spec.yard() == null || type.yards().contains(spec.yard()))
-                && spec.cpus() <= type.cpus() && spec.cards() <= type.cards() && spec.ramGb() <= type.ramGb());
+        boolean fits = types.stream()
+                .anyMatch(type -> spec.allowsBuild(type.name())
+                        && (spec.yard() == null || type.yards().contains(spec.yard()))
+                        && spec.cpus() <= type.cpus()
+                        && spec.cards() <= type.cards()
+                        && spec.ramGb() <= type.ramGb());
         return fits ? Optional.empty() : Optional.of("a task fits no allowed machine type");
     }
 
--- a/src/main/java/io/sillreel/admission/JobView.java
+++ b/src/main/java/io/sillreel/admission/JobView.java
@@ -11,8 +11,15 @@
  * @param awaits the jobs that have to be done before this one
  * @param closed something that it awaits, directly or through others, is withdrawn
  */
-record JobView(String uid, long planStamp, int pieces, List<String> awaits, long runStamp, RunRecord.Head head,
-        long withdrawStamp, boolean closed) {
+record JobView(
+        String uid,
+        long planStamp,
+        int pieces,
+        List<String> awaits,
+        long runStamp,
+        RunRecord.Head head,
+        long withdrawStamp,
+        boolean closed) {
     static JobView unknown(String uid) {
         return new JobView(uid, 0, 0, List.of(), 0, null, 0, false);
     }
@@ -47,16 +54,24 @@
     /** What both know together; neither can be newer than the other in everything. */
     JobView with(JobView old) {
         boolean runOlder = runStamp < old.runStamp();
-        return new JobView(uid, Math.max(planStamp, old.planStamp()), Math.max(pieces, old.pieces()),
-                awaits.isEmpty() ? old.awaits() : awaits, Math.max(runStamp, old.runStamp()), runOlder ? old.head() : head,
-                Math.max(withdrawStamp, old.withdrawStamp()), closed || old.closed());
+        return new JobView(
+                uid,
+                Math.max(planStamp, old.planStamp()),
+                Math.max(pieces, old.pieces()),
+                awaits.isEmpty() ? old.awaits() : awaits,
+                Math.max(runStamp, old.runStamp()),
+                runOlder ? old.head() : head,
+                Math.max(withdrawStamp, old.withdrawStamp()),
+                closed || old.closed());
     }
 
     /** The users' picture of the job; live counts, if there are any, are newer than the record's. */
     ObjectNode answer(LiveCounts.Counts live) {
         ObjectNode node = Json.object().put("uid", uid);
         if (withdrawn()) {
-            return node.put("stage", "withdrawn").put("done", head == null ? 0 : head.done()).put("running", 0);
+            return node.put("stage", "withdrawn")
+                    .put("done", head == null ? 0 : head.done())
+                    .put("running", 0);
         }
         if (done()) {
             return node.put("stage", RunRecord.DONE).put("done", head.pieces()).put("running", 0);
--- a/src/main/java/io/sillreel/admission/JobViews.java
+++ b/src/main/java/io/sillreel/admission/JobViews.java
@@ -31,18 +31,17 @@
     private static final long GATHER_MICROS = 4_000;
     /** What takes many transactions, as long chains do, is asked for the more questions together, the longer it is. */
     private static final long GATHER_PER_PART_MICROS = 40_000;
+
     private static final long MOST_GATHER_MICROS = 800_000;
     private static final int BATCHES_AT_ONCE = 2;
     private static final int MOST_PER_BATCH = 40;
     /** A user who polls waits for 2 s. */
     private static final long GIVE_UP_MICROS = 1_900_000;
 
-    private record Question(String uid, long askedMicros, CompletableFuture<JobView> answer) {
-    }
+    private record Question(String uid, long askedMicros, CompletableFuture<JobView> answer) {}
 
     /** A question that is being confirmed: what was thought of its job, and the keys that this rests on. */
-    private record Compared(Question question, JobView view, Set<String> keys) {
-    }
+    private record Compared(Question question, JobView view, Set<String> keys) {}
 
     private final StateStore store;
     private final Loop loop;
@@ -257,8 +256,7 @@
                     if (moved.isEmpty()) {
                         askAgain(question);
                     } else {
-                        learn(moved).thenAccept(learnt ->
-                                answerFrom(question, learnt, moved.contains(question.uid())));
+                        learn(moved).thenAccept(learnt -> answerFrom(question, learnt, moved.contains(question.uid())));
                     }
                 }
                 case UNKNOWN -> {
@@ -299,17 +297,31 @@
         CompletableFuture<Read> plan = old.accepted() ? null : store.get("plan/" + uid);
         CompletableFuture<Read> run = store.get(RunRecord.key(uid));
         CompletableFuture<Read> withdraw = store.get("withdraw/" + uid);
-        CompletableFuture<?> all = plan == null ? CompletableFuture.allOf(run, withdraw)
-                : CompletableFuture.allOf(plan, run, withdraw);
+        CompletableFuture<?> all =
+                plan == null ? CompletableFuture.allOf(run, withdraw) : CompletableFuture.allOf(plan, run, withdraw);
         return all.thenApply(ignored -> {
-            if (plan != null && !plan.join().decided() || !run.join().decided() || !withdraw.join().decided()) {
+            if (plan != null && !plan.join().decided()
+                    || !run.join().decided()
+                    || !withdraw.join().decided()) {
                 return false;
             }
-            JobView view = plan == null || plan.join().entry() == null ? old
-                    : planned(uid, plan.join().stamp(), JobSpec.ofPlan(plan.join().entry().value().path("job")));
-            remember(new JobView(uid, view.planStamp(), view.pieces(), view.awaits(), run.join().stamp(),
-                    run.join().entry() == null ? null : RunRecord.Head.of(run.join().entry().value()),
-                    withdraw.join().stamp(), false));
+            JobView view = plan == null || plan.join().entry() == null
+                    ? old
+                    : planned(
+                            uid,
+                            plan.join().stamp(),
+                            JobSpec.ofPlan(plan.join().entry().value().path("job")));
+            remember(new JobView(
+                    uid,
+                    view.planStamp(),
+                    view.pieces(),
+                    view.awaits(),
+                    run.join().stamp(),
+                    run.join().entry() == null
+                            ? null
+                            : RunRecord.Head.of(run.join().entry().value()),
+                    withdraw.join().stamp(),
+                    false));
             return true;
         });
     }
--- a/src/main/java/io/sillreel/admission/LiveCounts.java
+++ b/src/main/java/io/sillreel/admission/LiveCounts.java
@@ -3,8 +3,7 @@
 /** Counts for display, known on the controller that drives the pipelines. */
 public interface LiveCounts {
     /** @param reason why the job waits, in plain words, or null */
-    record Counts(int done, int running, String reason) {
-    }
+    record Counts(int done, int running, String reason) {}
 
     /** Counts of an unfinished job, or null if this controller does not know them. */
     Counts of(String uid);
--- a/src/main/java/io/sillreel/cli/Main.java
+++ b/src/main/java/io/sillreel/cli/Main.java
@@ -26,7 +26,10 @@
 import picocli.CommandLine.Option;
 
 /** The daemon's command line. */
-@Command(name = "sillreel", mixinStandardHelpOptions = true, versionProvider = Main.Version.class,
+@Command(
+        name = "sillreel",
+        mixinStandardHelpOptions = true,
+        versionProvider = Main.Version.class,
         description = "Runs one controller of the cluster scheduler.",
         footer = "Logs go to standard error; LOG_LEVEL sets how much (error, info, debug).")
 public final class Main implements Callable<Integer> {
@@ -35,6 +38,7 @@
     private static final int LEASE_CONNECTIONS = 2;
     /** What a batch of the longest reports may take. */
     private static final int MAX_BATCH_BYTES = 8 * 1024 * 1024;
+
     private static final int CONNECTIONS_INSIDE = 100;
     /** Of all sockets: the rest is for what this controller asks others. */
     private static final double PUBLIC_PART = 0.75;
@@ -52,6 +56,7 @@
             "io.netty.processId", "1",
             "io.netty.allocator.type", "unpooled",
             "io.netty.jfr.enabled", "false");
+
     private static final String CONFIG = "--config";
 
     @Option(names = CONFIG, paramLabel = "FILE", description = "The platform's settings (TOML).")
@@ -125,23 +130,30 @@
 
     /** Starts a controller on one event loop. */
     static EventLoopGroup run(Settings settings, OperatorProperties operator) {
-        LoggerFactory.getLogger(Main.class).info("{} in {} starts, version {}, {} UTC", settings.nodeName(),
-                settings.area(), Controller.version(), LocalDateTime.now(ZoneOffset.UTC));
-        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop"),
-                NioIoHandler.newFactory());
+        LoggerFactory.getLogger(Main.class)
+                .info(
+                        "{} in {} starts, version {}, {} UTC",
+                        settings.nodeName(),
+                        settings.area(),
+                        Controller.version(),
+                        LocalDateTime.now(ZoneOffset.UTC));
+        EventLoopGroup group =
+                new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop"), NioIoHandler.newFactory());
         NettyLoop loop = new NettyLoop(group.next());
         HttpClient client = new HttpClient(group.next(), CONNECTIONS_PER_ADDRESS);
         HttpClient leaseClient = new HttpClient(group.next(), LEASE_CONNECTIONS);
         Controller controller = new Controller(loop, client, leaseClient, settings, operator);
         int connections = (int) (settings.resources().maxSockets() * PUBLIC_PART);
-        HttpServer users = new HttpServer(group, HttpServer.MAX_BODY_BYTES, connections, Controller::line,
-                controller.turns(), (int) (connections * WORKERS_PART));
+        HttpServer users = new HttpServer(
+                group, HttpServer.MAX_BODY_BYTES, connections, Controller::line, controller.turns(), (int)
+                        (connections * WORKERS_PART));
         new HttpServer(group, MAX_BATCH_BYTES, CONNECTIONS_INSIDE)
                 .listen(settings.internalAddress(), controller::internalCall);
         loop.execute(() -> controller.start(() -> users.bind(settings.publicAddress(), controller::publicCall)
                 .addListener(bound -> {
                     if (!bound.isSuccess()) {
-                        System.err.println("sillreel: public_addr: can't be listened on: " + bound.cause().getMessage());
+                        System.err.println("sillreel: public_addr: can't be listened on: "
+                                + bound.cause().getMessage());
                         System.exit(BAD_SETTINGS);
                     }
                 })));
--- a/src/main/java/io/sillreel/cli/Rehearsal.java
+++ b/src/main/java/io/sillreel/cli/Rehearsal.java
@@ -23,8 +23,7 @@
 final class Rehearsal {
     private static final int ROUNDS = 12;
 
-    private Rehearsal() {
-    }
+    private Rehearsal() {}
 
     static void run() throws IOException, InterruptedException {
         int stagePort = freePort();
@@ -49,17 +48,28 @@
         ask(self + "/v2/runs", behind);
         ask(self + "/v2/runs/job-000004", null);
         ask(self + "/v2/runs/job-000002/withdraw", Json.object());
-        ObjectNode beat = Json.object().put("hopper", "host-000000").put("addr", "127.0.0.1:1").put("build", "c4")
-                .put("yard", "a").put("loaners", true).put("shift", 1).put("baton", 0).putNull("recall_s");
+        ObjectNode beat = Json.object()
+                .put("hopper", "host-000000")
+                .put("addr", "127.0.0.1:1")
+                .put("build", "c4")
+                .put("yard", "a")
+                .put("loaners", true)
+                .put("shift", 1)
+                .put("baton", 0)
+                .putNull("recall_s");
         ArrayNode pieces = beat.putArray("pieces");
         for (int round = 1; round <= ROUNDS; round++) {
             beat.put("tally", round);
             JsonNode answer = ask("http://127.0.0.1:" + publicPorts[round % 2] + "/agent/beat", beat);
-            beat.put("baton", Math.max(beat.path("baton").asLong(), answer.path("baton").asLong()));
+            beat.put(
+                    "baton",
+                    Math.max(beat.path("baton").asLong(), answer.path("baton").asLong()));
             pieces.forEach(piece -> ((ObjectNode) piece).put("stage", "ended").put("cause", "done"));
             for (JsonNode order : answer.path("orders")) {
                 if (order.path("verb").asText().equals("launch")) {
-                    pieces.addObject().put("piece", order.path("piece").asText()).put("try", order.path("try").asLong())
+                    pieces.addObject()
+                            .put("piece", order.path("piece").asText())
+                            .put("try", order.path("try").asLong())
                             .put("stage", "running");
                 }
             }
@@ -113,10 +123,25 @@
     }
 
     private static ObjectNode job(String uid) {
-        return Json.object().put("uid", uid).put("lot", "l").put("crew", "t").put("form", "sweep").put("rank", "normal")
-                .put("pieces", 2).put("vcpus", 1.0).put("cards", 0.0).put("ram_gb", 1.0).put("reel", "img")
-                .put("image_gb", 1.0).put("one_zone", false).put("spread", false).put("loaners", true)
-                .put("guess_s", 1.0).put("mark_every_s", 0.0).put("stash_s", 0.0).put("due_s", 60.0);
+        return Json.object()
+                .put("uid", uid)
+                .put("lot", "l")
+                .put("crew", "t")
+                .put("form", "sweep")
+                .put("rank", "normal")
+                .put("pieces", 2)
+                .put("vcpus", 1.0)
+                .put("cards", 0.0)
+                .put("ram_gb", 1.0)
+                .put("reel", "img")
+                .put("image_gb", 1.0)
+                .put("one_zone", false)
+                .put("spread", false)
+                .put("loaners", true)
+                .put("guess_s", 1.0)
+                .put("mark_every_s", 0.0)
+                .put("stash_s", 0.0)
+                .put("due_s", 60.0);
     }
 
     private static int freePort() throws IOException {
@@ -126,7 +151,8 @@
     }
 
     private static JsonNode ask(String url, JsonNode body) throws IOException {
-        HttpURLConnection connection = (HttpURLConnection) URI.create(url).toURL().openConnection();
+        HttpURLConnection connection =
+                (HttpURLConnection) URI.create(url).toURL().openConnection();
         connection.setConnectTimeout(2_000);
         connection.setReadTimeout(4_000);
         if (body != null) {
--- a/src/main/java/io/sillreel/cli/RehearsalStage.java
+++ b/src/main/java/io/sillreel/cli/RehearsalStage.java
@@ -16,8 +16,7 @@
  * load the classes that a lease holder needs, and checks nothing.
  */
 final class RehearsalStage {
-    private record Watcher(String prefix, long since, CompletableFuture<Reply> answer) {
-    }
+    private record Watcher(String prefix, long since, CompletableFuture<Reply> answer) {}
 
     private final TreeMap<String, ObjectNode> keys = new TreeMap<>();
     private final List<ObjectNode> changes = new ArrayList<>();
@@ -27,20 +26,21 @@
     synchronized CompletableFuture<Reply> handle(Call call) {
         String route = call.route();
         if (route.equals("/watch")) {
-            Watcher watcher = new Watcher(query(call, "prefix"), Long.parseLong(query(call, "since")),
-                    new CompletableFuture<>());
+            Watcher watcher =
+                    new Watcher(query(call, "prefix"), Long.parseLong(query(call, "since")), new CompletableFuture<>());
             watchers.add(watcher);
             wake();
             return watcher.answer();
         }
-        return CompletableFuture.completedFuture(switch (route) {
-            case "/txn" -> commit(Json.parse(call.body()));
-            case "/kv" -> list(query(call, "prefix"));
-            case "/grants" -> Reply.of(200, Json.object().put("permit", 1));
-            case "/flavors" -> Reply.of(200, flavors());
-            case "/machines" -> Reply.of(200, machines());
-            default -> route.startsWith("/kv/") ? get(route.substring(4)) : Reply.of(200, Json.object());
-        });
+        return CompletableFuture.completedFuture(
+                switch (route) {
+                    case "/txn" -> commit(Json.parse(call.body()));
+                    case "/kv" -> list(query(call, "prefix"));
+                    case "/grants" -> Reply.of(200, Json.object().put("permit", 1));
+                    case "/flavors" -> Reply.of(200, flavors());
+                    case "/machines" -> Reply.of(200, machines());
+                    default -> route.startsWith("/kv/") ? get(route.substring(4)) : Reply.of(200, Json.object());
+                });
     }
 
     private static String query(Call call, String name) {
@@ -94,9 +94,17 @@
 
     private static ObjectNode flavors() {
         ObjectNode body = Json.object();
-        ObjectNode type = body.putArray("builds").addObject().put("sku", "c4").put("vcpus", 4).put("cards", 0)
-                .put("ram_gb", 16).put("cache_gb", 50).put("pull_gb_per_s", 1.0).put("price", 1.0)
-                .put("spot_price", 0.5).put("boot_s", 4);
+        ObjectNode type = body.putArray("builds")
+                .addObject()
+                .put("sku", "c4")
+                .put("vcpus", 4)
+                .put("cards", 0)
+                .put("ram_gb", 16)
+                .put("cache_gb", 50)
+                .put("pull_gb_per_s", 1.0)
+                .put("price", 1.0)
+                .put("spot_price", 0.5)
+                .put("boot_s", 4);
         type.putArray("yards").add("a");
         return body;
     }
--- a/src/main/java/io/sillreel/cloud/CloudClient.java
+++ b/src/main/java/io/sillreel/cloud/CloudClient.java
@@ -16,21 +16,22 @@
 
 /** Client of the cloud's interface, paced below the shared rate. */
 public final class CloudClient {
-    public enum Outcome { OK, NO_CAPACITY, REFUSED, UNKNOWN }
+    public enum Outcome {
+        OK,
+        NO_CAPACITY,
+        REFUSED,
+        UNKNOWN
+    }
 
     /** A machine as the cloud lists it. */
-    public record Listed(String name, String address, String build, String yard, boolean spot, String stage,
-            long ageMicros) {
-    }
+    public record Listed(
+            String name, String address, String build, String yard, boolean spot, String stage, long ageMicros) {}
 
-    public record Flavors(Outcome outcome, JsonNode body) {
-    }
+    public record Flavors(Outcome outcome, JsonNode body) {}
 
-    public record Hired(Outcome outcome, List<String> machines) {
-    }
+    public record Hired(Outcome outcome, List<String> machines) {}
 
-    public record Machines(Outcome outcome, List<Listed> machines, long askedMicros) {
-    }
+    public record Machines(Outcome outcome, List<Listed> machines, long askedMicros) {}
 
     private static final long TIMEOUT_MICROS = 6_000_000;
     private static final int PAGE = 500;
@@ -53,12 +54,17 @@
     }
 
     public CompletableFuture<Hired> hire(String request, String build, String yard, boolean spot, int count) {
-        ObjectNode body = Json.object().put("hire", request).put("build", build).put("yard", yard)
-                .put("loaners", spot).put("count", count);
+        ObjectNode body = Json.object()
+                .put("hire", request)
+                .put("build", build)
+                .put("yard", yard)
+                .put("loaners", spot)
+                .put("count", count);
         return send(Call.post("/machines", body)).thenApply(reply -> {
             List<String> names = new ArrayList<>();
             reply.json().path("hoppers").forEach(name -> names.add(name.asText()));
-            boolean full = reply.status() == 503 && reply.json().path("error").asText().equals("no capacity");
+            boolean full =
+                    reply.status() == 503 && reply.json().path("error").asText().equals("no capacity");
             return new Hired(full ? Outcome.NO_CAPACITY : outcome(reply), names);
         });
     }
@@ -84,9 +90,14 @@
             }
             JsonNode body = reply.json();
             for (JsonNode node : body.path("hoppers")) {
-                sofar.add(new Listed(node.path("uid").asText(), node.path("addr").asText(),
-                        node.path("build").asText(), node.path("yard").asText(), node.path("loaners").asBoolean(),
-                        node.path("stage").asText(), Math.round(node.path("age_s").asDouble() * 1_000_000)));
+                sofar.add(new Listed(
+                        node.path("uid").asText(),
+                        node.path("addr").asText(),
+                        node.path("build").asText(),
+                        node.path("yard").asText(),
+                        node.path("loaners").asBoolean(),
+                        node.path("stage").asText(),
+                        Math.round(node.path("age_s").asDouble() * 1_000_000)));
             }
             if (body.path("truncated").asBoolean() && !sofar.isEmpty()) {
                 return page(sofar.get(sofar.size() - 1).name(), sofar, askedMicros);
--- a/src/main/java/io/sillreel/cloud/FlavorBook.java
+++ b/src/main/java/io/sillreel/cloud/FlavorBook.java
@@ -53,17 +53,22 @@
 
     private void ask(long stamp, boolean storable) {
         cloud.flavors().thenAccept(answer -> {
-            if (answer.outcome() != CloudClient.Outcome.OK || MachineType.read(answer.body()).isEmpty()) {
+            if (answer.outcome() != CloudClient.Outcome.OK
+                    || MachineType.read(answer.body()).isEmpty()) {
                 return;
             }
             learn(answer.body());
             if (storable) {
-                store.commit(new Txn().require(KEY, stamp).set(KEY, answer.body())).thenAccept(commit -> {
-                    if (commit.outcome() == Outcome.TOO_LARGE) {
-                        LOG.error("{} is refused by the state service with {} bytes; controllers that start while the cloud "
-                                + "is down will not know the machine types", KEY, Json.bytes(answer.body()).length);
-                    }
-                });
+                store.commit(new Txn().require(KEY, stamp).set(KEY, answer.body()))
+                        .thenAccept(commit -> {
+                            if (commit.outcome() == Outcome.TOO_LARGE) {
+                                LOG.error(
+                                        "{} is refused by the state service with {} bytes; controllers that start while the cloud "
+                                                + "is down will not know the machine types",
+                                        KEY,
+                                        Json.bytes(answer.body()).length);
+                            }
+                        });
             }
         });
     }
--- a/src/main/java/io/sillreel/cloud/MachineType.java
+++ b/src/main/java/io/sillreel/cloud/MachineType.java
@@ -7,8 +7,17 @@
 import java.util.Map;
 
 /** A machine type that the cloud rents. */
-public record MachineType(String name, double cpus, double cards, double ramGb, double cacheGb, double pullGbPerSecond,
-        double price, double spotPrice, long bootMicros, List<String> yards) {
+public record MachineType(
+        String name,
+        double cpus,
+        double cards,
+        double ramGb,
+        double cacheGb,
+        double pullGbPerSecond,
+        double price,
+        double spotPrice,
+        long bootMicros,
+        List<String> yards) {
 
     /** Reads the cloud's answer, which is also the form in which it is kept in the state service. */
     public static Map<String, MachineType> read(JsonNode flavors) {
@@ -16,10 +25,16 @@
         for (JsonNode node : flavors.path("builds")) {
             List<String> yards = new ArrayList<>();
             node.path("yards").forEach(yard -> yards.add(yard.asText()));
-            MachineType type = new MachineType(node.path("sku").asText(), node.path("vcpus").asDouble(),
-                    node.path("cards").asDouble(), node.path("ram_gb").asDouble(), node.path("cache_gb").asDouble(),
-                    node.path("pull_gb_per_s").asDouble(), node.path("price").asDouble(),
-                    node.path("spot_price").asDouble(), Math.round(node.path("boot_s").asDouble() * 1_000_000),
+            MachineType type = new MachineType(
+                    node.path("sku").asText(),
+                    node.path("vcpus").asDouble(),
+                    node.path("cards").asDouble(),
+                    node.path("ram_gb").asDouble(),
+                    node.path("cache_gb").asDouble(),
+                    node.path("pull_gb_per_s").asDouble(),
+                    node.path("price").asDouble(),
+                    node.path("spot_price").asDouble(),
+                    Math.round(node.path("boot_s").asDouble() * 1_000_000),
                     List.copyOf(yards));
             types.put(type.name(), type);
         }
--- a/src/main/java/io/sillreel/fleet/FleetKeeper.java
+++ b/src/main/java/io/sillreel/fleet/FleetKeeper.java
@@ -40,6 +40,7 @@
     private static final int FEW_UNHEARD_PART = 100;
     /** A report with the new token follows the first one by half a second, and both may pass through a follower. */
     private static final long ROUND_MICROS = 1_500_000;
+
     private static final long LATE_MICROS = 1_000_000;
     /** A recalled machine is returned so long before the cloud would take it. */
     private static final long LAST_MOMENT_MICROS = 1_500_000;
@@ -47,6 +48,7 @@
     private static final long DETOUR_MICROS = 5_500_000;
     /** Silent machines are given up one by one only while they are so few. */
     private static final int MOST_LOST_PART = 50;
+
     private static final double SILENT_LEASES = 2.5;
 
     private final Loop loop;
@@ -74,9 +76,19 @@
     private boolean listing;
     private boolean returning;
 
-    public FleetKeeper(Loop loop, long term, Cluster cluster, CloudClient cloud, KeyWriter writer, Settings settings,
-            OperatorProperties operator, CapacityPlanner capacity, Supplier<Map<String, MachineType>> types,
-            BooleanSupplier mayAct, BooleanSupplier undisturbed, Consumer<Machine> clear) {
+    public FleetKeeper(
+            Loop loop,
+            long term,
+            Cluster cluster,
+            CloudClient cloud,
+            KeyWriter writer,
+            Settings settings,
+            OperatorProperties operator,
+            CapacityPlanner capacity,
+            Supplier<Map<String, MachineType>> types,
+            BooleanSupplier mayAct,
+            BooleanSupplier undisturbed,
+            Consumer<Machine> clear) {
         this.loop = loop;
         this.term = term;
         this.cluster = cluster;
@@ -109,8 +121,8 @@
                 hire.gone(name);
                 writer.enqueue(hire);
             } else if (type != null) {
-                Machine machine = new Machine(name, type, hire.yard(), hire.spot(), hire, loop.nowMicros(),
-                        cluster.book());
+                Machine machine =
+                        new Machine(name, type, hire.yard(), hire.spot(), hire, loop.nowMicros(), cluster.book());
                 machine.aliveUntil(aliveUntilMicros);
                 cluster.addInherited(machine);
             }
@@ -155,8 +167,7 @@
         if (type == null || cluster.machine(name) != null) {
             return cluster.machine(name);
         }
-        Machine machine = new Machine(name, type, hire.yard(), hire.spot(), hire, hiredMicros,
-                cluster.book());
+        Machine machine = new Machine(name, type, hire.yard(), hire.spot(), hire, hiredMicros, cluster.book());
         cluster.add(machine);
         strangers.remove(name);
         return machine;
@@ -182,7 +193,8 @@
         for (Machine machine : cluster.machines()) {
             long sinceReport = now - Math.max(machine.lastReportMicros(), machine.hiredMicros());
             if (machine.state() == Machine.State.HIRED) {
-                long patience = Math.max(LEAST_BOOT_PATIENCE_MICROS,
+                long patience = Math.max(
+                        LEAST_BOOT_PATIENCE_MICROS,
                         BOOT_PATIENCE_FACTOR * machine.type().bootMicros());
                 if (now - machine.hiredMicros() > patience && machine.leaseBoundMicros() < now) {
                     leave(machine, "it never came up");
@@ -211,8 +223,7 @@
      */
     private void retireRecalled(Machine machine, long now) {
         boolean here = machine.state() == Machine.State.UP || machine.state() == Machine.State.LEAVING;
-        if (here && machine.recalled() && machine.recallAtMicros() - now < LAST_MOMENT_MICROS
-                && !machine.condemned()) {
+        if (here && machine.recalled() && machine.recallAtMicros() - now < LAST_MOMENT_MICROS && !machine.condemned()) {
             condemn(machine, "the cloud takes it back");
         }
     }
@@ -223,8 +234,8 @@
      * hang, and they come back: then their leases are waited for.
      */
     private void retireLost(long now) {
-        long patience = settings.workers().reportMicros() * 3 / 2
-                + (undisturbed.getAsBoolean() ? ROUND_MICROS : DETOUR_MICROS);
+        long patience =
+                settings.workers().reportMicros() * 3 / 2 + (undisturbed.getAsBoolean() ? ROUND_MICROS : DETOUR_MICROS);
         long usual = settings.workers().reportMicros() * 5 / 4 + LATE_MICROS;
         List<Machine> lost = new ArrayList<>();
         int overdue = 0;
@@ -240,10 +251,12 @@
                 }
             }
         }
-        // Those that fall silent together come overdue one after the other: what was given up lately counts with them, or a
+        // Those that fall silent together come overdue one after the other: what was given up lately counts with them,
+        // or a
         // cut zone would be given away two machines at a time.
         lostMicros.removeIf(at -> now - at > settings.workers().leaseMicros());
-        if (heard == 0 || overdue + lostMicros.size() > Math.max(2, cluster.machines().size() / MOST_LOST_PART)) {
+        if (heard == 0
+                || overdue + lostMicros.size() > Math.max(2, cluster.machines().size() / MOST_LOST_PART)) {
             manySilentMicros = now;
         }
         // When those that were cut off together come back, the last of them is on its way like the others.
@@ -264,7 +277,8 @@
     private void retireUnheard(long now) {
         int unheard = cluster.unheard().size();
         int all = cluster.machines().size();
-        // One or two in a hundred are hardly on a detour, and each of them holds up every earlier job. In a small fleet the
+        // One or two in a hundred are hardly on a detour, and each of them holds up every earlier job. In a small fleet
+        // the
         // last one mostly is: it waits for the answer of the controller that has ended.
         long patience = unheard <= all / FEW_UNHEARD_PART
                 ? settings.workers().reportMicros() * 5 / 4 + ROUND_MICROS
@@ -290,8 +304,13 @@
     }
 
     private static void tell(Machine machine, String reason) {
-        LOG.info("machine {} ({}, {}{}) is to be returned: {}", machine.name(), machine.type().name(), machine.yard(),
-                machine.spot() ? ", spot" : "", reason);
+        LOG.info(
+                "machine {} ({}, {}{}) is to be returned: {}",
+                machine.name(),
+                machine.type().name(),
+                machine.yard(),
+                machine.spot() ? ", spot" : "",
+                reason);
     }
 
     /** Returns machines that are leaving and empty, or silent for longer than their tasks can live. */
@@ -299,7 +318,8 @@
         List<Machine> empty = new ArrayList<>();
         synchronized (cluster) {
             for (Machine machine : cluster.machines()) {
-                boolean leaving = machine.state() == Machine.State.LEAVING || machine.state() == Machine.State.RETURNING;
+                boolean leaving =
+                        machine.state() == Machine.State.LEAVING || machine.state() == Machine.State.RETURNING;
                 if (leaving && (machine.condemned() || machine.empty()) && empty.size() < MOST_RETURNED) {
                     empty.add(machine);
                 }
@@ -367,8 +387,10 @@
         long lag = 2 * settings.cloud().listLagMicros() + 1_000_000;
         for (Machine machine : List.copyOf(cluster.machines())) {
             // A list may be older than the one before; what it lacks is gone only if it surely describes a later time.
-            if (!present.contains(machine.name()) && machine.firstListedMicros() >= 0
-                    && asked > machine.firstListedMicros() + lag && machine.state() != Machine.State.RETURNING) {
+            if (!present.contains(machine.name())
+                    && machine.firstListedMicros() >= 0
+                    && asked > machine.firstListedMicros() + lag
+                    && machine.state() != Machine.State.RETURNING) {
                 LOG.info("machine {} is gone from the cloud's list", machine.name());
                 remove(machine);
             }
@@ -421,7 +443,8 @@
             wishes = capacity.wishes(types.get().values(), pending, pendingOrdinary, now, loop.wallMicros());
         }
         for (Wish wish : wishes) {
-            int count = Math.min(wish.count(), Hire.mostMachines(settings.state().valueBytes()));
+            int count =
+                    Math.min(wish.count(), Hire.mostMachines(settings.state().valueBytes()));
             Hire hire = new Hire("r-" + term + "-" + ++names, wish.type().name(), wish.yard(), wish.spot(), count);
             hires.put(hire.name(), hire);
             hire.onStored(() -> ask(hire));
@@ -431,7 +454,9 @@
 
     private void askAgain(long now) {
         for (Hire hire : List.copyOf(hires.values())) {
-            if (!hire.answered() && !hire.dropped() && hire.stamp() > 0
+            if (!hire.answered()
+                    && !hire.dropped()
+                    && hire.stamp() > 0
                     && now - hire.askedMicros() > HIRE_RETRY_MICROS + 6_000_000) {
                 ask(hire);
             }
@@ -443,11 +468,12 @@
             return;
         }
         hire.askedMicros(loop.nowMicros());
-        cloud.hire(hire.name(), hire.build(), hire.yard(), hire.spot(), hire.count()).thenAccept(hired -> {
-            synchronized (cluster) {
-                hired(hire, hired);
-            }
-        });
+        cloud.hire(hire.name(), hire.build(), hire.yard(), hire.spot(), hire.count())
+                .thenAccept(hired -> {
+                    synchronized (cluster) {
+                        hired(hire, hired);
+                    }
+                });
     }
 
     private void hired(Hire hire, CloudClient.Hired hired) {
@@ -458,10 +484,17 @@
         }
         switch (hired.outcome()) {
             case OK -> {
-                LOG.info("rented {} of {} {} in {}{} as {}", hired.machines().size(), hire.count(), hire.build(),
-                        hire.yard(), hire.spot() ? ", spot" : "", hire.name());
+                LOG.info(
+                        "rented {} of {} {} in {}{} as {}",
+                        hired.machines().size(),
+                        hire.count(),
+                        hire.build(),
+                        hire.yard(),
+                        hire.spot() ? ", spot" : "",
+                        hire.name());
                 List<String> fresh = hired.machines().stream()
-                        .filter(name -> cluster.machine(name) == null && !gone.contains(name)).toList();
+                        .filter(name -> cluster.machine(name) == null && !gone.contains(name))
+                        .toList();
                 hire.answered(fresh);
                 fresh.forEach(name -> enter(name, hire, now));
                 if (hired.machines().size() < hire.count()) {
--- a/src/main/java/io/sillreel/fleet/Hire.java
+++ b/src/main/java/io/sillreel/fleet/Hire.java
@@ -32,7 +32,7 @@
     private final Set<String> sentMachines = new LinkedHashSet<>();
     private final Set<String> up = new LinkedHashSet<>();
     private final List<Hire> splitOff = new ArrayList<>();
-    private Runnable onStored = () -> { };
+    private Runnable onStored = () -> {};
     private long stamp;
     private boolean answered;
     private boolean dropped;
@@ -49,8 +49,12 @@
 
     /** Reads a stored hire. */
     public static Hire of(String key, JsonNode value, long stamp) {
-        Hire hire = new Hire(key.substring(PREFIX.length()), value.path("build").asText(), value.path("yard").asText(),
-                value.path("spot").asBoolean(), value.path("count").asInt());
+        Hire hire = new Hire(
+                key.substring(PREFIX.length()),
+                value.path("build").asText(),
+                value.path("yard").asText(),
+                value.path("spot").asBoolean(),
+                value.path("count").asInt());
         hire.stamp = stamp;
         hire.answered = value.has("machines");
         hire.maybeExecuted = true;
@@ -207,7 +211,11 @@
     }
 
     private ObjectNode json() {
-        ObjectNode value = Json.object().put("build", build).put("yard", yard).put("spot", spot).put("count", count);
+        ObjectNode value = Json.object()
+                .put("build", build)
+                .put("yard", yard)
+                .put("spot", spot)
+                .put("count", count);
         if (answered) {
             ArrayNode names = Json.array();
             machines.forEach(names::add);
@@ -225,7 +233,7 @@
         storedMachines.clear();
         storedMachines.addAll(sentMachines);
         Runnable then = onStored;
-        onStored = () -> { };
+        onStored = () -> {};
         then.run();
     }
 
--- a/src/main/java/io/sillreel/fleet/Machine.java
+++ b/src/main/java/io/sillreel/fleet/Machine.java
@@ -15,16 +15,24 @@
 /** A machine of the fleet and what is known of it. */
 public final class Machine {
     /** HIRED: no report yet. UP: reports. LEAVING: takes nothing more. RETURNING: the cloud was asked to take it. */
-    public enum State { HIRED, UP, LEAVING, RETURNING }
+    public enum State {
+        HIRED,
+        UP,
+        LEAVING,
+        RETURNING
+    }
 
     /** A task that takes so many times what is expected of it hints at a slow machine, or at a wrong estimate. */
     public static final double SLOW_RATIO = 2.5;
+
     private static final double EPSILON = 1e-6;
     /** So many answers in a row without effect are no accident. */
     private static final int DEAF_AFTER = 3;
+
     private static final int STALE_BEFORE_ASKING = 3;
     /** A machine that is silent for so long may have lost answers with its reports. */
     private static final long GAP_MICROS = 7_000_000;
+
     private static final long FORGIVEN_MICROS = 20_000_000;
     /** A worker lets half a second pass between two reports; less apart are copies, or what was held back on the way. */
     private static final long CROWDED_MICROS = 300_000;
@@ -70,8 +78,8 @@
     private double usedCards;
     private int liveCount;
 
-    public Machine(String name, MachineType type, String yard, boolean spot, Hire hire, long hiredMicros,
-            SeatBook book) {
+    public Machine(
+            String name, MachineType type, String yard, boolean spot, Hire hire, long hiredMicros, SeatBook book) {
         this.name = name;
         this.type = type;
         this.yard = yard;
@@ -185,8 +193,11 @@
 
     /** True if this is the report that the answer to a direct command has just overtaken: the worker waits for its answer. */
     public boolean overtaken(Report report, long withinMicros, long nowMicros) {
-        return report.shift() == shift && report.tally() == tally - 1 && shift > endedShift
-                && directMicros != Long.MIN_VALUE && nowMicros - directMicros < withinMicros;
+        return report.shift() == shift
+                && report.tally() == tally - 1
+                && shift > endedShift
+                && directMicros != Long.MIN_VALUE
+                && nowMicros - directMicros < withinMicros;
     }
 
     /**
@@ -301,8 +312,11 @@
     /** True if nothing is on it that would be lost with it: no live task, and no result that only it knows. */
     public boolean empty() {
         for (Seat seat : seats.values()) {
-            if (!seat.ended() || seat.job() != null && !seat.job().withdrawn() && seat.job().isDone(seat.index())
-                    && !seat.job().isStored(seat.index())) {
+            if (!seat.ended()
+                    || seat.job() != null
+                            && !seat.job().withdrawn()
+                            && seat.job().isDone(seat.index())
+                            && !seat.job().isStored(seat.index())) {
                 return false;
             }
         }
@@ -409,7 +423,8 @@
         double total = 0;
         List<String> newestFirst = new ArrayList<>(images);
         for (int i = newestFirst.size() - 1; i >= 0; i--) {
-            total += Double.parseDouble(newestFirst.get(i).substring(newestFirst.get(i).lastIndexOf('@') + 1));
+            total += Double.parseDouble(
+                    newestFirst.get(i).substring(newestFirst.get(i).lastIndexOf('@') + 1));
             if (total > type.cacheGb()) {
                 images.remove(newestFirst.get(i));
             }
--- a/src/main/java/io/sillreel/fleet/TeamUse.java
+++ b/src/main/java/io/sillreel/fleet/TeamUse.java
@@ -13,8 +13,7 @@
         private long cpus;
         private long cards;
 
-        private Amount() {
-        }
+        private Amount() {}
 
         private Amount(Amount other) {
             cpus = other.cpus;
--- a/src/main/java/io/sillreel/http/HttpClient.java
+++ b/src/main/java/io/sillreel/http/HttpClient.java
@@ -161,7 +161,9 @@
         private void connect() {
             open++;
             connecting++;
-            new Bootstrap().group(eventLoop).channel(NioSocketChannel.class)
+            new Bootstrap()
+                    .group(eventLoop)
+                    .channel(NioSocketChannel.class)
                     .option(ChannelOption.ALLOCATOR, UnpooledByteBufAllocator.DEFAULT)
                     .option(ChannelOption.TCP_NODELAY, true)
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
@@ -196,8 +198,8 @@
         private void send(Channel channel, Pending pending) {
             Call call = pending.call;
             ByteBuf body = Unpooled.wrappedBuffer(call.body());
-            DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                    HttpMethod.valueOf(call.method()), call.path(), body);
+            DefaultFullHttpRequest request = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1, HttpMethod.valueOf(call.method()), call.path(), body);
             request.headers().set(HttpHeaderNames.HOST, address);
             if (call.body().length > 0) {
                 request.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
@@ -258,7 +260,10 @@
             byte[] body = new byte[response.content().readableBytes()];
             response.content().readBytes(body);
             int retryAfter = response.headers().getInt(HttpHeaderNames.RETRY_AFTER, 0);
-            pool.answered(ctx.channel(), pending, new Reply(response.status().code(), body, retryAfter),
+            pool.answered(
+                    ctx.channel(),
+                    pending,
+                    new Reply(response.status().code(), body, retryAfter),
                     HttpUtil.isKeepAlive(response));
         }
 
--- a/src/main/java/io/sillreel/http/HttpServer.java
+++ b/src/main/java/io/sillreel/http/HttpServer.java
@@ -60,7 +60,12 @@
      * @param lines which line a request waits in
      * @param maxCrowd how many of the connections may ask what waits in the crowd's line
      */
-    public HttpServer(EventLoopGroup group, int maxBodyBytes, int maxConnections, Function<Call, Line> lines, Turns turns,
+    public HttpServer(
+            EventLoopGroup group,
+            int maxBodyBytes,
+            int maxConnections,
+            Function<Call, Line> lines,
+            Turns turns,
             int maxCrowd) {
         this.group = group;
         this.maxBodyBytes = maxBodyBytes;
@@ -102,8 +107,8 @@
     }
 
     private static FullHttpResponse response(Reply reply) {
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(reply.body()));
+        FullHttpResponse response = new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(reply.body()));
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
         response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, reply.body().length);
         if (reply.retryAfterSeconds() > 0) {
--- a/src/main/java/io/sillreel/http/Json.java
+++ b/src/main/java/io/sillreel/http/Json.java
@@ -21,8 +21,7 @@
     private static final JsonFactory STREAM = new JsonFactory();
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
-    private Json() {
-    }
+    private Json() {}
 
     /** The body as a stream of tokens, for what is read too often to be made a tree of. */
     public static JsonParser parser(byte[] body) throws IOException {
@@ -38,7 +37,8 @@
     }
 
     public static byte[] bytes(JsonNode node) {
-        try (ByteArrayBuilder bytes = new ByteArrayBuilder(); JsonGenerator out = STREAM.createGenerator(bytes);
+        try (ByteArrayBuilder bytes = new ByteArrayBuilder();
+                JsonGenerator out = STREAM.createGenerator(bytes);
                 JsonParser in = new TreeTraversingParser(node)) {
             in.nextToken();
             out.copyCurrentStructure(in);
@@ -87,11 +87,12 @@
                 yield array;
             }
             case VALUE_STRING -> NODES.textNode(in.getText());
-            case VALUE_NUMBER_INT -> switch (in.getNumberType()) {
-                case INT -> NODES.numberNode(in.getIntValue());
-                case LONG -> NODES.numberNode(in.getLongValue());
-                default -> NODES.numberNode(in.getBigIntegerValue());
-            };
+            case VALUE_NUMBER_INT ->
+                switch (in.getNumberType()) {
+                    case INT -> NODES.numberNode(in.getIntValue());
+                    case LONG -> NODES.numberNode(in.getLongValue());
+                    default -> NODES.numberNode(in.getBigIntegerValue());
+                };
             case VALUE_NUMBER_FLOAT -> NODES.numberNode(in.getDoubleValue());
             case VALUE_TRUE, VALUE_FALSE -> NODES.booleanNode(in.getBooleanValue());
             default -> NODES.nullNode();
--- a/src/main/java/io/sillreel/http/Turns.java
+++ b/src/main/java/io/sillreel/http/Turns.java
@@ -14,7 +14,11 @@
  */
 public final class Turns {
     /** Where a request waits; what is asked to see whether this process is alive does not wait. */
-    public enum Line { AT_ONCE, USERS, CROWD }
+    public enum Line {
+        AT_ONCE,
+        USERS,
+        CROWD
+    }
 
     private static final int MOST_IN_A_SLICE = 16;
     private static final long SLICE_MICROS = 20_000;
@@ -24,8 +28,7 @@
     /** What the waiting requests may hold in all; beyond that they are refused, or hundreds of large ones would fill the heap. */
     private static final int MOST_BYTES = 4 * 1024 * 1024;
 
-    private record Turn(long sinceMicros, int bytes, BooleanSupplier wanted, Runnable work) {
-    }
+    private record Turn(long sinceMicros, int bytes, BooleanSupplier wanted, Runnable work) {}
 
     private final Loop loop;
     private final Deque<Turn> users = new ArrayDeque<>();
--- a/src/main/java/io/sillreel/overload/AdaptiveLimit.java
+++ b/src/main/java/io/sillreel/overload/AdaptiveLimit.java
@@ -45,8 +45,11 @@
         this.inner = inner;
         this.nowMicros = nowMicros;
         this.limiter = SimpleLimiter.newBuilder()
-                .limit(Gradient2Limit.newBuilder().initialLimit(Math.min(20, most)).minLimit(Math.min(LEAST, most))
-                        .maxConcurrency(most).build())
+                .limit(Gradient2Limit.newBuilder()
+                        .initialLimit(Math.min(20, most))
+                        .minLimit(Math.min(LEAST, most))
+                        .maxConcurrency(most)
+                        .build())
                 .build();
     }
 
--- a/src/main/java/io/sillreel/ownership/Leadership.java
+++ b/src/main/java/io/sillreel/ownership/Leadership.java
@@ -20,8 +20,7 @@
     public static final String TERM_KEY = "term";
 
     /** Who leads as far as this controller has heard; the name is null if nobody. */
-    public record Leader(String node, long term) {
-    }
+    public record Leader(String node, long term) {}
 
     /** Told in the loop when the lease is taken and when it is lost. */
     public interface Listener {
@@ -35,6 +34,7 @@
     private static final long RETRY_MICROS = 300_000;
     /** Steady clocks drift apart by up to 0.05%; twice that, and the wait of a late timer. */
     private static final long DRIFT_DIVISOR = 1_000;
+
     private static final long TIMER_MARGIN_MICROS = 50_000;
 
     private final StateStore store;
@@ -49,7 +49,7 @@
     private long proofMicros;
     private boolean renewing;
     private long notBeforeMicros = Long.MIN_VALUE;
-    private Runnable onSettled = () -> { };
+    private Runnable onSettled = () -> {};
 
     public Leadership(StateStore store, Loop loop, String node, long leaseMicros, Listener listener) {
         this.store = store;
@@ -67,7 +67,7 @@
 
     private void settled() {
         Runnable then = onSettled;
-        onSettled = () -> { };
+        onSettled = () -> {};
         then.run();
     }
 
@@ -87,8 +87,8 @@
 
     /** True while nobody else can have taken the lease. */
     public synchronized boolean proven() {
-        return heldTerm > 0 && loop.nowMicros()
-                < proofMicros + leaseMicros - leaseMicros / DRIFT_DIVISOR - TIMER_MARGIN_MICROS;
+        return heldTerm > 0
+                && loop.nowMicros() < proofMicros + leaseMicros - leaseMicros / DRIFT_DIVISOR - TIMER_MARGIN_MICROS;
     }
 
     /** Another controller or a worker has shown a term; a higher one than ours ends our holding. */
@@ -125,12 +125,17 @@
                 loop.after(RETRY_MICROS, this::look);
                 return;
             }
-            Entry entry = listing.entries().stream().filter(e -> e.key().equals(LEADER_KEY)).findFirst().orElse(null);
+            Entry entry = listing.entries().stream()
+                    .filter(e -> e.key().equals(LEADER_KEY))
+                    .findFirst()
+                    .orElse(null);
             if (entry == null) {
                 note(null, 0);
                 acquire(0, listing.ledger());
             } else {
-                note(entry.value().path("node").asText(), entry.value().path("term").asLong());
+                note(
+                        entry.value().path("node").asText(),
+                        entry.value().path("term").asLong());
                 if (heldTerm() == 0 && node.equals(known().node())) {
                     // Our own earlier life: it is dead, so there is nobody to wait for.
                     acquire(entry.stamp(), listing.ledger());
@@ -157,7 +162,9 @@
                 if (vacant) {
                     note(null, 0);
                 } else {
-                    note(change.value().path("node").asText(), change.value().path("term").asLong());
+                    note(
+                            change.value().path("node").asText(),
+                            change.value().path("term").asLong());
                 }
             }
             if (vacant) {
@@ -203,7 +210,10 @@
                     loop.after(RETRY_MICROS, this::look);
                     return;
                 }
-                long term = 1 + (read.entry() == null ? 0 : read.entry().value().path("term").asLong());
+                long term = 1
+                        + (read.entry() == null
+                                ? 0
+                                : read.entry().value().path("term").asLong());
                 take(grant.permit(), sent, leaderStamp, read.stamp(), term, ledger);
             });
         });
@@ -211,7 +221,9 @@
 
     private void take(long granted, long sent, long leaderStamp, long termStamp, long term, long ledger) {
         ObjectNode leader = Json.object().put("node", node).put("term", term);
-        Txn txn = new Txn().require(LEADER_KEY, leaderStamp).require(TERM_KEY, termStamp)
+        Txn txn = new Txn()
+                .require(LEADER_KEY, leaderStamp)
+                .require(TERM_KEY, termStamp)
                 .set(LEADER_KEY, leader, granted)
                 .set(TERM_KEY, Json.object().put("term", term));
         store.commit(txn).thenAccept(commit -> {
--- a/src/main/java/io/sillreel/ownership/Tenure.java
+++ b/src/main/java/io/sillreel/ownership/Tenure.java
@@ -12,12 +12,12 @@
 import io.sillreel.http.Caller;
 import io.sillreel.http.Loop;
 import io.sillreel.http.Reply;
+import io.sillreel.peer.Peers;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.Chains;
 import io.sillreel.pipeline.Closure;
 import io.sillreel.pipeline.JobSpec;
 import io.sillreel.pipeline.RetrySchedule;
-import io.sillreel.peer.Peers;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.placement.CapacityPlanner;
 import io.sillreel.placement.Cluster;
@@ -72,6 +72,7 @@
     private static final long WITHDRAW_WATCH_MICROS = 1_000_000;
     /** Launches need to have asked for withdrawals this recently. */
     private static final long WITHDRAW_STALE_MICROS = 4_000_000;
+
     private static final long HOLDOVER_MARGIN_MICROS = 1_500_000;
     private static final int MOST_DONE_REMEMBERED = 4_000;
     private static final long LOOK_AGAIN_MICROS = 1_000_000;
@@ -80,9 +81,11 @@
     private static final double HOPELESS_FACTOR = 1.5;
     /** So long without any report, while others get some they can't hand on, or while nobody says anything. */
     private static final long UNREACHED_MICROS = 6_000_000;
+
     private static final long LONE_MICROS = 12_000_000;
     /** So long without knowing the withdrawals, in which nothing may be launched, while the lease is renewed. */
     private static final long BLIND_MICROS = 15_000_000;
+
     private static final long STAND_BACK_MICROS = 10_000_000;
     /** A worker finds another controller within two time-outs and a report. */
     private static final long DETOURS_OVER_MICROS = 15_000_000;
@@ -114,6 +117,7 @@
             return size() > MOST_DONE_REMEMBERED;
         }
     });
+
     private final Set<String> withdrawnUids = new HashSet<>();
     private final Set<Machine> haltsDue = new LinkedHashSet<>();
 
@@ -132,9 +136,18 @@
     private long plans;
     private final Set<String> sentToLook = new HashSet<>();
 
-    public Tenure(Loop loop, StateStore store, CloudClient cloud, Caller caller, Settings settings,
-            OperatorProperties operator, Leadership leadership, long term, long leaderStamp,
-            Supplier<Map<String, MachineType>> types, Peers peers) {
+    public Tenure(
+            Loop loop,
+            StateStore store,
+            CloudClient cloud,
+            Caller caller,
+            Settings settings,
+            OperatorProperties operator,
+            Leadership leadership,
+            long term,
+            long leaderStamp,
+            Supplier<Map<String, MachineType>> types,
+            Peers peers) {
         this.loop = loop;
         this.store = store;
         this.caller = caller;
@@ -144,17 +157,33 @@
         this.types = types;
         this.peers = peers;
         this.cluster = new Cluster(settings.teams());
-        this.writer = new KeyWriter(store, loop, Leadership.LEADER_KEY, leaderStamp, settings.state().txnOps(),
+        this.writer = new KeyWriter(
+                store,
+                loop,
+                Leadership.LEADER_KEY,
+                leaderStamp,
+                settings.state().txnOps(),
                 () -> leadership.resign("the leader key has changed"));
         Deadlines deadlines = new Deadlines(settings.objectives(), estimates);
         this.planner = new Planner(cluster, settings.workers().reportMicros(), deadlines);
         this.capacity = new CapacityPlanner(cluster, deadlines, estimates);
-        RetrySchedule retries = new RetrySchedule(operator.retryInitialMicros(), operator.retryMaximumMicros(),
-                operator.parkedMicros());
-        this.desk = new ReportDesk(loop, term, cluster, writer, settings.workers(), retries, estimates, planner, this,
-                this::mayAct);
-        this.fleet = new FleetKeeper(loop, term, cluster, cloud, writer, settings, operator, capacity, types,
-                this::mayAct, this::undisturbed, desk::clear);
+        RetrySchedule retries = new RetrySchedule(
+                operator.retryInitialMicros(), operator.retryMaximumMicros(), operator.parkedMicros());
+        this.desk = new ReportDesk(
+                loop, term, cluster, writer, settings.workers(), retries, estimates, planner, this, this::mayAct);
+        this.fleet = new FleetKeeper(
+                loop,
+                term,
+                cluster,
+                cloud,
+                writer,
+                settings,
+                operator,
+                capacity,
+                types,
+                this::mayAct,
+                this::undisturbed,
+                desk::clear);
     }
 
     public void start() {
@@ -172,7 +201,10 @@
 
     /** Launches, rentals and returns need proof of holding the lease and of knowing the withdrawals. */
     private boolean mayAct() {
-        return !closed && loaded && leadership.proven() && leadership.heldTerm() == term
+        return !closed
+                && loaded
+                && leadership.proven()
+                && leadership.heldTerm() == term
                 && loop.nowMicros() - withdrawProofMicros < WITHDRAW_STALE_MICROS;
     }
 
@@ -181,8 +213,8 @@
      * user after that proof; tasks answered until then plus the lease are gone before cancel_s is over.
      */
     private long holdoverMicros() {
-        return Math.max(0, settings.workers().cancelMicros() - settings.workers().leaseMicros()
-                - HOLDOVER_MARGIN_MICROS);
+        return Math.max(
+                0, settings.workers().cancelMicros() - settings.workers().leaseMicros() - HOLDOVER_MARGIN_MICROS);
     }
 
     private boolean mayKeepAlive() {
@@ -200,7 +232,8 @@
             loop.after(RETRY_MICROS, this::load);
             return;
         }
-        // All at once: nobody but this holder writes records and hires any more, and what becomes of plans and withdrawals
+        // All at once: nobody but this holder writes records and hires any more, and what becomes of plans and
+        // withdrawals
         // is followed from where each list was read.
         long asked = loop.nowMicros();
         List<CompletableFuture<Listing>> lists = new ArrayList<>();
@@ -216,14 +249,18 @@
                 return;
             }
             withdrawProofMicros = asked;
-            build(lists.get(0).join(), lists.get(1).join(), lists.get(2).join(), lists.get(3).join(), lists.get(4).join());
+            build(
+                    lists.get(0).join(),
+                    lists.get(1).join(),
+                    lists.get(2).join(),
+                    lists.get(3).join(),
+                    lists.get(4).join());
         });
     }
 
     private void build(Listing plans, Listing runs, Listing withdrawals, Listing hires, Listing parts) {
         synchronized (cluster) {
-            withdrawals.entries().forEach(entry ->
-                    withdrawnUids.add(entry.key().substring(WITHDRAWALS.length())));
+            withdrawals.entries().forEach(entry -> withdrawnUids.add(entry.key().substring(WITHDRAWALS.length())));
             Map<String, Entry> heads = new HashMap<>();
             Map<String, RunRecord.Pieces> pieces = new HashMap<>();
             for (Entry entry : runs.entries()) {
@@ -254,7 +291,9 @@
                 }
                 ActiveJob job = read(plan.value(), plan.stamp());
                 if (head != null) {
-                    job.inherit(head.stamp(), RunRecord.Head.of(head.value()),
+                    job.inherit(
+                            head.stamp(),
+                            RunRecord.Head.of(head.value()),
                             pieces.getOrDefault(uid, RunRecord.Pieces.NONE));
                 }
                 add(job);
@@ -273,7 +312,10 @@
             loadedMicros = loop.nowMicros();
             dirty = true;
         }
-        LOG.info("term {} begins with {} unfinished jobs and {} machines", term, cluster.jobs().size(),
+        LOG.info(
+                "term {} begins with {} unfinished jobs and {} machines",
+                term,
+                cluster.jobs().size(),
                 cluster.machines().size());
         watchPlans(plans.ledger());
         watchWithdrawals(withdrawals.ledger());
@@ -281,8 +323,12 @@
     }
 
     private void addPiece(Map<String, RunRecord.Pieces> pieces, String uid, Entry entry) {
-        RunRecord.Pieces ofJob = pieces.computeIfAbsent(uid, each -> new RunRecord.Pieces(new HashMap<>(), new HashMap<>(),
-                RunRecord.chunkPieces(settings.state().storedValueBytes())));
+        RunRecord.Pieces ofJob = pieces.computeIfAbsent(
+                uid,
+                each -> new RunRecord.Pieces(
+                        new HashMap<>(),
+                        new HashMap<>(),
+                        RunRecord.chunkPieces(settings.state().storedValueBytes())));
         ofJob.values().put(entry.key(), entry.value().path("bits").asText());
         ofJob.stamps().put(entry.key(), entry.stamp());
     }
@@ -293,8 +339,12 @@
     }
 
     private ActiveJob read(JsonNode plan, long stamp) {
-        return new ActiveJob(JobSpec.ofPlan(plan.path("job")), stamp, plan.path("at_us").asLong(),
-                settings.state().valueBytes(), this);
+        return new ActiveJob(
+                JobSpec.ofPlan(plan.path("job")),
+                stamp,
+                plan.path("at_us").asLong(),
+                settings.state().valueBytes(),
+                this);
     }
 
     private void add(ActiveJob job) {
@@ -353,7 +403,8 @@
         }
         store.get(RunRecord.key(uid)).thenAccept(read -> {
             synchronized (cluster) {
-                if (read.outcome() == Outcome.OK && RunRecord.Head.of(read.entry().value()).isDone()) {
+                if (read.outcome() == Outcome.OK
+                        && RunRecord.Head.of(read.entry().value()).isDone()) {
                     doneUids.add(uid);
                     chains.found(uid);
                     return;
@@ -369,16 +420,25 @@
     }
 
     private void watchPlans(long since) {
-        follow(PLANS, since, PLAN_WATCH_MICROS, change -> {
-            if (change.value() != null) {
-                enter(change.value(), change.stamp());
-            }
-        }, sent -> { });
+        follow(
+                PLANS,
+                since,
+                PLAN_WATCH_MICROS,
+                change -> {
+                    if (change.value() != null) {
+                        enter(change.value(), change.stamp());
+                    }
+                },
+                sent -> {});
     }
 
     private void watchWithdrawals(long since) {
-        follow(WITHDRAWALS, since, WITHDRAW_WATCH_MICROS,
-                change -> withdrawn(change.key().substring(WITHDRAWALS.length())), sent -> withdrawProofMicros = Math.max(withdrawProofMicros, sent));
+        follow(
+                WITHDRAWALS,
+                since,
+                WITHDRAW_WATCH_MICROS,
+                change -> withdrawn(change.key().substring(WITHDRAWALS.length())),
+                sent -> withdrawProofMicros = Math.max(withdrawProofMicros, sent));
     }
 
     /** A withdrawal has been stored: seen there, or heard of from the controller that stored it. */
@@ -456,8 +516,8 @@
         long now = loop.nowMicros();
         boolean expected;
         synchronized (cluster) {
-            expected = loaded && cluster.machines().stream().anyMatch(machine -> machine.trusted()
-                    || machine.mayHoldEarlier());
+            expected = loaded
+                    && cluster.machines().stream().anyMatch(machine -> machine.trusted() || machine.mayHoldEarlier());
         }
         if (leadership.proven()) {
             sentToLook.clear();
@@ -538,7 +598,9 @@
      */
     private void plan() {
         long now = loop.nowMicros();
-        if (!dirty || !mayAct() || now - plannedMicros < Math.max(PLAN_EVERY_MICROS, PLAN_REST_FACTOR * planCostMicros)) {
+        if (!dirty
+                || !mayAct()
+                || now - plannedMicros < Math.max(PLAN_EVERY_MICROS, PLAN_REST_FACTOR * planCostMicros)) {
             return;
         }
         dirty = false;
@@ -657,7 +719,8 @@
                     continue;
                 }
                 JobSpec spec = seat.job().spec();
-                if (spec.saves() ? left < 2 * spec.stashMicros() + 3_000_000
+                if (spec.saves()
+                        ? left < 2 * spec.stashMicros() + 3_000_000
                         : remainingMicros(seat, now) > HOPELESS_FACTOR * left) {
                     seat.halt(spec.saves() ? spec.stashMicros() + 1_000_000 : 0);
                     touched.add(machine);
@@ -694,24 +757,29 @@
     public Counts of(String uid) {
         synchronized (cluster) {
             ActiveJob job = cluster.job(uid);
-            return job == null || job.complete() ? null
-                    : new Counts(job.doneCount(), job.seatedCount(), job.reason());
+            return job == null || job.complete() ? null : new Counts(job.doneCount(), job.seatedCount(), job.reason());
         }
     }
 
     /** Every so often one line that tells an on-call reader how things stand. */
     private void tellStatus(long now) {
-        if (now - statusMicros < STATUS_MICROS || cluster.jobs().isEmpty() && cluster.machines().isEmpty()) {
+        if (now - statusMicros < STATUS_MICROS
+                || cluster.jobs().isEmpty() && cluster.machines().isEmpty()) {
             return;
         }
         statusMicros = now;
         Map<String, Double> gauges = gauges();
-        LOG.info("term {}: {} jobs unfinished, {} tasks wait; cpus: {} up, {} busy, {} starting, {} wanted, {} standing; "
+        LOG.info(
+                "term {}: {} jobs unfinished, {} tasks wait; cpus: {} up, {} busy, {} starting, {} wanted, {} standing; "
                         + "{} machines, {} ordinary",
-                term, count(gauges, "sillreel.jobs.unfinished"), count(gauges, "sillreel.tasks.waiting"),
-                count(gauges, "sillreel.cpus.up"), count(gauges, "sillreel.cpus.busy"),
+                term,
+                count(gauges, "sillreel.jobs.unfinished"),
+                count(gauges, "sillreel.tasks.waiting"),
+                count(gauges, "sillreel.cpus.up"),
+                count(gauges, "sillreel.cpus.busy"),
                 count(gauges, "sillreel.cpus.starting"),
-                count(gauges, "sillreel.cpus.wanted"), count(gauges, "sillreel.cpus.standing"),
+                count(gauges, "sillreel.cpus.wanted"),
+                count(gauges, "sillreel.cpus.standing"),
                 count(gauges, "sillreel.machines"),
                 count(gauges, "sillreel.machines.ordinary"));
     }
@@ -728,13 +796,16 @@
             for (ActiveJob job : cluster.jobs()) {
                 waiting += job.withdrawn() || job.awaitsOthers() ? 0 : job.waitingCount();
             }
-            double cpus = cluster.machines().stream().filter(machine -> machine.state() == Machine.State.UP)
-                    .mapToDouble(machine -> machine.type().cpus()).sum();
+            double cpus = cluster.machines().stream()
+                    .filter(machine -> machine.state() == Machine.State.UP)
+                    .mapToDouble(machine -> machine.type().cpus())
+                    .sum();
             gauges.put("sillreel.jobs.unfinished", (double) cluster.jobs().size());
             gauges.put("sillreel.tasks.waiting", (double) waiting);
             gauges.put("sillreel.machines", (double) cluster.machines().size());
-            gauges.put("sillreel.machines.ordinary",
-                    (double) cluster.machines().stream().filter(machine -> !machine.spot()).count());
+            gauges.put("sillreel.machines.ordinary", (double) cluster.machines().stream()
+                    .filter(machine -> !machine.spot())
+                    .count());
             gauges.put("sillreel.cpus.up", cpus);
             gauges.put("sillreel.cpus.busy", capacity.busyCpus());
             gauges.put("sillreel.cpus.starting", capacity.startingCpus());
--- a/src/main/java/io/sillreel/peer/PeerMessages.java
+++ b/src/main/java/io/sillreel/peer/PeerMessages.java
@@ -27,8 +27,8 @@
      * What a controller knows: who leads, whether the state service answers it, how many workers report to it, whether it
      * can have their reports answered, and how many lately went unanswered.
      */
-    public record Hello(String node, String leader, long term, boolean storeAnswers, int workers, boolean serves,
-            int unanswered) {
+    public record Hello(
+            String node, String leader, long term, boolean storeAnswers, int workers, boolean serves, int unanswered) {
         public byte[] bytes() {
             ByteArrayOutputStream bytes = new ByteArrayOutputStream(64);
             try (CBORGenerator out = STREAM.createGenerator(bytes)) {
@@ -55,16 +55,21 @@
                 if (node == null) {
                     throw new JsonParseException(in, "a greeting without a name");
                 }
-                return new Hello(node, in.nextTextValue(), in.nextLongValue(0), in.nextToken() == JsonToken.VALUE_TRUE,
-                        in.nextIntValue(0), in.nextToken() == JsonToken.VALUE_TRUE, in.nextIntValue(0));
+                return new Hello(
+                        node,
+                        in.nextTextValue(),
+                        in.nextLongValue(0),
+                        in.nextToken() == JsonToken.VALUE_TRUE,
+                        in.nextIntValue(0),
+                        in.nextToken() == JsonToken.VALUE_TRUE,
+                        in.nextIntValue(0));
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
         }
     }
 
-    private PeerMessages() {
-    }
+    private PeerMessages() {}
 
     /** A job whose withdrawal has been stored. */
     public static Call withdrawn(String uid) {
@@ -160,8 +165,12 @@
         List<PieceState> pieces = new ArrayList<>();
         in.nextToken();
         while (in.nextToken() == JsonToken.START_ARRAY) {
-            pieces.add(new PieceState(in.nextTextValue(), in.nextIntValue(0), in.nextLongValue(0),
-                    STAGES[in.nextIntValue(0)], in.nextTextValue()));
+            pieces.add(new PieceState(
+                    in.nextTextValue(),
+                    in.nextIntValue(0),
+                    in.nextLongValue(0),
+                    STAGES[in.nextIntValue(0)],
+                    in.nextTextValue()));
             in.nextToken();
         }
         in.nextToken();
--- a/src/main/java/io/sillreel/pipeline/ActiveJob.java
+++ b/src/main/java/io/sillreel/pipeline/ActiveJob.java
@@ -38,6 +38,7 @@
     private final BitSet seated = new BitSet();
     /** Pieces that are done or have a seat; kept with the counts, since reports ask for them all the time. */
     private final BitSet taken = new BitSet();
+
     private final Int2IntCounterMap seats = new Int2IntCounterMap(0);
     private final Set<String> failedOn = new HashSet<>();
 
@@ -52,6 +53,7 @@
     private long neededByMicros;
     /** What another version stored beside the head and this one does not: removed once the head says all. */
     private final List<KeyWriter.Item> oldPieces = new ArrayList<>();
+
     private long[] generationsSent = {};
     private boolean ready;
     private long readyWallMicros;
@@ -72,7 +74,8 @@
         this.admittedWallMicros = admittedWallMicros;
         this.watcher = watcher;
         int per = RunRecord.chunkPieces(valueBytes);
-        this.parts = spec.pieces() <= per ? null
+        this.parts = spec.pieces() <= per
+                ? null
                 : new DoneParts(spec.uid(), spec.pieces(), per, all -> watcher.toWrite(List.of(this)));
         neededByNobody();
         this.ready = spec.awaits().isEmpty();
@@ -318,7 +321,8 @@
     public void failAttempt(RetrySchedule schedule, long wallMicros, String why) {
         attempts++;
         nextWallMicros = schedule.nextAttemptMicros(attempts, wallMicros);
-        reason = schedule.exhausted(attempts) ? "parked after " + attempts + " failed attempts: " + why
+        reason = schedule.exhausted(attempts)
+                ? "parked after " + attempts + " failed attempts: " + why
                 : "attempt " + attempts + " failed: " + why;
     }
 
@@ -372,9 +376,21 @@
         int running = seatedCount;
         String stage = doneSent ? RunRecord.DONE : running > 0 ? "running" : "queued";
         boolean cut = parts != null && !doneSent;
-        return Map.of(key(), new RunRecord.Head(spec.pieces(), doneCount, running, attempts, nextWallMicros,
-                stage, reason, bits, spec.awaits().isEmpty() ? 0 : readyWallMicros, cut ? parts.per() : 0,
-                cut ? generationsSent : RunRecord.NO_PARTS).json());
+        return Map.of(
+                key(),
+                new RunRecord.Head(
+                                spec.pieces(),
+                                doneCount,
+                                running,
+                                attempts,
+                                nextWallMicros,
+                                stage,
+                                reason,
+                                bits,
+                                spec.awaits().isEmpty() ? 0 : readyWallMicros,
+                                cut ? parts.per() : 0,
+                                cut ? generationsSent : RunRecord.NO_PARTS)
+                        .json());
     }
 
     @Override
--- a/src/main/java/io/sillreel/pipeline/Closure.java
+++ b/src/main/java/io/sillreel/pipeline/Closure.java
@@ -18,6 +18,8 @@
 
     @Override
     public Map<String, JsonNode> changes() {
-        return stamp() > 0 ? Map.of() : Map.of(key(), Json.object().put("at_us", wallMicros).put("by", because));
+        return stamp() > 0
+                ? Map.of()
+                : Map.of(key(), Json.object().put("at_us", wallMicros).put("by", because));
     }
 }
--- a/src/main/java/io/sillreel/pipeline/DoneParts.java
+++ b/src/main/java/io/sillreel/pipeline/DoneParts.java
@@ -28,6 +28,7 @@
     private final Map<Integer, Part> pending = new LinkedHashMap<>();
     /** Stamps of what is stored, by key; what is not named by the next head is removed after it. */
     private final Map<String, Long> stored = new HashMap<>();
+
     private final Consumer<DoneParts> onStored;
     private long lastGeneration;
 
@@ -87,7 +88,10 @@
             pending.put(index, new Part(index, ++lastGeneration, done.get(index * per, (index + 1) * per)));
             return true;
         });
-        return pending.values().stream().filter(part -> !part.isStored()).map(KeyWriter.Item.class::cast).toList();
+        return pending.values().stream()
+                .filter(part -> !part.isStored())
+                .map(KeyWriter.Item.class::cast)
+                .toList();
     }
 
     /** The generations that the head is to name now. */
@@ -168,7 +172,8 @@
 
         @Override
         public Map<String, JsonNode> changes() {
-            return pending.get(index) != this ? Map.of()
+            return pending.get(index) != this
+                    ? Map.of()
                     : Map.of(key(), Json.object().put("bits", RunRecord.encode(bits)));
         }
 
--- a/src/main/java/io/sillreel/pipeline/JobSpec.java
+++ b/src/main/java/io/sillreel/pipeline/JobSpec.java
@@ -11,9 +11,26 @@
  * What was submitted. {@code builds} and {@code yard} are null for any; {@code dueMicros} is negative without a deadline;
  * {@code awaits} names the jobs that must be done before this one.
  */
-public record JobSpec(String uid, String lot, String crew, Rank rank, int pieces, double cpus, double cards,
-        double ramGb, String reel, double imageGb, List<String> builds, String yard, boolean oneZone, boolean spread,
-        boolean spot, long guessMicros, long markEveryMicros, long stashMicros, long dueMicros,
+public record JobSpec(
+        String uid,
+        String lot,
+        String crew,
+        Rank rank,
+        int pieces,
+        double cpus,
+        double cards,
+        double ramGb,
+        String reel,
+        double imageGb,
+        List<String> builds,
+        String yard,
+        boolean oneZone,
+        boolean spread,
+        boolean spot,
+        long guessMicros,
+        long markEveryMicros,
+        long stashMicros,
+        long dueMicros,
         List<String> awaits) {
 
     /** True if a task saves its progress when it is stopped with enough time. */
@@ -37,11 +54,24 @@
     /** The form kept in the plan. */
     public ObjectNode json() {
         ObjectNode node = Json.object();
-        node.put("uid", uid).put("lot", lot).put("crew", crew).put("rank", rank.wire()).put("pieces", pieces)
-                .put("vcpus", cpus).put("cards", cards).put("ram_gb", ramGb).put("reel", reel)
-                .put("image_gb", imageGb).put("yard", yard).put("one_zone", oneZone).put("spread", spread)
-                .put("loaners", spot).put("guess_us", guessMicros).put("mark_us", markEveryMicros)
-                .put("stash_us", stashMicros).put("due_us", dueMicros);
+        node.put("uid", uid)
+                .put("lot", lot)
+                .put("crew", crew)
+                .put("rank", rank.wire())
+                .put("pieces", pieces)
+                .put("vcpus", cpus)
+                .put("cards", cards)
+                .put("ram_gb", ramGb)
+                .put("reel", reel)
+                .put("image_gb", imageGb)
+                .put("yard", yard)
+                .put("one_zone", oneZone)
+                .put("spread", spread)
+                .put("loaners", spot)
+                .put("guess_us", guessMicros)
+                .put("mark_us", markEveryMicros)
+                .put("stash_us", stashMicros)
+                .put("due_us", dueMicros);
         if (builds != null) {
             ArrayNode names = Json.array();
             builds.forEach(names::add);
@@ -58,13 +88,26 @@
     public static JobSpec ofPlan(JsonNode node) {
         List<String> builds = node.has("builds") ? texts(node.path("builds")) : null;
         JsonNode yard = node.path("yard");
-        return new JobSpec(node.path("uid").asText(), node.path("lot").asText(), node.path("crew").asText(),
-                Rank.of(node.path("rank").asText()).orElse(Rank.NORMAL), node.path("pieces").asInt(),
-                node.path("vcpus").asDouble(), node.path("cards").asDouble(), node.path("ram_gb").asDouble(),
-                node.path("reel").asText(), node.path("image_gb").asDouble(), builds,
-                yard.isTextual() ? yard.asText() : null, node.path("one_zone").asBoolean(),
-                node.path("spread").asBoolean(), node.path("loaners").asBoolean(), node.path("guess_us").asLong(),
-                node.path("mark_us").asLong(), node.path("stash_us").asLong(), node.path("due_us").asLong(-1),
+        return new JobSpec(
+                node.path("uid").asText(),
+                node.path("lot").asText(),
+                node.path("crew").asText(),
+                Rank.of(node.path("rank").asText()).orElse(Rank.NORMAL),
+                node.path("pieces").asInt(),
+                node.path("vcpus").asDouble(),
+                node.path("cards").asDouble(),
+                node.path("ram_gb").asDouble(),
+                node.path("reel").asText(),
+                node.path("image_gb").asDouble(),
+                builds,
+                yard.isTextual() ? yard.asText() : null,
+                node.path("one_zone").asBoolean(),
+                node.path("spread").asBoolean(),
+                node.path("loaners").asBoolean(),
+                node.path("guess_us").asLong(),
+                node.path("mark_us").asLong(),
+                node.path("stash_us").asLong(),
+                node.path("due_us").asLong(-1),
                 texts(node.path("awaits")));
     }
 
--- a/src/main/java/io/sillreel/pipeline/PipelinePlan.java
+++ b/src/main/java/io/sillreel/pipeline/PipelinePlan.java
@@ -12,11 +12,13 @@
 /** Jobs and the links between them, compiled into a stable topological order in which the job id breaks ties. */
 public final class PipelinePlan {
     /** Which settlement of the upstream job makes a link emit; the other closes it. */
-    public enum Port { SUCCESS, FAILURE }
+    public enum Port {
+        SUCCESS,
+        FAILURE
+    }
 
     /** A link from one job to another; the downstream job needs every one of its links to emit. */
-    public record Link(String id, String from, Port port, String to) {
-    }
+    public record Link(String id, String from, Port port, String to) {}
 
     private final List<String> order;
     private final List<Link> links;
--- a/src/main/java/io/sillreel/pipeline/PipelineRun.java
+++ b/src/main/java/io/sillreel/pipeline/PipelineRun.java
@@ -18,9 +18,22 @@
  * are forgotten once they are over; either costs as much as the links that it touches.
  */
 public final class PipelineRun {
-    public enum LinkState { OPEN, EMITTED, CLOSED, SKIPPED }
+    public enum LinkState {
+        OPEN,
+        EMITTED,
+        CLOSED,
+        SKIPPED
+    }
 
-    public enum JobState { WAITING, READY, RELEASED, SUCCEEDED, FAILED, SKIPPED, CANCELLED }
+    public enum JobState {
+        WAITING,
+        READY,
+        RELEASED,
+        SUCCEEDED,
+        FAILED,
+        SKIPPED,
+        CANCELLED
+    }
 
     private static final class Node {
         final String job;
@@ -32,6 +45,7 @@
         int notEmitted;
         /** Known only because others need it: its end is found, not driven from here. */
         boolean observed;
+
         JobState state = JobState.WAITING;
 
         Node(String job) {
@@ -91,7 +105,9 @@
 
     /** Jobs that may be released now, in compiled order. */
     public List<String> ready() {
-        return inOrder(nodes.values().stream().filter(node -> node.state == JobState.READY).toList());
+        return inOrder(nodes.values().stream()
+                .filter(node -> node.state == JobState.READY)
+                .toList());
     }
 
     public void release(String job) {
@@ -116,9 +132,11 @@
     private List<String> end(Node node, boolean succeeded) {
         node.state = cancelled ? JobState.CANCELLED : succeeded ? JobState.SUCCEEDED : JobState.FAILED;
         Port taken = succeeded ? Port.SUCCESS : Port.FAILURE;
-        List<Node> changed = settle(node, link ->
-                cancelled ? LinkState.SKIPPED : link.port() == taken ? LinkState.EMITTED : LinkState.CLOSED);
-        return inOrder(changed.stream().filter(each -> each.state == JobState.READY).toList());
+        List<Node> changed = settle(
+                node,
+                link -> cancelled ? LinkState.SKIPPED : link.port() == taken ? LinkState.EMITTED : LinkState.CLOSED);
+        return inOrder(
+                changed.stream().filter(each -> each.state == JobState.READY).toList());
     }
 
     /**
@@ -128,13 +146,16 @@
      */
     public List<String> cancel(String job) {
         Node node = nodes.get(job);
-        if (node == null || node.state == JobState.SUCCEEDED || node.state == JobState.FAILED
+        if (node == null
+                || node.state == JobState.SUCCEEDED
+                || node.state == JobState.FAILED
                 || node.state == JobState.CANCELLED) {
             return List.of();
         }
         node.state = JobState.CANCELLED;
         List<Node> changed = settle(node, link -> LinkState.CLOSED);
-        return inOrder(changed.stream().filter(each -> each.state == JobState.SKIPPED).toList());
+        return inOrder(
+                changed.stream().filter(each -> each.state == JobState.SKIPPED).toList());
     }
 
     /** Releases nothing from now on; released jobs still settle. */
@@ -180,25 +201,32 @@
     /** Jobs with a link into the given one. */
     public List<String> upstream(String job) {
         Node node = nodes.get(job);
-        return node == null ? List.of() : node.into.values().stream().map(Link::from).toList();
+        return node == null
+                ? List.of()
+                : node.into.values().stream().map(Link::from).toList();
     }
 
     /** Jobs that the given one has a link to. */
     public List<String> downstream(String job) {
         Node node = nodes.get(job);
-        return node == null ? List.of() : node.outOf.values().stream().map(Link::to).toList();
+        return node == null
+                ? List.of()
+                : node.outOf.values().stream().map(Link::to).toList();
     }
 
     /** True once nothing can happen any more. */
     public boolean over() {
-        return nodes.values().stream().noneMatch(node -> node.state == JobState.WAITING
-                || node.state == JobState.READY || node.state == JobState.RELEASED);
+        return nodes.values().stream()
+                .noneMatch(node -> node.state == JobState.WAITING
+                        || node.state == JobState.READY
+                        || node.state == JobState.RELEASED);
     }
 
     /** True if a job failed whose failure no link took up. */
     public boolean failed() {
-        return nodes.values().stream().anyMatch(node -> node.state == JobState.FAILED
-                && node.outOf.values().stream().noneMatch(link -> link.port() == Port.FAILURE));
+        return nodes.values().stream()
+                .anyMatch(node -> node.state == JobState.FAILED
+                        && node.outOf.values().stream().noneMatch(link -> link.port() == Port.FAILURE));
     }
 
     private interface Settlement {
@@ -215,8 +243,9 @@
             if (cancelled || node.state != JobState.WAITING) {
                 continue;
             }
-            boolean skipped = node.into.values().stream().anyMatch(link ->
-                    links.get(link.id()) == LinkState.CLOSED || links.get(link.id()) == LinkState.SKIPPED);
+            boolean skipped = node.into.values().stream()
+                    .anyMatch(link ->
+                            links.get(link.id()) == LinkState.CLOSED || links.get(link.id()) == LinkState.SKIPPED);
             if (skipped) {
                 node.state = JobState.SKIPPED;
                 changed.add(node);
@@ -248,13 +277,17 @@
     }
 
     private static List<String> inOrder(Collection<Node> some) {
-        return some.stream().sorted(Comparator.comparingLong(node -> node.place)).map(node -> node.job).toList();
+        return some.stream()
+                .sorted(Comparator.comparingLong(node -> node.place))
+                .map(node -> node.job)
+                .toList();
     }
 
     private Node expect(String job, JobState state) {
         Node node = nodes.get(job);
         if (node == null || node.state != state) {
-            throw new IllegalStateException("job " + job + " is " + (node == null ? null : node.state) + ", not " + state);
+            throw new IllegalStateException(
+                    "job " + job + " is " + (node == null ? null : node.state) + ", not " + state);
         }
         return node;
     }
--- a/src/main/java/io/sillreel/pipeline/Rank.java
+++ b/src/main/java/io/sillreel/pipeline/Rank.java
@@ -4,7 +4,10 @@
 
 /** Ranks of jobs, most urgent first. */
 public enum Rank {
-    PRODUCTION("production"), HIGH("high"), NORMAL("normal"), BEST_EFFORT("best_effort");
+    PRODUCTION("production"),
+    HIGH("high"),
+    NORMAL("normal"),
+    BEST_EFFORT("best_effort");
 
     private final String wire;
 
--- a/src/main/java/io/sillreel/pipeline/RunRecord.java
+++ b/src/main/java/io/sillreel/pipeline/RunRecord.java
@@ -22,8 +22,7 @@
 
     static final long[] NO_PARTS = {};
 
-    private RunRecord() {
-    }
+    private RunRecord() {}
 
     /**
      * What is stored of a job beside its head.
@@ -86,15 +85,28 @@
     /**
      * What the head says; {@code readyMicros} is 0 for a job that awaited no other, {@code per} is 0 if no parts are named.
      */
-    public record Head(int pieces, int done, int running, int attempts, long nextMicros, String stage, String reason,
-            String bits, long readyMicros, int per, long[] generations) {
+    public record Head(
+            int pieces,
+            int done,
+            int running,
+            int attempts,
+            long nextMicros,
+            String stage,
+            String reason,
+            String bits,
+            long readyMicros,
+            int per,
+            long[] generations) {
 
         public boolean isDone() {
             return DONE.equals(stage);
         }
 
         public ObjectNode json() {
-            ObjectNode node = Json.object().put("pieces", pieces).put("done", done).put("running", running)
+            ObjectNode node = Json.object()
+                    .put("pieces", pieces)
+                    .put("done", done)
+                    .put("running", running)
                     .put("stage", stage);
             if (attempts > 0) {
                 node.put("attempts", attempts).put("next_us", nextMicros);
@@ -118,11 +130,18 @@
         }
 
         public static Head of(JsonNode node) {
-            return new Head(node.path("pieces").asInt(), node.path("done").asInt(), node.path("running").asInt(),
-                    node.path("attempts").asInt(), node.path("next_us").asLong(), node.path("stage").asText(),
+            return new Head(
+                    node.path("pieces").asInt(),
+                    node.path("done").asInt(),
+                    node.path("running").asInt(),
+                    node.path("attempts").asInt(),
+                    node.path("next_us").asLong(),
+                    node.path("stage").asText(),
                     node.hasNonNull("reason") ? node.path("reason").asText() : null,
-                    node.hasNonNull("bits") ? node.path("bits").asText() : null, node.path("ready_us").asLong(),
-                    node.path("per").asInt(), generations(node.path("gens")));
+                    node.hasNonNull("bits") ? node.path("bits").asText() : null,
+                    node.path("ready_us").asLong(),
+                    node.path("per").asInt(),
+                    generations(node.path("gens")));
         }
 
         private static long[] generations(JsonNode named) {
--- a/src/main/java/io/sillreel/placement/CapacityPlanner.java
+++ b/src/main/java/io/sillreel/placement/CapacityPlanner.java
@@ -19,14 +19,14 @@
 /** How much to rent: as many processors as let the queued work end in time, at the lowest price that is to be had. */
 public final class CapacityPlanner {
     /** A rental worth asking for. */
-    public record Wish(MachineType type, String yard, boolean spot, int count) {
-    }
+    public record Wish(MachineType type, String yard, boolean spot, int count) {}
 
     private static final int MOST_AT_ONCE = 50;
     private static final double SAME_PLACE_WEIGHT = 0.25;
     private static final long LATE_BOOT_FACTOR = 2;
     /** How much of a running task is left on average. */
     private static final double RUNNING_PART = 0.5;
+
     private static final double SMALLEST_MISSING = 0.5;
     /** New machines are rented for late work as if it had time for so many of its tasks, one after the other. */
     private static final int LATE_TASKS = 2;
@@ -40,6 +40,7 @@
     private final Map<Rank, Demand> demand = new EnumMap<>(Rank.class);
     /** What arrives for ordinary machines alone; it is part of the demand of its rank as well. */
     private final Demand ordinaryDemand = new Demand();
+
     private long shortSinceMicros = -1;
 
     public CapacityPlanner(Cluster cluster, Deadlines deadlines, Estimates estimates) {
@@ -67,8 +68,7 @@
     }
 
     /** Work of a rank that is to be done within a time, and the processors that arriving work of higher ranks takes. */
-    private record Load(Rank rank, double cpuMicros, long leftMicros, double yieldedCpus) {
-    }
+    private record Load(Rank rank, double cpuMicros, long leftMicros, double yieldedCpus) {}
 
     /** Unfinished work in the order of its service, as machines see it that are there after the boot time. */
     private List<Load> loads(long wallMicros, long bootMicros) {
@@ -111,7 +111,9 @@
 
     /** Processors that arriving work keeps busy on the long run. */
     public double standingCpus(long wallMicros) {
-        return demand.values().stream().mapToDouble(each -> each.cpus(wallMicros)).sum();
+        return demand.values().stream()
+                .mapToDouble(each -> each.cpus(wallMicros))
+                .sum();
     }
 
     /** Processors to add so that what those at hand can't do in time is done by new ones after their boot. */
@@ -149,8 +151,8 @@
      *
      * @param hiringCpus processors that the cloud has been asked for, and of those the ones of ordinary machines
      */
-    public List<Wish> wishes(Collection<MachineType> types, long hiringCpus, long hiringOrdinaryCpus, long nowMicros,
-            long wallMicros) {
+    public List<Wish> wishes(
+            Collection<MachineType> types, long hiringCpus, long hiringOrdinaryCpus, long nowMicros, long wallMicros) {
         double have = hiringCpus;
         for (Machine machine : cluster.machines()) {
             if (counts(machine, nowMicros)) {
@@ -186,14 +188,20 @@
      *
      * @return the processors that were added to the wishes
      */
-    private double confined(Collection<MachineType> types, long hiringOrdinaryCpus, long nowMicros, long wallMicros,
+    private double confined(
+            Collection<MachineType> types,
+            long hiringOrdinaryCpus,
+            long nowMicros,
+            long wallMicros,
             List<Wish> wishes) {
         double free = hiringOrdinaryCpus;
         double have = hiringOrdinaryCpus;
         for (Machine machine : cluster.machines()) {
             if (!machine.spot() && counts(machine, nowMicros)) {
                 have += machine.type().cpus();
-                free += machine.state() == Machine.State.UP ? Math.max(0, machine.freeCpus()) : machine.type().cpus();
+                free += machine.state() == Machine.State.UP
+                        ? Math.max(0, machine.freeCpus())
+                        : machine.type().cpus();
             }
         }
         double waiting = 0;
@@ -224,9 +232,11 @@
             if (!cluster.launchable(job, wallMicros) || job.waitingCount() == 0 || job.seatedCount() > 0) {
                 continue;
             }
-            boolean hosted = cluster.machines().stream().anyMatch(machine -> counts(machine, nowMicros)
-                    && Cluster.allows(job.spec(), machine) && !job.failedOn().contains(machine.name())
-                    && fitsEmpty(job.spec(), machine.type()));
+            boolean hosted = cluster.machines().stream()
+                    .anyMatch(machine -> counts(machine, nowMicros)
+                            && Cluster.allows(job.spec(), machine)
+                            && !job.failedOn().contains(machine.name())
+                            && fitsEmpty(job.spec(), machine.type()));
             if (!hosted) {
                 Wish wish = cheapest(types, job.spec().cpus(), job.spec(), true, true, wishes, nowMicros);
                 if (wish != null) {
@@ -245,8 +255,10 @@
     private static boolean counts(Machine machine, long nowMicros) {
         return switch (machine.state()) {
             case UP -> !machine.recalled() && !machine.suspect() && !isAway(machine, nowMicros);
-            case HIRED -> nowMicros - machine.hiredMicros()
-                    < (machine.inherited() ? 1 : LATE_BOOT_FACTOR) * machine.type().bootMicros();
+            case HIRED ->
+                nowMicros - machine.hiredMicros()
+                        < (machine.inherited() ? 1 : LATE_BOOT_FACTOR)
+                                * machine.type().bootMicros();
             default -> false;
         };
     }
@@ -256,8 +268,14 @@
         return machine.leaseBoundMicros() < nowMicros;
     }
 
-    private Wish cheapest(Collection<MachineType> types, double missing, JobSpec only, boolean ordinaryToo,
-            boolean spotToo, List<Wish> already, long nowMicros) {
+    private Wish cheapest(
+            Collection<MachineType> types,
+            double missing,
+            JobSpec only,
+            boolean ordinaryToo,
+            boolean spotToo,
+            List<Wish> already,
+            long nowMicros) {
         boolean anySpot = spotToo && (only == null || only.spot());
         Wish best = null;
         double bestCost = Double.MAX_VALUE;
@@ -274,7 +292,8 @@
                     if (full || !(spot ? anySpot : ordinaryToo) || asked(already, type, yard, spot)) {
                         continue;
                     }
-                    double cost = type.priceOf(spot) / Math.min(type.cpus(), missing)
+                    double cost = type.priceOf(spot)
+                            / Math.min(type.cpus(), missing)
                             * (1 + SAME_PLACE_WEIGHT * share(yard, spot));
                     if (cost < bestCost) {
                         bestCost = cost;
@@ -288,8 +307,8 @@
     }
 
     private static boolean asked(List<Wish> already, MachineType type, String yard, boolean spot) {
-        return already.stream().anyMatch(wish -> wish.type() == type && wish.yard().equals(yard)
-                && wish.spot() == spot);
+        return already.stream()
+                .anyMatch(wish -> wish.type() == type && wish.yard().equals(yard) && wish.spot() == spot);
     }
 
     /** The part of the spot fleet that one wave in this place could take. */
@@ -331,14 +350,17 @@
         double spare = have - Math.max(wantedCpus(wallMicros), needed);
         double ordinarySpare = -ordinaryDemand.cpus(wallMicros);
         for (Machine machine : cluster.machines()) {
-            ordinarySpare += !machine.spot() && machine.state() == Machine.State.UP ? machine.type().cpus() : 0;
+            ordinarySpare += !machine.spot() && machine.state() == Machine.State.UP
+                    ? machine.type().cpus()
+                    : 0;
         }
         candidates.sort(Comparator.<Machine>comparingDouble(machine ->
                         -machine.type().priceOf(machine.spot()) / machine.type().cpus())
                 .thenComparingInt(Machine::liveCount));
         List<Machine> surplus = new ArrayList<>();
         for (Machine machine : candidates) {
-            boolean kept = !machine.spot() && ordinaryDemand.cpus(wallMicros) > 0
+            boolean kept = !machine.spot()
+                    && ordinaryDemand.cpus(wallMicros) > 0
                     && machine.type().cpus() > ordinarySpare + 0.01;
             if (machine.type().cpus() <= spare + 0.01 && !kept) {
                 surplus.add(machine);
--- a/src/main/java/io/sillreel/placement/Cluster.java
+++ b/src/main/java/io/sillreel/placement/Cluster.java
@@ -24,6 +24,7 @@
     private final SeatBook book = new SeatBook();
     /** Machines on which an earlier holder's tasks may be that no report has shown yet. */
     private final Set<Machine> unheard = new LinkedHashSet<>();
+
     private long work;
 
     public Cluster(Map<String, Team> teams) {
@@ -135,7 +136,8 @@
             return 0;
         }
         TeamUse.Amount used = usage.of(spec.crew());
-        return Math.min(left(team.cpusMax(), used.cpus(), spec.cpus()), left(team.gpusMax(), used.cards(), spec.cards()));
+        return Math.min(
+                left(team.cpusMax(), used.cpus(), spec.cpus()), left(team.gpusMax(), used.cards(), spec.cards()));
     }
 
     private static int left(double most, long used, double each) {
@@ -147,15 +149,23 @@
 
     /** True if the job's tasks may be launched at all now. */
     public boolean launchable(ActiveJob job, long wallMicros) {
-        return job.released() && !job.withdrawn() && !job.complete() && wallMicros >= job.nextWallMicros()
+        return job.released()
+                && !job.withdrawn()
+                && !job.complete()
+                && wallMicros >= job.nextWallMicros()
                 && (!job.inherited() || !mayBeHidden(job));
     }
 
     /** True if a machine that has not been heard in this term could hold tasks of the job. */
     private boolean mayBeHidden(ActiveJob job) {
         for (Machine machine : unheard) {
-            if (allows(job.spec(), machine) && Machine.fits(job.spec(), machine.type().cpus(), machine.type().ramGb(),
-                    machine.type().cards()) > 0) {
+            if (allows(job.spec(), machine)
+                    && Machine.fits(
+                                    job.spec(),
+                                    machine.type().cpus(),
+                                    machine.type().ramGb(),
+                                    machine.type().cards())
+                            > 0) {
                 return true;
             }
         }
@@ -164,7 +174,8 @@
 
     /** True if the machine is one the job allows, its other tasks aside. */
     public static boolean allows(JobSpec spec, Machine machine) {
-        return spec.allowsBuild(machine.type().name()) && spec.allowsYard(machine.yard())
+        return spec.allowsBuild(machine.type().name())
+                && spec.allowsYard(machine.yard())
                 && (spec.spot() || !machine.spot());
     }
 
--- a/src/main/java/io/sillreel/placement/Deadlines.java
+++ b/src/main/java/io/sillreel/placement/Deadlines.java
@@ -20,8 +20,11 @@
 
     /** Within what time work within a guarantee is to start. */
     public long guaranteeMicros() {
-        return objectives.stream().filter(aim -> aim.kind().equals("guarantee") && aim.withinMicros() > 0)
-                .mapToLong(Objective::withinMicros).min().orElse(DEFAULT_GUARANTEE_MICROS);
+        return objectives.stream()
+                .filter(aim -> aim.kind().equals("guarantee") && aim.withinMicros() > 0)
+                .mapToLong(Objective::withinMicros)
+                .min()
+                .orElse(DEFAULT_GUARANTEE_MICROS);
     }
 
     /** The first time that can still be met, or else the last there was; time of day in microseconds. */
@@ -43,7 +46,8 @@
         for (Objective aim : objectives) {
             if (aim.jobClass().equals(spec.lot()) && aim.withinMicros() > 0) {
                 // An aim for starting leaves the whole run after it; all count from when the job was ready.
-                long at = job.readyWallMicros() + aim.withinMicros()
+                long at = job.readyWallMicros()
+                        + aim.withinMicros()
                         + (aim.kind().equals("wait") ? estimates.slowestMicros(job) : 0);
                 last = Math.max(last, at);
                 if (at >= reachable) {
--- a/src/main/java/io/sillreel/placement/Demand.java
+++ b/src/main/java/io/sillreel/placement/Demand.java
@@ -8,8 +8,7 @@
     private static final long WINDOW_MICROS = 150_000_000;
     private static final long LEAST_WINDOW_MICROS = 100_000_000;
 
-    private record Arrival(long wallMicros, double cpuMicros) {
-    }
+    private record Arrival(long wallMicros, double cpuMicros) {}
 
     private final Deque<Arrival> arrivals = new ArrayDeque<>();
     private double sum;
--- a/src/main/java/io/sillreel/placement/Estimates.java
+++ b/src/main/java/io/sillreel/placement/Estimates.java
@@ -15,11 +15,13 @@
     private static final double FETCH_MICROS_PER_GB = 1_000_000;
     /** A job's first tasks wait for the whole fetch, and a step of a chain for some reports as well. */
     private static final double WHOLE_FETCH_MICROS_PER_GB = 3_000_000;
+
     private static final long START_MICROS = 4_000_000;
     /** What the class says weighs as much as so many measured tasks of the job. */
     private static final int CLASS_TASKS = 2;
     /** How much longer than the mean a job's slowest task takes, until its class has shown that. */
     private static final double FIRST_TAIL = 1.2;
+
     private static final double MOST_TAIL = 2;
     private static final int LEAST_TASKS_OF_A_TAIL = 5;
 
@@ -71,7 +73,9 @@
 
     /** How long the slowest of the job's tasks is expected to run: the job is not done before. */
     public synchronized long slowestMicros(ActiveJob job) {
-        double tail = job.spec().pieces() < LEAST_TASKS_OF_A_TAIL ? 1 : tails.getOrDefault(job.spec().lot(), FIRST_TAIL);
+        double tail = job.spec().pieces() < LEAST_TASKS_OF_A_TAIL
+                ? 1
+                : tails.getOrDefault(job.spec().lot(), FIRST_TAIL);
         return Math.round(expectedMicros(job) * tail);
     }
 }
--- a/src/main/java/io/sillreel/placement/Planner.java
+++ b/src/main/java/io/sillreel/placement/Planner.java
@@ -25,8 +25,7 @@
  */
 public final class Planner {
     /** So many tasks of the job are to go on the machine. */
-    public record Assignment(ActiveJob job, int count) {
-    }
+    public record Assignment(ActiveJob job, int count) {}
 
     /** A waiting job with its place in the order, and how many of its tasks have no place yet. */
     static final class Queued {
@@ -49,13 +48,14 @@
      * The proposal: launches for each machine, tasks to stop in favour of others, what found no place, and machines that
      * are being emptied for a task that has waited too long.
      */
-    public record Plan(Map<String, List<Assignment>> launches, List<Seat> halts, List<Queued> left,
-            Map<String, Queued> reserved) {
+    public record Plan(
+            Map<String, List<Assignment>> launches, List<Seat> halts, List<Queued> left, Map<String, Queued> reserved) {
         public static final Plan EMPTY = new Plan(Collections.emptyMap(), List.of(), List.of(), Map.of());
     }
 
     /** How long guaranteed work waits on others before it goes ahead of them. */
     private static final long GUARANTEE_PATIENCE_MICROS = 2_000_000;
+
     private static final long REPORT_SILENCE_FACTOR = 3;
     private static final int LEVELS_PER_RANK = 3;
     private static final int PRESSING = 0;
@@ -71,11 +71,13 @@
     private static final long BEGIN_BY_MICROS = 120_000_000;
     /** Nor keeps one that has begun from its end: from some age on it is served like normal work, at last before all. */
     private static final long YIELD_UNTIL_MICROS = 150_000_000;
+
     private static final long END_BY_MICROS = 300_000_000;
     /** Machines that are kept free, piece by piece, for one job that has waited too long. */
     private static final int MOST_RESERVED = 2;
     /** Jobs that may have others' tasks stopped in one plan, and jobs looked at to fill one machine. */
     private static final int MOST_PREEMPTING = 12;
+
     private static final int MOST_LOOKED_AT = 64;
 
     private final Cluster cluster;
@@ -120,7 +122,10 @@
 
     /** True if the machine takes launches now. */
     public boolean usable(Machine machine, long nowMicros) {
-        return machine.state() == Machine.State.UP && machine.trusted() && !machine.recalled() && !machine.deaf()
+        return machine.state() == Machine.State.UP
+                && machine.trusted()
+                && !machine.recalled()
+                && !machine.deaf()
                 && machine.hire().mayHold(machine.name())
                 && nowMicros - machine.lastReportMicros() < REPORT_SILENCE_FACTOR * reportMicros;
     }
@@ -132,7 +137,10 @@
         if (queue.isEmpty()) {
             return Plan.EMPTY;
         }
-        double least = queue.stream().mapToDouble(queued -> queued.job.spec().cpus()).min().orElse(0);
+        double least = queue.stream()
+                .mapToDouble(queued -> queued.job.spec().cpus())
+                .min()
+                .orElse(0);
         List<Space> spaces = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
             if (usable(machine, nowMicros) && machine.freeCpus() >= least - 1e-6 && machine.unheededCount() == 0) {
@@ -197,13 +205,16 @@
                     looked++;
                     JobSpec spec = queued.job.spec();
                     boolean now = queued.pressing || space.hasImage(spec);
-                    if (queued.left <= 0 || now == (pass == 1) || owner != null && owner.left > 0 && owner != queued
-                            || !Cluster.allows(spec, machine) || space.room(spec) <= 0) {
+                    if (queued.left <= 0
+                            || now == (pass == 1)
+                            || owner != null && owner.left > 0 && owner != queued
+                            || !Cluster.allows(spec, machine)
+                            || space.room(spec) <= 0) {
                         continue;
                     }
                     usage = usage == null ? cluster.usage() : usage;
-                    int count = Math.min(Math.min(queued.left, space.room(spec)), startable(queued.job, machine, usage,
-                            wallMicros));
+                    int count = Math.min(
+                            Math.min(queued.left, space.room(spec)), startable(queued.job, machine, usage, wallMicros));
                     if (count > 0) {
                         space.take(spec, count);
                         usage.take(spec, count);
@@ -223,7 +234,8 @@
         if (!cluster.launchable(job, wallMicros) || job.failedOn().contains(machine.name()) || probing(job)) {
             return 0;
         }
-        return Math.min(job.waitingCount(),
+        return Math.min(
+                job.waitingCount(),
                 Math.min(cluster.headroom(job.spec(), usage), cluster.yardRoom(job, machine.yard())));
     }
 
@@ -239,8 +251,11 @@
             if (job.waitingCount() > 0 && cluster.launchable(job, wallMicros)) {
                 long slack = deadlines.slackMicros(job, wallMicros);
                 boolean aged = aged(job, wallMicros);
-                queue.add(new Queued(job, aged ? 0 : level(job, slack, guaranteed.contains(job), wallMicros),
-                        aged || slack >= 0 && slack < PRESSING_MICROS, aged));
+                queue.add(new Queued(
+                        job,
+                        aged ? 0 : level(job, slack, guaranteed.contains(job), wallMicros),
+                        aged || slack >= 0 && slack < PRESSING_MICROS,
+                        aged));
             }
         }
         queue.sort(Comparator.<Queued>comparingInt(queued -> queued.level)
@@ -267,8 +282,7 @@
         Rank rank = job.rank();
         long age = wallMicros - job.readyWallMicros();
         int level = levelOf(rank, slack < 0 ? LATE : slack < PRESSING_MICROS ? PRESSING : IN_TIME);
-        if (guaranteed && age > GUARANTEE_PATIENCE_MICROS
-                && (unbegun(job) || age < 2 * deadlines.guaranteeMicros())) {
+        if (guaranteed && age > GUARANTEE_PATIENCE_MICROS && (unbegun(job) || age < 2 * deadlines.guaranteeMicros())) {
             return Math.min(level, OWED_LEVEL);
         }
         if (age > YIELD_UNTIL_MICROS) {
@@ -318,9 +332,12 @@
         List<Space> candidates = new ArrayList<>();
         for (Space space : spaces) {
             Queued owner = plan.reserved().get(space.machine.name());
-            if (space.room(spec) > 0 && Cluster.allows(spec, space.machine)
-                    && (!onlyWithImage || space.hasImage(spec)) && (owner == null || owner == queued)
-                    && !space.machine.suspect() && !job.failedOn().contains(space.machine.name())) {
+            if (space.room(spec) > 0
+                    && Cluster.allows(spec, space.machine)
+                    && (!onlyWithImage || space.hasImage(spec))
+                    && (owner == null || owner == queued)
+                    && !space.machine.suspect()
+                    && !job.failedOn().contains(space.machine.name())) {
                 candidates.add(space);
             }
         }
@@ -356,15 +373,18 @@
             usage.take(spec, count);
             waiting -= count;
             queued.left -= count;
-            plan.launches().computeIfAbsent(space.machine.name(), name -> new ArrayList<>())
+            plan.launches()
+                    .computeIfAbsent(space.machine.name(), name -> new ArrayList<>())
                     .add(new Assignment(job, count));
         }
         return probing(job) ? 0 : waiting;
     }
 
     private static long fetchMicros(Space space, JobSpec spec) {
-        return space.hasImage(spec) ? 0
-                : Math.round(spec.imageGb() / Math.max(0.01, space.machine.type().pullGbPerSecond()) * 1_000_000);
+        return space.hasImage(spec)
+                ? 0
+                : Math.round(
+                        spec.imageGb() / Math.max(0.01, space.machine.type().pullGbPerSecond()) * 1_000_000);
     }
 
     /**
@@ -375,13 +395,21 @@
         JobSpec spec = queued.job.spec();
         List<Machine> machines = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
-            if (usable(machine, nowMicros) && Cluster.allows(spec, machine) && !machine.suspect()
+            if (usable(machine, nowMicros)
+                    && Cluster.allows(spec, machine)
+                    && !machine.suspect()
                     && !plan.reserved().containsKey(machine.name())
-                    && Machine.fits(spec, machine.type().cpus(), machine.type().ramGb(), machine.type().cards()) > 0) {
+                    && Machine.fits(
+                                    spec,
+                                    machine.type().cpus(),
+                                    machine.type().ramGb(),
+                                    machine.type().cards())
+                            > 0) {
                 machines.add(machine);
             }
         }
-        machines.sort(Comparator.<Machine>comparingDouble(machine -> -machine.freeCpus()).thenComparing(Machine::name));
+        machines.sort(Comparator.<Machine>comparingDouble(machine -> -machine.freeCpus())
+                .thenComparing(Machine::name));
         for (Machine machine : machines.subList(0, Math.min(machines.size(), Math.min(queued.left, MOST_RESERVED)))) {
             plan.reserved().put(machine.name(), queued);
         }
@@ -397,6 +425,7 @@
         private final List<Machine> freeing = new ArrayList<>();
         /** How much each team runs beyond its guarantee, in thousandths of processors. */
         private final Map<String, Long> beyond = new HashMap<>();
+
         private boolean gathered;
 
         Preemption(Plan plan, Set<ActiveJob> guaranteed, long nowMicros) {
@@ -427,10 +456,12 @@
         /** Stops tasks where that really makes room for the job; false if the job may have none stopped. */
         boolean on(Queued queued, int lacking, long wallMicros) {
             JobSpec spec = queued.job.spec();
-            // Stopping others costs work, so it waits until the aim is in danger; work that is lost then, once it is missed,
+            // Stopping others costs work, so it waits until the aim is in danger; work that is lost then, once it is
+            // missed,
             // would be lost for nothing.
             long waited = wallMicros - queued.job.readyWallMicros();
-            boolean owed = guaranteed.contains(queued.job) && waited > deadlines.guaranteeMicros() / 2
+            boolean owed = guaranteed.contains(queued.job)
+                    && waited > deadlines.guaranteeMicros() / 2
                     && queued.level <= OWED_LEVEL;
             boolean missed = waited > deadlines.guaranteeMicros();
             Rank own = queued.job.rank();
@@ -451,12 +482,17 @@
             allowed.sort(Comparator.<Machine>comparingInt(machine -> machine.hasImage(spec) ? 0 : 1)
                     .thenComparing(Machine::name));
             if (urgent || lastChance) {
-                // The lowest rank everywhere before the next one anywhere: what only fetches loses no work, but its place.
+                // The lowest rank everywhere before the next one anywhere: what only fetches loses no work, but its
+                // place.
                 Rank[] ranks = Rank.values();
                 for (int each = ranks.length - 1; each > own.ordinal() && needed > 0; each--) {
                     Rank rank = ranks[each];
-                    needed -= stop(spec, needed, allowed, seat -> seat.job().rank() == rank
-                            && (urgent || seat.job().spec().saves() && !guaranteed.contains(seat.job())));
+                    needed -= stop(
+                            spec,
+                            needed,
+                            allowed,
+                            seat -> seat.job().rank() == rank
+                                    && (urgent || seat.job().spec().saves() && !guaranteed.contains(seat.job())));
                 }
             }
             if (owed && needed > 0) {
@@ -474,7 +510,8 @@
          */
         private boolean isBeyond(Seat seat, ActiveJob forWhom) {
             JobSpec spec = seat.job().spec();
-            if (spec.crew().equals(forWhom.spec().crew()) || guaranteed.contains(seat.job())
+            if (spec.crew().equals(forWhom.spec().crew())
+                    || guaranteed.contains(seat.job())
                     || seat.job().rank().above(Rank.NORMAL) && !forWhom.rank().above(Rank.NORMAL)) {
                 return false;
             }
@@ -482,8 +519,13 @@
         }
 
         private long left(String crew) {
-            return beyond.computeIfAbsent(crew, name -> cluster.book().use().of(name).cpus()
-                    - TeamUse.milli(cluster.team(name) == null ? 0 : cluster.team(name).cpus()));
+            return beyond.computeIfAbsent(
+                    crew,
+                    name -> cluster.book().use().of(name).cpus()
+                            - TeamUse.milli(
+                                    cluster.team(name) == null
+                                            ? 0
+                                            : cluster.team(name).cpus()));
         }
 
         private int stop(JobSpec spec, int needed, List<Machine> allowed, Predicate<Seat> may) {
--- a/src/main/java/io/sillreel/settings/OperatorProperties.java
+++ b/src/main/java/io/sillreel/settings/OperatorProperties.java
@@ -19,8 +19,13 @@
  * @param parkedMicros interval at which a parked job is tried again
  * @param maxRequests upper bound of the adaptive limit on requests in progress
  */
-public record OperatorProperties(long stateLeaseMicros, long idleMicros, long retryInitialMicros,
-        long retryMaximumMicros, long parkedMicros, int maxRequests) {
+public record OperatorProperties(
+        long stateLeaseMicros,
+        long idleMicros,
+        long retryInitialMicros,
+        long retryMaximumMicros,
+        long parkedMicros,
+        int maxRequests) {
 
     private static final Map<String, Long> DEFAULTS = new TreeMap<>(Map.of(
             "leader.lease.ms", 3_000L,
@@ -39,7 +44,8 @@
         try (Reader reader = Files.newBufferedReader(file)) {
             properties.load(reader);
         } catch (IOException | IllegalArgumentException e) {
-            throw new SettingsException(file.toString(), "can't be read (" + e.getClass().getSimpleName() + ")");
+            throw new SettingsException(
+                    file.toString(), "can't be read (" + e.getClass().getSimpleName() + ")");
         }
         return of(properties);
     }
--- a/src/main/java/io/sillreel/settings/Settings.java
+++ b/src/main/java/io/sillreel/settings/Settings.java
@@ -6,25 +6,33 @@
 import java.util.Optional;
 
 /** What the platform hands over, checked; durations in whole microseconds. */
-public record Settings(String nodeName, String area, InetSocketAddress publicAddress, InetSocketAddress internalAddress,
-        List<Member> members, String cloudAddress, String stateAddress, List<String> zones, long skewMicros,
-        Map<String, Team> teams, List<Objective> objectives, WorkerTimes workers, StateLimits state,
-        CloudLimits cloud, Resources resources) {
+public record Settings(
+        String nodeName,
+        String area,
+        InetSocketAddress publicAddress,
+        InetSocketAddress internalAddress,
+        List<Member> members,
+        String cloudAddress,
+        String stateAddress,
+        List<String> zones,
+        long skewMicros,
+        Map<String, Team> teams,
+        List<Objective> objectives,
+        WorkerTimes workers,
+        StateLimits state,
+        CloudLimits cloud,
+        Resources resources) {
 
     /** Another controller. */
-    public record Member(String nodeName, String area, String address) {
-    }
+    public record Member(String nodeName, String area, String address) {}
 
     /** A team's guarantee and limit; a maximum of 0 means no limit. */
-    public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
-    }
+    public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
 
     /** One of the users' aims for starting or finishing, as far as it steers the order of work. */
-    public record Objective(String kind, String jobClass, long withinMicros, double share) {
-    }
+    public record Objective(String kind, String jobClass, long withinMicros, double share) {}
 
-    public record WorkerTimes(long reportMicros, long leaseMicros, long cancelMicros) {
-    }
+    public record WorkerTimes(long reportMicros, long leaseMicros, long cancelMicros) {}
 
     /**
      * What the state service takes. It may lower its limits at any moment to what was announced, so what is written is
@@ -33,15 +41,12 @@
      * @param valueBytes the smaller of the present limit and the announced one, and so is {@code txnOps}
      * @param storedValueBytes the present limit, by which versions that knew of no other cut what they stored
      */
-    public record StateLimits(double requestsPerSecond, double writesPerSecond, int valueBytes, int txnOps,
-            int storedValueBytes) {
-    }
+    public record StateLimits(
+            double requestsPerSecond, double writesPerSecond, int valueBytes, int txnOps, int storedValueBytes) {}
 
-    public record CloudLimits(double requestsPerSecond, long listLagMicros) {
-    }
+    public record CloudLimits(double requestsPerSecond, long listLagMicros) {}
 
-    public record Resources(double cores, double memoryMb, int maxSockets) {
-    }
+    public record Resources(double cores, double memoryMb, int maxSockets) {}
 
     /** All controllers, this one included. */
     public int controllers() {
--- a/src/main/java/io/sillreel/settings/SettingsReader.java
+++ b/src/main/java/io/sillreel/settings/SettingsReader.java
@@ -26,22 +26,24 @@
     private static final double MICROS = 1_000_000;
     /** Below these nothing could be served: a lease is taken by two changes in one transaction and renewed every second. */
     private static final double LEAST_REQUESTS = 4;
+
     private static final double LEAST_WRITES = 2;
     private static final double LEAST_OPS = 2;
     /** A submission with all its texts, or a rental of a few machines. */
     private static final double LEAST_VALUE_KB = 1;
     /** What a process holds that has only started, measured, and sockets for its listeners, its own calls and a few users. */
     private static final double LEAST_MEMORY_MB = 48;
+
     private static final double LEAST_SOCKETS = 40;
 
-    private SettingsReader() {
-    }
+    private SettingsReader() {}
 
     public static Settings read(Path file) {
         try {
             return parse(Files.readString(file));
         } catch (IOException e) {
-            throw new SettingsException(file.toString(), "can't be read (" + e.getClass().getSimpleName() + ")");
+            throw new SettingsException(
+                    file.toString(), "can't be read (" + e.getClass().getSimpleName() + ")");
         }
     }
 
@@ -52,7 +54,8 @@
         } catch (JsonProcessingException e) {
             throw new SettingsException("settings", "not TOML: " + e.getOriginalMessage());
         } catch (IOException e) {
-            throw new SettingsException("settings", "can't be read (" + e.getClass().getSimpleName() + ")");
+            throw new SettingsException(
+                    "settings", "can't be read (" + e.getClass().getSimpleName() + ")");
         }
         return settings(new Section("", root));
     }
@@ -71,8 +74,12 @@
         }
         Map<String, Team> teams = new LinkedHashMap<>();
         for (Section team : params.list("teams")) {
-            Team read = new Team(team.text("name"), team.amountOr("cpus", 0), team.amountOr("cpus_max", 0),
-                    team.amountOr("gpus", 0), team.amountOr("gpus_max", 0));
+            Team read = new Team(
+                    team.text("name"),
+                    team.amountOr("cpus", 0),
+                    team.amountOr("cpus_max", 0),
+                    team.amountOr("gpus", 0),
+                    team.amountOr("gpus_max", 0));
             if (read.cpusMax() > 0 && read.cpusMax() < read.cpus()) {
                 throw new SettingsException(team.name("cpus_max"), "is below cpus");
             }
@@ -83,25 +90,37 @@
         }
         List<Objective> objectives = new ArrayList<>();
         for (Section aim : params.list("objectives")) {
-            objectives.add(new Objective(aim.textOr("kind", ""), aim.textOr("class", ""),
-                    Math.round(aim.amountOr("within_s", 0) * MICROS), aim.amountOr("share", 0)));
+            objectives.add(new Objective(
+                    aim.textOr("kind", ""),
+                    aim.textOr("class", ""),
+                    Math.round(aim.amountOr("within_s", 0) * MICROS),
+                    aim.amountOr("share", 0)));
         }
-        WorkerTimes times = new WorkerTimes(workers.micros("report_s"), workers.micros("lease_s"),
-                workers.micros("cancel_s"));
+        WorkerTimes times =
+                new WorkerTimes(workers.micros("report_s"), workers.micros("lease_s"), workers.micros("cancel_s"));
         if (times.leaseMicros() <= 2 * times.reportMicros()) {
             throw new SettingsException(workers.name("lease_s"), "must be more than two reports long");
         }
         if (times.cancelMicros() <= times.leaseMicros()) {
             throw new SettingsException(workers.name("cancel_s"), "must be longer than lease_s");
         }
-        return new Settings(root.text("node_name"), root.text("area"), address(root.hostPort("public_addr")),
-                address(root.hostPort("internal_addr")), List.copyOf(members), endpoints.hostPort("cloud"),
-                endpoints.hostPort("state"), params.texts("zones"), Math.round(params.amount("skew_ms") * 1_000),
-                teams, List.copyOf(objectives), times,
+        return new Settings(
+                root.text("node_name"),
+                root.text("area"),
+                address(root.hostPort("public_addr")),
+                address(root.hostPort("internal_addr")),
+                List.copyOf(members),
+                endpoints.hostPort("cloud"),
+                endpoints.hostPort("state"),
+                params.texts("zones"),
+                Math.round(params.amount("skew_ms") * 1_000),
+                teams,
+                List.copyOf(objectives),
+                times,
                 limits(state),
                 new CloudLimits(cloud.positive("rps"), cloud.micros("list_lag_s")),
-                new Resources(resources.positive("cores"), resources.atLeast("memory_mb", LEAST_MEMORY_MB),
-                        (int) resources.atLeast("max_sockets", LEAST_SOCKETS)));
+                new Resources(resources.positive("cores"), resources.atLeast("memory_mb", LEAST_MEMORY_MB), (int)
+                        resources.atLeast("max_sockets", LEAST_SOCKETS)));
     }
 
     private static StateLimits limits(Section state) {
@@ -112,9 +131,12 @@
         Section next = state.sectionOr("next");
         next.atLeastOr("rps", LEAST_REQUESTS, requests);
         next.atLeastOr("write_rps", LEAST_WRITES, writes);
-        return new StateLimits(requests, writes,
+        return new StateLimits(
+                requests,
+                writes,
                 (int) (Math.min(valueKb, next.atLeastOr("value_kb", LEAST_VALUE_KB, valueKb)) * 1024),
-                (int) Math.min(txnOps, next.atLeastOr("txn_ops", LEAST_OPS, txnOps)), (int) (valueKb * 1024));
+                (int) Math.min(txnOps, next.atLeastOr("txn_ops", LEAST_OPS, txnOps)),
+                (int) (valueKb * 1024));
     }
 
     private static InetSocketAddress address(String hostPort) {
@@ -203,7 +225,8 @@
         double amount(String field) {
             JsonNode value = required(field);
             if (!value.isNumber() || !Double.isFinite(value.asDouble()) || value.asDouble() < 0) {
-                throw new SettingsException(name(field), "is " + value.asText() + ", and a number of at least 0 is needed");
+                throw new SettingsException(
+                        name(field), "is " + value.asText() + ", and a number of at least 0 is needed");
             }
             return value.asDouble();
         }
--- a/src/main/java/io/sillreel/statestore/KeyWriter.java
+++ b/src/main/java/io/sillreel/statestore/KeyWriter.java
@@ -26,7 +26,11 @@
  */
 public final class KeyWriter {
     /** What goes first when the store takes less than there is to write. */
-    public enum Urgency { END, START, PROGRESS }
+    public enum Urgency {
+        END,
+        START,
+        PROGRESS
+    }
 
     /** Something to be stored under a guarding key. */
     public interface Item {
@@ -63,12 +67,10 @@
         void moved(long stamp);
 
         /** Alone it is larger than the store takes; it is not written again unless it is queued again, smaller. */
-        default void tooLarge() {
-        }
+        default void tooLarge() {}
 
         /** The key that must not exist does. */
-        default void forbidden() {
-        }
+        default void forbidden() {}
     }
 
     /** Something under one key that nothing else is written with. */
@@ -111,9 +113,11 @@
     private static final long STUCK_MICROS = 15_000_000;
     /** Writes left over for withdrawals and admissions on this controller, and the most of a low rate that this may be. */
     private static final double RESERVE = 2;
+
     private static final double MOST_RESERVE_PART = 0.25;
     /** Progress waits so long for more of its kind, and leaves so much of the rate to what can't wait. */
     private static final long PROGRESS_GATHER_MICROS = 2_000_000;
+
     private static final double PROGRESS_RESERVE_PART = 0.3;
 
     private final StateStore store;
@@ -126,6 +130,7 @@
     private final Map<String, Long> sinceMicros = new HashMap<>();
     /** Written one by one, since together they were too large. */
     private final Set<String> alone = new HashSet<>();
+
     private boolean busy;
     private long busySinceMicros;
     private boolean closed;
@@ -168,7 +173,9 @@
 
     /** Changes that go before progress, which gathers on purpose and says nothing about how far the store has fallen behind. */
     public synchronized long pressing() {
-        return waiting.values().stream().filter(item -> item.urgency() != Urgency.PROGRESS).count();
+        return waiting.values().stream()
+                .filter(item -> item.urgency() != Urgency.PROGRESS)
+                .count();
     }
 
     /** True if one write has been under way for longer than any takes: something here has gone wrong. */
@@ -196,8 +203,9 @@
             double burst = store.writeBurst();
             double available = store.writesAvailable() - Math.min(RESERVE, MOST_RESERVE_PART * burst);
             for (Item item : inOrder()) {
-                double room = Math.min(txnOps, item.urgency() == Urgency.PROGRESS
-                        ? available - PROGRESS_RESERVE_PART * burst : available);
+                double room = Math.min(
+                        txnOps,
+                        item.urgency() == Urgency.PROGRESS ? available - PROGRESS_RESERVE_PART * burst : available);
                 List<Item> first = item.first();
                 if (!first.isEmpty()) {
                     remove(item);
@@ -213,8 +221,9 @@
                 for (JsonNode value : changes.values()) {
                     size += value == null ? 0 : Json.bytes(value).length + 300;
                 }
-                boolean full = bytes + size > MOST_BYTES || alone.contains(item.key()) || alone.contains(batch.isEmpty()
-                        ? "" : batch.get(0).key());
+                boolean full = bytes + size > MOST_BYTES
+                        || alone.contains(item.key())
+                        || alone.contains(batch.isEmpty() ? "" : batch.get(0).key());
                 if (txn.size() + changes.size() > room || !batch.isEmpty() && full) {
                     break;
                 }
@@ -329,8 +338,13 @@
             return;
         }
         Item item = batch.get(0);
-        int bytes = item.changes().values().stream().mapToInt(value -> value == null ? 0 : Json.bytes(value).length).sum();
-        LOG.error("{} is refused by the state service with {} bytes, and is not written again as it is", item.key(), bytes);
+        int bytes = item.changes().values().stream()
+                .mapToInt(value -> value == null ? 0 : Json.bytes(value).length)
+                .sum();
+        LOG.error(
+                "{} is refused by the state service with {} bytes, and is not written again as it is",
+                item.key(),
+                bytes);
         tell(item, Item::tooLarge);
     }
 
--- a/src/main/java/io/sillreel/statestore/StateStore.java
+++ b/src/main/java/io/sillreel/statestore/StateStore.java
@@ -18,11 +18,19 @@
      * What became of a request. UNKNOWN: it may have been executed, or may yet be; read before deciding. TOO_LARGE: not
      * executed, nor will it ever be as it is.
      */
-    public enum Outcome { OK, NOT_FOUND, CONFLICT, REFUSED, TOO_LARGE, NO_SUCH_LEASE, COMPACTED, UNKNOWN }
-
-    public record Entry(String key, JsonNode value, long stamp) {
+    public enum Outcome {
+        OK,
+        NOT_FOUND,
+        CONFLICT,
+        REFUSED,
+        TOO_LARGE,
+        NO_SUCH_LEASE,
+        COMPACTED,
+        UNKNOWN
     }
 
+    public record Entry(String key, JsonNode value, long stamp) {}
+
     public record Read(Outcome outcome, Entry entry) {
         /** Stamp of the key as read: 0 if it does not exist. */
         public long stamp() {
@@ -35,28 +43,25 @@
         }
     }
 
-    public record Listing(Outcome outcome, List<Entry> entries, long ledger) {
-    }
+    public record Listing(Outcome outcome, List<Entry> entries, long ledger) {}
 
-    public record Commit(Outcome outcome, long ledger, List<String> failed) {
-    }
+    public record Commit(Outcome outcome, long ledger, List<String> failed) {}
 
-    public record Grant(Outcome outcome, long permit) {
-    }
+    public record Grant(Outcome outcome, long permit) {}
 
     /** A change; the value is null if the key was removed. */
-    public record Change(String key, JsonNode value, long stamp) {
-    }
+    public record Change(String key, JsonNode value, long stamp) {}
 
-    public record News(Outcome outcome, long ledger, List<Change> changes) {
-    }
+    public record News(Outcome outcome, long ledger, List<Change> changes) {}
 
     private static final long TIMEOUT_MICROS = 1_500_000;
     /** Whoever compares waits for less: the same can be read, and a user who polls gives up after two seconds. */
     private static final long COMPARE_TIMEOUT_MICROS = 700_000;
+
     private static final long WATCH_SLACK_MICROS = 2_500_000;
     /** Reading a page is one piece of work, and a renewal waits for its end. */
     private static final int PAGE = 200;
+
     private static final int SILENT_AFTER = 2;
 
     private final Caller caller;
@@ -150,7 +155,8 @@
     public CompletableFuture<Grant> grant(long lifeMicros) {
         ObjectNode body = Json.object().put("life_ms", lifeMicros / 1_000);
         return sendNow(Call.post("/grants", body))
-                .thenApply(reply -> new Grant(outcome(reply), reply.json().path("permit").asLong()));
+                .thenApply(reply ->
+                        new Grant(outcome(reply), reply.json().path("permit").asLong()));
     }
 
     public CompletableFuture<Outcome> touch(long permit) {
@@ -158,7 +164,8 @@
     }
 
     public CompletableFuture<Outcome> revoke(long permit) {
-        return send(new Call("DELETE", "/grants/" + permit, Call.NO_BODY), TIMEOUT_MICROS).thenApply(this::outcome);
+        return send(new Call("DELETE", "/grants/" + permit, Call.NO_BODY), TIMEOUT_MICROS)
+                .thenApply(this::outcome);
     }
 
     public CompletableFuture<News> watch(String prefix, long since, long blockMicros) {
@@ -169,8 +176,10 @@
             JsonNode body = reply.json();
             for (JsonNode change : body.path("news")) {
                 boolean removed = change.has("remove");
-                changes.add(new Change(change.path(removed ? "remove" : "set").asText(),
-                        removed ? null : change.path("v"), change.path("stamp").asLong()));
+                changes.add(new Change(
+                        change.path(removed ? "remove" : "set").asText(),
+                        removed ? null : change.path("v"),
+                        change.path("stamp").asLong()));
             }
             return new News(outcome, body.path("ledger").asLong(), changes);
         });
@@ -207,15 +216,16 @@
             case 404 -> Outcome.NOT_FOUND;
             case 409 -> Outcome.CONFLICT;
             case 410 -> Outcome.COMPACTED;
-            case 400 -> reply.json().path("error").asText().equals("no such lease")
-                    ? Outcome.NO_SUCH_LEASE : Outcome.TOO_LARGE;
+            case 400 ->
+                reply.json().path("error").asText().equals("no such lease") ? Outcome.NO_SUCH_LEASE : Outcome.TOO_LARGE;
             case 429, 503, Reply.NOT_SENT -> Outcome.REFUSED;
             default -> Outcome.UNKNOWN;
         };
     }
 
     private static Entry entry(JsonNode node) {
-        return new Entry(node.path("k").asText(), node.path("v"), node.path("stamp").asLong());
+        return new Entry(
+                node.path("k").asText(), node.path("v"), node.path("stamp").asLong());
     }
 
     /** A transaction in the making. */
--- a/src/main/java/io/sillreel/workers/Blame.java
+++ b/src/main/java/io/sillreel/workers/Blame.java
@@ -8,13 +8,16 @@
  * mistaken job fails on every machine. Until it is known, the machine gets nothing new and the job one task elsewhere.
  */
 public final class Blame {
-    public enum Verdict { UNKNOWN, MACHINE, JOB }
+    public enum Verdict {
+        UNKNOWN,
+        MACHINE,
+        JOB
+    }
 
     /** So many machines, none of them known to be faulty, must have failed a job before it is blamed. */
     private static final int MACHINES_THAT_BLAME_A_JOB = 2;
 
-    private Blame() {
-    }
+    private Blame() {}
 
     public static Verdict failed(ActiveJob job, Machine machine) {
         if (job.succeededOnce()) {
--- a/src/main/java/io/sillreel/workers/Orders.java
+++ b/src/main/java/io/sillreel/workers/Orders.java
@@ -43,6 +43,9 @@
     }
 
     private ObjectNode add(String verb, String uid, int index, long attempt) {
-        return orders.addObject().put("verb", verb).put("piece", uid + "/" + index).put("try", attempt);
+        return orders.addObject()
+                .put("verb", verb)
+                .put("piece", uid + "/" + index)
+                .put("try", attempt);
     }
 }
--- a/src/main/java/io/sillreel/workers/Report.java
+++ b/src/main/java/io/sillreel/workers/Report.java
@@ -8,14 +8,27 @@
 import java.util.List;
 
 /** A worker's report. {@code recallMicros} is negative without a spot notice. */
-public record Report(String machine, String address, String build, String yard, boolean spot, long shift, long tally,
-        long baton, long recallMicros, List<PieceState> pieces) {
+public record Report(
+        String machine,
+        String address,
+        String build,
+        String yard,
+        boolean spot,
+        long shift,
+        long tally,
+        long baton,
+        long recallMicros,
+        List<PieceState> pieces) {
 
-    public enum Stage { PULLING, RUNNING, FLUSHING, ENDED }
+    public enum Stage {
+        PULLING,
+        RUNNING,
+        FLUSHING,
+        ENDED
+    }
 
     /** One task on the machine; the cause is empty unless it has ended. */
-    public record PieceState(String uid, int index, long attempt, Stage stage, String cause) {
-    }
+    public record PieceState(String uid, int index, long attempt, Stage stage, String cause) {}
 
     /** Reads a report, or returns null if it is none. Read as a stream: reports are most of what a controller is sent. */
     public static Report read(byte[] body) {
@@ -49,8 +62,7 @@
                 case "shift" -> shift = in.getValueAsLong();
                 case "tally" -> tally = in.getValueAsLong();
                 case "baton" -> baton = in.getValueAsLong();
-                case "recall_s" -> recallMicros =
-                        value.isNumeric() ? Math.round(in.getDoubleValue() * 1_000_000) : -1;
+                case "recall_s" -> recallMicros = value.isNumeric() ? Math.round(in.getDoubleValue() * 1_000_000) : -1;
                 case "pieces" -> {
                     if (value == JsonToken.START_ARRAY) {
                         pieces = pieces(in);
@@ -59,7 +71,8 @@
                 default -> in.skipChildren();
             }
         }
-        return machine.isEmpty() ? null
+        return machine.isEmpty()
+                ? null
                 : new Report(machine, address, build, yard, spot, shift, tally, baton, recallMicros, pieces);
     }
 
@@ -89,8 +102,12 @@
                     case "ended" -> Stage.ENDED;
                     default -> Stage.RUNNING;
                 };
-                pieces.add(new PieceState(piece.substring(0, slash), Integer.parseInt(piece.substring(slash + 1)),
-                        attempt, known, cause));
+                pieces.add(new PieceState(
+                        piece.substring(0, slash),
+                        Integer.parseInt(piece.substring(slash + 1)),
+                        attempt,
+                        known,
+                        cause));
             }
         }
         return pieces;
--- a/src/main/java/io/sillreel/workers/ReportDesk.java
+++ b/src/main/java/io/sillreel/workers/ReportDesk.java
@@ -50,10 +50,12 @@
     private static final Logger LOG = LoggerFactory.getLogger(ReportDesk.class);
     /** Attempt ids never repeat: the term in the high bits, a count below. */
     private static final int TERM_SHIFT = 32;
+
     private static final long DRIFT_DIVISOR = 1_000;
     private static final long BOUND_MARGIN_MICROS = 500_000;
     /** A worker waits so long for the answer to a report. */
     private static final long OVERTAKEN_MICROS = 4_000_000;
+
     private static final int MOST_DEAF_PART = 8;
 
     private final Loop loop;
@@ -70,8 +72,17 @@
     private long attempts;
     private Planner.Plan plan = Planner.Plan.EMPTY;
 
-    public ReportDesk(Loop loop, long term, Cluster cluster, KeyWriter writer, WorkerTimes times,
-            RetrySchedule retries, Estimates estimates, Planner planner, Office office, BooleanSupplier mayAct) {
+    public ReportDesk(
+            Loop loop,
+            long term,
+            Cluster cluster,
+            KeyWriter writer,
+            WorkerTimes times,
+            RetrySchedule retries,
+            Estimates estimates,
+            Planner planner,
+            Office office,
+            BooleanSupplier mayAct) {
         this.loop = loop;
         this.term = term;
         this.cluster = cluster;
@@ -180,7 +191,10 @@
     /** It hears nothing: not answering lets its lease, and with it its tasks, run out; then it goes back. */
     private Reply giveUp(Machine machine) {
         if (machine.state() == Machine.State.UP) {
-            LOG.info("machine {} ({}) hears nothing of what it is told", machine.name(), machine.type().name());
+            LOG.info(
+                    "machine {} ({}) hears nothing of what it is told",
+                    machine.name(),
+                    machine.type().name());
             office.progressed();
             if (machine.trusted()) {
                 machine.leave("it hears nothing");
@@ -208,7 +222,9 @@
     public void asked(Report report, long shiftBefore, long tallyBefore) {
         synchronized (cluster) {
             Machine machine = cluster.machine(report.machine());
-            if (machine != null && machine.shift() == shiftBefore && machine.tally() == tallyBefore
+            if (machine != null
+                    && machine.shift() == shiftBefore
+                    && machine.tally() == tallyBefore
                     && !report.newerThan(shiftBefore, tallyBefore)) {
                 newLife(machine);
             }
@@ -233,7 +249,11 @@
             machine.trust();
             machine.heeded();
             cluster.cleared(machine);
-            LOG.debug("machine {} ({}, {}) heard with {} tasks", machine.name(), machine.type().name(), machine.yard(),
+            LOG.debug(
+                    "machine {} ({}, {}) heard with {} tasks",
+                    machine.name(),
+                    machine.type().name(),
+                    machine.yard(),
                     report.pieces().size());
             office.progressed();
         }
@@ -311,7 +331,7 @@
             }
             case "error" -> failed(machine, job, seat);
             case "no_room", "busy", "no_such" ->
-                    LOG.info("{} refused {}/{}: {}", machine.name(), seat.uid(), seat.index(), cause);
+                LOG.info("{} refused {}/{}: {}", machine.name(), seat.uid(), seat.index(), cause);
             default -> LOG.debug("{}/{} ended on {}: {}", seat.uid(), seat.index(), machine.name(), cause);
         }
     }
@@ -341,8 +361,8 @@
                 for (Machine blamed : cluster.machines()) {
                     blamed.clearBlame(job.uid());
                 }
-                job.failAttempt(retries, loop.wallMicros(),
-                        "its tasks failed on " + String.join(" and ", job.failedOn()));
+                job.failAttempt(
+                        retries, loop.wallMicros(), "its tasks failed on " + String.join(" and ", job.failedOn()));
                 job.failedOn().clear();
                 LOG.info("job {}: {}", job.uid(), job.reason());
                 writer.enqueue(job);
@@ -409,8 +429,11 @@
             if (!cluster.launchable(job, loop.wallMicros()) || !Cluster.allows(job.spec(), machine)) {
                 continue;
             }
-            int count = Math.min(assignment.count(), Math.min(machine.room(job.spec()),
-                    Math.min(cluster.headroom(job.spec(), usage), cluster.yardRoom(job, machine.yard()))));
+            int count = Math.min(
+                    assignment.count(),
+                    Math.min(
+                            machine.room(job.spec()),
+                            Math.min(cluster.headroom(job.spec(), usage), cluster.yardRoom(job, machine.yard()))));
             for (int i = 0; i < count && most > 0 && !orders.full(); i++) {
                 int piece = job.nextWaiting();
                 if (piece < 0) {
@@ -432,15 +455,23 @@
             int late = 0;
             Set<String> lateJobs = new HashSet<>();
             for (Seat seat : machine.seats()) {
-                if (seat.job() != null && !seat.ended() && seat.runningSinceMicros() >= 0 && now - seat.runningSinceMicros()
-                        > Machine.SLOW_RATIO * estimates.expectedMicros(seat.job().spec())) {
+                if (seat.job() != null
+                        && !seat.ended()
+                        && seat.runningSinceMicros() >= 0
+                        && now - seat.runningSinceMicros()
+                                > Machine.SLOW_RATIO
+                                        * estimates.expectedMicros(seat.job().spec())) {
                     late++;
                     lateJobs.add(seat.uid());
                 }
             }
             if (machine.state() == Machine.State.UP
-                    && (machine.slow() || lateJobs.size() > 1 && late > machine.seats().size() / 2)) {
-                LOG.info("machine {} ({}) is taken for slow", machine.name(), machine.type().name());
+                    && (machine.slow()
+                            || lateJobs.size() > 1 && late > machine.seats().size() / 2)) {
+                LOG.info(
+                        "machine {} ({}) is taken for slow",
+                        machine.name(),
+                        machine.type().name());
                 machine.leave("slow");
             }
         }
@@ -457,7 +488,9 @@
                     office.wentDown(machine);
                 }
                 if (!machine.seats().isEmpty()) {
-                    LOG.info("machine {} is silent beyond its lease, {} tasks go back", machine.name(),
+                    LOG.info(
+                            "machine {} is silent beyond its lease, {} tasks go back",
+                            machine.name(),
                             machine.seats().size());
                     clear(machine);
                 }
--- a/src/main/java/io/sillreel/workers/ReportRelay.java
+++ b/src/main/java/io/sillreel/workers/ReportRelay.java
@@ -23,6 +23,7 @@
      * not held up for it; with hundreds of them batches of one or two reports were most of the work of a controller.
      */
     private static final long LEAST_GATHER_MICROS = 15_000;
+
     private static final long MOST_GATHER_MICROS = 150_000;
     private static final long GATHER_PER_WORKER_MICROS = 1_000;
     private static final long TIMEOUT_MICROS = 2_500_000;
@@ -35,10 +36,10 @@
      * would give it more. One that could not even be sent, or two in a row, mean that there is no way.
      */
     private static final int LATE_BATCHES = 1;
+
     private static final Reply LOST = Reply.later(503, "the lease holder can't be reached", 1);
 
-    private record Waiting(Report report, CompletableFuture<Reply> answer) {
-    }
+    private record Waiting(Report report, CompletableFuture<Reply> answer) {}
 
     private final Loop loop;
     private final Caller caller;
@@ -96,8 +97,8 @@
     }
 
     private long gatherMicros() {
-        return Math.max(LEAST_GATHER_MICROS,
-                Math.min(MOST_GATHER_MICROS, GATHER_PER_WORKER_MICROS * workers.getAsInt()));
+        return Math.max(
+                LEAST_GATHER_MICROS, Math.min(MOST_GATHER_MICROS, GATHER_PER_WORKER_MICROS * workers.getAsInt()));
     }
 
     private void send() {
--- a/src/main/java/io/sillreel/workers/WorkerSpread.java
+++ b/src/main/java/io/sillreel/workers/WorkerSpread.java
@@ -14,6 +14,7 @@
     private static final double LEADER_PART = 0.25;
     /** So many beyond its part are no reason to move anybody. */
     private static final int SLACK = 3;
+
     private static final double SLACK_PART = 0.1;
     /** A worker that came back this soon was sent away in vain. */
     private static final long SETTLE_MICROS = 30_000_000;
--- a/src/test/java/io/sillreel/MeetingsTest.java
+++ b/src/test/java/io/sillreel/MeetingsTest.java
@@ -40,12 +40,15 @@
     }
 
     private static long running(World world) {
-        return world.cloud().machines().values().stream().mapToLong(worker -> worker.running().size()).sum();
+        return world.cloud().machines().values().stream()
+                .mapToLong(worker -> worker.running().size())
+                .sum();
     }
 
     private static SimWorker fullest(World world) {
         return world.cloud().machines().values().stream()
-                .max(Comparator.comparingInt(worker -> worker.running().size())).orElseThrow();
+                .max(Comparator.comparingInt(worker -> worker.running().size()))
+                .orElseThrow();
     }
 
     /** Kills the lease holder, and waits until another one leads. */
@@ -128,8 +131,11 @@
         world.untilStarted(1, FOR_LONG);
         // More machines come up only when what is known is too old; no task ends, so no write tells of the withdrawal.
         world.cloud().bootMicros(8 * SECOND);
-        world.network().add((from, to, call) -> call.route().equals("/peer/withdrawn")
-                || call.path().startsWith("/watch?prefix=withdraw/") ? Fate.LOSE : null);
+        world.network()
+                .add((from, to, call) ->
+                        call.route().equals("/peer/withdrawn") || call.path().startsWith("/watch?prefix=withdraw/")
+                                ? Fate.LOSE
+                                : null);
         world.withdraw(other(world, world.leader()), "job-000001");
         world.seconds(5.5);
         int starts = world.starts();
@@ -147,8 +153,11 @@
         world.submit(0, World.job("job-000001", 60));
         world.untilStarted(8, 5 * SECOND);
         int blind = world.leader();
-        world.network().add((from, to, call) -> from.equals(Troubles.host(blind))
-                && call.path().startsWith("/watch?prefix=withdraw/") ? Fate.LOSE : null);
+        world.network()
+                .add((from, to, call) ->
+                        from.equals(Troubles.host(blind)) && call.path().startsWith("/watch?prefix=withdraw/")
+                                ? Fate.LOSE
+                                : null);
         world.until(() -> world.leader() >= 0 && world.leader() != blind);
         world.seconds(60);
         everyNodeSays(world, "job-000001", "done");
@@ -280,7 +289,9 @@
             world.network().remove(late);
             world.seconds(60);
             for (String uid : jobs) {
-                assertThat(world.stage(world.leader(), uid)).as("seed %d, %s", seed, uid).isIn("done", "withdrawn");
+                assertThat(world.stage(world.leader(), uid))
+                        .as("seed %d, %s", seed, uid)
+                        .isIn("done", "withdrawn");
             }
             nothingBroken(world);
         }
@@ -312,7 +323,9 @@
             world.seconds(15);
             world.network().release();
             world.seconds(75);
-            assertThat(world.stage(other(world, holder), "job-000002")).as("seed %d", seed).isEqualTo("done");
+            assertThat(world.stage(other(world, holder), "job-000002"))
+                    .as("seed %d", seed)
+                    .isEqualTo("done");
             nothingBroken(world);
         }
     }
@@ -389,7 +402,9 @@
             world.network().remove(away);
             world.network().remove(late);
             world.seconds(90);
-            assertThat(world.stage(world.leader(), "job-000001")).as("seed %d", seed).isEqualTo("done");
+            assertThat(world.stage(world.leader(), "job-000001"))
+                    .as("seed %d", seed)
+                    .isEqualTo("done");
             nothingBroken(world);
         }
     }
@@ -431,7 +446,8 @@
         world.seconds(20);
         for (int i = 1; i <= 480; i++) {
             String uid = "job-%06d".formatted(i);
-            assertThat(world.stage(i % 3, uid)).as(uid)
+            assertThat(world.stage(i % 3, uid))
+                    .as(uid)
                     .isIn(cancelled.contains(uid) ? List.of("done", "withdrawn") : List.of("done"));
         }
         nothingBroken(world);
@@ -482,7 +498,9 @@
             world.network().release();
             world.seconds(100);
             for (int i = 1; i <= 4; i++) {
-                assertThat(world.stage(world.leader(), "job-%06d".formatted(i))).as("seed %d", seed).isEqualTo("done");
+                assertThat(world.stage(world.leader(), "job-%06d".formatted(i)))
+                        .as("seed %d", seed)
+                        .isEqualTo("done");
             }
             nothingBroken(world);
         }
@@ -504,8 +522,8 @@
             world.withdrawMeanwhile(old, "job-000002");
             world.seconds(1);
         }
-        assertThat(world.cloud().machines().values()).noneMatch(worker ->
-                worker.running().stream().anyMatch(task -> task.startsWith("job-000001/")));
+        assertThat(world.cloud().machines().values())
+                .noneMatch(worker -> worker.running().stream().anyMatch(task -> task.startsWith("job-000001/")));
         world.network().remove(lone);
         world.seconds(40);
         everyNodeSays(world, "job-000001", "withdrawn");
@@ -549,7 +567,9 @@
             world.network().remove(held);
             world.network().release();
             world.seconds(80);
-            assertThat(world.stage(world.leader(), "job-000001")).as("seed %d", seed).isEqualTo("done");
+            assertThat(world.stage(world.leader(), "job-000001"))
+                    .as("seed %d", seed)
+                    .isEqualTo("done");
             nothingBroken(world);
         }
     }
@@ -619,10 +639,12 @@
             world.submit(0, World.job("job-000001", 24));
             world.untilStarted(24, 30 * SECOND);
             int inside = world.leader();
-            Set<String> zone = new HashSet<>(machines(world).subList(0, machines(world).size() / 2));
+            Set<String> zone =
+                    new HashSet<>(machines(world).subList(0, machines(world).size() / 2));
             zone.add(Troubles.host(inside));
-            Rule cut = world.network().add((from, to, call) -> zone.contains(from)
-                    != zone.stream().anyMatch(to::startsWith) ? fate : null);
+            Rule cut = world.network()
+                    .add((from, to, call) ->
+                            zone.contains(from) != zone.stream().anyMatch(to::startsWith) ? fate : null);
             world.seconds(10);
             world.withdrawMeanwhile(other(world, inside), "job-000001");
             world.submitMeanwhile(other(world, inside), World.job("job-000002", 12));
@@ -648,8 +670,8 @@
         world.seconds(1);
         world.withdraw(1, "job-000002");
         world.seconds(1);
-        assertThat(world.cloud().machines().values()).noneMatch(worker ->
-                worker.running().stream().anyMatch(task -> task.startsWith("job-000002/")));
+        assertThat(world.cloud().machines().values())
+                .noneMatch(worker -> worker.running().stream().anyMatch(task -> task.startsWith("job-000002/")));
         world.seconds(40);
         world.network().remove(rule);
         world.seconds(60);
@@ -689,7 +711,9 @@
         for (int node = 0; node < 3; node++) {
             assertThat(world.submit(node, World.job("job-000001", 2)).status()).isEqualTo(200);
             assertThat(world.submit(node, lacking).status()).isEqualTo(400);
-            assertThat(world.submit(node, World.job("job-000004", 1).put("vcpus", 64.0)).status()).isEqualTo(422);
+            assertThat(world.submit(node, World.job("job-000004", 1).put("vcpus", 64.0))
+                            .status())
+                    .isEqualTo(422);
             assertThat(world.poll(node, "job-000003").status()).isEqualTo(404);
             assertThat(world.poll(node, "job-000004").status()).isEqualTo(404);
             assertThat(world.withdraw(node, "job-000004").status()).isEqualTo(404);
@@ -697,9 +721,17 @@
         world.withdraw(2, "job-000002");
         world.seconds(30);
         for (int node = 0; node < 3; node++) {
-            assertThat(world.withdraw(node, "job-000001").json().path("stage").asText()).isEqualTo("done");
-            assertThat(world.submit(node, World.job("job-000001", 2)).json().path("stage").asText()).isEqualTo("done");
-            assertThat(world.submit(node, World.job("job-000002", 2)).json().path("stage").asText())
+            assertThat(world.withdraw(node, "job-000001").json().path("stage").asText())
+                    .isEqualTo("done");
+            assertThat(world.submit(node, World.job("job-000001", 2))
+                            .json()
+                            .path("stage")
+                            .asText())
+                    .isEqualTo("done");
+            assertThat(world.submit(node, World.job("job-000002", 2))
+                            .json()
+                            .path("stage")
+                            .asText())
                     .isEqualTo("withdrawn");
             assertThat(world.poll(node, "job-000003").status()).isEqualTo(404);
         }
--- a/src/test/java/io/sillreel/RandomScheduleTest.java
+++ b/src/test/java/io/sillreel/RandomScheduleTest.java
@@ -32,6 +32,7 @@
     private static final int SEEDS = 25;
     /** Seeds that broke a rule once. */
     private static final long[] BROKEN_ONCE = {118, 252, 256, 1560, 3062};
+
     private static final int STEPS = 40;
     private static final int TEAM_CPUS = 10;
 
@@ -137,13 +138,17 @@
         }
     }
 
-    private static void everythingEnds(World world, Random random, Collection<String> jobs, Collection<String> withdrawn,
-            long seed) {
+    private static void everythingEnds(
+            World world, Random random, Collection<String> jobs, Collection<String> withdrawn, long seed) {
         world.seconds(240);
         assertThat(world.broken()).as("seed %d", seed).isEmpty();
         for (String uid : jobs) {
-            assertThat(world.stage(random.nextInt(world.nodes()), uid)).as("seed %d, %s", seed, uid)
-                    .isIn(world.neededBy(uid).anyMatch(withdrawn::contains) ? List.of("done", "withdrawn") : List.of("done"));
+            assertThat(world.stage(random.nextInt(world.nodes()), uid))
+                    .as("seed %d, %s", seed, uid)
+                    .isIn(
+                            world.neededBy(uid).anyMatch(withdrawn::contains)
+                                    ? List.of("done", "withdrawn")
+                                    : List.of("done"));
         }
         assertThat(world.broken()).as("seed %d", seed).isEmpty();
     }
@@ -162,7 +167,11 @@
     }
 
     /** What is played besides the troubles. */
-    private enum Play { JOBS, CHAINS, UPGRADE }
+    private enum Play {
+        JOBS,
+        CHAINS,
+        UPGRADE
+    }
 
     private static void playMeetings(World world, long seed, Play play) {
         Random random = new Random(seed);
@@ -240,7 +249,7 @@
             switch (random.nextInt(10)) {
                 case 0, 1 -> world.restart(node, Version.CURRENT);
                 case 2 -> world.restart(node, Version.PREVIOUS);
-                default -> { }
+                default -> {}
             }
         }
     }
@@ -284,7 +293,8 @@
             case 8 -> cuts.add(network.add(Troubles.lone(holder)));
             case 9 -> {
                 withdrawSome(world, random, jobs, withdrawn, 4);
-                machines.stream().filter(machine -> some.contains(machine.name()))
+                machines.stream()
+                        .filter(machine -> some.contains(machine.name()))
                         .forEach(machine -> machine.hang(random.nextInt(14_000_000)));
             }
             case 10 -> {
@@ -345,11 +355,16 @@
                     world.cloud().take(world.cloud().machines().lastKey());
                 }
             }
-            case 12 -> cuts.add(world.network().add((from, to, call) ->
-                    call.route().equals("/agent/beat") || call.route().equals("/peer/beats") ? Fate.COPY : null));
+            case 12 ->
+                cuts.add(world.network()
+                        .add((from, to, call) -> call.route().equals("/agent/beat")
+                                        || call.route().equals("/peer/beats")
+                                ? Fate.COPY
+                                : null));
             case 13 -> {
                 if (!world.cloud().machines().isEmpty()) {
-                    cuts.add(world.network().add(Troubles.deaf(world.cloud().machines().firstKey())));
+                    cuts.add(world.network()
+                            .add(Troubles.deaf(world.cloud().machines().firstKey())));
                 }
             }
             case 14 -> cuts.add(world.network().add(Troubles.lone(node)));
@@ -399,19 +414,29 @@
                 world.freeze((node + 1) % world.nodes(), random.nextInt(10_000_000));
                 world.restart(node);
             }
-            case 3 -> machines.stream().filter(machine -> random.nextBoolean())
-                    .forEach(machine -> machine.hang(random.nextInt(25_000_000)));
-            case 4 -> machines.stream().filter(machine -> random.nextInt(4) == 0)
-                    .forEach(machine -> world.cloud().recall(machine.name(), 2_000_000 + random.nextInt(20_000_000)));
-            case 5 -> machines.stream().filter(machine -> random.nextInt(3) == 0)
-                    .forEach(machine -> world.cloud().take(machine.name()));
+            case 3 ->
+                machines.stream()
+                        .filter(machine -> random.nextBoolean())
+                        .forEach(machine -> machine.hang(random.nextInt(25_000_000)));
+            case 4 ->
+                machines.stream()
+                        .filter(machine -> random.nextInt(4) == 0)
+                        .forEach(machine ->
+                                world.cloud().recall(machine.name(), 2_000_000 + random.nextInt(20_000_000)));
+            case 5 ->
+                machines.stream()
+                        .filter(machine -> random.nextInt(3) == 0)
+                        .forEach(machine -> world.cloud().take(machine.name()));
             default -> {
                 // A part of the machines is cut off, and then the lease holder ends.
                 Set<String> away = new HashSet<>();
                 machines.stream().filter(machine -> random.nextBoolean()).forEach(machine -> away.add(machine.name()));
                 Fate fate = random.nextBoolean() ? Fate.HOLD : Fate.LOSE;
-                cuts.add(world.network().add((from, to, call) -> away.contains(from)
-                        || to.endsWith(":9000") && away.contains(to.substring(0, to.length() - 5)) ? fate : null));
+                cuts.add(world.network()
+                        .add((from, to, call) -> away.contains(from)
+                                        || to.endsWith(":9000") && away.contains(to.substring(0, to.length() - 5))
+                                ? fate
+                                : null));
                 world.seconds(random.nextDouble() * 20);
                 if (world.leader() >= 0) {
                     world.kill(world.leader());
@@ -432,7 +457,9 @@
     private static Rule between(Random random, String one, String other) {
         Fate[] fates = {Fate.LOSE, Fate.HOLD, Fate.LOSE_ANSWER};
         Fate fate = fates[random.nextInt(fates.length)];
-        return (from, to, call) -> from.startsWith(one) && to.startsWith(other)
-                || from.startsWith(other) && to.startsWith(one) ? fate : null;
+        return (from, to, call) ->
+                from.startsWith(one) && to.startsWith(other) || from.startsWith(other) && to.startsWith(one)
+                        ? fate
+                        : null;
     }
 }
--- a/src/test/java/io/sillreel/UpgradeTest.java
+++ b/src/test/java/io/sillreel/UpgradeTest.java
@@ -121,7 +121,8 @@
         int leader = leadAlone(world, leading);
         int follower = (leader + 1) % NODES;
         for (int number = 1; number <= 9; number++) {
-            assertThat(world.submit(number % NODES, World.job(uid(number), 4)).status()).isEqualTo(201);
+            assertThat(world.submit(number % NODES, World.job(uid(number), 4)).status())
+                    .isEqualTo(201);
             world.seconds(0.5);
         }
         assertThat(world.withdraw(follower, uid(8)).ok()).isTrue();
@@ -183,9 +184,13 @@
             submitMeanwhile(world, number, 4);
         }
         world.untilStarted(6, 4 * SECOND);
-        Rule held = world.network().add((from, to, call) -> from.startsWith("10.0.0.")
-                && (call.route().equals("/txn") && new String(call.body(), StandardCharsets.UTF_8)
-                        .contains("\"set\"") || call.route().equals("/peer/beats")) ? Fate.HOLD : null);
+        Rule held = world.network()
+                .add((from, to, call) -> from.startsWith("10.0.0.")
+                                && (call.route().equals("/txn")
+                                                && new String(call.body(), StandardCharsets.UTF_8).contains("\"set\"")
+                                        || call.route().equals("/peer/beats"))
+                        ? Fate.HOLD
+                        : null);
         world.seconds(3);
         for (int node = 0; node < NODES; node++) {
             world.kill(node);
@@ -238,12 +243,14 @@
             submitMeanwhile(world, number, 3);
         }
         world.untilStarted(9, 200 * SECOND);
-        assertThat(world.withdraw(follower, uid(1)).json().path("stage").asText()).isEqualTo("withdrawn");
+        assertThat(world.withdraw(follower, uid(1)).json().path("stage").asText())
+                .isEqualTo("withdrawn");
         everyNodeSays(world, uid(1), "withdrawn");
         world.seconds(3);
         Rule refused = world.network().add(Troubles.refused(leader));
         world.seconds(1);
-        assertThat(world.withdraw(follower, uid(2)).json().path("stage").asText()).isEqualTo("withdrawn");
+        assertThat(world.withdraw(follower, uid(2)).json().path("stage").asText())
+                .isEqualTo("withdrawn");
         world.state().outage(true);
         world.seconds(35);
         world.state().outage(false);
@@ -295,16 +302,26 @@
             int number = 10 + 10 * node;
             ObjectNode awaitsNothing = World.job(uid(number), 1).putNull("awaits");
             assertThat(world.submit(node, awaitsNothing).status()).isEqualTo(201);
-            assertThat(world.submit(node, World.job(uid(number + 1), 1, uid(done))).status()).isEqualTo(201);
-            assertThat(world.submit(node, World.job(uid(number + 2), 1, uid(running), uid(done))).status()).isEqualTo(201);
+            assertThat(world.submit(node, World.job(uid(number + 1), 1, uid(done)))
+                            .status())
+                    .isEqualTo(201);
+            assertThat(world.submit(node, World.job(uid(number + 2), 1, uid(running), uid(done)))
+                            .status())
+                    .isEqualTo(201);
             Reply closed = world.submit(node, World.job(uid(number + 3), 1, uid(running), uid(cancelled)));
             assertThat(closed.status()).isEqualTo(201);
             assertThat(closed.json().path("stage").asText()).isEqualTo("withdrawn");
-            assertThat(world.submit(node, World.job(uid(number + 4), 1, uid(99))).status()).isEqualTo(422);
+            assertThat(world.submit(node, World.job(uid(number + 4), 1, uid(99)))
+                            .status())
+                    .isEqualTo(422);
             ObjectNode malformed = World.job(uid(number + 5), 1).put("awaits", uid(done));
             assertThat(world.submit(node, malformed).status()).isEqualTo(400);
             // A job that the previous version accepted stays as it was, whatever a repeat names.
-            assertThat(world.submit(node, World.job(uid(done), 2, uid(99))).json().path("stage").asText()).isEqualTo("done");
+            assertThat(world.submit(node, World.job(uid(done), 2, uid(99)))
+                            .json()
+                            .path("stage")
+                            .asText())
+                    .isEqualTo("done");
         }
         world.seconds(60);
         for (int number = 10; number <= 30; number += 10) {
