--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -45,32 +45,60 @@
             + "\"reel\":\"img-07\",\"image_gb\":6.2,\"yard\":\"a\",\"one_zone\":true,\"spread\":false,\"loaners\":true,"
             + "\"guess_us\":240000000,\"mark_us\":30000000,\"stash_us\":4000000,\"due_us\":900000000,"
             + "\"builds\":[\"g8\",\"c4\"]}}";
-    private static final String RUNNING = "{\"pieces\":16,\"done\":3,\"running\":1,\"stage\":\"running\",\"bits\":\"CYA=\"}";
+    private static final String RUNNING =
+            "{\"pieces\":16,\"done\":3,\"running\":1,\"stage\":\"running\",\"bits\":\"CYA=\"}";
     private static final String DONE = "{\"pieces\":2,\"done\":2,\"running\":0,\"stage\":\"done\"}";
     private static final String FAILED = "{\"pieces\":2,\"done\":0,\"running\":0,\"stage\":\"queued\",\"attempts\":1,"
             + "\"next_us\":1700000123456791,\"reason\":\"attempt 1 failed: its tasks failed on host-000001 and host-000002\","
             + "\"bits\":\"\"}";
     /** Pieces 0, 191, 192 and 399 of 400 are done; that version put 192 into a value of 64 bytes. */
     private static final Map<String, String> CHUNKED = Map.of(
-            "run/job-000413", "{\"pieces\":400,\"done\":4,\"running\":0,\"stage\":\"queued\"}",
-            "run/job-000413/0", "{\"bits\":\"AQAAAAAAAAAAAAAAAAAAAAAAAAAAAACA\"}",
-            "run/job-000413/1", "{\"bits\":\"AQ==\"}", "run/job-000413/2", "{\"bits\":\"AIA=\"}");
+            "run/job-000413",
+            "{\"pieces\":400,\"done\":4,\"running\":0,\"stage\":\"queued\"}",
+            "run/job-000413/0",
+            "{\"bits\":\"AQAAAAAAAAAAAAAAAAAAAAAAAAAAAACA\"}",
+            "run/job-000413/1",
+            "{\"bits\":\"AQ==\"}",
+            "run/job-000413/2",
+            "{\"bits\":\"AIA=\"}");
+
     private static final String HIRE = "{\"build\":\"g8\",\"yard\":\"a\",\"spot\":true,\"count\":12,"
             + "\"machines\":[\"host-000231\",\"host-000232\"],\"up\":[\"host-000231\"]}";
     private static final String HELLO = "8768686f707065722d3168686f707065722d301829f51861f503";
     private static final String HELLO_WITHOUT_LEADER = "8768686f707065722d31f600f400f400";
-    private static final String BEATS = "818a6b686f73742d3030303233316f31302e312e302e3233323a393030306267386161f50118581829"
-            + "2082856a6a6f622d303030343132031b00000029000000020160856a6a6f622d30303033393800010364646f6e65";
-    private static final String ANSWERS = "828318c858487b226261746f6e223a34312c226f7264657273223a5b7b2276657262223a226c61"
-            + "756e6368222c227069656365223a226a6f622d3030303431322f34222c22747279223a377d5d7d00831901f758237b226572726f7222"
-            + "3a2261206e65776572207265706f727420776173207365656e227d01";
+    private static final String BEATS =
+            "818a6b686f73742d3030303233316f31302e312e302e3233323a393030306267386161f50118581829"
+                    + "2082856a6a6f622d303030343132031b00000029000000020160856a6a6f622d30303033393800010364646f6e65";
+    private static final String ANSWERS =
+            "828318c858487b226261746f6e223a34312c226f7264657273223a5b7b2276657262223a226c61"
+                    + "756e6368222c227069656365223a226a6f622d3030303431322f34222c22747279223a377d5d7d00831901f758237b226572726f7222"
+                    + "3a2261206e65776572207265706f727420776173207365656e227d01";
     private static final String WITHDRAWN = "816a6a6f622d303030343132";
 
     private final SimTime time = new SimTime();
 
     private static JobSpec spec(String uid, int pieces) {
-        return new JobSpec(uid, "train", "vision", Rank.HIGH, pieces, 8.0, 1.0, 64.0, "img-07", 6.2,
-                List.of("g8", "c4"), "a", true, false, true, 240_000_000L, 30_000_000L, 4_000_000L, 900_000_000L, List.of());
+        return new JobSpec(
+                uid,
+                "train",
+                "vision",
+                Rank.HIGH,
+                pieces,
+                8.0,
+                1.0,
+                64.0,
+                "img-07",
+                6.2,
+                List.of("g8", "c4"),
+                "a",
+                true,
+                false,
+                true,
+                240_000_000L,
+                30_000_000L,
+                4_000_000L,
+                900_000_000L,
+                List.of());
     }
 
     private static JsonNode json(String text) {
@@ -105,9 +133,19 @@
     @Test
     void theStandInLeavesItsSamplesAsTheyAre() {
         Map<String, String> samples = new HashMap<>(CHUNKED);
-        samples.putAll(Map.of("plan/job-000412", PLAN, "run/job-000412", RUNNING, "run/job-000414", DONE,
-                "run/job-000415", FAILED, "hire/r-5-12", HIRE));
-        samples.forEach((key, value) -> assertThat(PreviousVersion.understood(key, json(value))).isEqualTo(json(value)));
+        samples.putAll(Map.of(
+                "plan/job-000412",
+                PLAN,
+                "run/job-000412",
+                RUNNING,
+                "run/job-000414",
+                DONE,
+                "run/job-000415",
+                FAILED,
+                "hire/r-5-12",
+                HIRE));
+        samples.forEach((key, value) ->
+                assertThat(PreviousVersion.understood(key, json(value))).isEqualTo(json(value)));
         ObjectNode chained = (ObjectNode) json(PLAN);
         ((ObjectNode) chained.path("job")).putArray("awaits").add("job-000398");
         assertThat(PreviousVersion.understood("plan/job-000412", chained)).isEqualTo(json(PLAN));
@@ -130,7 +168,9 @@
         List.of(0, 1).forEach(done::settle);
         assertThat(done.changes().get("run/job-000412").toString()).isEqualTo(DONE);
         ActiveJob failed = job(2);
-        failed.failAttempt(new RetrySchedule(2, 10, 60), 1_700_000_123_456_789L,
+        failed.failAttempt(
+                new RetrySchedule(2, 10, 60),
+                1_700_000_123_456_789L,
                 "its tasks failed on host-000001 and host-000002");
         assertThat(failed.changes().get("run/job-000412").toString()).isEqualTo(FAILED);
         Hire hire = new Hire("r-5-12", "g8", "a", true, 12);
@@ -145,9 +185,19 @@
         assertThat(Hello.of(bytes(HELLO))).isEqualTo(hello);
         assertThat(hello.bytes()).isEqualTo(bytes(HELLO));
         assertThat(Hello.of(bytes(HELLO_WITHOUT_LEADER)).leader()).isNull();
-        Report report = new Report("host-000231", "10.1.0.232:9000", "g8", "a", true, 1, 88, 41, -1, List.of(
-                new Report.PieceState("job-000412", 3, 2L + (41L << 32), Report.Stage.RUNNING, ""),
-                new Report.PieceState("job-000398", 0, 1, Report.Stage.ENDED, "done")));
+        Report report = new Report(
+                "host-000231",
+                "10.1.0.232:9000",
+                "g8",
+                "a",
+                true,
+                1,
+                88,
+                41,
+                -1,
+                List.of(
+                        new Report.PieceState("job-000412", 3, 2L + (41L << 32), Report.Stage.RUNNING, ""),
+                        new Report.PieceState("job-000398", 0, 1, Report.Stage.ENDED, "done")));
         assertThat(PeerMessages.reports(bytes(BEATS))).containsExactly(report);
         assertThat(PeerMessages.beats(List.of(report)).body()).isEqualTo(bytes(BEATS));
         Orders orders = new Orders();
@@ -169,11 +219,15 @@
         }
         world.withdraw(0, "job-000003");
         world.seconds(20);
-        assertThat(world.state().keysUnder("")).allMatch(key -> key.matches(
-                "plan/job-[0-9]+|run/job-[0-9]+(/[0-9]+)?|withdraw/job-[0-9]+|hire/[a-z0-9.-]+|term|leader|flavors"));
+        assertThat(world.state().keysUnder(""))
+                .allMatch(
+                        key -> key.matches(
+                                "plan/job-[0-9]+|run/job-[0-9]+(/[0-9]+)?|withdraw/job-[0-9]+|hire/[a-z0-9.-]+|term|leader|flavors"));
         for (String key : world.state().keysUnder("run/")) {
-            assertThat(world.state().value(key).path("bits").isTextual() || world.state().value(key).path("stage").asText()
-                    .equals("done")).as(key).isTrue();
+            assertThat(world.state().value(key).path("bits").isTextual()
+                            || world.state().value(key).path("stage").asText().equals("done"))
+                    .as(key)
+                    .isTrue();
         }
     }
 
@@ -184,8 +238,13 @@
         SimNetwork network = new SimNetwork(time, 1);
         network.listen("state:1", state);
         SimTime.Process process = time.new Process();
-        StateStore store = new StateStore(network.from("node", process), network.from("node", process), process, "state:1",
-                new Pacer(process, 1_000, 1_000), new Pacer(process, 1_000, 1_000));
+        StateStore store = new StateStore(
+                network.from("node", process),
+                network.from("node", process),
+                process,
+                "state:1",
+                new Pacer(process, 1_000, 1_000),
+                new Pacer(process, 1_000, 1_000));
         Txn txn = new Txn().set("leader", Json.object());
         CHUNKED.forEach((key, value) -> txn.set(key, json(value)));
         store.commit(txn);
@@ -199,7 +258,7 @@
                 items.forEach(writer[0]::enqueue);
             }
         };
-        writer[0] = new KeyWriter(store, process, "leader", 101, 2, () -> { });
+        writer[0] = new KeyWriter(store, process, "leader", 101, 2, () -> {});
         JobSpec spec = spec("job-000413", 400);
         ActiveJob job = new ActiveJob(spec, 7, 0, 32, watcher);
         Map<String, String> values = new HashMap<>();
@@ -223,8 +282,10 @@
 
         ActiveJob successor = new ActiveJob(spec, 7, 0, 32, watcher);
         values.clear();
-        state.keysUnder("bits/").forEach(key -> values.put(key, state.value(key).path("bits").asText()));
-        successor.inherit(102, Head.of(state.value("run/job-000413")), new RunRecord.Pieces(values, new HashMap<>(), 0));
+        state.keysUnder("bits/")
+                .forEach(key -> values.put(key, state.value(key).path("bits").asText()));
+        successor.inherit(
+                102, Head.of(state.value("run/job-000413")), new RunRecord.Pieces(values, new HashMap<>(), 0));
         assertThat(successor.doneCount()).isEqualTo(5);
         assertThat(List.of(0, 191, 192, 200, 399)).allMatch(successor::isDone);
 
@@ -236,7 +297,9 @@
         assertThat(job.doneStored()).isTrue();
         assertThat(state.keysUnder("bits/")).isEmpty();
         // A write that its last holder gave up on comes late, and finds another leader.
-        var late = store.commit(new Txn().require("leader", 77).require("run/job-000413", 101)
+        var late = store.commit(new Txn()
+                .require("leader", 77)
+                .require("run/job-000413", 101)
                 .set("run/job-000413/0", json(CHUNKED.get("run/job-000413/0"))));
         time.runFor(100_000);
         assertThat(late.join().outcome()).isEqualTo(Outcome.CONFLICT);
@@ -253,7 +316,7 @@
                 + "],\"up\":[" + names + "]}");
         Hire hire = Hire.of("hire/r-5-12", stored, 9);
         int most = Hire.mostMachines(1_024);
-        List<Hire> parts = hire.split(most, again -> { });
+        List<Hire> parts = hire.split(most, again -> {});
         assertThat(hire.first()).hasSameSizeAs(parts);
         int machines = hire.machines().size();
         for (Hire part : parts) {
--- a/src/test/java/io/sillreel/admission/AdmissionStoriesTest.java
+++ b/src/test/java/io/sillreel/admission/AdmissionStoriesTest.java
@@ -29,11 +29,21 @@
     @Test
     void whatIsMalformedIsRefusedWithAPlainReason() {
         List<Consumer<ObjectNode>> mistakes = List.of(
-                job -> job.remove("crew"), job -> job.put("uid", "nonsense"), job -> job.put("pieces", 0),
-                job -> job.put("pieces", 100_001), job -> job.put("pieces", 1.5), job -> job.put("pieces", "3"),
-                job -> job.put("rank", "urgent"), job -> job.put("form", "group"), job -> job.put("vcpus", -1.0),
-                job -> job.put("vcpus", 1e300), job -> job.put("vcpus", "4"), job -> job.put("loaners", "yes"),
-                job -> job.put("builds", "c4"), job -> job.put("due_s", -5), job -> job.put("yard", 7));
+                job -> job.remove("crew"),
+                job -> job.put("uid", "nonsense"),
+                job -> job.put("pieces", 0),
+                job -> job.put("pieces", 100_001),
+                job -> job.put("pieces", 1.5),
+                job -> job.put("pieces", "3"),
+                job -> job.put("rank", "urgent"),
+                job -> job.put("form", "group"),
+                job -> job.put("vcpus", -1.0),
+                job -> job.put("vcpus", 1e300),
+                job -> job.put("vcpus", "4"),
+                job -> job.put("loaners", "yes"),
+                job -> job.put("builds", "c4"),
+                job -> job.put("due_s", -5),
+                job -> job.put("yard", 7));
         for (Consumer<ObjectNode> mistake : mistakes) {
             ObjectNode job = World.job("job-000001", 1);
             mistake.accept(job);
@@ -50,8 +60,12 @@
     @Test
     void whatCanNeverRunIsRefusedForGood() {
         List<Consumer<ObjectNode>> mistakes = List.of(
-                job -> job.put("crew", "nobody"), job -> job.put("vcpus", 5.0), job -> job.put("ram_gb", 17.0),
-                job -> job.put("cards", 1.0), job -> job.put("yard", "z"), job -> job.putArray("builds").add("x9"));
+                job -> job.put("crew", "nobody"),
+                job -> job.put("vcpus", 5.0),
+                job -> job.put("ram_gb", 17.0),
+                job -> job.put("cards", 1.0),
+                job -> job.put("yard", "z"),
+                job -> job.putArray("builds").add("x9"));
         for (Consumer<ObjectNode> mistake : mistakes) {
             ObjectNode job = World.job("job-000001", 1);
             mistake.accept(job);
@@ -63,8 +77,10 @@
     void pathsAndMethodsThatAreNotThere() {
         assertThat(world.ask(0, Call.get("/v2/else")).status()).isEqualTo(404);
         assertThat(world.ask(0, Call.get("/v2/runs")).status()).isEqualTo(405);
-        assertThat(world.ask(0, Call.post("/v2/runs/job-000001", Json.object())).status()).isEqualTo(405);
-        assertThat(world.ask(0, Call.get("/v2/runs/job-000001/withdraw")).status()).isEqualTo(405);
+        assertThat(world.ask(0, Call.post("/v2/runs/job-000001", Json.object())).status())
+                .isEqualTo(405);
+        assertThat(world.ask(0, Call.get("/v2/runs/job-000001/withdraw")).status())
+                .isEqualTo(405);
         assertThat(world.ask(0, Call.get("/up")).status()).isEqualTo(200);
     }
 
@@ -104,8 +120,9 @@
     @Test
     void aControllerCutFromTheStateServiceRefusesAtOnceAndServesAgainLater() {
         int cut = (world.leader() + 1) % 3;
-        SimNetwork.Rule rule = world.network().add((from, to, call) -> from.equals("10.0.0." + cut)
-                && to.equals("state:1") ? SimNetwork.Fate.LOSE : null);
+        SimNetwork.Rule rule = world.network()
+                .add((from, to, call) ->
+                        from.equals("10.0.0." + cut) && to.equals("state:1") ? SimNetwork.Fate.LOSE : null);
         world.seconds(15);
         long before = world.time().nowMicros();
         assertThat(world.submit(cut, World.job("job-000001", 1)).status()).isEqualTo(503);
@@ -123,9 +140,11 @@
             world.cloud().machines().values().forEach(worker -> worker.runMicros(500_000_000));
             return world.starts() >= 4;
         });
-        assertThat(world.withdraw(1, "job-000001").json().path("stage").asText()).isEqualTo("withdrawn");
+        assertThat(world.withdraw(1, "job-000001").json().path("stage").asText())
+                .isEqualTo("withdrawn");
         world.seconds(3);
-        assertThat(world.cloud().machines().values()).allMatch(worker -> worker.running().isEmpty());
+        assertThat(world.cloud().machines().values())
+                .allMatch(worker -> worker.running().isEmpty());
         assertThat(world.stage(2, "job-000001")).isEqualTo("withdrawn");
         assertThat(world.withdraw(0, "job-000099").status()).isEqualTo(404);
     }
@@ -135,10 +154,12 @@
     void aJobWithdrawnBehindTheLeadersBackIsNotStoredAsDone() {
         world.submit(0, World.job("job-000001", 1));
         world.until(() -> world.starts() >= 1);
-        world.network().add((from, to, call) -> call.path().startsWith("/watch?prefix=withdraw/")
-                ? SimNetwork.Fate.LOSE : null);
+        world.network()
+                .add((from, to, call) ->
+                        call.path().startsWith("/watch?prefix=withdraw/") ? SimNetwork.Fate.LOSE : null);
         world.seconds(1.2);
-        assertThat(world.withdraw(1, "job-000001").json().path("stage").asText()).isEqualTo("withdrawn");
+        assertThat(world.withdraw(1, "job-000001").json().path("stage").asText())
+                .isEqualTo("withdrawn");
         world.seconds(5);
         assertThat(world.state().value("run/job-000001").path("stage").asText()).isNotEqualTo("done");
         assertThat(world.stage(2, "job-000001")).isEqualTo("withdrawn");
--- a/src/test/java/io/sillreel/fleet/RentalStoriesTest.java
+++ b/src/test/java/io/sillreel/fleet/RentalStoriesTest.java
@@ -38,8 +38,11 @@
      */
     @Test
     void aRentalThatIsAnsweredTwiceKeepsItsMachines() {
-        Rule lose = world.network().add((from, to, call) -> call.route().equals("/txn")
-                && new String(call.body(), StandardCharsets.UTF_8).contains("\"hire/") ? Fate.LOSE_ANSWER : null);
+        Rule lose = world.network()
+                .add((from, to, call) -> call.route().equals("/txn")
+                                && new String(call.body(), StandardCharsets.UTF_8).contains("\"hire/")
+                        ? Fate.LOSE_ANSWER
+                        : null);
         world.seconds(2);
         world.submit(0, World.job("job-000001", 4));
         world.seconds(25);
@@ -47,7 +50,8 @@
         world.untilStarted(4, 30_000_000);
         for (String machine : world.cloud().machines().keySet()) {
             assertThat(world.state().keysUnder("hire/").stream().map(world.state()::value))
-                    .as(machine).anyMatch(hire -> hire.path("machines").toString().contains(machine));
+                    .as(machine)
+                    .anyMatch(hire -> hire.path("machines").toString().contains(machine));
         }
         assertThat(world.broken()).isEmpty();
     }
--- a/src/test/java/io/sillreel/http/HttpTest.java
+++ b/src/test/java/io/sillreel/http/HttpTest.java
@@ -59,46 +59,68 @@
 
     @Test
     void theCrowdLeavesConnectionsForTheOthers() {
-        HttpServer server = new HttpServer(group, HttpServer.MAX_BODY_BYTES, 10,
+        HttpServer server = new HttpServer(
+                group,
+                HttpServer.MAX_BODY_BYTES,
+                10,
                 call -> call.route().equals("/beat") ? Line.CROWD : Line.AT_ONCE,
-                new Turns(new NettyLoop(group.next())), 2);
-        Channel listening = server.listen(new InetSocketAddress("127.0.0.1", 0),
+                new Turns(new NettyLoop(group.next())),
+                2);
+        Channel listening = server.listen(
+                new InetSocketAddress("127.0.0.1", 0),
                 call -> CompletableFuture.completedFuture(Reply.of(200, Json.object())));
         String address = "127.0.0.1:" + ((InetSocketAddress) listening.localAddress()).getPort();
-        List<HttpClient> workers = List.of(new HttpClient(group.next(), 1), new HttpClient(group.next(), 1),
-                new HttpClient(group.next(), 1));
-        assertThat(workers.stream().map(worker -> worker.call(address, Call.get("/beat"), LONG_MICROS).join().status()))
+        List<HttpClient> workers = List.of(
+                new HttpClient(group.next(), 1), new HttpClient(group.next(), 1), new HttpClient(group.next(), 1));
+        assertThat(workers.stream()
+                        .map(worker -> worker.call(address, Call.get("/beat"), LONG_MICROS)
+                                .join()
+                                .status()))
                 .containsExactly(200, 200, 503);
-        assertThat(client.call(address, Call.get("/up"), LONG_MICROS).join().status()).isEqualTo(200);
-        assertThat(workers.get(0).call(address, Call.get("/beat"), LONG_MICROS).join().status()).isEqualTo(200);
+        assertThat(client.call(address, Call.get("/up"), LONG_MICROS).join().status())
+                .isEqualTo(200);
+        assertThat(workers.get(0)
+                        .call(address, Call.get("/beat"), LONG_MICROS)
+                        .join()
+                        .status())
+                .isEqualTo(200);
     }
 
     @Test
     void connectionsThatAreNotUsedAreClosed() {
         String address = listen(call -> CompletableFuture.completedFuture(Reply.of(200, Json.object())));
         client.call(address, Call.get("/"), LONG_MICROS).join();
-        assertThat(connectionsAfterSweep()).as("it has been used since the sweep before").isEqualTo(1);
+        assertThat(connectionsAfterSweep())
+                .as("it has been used since the sweep before")
+                .isEqualTo(1);
         client.call(address, Call.get("/"), LONG_MICROS).join();
         assertThat(connectionsAfterSweep()).isEqualTo(1);
         assertThat(connectionsAfterSweep()).isZero();
-        assertThat(client.call(address, Call.get("/"), LONG_MICROS).join().status()).isEqualTo(200);
+        assertThat(client.call(address, Call.get("/"), LONG_MICROS).join().status())
+                .isEqualTo(200);
     }
 
     private int connectionsAfterSweep() {
-        return group.next().submit(() -> {
-            client.closeUnused();
-            return client.idleConnections();
-        }).syncUninterruptibly().getNow();
+        return group.next()
+                .submit(() -> {
+                    client.closeUnused();
+                    return client.idleConnections();
+                })
+                .syncUninterruptibly()
+                .getNow();
     }
 
     @Test
     void aHandlerThatFailsIsAnsweredForAndNobodyListeningIsKnownNotToHaveHeard() {
         String address = listen(call -> CompletableFuture.failedFuture(new IllegalStateException("on purpose")));
-        assertThat(client.call(address, Call.get("/"), LONG_MICROS).join().status()).isEqualTo(503);
+        assertThat(client.call(address, Call.get("/"), LONG_MICROS).join().status())
+                .isEqualTo(503);
         Channel gone = new HttpServer(group, 10, 10).listen(new InetSocketAddress("127.0.0.1", 0), call -> null);
         int port = ((InetSocketAddress) gone.localAddress()).getPort();
         gone.close().syncUninterruptibly();
-        assertThat(client.call("127.0.0.1:" + port, Call.get("/"), LONG_MICROS).join().status())
+        assertThat(client.call("127.0.0.1:" + port, Call.get("/"), LONG_MICROS)
+                        .join()
+                        .status())
                 .isEqualTo(Reply.NOT_SENT);
     }
 }
--- a/src/test/java/io/sillreel/http/TurnsTest.java
+++ b/src/test/java/io/sillreel/http/TurnsTest.java
@@ -85,7 +85,7 @@
         assertThat(taken).isBetween(32, 64);
         time.runFor(100_000);
         assertThat(served).hasSize(taken);
-        assertThat(turns.await(Line.USERS, 64 * 1024, () -> true, () -> { })).isTrue();
+        assertThat(turns.await(Line.USERS, 64 * 1024, () -> true, () -> {})).isTrue();
     }
 
     @Test
--- a/src/test/java/io/sillreel/load/LoadDriver.java
+++ b/src/test/java/io/sillreel/load/LoadDriver.java
@@ -53,7 +53,8 @@
     private LoadDriver(int workers, int controllers) throws IOException {
         for (String line : Files.readAllLines(Path.of("deploy/service.toml"))) {
             if (line.startsWith("run = ")) {
-                run.addAll(List.of(line.substring(line.indexOf('"') + 1, line.lastIndexOf('"')).split(" ")));
+                run.addAll(List.of(line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'))
+                        .split(" ")));
             }
         }
         this.workers = workers;
@@ -71,8 +72,8 @@
         new HttpServer(group, 128 * 1024, 1_000).listen(new InetSocketAddress("127.0.0.1", cloudPort), standIns::cloud);
         Path folder = Files.createTempDirectory("sillreel-load");
         for (int node = 0; node < controllers; node++) {
-            configs.add(Files.writeString(folder.resolve("hopper-" + node + ".toml"),
-                    settings(node, controllers, statePort, cloudPort)));
+            configs.add(Files.writeString(
+                    folder.resolve("hopper-" + node + ".toml"), settings(node, controllers, statePort, cloudPort)));
         }
         passTime(loop.nowMicros());
     }
@@ -87,8 +88,9 @@
     }
 
     private String settings(int node, int controllers, int statePort, int cloudPort) {
-        StringBuilder toml = new StringBuilder("node_name = \"hopper-%d\"\narea = \"a\"\npublic_addr = \"%s\"\ninternal_addr = \"%s\"\n"
-                .formatted(node, publicAddresses.get(node), internalAddresses.get(node)));
+        StringBuilder toml = new StringBuilder(
+                "node_name = \"hopper-%d\"\narea = \"a\"\npublic_addr = \"%s\"\ninternal_addr = \"%s\"\n"
+                        .formatted(node, publicAddresses.get(node), internalAddresses.get(node)));
         for (int other = 0; other < controllers; other++) {
             if (other != node) {
                 toml.append("[[members]]\nnode_name = \"hopper-%d\"\narea = \"a\"\naddress = \"%s\"\n"
@@ -132,8 +134,8 @@
     private void start(int node) throws IOException {
         List<String> command = new ArrayList<>(run);
         command.add(configs.get(node).toString());
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.DISCARD);
+        ProcessBuilder builder =
+                new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD);
         builder.environment().put("LOG_LEVEL", "error");
         processes[node] = builder.start();
     }
@@ -144,7 +146,8 @@
         Path tasks = Path.of("/proc/" + processes[node].pid() + "/task");
         try (DirectoryStream<Path> threads = Files.newDirectoryStream(tasks)) {
             for (Path thread : threads) {
-                nanos += Double.parseDouble(Files.readString(thread.resolve("schedstat")).split(" ")[0]);
+                nanos += Double.parseDouble(
+                        Files.readString(thread.resolve("schedstat")).split(" ")[0]);
             }
         }
         return nanos / 1e6;
@@ -168,16 +171,21 @@
     }
 
     private boolean isUp(int node) {
-        return client.call(publicAddresses.get(node), Call.get("/up"), SECOND).join().ok();
+        return client.call(publicAddresses.get(node), Call.get("/up"), SECOND)
+                .join()
+                .ok();
     }
 
     private JsonNode metrics(int node) {
-        return client.call(internalAddresses.get(node), Call.get("/metrics"), SECOND).join().json();
+        return client.call(internalAddresses.get(node), Call.get("/metrics"), SECOND)
+                .join()
+                .json();
     }
 
     private int holder() {
         for (int node = 0; node < processes.length; node++) {
-            if (processes[node].isAlive() && metrics(node).path("sillreel.leads").asLong() > 0) {
+            if (processes[node].isAlive()
+                    && metrics(node).path("sillreel.leads").asLong() > 0) {
                 return node;
             }
         }
@@ -216,8 +224,12 @@
         long asked = users.asked();
         Thread.sleep(seconds * 1_000L);
         double reports = standIns.answered() - answered;
-        System.out.printf("%s: %d machines, %.0f reports, %.0f launches, %.0f questions a second%n", what,
-                standIns.machines(), reports / seconds, (double) (standIns.launched() - launched) / seconds,
+        System.out.printf(
+                "%s: %d machines, %.0f reports, %.0f launches, %.0f questions a second%n",
+                what,
+                standIns.machines(),
+                reports / seconds,
+                (double) (standIns.launched() - launched) / seconds,
                 (double) (users.asked() - asked) / seconds);
         double all = tell(what, before, seconds, holder);
         System.out.printf("  all controllers: %.3f ms a report%n", all / reports);
@@ -229,8 +241,12 @@
         for (int node = 0; node < after.length; node++) {
             double spent = after[node] - before[node];
             all += spent;
-            System.out.printf("  %s, %s: %.1f ms a second, %d MB resident, %d workers%n", what,
-                    node == holder ? "holder" : "follower", spent / seconds, residentMb(node),
+            System.out.printf(
+                    "  %s, %s: %.1f ms a second, %d MB resident, %d workers%n",
+                    what,
+                    node == holder ? "holder" : "follower",
+                    spent / seconds,
+                    residentMb(node),
                     metrics(node).path("sillreel.workers").asInt());
         }
         return all;
@@ -247,12 +263,14 @@
         }
         int holder = holder();
         double taken = (loop.nowMicros() - begun) / 1e6;
-        while (!standIns.launchedSince(begun + (long) (taken * SECOND), earlier) && loop.nowMicros() - begun < 60 * SECOND) {
+        while (!standIns.launchedSince(begun + (long) (taken * SECOND), earlier)
+                && loop.nowMicros() - begun < 60 * SECOND) {
             Thread.sleep(20);
         }
-        System.out.printf("takeover: %.1f s to the new term, %.1f s to the first launch of an earlier job, "
-                        + "%.0f ms of the new holder's processor%n", taken, (loop.nowMicros() - begun) / 1e6,
-                used(holder) - before[holder]);
+        System.out.printf(
+                "takeover: %.1f s to the new term, %.1f s to the first launch of an earlier job, "
+                        + "%.0f ms of the new holder's processor%n",
+                taken, (loop.nowMicros() - begun) / 1e6, used(holder) - before[holder]);
     }
 
     public static void main(String[] args) throws Exception {
--- a/src/test/java/io/sillreel/load/StandIns.java
+++ b/src/test/java/io/sillreel/load/StandIns.java
@@ -59,32 +59,43 @@
 
     /** True if a task of one of the jobs has been launched since. */
     boolean launchedSince(long micros, Set<String> jobs) {
-        return launchedMicros.entrySet().stream().anyMatch(entry -> entry.getValue() > micros
-                && jobs.contains(entry.getKey()));
+        return launchedMicros.entrySet().stream()
+                .anyMatch(entry -> entry.getValue() > micros && jobs.contains(entry.getKey()));
     }
 
     CompletableFuture<Reply> cloud(Call call) {
-        return CompletableFuture.completedFuture(switch (call.method() + " " + call.route()) {
-            case "GET /flavors" -> Reply.of(200, flavors());
-            case "POST /machines" -> hire(Json.parse(call.body()));
-            case "POST /machines/return" -> {
-                Json.parse(call.body()).path("hoppers").forEach(name -> {
-                    Worker gone = workers.remove(name.asText());
-                    if (gone != null) {
-                        gone.gone = true;
+        return CompletableFuture.completedFuture(
+                switch (call.method() + " " + call.route()) {
+                    case "GET /flavors" -> Reply.of(200, flavors());
+                    case "POST /machines" -> hire(Json.parse(call.body()));
+                    case "POST /machines/return" -> {
+                        Json.parse(call.body()).path("hoppers").forEach(name -> {
+                            Worker gone = workers.remove(name.asText());
+                            if (gone != null) {
+                                gone.gone = true;
+                            }
+                        });
+                        yield Reply.of(200, Json.object());
                     }
+                    default -> list();
                 });
-                yield Reply.of(200, Json.object());
-            }
-            default -> list();
-        });
     }
 
     private static ObjectNode flavors() {
         ObjectNode body = Json.object();
-        body.putArray("builds").addObject().put("sku", "c4").put("vcpus", CPUS).put("cards", 0).put("ram_gb", 16)
-                .put("cache_gb", 50).put("pull_gb_per_s", 1.0).put("price", 1.0).put("spot_price", 0.5).put("boot_s", 2)
-                .putArray("yards").add("a");
+        body.putArray("builds")
+                .addObject()
+                .put("sku", "c4")
+                .put("vcpus", CPUS)
+                .put("cards", 0)
+                .put("ram_gb", 16)
+                .put("cache_gb", 50)
+                .put("pull_gb_per_s", 1.0)
+                .put("price", 1.0)
+                .put("spot_price", 0.5)
+                .put("boot_s", 2)
+                .putArray("yards")
+                .add("a");
         return body;
     }
 
@@ -92,7 +103,8 @@
         ArrayNode names = hires.computeIfAbsent(body.path("hire").asText(), request -> {
             ArrayNode fresh = Json.array();
             for (int i = 0; i < body.path("count").asInt() && workers.size() < capacity; i++) {
-                Worker worker = new Worker("host-%06d".formatted(hires.size() * 100 + i), random.nextInt(controllers.size()));
+                Worker worker =
+                        new Worker("host-%06d".formatted(hires.size() * 100 + i), random.nextInt(controllers.size()));
                 workers.put(worker.name, worker);
                 fresh.add(worker.name);
                 loop.after(SECOND + random.nextInt((int) SECOND), worker::report);
@@ -110,8 +122,15 @@
     private Reply list() {
         ObjectNode body = Json.object().put("truncated", false);
         ArrayNode hoppers = body.putArray("hoppers");
-        workers.keySet().forEach(name -> hoppers.addObject().put("uid", name).put("addr", "127.0.0.1:1")
-                .put("build", "c4").put("yard", "a").put("loaners", true).put("stage", "running").put("age_s", 1.0));
+        workers.keySet()
+                .forEach(name -> hoppers.addObject()
+                        .put("uid", name)
+                        .put("addr", "127.0.0.1:1")
+                        .put("build", "c4")
+                        .put("yard", "a")
+                        .put("loaners", true)
+                        .put("stage", "running")
+                        .put("age_s", 1.0));
         return Reply.of(200, body);
     }
 
@@ -140,11 +159,19 @@
                     tasks.get(key).put("stage", "ended").put("cause", "done");
                 }
             });
-            ObjectNode body = Json.object().put("hopper", name).put("addr", "127.0.0.1:1").put("build", "c4")
-                    .put("yard", "a").put("loaners", true).put("shift", 1).put("tally", ++tally).put("baton", baton);
+            ObjectNode body = Json.object()
+                    .put("hopper", name)
+                    .put("addr", "127.0.0.1:1")
+                    .put("build", "c4")
+                    .put("yard", "a")
+                    .put("loaners", true)
+                    .put("shift", 1)
+                    .put("tally", ++tally)
+                    .put("baton", baton);
             ArrayNode pieces = body.putArray("pieces");
             tasks.values().forEach(pieces::add);
-            client.call(controllers.get(node), Call.post("/agent/beat", body), ANSWER_MICROS).thenAccept(this::answered);
+            client.call(controllers.get(node), Call.post("/agent/beat", body), ANSWER_MICROS)
+                    .thenAccept(this::answered);
         }
 
         private void answered(Reply reply) {
@@ -169,8 +196,12 @@
                 if (order.path("verb").asText().equals("launch")) {
                     launched++;
                     launchedMicros.put(piece.substring(0, piece.indexOf('/')), loop.nowMicros());
-                    tasks.putIfAbsent(key, Json.object().put("piece", piece).put("try", order.path("try").asLong())
-                            .put("stage", "running"));
+                    tasks.putIfAbsent(
+                            key,
+                            Json.object()
+                                    .put("piece", piece)
+                                    .put("try", order.path("try").asLong())
+                                    .put("stage", "running"));
                     ends.putIfAbsent(key, loop.nowMicros() + 10 * SECOND + random.nextInt((int) (20 * SECOND)));
                 } else {
                     tasks.remove(key);
@@ -213,10 +244,24 @@
 
         void submitEvery(long micros, int pieces) {
             String uid = "job-%06d".formatted(++jobs);
-            ObjectNode job = Json.object().put("uid", uid).put("lot", "l").put("crew", "t").put("form", "sweep")
-                    .put("rank", "normal").put("pieces", pieces).put("vcpus", 1.0).put("cards", 0.0).put("ram_gb", 1.0)
-                    .put("reel", "img").put("image_gb", 1.0).put("one_zone", false).put("spread", false)
-                    .put("loaners", true).put("guess_s", 20.0).put("mark_every_s", 0.0).put("stash_s", 0.0)
+            ObjectNode job = Json.object()
+                    .put("uid", uid)
+                    .put("lot", "l")
+                    .put("crew", "t")
+                    .put("form", "sweep")
+                    .put("rank", "normal")
+                    .put("pieces", pieces)
+                    .put("vcpus", 1.0)
+                    .put("cards", 0.0)
+                    .put("ram_gb", 1.0)
+                    .put("reel", "img")
+                    .put("image_gb", 1.0)
+                    .put("one_zone", false)
+                    .put("spread", false)
+                    .put("loaners", true)
+                    .put("guess_s", 20.0)
+                    .put("mark_every_s", 0.0)
+                    .put("stash_s", 0.0)
                     .put("due_s", 100.0);
             ask(Call.post("/v2/runs", job)).thenAccept(reply -> {
                 if (reply.status() == 201) {
--- a/src/test/java/io/sillreel/overload/AdaptiveLimitTest.java
+++ b/src/test/java/io/sillreel/overload/AdaptiveLimitTest.java
@@ -16,11 +16,14 @@
     @Test
     void pollsLeaveRoomForSubmissionsAndTheRestIsRefusedAtOnce() {
         List<CompletableFuture<Reply>> held = new ArrayList<>();
-        AdaptiveLimit limit = new AdaptiveLimit(call -> {
-            CompletableFuture<Reply> answer = new CompletableFuture<>();
-            held.add(answer);
-            return answer;
-        }, 20, () -> nowMicros);
+        AdaptiveLimit limit = new AdaptiveLimit(
+                call -> {
+                    CompletableFuture<Reply> answer = new CompletableFuture<>();
+                    held.add(answer);
+                    return answer;
+                },
+                20,
+                () -> nowMicros);
         for (int i = 0; i < 30; i++) {
             limit.handle(Call.get("/v2/runs/job-000001"));
         }
@@ -42,11 +45,15 @@
     @Test
     void aQuestionThatWasRefusedForLongIsAnsweredWhateverElseIsAsked() {
         List<String> asked = new ArrayList<>();
-        AdaptiveLimit limit = new AdaptiveLimit(call -> {
-            asked.add(call.path());
-            return call.path().endsWith("owed") ? CompletableFuture.completedFuture(Reply.of(200, Json.object()))
-                    : new CompletableFuture<>();
-        }, 20, () -> nowMicros);
+        AdaptiveLimit limit = new AdaptiveLimit(
+                call -> {
+                    asked.add(call.path());
+                    return call.path().endsWith("owed")
+                            ? CompletableFuture.completedFuture(Reply.of(200, Json.object()))
+                            : new CompletableFuture<>();
+                },
+                20,
+                () -> nowMicros);
         for (int i = 0; i < 30; i++) {
             limit.handle(Call.get("/v2/runs/others"));
         }
--- a/src/test/java/io/sillreel/ownership/TakeoverStoriesTest.java
+++ b/src/test/java/io/sillreel/ownership/TakeoverStoriesTest.java
@@ -143,9 +143,13 @@
         world.seconds(2);
         int old = world.leader();
         String host = "10.0.0." + old;
-        Rule hold = world.network().add((from, to, call) -> from.equals(host) && call.route().equals("/txn")
-                && new String(call.body(), java.nio.charset.StandardCharsets.UTF_8).contains("\"set\":\"run/")
-                ? Fate.HOLD : null);
+        Rule hold = world.network()
+                .add((from, to, call) -> from.equals(host)
+                                && call.route().equals("/txn")
+                                && new String(call.body(), java.nio.charset.StandardCharsets.UTF_8)
+                                        .contains("\"set\":\"run/")
+                        ? Fate.HOLD
+                        : null);
         world.submit((old + 1) % 3, World.job("job-000001", 2));
         world.seconds(1);
         world.kill(old);
@@ -184,7 +188,8 @@
         world.untilStarted(2, 18_000_000);
         world.state().outage(true);
         world.seconds(14);
-        assertThat(world.cloud().machines().values()).anyMatch(worker -> !worker.running().isEmpty());
+        assertThat(world.cloud().machines().values())
+                .anyMatch(worker -> !worker.running().isEmpty());
         world.state().outage(false);
         world.seconds(15);
         assertThat(world.stage(0, "job-000001")).isEqualTo("done");
@@ -201,10 +206,13 @@
         int old = world.leader();
         String host = "10.0.0." + old;
         // The old holder and its workers see nothing of the others.
-        world.network().add((from, to, call) -> from.equals(host) && !to.startsWith("host-")
-                || to.startsWith(host) && !from.startsWith("host-")
-                || from.startsWith("host-") && !to.startsWith(host)
-                || to.startsWith("host-") && !from.equals(host) ? Fate.LOSE : null);
+        world.network()
+                .add((from, to, call) -> from.equals(host) && !to.startsWith("host-")
+                                || to.startsWith(host) && !from.startsWith("host-")
+                                || from.startsWith("host-") && !to.startsWith(host)
+                                || to.startsWith("host-") && !from.equals(host)
+                        ? Fate.LOSE
+                        : null);
         world.seconds(4);
         int other = (old + 1) % 3;
         assertThat(world.state().value("withdraw/job-000001")).isNull();
@@ -212,15 +220,17 @@
         world.until(() -> world.withdraw(other, "job-000001").ok());
         world.seconds(40);
         assertThat(world.broken()).isEmpty();
-        assertThat(world.cloud().machines().values()).allMatch(worker -> worker.running().isEmpty());
+        assertThat(world.cloud().machines().values())
+                .allMatch(worker -> worker.running().isEmpty());
     }
 
     @Test
     void aWorkerCutFromTheLeaderReportsThroughAnotherController() {
         world.seconds(2);
         int leader = world.leader();
-        world.network().add((from, to, call) -> from.startsWith("host-") && to.startsWith("10.0.0." + leader)
-                ? Fate.LOSE : null);
+        world.network()
+                .add((from, to, call) ->
+                        from.startsWith("host-") && to.startsWith("10.0.0." + leader) ? Fate.LOSE : null);
         world.submit(leader, World.job("job-000001", 3));
         world.seconds(60);
         assertThat(world.leader()).isEqualTo(leader);
@@ -244,8 +254,15 @@
     void anOldTokenIsNotAnsweredAsIfItWereOurs() {
         world.seconds(2);
         int leader = world.leader();
-        var beat = Json.object().put("hopper", "host-000999").put("addr", "x:1").put("build", "c4").put("yard", "a")
-                .put("loaners", true).put("shift", 1).put("tally", 1).put("baton", 99);
+        var beat = Json.object()
+                .put("hopper", "host-000999")
+                .put("addr", "x:1")
+                .put("build", "c4")
+                .put("yard", "a")
+                .put("loaners", true)
+                .put("shift", 1)
+                .put("tally", 1)
+                .put("baton", 99);
         beat.putArray("pieces");
         assertThat(world.ask(leader, Call.post("/agent/beat", beat)).status()).isEqualTo(503);
         world.seconds(10);
@@ -261,8 +278,9 @@
         List<String> names = List.copyOf(world.cloud().machines().keySet());
         List<String> silent = names.subList(0, names.size() / 2);
         assertThat(silent.size()).isGreaterThan(2);
-        world.network().add((from, to, call) -> silent.contains(from) || silent.stream().anyMatch(to::startsWith)
-                ? Fate.LOSE : null);
+        world.network()
+                .add((from, to, call) ->
+                        silent.contains(from) || silent.stream().anyMatch(to::startsWith) ? Fate.LOSE : null);
         world.seconds(16);
         int leader = world.leader();
         world.kill(leader);
--- a/src/test/java/io/sillreel/pipeline/ChainStoriesTest.java
+++ b/src/test/java/io/sillreel/pipeline/ChainStoriesTest.java
@@ -53,7 +53,8 @@
         world.submit(0, World.job(uid(1), 3));
         world.submit(1, World.job(uid(2), 4, uid(1)));
         world.submit(2, World.job(uid(3), 2, uid(1)));
-        assertThat(world.submit(0, World.job(uid(4), 2, uid(2), uid(3), uid(1))).status()).isEqualTo(201);
+        assertThat(world.submit(0, World.job(uid(4), 2, uid(2), uid(3), uid(1))).status())
+                .isEqualTo(201);
         everyNodeSays(uid(4), "queued");
         world.untilStarted(3, 3 * SECOND);
         assertThat(world.state().value("run/" + uid(2))).isNull();
@@ -69,29 +70,44 @@
     @Test
     void whatASubmissionNamesIsChecked() {
         world.submit(0, World.job(uid(1), 1));
-        assertThat(world.submit(1, World.job(uid(2), 1).putNull("awaits")).status()).isEqualTo(201);
-        assertThat(world.submit(1, World.job(uid(3), 1, new String[0])).status()).isEqualTo(201);
-        List<Consumer<ObjectNode>> mistakes = List.of(job -> job.put("awaits", uid(1)), job -> job.put("awaits", 3),
-                job -> job.putObject("awaits"), job -> job.putArray("awaits").add(7),
-                job -> job.putArray("awaits").add("nonsense"), job -> job.putArray("awaits").addNull(),
+        assertThat(world.submit(1, World.job(uid(2), 1).putNull("awaits")).status())
+                .isEqualTo(201);
+        assertThat(world.submit(1, World.job(uid(3), 1, new String[0])).status())
+                .isEqualTo(201);
+        List<Consumer<ObjectNode>> mistakes = List.of(
+                job -> job.put("awaits", uid(1)),
+                job -> job.put("awaits", 3),
+                job -> job.putObject("awaits"),
+                job -> job.putArray("awaits").add(7),
+                job -> job.putArray("awaits").add("nonsense"),
+                job -> job.putArray("awaits").addNull(),
                 job -> job.putArray("awaits").add(uid(1)).add("job-"));
         for (Consumer<ObjectNode> mistake : mistakes) {
             ObjectNode job = World.job(uid(4), 1);
             mistake.accept(job);
             assertThat(world.submit(2, job).status()).as(job.toString()).isEqualTo(400);
         }
-        assertThat(world.submit(2, World.job(uid(4), 1, uid(1), uid(99))).status()).isEqualTo(422);
+        assertThat(world.submit(2, World.job(uid(4), 1, uid(1), uid(99))).status())
+                .isEqualTo(422);
         assertThat(world.submit(2, World.job(uid(4), 1, uid(4))).status()).isEqualTo(422);
-        assertThat(world.submit(2, World.job(uid(4), 1, uid(1)).put("vcpus", 64.0)).status()).isEqualTo(422);
+        assertThat(world.submit(2, World.job(uid(4), 1, uid(1)).put("vcpus", 64.0))
+                        .status())
+                .isEqualTo(422);
         assertThat(world.poll(0, uid(4)).status()).isEqualTo(404);
-        assertThat(world.submit(2, World.job(uid(4), 1, uid(1), uid(1))).status()).isEqualTo(201);
-        assertThat(world.state().value("plan/" + uid(4)).path("job").path("awaits")).hasSize(1);
+        assertThat(world.submit(2, World.job(uid(4), 1, uid(1), uid(1))).status())
+                .isEqualTo(201);
+        assertThat(world.state().value("plan/" + uid(4)).path("job").path("awaits"))
+                .hasSize(1);
         world.state().outage(true);
         assertThat(world.submit(2, World.job(uid(5), 1, uid(99))).status()).isEqualTo(503);
         world.state().outage(false);
         world.seconds(30);
         // A repeat is answered with the state, whatever became of what it names.
-        assertThat(world.submit(0, World.job(uid(4), 1, uid(1))).json().path("stage").asText()).isEqualTo("done");
+        assertThat(world.submit(0, World.job(uid(4), 1, uid(1)))
+                        .json()
+                        .path("stage")
+                        .asText())
+                .isEqualTo("done");
         assertThat(world.submit(0, World.job(uid(4), 1, uid(98))).status()).isEqualTo(200);
         assertThat(world.broken()).isEmpty();
     }
@@ -103,7 +119,9 @@
             String first = uid(2 * i);
             world.submitMeanwhile(i % 3, World.job(first, 1));
             world.until(() -> world.state().value("plan/" + first) != null);
-            assertThat(world.submit((i + 1) % 3, World.job(uid(2 * i + 1), 1, first)).status()).isEqualTo(201);
+            assertThat(world.submit((i + 1) % 3, World.job(uid(2 * i + 1), 1, first))
+                            .status())
+                    .isEqualTo(201);
         }
         world.seconds(60);
         everyNodeSays(uid(41), "done");
@@ -125,7 +143,9 @@
         assertThat(world.submit(0, large).status()).isEqualTo(422);
         assertThat(world.submit(0, large).json().path("error").asText()).contains("too large");
         assertThat(world.poll(1, uid(999)).status()).isEqualTo(404);
-        assertThat(accepted(0, World.job(uid(998), 1, List.of(names).subList(0, 80).toArray(String[]::new)))).isEqualTo(201);
+        assertThat(accepted(
+                        0, World.job(uid(998), 1, List.of(names).subList(0, 80).toArray(String[]::new))))
+                .isEqualTo(201);
         world.seconds(120);
         everyNodeSays(uid(998), "done");
         assertThat(world.state().refusedForSize()).isZero();
@@ -149,7 +169,8 @@
         for (int job = 2; job <= 4; job++) {
             assertThat(world.state().value("withdraw/" + uid(job))).isNull();
             everyNodeSays(uid(job), "withdrawn");
-            assertThat(world.withdraw(other, uid(job)).json().path("stage").asText()).isEqualTo("withdrawn");
+            assertThat(world.withdraw(other, uid(job)).json().path("stage").asText())
+                    .isEqualTo("withdrawn");
         }
         // Who names one of them now is accepted, and withdrawn with them.
         Reply late = world.submit(other, World.job(uid(6), 1, uid(4)));
@@ -175,19 +196,24 @@
             each.submit(2, World.job(uid(3), 2, uid(2)));
             each.seconds(half * 0.9);
             int step = 1 + half % 3;
-            String told = each.withdraw(half % 3, uid(step)).json().path("stage").asText();
+            String told =
+                    each.withdraw(half % 3, uid(step)).json().path("stage").asText();
             each.seconds(3);
             if (told.equals("withdrawn")) {
                 // The holder has written down what follows.
                 for (int job = step; job <= 3; job++) {
-                    assertThat(each.state().value("withdraw/" + uid(job))).as("after %d", half).isNotNull();
+                    assertThat(each.state().value("withdraw/" + uid(job)))
+                            .as("after %d", half)
+                            .isNotNull();
                 }
             }
             each.seconds(47);
             for (int job = 1; job <= 3; job++) {
                 String expected = told.equals("withdrawn") && job >= step ? "withdrawn" : "done";
                 for (int node = 0; node < 3; node++) {
-                    assertThat(each.stage(node, uid(job))).as("after %d times 0.9 s, %s", half, uid(job)).isEqualTo(expected);
+                    assertThat(each.stage(node, uid(job)))
+                            .as("after %d times 0.9 s, %s", half, uid(job))
+                            .isEqualTo(expected);
                 }
             }
             assertThat(each.broken()).isEmpty();
@@ -204,9 +230,13 @@
                 each.submit(job % 3, job == 1 ? World.job(uid(1), 3) : World.job(uid(job), 3, uid(job - 1)));
             }
             int lost = seed;
-            Rule rule = each.network().add((from, to, call) -> call.route().equals("/txn")
-                    && new String(call.body(), java.nio.charset.StandardCharsets.UTF_8).contains("\"run/")
-                    && (from.hashCode() + call.body().length + lost) % 3 == 0 ? Fate.LOSE_ANSWER : null);
+            Rule rule = each.network()
+                    .add((from, to, call) -> call.route().equals("/txn")
+                                    && new String(call.body(), java.nio.charset.StandardCharsets.UTF_8)
+                                            .contains("\"run/")
+                                    && (from.hashCode() + call.body().length + lost) % 3 == 0
+                            ? Fate.LOSE_ANSWER
+                            : null);
             each.network().add((from, to, call) -> call.route().equals("/agent/beat") ? Fate.COPY : null);
             for (int change = 0; change < 4; change++) {
                 each.seconds(7 + seed);
@@ -220,7 +250,9 @@
             each.network().remove(rule);
             each.seconds(150);
             for (int job = 1; job <= 8; job++) {
-                assertThat(each.stage(0, uid(job))).as("seed %d, %s", seed, uid(job)).isEqualTo("done");
+                assertThat(each.stage(0, uid(job)))
+                        .as("seed %d, %s", seed, uid(job))
+                        .isEqualTo("done");
             }
             assertThat(each.broken()).isEmpty();
         }
@@ -238,7 +270,8 @@
             world.restart(node);
         }
         world.seconds(5);
-        assertThat(world.submit(2, World.job(uid(4), 1, uid(1), uid(3))).status()).isEqualTo(201);
+        assertThat(world.submit(2, World.job(uid(4), 1, uid(1), uid(3))).status())
+                .isEqualTo(201);
         world.seconds(40);
         everyNodeSays(uid(3), "done");
         everyNodeSays(uid(4), "done");
@@ -267,8 +300,8 @@
         world.until(() -> reading[0]);
         // Only the second page is on its way for so long, and what came meanwhile is not seen either for some seconds.
         world.network().slowness(1);
-        Rule unseen = world.network().add((from, to, call) ->
-                call.path().startsWith("/watch?prefix=plan/") ? Fate.LOSE : null);
+        Rule unseen = world.network()
+                .add((from, to, call) -> call.path().startsWith("/watch?prefix=plan/") ? Fate.LOSE : null);
         int node = (holder + 1) % 3;
         assertThat(accepted(node, World.job(uid(0), 1))).isEqualTo(201);
         assertThat(accepted(node, World.job(uid(999), 1, uid(0)))).isEqualTo(201);
@@ -319,7 +352,10 @@
         world.seconds(160);
         int done = 0;
         for (int job = 2; job <= 400; job++) {
-            done += world.told(uid(job)) != null && world.stage(job % 3, uid(job)).equals("done") ? 1 : 0;
+            done += world.told(uid(job)) != null
+                            && world.stage(job % 3, uid(job)).equals("done")
+                    ? 1
+                    : 0;
         }
         assertThat(done).isGreaterThan(380);
         assertThat(world.broken()).isEmpty();
@@ -329,7 +365,8 @@
     @Test
     void limitsThatFallInTheMiddleLoseNothing() {
         for (int job = 1; job <= 30; job++) {
-            world.submitMeanwhile(job % 3, job % 3 == 1 ? World.job(uid(job), 6) : World.job(uid(job), 6, uid(job - 1)));
+            world.submitMeanwhile(
+                    job % 3, job % 3 == 1 ? World.job(uid(job), 6) : World.job(uid(job), 6, uid(job - 1)));
             world.seconds(0.4);
             if (job == 14) {
                 world.state().limits(6, 2 * 1024, 15);
--- a/src/test/java/io/sillreel/pipeline/PipelineTest.java
+++ b/src/test/java/io/sillreel/pipeline/PipelineTest.java
@@ -21,25 +21,30 @@
 
     @Test
     void theOrderIsTopologicalAndTiesGoByJobId() {
-        PipelinePlan plan = PipelinePlan.compile(List.of("d", "b", "c", "a"),
+        PipelinePlan plan = PipelinePlan.compile(
+                List.of("d", "b", "c", "a"),
                 List.of(link("1", "d", Port.SUCCESS, "a"), link("2", "b", Port.SUCCESS, "a")));
         assertThat(plan.order()).containsExactly("b", "c", "d", "a");
     }
 
     @Test
     void cyclesAndLooseEndsAreRefused() {
-        assertThatThrownBy(() -> PipelinePlan.compile(List.of("a", "b"),
-                List.of(link("1", "a", Port.SUCCESS, "b"), link("2", "b", Port.SUCCESS, "a"))))
+        assertThatThrownBy(() -> PipelinePlan.compile(
+                        List.of("a", "b"),
+                        List.of(link("1", "a", Port.SUCCESS, "b"), link("2", "b", Port.SUCCESS, "a"))))
                 .hasMessageContaining("cycle");
         assertThatThrownBy(() -> PipelinePlan.compile(List.of("a"), List.of(link("1", "a", Port.SUCCESS, "x"))))
                 .hasMessageContaining("no job");
-        assertThatThrownBy(() -> PipelinePlan.compile(List.of("a", "a"), List.of())).hasMessageContaining("twice");
+        assertThatThrownBy(() -> PipelinePlan.compile(List.of("a", "a"), List.of()))
+                .hasMessageContaining("twice");
     }
 
     @Test
     void aJobIsReadyOnceAllItsLinksHaveEmittedAndSkippedOnceOneIsClosed() {
-        PipelineRun run = new PipelineRun(PipelinePlan.compile(List.of("a", "b", "join", "repair", "after"),
-                List.of(link("1", "a", Port.SUCCESS, "join"), link("2", "b", Port.SUCCESS, "join"),
+        PipelineRun run = new PipelineRun(PipelinePlan.compile(
+                List.of("a", "b", "join", "repair", "after"),
+                List.of(
+                        link("1", "a", Port.SUCCESS, "join"), link("2", "b", Port.SUCCESS, "join"),
                         link("3", "b", Port.FAILURE, "repair"), link("4", "join", Port.SUCCESS, "after"))));
         assertThat(run.ready()).containsExactly("a", "b");
         run.release("a");
@@ -59,8 +64,8 @@
 
     @Test
     void aCancelledPipelineReleasesNothingMore() {
-        PipelineRun run = new PipelineRun(PipelinePlan.compile(List.of("a", "b"),
-                List.of(link("1", "a", Port.SUCCESS, "b"))));
+        PipelineRun run =
+                new PipelineRun(PipelinePlan.compile(List.of("a", "b"), List.of(link("1", "a", Port.SUCCESS, "b"))));
         run.release("a");
         run.cancel();
         run.settle("a", true);
@@ -90,7 +95,8 @@
         }
         // The parts first, one after the other, then the head that names them: each a value and a change of its own.
         List<KeyWriter.Item> parts = List.copyOf(job.first());
-        assertThat(parts).hasSize((100_000 + RunRecord.chunkPieces(valueBytes) - 1) / RunRecord.chunkPieces(valueBytes));
+        assertThat(parts)
+                .hasSize((100_000 + RunRecord.chunkPieces(valueBytes) - 1) / RunRecord.chunkPieces(valueBytes));
         Map<String, String> values = new HashMap<>();
         for (KeyWriter.Item part : parts) {
             assertThat(part.changes()).hasSize(1);
@@ -141,7 +147,26 @@
     }
 
     private static JobSpec spec(int pieces) {
-        return new JobSpec("job-000001", "l", "t", Rank.NORMAL, pieces, 1, 0, 1, "img", 1, null, null, false, false,
-                true, 1, 0, 0, -1, List.of());
+        return new JobSpec(
+                "job-000001",
+                "l",
+                "t",
+                Rank.NORMAL,
+                pieces,
+                1,
+                0,
+                1,
+                "img",
+                1,
+                null,
+                null,
+                false,
+                false,
+                true,
+                1,
+                0,
+                0,
+                -1,
+                List.of());
     }
 }
--- a/src/test/java/io/sillreel/pipeline/QuietWatcher.java
+++ b/src/test/java/io/sillreel/pipeline/QuietWatcher.java
@@ -6,14 +6,11 @@
 /** Takes no notice of what becomes of a job's record. */
 public class QuietWatcher implements ActiveJob.Watcher {
     @Override
-    public void recordStored(ActiveJob job) {
-    }
+    public void recordStored(ActiveJob job) {}
 
     @Override
-    public void foundWithdrawn(ActiveJob job) {
-    }
+    public void foundWithdrawn(ActiveJob job) {}
 
     @Override
-    public void toWrite(List<? extends KeyWriter.Item> items) {
-    }
+    public void toWrite(List<? extends KeyWriter.Item> items) {}
 }
--- a/src/test/java/io/sillreel/placement/PlannerTest.java
+++ b/src/test/java/io/sillreel/placement/PlannerTest.java
@@ -22,11 +22,10 @@
 
 class PlannerTest {
     private static final long SECOND = 1_000_000;
-    private static final MachineType TYPE =
-            new MachineType("c4", 4, 0, 16, 50, 1, 1, 0.5, 4 * SECOND, List.of("a"));
+    private static final MachineType TYPE = new MachineType("c4", 4, 0, 16, 50, 1, 1, 0.5, 4 * SECOND, List.of("a"));
 
-    private final Cluster cluster = new Cluster(Map.of("s", new Team("s", 8, 100, 0, 0),
-            "t", new Team("t", 8, 100, 0, 0), "free", new Team("free", 0, 0, 0, 0)));
+    private final Cluster cluster = new Cluster(Map.of(
+            "s", new Team("s", 8, 100, 0, 0), "t", new Team("t", 8, 100, 0, 0), "free", new Team("free", 0, 0, 0, 0)));
     private final Planner planner = new Planner(cluster, SECOND, new Deadlines(List.of(), new Estimates()));
     private long nowMicros = 1_000 * SECOND;
     private long attempts;
@@ -38,10 +37,14 @@
 
     private Machine machine(int number, boolean spot) {
         String name = "host-%06d".formatted(number);
-        var value = Json.object().put("build", "c4").put("yard", "a").put("spot", spot).put("count", 1);
+        var value = Json.object()
+                .put("build", "c4")
+                .put("yard", "a")
+                .put("spot", spot)
+                .put("count", 1);
         value.putArray("machines").add(name);
-        Machine machine = new Machine(name, TYPE, "a", spot, Hire.of("hire/" + name, value, 1), nowMicros,
-                cluster.book());
+        Machine machine =
+                new Machine(name, TYPE, "a", spot, Hire.of("hire/" + name, value, 1), nowMicros, cluster.book());
         cluster.add(machine);
         machine.advance(new Report(name, name + ":1", "c4", "a", spot, 1, 1, 1, -1, List.of()), false, nowMicros);
         machine.trust();
@@ -49,8 +52,27 @@
     }
 
     private ActiveJob job(String team, Rank rank, int pieces, double cpus, long ageMicros, boolean saves) {
-        JobSpec spec = new JobSpec("job-%06d".formatted(++jobs), "l", team, rank, pieces, cpus, 0, 1, "img", 1, null, null,
-                false, false, true, 20 * SECOND, saves ? 5 * SECOND : 0, SECOND, -1, List.of());
+        JobSpec spec = new JobSpec(
+                "job-%06d".formatted(++jobs),
+                "l",
+                team,
+                rank,
+                pieces,
+                cpus,
+                0,
+                1,
+                "img",
+                1,
+                null,
+                null,
+                false,
+                false,
+                true,
+                20 * SECOND,
+                saves ? 5 * SECOND : 0,
+                SECOND,
+                -1,
+                List.of());
         ActiveJob job = new ActiveJob(spec, jobs, nowMicros - ageMicros, 8_192, new QuietWatcher());
         job.stored(1);
         cluster.add(job);
@@ -164,8 +186,8 @@
         machine(1);
         assertThat(plan().launches().get("host-000001")).containsExactly(new Assignment(high, 1));
         nowMicros += 61 * SECOND;
-        cluster.machine("host-000001").advance(
-                new Report("host-000001", "", "c4", "a", true, 1, 2, 1, -1, List.of()), false, nowMicros);
+        cluster.machine("host-000001")
+                .advance(new Report("host-000001", "", "c4", "a", true, 1, 2, 1, -1, List.of()), false, nowMicros);
         assertThat(plan().launches().get("host-000001")).containsExactly(new Assignment(low, 1));
     }
 
--- a/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
+++ b/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
@@ -47,8 +47,27 @@
     private final PriorityInheritance inheritance = new PriorityInheritance(chains, estimates);
 
     private ActiveJob job(String uid, Rank rank, long dueMicros, String... awaits) {
-        JobSpec spec = new JobSpec(uid, "l", "t", rank, 4, 1, 0, 1, "img", 1, null, null, false, false, true,
-                20 * SECOND, 0, 0, dueMicros, List.of(awaits));
+        JobSpec spec = new JobSpec(
+                uid,
+                "l",
+                "t",
+                rank,
+                4,
+                1,
+                0,
+                1,
+                "img",
+                1,
+                null,
+                null,
+                false,
+                false,
+                true,
+                20 * SECOND,
+                0,
+                0,
+                dueMicros,
+                List.of(awaits));
         return new ActiveJob(spec, 1, NOW, 8_192, new QuietWatcher());
     }
 
--- a/src/test/java/io/sillreel/placement/ShortageStoriesTest.java
+++ b/src/test/java/io/sillreel/placement/ShortageStoriesTest.java
@@ -28,7 +28,12 @@
             case 0 -> World.job(uid, 20).put("rank", "high").put("lot", "urgent");
             case 1, 2 -> World.job(uid, 60).put("lot", "usual");
             // A whole machine for each task, while small tasks wait for every processor that comes free.
-            default -> World.job(uid, 8).put("rank", "best_effort").put("lot", "large").put("vcpus", 4.0).putNull("due_s");
+            default ->
+                World.job(uid, 8)
+                        .put("rank", "best_effort")
+                        .put("lot", "large")
+                        .put("vcpus", 4.0)
+                        .putNull("due_s");
         };
         if (world.submit(number % 3, job).status() == 201) {
             askedAt.put(uid, world.time().nowMicros() / 1e6);
--- a/src/test/java/io/sillreel/settings/SettingsTest.java
+++ b/src/test/java/io/sillreel/settings/SettingsTest.java
@@ -73,7 +73,9 @@
                 .hasMessage("params.state.txn_ops: is 1.0, and at least 2.0 is needed");
         assertThatThrownBy(() -> SettingsReader.parse(GOOD.replace("memory_mb = 176.0", "memory_mb = 0")))
                 .hasMessageContaining("params.resources.memory_mb: is 0");
-        assertThat(SettingsReader.parse(GOOD.replace("cores = 0.17", "cores = 0.01")).resources().cores())
+        assertThat(SettingsReader.parse(GOOD.replace("cores = 0.17", "cores = 0.01"))
+                        .resources()
+                        .cores())
                 .isEqualTo(0.01);
     }
 
@@ -81,7 +83,8 @@
     @Test
     void theSmallerOfPresentAndAnnouncedLimitsCounts() {
         assertThat(SettingsReader.parse(GOOD).state().txnOps()).isEqualTo(20);
-        String announced = GOOD.replace("[params.cloud]", "[params.state.next]\nvalue_kb = 2.0\ntxn_ops = 30\n[params.cloud]");
+        String announced =
+                GOOD.replace("[params.cloud]", "[params.state.next]\nvalue_kb = 2.0\ntxn_ops = 30\n[params.cloud]");
         Settings.StateLimits limits = SettingsReader.parse(announced).state();
         assertThat(limits.valueBytes()).isEqualTo(2_048);
         assertThat(limits.storedValueBytes()).isEqualTo(8_192);
--- a/src/test/java/io/sillreel/sim/PreviousVersion.java
+++ b/src/test/java/io/sillreel/sim/PreviousVersion.java
@@ -25,6 +25,7 @@
             "plan/job-\\d+|run/job-\\d+(/\\d+)?|withdraw/job-\\d+|hire/[a-z0-9.-]+|term|leader|flavors");
     /** The version takes whatever follows a second slash for a number, and fails in a takeover if it is none. */
     private static final Pattern READABLE_RECORD = Pattern.compile("run/job-\\d+(/\\d+)?");
+
     private static final Set<String> PLAN_FIELDS_SINCE = Set.of("awaits");
     private static final Set<String> RECORD_FIELDS_SINCE = Set.of("ready_us", "per", "gens");
     private static final String PARTS_PREFIX = "prefix=bits/";
@@ -50,7 +51,8 @@
             Json.parse(call.body()).path("then").forEach(this::checkWritten);
         }
         boolean reads = call.route().equals("/watch") || call.route().startsWith("/kv");
-        return network.call(address, call, timeoutMicros).thenApply(reply -> reads && reply.ok() ? asRead(reply) : reply);
+        return network.call(address, call, timeoutMicros)
+                .thenApply(reply -> reads && reply.ok() ? asRead(reply) : reply);
     }
 
     /** A user's request as the version understands it. */
@@ -79,7 +81,8 @@
             return;
         }
         String key = change.path("set").asText();
-        if (!KNOWN_KEYS.matcher(key).matches() || !understood(key, change.path("v")).equals(change.path("v"))) {
+        if (!KNOWN_KEYS.matcher(key).matches()
+                || !understood(key, change.path("v")).equals(change.path("v"))) {
             violation.accept("written by the previous version: " + change);
         }
     }
@@ -91,7 +94,9 @@
         }
         for (String list : List.of("entries", "news")) {
             for (JsonNode entry : body.path(list)) {
-                understand((ObjectNode) entry, entry.path(entry.has("k") ? "k" : "set").asText());
+                understand(
+                        (ObjectNode) entry,
+                        entry.path(entry.has("k") ? "k" : "set").asText());
             }
         }
         return Reply.of(reply.status(), body);
--- a/src/test/java/io/sillreel/sim/SimCloud.java
+++ b/src/test/java/io/sillreel/sim/SimCloud.java
@@ -1,12 +1,12 @@
 package io.sillreel.sim;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.http.Call;
 import io.sillreel.http.Handler;
 import io.sillreel.http.Json;
 import io.sillreel.http.Reply;
-import com.fasterxml.jackson.databind.JsonNode;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.TreeMap;
@@ -59,19 +59,28 @@
         if (outage) {
             return CompletableFuture.completedFuture(Reply.refusal(503, "trouble"));
         }
-        return CompletableFuture.completedFuture(switch (call.method() + " " + call.route()) {
-            case "GET /flavors" -> Reply.of(200, flavors());
-            case "POST /machines" -> hire(Json.parse(call.body()));
-            case "POST /machines/return" -> giveBack(Json.parse(call.body()));
-            default -> list();
-        });
+        return CompletableFuture.completedFuture(
+                switch (call.method() + " " + call.route()) {
+                    case "GET /flavors" -> Reply.of(200, flavors());
+                    case "POST /machines" -> hire(Json.parse(call.body()));
+                    case "POST /machines/return" -> giveBack(Json.parse(call.body()));
+                    default -> list();
+                });
     }
 
     private static ObjectNode flavors() {
         ObjectNode body = Json.object();
-        ObjectNode type = body.putArray("builds").addObject().put("sku", "c4").put("vcpus", 4).put("cards", 0)
-                .put("ram_gb", 16).put("cache_gb", 50).put("pull_gb_per_s", 1.0).put("price", 1.0)
-                .put("spot_price", 0.5).put("boot_s", 4);
+        ObjectNode type = body.putArray("builds")
+                .addObject()
+                .put("sku", "c4")
+                .put("vcpus", 4)
+                .put("cards", 0)
+                .put("ram_gb", 16)
+                .put("cache_gb", 50)
+                .put("pull_gb_per_s", 1.0)
+                .put("price", 1.0)
+                .put("spot_price", 0.5)
+                .put("boot_s", 4);
         type.putArray("yards").add("a").add("b");
         return body;
     }
@@ -82,7 +91,10 @@
         if (names == null) {
             names = Json.array();
             for (int i = 0; i < body.path("count").asInt() && machines.size() + booting.size() < CAPACITY; i++) {
-                names.add(boot(body.path("build").asText(), body.path("yard").asText(), body.path("loaners").asBoolean()));
+                names.add(boot(
+                        body.path("build").asText(),
+                        body.path("yard").asText(),
+                        body.path("loaners").asBoolean()));
             }
             if (names.isEmpty()) {
                 return Reply.refusal(503, "no capacity");
@@ -117,8 +129,14 @@
         ObjectNode body = Json.object().put("truncated", false);
         ArrayNode hoppers = body.putArray("hoppers");
         for (SimWorker worker : machines.values()) {
-            hoppers.addObject().put("uid", worker.name()).put("addr", worker.address()).put("build", worker.build())
-                    .put("yard", worker.yard()).put("loaners", worker.spot()).put("stage", "running").put("age_s", 1.0);
+            hoppers.addObject()
+                    .put("uid", worker.name())
+                    .put("addr", worker.address())
+                    .put("build", worker.build())
+                    .put("yard", worker.yard())
+                    .put("loaners", worker.spot())
+                    .put("stage", "running")
+                    .put("age_s", 1.0);
         }
         return Reply.of(200, body);
     }
--- a/src/test/java/io/sillreel/sim/SimNetwork.java
+++ b/src/test/java/io/sillreel/sim/SimNetwork.java
@@ -28,7 +28,17 @@
      * a minute later. KEEP: arrives, and a copy is kept until the kept ones are let go. REFUSE: answered 503 at once and
      * not carried out; a watch is left open.
      */
-    public enum Fate { DELIVER, LOSE, LOSE_ANSWER, LATE, SLOW_ANSWER, HOLD, COPY, KEEP, REFUSE }
+    public enum Fate {
+        DELIVER,
+        LOSE,
+        LOSE_ANSWER,
+        LATE,
+        SLOW_ANSWER,
+        HOLD,
+        COPY,
+        KEEP,
+        REFUSE
+    }
 
     private static final int LATEST_COPY_MICROS = 40_000_000;
     private static final int LATEST_CARRIED_OUT_MICROS = 12_000_000;
@@ -108,8 +118,8 @@
                     break;
                 }
             }
-            boolean answered = fate == Fate.DELIVER || fate == Fate.COPY || fate == Fate.KEEP
-                    || fate == Fate.SLOW_ANSWER;
+            boolean answered =
+                    fate == Fate.DELIVER || fate == Fate.COPY || fate == Fate.KEEP || fate == Fate.SLOW_ANSWER;
             if (fate == Fate.SLOW_ANSWER) {
                 CompletableFuture<Reply> slow = new CompletableFuture<>();
                 slow.thenAccept(reply -> process.after(random.nextInt(1_000_000), () -> answer.complete(reply)));
@@ -123,7 +133,8 @@
                 return answer;
             }
             if (fate == Fate.COPY) {
-                time.after(1_000_000 + random.nextInt(LATEST_COPY_MICROS),
+                time.after(
+                        1_000_000 + random.nextInt(LATEST_COPY_MICROS),
                         () -> deliver(to, call, new CompletableFuture<>(), process));
             } else if (fate == Fate.KEEP) {
                 kept.add(call);
--- a/src/test/java/io/sillreel/sim/SimState.java
+++ b/src/test/java/io/sillreel/sim/SimState.java
@@ -20,11 +20,9 @@
 public final class SimState implements Handler {
     private static final int KEPT_CHANGES = 10_000;
 
-    private record Value(JsonNode value, long stamp, long permit) {
-    }
+    private record Value(JsonNode value, long stamp, long permit) {}
 
-    private record Change(String key, JsonNode value, long stamp) {
-    }
+    private record Change(String key, JsonNode value, long stamp) {}
 
     private final SimTime time;
     private int txnOps;
@@ -43,7 +41,7 @@
     private long permits;
     private long forgotten;
     private boolean outage;
-    private Runnable onLeader = () -> { };
+    private Runnable onLeader = () -> {};
 
     public SimState(SimTime time, int txnOps, int valueBytes, double writesPerSecond) {
         this.time = time;
@@ -69,8 +67,8 @@
 
     /** Takes writes from a bucket that holds one second's worth. */
     private boolean tooFast(int writes) {
-        writesLeft = Math.min(writesPerSecond,
-                writesLeft + writesPerSecond * (time.nowMicros() - writesMicros) / 1_000_000.0);
+        writesLeft = Math.min(
+                writesPerSecond, writesLeft + writesPerSecond * (time.nowMicros() - writesMicros) / 1_000_000.0);
         writesMicros = time.nowMicros();
         if (writesLeft < writes) {
             return true;
@@ -143,7 +141,8 @@
         ObjectNode body = Json.object().put("ledger", ledger);
         ArrayNode entries = body.putArray("entries");
         boolean truncated = false;
-        for (Map.Entry<String, Value> each : keys.tailMap(since.isEmpty() ? prefix : since, since.isEmpty()).entrySet()) {
+        for (Map.Entry<String, Value> each :
+                keys.tailMap(since.isEmpty() ? prefix : since, since.isEmpty()).entrySet()) {
             if (!each.getKey().startsWith(prefix)) {
                 break;
             }
@@ -195,7 +194,12 @@
                     delete(change.path("remove").asText());
                 } else {
                     String key = change.path("set").asText();
-                    keys.put(key, new Value(change.path("v"), ledger, change.path("permit").asLong()));
+                    keys.put(
+                            key,
+                            new Value(
+                                    change.path("v"),
+                                    ledger,
+                                    change.path("permit").asLong()));
                     changes.add(new Change(key, change.path("v"), ledger));
                     if (key.equals("leader")) {
                         onLeader.run();
--- a/src/test/java/io/sillreel/sim/SimTime.java
+++ b/src/test/java/io/sillreel/sim/SimTime.java
@@ -8,11 +8,10 @@
 
 /** Virtual time for a whole world: tasks run one after the other, in the order of their times. */
 public final class SimTime {
-    private record Due(long atMicros, long order, Runnable task) {
-    }
+    private record Due(long atMicros, long order, Runnable task) {}
 
-    private final PriorityQueue<Due> queue = new PriorityQueue<>(
-            Comparator.comparingLong(Due::atMicros).thenComparingLong(Due::order));
+    private final PriorityQueue<Due> queue =
+            new PriorityQueue<>(Comparator.comparingLong(Due::atMicros).thenComparingLong(Due::order));
     private long nowMicros = 1_000_000;
     private long order;
 
--- a/src/test/java/io/sillreel/sim/SimWorker.java
+++ b/src/test/java/io/sillreel/sim/SimWorker.java
@@ -148,7 +148,8 @@
     }
 
     private boolean leaseIsOver() {
-        return world.time().nowMicros() - leaseFromMicros > world.settings().workers().leaseMicros();
+        return world.time().nowMicros() - leaseFromMicros
+                > world.settings().workers().leaseMicros();
     }
 
     private void endLease() {
@@ -209,7 +210,8 @@
         endLease();
         // A worker that hung has waited for too long by its own clock.
         Reply reply = world.time().nowMicros() - sentMicros > ANSWER_MICROS ? Reply.noAnswer() : answer;
-        if (reply.status() == 421 && world.nodeNamed(reply.json().path("foreman").asText()) >= 0) {
+        if (reply.status() == 421
+                && world.nodeNamed(reply.json().path("foreman").asText()) >= 0) {
             node = world.nodeNamed(reply.json().path("foreman").asText());
             process.after(LEAST_GAP_MICROS, this::report);
             return;
@@ -278,14 +280,23 @@
     }
 
     private ObjectNode body() {
-        ObjectNode body = Json.object().put("hopper", name).put("addr", address()).put("build", build)
-                .put("yard", yard).put("loaners", spot).put("shift", shift).put("tally", tally).put("baton", baton);
+        ObjectNode body = Json.object()
+                .put("hopper", name)
+                .put("addr", address())
+                .put("build", build)
+                .put("yard", yard)
+                .put("loaners", spot)
+                .put("shift", shift)
+                .put("tally", tally)
+                .put("baton", baton);
         if (recallAtMicros >= 0) {
             body.put("recall_s", (recallAtMicros - world.time().nowMicros()) / 1_000_000.0);
         }
         ArrayNode pieces = body.putArray("pieces");
         for (Task task : tasks.values()) {
-            ObjectNode node = pieces.addObject().put("piece", task.piece).put("try", task.attempt)
+            ObjectNode node = pieces.addObject()
+                    .put("piece", task.piece)
+                    .put("try", task.attempt)
                     .put("stage", task.stage);
             if (!task.alive()) {
                 node.put("cause", task.cause);
--- a/src/test/java/io/sillreel/sim/Troubles.java
+++ b/src/test/java/io/sillreel/sim/Troubles.java
@@ -12,8 +12,7 @@
     private static final String CONTROLLERS = "10.0.0.";
     private static final String STATE = "state";
 
-    private Troubles() {
-    }
+    private Troubles() {}
 
     public static String host(int node) {
         return CONTROLLERS + node;
@@ -43,13 +42,19 @@
     public static Rule lone(int node) {
         String host = host(node);
         return (from, to, call) -> from.equals(host) && (to.startsWith(CONTROLLERS) || to.startsWith(STATE))
-                || to.startsWith(host) && from.startsWith(CONTROLLERS) ? Fate.LOSE : null;
+                        || to.startsWith(host) && from.startsWith(CONTROLLERS)
+                ? Fate.LOSE
+                : null;
     }
 
     /** That part of the transactions that match gets no answer; they are carried out late, or at once. */
     public static Rule writes(String with, Fate fate, double share, Random random) {
-        return (from, to, call) -> to.startsWith(STATE) && call.route().equals("/txn") && text(call).contains(with)
-                && random.nextDouble() < share ? fate : null;
+        return (from, to, call) -> to.startsWith(STATE)
+                        && call.route().equals("/txn")
+                        && text(call).contains(with)
+                        && random.nextDouble() < share
+                ? fate
+                : null;
     }
 
     /** That becomes of this part of the workers' reports. */
--- a/src/test/java/io/sillreel/sim/World.java
+++ b/src/test/java/io/sillreel/sim/World.java
@@ -37,8 +37,10 @@
     private static final long ASKER_WAITS_MICROS = 4 * SECOND;
 
     /** What a controller runs: the version before chains of jobs (5806758), or the present one. */
-    public enum Version { PREVIOUS, CURRENT }
-
+    public enum Version {
+        PREVIOUS,
+        CURRENT
+    }
 
     /** The previous version does not know that limits may be announced. */
     private static final String ANNOUNCED_LIMITS = """
@@ -152,7 +154,8 @@
                 cores = 1.0
                 memory_mb = 200.0
                 max_sockets = 500
-                """.formatted(cpusMax, versions[node] == Version.PREVIOUS ? "" : ANNOUNCED_LIMITS)).toString();
+                """.formatted(cpusMax, versions[node] == Version.PREVIOUS ? "" : ANNOUNCED_LIMITS))
+                .toString();
     }
 
     private void start(int node) {
@@ -161,15 +164,17 @@
         boolean previous = versions[node] == Version.PREVIOUS;
         Caller direct = network.from(host, process);
         Caller caller = previous ? new PreviousVersion(direct, broken::add)::call : direct;
-        Controller controller = new Controller(process, caller, caller, SettingsReader.parse(toml(node)),
-                OperatorProperties.defaults());
+        Controller controller = new Controller(
+                process, caller, caller, SettingsReader.parse(toml(node)), OperatorProperties.defaults());
         processes[node] = process;
         controllers[node] = controller;
         network.listen(host + ":8081", call -> process.awake(() -> controller.internalCall(call)));
         controller.start(() -> {
             if (!process.killed()) {
-                network.listen(host + ":8080", call ->
-                        process.awake(() -> inTurn(controller, previous ? PreviousVersion.understood(call) : call)));
+                network.listen(
+                        host + ":8080",
+                        call -> process.awake(
+                                () -> inTurn(controller, previous ? PreviousVersion.understood(call) : call)));
             }
         });
     }
@@ -177,8 +182,13 @@
     private CompletableFuture<Reply> inTurn(Controller controller, Call call) {
         CompletableFuture<Reply> answer = new CompletableFuture<>();
         long givenUpMicros = time.nowMicros() + ASKER_WAITS_MICROS;
-        controller.turns().await(Controller.line(call), call.body().length, () -> time.nowMicros() < givenUpMicros,
-                () -> controller.publicCall(call).thenAccept(answer::complete));
+        controller
+                .turns()
+                .await(
+                        Controller.line(call),
+                        call.body().length,
+                        () -> time.nowMicros() < givenUpMicros,
+                        () -> controller.publicCall(call).thenAccept(answer::complete));
         return answer;
     }
 
@@ -299,10 +309,24 @@
     }
 
     public static ObjectNode job(String uid, int pieces) {
-        ObjectNode job = Json.object().put("uid", uid).put("lot", "l").put("crew", "t").put("form", "sweep")
-                .put("rank", "normal").put("pieces", pieces).put("vcpus", 1.0).put("cards", 0.0).put("ram_gb", 1.0)
-                .put("reel", "img").put("image_gb", 1.0).put("one_zone", false).put("spread", false)
-                .put("loaners", true).put("guess_s", 3.0).put("mark_every_s", 0.0).put("stash_s", 0.0);
+        ObjectNode job = Json.object()
+                .put("uid", uid)
+                .put("lot", "l")
+                .put("crew", "t")
+                .put("form", "sweep")
+                .put("rank", "normal")
+                .put("pieces", pieces)
+                .put("vcpus", 1.0)
+                .put("cards", 0.0)
+                .put("ram_gb", 1.0)
+                .put("reel", "img")
+                .put("image_gb", 1.0)
+                .put("one_zone", false)
+                .put("spread", false)
+                .put("loaners", true)
+                .put("guess_s", 3.0)
+                .put("mark_every_s", 0.0)
+                .put("stash_s", 0.0);
         return job.put("due_s", 12.0).putNull("builds").putNull("yard");
     }
 
@@ -327,7 +351,8 @@
         job.path("awaits").forEach(name -> awaited.add(name.asText()));
         awaits.putIfAbsent(uid, awaited);
         submitted.putIfAbsent(uid, job);
-        if (pieces.putIfAbsent(uid, job.path("pieces").asInt()) == null && job.path("one_zone").asBoolean()) {
+        if (pieces.putIfAbsent(uid, job.path("pieces").asInt()) == null
+                && job.path("one_zone").asBoolean()) {
             oneZone.add(uid);
         }
         return Call.post("/v2/runs", job);
@@ -425,8 +450,10 @@
             if (neededBy(uid).noneMatch(withdrawAsked::contains)) {
                 broken.add("went_back " + uid + " is called withdrawn, and nobody asked for that");
             }
-        } else if (!stage.equals("done") && neededBy(uid).anyMatch(needed -> withdrawnAt.containsKey(needed)
-                && withdrawnAt.get(needed) + settings.workers().cancelMicros() < asked)) {
+        } else if (!stage.equals("done")
+                && neededBy(uid)
+                        .anyMatch(needed -> withdrawnAt.containsKey(needed)
+                                && withdrawnAt.get(needed) + settings.workers().cancelMicros() < asked)) {
             broken.add("orphaned " + uid + " is called " + stage);
         }
         if (stage.equals("done")) {
@@ -443,7 +470,9 @@
         Set<String> all = new LinkedHashSet<>(List.of(uid));
         Deque<String> open = new ArrayDeque<>(all);
         while (!open.isEmpty()) {
-            awaits.getOrDefault(open.poll(), List.of()).stream().filter(all::add).forEach(open::add);
+            awaits.getOrDefault(open.poll(), List.of()).stream()
+                    .filter(all::add)
+                    .forEach(open::add);
         }
         return all.stream();
     }
@@ -484,7 +513,8 @@
     public String leaveTasksOnOneMachine(int started) {
         untilStarted(started, 8 * SECOND);
         SimWorker chosen = cloud.machines().values().stream()
-                .max(Comparator.comparingInt(worker -> worker.running().size())).orElseThrow();
+                .max(Comparator.comparingInt(worker -> worker.running().size()))
+                .orElseThrow();
         chosen.prolong(300 * SECOND);
         until(() -> running() <= chosen.running().size());
         cloud.machines().values().forEach(worker -> worker.runMicros(3 * SECOND));
@@ -493,7 +523,9 @@
     }
 
     private int running() {
-        return cloud.machines().values().stream().mapToInt(worker -> worker.running().size()).sum();
+        return cloud.machines().values().stream()
+                .mapToInt(worker -> worker.running().size())
+                .sum();
     }
 
     public int starts() {
@@ -525,12 +557,18 @@
                 }
             }
         }
-        Long withdrawn = neededBy(uid).map(withdrawnAt::get).filter(Objects::nonNull).min(Long::compare).orElse(null);
+        Long withdrawn = neededBy(uid)
+                .map(withdrawnAt::get)
+                .filter(Objects::nonNull)
+                .min(Long::compare)
+                .orElse(null);
         if (withdrawn != null) {
             startsOfWithdrawn.add(piece + " after " + (time.nowMicros() - withdrawn) / 1_000 + " ms");
         }
-        boolean apart = oneZone.contains(uid) && cloud.machines().values().stream().anyMatch(other ->
-                !other.yard().equals(worker.yard()) && other.running().stream().anyMatch(task -> task.startsWith(uid + "/")));
+        boolean apart = oneZone.contains(uid)
+                && cloud.machines().values().stream()
+                        .anyMatch(other -> !other.yard().equals(worker.yard())
+                                && other.running().stream().anyMatch(task -> task.startsWith(uid + "/")));
         if (apart) {
             broken.add("wrong_place " + piece + " in " + worker.yard());
         }
--- a/src/test/java/io/sillreel/statestore/KeyWriterTest.java
+++ b/src/test/java/io/sillreel/statestore/KeyWriterTest.java
@@ -27,7 +27,12 @@
 
     KeyWriterTest() {
         network.listen("state:1", state);
-        store = new StateStore(network.from("node", process), network.from("node", process), process, "state:1", new Pacer(process, 1_000, 1_000),
+        store = new StateStore(
+                network.from("node", process),
+                network.from("node", process),
+                process,
+                "state:1",
+                new Pacer(process, 1_000, 1_000),
                 new Pacer(process, 1_000, 1_000));
         store.commit(new Txn().set("leader", Json.object()));
         time.runFor(100_000);
@@ -60,8 +65,13 @@
     @Test
     void refusalsForTheRateSlowWritingAndLoseNothing() {
         // A quarter of what this controller takes for its part.
-        StateStore paced = new StateStore(network.from("node", process), network.from("node", process), process, "state:1",
-                new Pacer(process, 1_000, 1_000), new Pacer(process, 40, 40));
+        StateStore paced = new StateStore(
+                network.from("node", process),
+                network.from("node", process),
+                process,
+                "state:1",
+                new Pacer(process, 1_000, 1_000),
+                new Pacer(process, 40, 40));
         KeyWriter writer = new KeyWriter(paced, process, "leader", 101, 4, () -> deposed = true);
         state.limits(4, 8192, 10);
         List<Count> counts = new ArrayList<>();
@@ -73,7 +83,9 @@
         int refusedSoon = state.refusedForRate();
         time.runFor(10_000_000);
         assertThat(counts).allMatch(count -> count.stamp > 0);
-        assertThat(state.refusedForRate() - refusedSoon).as("refused once the writer had slowed").isLessThan(25);
+        assertThat(state.refusedForRate() - refusedSoon)
+                .as("refused once the writer had slowed")
+                .isLessThan(25);
     }
 
     private static final class Count implements KeyWriter.Item {
@@ -141,8 +153,13 @@
     /** Guards against a lease that runs out because too much else was asked. */
     @Test
     void aRenewalIsNotHeldBackByTheRate() {
-        StateStore spent = new StateStore(network.from("node", process), network.from("node", process), process, "state:1",
-                new Pacer(process, 1, 1), new Pacer(process, 1, 1));
+        StateStore spent = new StateStore(
+                network.from("node", process),
+                network.from("node", process),
+                process,
+                "state:1",
+                new Pacer(process, 1, 1),
+                new Pacer(process, 1, 1));
         long permit = store.grant(3_000_000).thenApply(grant -> grant.permit()).getNow(0L);
         spent.get("leader");
         var refused = spent.get("leader");
@@ -155,8 +172,13 @@
     /** Guards against ends of jobs that wait behind progress when the store takes less than there is to write. */
     @Test
     void endsGoBeforeStartsAndThoseBeforeProgressWhichGathers() {
-        StateStore slow = new StateStore(network.from("node", process), network.from("node", process), process, "state:1",
-                new Pacer(process, 1_000, 1_000), new Pacer(process, 2, 6));
+        StateStore slow = new StateStore(
+                network.from("node", process),
+                network.from("node", process),
+                process,
+                "state:1",
+                new Pacer(process, 1_000, 1_000),
+                new Pacer(process, 2, 6));
         KeyWriter scarce = new KeyWriter(slow, process, "leader", 101, 4, () -> deposed = true);
         Count[] progress = new Count[8];
         for (int i = 0; i < progress.length; i++) {
@@ -177,8 +199,7 @@
         time.runFor(8_000_000);
         assertThat(end.stamp).isPositive();
         assertThat(starts).allMatch(start -> start.stamp >= end.stamp);
-        assertThat(progress).filteredOn(count -> count.stamp > 0)
-                .allMatch(count -> count.stamp > starts[5].stamp);
+        assertThat(progress).filteredOn(count -> count.stamp > 0).allMatch(count -> count.stamp > starts[5].stamp);
         time.runFor(20_000_000);
         assertThat(progress).allMatch(count -> count.stamp > 0);
     }
--- a/src/test/java/io/sillreel/workers/ReportRelayTest.java
+++ b/src/test/java/io/sillreel/workers/ReportRelayTest.java
@@ -27,7 +27,8 @@
 
     /** Hands on a report every 10 ms for a second, and returns how many had been answered 15 ms after they came. */
     private int play(int workers) {
-        ReportRelay relay = new ReportRelay(time.new Process(), (address, call, timeout) -> answer(call), () -> workers);
+        ReportRelay relay =
+                new ReportRelay(time.new Process(), (address, call, timeout) -> answer(call), () -> workers);
         int soon = 0;
         for (int i = 0; i < 100; i++) {
             Report report = new Report("host-%06d".formatted(i), "", "c4", "a", true, 1, i, 1, -1, List.of());
@@ -54,8 +55,8 @@
     }
 
     private ReportRelay handedOnTo(Reply reply, int batches) {
-        ReportRelay relay = new ReportRelay(time.new Process(),
-                (address, call, timeout) -> CompletableFuture.completedFuture(reply), () -> 1);
+        ReportRelay relay = new ReportRelay(
+                time.new Process(), (address, call, timeout) -> CompletableFuture.completedFuture(reply), () -> 1);
         for (int i = 0; i < batches; i++) {
             relay.pass(new Report("host-000001", "", "c4", "a", true, 1, i, 1, -1, List.of()), "leader:1");
             time.runFor(100_000);
--- a/src/test/java/io/sillreel/workers/ReportStoriesTest.java
+++ b/src/test/java/io/sillreel/workers/ReportStoriesTest.java
@@ -20,9 +20,12 @@
 
     /** The machine on which the first task runs. */
     private SimWorker firstBusyMachine() {
-        world.until(() -> world.cloud().machines().values().stream().anyMatch(worker -> !worker.running().isEmpty()));
-        return world.cloud().machines().values().stream().filter(worker -> !worker.running().isEmpty())
-                .findFirst().orElseThrow();
+        world.until(() -> world.cloud().machines().values().stream()
+                .anyMatch(worker -> !worker.running().isEmpty()));
+        return world.cloud().machines().values().stream()
+                .filter(worker -> !worker.running().isEmpty())
+                .findFirst()
+                .orElseThrow();
     }
 
     private static boolean isBeatOf(SimWorker worker, String from, Call call) {
@@ -38,7 +41,9 @@
         boolean[] lost = {false};
         world.network().add((from, to, call) -> {
             // The first report that shows the current token is the one whose response launches.
-            if (lost[0] || !isBeatOf(worker, from, call) || !Json.parse(call.body()).path("baton").asText().equals("1")) {
+            if (lost[0]
+                    || !isBeatOf(worker, from, call)
+                    || !Json.parse(call.body()).path("baton").asText().equals("1")) {
                 return null;
             }
             lost[0] = true;
--- a/src/test/java/io/sillreel/workers/TroubleStoriesTest.java
+++ b/src/test/java/io/sillreel/workers/TroubleStoriesTest.java
@@ -17,8 +17,10 @@
     private SimWorker busyMachine(int running) {
         world.until(() -> world.cloud().machines().values().stream()
                 .anyMatch(worker -> worker.running().size() >= running));
-        return world.cloud().machines().values().stream().filter(worker -> worker.running().size() >= running)
-                .findFirst().orElseThrow();
+        return world.cloud().machines().values().stream()
+                .filter(worker -> worker.running().size() >= running)
+                .findFirst()
+                .orElseThrow();
     }
 
     /** Guards against launches given for ever to a machine that never hears them. */
@@ -78,8 +80,9 @@
     /** Guards against copies that show what was long ago: they free nothing, and nobody that is gone is taken in. */
     @Test
     void lateCopiesOfReportsChangeNothing() {
-        world.network().add((from, to, call) ->
-                call.route().equals("/agent/beat") || call.route().equals("/peer/beats") ? Fate.COPY : null);
+        world.network()
+                .add((from, to, call) ->
+                        call.route().equals("/agent/beat") || call.route().equals("/peer/beats") ? Fate.COPY : null);
         world.seconds(2);
         for (int i = 1; i <= 6; i++) {
             world.submit(0, World.job("job-00000" + i, 6));
@@ -136,8 +139,11 @@
         world.until(() -> world.starts() >= 4);
         int deaf = world.leader();
         String host = "10.0.0." + deaf;
-        world.network().add((from, to, call) -> to.startsWith(host) && (from.startsWith("host-")
-                || call.route().equals("/peer/beats")) ? Fate.LOSE : null);
+        world.network()
+                .add((from, to, call) -> to.startsWith(host)
+                                && (from.startsWith("host-") || call.route().equals("/peer/beats"))
+                        ? Fate.LOSE
+                        : null);
         world.until(() -> world.leader() >= 0 && world.leader() != deaf);
         world.seconds(40);
         assertThat(world.stage((deaf + 1) % 3, "job-000001")).isEqualTo("done");
@@ -170,15 +176,23 @@
         long most = 0;
         for (int node = 0; node < many.nodes(); node++) {
             int at = node;
-            most = Math.max(most, many.cloud().machines().values().stream().filter(w -> w.node() == at).count());
+            most = Math.max(
+                    most,
+                    many.cloud().machines().values().stream()
+                            .filter(w -> w.node() == at)
+                            .count());
         }
         return most;
     }
 
     /** Some machines with tasks that run for long, on one of them at least two; the cloud's list tells nothing. */
     private SimWorker fleetWithLongTasks() {
-        world.network().add((from, to, call) -> to.startsWith("cloud") && call.method().equals("GET")
-                && call.route().equals("/machines") ? Fate.LOSE : null);
+        world.network()
+                .add((from, to, call) -> to.startsWith("cloud")
+                                && call.method().equals("GET")
+                                && call.route().equals("/machines")
+                        ? Fate.LOSE
+                        : null);
         world.seconds(2);
         world.submit(0, World.job("job-000001", 20));
         world.untilStarted(20, 40_000_000);
@@ -267,7 +281,8 @@
             many.seconds(1);
         }
         many.seconds(9);
-        assertThat(silent.stream().filter(many.cloud().machines()::containsKey).count()).isGreaterThanOrEqualTo(4);
+        assertThat(silent.stream().filter(many.cloud().machines()::containsKey).count())
+                .isGreaterThanOrEqualTo(4);
         assertThat(many.broken()).isEmpty();
     }
 }
