--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -118,8 +118,8 @@
     }
 
     /**
-     * @param open lets the public in: hundreds of workers that are refused once a second would else take the processor from
-     *     the very election that they wait for
+     * @param open lets the public in: hundreds of workers that are refused once a second would else take the processor
+     *     from the very election that they wait for
      */
     public void start(Runnable open) {
         lateness.start();
--- a/src/main/java/io/sillreel/admission/Admission.java
+++ b/src/main/java/io/sillreel/admission/Admission.java
@@ -24,8 +24,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The users' interface. Any controller admits and answers: a plan is written by the one that was asked, and what is told
- * is either terminal and stored, or was confirmed by the store after the question came in.
+ * The users' interface. Any controller admits and answers: a plan is written by the one that was asked, and what is
+ * told is either terminal and stored, or was confirmed by the store after the question came in.
  */
 public final class Admission implements Handler {
     private static final Logger LOG = LoggerFactory.getLogger(Admission.class);
--- a/src/main/java/io/sillreel/admission/JobViews.java
+++ b/src/main/java/io/sillreel/admission/JobViews.java
@@ -20,11 +20,13 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Fresh pictures of jobs. Remembered stamps are confirmed by a comparing transaction, many jobs at a time; what has moved
- * is read again. Either way the store was asked after the question came in, so no answer is older than one given before.
+ * Fresh pictures of jobs. Remembered stamps are confirmed by a comparing transaction, many jobs at a time; what has
+ * moved is read again. Either way the store was asked after the question came in, so no answer is older than one given
+ * before.
  *
- * <p>A job that awaits others is withdrawn as soon as one of those is, whether or not anybody has written that down: so the
- * same transaction confirms that none of the unfinished jobs that it needs, directly or through others, is withdrawn.
+ * <p>A job that awaits others is withdrawn as soon as one of those is, whether or not anybody has written that down: so
+ * the same transaction confirms that none of the unfinished jobs that it needs, directly or through others, is
+ * withdrawn.
  */
 final class JobViews {
     private static final int REMEMBERED = 4_000;
--- a/src/main/java/io/sillreel/cli/Main.java
+++ b/src/main/java/io/sillreel/cli/Main.java
@@ -79,6 +79,7 @@
         }
     }
 
+    /** Runs the daemon, or does what the command line asks for instead. */
     public static void main(String[] args) throws Exception {
         String level = System.getenv().getOrDefault("LOG_LEVEL", "info").toLowerCase(Locale.ROOT);
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level);
--- a/src/main/java/io/sillreel/cloud/CloudClient.java
+++ b/src/main/java/io/sillreel/cloud/CloudClient.java
@@ -16,6 +16,7 @@
 
 /** Client of the cloud's interface, paced below the shared rate. */
 public final class CloudClient {
+    /** What became of a request to the cloud. UNKNOWN: it may have been executed, or may yet be. */
     public enum Outcome {
         OK,
         NO_CAPACITY,
@@ -27,10 +28,13 @@
     public record Listed(
             String name, String address, String build, String yard, boolean spot, String stage, long ageMicros) {}
 
+    /** The machine types as the cloud lists them. */
     public record Flavors(Outcome outcome, JsonNode body) {}
 
+    /** The machines that a rental request obtained. */
     public record Hired(Outcome outcome, List<String> machines) {}
 
+    /** The list of machines, and when the request for it was sent. */
     public record Machines(Outcome outcome, List<Listed> machines, long askedMicros) {}
 
     private static final long TIMEOUT_MICROS = 6_000_000;
@@ -42,6 +46,7 @@
     private final String address;
     private final Pacer pacer;
 
+    /** @param pacer keeps this controller below its part of the shared request rate */
     public CloudClient(Caller caller, Loop loop, String address, Pacer pacer) {
         this.caller = caller;
         this.loop = loop;
@@ -53,6 +58,7 @@
         return send(Call.get("/flavors")).thenApply(reply -> new Flavors(outcome(reply), reply.json()));
     }
 
+    /** Rents up to {@code count} machines under a request name that is never used for anything else. */
     public CompletableFuture<Hired> hire(String request, String build, String yard, boolean spot, int count) {
         ObjectNode body = Json.object()
                 .put("hire", request)
--- a/src/main/java/io/sillreel/cloud/FlavorBook.java
+++ b/src/main/java/io/sillreel/cloud/FlavorBook.java
@@ -27,6 +27,7 @@
     private final BooleanSupplier holdsLease;
     private volatile Map<String, MachineType> types = Map.of();
 
+    /** @param holdsLease true while this controller may update the stored machine types */
     public FlavorBook(StateStore store, CloudClient cloud, Loop loop, BooleanSupplier holdsLease) {
         this.store = store;
         this.cloud = cloud;
@@ -63,8 +64,8 @@
                         .thenAccept(commit -> {
                             if (commit.outcome() == Outcome.TOO_LARGE) {
                                 LOG.error(
-                                        "{} is refused by the state service with {} bytes; controllers that start while the cloud "
-                                                + "is down will not know the machine types",
+                                        "{} is refused by the state service with {} bytes; controllers that start "
+                                                + "while the cloud is down will not know the machine types",
                                         KEY,
                                         Json.bytes(answer.body()).length);
                             }
--- a/src/main/java/io/sillreel/fleet/FleetKeeper.java
+++ b/src/main/java/io/sillreel/fleet/FleetKeeper.java
@@ -76,6 +76,10 @@
     private boolean listing;
     private boolean returning;
 
+    /**
+     * @param mayAct true while rentals and returns are allowed
+     * @param undisturbed true if no worker has had to look for another controller lately
+     */
     public FleetKeeper(
             Loop loop,
             long term,
@@ -173,6 +177,7 @@
         return machine;
     }
 
+    /** Rents, lists and returns machines as needed; called about once a second. */
     public void tick() {
         long now = loop.nowMicros();
         synchronized (cluster) {
@@ -229,9 +234,9 @@
     }
 
     /**
-     * A single machine that falls silent has most likely been taken without notice. Returning it makes that certain long
-     * before its lease does, and its tasks can start elsewhere. When many fall silent together, it is the network or they
-     * hang, and they come back: then their leases are waited for.
+     * A single machine that falls silent has most likely been taken without notice. Returning it makes that certain
+     * long before its lease does, and its tasks can start elsewhere. When many fall silent together, it is the network
+     * or they hang, and they come back: then their leases are waited for.
      */
     private void retireLost(long now) {
         long patience =
@@ -270,9 +275,9 @@
     }
 
     /**
-     * Most machines report within seconds of a takeover, and again with the new token. The few that don't, or that report
-     * and don't hear the answer, would hold up every job of an earlier term for as long as their leases might last; once
-     * the cloud has taken them back, it is certain that nothing runs there.
+     * Most machines report within seconds of a takeover, and again with the new token. The few that don't, or that
+     * report and don't hear the answer, would hold up every job of an earlier term for as long as their leases might
+     * last; once the cloud has taken them back, it is certain that nothing runs there.
      */
     private void retireUnheard(long now) {
         int unheard = cluster.unheard().size();
--- a/src/main/java/io/sillreel/fleet/Hire.java
+++ b/src/main/java/io/sillreel/fleet/Hire.java
@@ -14,8 +14,8 @@
 import java.util.function.Consumer;
 
 /**
- * A rental under its unique name: stored before the cloud is asked, and again with its machines before any of them gets a
- * task. The stored hires bound where tasks can be.
+ * A rental under its unique name: stored before the cloud is asked, and again with its machines before any of them gets
+ * a task. The stored hires bound where tasks can be.
  */
 public final class Hire implements KeyWriter.Item {
     public static final String PREFIX = "hire/";
@@ -39,6 +39,7 @@
     private boolean maybeExecuted;
     private long askedMicros;
 
+    /** Creates a rental that the cloud has not been asked for yet. */
     public Hire(String name, String build, String yard, boolean spot, int count) {
         this.name = name;
         this.build = build;
@@ -74,8 +75,8 @@
     }
 
     /**
-     * Cuts off what is beyond so many machines, into hires of their own that are stored before this one is written again:
-     * it may have been stored when values could be larger.
+     * Cuts off what is beyond so many machines, into hires of their own that are stored before this one is written
+     * again: it may have been stored when values could be larger.
      */
     public List<Hire> split(int most, Consumer<Hire> enqueue) {
         List<String> all = new ArrayList<>(machines);
@@ -123,8 +124,8 @@
     }
 
     /**
-     * True once the machine stands as up in the stored hire, so that a successor knows to look there. Machines that have
-     * not reported yet don't, so that those that boot or never come up hold up no takeover.
+     * True once the machine stands as up in the stored hire, so that a successor knows to look there. Machines that
+     * have not reported yet don't, so that those that boot or never come up hold up no takeover.
      */
     public boolean mayHold(String machine) {
         return storedMachines.contains(machine);
@@ -136,8 +137,9 @@
     }
 
     /**
-     * Nothing lives on the machine any more; true if that is yet to be stored. Until it has reported again, and stands as up
-     * again, it gets no task and holds up no takeover: a third of the fleet may be silent when the holder crashes.
+     * Nothing lives on the machine any more; true if that is yet to be stored. Until it has reported again, and stands
+     * as up again, it gets no task and holds up no takeover: a third of the fleet may be silent when the holder
+     * crashes.
      */
     public boolean wentDown(String machine) {
         storedMachines.remove(machine);
@@ -154,6 +156,7 @@
         names.forEach(machines::add);
     }
 
+    /** The machine no longer exists and is not part of the rental any more. */
     public void gone(String machine) {
         machines.remove(machine);
         up.remove(machine);
--- a/src/main/java/io/sillreel/fleet/Machine.java
+++ b/src/main/java/io/sillreel/fleet/Machine.java
@@ -34,7 +34,9 @@
     private static final long GAP_MICROS = 7_000_000;
 
     private static final long FORGIVEN_MICROS = 20_000_000;
-    /** A worker lets half a second pass between two reports; less apart are copies, or what was held back on the way. */
+    /**
+     * A worker lets half a second pass between two reports; less apart are copies, or what was held back on the way.
+     */
     private static final long CROWDED_MICROS = 300_000;
 
     private final String name;
@@ -78,6 +80,10 @@
     private double usedCards;
     private int liveCount;
 
+    /**
+     * @param hire the rental that the machine belongs to, or null if no stored one names it
+     * @param book counts the tasks of all machines
+     */
     public Machine(
             String name, MachineType type, String yard, boolean spot, Hire hire, long hiredMicros, SeatBook book) {
         this.name = name;
@@ -126,6 +132,7 @@
         return address;
     }
 
+    /** Takes over the address under which the machine accepts commands, if there is one. */
     public void address(String newAddress) {
         if (newAddress != null && !newAddress.isEmpty()) {
             address = newAddress;
@@ -159,8 +166,8 @@
     }
 
     /**
-     * Takes the report's numbers; false if a newer message was seen already, or if the session that it tells of is over:
-     * a report held back by the network, or a copy of one, shows tasks that have died since.
+     * Takes the report's numbers; false if a newer message was seen already, or if the session that it tells of is
+     * over: a report held back by the network, or a copy of one, shows tasks that have died since.
      */
     public boolean advance(Report report, boolean direct, long nowMicros) {
         if (!report.newerThan(shift, tally) || report.shift() <= endedShift) {
@@ -191,7 +198,10 @@
         return true;
     }
 
-    /** True if this is the report that the answer to a direct command has just overtaken: the worker waits for its answer. */
+    /**
+     * True if this is the report that the answer to a direct command has just overtaken: the worker waits for its
+     * answer.
+     */
     public boolean overtaken(Report report, long withinMicros, long nowMicros) {
         return report.shift() == shift
                 && report.tally() == tally - 1
@@ -231,8 +241,8 @@
     }
 
     /**
-     * A report lacks the current token. Copies of reports of an earlier term come in crowds as the next one begins, and say
-     * nothing of what the machine hears.
+     * A report lacks the current token. Copies of reports of an earlier term come in crowds as the next one begins, and
+     * say nothing of what the machine hears.
      */
     public void unaware(long nowMicros) {
         if (unheeded == 0 || nowMicros - doubtMicros > CROWDED_MICROS) {
@@ -327,6 +337,7 @@
         return firstListedMicros;
     }
 
+    /** The machine is in the cloud's list. */
     public void listed(long nowMicros) {
         if (firstListedMicros < 0) {
             firstListedMicros = nowMicros;
@@ -394,6 +405,7 @@
         return uid + "/" + index + "#" + attempt;
     }
 
+    /** Adds a task to the machine. */
     public void add(Seat seat) {
         seats.put(key(seat.uid(), seat.index(), seat.attempt()), seat);
         changed();
@@ -408,6 +420,7 @@
         changed();
     }
 
+    /** Removes all tasks and returns them. */
     public List<Seat> clearSeats() {
         List<Seat> gone = new ArrayList<>(seats.values());
         seats.clear();
--- a/src/main/java/io/sillreel/fleet/Seat.java
+++ b/src/main/java/io/sillreel/fleet/Seat.java
@@ -93,6 +93,7 @@
         return stage;
     }
 
+    /** Takes note of the state in which a report shows the task. */
     public void seen(Stage newStage, long nowMicros) {
         if (newStage == Stage.RUNNING && runningSinceMicros < 0) {
             runningSinceMicros = nowMicros;
--- a/src/main/java/io/sillreel/fleet/TeamUse.java
+++ b/src/main/java/io/sillreel/fleet/TeamUse.java
@@ -49,6 +49,7 @@
         return teams.getOrDefault(team, NOTHING);
     }
 
+    /** Returns an independent copy. */
     public TeamUse copy() {
         TeamUse copy = new TeamUse();
         teams.forEach((team, amount) -> copy.teams.put(team, new Amount(amount)));
--- a/src/main/java/io/sillreel/http/HttpClient.java
+++ b/src/main/java/io/sillreel/http/HttpClient.java
@@ -32,15 +32,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An HTTP/1.1 client on one event loop: a bounded pool of persistent connections for each address, one request at a time
- * on each. A request that outlives its time takes its connection along, since a late answer must not meet the next request.
+ * An HTTP/1.1 client on one event loop: a bounded pool of persistent connections for each address, one request at a
+ * time on each. A request that outlives its time takes its connection along, since a late answer must not meet the next
+ * request.
  */
 public final class HttpClient implements Caller {
     private static final int MAX_ANSWER_BYTES = 16 * 1024 * 1024;
     private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
     /**
-     * A connection without work is closed after so long. A lease holder sends commands to every machine now and then; the
-     * connections that this left open would add up to the fleet and take the sockets that the state service needs.
+     * A connection without work is closed after so long. A lease holder sends commands to every machine now and then;
+     * the connections that this left open would add up to the fleet and take the sockets that the state service needs.
      */
     private static final long IDLE_MICROS = 2_000_000;
 
--- a/src/main/java/io/sillreel/http/HttpServer.java
+++ b/src/main/java/io/sillreel/http/HttpServer.java
@@ -33,9 +33,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * An HTTP/1.1 listener. Connections are persistent; past the limit of connections new ones are closed at once. One route
- * may be given a part of the connections: hundreds of workers that turn to the last controller that is up must not take
- * the place of users and health checks.
+ * An HTTP/1.1 listener. Connections are persistent; past the limit of connections new ones are closed at once. One
+ * route may be given a part of the connections: hundreds of workers that turn to the last controller that is up must
+ * not take the place of users and health checks.
  */
 public final class HttpServer {
     public static final int MAX_BODY_BYTES = 64 * 1024;
--- a/src/main/java/io/sillreel/http/Json.java
+++ b/src/main/java/io/sillreel/http/Json.java
@@ -14,8 +14,8 @@
 import java.io.UncheckedIOException;
 
 /**
- * Jackson's streams and trees, without its mapper: setting one up, with the formats of dates and the readers of classes that
- * nothing here uses, took a quarter of the processor time of a start.
+ * Jackson's streams and trees, without its mapper: setting one up, with the formats of dates and the readers of classes
+ * that nothing here uses, took a quarter of the processor time of a start.
  */
 public final class Json {
     private static final JsonFactory STREAM = new JsonFactory();
@@ -36,6 +36,7 @@
         return NODES.arrayNode();
     }
 
+    /** Returns the node as UTF-8 text. */
     public static byte[] bytes(JsonNode node) {
         try (ByteArrayBuilder bytes = new ByteArrayBuilder();
                 JsonGenerator out = STREAM.createGenerator(bytes);
@@ -59,7 +60,8 @@
     }
 
     /**
-     * The one value that a parser of any of Jackson's formats reads, or a missing node if there is none or more than one.
+     * The one value that a parser of any of Jackson's formats reads, or a missing node if there is none or more than
+     * one.
      */
     public static JsonNode tree(JsonParser in) throws IOException {
         if (in.nextToken() == null) {
--- a/src/main/java/io/sillreel/http/Reply.java
+++ b/src/main/java/io/sillreel/http/Reply.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * One HTTP response. Status {@link #NOT_SENT} means that the request never left, {@link #NO_ANSWER} that it may have been
- * executed, or may yet be.
+ * One HTTP response. Status {@link #NOT_SENT} means that the request never left, {@link #NO_ANSWER} that it may have
+ * been executed, or may yet be.
  */
 public record Reply(int status, byte[] body, int retryAfterSeconds) {
     public static final int NO_ANSWER = 0;
--- a/src/main/java/io/sillreel/http/Turns.java
+++ b/src/main/java/io/sillreel/http/Turns.java
@@ -9,8 +9,8 @@
  * looks at the network and at the timers only a slice of them is taken up: with hundreds of workers at the door and a
  * twentieth of a core, one round over all of them would last longer than the lease that is to be renewed meanwhile.
  *
- * <p>Whoever has given up is passed over. Once the line is so long that whoever has waited longest is about to give up, the
- * newest go first: else everybody would be served a moment too late.
+ * <p>Whoever has given up is passed over. Once the line is so long that whoever has waited longest is about to give up,
+ * the newest go first: else everybody would be served a moment too late.
  */
 public final class Turns {
     /** Where a request waits; what is asked to see whether this process is alive does not wait. */
@@ -25,7 +25,10 @@
     /** Users wait two seconds for an answer to a question, workers four. */
     private static final long BEHIND_MICROS = 1_000_000;
 
-    /** What the waiting requests may hold in all; beyond that they are refused, or hundreds of large ones would fill the heap. */
+    /**
+     * What the waiting requests may hold in all; beyond that they are refused, or hundreds of large ones would fill the
+     * heap.
+     */
     private static final int MOST_BYTES = 4 * 1024 * 1024;
 
     private record Turn(long sinceMicros, int bytes, BooleanSupplier wanted, Runnable work) {}
--- a/src/main/java/io/sillreel/overload/Lateness.java
+++ b/src/main/java/io/sillreel/overload/Lateness.java
@@ -2,7 +2,9 @@
 
 import io.sillreel.http.Loop;
 
-/** How late this process does what is due: a share of the processor that is too small shows here before anything else. */
+/**
+ * How late this process does what is due: a share of the processor that is too small shows here before anything else.
+ */
 public final class Lateness {
     private static final long EVERY_MICROS = 500_000;
     /** What was late fades by half in two to three looks, or seconds would pass before a calm process counts as one. */
--- a/src/main/java/io/sillreel/ownership/Leadership.java
+++ b/src/main/java/io/sillreel/ownership/Leadership.java
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one lease that lets a controller drive the pipelines. The {@code leader} key sits on a lease of the state service,
- * the {@code term} key counts how often it was taken; both are written in one transaction.
+ * The one lease that lets a controller drive the pipelines. The {@code leader} key sits on a lease of the state
+ * service, the {@code term} key counts how often it was taken; both are written in one transaction.
  */
 public final class Leadership {
     public static final String LEADER_KEY = "leader";
@@ -51,6 +51,10 @@
     private long notBeforeMicros = Long.MIN_VALUE;
     private Runnable onSettled = () -> {};
 
+    /**
+     * @param leaseMicros the lifetime of the lease in the state service
+     * @param listener told when this controller gains or loses the lease
+     */
     public Leadership(StateStore store, Loop loop, String node, long leaseMicros, Listener listener) {
         this.store = store;
         this.loop = loop;
--- a/src/main/java/io/sillreel/ownership/Tenure.java
+++ b/src/main/java/io/sillreel/ownership/Tenure.java
@@ -136,6 +136,7 @@
     private long plans;
     private final Set<String> sentToLook = new HashSet<>();
 
+    /** Creates the state of one term; {@link #start} begins to read what is stored. */
     public Tenure(
             Loop loop,
             StateStore store,
@@ -209,8 +210,8 @@
     }
 
     /**
-     * How long after the last proof reports are still answered. A withdrawal that this holder can't hear of is told to a
-     * user after that proof; tasks answered until then plus the lease are gone before cancel_s is over.
+     * How long after the last proof reports are still answered. A withdrawal that this holder can't hear of is told to
+     * a user after that proof; tasks answered until then plus the lease are gone before cancel_s is over.
      */
     private long holdoverMicros() {
         return Math.max(
@@ -499,10 +500,11 @@
     }
 
     /**
-     * Without proof of the lease nothing is launched here, and another controller may lead. If the state service answers
-     * somebody else, one does or soon will, so workers are let go while their tasks live. If nobody is heard at all, this
-     * controller is more likely cut off than everybody down: each worker is sent to look once, and kept if it comes back.
-     * If others are heard and are not answered either, it is an outage for all, in which holding over saves the tasks.
+     * Without proof of the lease nothing is launched here, and another controller may lead. If the state service
+     * answers somebody else, one does or soon will, so workers are let go while their tasks live. If nobody is heard at
+     * all, this controller is more likely cut off than everybody down: each worker is sent to look once, and kept if it
+     * comes back. If others are heard and are not answered either, it is an outage for all, in which holding over saves
+     * the tasks.
      */
     private boolean betterElsewhere(String machine) {
         if (peers.storeAnswersAnother()) {
@@ -704,8 +706,8 @@
     }
 
     /**
-     * Tasks that can save are stopped while there is time to. The others may yet end by themselves; those that surely won't
-     * lose nothing by being stopped at once, and start elsewhere so much sooner.
+     * Tasks that can save are stopped while there is time to. The others may yet end by themselves; those that surely
+     * won't lose nothing by being stopped at once, and start elsewhere so much sooner.
      */
     private Set<Machine> drainRecalled(long now) {
         Set<Machine> touched = new LinkedHashSet<>();
@@ -770,8 +772,8 @@
         statusMicros = now;
         Map<String, Double> gauges = gauges();
         LOG.info(
-                "term {}: {} jobs unfinished, {} tasks wait; cpus: {} up, {} busy, {} starting, {} wanted, {} standing; "
-                        + "{} machines, {} ordinary",
+                "term {}: {} jobs unfinished, {} tasks wait; cpus: {} up, {} busy, {} starting, {} wanted, "
+                        + "{} standing; {} machines, {} ordinary",
                 term,
                 count(gauges, "sillreel.jobs.unfinished"),
                 count(gauges, "sillreel.tasks.waiting"),
--- a/src/main/java/io/sillreel/peer/PeerMessages.java
+++ b/src/main/java/io/sillreel/peer/PeerMessages.java
@@ -24,11 +24,12 @@
     private static final Report.Stage[] STAGES = Report.Stage.values();
 
     /**
-     * What a controller knows: who leads, whether the state service answers it, how many workers report to it, whether it
-     * can have their reports answered, and how many lately went unanswered.
+     * What a controller knows: who leads, whether the state service answers it, how many workers report to it, whether
+     * it can have their reports answered, and how many lately went unanswered.
      */
     public record Hello(
             String node, String leader, long term, boolean storeAnswers, int workers, boolean serves, int unanswered) {
+        /** Encodes the greeting. */
         public byte[] bytes() {
             ByteArrayOutputStream bytes = new ByteArrayOutputStream(64);
             try (CBORGenerator out = STREAM.createGenerator(bytes)) {
--- a/src/main/java/io/sillreel/pipeline/ActiveJob.java
+++ b/src/main/java/io/sillreel/pipeline/ActiveJob.java
@@ -68,6 +68,11 @@
     private String reason;
     private boolean succeededOnce;
 
+    /**
+     * Creates a job that has not been released; {@link #inherit} adds what is stored of it.
+     *
+     * @param valueBytes the largest value that the state service takes, now or once its limits fall
+     */
     public ActiveJob(JobSpec spec, long planStamp, long admittedWallMicros, int valueBytes, Watcher watcher) {
         this.spec = spec;
         this.planStamp = planStamp;
@@ -246,7 +251,9 @@
         }
     }
 
-    /** One live task less. A piece waits again only once none is left: two may be known for a moment after a takeover. */
+    /**
+     * One live task less. A piece waits again only once none is left: two may be known for a moment after a takeover.
+     */
     public void unseat(int piece) {
         if (seats.decrementAndGet(piece) <= 0) {
             seats.remove(piece);
--- a/src/main/java/io/sillreel/pipeline/Closure.java
+++ b/src/main/java/io/sillreel/pipeline/Closure.java
@@ -10,6 +10,7 @@
     private final String because;
     private final long wallMicros;
 
+    /** @param because the cancelled job that this one needs, directly or through others */
     public Closure(String uid, String because, long wallMicros) {
         super("withdraw/" + uid, 0);
         this.because = because;
--- a/src/main/java/io/sillreel/pipeline/DoneParts.java
+++ b/src/main/java/io/sillreel/pipeline/DoneParts.java
@@ -15,8 +15,8 @@
 
 /**
  * A done set that is too large for one value. Each part lies under a key of its own generation, and the head names the
- * generations that count: so parts may be written one after the other, and readers see either all of a new set or all of
- * the old one. What no head names any more is removed.
+ * generations that count: so parts may be written one after the other, and readers see either all of a new set or all
+ * of the old one. What no head names any more is removed.
  */
 final class DoneParts {
     static final String PREFIX = "bits/";
--- a/src/main/java/io/sillreel/pipeline/JobSpec.java
+++ b/src/main/java/io/sillreel/pipeline/JobSpec.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * What was submitted. {@code builds} and {@code yard} are null for any; {@code dueMicros} is negative without a deadline;
- * {@code awaits} names the jobs that must be done before this one.
+ * What was submitted. {@code builds} and {@code yard} are null for any; {@code dueMicros} is negative without a
+ * deadline; {@code awaits} names the jobs that must be done before this one.
  */
 public record JobSpec(
         String uid,
--- a/src/main/java/io/sillreel/pipeline/PipelineRun.java
+++ b/src/main/java/io/sillreel/pipeline/PipelineRun.java
@@ -18,6 +18,7 @@
  * are forgotten once they are over; either costs as much as the links that it touches.
  */
 public final class PipelineRun {
+    /** How a link between two jobs stands; each leaves {@code OPEN} once. */
     public enum LinkState {
         OPEN,
         EMITTED,
@@ -25,6 +26,7 @@
         SKIPPED
     }
 
+    /** How a job stands within its pipeline. */
     public enum JobState {
         WAITING,
         READY,
--- a/src/main/java/io/sillreel/pipeline/Rank.java
+++ b/src/main/java/io/sillreel/pipeline/Rank.java
@@ -23,6 +23,7 @@
         return ordinal() < other.ordinal();
     }
 
+    /** Returns the rank of that name in the users' interface. */
     public static Optional<Rank> of(String wire) {
         for (Rank rank : values()) {
             if (rank.wire.equals(wire)) {
--- a/src/main/java/io/sillreel/pipeline/RunRecord.java
+++ b/src/main/java/io/sillreel/pipeline/RunRecord.java
@@ -12,9 +12,9 @@
 import java.util.Map;
 
 /**
- * The stored form of a pipeline: {@code run/UID} is its head; done sets too large for one value lie in parts that the head
- * names ({@link DoneParts}). The first version cut them into {@code run/UID/N}, written together with the head, by the
- * largest value that it knew of; what it stored is still read.
+ * The stored form of a pipeline: {@code run/UID} is its head; done sets too large for one value lie in parts that the
+ * head names ({@link DoneParts}). The first version cut them into {@code run/UID/N}, written together with the head, by
+ * the largest value that it knew of; what it stored is still read.
  */
 public final class RunRecord {
     public static final String PREFIX = "run/";
@@ -83,7 +83,8 @@
     }
 
     /**
-     * What the head says; {@code readyMicros} is 0 for a job that awaited no other, {@code per} is 0 if no parts are named.
+     * What the head says; {@code readyMicros} is 0 for a job that awaited no other, {@code per} is 0 if no parts are
+     * named.
      */
     public record Head(
             int pieces,
@@ -102,6 +103,7 @@
             return DONE.equals(stage);
         }
 
+        /** Returns the form that is stored; fields without meaning for this job are left out. */
         public ObjectNode json() {
             ObjectNode node = Json.object()
                     .put("pieces", pieces)
@@ -129,6 +131,7 @@
             return node;
         }
 
+        /** Reads a stored head; absent fields have the meaning that they had before the field was introduced. */
         public static Head of(JsonNode node) {
             return new Head(
                     node.path("pieces").asInt(),
--- a/src/main/java/io/sillreel/placement/CapacityPlanner.java
+++ b/src/main/java/io/sillreel/placement/CapacityPlanner.java
@@ -43,6 +43,7 @@
 
     private long shortSinceMicros = -1;
 
+    /** Creates a planner that has seen no demand yet. */
     public CapacityPlanner(Cluster cluster, Deadlines deadlines, Estimates estimates) {
         this.cluster = cluster;
         this.deadlines = deadlines;
@@ -58,7 +59,10 @@
         return type + "@" + yard + (spot ? "/spot" : "");
     }
 
-    /** Told once for every job when it is ready, so that the standing demand is known; a successor learns it from the stored plans. */
+    /**
+     * Told once for every job when it is ready, so that the standing demand is known; a successor learns it from the
+     * stored plans.
+     */
     public void arrived(JobSpec spec, long readyWallMicros) {
         double cpuMicros = spec.pieces() * spec.cpus() * estimates.occupiedMicros(spec);
         demand.computeIfAbsent(spec.rank(), rank -> new Demand()).arrived(readyWallMicros, cpuMicros);
@@ -132,8 +136,8 @@
     }
 
     /**
-     * A burst is over before machines rented for it are up, so at first only aims count that they can still help to meet.
-     * A shortage that has outlasted a boot is no burst: then everything that is late counts.
+     * A burst is over before machines rented for it are up, so at first only aims count that they can still help to
+     * meet. A shortage that has outlasted a boot is no burst: then everything that is late counts.
      */
     private double urgentCpus(double have, long bootMicros, long nowMicros, long wallMicros) {
         double all = missingCpus(have, bootMicros, false, wallMicros);
@@ -183,8 +187,8 @@
     }
 
     /**
-     * Ordinary machines for work that may use no other: with spot machines as cheap as they are, nobody else rents them, and
-     * a job's few tasks would wait for minutes beside a fleet that is idle.
+     * Ordinary machines for work that may use no other: with spot machines as cheap as they are, nobody else rents
+     * them, and a job's few tasks would wait for minutes beside a fleet that is idle.
      *
      * @return the processors that were added to the wishes
      */
--- a/src/main/java/io/sillreel/placement/Cluster.java
+++ b/src/main/java/io/sillreel/placement/Cluster.java
@@ -82,7 +82,10 @@
         return book;
     }
 
-    /** Steps of planning and of reports so far: what they cost must not grow with machines that have nothing to do with them. */
+    /**
+     * Steps of planning and of reports so far: what they cost must not grow with machines that have nothing to do with
+     * them.
+     */
     public long work() {
         return work;
     }
--- a/src/main/java/io/sillreel/placement/Demand.java
+++ b/src/main/java/io/sillreel/placement/Demand.java
@@ -28,6 +28,7 @@
         }
     }
 
+    /** Returns the processors that work arriving at the recent rate keeps busy. */
     public double cpus(long wallMicros) {
         while (!arrivals.isEmpty() && !remembers(arrivals.peek().wallMicros(), wallMicros)) {
             sum -= arrivals.poll().cpuMicros();
--- a/src/main/java/io/sillreel/placement/Estimates.java
+++ b/src/main/java/io/sillreel/placement/Estimates.java
@@ -56,7 +56,9 @@
         return HANDLING_MICROS + Math.round(spec.imageGb() * FETCH_MICROS_PER_GB);
     }
 
-    /** From the end of what a job awaits to its own: its slowest task, the image, and the reports and plans around it. */
+    /**
+     * From the end of what a job awaits to its own: its slowest task, the image, and the reports and plans around it.
+     */
     public long spanMicros(ActiveJob job) {
         return slowestMicros(job) + START_MICROS + Math.round(job.spec().imageGb() * WHOLE_FETCH_MICROS_PER_GB);
     }
--- a/src/main/java/io/sillreel/placement/Planner.java
+++ b/src/main/java/io/sillreel/placement/Planner.java
@@ -18,10 +18,10 @@
 import java.util.function.Predicate;
 
 /**
- * Where waiting tasks go. The ordinary order is the compiled one, earlier-admitted pipelines first; ranks, guarantees and
- * age are the exceptions. A plan over all machines is made now and then; in between, a machine that reports free room is
- * filled from what the last plan had no room for, so that the cost of a report does not grow with the fleet. Either way
- * the outcome is a proposal: what a machine is really told is checked again when it reports.
+ * Where waiting tasks go. The ordinary order is the compiled one, earlier-admitted pipelines first; ranks, guarantees
+ * and age are the exceptions. A plan over all machines is made now and then; in between, a machine that reports free
+ * room is filled from what the last plan had no room for, so that the cost of a report does not grow with the fleet.
+ * Either way the outcome is a proposal: what a machine is really told is checked again when it reports.
  */
 public final class Planner {
     /** So many tasks of the job are to go on the machine. */
@@ -45,8 +45,8 @@
     }
 
     /**
-     * The proposal: launches for each machine, tasks to stop in favour of others, what found no place, and machines that
-     * are being emptied for a task that has waited too long.
+     * The proposal: launches for each machine, tasks to stop in favour of others, what found no place, and machines
+     * that are being emptied for a task that has waited too long.
      */
     public record Plan(
             Map<String, List<Assignment>> launches, List<Seat> halts, List<Queued> left, Map<String, Queued> reserved) {
@@ -69,7 +69,9 @@
     private static final long LAST_CHANCE_MICROS = 6_000_000;
     /** No exception holds a job up for longer: one that has not begun by then goes before all others. */
     private static final long BEGIN_BY_MICROS = 120_000_000;
-    /** Nor keeps one that has begun from its end: from some age on it is served like normal work, at last before all. */
+    /**
+     * Nor keeps one that has begun from its end: from some age on it is served like normal work, at last before all.
+     */
     private static final long YIELD_UNTIL_MICROS = 150_000_000;
 
     private static final long END_BY_MICROS = 300_000_000;
@@ -84,6 +86,7 @@
     private final long reportMicros;
     private final Deadlines deadlines;
 
+    /** @param reportMicros the interval between two reports of a worker */
     public Planner(Cluster cluster, long reportMicros, Deadlines deadlines) {
         this.cluster = cluster;
         this.reportMicros = reportMicros;
@@ -274,9 +277,9 @@
     }
 
     /**
-     * The exceptions from the order of admission: ranks; guaranteed work that waits too long; within a rank, work that is
-     * about to miss its time, before the rest, and work that has missed it, after the rest; work of a low rank that would
-     * miss its time if it yielded any longer. Level 0 is for what has waited too long.
+     * The exceptions from the order of admission: ranks; guaranteed work that waits too long; within a rank, work that
+     * is about to miss its time, before the rest, and work that has missed it, after the rest; work of a low rank that
+     * would miss its time if it yielded any longer. Level 0 is for what has waited too long.
      */
     private int level(ActiveJob job, long slack, boolean guaranteed, long wallMicros) {
         Rank rank = job.rank();
@@ -505,8 +508,8 @@
         }
 
         /**
-         * True if the task is part of what another team runs beyond its own guarantee. High ranks are left alone: they go
-         * first in the order, and would take the place back at once.
+         * True if the task is part of what another team runs beyond its own guarantee. High ranks are left alone: they
+         * go first in the order, and would take the place back at once.
          */
         private boolean isBeyond(Seat seat, ActiveJob forWhom) {
             JobSpec spec = seat.job().spec();
--- a/src/main/java/io/sillreel/settings/OperatorProperties.java
+++ b/src/main/java/io/sillreel/settings/OperatorProperties.java
@@ -9,8 +9,8 @@
 import java.util.TreeMap;
 
 /**
- * The operators' own settings: Java properties, all optional, durations in whole milliseconds. A key that isn't known is
- * an error, since a misspelt one would otherwise be believed to work.
+ * The operators' own settings: Java properties, all optional, durations in whole milliseconds. A key that isn't known
+ * is an error, since a misspelt one would otherwise be believed to work.
  *
  * @param stateLeaseMicros life of the lease that the leader key sits on
  * @param idleMicros how long a machine may be without work before it is returned
@@ -39,6 +39,11 @@
         return of(new Properties());
     }
 
+    /**
+     * Reads a properties file.
+     *
+     * @throws SettingsException naming the key that is unknown or impossible
+     */
     public static OperatorProperties read(Path file) {
         Properties properties = new Properties();
         try (Reader reader = Files.newBufferedReader(file)) {
@@ -50,6 +55,11 @@
         return of(properties);
     }
 
+    /**
+     * Checks the properties and fills in defaults.
+     *
+     * @throws SettingsException naming the key that is unknown or impossible
+     */
     public static OperatorProperties of(Properties properties) {
         for (String key : properties.stringPropertyNames()) {
             if (!DEFAULTS.containsKey(key)) {
--- a/src/main/java/io/sillreel/settings/Settings.java
+++ b/src/main/java/io/sillreel/settings/Settings.java
@@ -32,6 +32,7 @@
     /** One of the users' aims for starting or finishing, as far as it steers the order of work. */
     public record Objective(String kind, String jobClass, long withinMicros, double share) {}
 
+    /** How often workers report, how long their leases last, and how soon the tasks of a cancelled job must be gone. */
     public record WorkerTimes(long reportMicros, long leaseMicros, long cancelMicros) {}
 
     /**
@@ -44,8 +45,10 @@
     public record StateLimits(
             double requestsPerSecond, double writesPerSecond, int valueBytes, int txnOps, int storedValueBytes) {}
 
+    /** The rate of requests that the cloud takes, and how far its machine list lags. */
     public record CloudLimits(double requestsPerSecond, long listLagMicros) {}
 
+    /** What the platform gives this process. */
     public record Resources(double cores, double memoryMb, int maxSockets) {}
 
     /** All controllers, this one included. */
--- a/src/main/java/io/sillreel/settings/SettingsReader.java
+++ b/src/main/java/io/sillreel/settings/SettingsReader.java
@@ -24,20 +24,30 @@
 /** Reads and checks the platform's TOML. Fields it does not know are ignored. */
 public final class SettingsReader {
     private static final double MICROS = 1_000_000;
-    /** Below these nothing could be served: a lease is taken by two changes in one transaction and renewed every second. */
+    /**
+     * Below these nothing could be served: a lease is taken by two changes in one transaction and renewed every second.
+     */
     private static final double LEAST_REQUESTS = 4;
 
     private static final double LEAST_WRITES = 2;
     private static final double LEAST_OPS = 2;
     /** A submission with all its texts, or a rental of a few machines. */
     private static final double LEAST_VALUE_KB = 1;
-    /** What a process holds that has only started, measured, and sockets for its listeners, its own calls and a few users. */
+    /**
+     * What a process holds that has only started, measured, and sockets for its listeners, its own calls and a few
+     * users.
+     */
     private static final double LEAST_MEMORY_MB = 48;
 
     private static final double LEAST_SOCKETS = 40;
 
     private SettingsReader() {}
 
+    /**
+     * Reads the settings file.
+     *
+     * @throws SettingsException naming the field that is missing or impossible
+     */
     public static Settings read(Path file) {
         try {
             return parse(Files.readString(file));
@@ -47,6 +57,11 @@
         }
     }
 
+    /**
+     * Reads settings from TOML text.
+     *
+     * @throws SettingsException naming the field that is missing or impossible
+     */
     public static Settings parse(String toml) {
         JsonNode root;
         try {
--- a/src/main/java/io/sillreel/statestore/KeyWriter.java
+++ b/src/main/java/io/sillreel/statestore/KeyWriter.java
@@ -21,8 +21,8 @@
 
 /**
  * The lease holder's only way to write: changes merged into one transaction at a time, each conditional on the leader
- * key's stamp and on the changed key's own. So neither a former holder's late transaction nor an own one whose answer was
- * lost can undo what was written after it.
+ * key's stamp and on the changed key's own. So neither a former holder's late transaction nor an own one whose answer
+ * was lost can undo what was written after it.
  */
 public final class KeyWriter {
     /** What goes first when the store takes less than there is to write. */
@@ -111,7 +111,9 @@
     private static final long RETRY_MICROS = 250_000;
     private static final long IDLE_MICROS = 50_000;
     private static final long STUCK_MICROS = 15_000_000;
-    /** Writes left over for withdrawals and admissions on this controller, and the most of a low rate that this may be. */
+    /**
+     * Writes left over for withdrawals and admissions on this controller, and the most of a low rate that this may be.
+     */
     private static final double RESERVE = 2;
 
     private static final double MOST_RESERVE_PART = 0.25;
@@ -135,6 +137,10 @@
     private long busySinceMicros;
     private boolean closed;
 
+    /**
+     * @param leaderStamp the stamp under which this controller became the leader
+     * @param deposed called once a write shows that another controller leads
+     */
     public KeyWriter(StateStore store, Loop loop, String leaderKey, long leaderStamp, int txnOps, Runnable deposed) {
         this.store = store;
         this.loop = loop;
@@ -161,6 +167,7 @@
         sinceMicros.remove(item.key());
     }
 
+    /** Ends all writing; what waits is dropped. */
     public synchronized void close() {
         closed = true;
         waiting.clear();
@@ -171,7 +178,10 @@
         return waiting.size();
     }
 
-    /** Changes that go before progress, which gathers on purpose and says nothing about how far the store has fallen behind. */
+    /**
+     * Changes that go before progress, which gathers on purpose and says nothing about how far the store has fallen
+     * behind.
+     */
     public synchronized long pressing() {
         return waiting.values().stream()
                 .filter(item -> item.urgency() != Urgency.PROGRESS)
--- a/src/main/java/io/sillreel/statestore/Pacer.java
+++ b/src/main/java/io/sillreel/statestore/Pacer.java
@@ -3,9 +3,9 @@
 import io.sillreel.http.Loop;
 
 /**
- * A token bucket with one second's worth of burst: this controller's part of a rate that several share. What is refused all
- * the same shows that the rate has been lowered, or that others use more of it; then the part shrinks, and grows back
- * slowly.
+ * A token bucket with one second's worth of burst: this controller's part of a rate that several share. What is refused
+ * all the same shows that the rate has been lowered, or that others use more of it; then the part shrinks, and grows
+ * back slowly.
  */
 public final class Pacer {
     private static final double SHRINK = 0.6;
@@ -22,6 +22,7 @@
     private long atMicros;
     private long refusedMicros = Long.MIN_VALUE / 2;
 
+    /** @param burst how many tokens gather during a pause */
     public Pacer(Loop loop, double perSecond, double burst) {
         this.loop = loop;
         this.mostPerSecond = perSecond;
--- a/src/main/java/io/sillreel/statestore/StateStore.java
+++ b/src/main/java/io/sillreel/statestore/StateStore.java
@@ -29,8 +29,10 @@
         UNKNOWN
     }
 
+    /** A key with its value and the revision of its last change. */
     public record Entry(String key, JsonNode value, long stamp) {}
 
+    /** The answer to a read; the entry is null unless the key exists. */
     public record Read(Outcome outcome, Entry entry) {
         /** Stamp of the key as read: 0 if it does not exist. */
         public long stamp() {
@@ -43,15 +45,19 @@
         }
     }
 
+    /** All entries under a prefix, and the revision from which changes have to be watched. */
     public record Listing(Outcome outcome, List<Entry> entries, long ledger) {}
 
+    /** What became of a transaction, its revision, and the keys whose conditions failed. */
     public record Commit(Outcome outcome, long ledger, List<String> failed) {}
 
+    /** A lease of the state service. */
     public record Grant(Outcome outcome, long permit) {}
 
     /** A change; the value is null if the key was removed. */
     public record Change(String key, JsonNode value, long stamp) {}
 
+    /** The changes that a watch has seen, and the revision up to which it has seen them. */
     public record News(Outcome outcome, long ledger, List<Change> changes) {}
 
     private static final long TIMEOUT_MICROS = 1_500_000;
@@ -74,8 +80,8 @@
     private int unanswered;
 
     /**
-     * @param leaseCaller asks for leases and their renewal, on connections of its own: one that had to be opened first, or
-     *     waited behind users' questions, took longer than the lease in a crowd
+     * @param leaseCaller asks for leases and their renewal, on connections of its own: one that had to be opened first,
+     *     or waited behind users' questions, took longer than the lease in a crowd
      */
     public StateStore(Caller caller, Caller leaseCaller, Loop loop, String address, Pacer requests, Pacer writes) {
         this.caller = caller;
@@ -91,7 +97,9 @@
         return lastAnswerMicros;
     }
 
-    /** True while requests go unanswered one after the other: whoever asks is better refused at once than kept waiting. */
+    /**
+     * True while requests go unanswered one after the other: whoever asks is better refused at once than kept waiting.
+     */
     public synchronized boolean silent() {
         return unanswered >= SILENT_AFTER;
     }
@@ -106,6 +114,7 @@
         return writes.burst();
     }
 
+    /** Reads one key. */
     public CompletableFuture<Read> get(String key) {
         return send(Call.get("/kv/" + key), TIMEOUT_MICROS).thenApply(reply -> {
             Outcome outcome = outcome(reply);
@@ -136,6 +145,7 @@
         });
     }
 
+    /** Sends a transaction, unless this controller's part of the shared rates is used up. */
     public CompletableFuture<Commit> commit(Txn txn) {
         if (!requests.tryTake(1) || txn.size() > 0 && !writes.tryTake(txn.size())) {
             return CompletableFuture.completedFuture(new Commit(Outcome.REFUSED, 0, List.of()));
@@ -152,6 +162,7 @@
         });
     }
 
+    /** Requests a lease. */
     public CompletableFuture<Grant> grant(long lifeMicros) {
         ObjectNode body = Json.object().put("life_ms", lifeMicros / 1_000);
         return sendNow(Call.post("/grants", body))
@@ -168,6 +179,7 @@
                 .thenApply(this::outcome);
     }
 
+    /** Waits until a key under the prefix has changed after the revision, or until the time is over. */
     public CompletableFuture<News> watch(String prefix, long since, long blockMicros) {
         String path = "/watch?prefix=" + prefix + "&since=" + since + "&block_ms=" + blockMicros / 1_000;
         return send(Call.get(path), blockMicros + WATCH_SLACK_MICROS).thenApply(reply -> {
@@ -243,6 +255,7 @@
             return this;
         }
 
+        /** Sets a key that is removed together with the lease. */
         public Txn set(String key, JsonNode value, long permit) {
             ObjectNode change = Json.object().put("set", key);
             change.set("v", value);
--- a/src/main/java/io/sillreel/workers/Blame.java
+++ b/src/main/java/io/sillreel/workers/Blame.java
@@ -8,6 +8,7 @@
  * mistaken job fails on every machine. Until it is known, the machine gets nothing new and the job one task elsewhere.
  */
 public final class Blame {
+    /** Who is at fault for a failed task. */
     public enum Verdict {
         UNKNOWN,
         MACHINE,
@@ -19,6 +20,7 @@
 
     private Blame() {}
 
+    /** Judges a task of the job that failed on the machine. */
     public static Verdict failed(ActiveJob job, Machine machine) {
         if (job.succeededOnce()) {
             return Verdict.MACHINE;
--- a/src/main/java/io/sillreel/workers/Orders.java
+++ b/src/main/java/io/sillreel/workers/Orders.java
@@ -32,6 +32,7 @@
         return orders.isEmpty();
     }
 
+    /** Returns the commands under that token, as the body of a response or of a direct command. */
     public ObjectNode body(long baton) {
         ObjectNode body = Json.object().put("baton", baton);
         body.set("orders", orders);
--- a/src/main/java/io/sillreel/workers/Report.java
+++ b/src/main/java/io/sillreel/workers/Report.java
@@ -20,6 +20,7 @@
         long recallMicros,
         List<PieceState> pieces) {
 
+    /** The state of a task on its machine; the order is part of the message format between controllers. */
     public enum Stage {
         PULLING,
         RUNNING,
@@ -30,7 +31,9 @@
     /** One task on the machine; the cause is empty unless it has ended. */
     public record PieceState(String uid, int index, long attempt, Stage stage, String cause) {}
 
-    /** Reads a report, or returns null if it is none. Read as a stream: reports are most of what a controller is sent. */
+    /**
+     * Reads a report, or returns null if it is none. Read as a stream: reports are most of what a controller is sent.
+     */
     public static Report read(byte[] body) {
         try (JsonParser in = Json.parser(body)) {
             return in.nextToken() == JsonToken.START_OBJECT ? read(in) : null;
--- a/src/main/java/io/sillreel/workers/ReportDesk.java
+++ b/src/main/java/io/sillreel/workers/ReportDesk.java
@@ -22,9 +22,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes workers' reports while this controller holds the lease, and answers with what the machine is to do. Launches are
- * given in no other way: a worker drops a response that comes late, so a launch that the next report does not show has
- * not happened and never will.
+ * Takes workers' reports while this controller holds the lease, and answers with what the machine is to do. Launches
+ * are given in no other way: a worker drops a response that comes late, so a launch that the next report does not show
+ * has not happened and never will.
  */
 public final class ReportDesk {
     /** What the desk asks of the rest of the term. */
@@ -72,6 +72,7 @@
     private long attempts;
     private Planner.Plan plan = Planner.Plan.EMPTY;
 
+    /** @param mayAct true while the lease and the cancellations are known well enough to launch tasks */
     public ReportDesk(
             Loop loop,
             long term,
@@ -141,8 +142,8 @@
     }
 
     /**
-     * A machine that no stored hire names holds nothing of ours. It is used once it shows the current token: a copy of an
-     * old report, of a machine that was returned since, never does.
+     * A machine that no stored hire names holds nothing of ours. It is used once it shows the current token: a copy of
+     * an old report, of a machine that was returned since, never does.
      */
     private Reply stranger(Report report) {
         if (office.isGone(report.machine())) {
@@ -155,8 +156,8 @@
     }
 
     /**
-     * An older message, or a copy, says nothing new and must extend no bound, so it is not answered 200. The exception is
-     * a report that the answer to a direct command has just overtaken: its worker still waits.
+     * An older message, or a copy, says nothing new and must extend no bound, so it is not answered 200. The exception
+     * is a report that the answer to a direct command has just overtaken: its worker still waits.
      */
     private Reply notNewer(Machine machine, Report report, long now) {
         if (machine.overtaken(report, OVERTAKEN_MICROS, now)) {
@@ -169,7 +170,9 @@
         return Reply.later(503, "a newer report was seen", 1);
     }
 
-    /** The machine does not know this term yet: it may still obey an earlier holder. It is told, but not without end. */
+    /**
+     * The machine does not know this term yet: it may still obey an earlier holder. It is told, but not without end.
+     */
     private Reply unheard(Machine machine, long now) {
         if (deaf(machine)) {
             return giveUp(machine);
@@ -216,8 +219,8 @@
     }
 
     /**
-     * What the machine said when it was asked how far it counts: less than it had counted when it was asked means that it
-     * is a new life of it. If reports have been taken since, the answer is older than they are and says nothing.
+     * What the machine said when it was asked how far it counts: less than it had counted when it was asked means that
+     * it is a new life of it. If reports have been taken since, the answer is older than they are and says nothing.
      */
     public void asked(Report report, long shiftBefore, long tallyBefore) {
         synchronized (cluster) {
@@ -232,9 +235,9 @@
     }
 
     /**
-     * The machine has started again under its name. It goes back to the cloud: copies of reports from its old life could
-     * not be told from later ones of the new. What it was given stays counted until the cloud has taken it, or its lease
-     * has run out, since the new life may have been given some of it.
+     * The machine has started again under its name. It goes back to the cloud: copies of reports from its old life
+     * could not be told from later ones of the new. What it was given stays counted until the cloud has taken it, or
+     * its lease has run out, since the new life may have been given some of it.
      */
     private Reply newLife(Machine machine) {
         if (!machine.condemned()) {
@@ -403,7 +406,9 @@
         }
     }
 
-    /** Gives the machine what the plan has for it, and what it had no room for elsewhere as far as there is room here. */
+    /**
+     * Gives the machine what the plan has for it, and what it had no room for elsewhere as far as there is room here.
+     */
     private void launch(Machine machine, Report report, Orders orders, long now) {
         List<Assignment> planned = plan.launches().remove(machine.name());
         if (!planner.usable(machine, now)) {
--- a/src/main/java/io/sillreel/workers/ReportRelay.java
+++ b/src/main/java/io/sillreel/workers/ReportRelay.java
@@ -13,14 +13,15 @@
 import java.util.function.IntSupplier;
 
 /**
- * Hands workers' reports on to the lease holder, many in one request, and each worker the answer that was decided there.
- * A batch that gets no answer is refused to its workers as 503: what it carried was then decided for nobody, and the
- * workers' next reports show that.
+ * Hands workers' reports on to the lease holder, many in one request, and each worker the answer that was decided
+ * there. A batch that gets no answer is refused to its workers as 503: what it carried was then decided for nobody, and
+ * the workers' next reports show that.
  */
 public final class ReportRelay {
     /**
-     * Each batch costs both sides a request, whatever is in it. With a few workers that is little, and their answers are
-     * not held up for it; with hundreds of them batches of one or two reports were most of the work of a controller.
+     * Each batch costs both sides a request, whatever is in it. With a few workers that is little, and their answers
+     * are not held up for it; with hundreds of them batches of one or two reports were most of the work of a
+     * controller.
      */
     private static final long LEAST_GATHER_MICROS = 15_000;
 
@@ -32,8 +33,8 @@
     /** After a batch was lost nothing is handed on for so long. */
     private static final long BROKEN_MICROS = 2_000_000;
     /**
-     * One batch without an answer may just be late, at a holder that has much to do; sending its workers there by themselves
-     * would give it more. One that could not even be sent, or two in a row, mean that there is no way.
+     * One batch without an answer may just be late, at a holder that has much to do; sending its workers there by
+     * themselves would give it more. One that could not even be sent, or two in a row, mean that there is no way.
      */
     private static final int LATE_BATCHES = 1;
 
@@ -78,6 +79,7 @@
         return batchesSent;
     }
 
+    /** Passes the report to the leader with the next batch and completes with the leader's answer to it. */
     public CompletableFuture<Reply> pass(Report report, String leaderAddress) {
         CompletableFuture<Reply> answer = new CompletableFuture<>();
         synchronized (this) {
--- a/src/main/java/io/sillreel/workers/WorkerSpread.java
+++ b/src/main/java/io/sillreel/workers/WorkerSpread.java
@@ -28,6 +28,7 @@
     private int toMove;
     private String moveTo;
 
+    /** @param reportMicros the interval between two reports of a worker */
     public WorkerSpread(Loop loop, Peers peers, String node, long reportMicros) {
         this.loop = loop;
         this.peers = peers;
--- a/src/test/java/io/sillreel/MeetingsTest.java
+++ b/src/test/java/io/sillreel/MeetingsTest.java
@@ -71,10 +71,10 @@
     }
 
     /**
-     * The gap: the state service refuses the holder alone, another controller confirms cancellations, then the service is out
-     * for all, for longer than cancel_s, while the workers go on reporting to the old holder. Some of the machines hang
-     * within their leases and go on. Guards the bound of the holdover at the old holder, at a successor, and at one that
-     * the outage meets while it reads what is stored.
+     * The gap: the state service refuses the holder alone, another controller confirms cancellations, then the service
+     * is out for all, for longer than cancel_s, while the workers go on reporting to the old holder. Some of the
+     * machines hang within their leases and go on. Guards the bound of the holdover at the old holder, at a successor,
+     * and at one that the outage meets while it reads what is stored.
      */
     @Test
     void whatIsCancelledWhileTheHolderAloneIsRefusedIsGoneInTimeThroughAnOutage() {
@@ -106,7 +106,9 @@
         }
     }
 
-    /** Guards tasks against their leases when their holder, refused alone, can still be told by the one that confirmed. */
+    /**
+     * Guards tasks against their leases when their holder, refused alone, can still be told by the one that confirmed.
+     */
     @Test
     void aHolderThatIsRefusedAloneIsToldOfWithdrawals() {
         World world = begun(16);
@@ -146,7 +148,9 @@
         nothingBroken(world);
     }
 
-    /** Guards the jobs of a holder that keeps its lease and may do nothing with it: it resigns, and another one goes on. */
+    /**
+     * Guards the jobs of a holder that keeps its lease and may do nothing with it: it resigns, and another one goes on.
+     */
     @Test
     void aHolderThatAloneCanNotFollowWithdrawalsIsSucceeded() {
         World world = begun(19);
@@ -164,7 +168,10 @@
         nothingBroken(world);
     }
 
-    /** Guards the proof of a holder that is answered again after an outage, and has not heard what was cancelled before it. */
+    /**
+     * Guards the proof of a holder that is answered again after an outage, and has not heard what was cancelled before
+     * it.
+     */
     @Test
     void aHolderThatIsAnsweredAgainLaunchesNothingOfWhatWasCancelledMeanwhile() {
         World world = begun(3);
@@ -297,7 +304,10 @@
         }
     }
 
-    /** Guards the count of tasks that can't be seen: cancelled ones on machines that are cut off or hang use the limit too. */
+    /**
+     * Guards the count of tasks that can't be seen: cancelled ones on machines that are cut off or hang use the limit
+     * too.
+     */
     @Test
     void theLimitHoldsWhileCancelledTasksCanNotBeReachedAndTheLeaderChanges() {
         for (int seed = 1; seed <= 6; seed++) {
@@ -385,7 +395,10 @@
         }
     }
 
-    /** Guards the stored hires: machines that are up at once get work only once their names are stored, however late that is. */
+    /**
+     * Guards the stored hires: machines that are up at once get work only once their names are stored, however late
+     * that is.
+     */
     @Test
     void newMachinesAreStoredBeforeTheyWorkThoughWritesLagAndTheLeaderEnds() {
         for (int seed = 1; seed <= 5; seed++) {
@@ -409,7 +422,10 @@
         }
     }
 
-    /** Guards a term's first seconds against reports of the one before, in whatever number they come, at every controller. */
+    /**
+     * Guards a term's first seconds against reports of the one before, in whatever number they come, at every
+     * controller.
+     */
     @Test
     void oldReportsThatReachEveryControllerAsATermBeginsChangeNothing() {
         for (int seed = 1; seed <= 3; seed++) {
@@ -472,7 +488,9 @@
         }
     }
 
-    /** Guards the zone of a job: what a machine has lost starts where the rest of its job is, or where all of it can be. */
+    /**
+     * Guards the zone of a job: what a machine has lost starts where the rest of its job is, or where all of it can be.
+     */
     @Test
     void jobsOfOneZoneThatLoseMachinesStayInOneZone() {
         for (int seed = 1; seed <= 4; seed++) {
@@ -506,7 +524,10 @@
         }
     }
 
-    /** Guards workers and users of a holder that hears neither state service nor peers, while jobs are cancelled elsewhere. */
+    /**
+     * Guards workers and users of a holder that hears neither state service nor peers, while jobs are cancelled
+     * elsewhere.
+     */
     @Test
     void whatIsCancelledThroughANewHolderStopsThoughWorkersStillReachTheOldOne() {
         World world = begun(7);
@@ -530,7 +551,9 @@
         nothingBroken(world);
     }
 
-    /** Guards against a command that is carried out long after it was given: it names an attempt that never comes again. */
+    /**
+     * Guards against a command that is carried out long after it was given: it names an attempt that never comes again.
+     */
     @Test
     void commandsHeldUpUntilTheirMachineGoesOnHurtNobody() {
         World world = begun(8);
@@ -631,7 +654,9 @@
         nothingBroken(world);
     }
 
-    /** Guards a zone that goes on by itself behind its cut: its holder lets go in time, and nothing runs on both sides. */
+    /**
+     * Guards a zone that goes on by itself behind its cut: its holder lets go in time, and nothing runs on both sides.
+     */
     @Test
     void aZoneThatIsCutOffWithTheHolderForLongerThanALeaseRunsNothingTwice() {
         for (Fate fate : List.of(Fate.LOSE, Fate.HOLD)) {
@@ -658,7 +683,9 @@
         }
     }
 
-    /** Guards machines that reach no controller: commands alone keep nothing alive, and nothing new is given to them. */
+    /**
+     * Guards machines that reach no controller: commands alone keep nothing alive, and nothing new is given to them.
+     */
     @Test
     void machinesThatReachNoControllerKeepNoTasks() {
         World world = begun(12);
@@ -679,7 +706,9 @@
         nothingBroken(world);
     }
 
-    /** Guards the lowest rank, and the answers, when there is far more work than room and every message takes its time. */
+    /**
+     * Guards the lowest rank, and the answers, when there is far more work than room and every message takes its time.
+     */
     @Test
     void moreWorkThanRoomOverSlowLinksIsAllServed() {
         World world = begun(13);
@@ -700,7 +729,10 @@
         nothingBroken(world);
     }
 
-    /** Guards the final answers: odd requests about jobs in every state get the status of the protocol, and change nothing. */
+    /**
+     * Guards the final answers: odd requests about jobs in every state get the status of the protocol, and change
+     * nothing.
+     */
     @Test
     void oddRequestsGetTheirStatusesAndChangeNothing() {
         World world = begun(14);
--- a/src/test/java/io/sillreel/RandomScheduleTest.java
+++ b/src/test/java/io/sillreel/RandomScheduleTest.java
@@ -23,9 +23,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random troubles over the whole service in memory: kills, restarts within a moment, cuts that lose or hold messages, late
- * copies of reports, machines that hear nothing or start again, lone controllers, outages, machines taken. The users'
- * rules are watched all along, and once the troubles end every job must end. A seed that fails is named;
+ * Random troubles over the whole service in memory: kills, restarts within a moment, cuts that lose or hold messages,
+ * late copies of reports, machines that hear nothing or start again, lone controllers, outages, machines taken. The
+ * users' rules are watched all along, and once the troubles end every job must end. A seed that fails is named;
  * {@code -Dsillreel.seed=N} plays one by hand.
  */
 class RandomScheduleTest {
@@ -45,19 +45,25 @@
         }
     }
 
-    /** The same with troubles that hit many at once, or that stop processes for a while: half of all troubles are those. */
+    /**
+     * The same with troubles that hit many at once, or that stop processes for a while: half of all troubles are those.
+     */
     @Test
     void theRulesHoldWhenManyFailTogether() {
         playSeeds(seed -> play(seed, true));
     }
 
-    /** Pairs of the troubles that operators have seen to meet, now and then three of them, each while the others last. */
+    /**
+     * Pairs of the troubles that operators have seen to meet, now and then three of them, each while the others last.
+     */
     @Test
     void theRulesHoldWhenTroublesMeet() {
         playSeeds(RandomScheduleTest::playMeetings);
     }
 
-    /** The same with chains of jobs, withdrawals anywhere in them, and limits of the state service that fall on the way. */
+    /**
+     * The same with chains of jobs, withdrawals anywhere in them, and limits of the state service that fall on the way.
+     */
     @Test
     void theRulesHoldForChainsWhenTroublesMeet() {
         playSeeds(RandomScheduleTest::playChains);
--- a/src/test/java/io/sillreel/UpgradeTest.java
+++ b/src/test/java/io/sillreel/UpgradeTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Controllers of the present version beside controllers of the previous one ({@code PreviousVersion}), as leaders and as
- * followers, and on each other's data. The world checks the users' rules throughout.
+ * Controllers of the present version beside controllers of the previous one ({@code PreviousVersion}), as leaders and
+ * as followers, and on each other's data. The world checks the users' rules throughout.
  */
 class UpgradeTest {
     private static final int NODES = 3;
@@ -232,7 +232,9 @@
         everythingEnds(world, 7, List.of(uid(6)));
     }
 
-    /** The state service refuses the leader alone, and then everybody, while one version confirms and the other leads. */
+    /**
+     * The state service refuses the leader alone, and then everybody, while one version confirms and the other leads.
+     */
     @ParameterizedTest
     @EnumSource
     void tasksOfAJobThatTheOtherVersionCancelledEndInTime(Version leading) {
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -36,8 +36,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Beside the version in production (5806758) and on what it stored. The samples were made by running that version; what is
- * written for jobs that it could be asked for is the same to the letter, so its rules for reading hold.
+ * Beside the version in production (5806758) and on what it stored. The samples were made by running that version; what
+ * is written for jobs that it could be asked for is the same to the letter, so its rules for reading hold.
  */
 class VersionsTest {
     private static final String PLAN = "{\"at_us\":1700000123456789,\"job\":{\"uid\":\"job-000412\",\"lot\":\"train\","
@@ -49,7 +49,8 @@
             "{\"pieces\":16,\"done\":3,\"running\":1,\"stage\":\"running\",\"bits\":\"CYA=\"}";
     private static final String DONE = "{\"pieces\":2,\"done\":2,\"running\":0,\"stage\":\"done\"}";
     private static final String FAILED = "{\"pieces\":2,\"done\":0,\"running\":0,\"stage\":\"queued\",\"attempts\":1,"
-            + "\"next_us\":1700000123456791,\"reason\":\"attempt 1 failed: its tasks failed on host-000001 and host-000002\","
+            + "\"next_us\":1700000123456791,\"reason\":\"attempt 1 failed: "
+            + "its tasks failed on host-000001 and host-000002\","
             + "\"bits\":\"\"}";
     /** Pieces 0, 191, 192 and 399 of 400 are done; that version put 192 into a value of 64 bytes. */
     private static final Map<String, String> CHUNKED = Map.of(
@@ -71,7 +72,8 @@
                     + "2082856a6a6f622d303030343132031b00000029000000020160856a6a6f622d30303033393800010364646f6e65";
     private static final String ANSWERS =
             "828318c858487b226261746f6e223a34312c226f7264657273223a5b7b2276657262223a226c61"
-                    + "756e6368222c227069656365223a226a6f622d3030303431322f34222c22747279223a377d5d7d00831901f758237b226572726f7222"
+                    + "756e6368222c227069656365223a226a6f622d3030303431322f34222c22747279223a377d5d7d00831901f758237b"
+                    + "226572726f7222"
                     + "3a2261206e65776572207265706f727420776173207365656e227d01";
     private static final String WITHDRAWN = "816a6a6f622d303030343132";
 
@@ -129,7 +131,10 @@
         assertThat(hire.mayHold("host-000232")).isFalse();
     }
 
-    /** Guards the stand-in for that version in the simulated cluster: it hides and forbids nothing that the version knew. */
+    /**
+     * Guards the stand-in for that version in the simulated cluster: it hides and forbids nothing that the version
+     * knew.
+     */
     @Test
     void theStandInLeavesItsSamplesAsTheyAre() {
         Map<String, String> samples = new HashMap<>(CHUNKED);
@@ -220,9 +225,9 @@
         world.withdraw(0, "job-000003");
         world.seconds(20);
         assertThat(world.state().keysUnder(""))
-                .allMatch(
-                        key -> key.matches(
-                                "plan/job-[0-9]+|run/job-[0-9]+(/[0-9]+)?|withdraw/job-[0-9]+|hire/[a-z0-9.-]+|term|leader|flavors"));
+                .allMatch(key ->
+                        key.matches("plan/job-[0-9]+|run/job-[0-9]+(/[0-9]+)?|withdraw/job-[0-9]+|hire/[a-z0-9.-]+"
+                                + "|term|leader|flavors"));
         for (String key : world.state().keysUnder("run/")) {
             assertThat(world.state().value(key).path("bits").isTextual()
                             || world.state().value(key).path("stage").asText().equals("done"))
@@ -231,7 +236,9 @@
         }
     }
 
-    /** Guards a done set that it cut by larger values: read by its rule, written in smaller parts, nothing left behind. */
+    /**
+     * Guards a done set that it cut by larger values: read by its rule, written in smaller parts, nothing left behind.
+     */
     @Test
     void whatItCutLargerIsRewrittenInSmallerParts() {
         SimState state = new SimState(time, 20, 8 * 1024, 1_000);
--- a/src/test/java/io/sillreel/admission/AdmissionStoriesTest.java
+++ b/src/test/java/io/sillreel/admission/AdmissionStoriesTest.java
@@ -116,7 +116,9 @@
         assertThat(world.submit(0, World.job("job-000004", 1)).status()).isEqualTo(503);
     }
 
-    /** Guards against waiting for a state service that does not answer: after the first silence users are told at once. */
+    /**
+     * Guards against waiting for a state service that does not answer: after the first silence users are told at once.
+     */
     @Test
     void aControllerCutFromTheStateServiceRefusesAtOnceAndServesAgainLater() {
         int cut = (world.leader() + 1) % 3;
--- a/src/test/java/io/sillreel/fleet/RentalStoriesTest.java
+++ b/src/test/java/io/sillreel/fleet/RentalStoriesTest.java
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Guards the stored hire when the answer to its own write is lost: the cloud is asked twice and answers alike, and the
-     * second answer, which brings nothing new, made the hire be forgotten with its machines at work.
+     * Guards the stored hire when the answer to its own write is lost: the cloud is asked twice and answers alike, and
+     * the second answer, which brings nothing new, made the hire be forgotten with its machines at work.
      */
     @Test
     void aRentalThatIsAnsweredTwiceKeepsItsMachines() {
@@ -120,8 +120,8 @@
     }
 
     /**
-     * Guards jobs that may not use spot machines: one ordinary machine, however busy, counted as room for them, and a few
-     * tasks waited for minutes.
+     * Guards jobs that may not use spot machines: one ordinary machine, however busy, counted as room for them, and a
+     * few tasks waited for minutes.
      */
     @Test
     void whatMayUseNoSpotMachineGetsAnOrdinaryOne() {
--- a/src/test/java/io/sillreel/load/LoadDriver.java
+++ b/src/test/java/io/sillreel/load/LoadDriver.java
@@ -23,13 +23,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Measures what a start, a holder, a follower and a takeover cost: the built program as real processes on loopback, under
- * stand-ins for the state service, the cloud, its machines and the users. Linux only; not part of the test run, since what
- * it prints depends on the machine. From the repository, after a build:
+ * Measures what a start, a holder, a follower and a takeover cost: the built program as real processes on loopback,
+ * under stand-ins for the state service, the cloud, its machines and the users. Linux only; not part of the test run,
+ * since what it prints depends on the machine. From the repository, after a build:
  *
  * <pre>
  * mvn -q test-compile dependency:build-classpath -Dmdep.outputFile=target/cp.txt
- * java -cp target/test-classes:target/classes:$(cat target/cp.txt) io.sillreel.load.LoadDriver WORKERS CONTROLLERS SECONDS
+ * java -cp target/test-classes:target/classes:$(cat target/cp.txt) io.sillreel.load.LoadDriver \
+ *     WORKERS CONTROLLERS SECONDS
  * </pre>
  */
 public final class LoadDriver {
@@ -273,6 +274,7 @@
                 taken, (loop.nowMicros() - begun) / 1e6, used(holder) - before[holder]);
     }
 
+    /** Runs the driver with the number of controllers and workers given as arguments. */
     public static void main(String[] args) throws Exception {
         LoadDriver driver = new LoadDriver(Integer.parseInt(args[0]), Integer.parseInt(args[1]));
         try {
--- a/src/test/java/io/sillreel/ownership/TakeoverStoriesTest.java
+++ b/src/test/java/io/sillreel/ownership/TakeoverStoriesTest.java
@@ -291,7 +291,9 @@
         assertThat(world.broken()).isEmpty();
     }
 
-    /** Guards against a holder that stands still, and acts on what it knew when it goes on: another one leads by then. */
+    /**
+     * Guards against a holder that stands still, and acts on what it knew when it goes on: another one leads by then.
+     */
     @Test
     void aHolderThatStandsStillYieldsWhenItGoesOn() {
         world.seconds(2);
@@ -329,7 +331,9 @@
         assertThat(world.broken()).isEmpty();
     }
 
-    /** Guards an election against a candidate that stands still with the lease half taken: nobody waits for it for long. */
+    /**
+     * Guards an election against a candidate that stands still with the lease half taken: nobody waits for it for long.
+     */
     @Test
     void aCandidateThatStandsStillInMidElectionHoldsUpNobody() {
         for (int halfSeconds = 4; halfSeconds <= 8; halfSeconds++) {
--- a/src/test/java/io/sillreel/pipeline/ChainStoriesTest.java
+++ b/src/test/java/io/sillreel/pipeline/ChainStoriesTest.java
@@ -278,7 +278,9 @@
         assertThat(world.broken()).isEmpty();
     }
 
-    /** Guards a list that is read page by page: it shows a job and not what that awaits, which was admitted in between. */
+    /**
+     * Guards a list that is read page by page: it shows a job and not what that awaits, which was admitted in between.
+     */
     @Test
     void whatIsReadBeforeThePlanOfWhatItAwaitsIsNotReleased() {
         world.cloud().outage(true);
@@ -361,7 +363,9 @@
         assertThat(world.broken()).isEmpty();
     }
 
-    /** Guards writes against limits that fall without notice: nothing is larger than they will be, and 429 only slows. */
+    /**
+     * Guards writes against limits that fall without notice: nothing is larger than they will be, and 429 only slows.
+     */
     @Test
     void limitsThatFallInTheMiddleLoseNothing() {
         for (int job = 1; job <= 30; job++) {
--- a/src/test/java/io/sillreel/placement/PlannerTest.java
+++ b/src/test/java/io/sillreel/placement/PlannerTest.java
@@ -191,7 +191,9 @@
         assertThat(plan().launches().get("host-000001")).containsExactly(new Assignment(low, 1));
     }
 
-    /** Guards against long tasks on machines that may be taken, while work that saves its progress sits on the others. */
+    /**
+     * Guards against long tasks on machines that may be taken, while work that saves its progress sits on the others.
+     */
     @Test
     void whatSavesItsProgressGoesToSpotMachinesAndTheRestToOrdinaryOnes() {
         Machine spot = machine(1, true);
--- a/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
+++ b/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
@@ -114,7 +114,10 @@
         assertThat(planner.guaranteed()).contains(first, behind).doesNotContain(waiting, beyond);
     }
 
-    /** Guards a successor: whatever the order in which it reads, links are those of the whole, and closed in their order. */
+    /**
+     * Guards a successor: whatever the order in which it reads, links are those of the whole, and closed in their
+     * order.
+     */
     @Test
     void linksAreRebuiltWhateverTheOrderOfReading() {
         ActiveJob third = job("job-000003", Rank.NORMAL, -1, "job-000002", "job-000009");
--- a/src/test/java/io/sillreel/sim/PreviousVersion.java
+++ b/src/test/java/io/sillreel/sim/PreviousVersion.java
@@ -13,11 +13,11 @@
 import java.util.regex.Pattern;
 
 /**
- * Makes a controller behave as version 5806758 does towards everything that it shares with others: the state service, the
- * other controllers, users and workers. Whatever that version does not know is hidden from the controller, and the
+ * Makes a controller behave as version 5806758 does towards everything that it shares with others: the state service,
+ * the other controllers, users and workers. Whatever that version does not know is hidden from the controller, and the
  * controller is reported if it says or stores anything that version 5806758 would not, or would be shown a key on which
- * that version fails. {@code VersionsTest} holds samples of what the version itself wrote and said, and checks that this
- * class leaves them as they are.
+ * that version fails. {@code VersionsTest} holds samples of what the version itself wrote and said, and checks that
+ * this class leaves them as they are.
  */
 public final class PreviousVersion {
     /** Everything that version 5806758 was seen to store. */
--- a/src/test/java/io/sillreel/sim/SimNetwork.java
+++ b/src/test/java/io/sillreel/sim/SimNetwork.java
@@ -23,10 +23,11 @@
     }
 
     /**
-     * LOSE: never arrives. LOSE_ANSWER: is carried out, the answer never arrives. LATE: the same, but carried out 2 to 12 s
-     * later, after newer ones. SLOW_ANSWER: is carried out, and the answer takes up to a second. HOLD: arrives when released. COPY: arrives, and a copy of it once more, seconds to most of
-     * a minute later. KEEP: arrives, and a copy is kept until the kept ones are let go. REFUSE: answered 503 at once and
-     * not carried out; a watch is left open.
+     * LOSE: never arrives. LOSE_ANSWER: is carried out, the answer never arrives. LATE: the same, but carried out 2 to
+     * 12 s later, after newer ones. SLOW_ANSWER: is carried out, and the answer takes up to a second. HOLD: arrives
+     * when released. COPY: arrives, and a copy of it once more, seconds to most of a minute later. KEEP: arrives, and a
+     * copy is kept until the kept ones are let go. REFUSE: answered 503 at once and not carried out; a watch is left
+     * open.
      */
     public enum Fate {
         DELIVER,
@@ -91,7 +92,10 @@
         slowness = times;
     }
 
-    /** Delivers the kept copies to each of the hosts, in their old order, in some waves within a second; then forgets them. */
+    /**
+     * Delivers the kept copies to each of the hosts, in their old order, in some waves within a second; then forgets
+     * them.
+     */
     public void letKeptGo(List<String> hosts) {
         SimTime.Process nobody = time.new Process();
         for (long wave = 0; wave < WAVES; wave++) {
@@ -105,6 +109,7 @@
         kept.clear();
     }
 
+    /** Returns the network as that host and process see it. */
     public Caller from(String host, SimTime.Process process) {
         return (to, call, timeoutMicros) -> {
             CompletableFuture<Reply> answer = new CompletableFuture<>();
--- a/src/test/java/io/sillreel/sim/SimTime.java
+++ b/src/test/java/io/sillreel/sim/SimTime.java
@@ -23,6 +23,7 @@
         queue.add(new Due(nowMicros + Math.max(0, delayMicros), order++, task));
     }
 
+    /** Lets that much time pass and runs whatever becomes due. */
     public void runFor(long micros) {
         long end = nowMicros + micros;
         while (!queue.isEmpty() && queue.peek().atMicros() <= end) {
--- a/src/test/java/io/sillreel/sim/SimWorker.java
+++ b/src/test/java/io/sillreel/sim/SimWorker.java
@@ -138,6 +138,7 @@
         tasks.clear();
     }
 
+    /** Returns the tasks that are on the machine. */
     public List<String> running() {
         List<String> running = new ArrayList<>();
         if (leaseIsOver()) {
--- a/src/test/java/io/sillreel/sim/Troubles.java
+++ b/src/test/java/io/sillreel/sim/Troubles.java
@@ -38,7 +38,9 @@
         return (from, to, call) -> from.equals(host(node)) && to.startsWith(STATE) ? Fate.REFUSE : null;
     }
 
-    /** The controller and the workers hear each other, but the state service and the other controllers don't hear it. */
+    /**
+     * The controller and the workers hear each other, but the state service and the other controllers don't hear it.
+     */
     public static Rule lone(int node) {
         String host = host(node);
         return (from, to, call) -> from.equals(host) && (to.startsWith(CONTROLLERS) || to.startsWith(STATE))
--- a/src/test/java/io/sillreel/sim/World.java
+++ b/src/test/java/io/sillreel/sim/World.java
@@ -308,6 +308,7 @@
         return job;
     }
 
+    /** Returns a valid submission. */
     public static ObjectNode job(String uid, int pieces) {
         ObjectNode job = Json.object()
                 .put("uid", uid)
@@ -330,6 +331,7 @@
         return job.put("due_s", 12.0).putNull("builds").putNull("yard");
     }
 
+    /** Sends a request and lets time pass until it is answered or its user gives up. */
     public Reply ask(int node, Call call) {
         Reply[] answer = new Reply[1];
         users.call(publicAddress(node), call, 2 * SECOND).thenAccept(reply -> answer[0] = reply);
--- a/src/test/java/io/sillreel/statestore/KeyWriterTest.java
+++ b/src/test/java/io/sillreel/statestore/KeyWriterTest.java
@@ -39,7 +39,10 @@
         writer = new KeyWriter(store, process, "leader", 101, 4, () -> deposed = true);
     }
 
-    /** Guards writes against limits that fall below what was announced: none is sent again as it was, none blocks the rest. */
+    /**
+     * Guards writes against limits that fall below what was announced: none is sent again as it was, none blocks the
+     * rest.
+     */
     @Test
     void whatIsTooLargeTogetherGoesAloneAndWhatIsTooLargeAloneHoldsUpNobody() {
         state.limits(1, 40, 1_000);
@@ -61,7 +64,10 @@
         assertThat(large.stamp).isPositive();
     }
 
-    /** Guards against a rate that falls: what is refused slows the writer, within a second, and is no failure of anything. */
+    /**
+     * Guards against a rate that falls: what is refused slows the writer, within a second, and is no failure of
+     * anything.
+     */
     @Test
     void refusalsForTheRateSlowWritingAndLoseNothing() {
         // A quarter of what this controller takes for its part.
@@ -204,7 +210,9 @@
         assertThat(progress).allMatch(count -> count.stamp > 0);
     }
 
-    /** Guards the condition on the changed key's own stamp: an own write that arrives late must not undo a newer one. */
+    /**
+     * Guards the condition on the changed key's own stamp: an own write that arrives late must not undo a newer one.
+     */
     @Test
     void anOwnWriteThatArrivesLateDoesNotUndoWhatCameAfter() {
         Count count = new Count("k");
@@ -275,7 +283,9 @@
         assertThat(taken).isBetween(28, 30);
     }
 
-    /** Guards rentals, which wait while the store can't keep up: progress of many jobs gathers and says nothing of that. */
+    /**
+     * Guards rentals, which wait while the store can't keep up: progress of many jobs gathers and says nothing of that.
+     */
     @Test
     void progressThatGathersIsNoBacklogOfWhatPresses() {
         for (int i = 0; i < 30; i++) {
--- a/src/test/java/io/sillreel/workers/ReportRelayTest.java
+++ b/src/test/java/io/sillreel/workers/ReportRelayTest.java
@@ -41,7 +41,9 @@
         return soon;
     }
 
-    /** Guards the holder against a request for each report or two: with hundreds of workers that was most of its work. */
+    /**
+     * Guards the holder against a request for each report or two: with hundreds of workers that was most of its work.
+     */
     @Test
     void manyWorkersReportsAreGatheredForLonger() {
         play(400);
--- a/src/test/java/io/sillreel/workers/TroubleStoriesTest.java
+++ b/src/test/java/io/sillreel/workers/TroubleStoriesTest.java
@@ -213,7 +213,9 @@
         assertThat(world.broken()).isEmpty();
     }
 
-    /** Guards against work on a recalled machine that can't end there: it held its pieces until the machine was gone. */
+    /**
+     * Guards against work on a recalled machine that can't end there: it held its pieces until the machine was gone.
+     */
     @Test
     void aTaskThatCanNotEndOnARecalledMachineIsStoppedAtOnce() {
         world.seconds(2);
@@ -241,7 +243,10 @@
         assertThat(world.broken()).isEmpty();
     }
 
-    /** Guards against waiting, for a machine that was taken without a word, as if it might be on its way to another controller. */
+    /**
+     * Guards against waiting, for a machine that was taken without a word, as if it might be on its way to another
+     * controller.
+     */
     @Test
     void aMachineThatFallsSilentWhileNothingElseFailsIsReturnedSooner() {
         SimWorker worker = fleetWithLongTasks();
@@ -268,7 +273,9 @@
         assertThat(world.broken()).isEmpty();
     }
 
-    /** Guards against giving a cut zone away two machines at a time, as their silence is noticed one after the other. */
+    /**
+     * Guards against giving a cut zone away two machines at a time, as their silence is noticed one after the other.
+     */
     @Test
     void machinesThatFallSilentOneAfterTheOtherAreNotAllGivenAway() {
         World many = new World(13);
