--- a/src/test/java/io/sillreel/UpgradeTest.java
+++ b/src/test/java/io/sillreel/UpgradeTest.java
@@ -264,6 +264,50 @@
         everythingEnds(world, 3, List.of(uid(1), uid(2)));
     }
 
+    /**
+     * Only its workers hear the leader while another controller confirms the cancellation, and then the state service
+     * is out for all: nobody can tell the leader, so it has to stop answering in time.
+     */
+    @ParameterizedTest
+    @EnumSource
+    void tasksEndInTimeUnderALeaderThatCanNotHearOfTheirCancellation(Version leading) {
+        World world = previousVersion(62);
+        int leader = leadAlone(world, leading);
+        int follower = (leader + 1) % NODES;
+        submitMeanwhile(world, 1, 4);
+        world.untilStarted(4, 200 * SECOND);
+        Rule alone = world.network().add(Troubles.lone(leader));
+        world.seconds(1);
+        assertThat(world.withdraw(follower, uid(1)).json().path("stage").asText())
+                .isEqualTo("withdrawn");
+        world.state().outage(true);
+        world.seconds(60);
+        assertThat(world.broken()).isEmpty();
+        world.state().outage(false);
+        world.network().remove(alone);
+        everythingEnds(world, 1, List.of(uid(1)));
+    }
+
+    /** The cancellations come at moments around the end of a task that runs for three seconds. */
+    @ParameterizedTest
+    @EnumSource
+    void aCancellationThatMeetsTheEndOfTheLastTaskHasOneOutcomeForBothVersions(Version leading) {
+        World world = previousVersion(63);
+        int leader = leadAlone(world, leading);
+        int follower = (leader + 1) % NODES;
+        for (int round = 1; round <= 14; round++) {
+            world.submit(follower, World.job(uid(round), 1));
+            int starts = world.starts();
+            world.until(() -> world.starts() > starts);
+            world.seconds(2.85 + 0.05 * round);
+            String told =
+                    world.withdraw(follower, uid(round)).json().path("stage").asText();
+            world.seconds(2);
+            everyNodeSays(world, uid(round), told);
+        }
+        assertThat(world.broken()).isEmpty();
+    }
+
     /** The announced limits may come while the last controllers of the previous version are still there. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3})
