--- a/src/main/java/io/sillreel/admission/Admission.java
+++ b/src/main/java/io/sillreel/admission/Admission.java
@@ -9,9 +9,13 @@
 import io.sillreel.http.Loop;
 import io.sillreel.http.Reply;
 import io.sillreel.pipeline.JobSpec;
+import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.settings.Settings;
+import io.sillreel.settings.Settings.StateLimits;
+import io.sillreel.settings.ValueLimits;
 import io.sillreel.statestore.StateStore;
+import io.sillreel.statestore.StateStore.Commit;
 import io.sillreel.statestore.StateStore.Outcome;
 import io.sillreel.statestore.StateStore.Txn;
 import java.util.List;
@@ -30,6 +34,10 @@
 public final class Admission implements Handler {
     private static final Logger LOG = LoggerFactory.getLogger(Admission.class);
     private static final String RUNS = "/v2/runs";
+    /** A plan that is not cut is one value. */
+    private static final int WHOLE = 1;
+
+    private static final int MOST_LOGGED = 8;
     private static final int RETRY_SECONDS = 1;
     private static final int MOST_TRIES = 5;
 
@@ -125,6 +133,9 @@
         if (spec.awaits().isEmpty()) {
             return store(spec, List.of(), tries);
         }
+        if (cut(new PlanRecord(loop.wallMicros(), spec)).isEmpty()) {
+            return unlessKnown(spec.uid(), tooLarge(spec));
+        }
         // Once accepted a job stays so, and that may be remembered; that it never was, only the store can say.
         return views.fresh(spec.awaits()).thenCompose(awaited -> {
             if (awaited.contains(null)) {
@@ -139,26 +150,45 @@
         });
     }
 
-    /** Stores the plan; that of a job which awaits a withdrawn one together with its own withdrawal. */
+    /**
+     * Stores the plan. Controllers of the previous version read only plans that are one value, so a job that such a
+     * controller may drive is cut only once the state service has refused the size: then the announced limits are in
+     * force, and no such controller is left. Jobs that await others are submitted only after the upgrade.
+     */
     private CompletableFuture<Reply> store(JobSpec spec, List<JobView> awaited, int tries) {
-        String uid = spec.uid();
-        String key = "plan/" + uid;
-        long now = loop.wallMicros();
-        ObjectNode plan = Json.object().put("at_us", now);
-        plan.set("job", spec.json());
-        if (Json.bytes(plan).length > settings.state().valueBytes()) {
-            return unlessKnown(uid, Reply.refusal(422, "the job's description is too large to be stored"));
+        PlanRecord plan = new PlanRecord(loop.wallMicros(), spec);
+        ValueLimits limits = settings.state().values();
+        boolean maybeCut = !spec.awaits().isEmpty();
+        Optional<Map<String, JsonNode>> values = maybeCut ? cut(plan) : plan.cut(limits.presentBytes(), WHOLE);
+        if (values.isEmpty()) {
+            return unlessKnown(spec.uid(), tooLarge(spec));
         }
-        Txn txn = new Txn().require(key, 0).set(key, plan);
-        Optional<JobView> withdrawn =
-                awaited.stream().filter(JobView::withdrawn).findFirst();
+        return commit(plan, values.get(), awaited)
+                .thenCompose(commit -> {
+                    Optional<Map<String, JsonNode>> smaller = cut(plan);
+                    boolean again = commit.outcome() == Outcome.TOO_LARGE && !maybeCut && smaller.isPresent();
+                    return again ? commit(plan, smaller.get(), awaited) : CompletableFuture.completedFuture(commit);
+                })
+                .thenCompose(commit -> stored(spec, awaited, commit, tries));
+    }
+
+    /** The plan as it can be stored under the announced limits; one change is left for the cancellation. */
+    private Optional<Map<String, JsonNode>> cut(PlanRecord plan) {
+        StateLimits limits = settings.state();
+        return plan.cut(limits.values().announcedBytes(), Math.max(WHOLE, limits.txnOps() - 1));
+    }
+
+    /** Stores the values of a plan; a job which awaits a cancelled one is cancelled in the same transaction. */
+    private CompletableFuture<Commit> commit(PlanRecord plan, Map<String, JsonNode> values, List<JobView> awaited) {
+        String uid = plan.spec().uid();
+        Txn txn = new Txn().require(PlanRecord.key(uid), 0);
+        values.forEach(txn::set);
+        Optional<JobView> withdrawn = firstWithdrawn(awaited);
         if (withdrawn.isPresent()) {
-            txn.require("withdraw/" + uid, 0)
-                    .set(
-                            "withdraw/" + uid,
-                            Json.object()
-                                    .put("at_us", now)
-                                    .put("by", withdrawn.get().uid()));
+            ObjectNode closed = Json.object()
+                    .put("at_us", plan.admittedWallMicros())
+                    .put("by", withdrawn.get().uid());
+            txn.require("withdraw/" + uid, 0).set("withdraw/" + uid, closed);
         } else {
             // As far as there is room: what is withdrawn in this very moment closes the job all the same.
             awaited.stream()
@@ -166,42 +196,67 @@
                     .limit(4L * settings.state().txnOps() - 1)
                     .forEach(each -> txn.require("withdraw/" + each.uid(), 0));
         }
-        return store.commit(txn).thenCompose(commit -> {
-            switch (commit.outcome()) {
-                case OK -> {
-                    JobView view = JobViews.planned(uid, commit.ledger(), spec);
-                    view = withdrawn.isPresent() ? view.closedBy() : view;
-                    views.remember(view);
-                    LOG.info(
-                            "admitted {}: {} x {} cpus, {} of {}, rank {}{}",
-                            uid,
-                            spec.pieces(),
-                            spec.cpus(),
-                            spec.lot(),
-                            spec.crew(),
-                            spec.rank().wire(),
-                            awaited.isEmpty() ? "" : ", after " + String.join(", ", spec.awaits()));
-                    String stage = view.withdrawn() ? "withdrawn" : "queued";
-                    return done(Reply.of(201, Json.object().put("uid", uid).put("stage", stage)));
-                }
-                case REFUSED -> {
-                    return done(Reply.later(503, "the state service does not take the job now", RETRY_SECONDS));
-                }
-                case TOO_LARGE -> {
-                    return unlessKnown(uid, Reply.refusal(422, "the job's description is too large to be stored"));
-                }
-                default -> {
-                    boolean moved = commit.outcome() == Outcome.CONFLICT
-                            && !commit.failed().contains(key);
-                    if (moved && tries > 1) {
-                        // One of those that it awaits has been withdrawn since.
-                        return admit(spec, tries - 1);
-                    }
-                    // Known already, or the answer got lost: only the store can say which.
-                    return unlessKnown(uid, Reply.later(503, "the job could not be stored for certain", RETRY_SECONDS));
+        return store.commit(txn);
+    }
+
+    private static Optional<JobView> firstWithdrawn(List<JobView> awaited) {
+        return awaited.stream().filter(JobView::withdrawn).findFirst();
+    }
+
+    private CompletableFuture<Reply> stored(JobSpec spec, List<JobView> awaited, Commit commit, int tries) {
+        String uid = spec.uid();
+        switch (commit.outcome()) {
+            case OK -> {
+                return done(
+                        admitted(spec, commit.ledger(), firstWithdrawn(awaited).isPresent()));
+            }
+            case REFUSED -> {
+                return done(Reply.later(503, "the state service does not take the job now", RETRY_SECONDS));
+            }
+            case TOO_LARGE -> {
+                return unlessKnown(uid, tooLarge(spec));
+            }
+            default -> {
+                boolean moved =
+                        commit.outcome() == Outcome.CONFLICT && !commit.failed().contains(PlanRecord.key(uid));
+                if (moved && tries > 1) {
+                    // One of those that it awaits has been withdrawn since.
+                    return admit(spec, tries - 1);
                 }
+                // Known already, or the answer got lost: only the store can say which.
+                return unlessKnown(uid, Reply.later(503, "the job could not be stored for certain", RETRY_SECONDS));
             }
-        });
+        }
+    }
+
+    private Reply admitted(JobSpec spec, long planStamp, boolean withdrawn) {
+        JobView planned = JobViews.planned(spec.uid(), planStamp, spec);
+        JobView view = withdrawn ? planned.closedBy() : planned;
+        views.remember(view);
+        LOG.info(
+                "admitted {}: {} x {} cpus, {} of {}, rank {}{}",
+                spec.uid(),
+                spec.pieces(),
+                spec.cpus(),
+                spec.lot(),
+                spec.crew(),
+                spec.rank().wire(),
+                after(spec.awaits()));
+        String stage = view.withdrawn() ? "withdrawn" : "queued";
+        return Reply.of(201, Json.object().put("uid", spec.uid()).put("stage", stage));
+    }
+
+    private static String after(List<String> awaits) {
+        if (awaits.isEmpty()) {
+            return "";
+        }
+        return ", after " + (awaits.size() > MOST_LOGGED ? awaits.size() + " jobs" : String.join(", ", awaits));
+    }
+
+    private static Reply tooLarge(JobSpec spec) {
+        int names = spec.awaits().size();
+        String awaits = names == 0 ? "" : "; it awaits " + names + " jobs, split them over several jobs";
+        return Reply.refusal(422, "the job's description is too large to be stored" + awaits);
     }
 
     /** A job that was accepted is answered as such before anything else is held against the request. */
--- a/src/main/java/io/sillreel/admission/JobViews.java
+++ b/src/main/java/io/sillreel/admission/JobViews.java
@@ -2,8 +2,10 @@
 
 import io.sillreel.http.Loop;
 import io.sillreel.pipeline.JobSpec;
+import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.statestore.StateStore;
+import io.sillreel.statestore.StateStore.Entry;
 import io.sillreel.statestore.StateStore.Outcome;
 import io.sillreel.statestore.StateStore.Read;
 import io.sillreel.statestore.StateStore.Txn;
@@ -16,6 +18,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
@@ -184,7 +187,7 @@
     private static Map<String, Long> own(JobView view) {
         Map<String, Long> own = new LinkedHashMap<>();
         if (!view.accepted()) {
-            own.put("plan/" + view.uid(), 0L);
+            own.put(PlanRecord.key(view.uid()), 0L);
         }
         own.put(RunRecord.key(view.uid()), view.runStamp());
         own.put("withdraw/" + view.uid(), view.withdrawStamp());
@@ -295,39 +298,48 @@
     }
 
     private CompletableFuture<Boolean> read(String uid) {
-        JobView old = remembered(uid);
-        CompletableFuture<Read> plan = old.accepted() ? null : store.get("plan/" + uid);
+        CompletableFuture<Optional<JobView>> planned = readPlan(uid);
         CompletableFuture<Read> run = store.get(RunRecord.key(uid));
         CompletableFuture<Read> withdraw = store.get("withdraw/" + uid);
-        CompletableFuture<?> all =
-                plan == null ? CompletableFuture.allOf(run, withdraw) : CompletableFuture.allOf(plan, run, withdraw);
-        return all.thenApply(ignored -> {
-            if (plan != null && !plan.join().decided()
-                    || !run.join().decided()
-                    || !withdraw.join().decided()) {
+        return CompletableFuture.allOf(planned, run, withdraw).thenApply(ignored -> {
+            boolean decided = run.join().decided() && withdraw.join().decided();
+            if (planned.join().isEmpty() || !decided) {
                 return false;
             }
-            JobView view = plan == null || plan.join().entry() == null
-                    ? old
-                    : planned(
-                            uid,
-                            plan.join().stamp(),
-                            JobSpec.ofPlan(plan.join().entry().value().path("job")));
+            JobView view = planned.join().get();
+            Entry head = run.join().entry();
             remember(new JobView(
                     uid,
                     view.planStamp(),
                     view.pieces(),
                     view.awaits(),
                     run.join().stamp(),
-                    run.join().entry() == null
-                            ? null
-                            : RunRecord.Head.of(run.join().entry().value()),
+                    head == null ? null : RunRecord.Head.of(head.value()),
                     withdraw.join().stamp(),
                     false));
             return true;
         });
     }
 
+    /** What the plan says of a job, read unless it is remembered; empty if that can't be said. */
+    private CompletableFuture<Optional<JobView>> readPlan(String uid) {
+        JobView old = remembered(uid);
+        if (old.accepted()) {
+            return CompletableFuture.completedFuture(Optional.of(old));
+        }
+        return store.get(PlanRecord.key(uid)).thenCompose(read -> {
+            if (!read.decided()) {
+                return CompletableFuture.completedFuture(Optional.empty());
+            }
+            if (read.entry() == null) {
+                return CompletableFuture.completedFuture(Optional.of(old));
+            }
+            return PlanRecord.of(read.entry().value())
+                    .complete(store)
+                    .thenApply(plan -> plan.map(whole -> planned(uid, read.stamp(), whole.spec())));
+        });
+    }
+
     /** What is known of a job by its plan alone. */
     static JobView planned(String uid, long planStamp, JobSpec spec) {
         return new JobView(uid, planStamp, spec.pieces(), spec.awaits(), 0, null, 0, false);
--- a/src/main/java/io/sillreel/fleet/FleetKeeper.java
+++ b/src/main/java/io/sillreel/fleet/FleetKeeper.java
@@ -110,7 +110,7 @@
 
     /** Takes over a stored hire; its machines may run tasks of an earlier holder until the bound. */
     public void inherit(Hire hire, long aliveUntilMicros) {
-        int most = Hire.mostMachines(settings.state().valueBytes());
+        int most = Hire.mostMachines(settings.state().values().announcedBytes());
         if (hire.machines().size() > most) {
             hire.split(most, writer::enqueue).forEach(part -> {
                 inherit(part, aliveUntilMicros);
@@ -448,8 +448,8 @@
             wishes = capacity.wishes(types.get().values(), pending, pendingOrdinary, now, loop.wallMicros());
         }
         for (Wish wish : wishes) {
-            int count =
-                    Math.min(wish.count(), Hire.mostMachines(settings.state().valueBytes()));
+            int count = Math.min(
+                    wish.count(), Hire.mostMachines(settings.state().values().announcedBytes()));
             Hire hire = new Hire("r-" + term + "-" + ++names, wish.type().name(), wish.yard(), wish.spot(), count);
             hires.put(hire.name(), hire);
             hire.onStored(() -> ask(hire));
--- /dev/null
+++ b/src/main/java/io/sillreel/ownership/StoredState.java
@@ -0,0 +1,38 @@
+package io.sillreel.ownership;
+
+import io.sillreel.fleet.Hire;
+import io.sillreel.pipeline.PlanRecord;
+import io.sillreel.pipeline.RunRecord;
+import io.sillreel.statestore.KeyWriter;
+import java.util.List;
+import java.util.Set;
+
+/**
+ * Everything that the state service holds when a term begins.
+ *
+ * @param unfinished jobs whose end is not stored, in the order of their admission
+ * @param done ids of the jobs whose end is stored
+ * @param recentlyDone plans of those that were admitted lately enough to count as demand
+ * @param leftovers removals of what earlier terms left behind beside the records of jobs that are done
+ * @param cancelled ids of the jobs whose cancellation is stored
+ * @param rentals all stored rentals
+ * @param plansRevision the revision from which new plans have to be watched
+ * @param cancellationsRevision the revision from which cancellations have to be watched
+ */
+record StoredState(
+        List<StoredJob> unfinished,
+        Set<String> done,
+        List<PlanRecord> recentlyDone,
+        List<KeyWriter.Item> leftovers,
+        Set<String> cancelled,
+        List<Hire> rentals,
+        long plansRevision,
+        long cancellationsRevision) {
+
+    /**
+     * A job whose end is not stored.
+     *
+     * @param head what is stored of its progress, or null if it has not been released
+     */
+    record StoredJob(PlanRecord plan, long planStamp, RunRecord.Head head, long headStamp, RunRecord.Pieces pieces) {}
+}
--- a/src/main/java/io/sillreel/ownership/Tenure.java
+++ b/src/main/java/io/sillreel/ownership/Tenure.java
@@ -1,22 +1,22 @@
 package io.sillreel.ownership;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import io.sillreel.admission.LiveCounts;
 import io.sillreel.cloud.CloudClient;
 import io.sillreel.cloud.MachineType;
 import io.sillreel.fleet.FleetKeeper;
-import io.sillreel.fleet.Hire;
 import io.sillreel.fleet.Machine;
 import io.sillreel.fleet.Seat;
 import io.sillreel.http.Call;
 import io.sillreel.http.Caller;
 import io.sillreel.http.Loop;
 import io.sillreel.http.Reply;
+import io.sillreel.ownership.StoredState.StoredJob;
 import io.sillreel.peer.Peers;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.Chains;
 import io.sillreel.pipeline.Closure;
 import io.sillreel.pipeline.JobSpec;
+import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RetrySchedule;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.placement.CapacityPlanner;
@@ -31,8 +31,6 @@
 import io.sillreel.statestore.KeyWriter;
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.StateStore.Change;
-import io.sillreel.statestore.StateStore.Entry;
-import io.sillreel.statestore.StateStore.Listing;
 import io.sillreel.statestore.StateStore.Outcome;
 import io.sillreel.workers.Orders;
 import io.sillreel.workers.Report;
@@ -46,8 +44,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
+import java.util.function.LongPredicate;
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -58,8 +56,6 @@
  */
 public final class Tenure implements ReportDesk.Office, ActiveJob.Watcher, Chains.Office, LiveCounts {
     private static final Logger LOG = LoggerFactory.getLogger(Tenure.class);
-    private static final String PLANS = "plan/";
-    private static final String WITHDRAWALS = "withdraw/";
     private static final long TICK_MICROS = 100_000;
     private static final long PLAN_AT_LEAST_MICROS = 2_000_000;
     private static final long PLAN_EVERY_MICROS = 200_000;
@@ -233,82 +229,34 @@
             loop.after(RETRY_MICROS, this::load);
             return;
         }
-        // All at once: nobody but this holder writes records and hires any more, and what becomes of plans and
-        // withdrawals
-        // is followed from where each list was read.
         long asked = loop.nowMicros();
-        List<CompletableFuture<Listing>> lists = new ArrayList<>();
-        for (String prefix : List.of(PLANS, RunRecord.PREFIX, WITHDRAWALS, Hire.PREFIX, RunRecord.partsPrefix())) {
-            lists.add(store.list(prefix));
-        }
-        CompletableFuture.allOf(lists.toArray(CompletableFuture[]::new)).thenRun(() -> {
-            if (closed) {
-                return;
-            }
-            if (lists.stream().anyMatch(list -> list.join().outcome() != Outcome.OK)) {
-                loop.after(RETRY_MICROS, this::load);
-                return;
-            }
-            withdrawProofMicros = asked;
-            build(
-                    lists.get(0).join(),
-                    lists.get(1).join(),
-                    lists.get(2).join(),
-                    lists.get(3).join(),
-                    lists.get(4).join());
-        });
+        LongPredicate countsAsDemand = admitted -> Demand.remembers(admitted, loop.wallMicros());
+        new StoredStateReader(store, settings.state().values().presentBytes(), countsAsDemand)
+                .read()
+                .thenAccept(state -> {
+                    if (closed) {
+                        return;
+                    }
+                    if (state.isEmpty()) {
+                        loop.after(RETRY_MICROS, this::load);
+                        return;
+                    }
+                    withdrawProofMicros = asked;
+                    begin(state.get());
+                });
     }
 
-    private void build(Listing plans, Listing runs, Listing withdrawals, Listing hires, Listing parts) {
+    private void begin(StoredState state) {
         synchronized (cluster) {
-            withdrawals.entries().forEach(entry -> withdrawnUids.add(entry.key().substring(WITHDRAWALS.length())));
-            Map<String, Entry> heads = new HashMap<>();
-            Map<String, RunRecord.Pieces> pieces = new HashMap<>();
-            for (Entry entry : runs.entries()) {
-                String rest = entry.key().substring(RunRecord.PREFIX.length());
-                int slash = rest.indexOf('/');
-                if (slash < 0) {
-                    heads.put(rest, entry);
-                } else {
-                    addPiece(pieces, rest.substring(0, slash), entry);
-                }
-            }
-            parts.entries().forEach(entry -> addPiece(pieces, RunRecord.uidOfPart(entry.key()), entry));
-            List<Entry> inOrder = new ArrayList<>(plans.entries());
-            inOrder.sort((a, b) -> Long.compare(a.stamp(), b.stamp()));
-            Set<String> done = new HashSet<>();
+            withdrawnUids.addAll(state.cancelled());
+            state.recentlyDone().forEach(plan -> capacity.arrived(plan.spec(), plan.admittedWallMicros()));
+            toWrite(state.leftovers());
             List<ActiveJob> unfinished = new ArrayList<>();
-            for (Entry plan : inOrder) {
-                String uid = plan.key().substring(PLANS.length());
-                Entry head = heads.get(uid);
-                long admitted = plan.value().path("at_us").asLong();
-                if (head != null && RunRecord.Head.of(head.value()).isDone()) {
-                    done.add(uid);
-                    toWrite(pieces.getOrDefault(uid, RunRecord.Pieces.NONE).removals());
-                    if (Demand.remembers(admitted, loop.wallMicros())) {
-                        capacity.arrived(JobSpec.ofPlan(plan.value().path("job")), admitted);
-                    }
-                    continue;
-                }
-                ActiveJob job = read(plan.value(), plan.stamp());
-                if (head != null) {
-                    job.inherit(
-                            head.stamp(),
-                            RunRecord.Head.of(head.value()),
-                            pieces.getOrDefault(uid, RunRecord.Pieces.NONE));
-                }
-                add(job);
-                if (job.complete() && !job.withdrawn()) {
-                    writer.enqueue(job);
-                }
-                unfinished.add(job);
-            }
-            chains.begin(unfinished, done::contains, withdrawnUids::contains);
+            state.unfinished().forEach(stored -> unfinished.add(inherit(stored)));
+            chains.begin(unfinished, state.done()::contains, withdrawnUids::contains);
             unfinished.forEach(inheritance::joined);
             long bound = desk.aliveUntil(loop.nowMicros()) + holdoverMicros() + HOLDOVER_MARGIN_MICROS / 3;
-            for (Entry entry : hires.entries()) {
-                fleet.inherit(Hire.of(entry.key(), entry.value(), entry.stamp()), bound);
-            }
+            state.rentals().forEach(rental -> fleet.inherit(rental, bound));
             loaded = true;
             loadedMicros = loop.nowMicros();
             dirty = true;
@@ -318,20 +266,21 @@
                 term,
                 cluster.jobs().size(),
                 cluster.machines().size());
-        watchPlans(plans.ledger());
-        watchWithdrawals(withdrawals.ledger());
+        watchPlans(state.plansRevision());
+        watchWithdrawals(state.cancellationsRevision());
         loop.after(0, this::tick);
     }
 
-    private void addPiece(Map<String, RunRecord.Pieces> pieces, String uid, Entry entry) {
-        RunRecord.Pieces ofJob = pieces.computeIfAbsent(
-                uid,
-                each -> new RunRecord.Pieces(
-                        new HashMap<>(),
-                        new HashMap<>(),
-                        RunRecord.chunkPieces(settings.state().storedValueBytes())));
-        ofJob.values().put(entry.key(), entry.value().path("bits").asText());
-        ofJob.stamps().put(entry.key(), entry.stamp());
+    private ActiveJob inherit(StoredJob stored) {
+        ActiveJob job = create(stored.plan(), stored.planStamp());
+        if (stored.head() != null) {
+            job.inherit(stored.headStamp(), stored.head(), stored.pieces());
+        }
+        add(job);
+        if (job.complete() && !job.withdrawn()) {
+            writer.enqueue(job);
+        }
+        return job;
     }
 
     @Override
@@ -339,13 +288,9 @@
         items.forEach(writer::enqueue);
     }
 
-    private ActiveJob read(JsonNode plan, long stamp) {
+    private ActiveJob create(PlanRecord plan, long stamp) {
         return new ActiveJob(
-                JobSpec.ofPlan(plan.path("job")),
-                stamp,
-                plan.path("at_us").asLong(),
-                settings.state().valueBytes(),
-                this);
+                plan.spec(), stamp, plan.admittedWallMicros(), settings.state().values(), this);
     }
 
     private void add(ActiveJob job) {
@@ -359,14 +304,25 @@
         dirty = true;
     }
 
-    /** A job that was admitted during the term. */
-    private void enter(JsonNode plan, long stamp) {
-        ActiveJob job = read(plan, stamp);
-        if (cluster.job(job.uid()) == null) {
-            add(job);
-            chains.enter(job, withdrawnUids::contains);
-            inheritance.joined(job);
-        }
+    /** A job that was admitted during the term; names in overflow values are read first. */
+    private void enter(PlanRecord plan, long stamp) {
+        plan.complete(store).thenAccept(complete -> {
+            if (closed) {
+                return;
+            }
+            if (complete.isEmpty()) {
+                loop.after(RETRY_MICROS, () -> enter(plan, stamp));
+                return;
+            }
+            synchronized (cluster) {
+                if (cluster.job(plan.spec().uid()) == null) {
+                    ActiveJob job = create(complete.get(), stamp);
+                    add(job);
+                    chains.enter(job, withdrawnUids::contains);
+                    inheritance.joined(job);
+                }
+            }
+        });
     }
 
     @Override
@@ -422,12 +378,12 @@
 
     private void watchPlans(long since) {
         follow(
-                PLANS,
+                PlanRecord.PREFIX,
                 since,
                 PLAN_WATCH_MICROS,
                 change -> {
                     if (change.value() != null) {
-                        enter(change.value(), change.stamp());
+                        enter(PlanRecord.of(change.value()), change.stamp());
                     }
                 },
                 sent -> {});
@@ -435,10 +391,10 @@
 
     private void watchWithdrawals(long since) {
         follow(
-                WITHDRAWALS,
+                StoredStateReader.CANCELLATIONS,
                 since,
                 WITHDRAW_WATCH_MICROS,
-                change -> withdrawn(change.key().substring(WITHDRAWALS.length())),
+                change -> withdrawn(change.key().substring(StoredStateReader.CANCELLATIONS.length())),
                 sent -> withdrawProofMicros = Math.max(withdrawProofMicros, sent));
     }
 
--- a/src/main/java/io/sillreel/pipeline/ActiveJob.java
+++ b/src/main/java/io/sillreel/pipeline/ActiveJob.java
@@ -1,6 +1,7 @@
 package io.sillreel.pipeline;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import io.sillreel.settings.ValueLimits;
 import io.sillreel.statestore.KeyWriter;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -29,8 +30,14 @@
     private final long planStamp;
     private final long admittedWallMicros;
     private final Watcher watcher;
-    /** Null if the done set fits into the head. */
+    /** Null if the done set fits into the head under all limits. */
     private final DoneParts parts;
+    /**
+     * False while the done set is written into the head though it will not fit there under the announced limits. The
+     * previous version reads no parts; it would start pieces again that are done. Once the state service refuses the
+     * head for its size the announced limits are in force, which they are only after the upgrade.
+     */
+    private boolean inParts;
 
     private final BitSet done = new BitSet();
     private final BitSet stored = new BitSet();
@@ -71,17 +78,18 @@
     /**
      * Creates a job that has not been released; {@link #inherit} adds what is stored of it.
      *
-     * @param valueBytes the largest value that the state service takes, now or once its limits fall
+     * @param limits decides in which form the done set is stored
      */
-    public ActiveJob(JobSpec spec, long planStamp, long admittedWallMicros, int valueBytes, Watcher watcher) {
+    public ActiveJob(JobSpec spec, long planStamp, long admittedWallMicros, ValueLimits limits, Watcher watcher) {
         this.spec = spec;
         this.planStamp = planStamp;
         this.admittedWallMicros = admittedWallMicros;
         this.watcher = watcher;
-        int per = RunRecord.chunkPieces(valueBytes);
+        int per = RunRecord.chunkPieces(limits.announcedBytes());
         this.parts = spec.pieces() <= per
                 ? null
                 : new DoneParts(spec.uid(), spec.pieces(), per, all -> watcher.toWrite(List.of(this)));
+        this.inParts = spec.pieces() > RunRecord.chunkPieces(limits.presentBytes());
         neededByNobody();
         this.ready = spec.awaits().isEmpty();
         this.readyWallMicros = admittedWallMicros;
@@ -102,6 +110,7 @@
         reason = head.reason();
         done.or(pieces.read(spec.uid(), head));
         stored.or(done);
+        inParts |= head.per() > 0;
         if (parts != null) {
             parts.inherit(head, pieces.stamps(), done);
         } else if (!pieces.stamps().isEmpty()) {
@@ -363,7 +372,7 @@
 
     @Override
     public List<KeyWriter.Item> first() {
-        return parts == null || complete() ? List.of() : parts.toWrite(done);
+        return writesParts() ? parts.toWrite(done) : List.of();
     }
 
     @Override
@@ -372,7 +381,8 @@
         doneSent = complete();
         sent.clear();
         String bits = null;
-        if (parts == null || doneSent) {
+        boolean cut = writesParts();
+        if (!cut) {
             sent.or(done);
             bits = doneSent ? null : RunRecord.encode(done);
         } else {
@@ -382,7 +392,6 @@
         }
         int running = seatedCount;
         String stage = doneSent ? RunRecord.DONE : running > 0 ? "running" : "queued";
-        boolean cut = parts != null && !doneSent;
         return Map.of(
                 key(),
                 new RunRecord.Head(
@@ -408,8 +417,10 @@
         doneStored |= doneSent;
         List<KeyWriter.Item> unneeded = new ArrayList<>(oldPieces);
         oldPieces.clear();
-        if (parts != null) {
-            unneeded.addAll(doneStored ? parts.removeAll() : parts.headStored(generationsSent));
+        if (doneStored && parts != null) {
+            unneeded.addAll(parts.removeAll());
+        } else if (inParts) {
+            unneeded.addAll(parts.headStored(generationsSent));
         }
         if (!unneeded.isEmpty()) {
             watcher.toWrite(unneeded);
@@ -417,6 +428,18 @@
         watcher.recordStored(this);
     }
 
+    private boolean writesParts() {
+        return inParts && !complete();
+    }
+
+    @Override
+    public void tooLarge() {
+        if (parts != null && !inParts) {
+            inParts = true;
+            watcher.toWrite(List.of(this));
+        }
+    }
+
     @Override
     public void moved(long stamp) {
         runStamp = stamp;
--- a/src/main/java/io/sillreel/pipeline/JobSpec.java
+++ b/src/main/java/io/sillreel/pipeline/JobSpec.java
@@ -51,6 +51,31 @@
         return spread ? (pieces + 1) / 2 : pieces;
     }
 
+    /** The same job with other lists of names; {@code builds} is null for any. */
+    JobSpec withNames(List<String> otherBuilds, List<String> otherAwaits) {
+        return new JobSpec(
+                uid,
+                lot,
+                crew,
+                rank,
+                pieces,
+                cpus,
+                cards,
+                ramGb,
+                reel,
+                imageGb,
+                otherBuilds,
+                yard,
+                oneZone,
+                spread,
+                spot,
+                guessMicros,
+                markEveryMicros,
+                stashMicros,
+                dueMicros,
+                otherAwaits);
+    }
+
     /** The form kept in the plan. */
     public ObjectNode json() {
         ObjectNode node = Json.object();
--- a/src/main/java/io/sillreel/pipeline/RunRecord.java
+++ b/src/main/java/io/sillreel/pipeline/RunRecord.java
@@ -5,6 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.http.Json;
 import io.sillreel.statestore.KeyWriter;
+import io.sillreel.statestore.StateStore;
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.BitSet;
@@ -55,6 +56,12 @@
             return done;
         }
 
+        /** Adds a stored entry. */
+        public void add(StateStore.Entry entry) {
+            values.put(entry.key(), entry.value().path("bits").asText());
+            stamps.put(entry.key(), entry.stamp());
+        }
+
         /** What takes all of them away. */
         public List<KeyWriter.Item> removals() {
             List<KeyWriter.Item> removals = new ArrayList<>();
@@ -68,6 +75,11 @@
         return Math.max(8, valueBytes / 2 / 4 * 3 * 8);
     }
 
+    /** True if the stored head says that the job is done; cheaper than to read all of it. */
+    public static boolean isDone(JsonNode head) {
+        return head.path("stage").asText().equals(DONE);
+    }
+
     public static String key(String uid) {
         return PREFIX + uid;
     }
--- a/src/main/java/io/sillreel/settings/Settings.java
+++ b/src/main/java/io/sillreel/settings/Settings.java
@@ -39,11 +39,9 @@
      * What the state service takes. It may lower its limits at any moment to what was announced, so what is written is
      * never larger than both allow; rates are the present ones, and follow what is refused.
      *
-     * @param valueBytes the smaller of the present limit and the announced one, and so is {@code txnOps}
-     * @param storedValueBytes the present limit, by which versions that knew of no other cut what they stored
+     * @param txnOps the smaller of the present limit and the announced one
      */
-    public record StateLimits(
-            double requestsPerSecond, double writesPerSecond, int valueBytes, int txnOps, int storedValueBytes) {}
+    public record StateLimits(double requestsPerSecond, double writesPerSecond, ValueLimits values, int txnOps) {}
 
     /** The rate of requests that the cloud takes, and how far its machine list lags. */
     public record CloudLimits(double requestsPerSecond, long listLagMicros) {}
--- a/src/main/java/io/sillreel/settings/SettingsReader.java
+++ b/src/main/java/io/sillreel/settings/SettingsReader.java
@@ -24,6 +24,7 @@
 /** Reads and checks the platform's TOML. Fields it does not know are ignored. */
 public final class SettingsReader {
     private static final double MICROS = 1_000_000;
+    private static final int BYTES_PER_KB = 1024;
     /**
      * Below these nothing could be served: a lease is taken by two changes in one transaction and renewed every second.
      */
@@ -146,12 +147,10 @@
         Section next = state.sectionOr("next");
         next.atLeastOr("rps", LEAST_REQUESTS, requests);
         next.atLeastOr("write_rps", LEAST_WRITES, writes);
-        return new StateLimits(
-                requests,
-                writes,
-                (int) (Math.min(valueKb, next.atLeastOr("value_kb", LEAST_VALUE_KB, valueKb)) * 1024),
-                (int) Math.min(txnOps, next.atLeastOr("txn_ops", LEAST_OPS, txnOps)),
-                (int) (valueKb * 1024));
+        double announcedKb = Math.min(valueKb, next.atLeastOr("value_kb", LEAST_VALUE_KB, valueKb));
+        double announcedOps = Math.min(txnOps, next.atLeastOr("txn_ops", LEAST_OPS, txnOps));
+        ValueLimits values = new ValueLimits((int) (valueKb * BYTES_PER_KB), (int) (announcedKb * BYTES_PER_KB));
+        return new StateLimits(requests, writes, values, (int) announcedOps);
     }
 
     private static InetSocketAddress address(String hostPort) {
--- /dev/null
+++ b/src/test/java/io/sillreel/pipeline/LongAwaitListTest.java
@@ -0,0 +1,102 @@
+package io.sillreel.pipeline;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.sillreel.http.Reply;
+import io.sillreel.sim.World;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** Jobs that await more others than fit into one value of the state service. */
+class LongAwaitListTest {
+    private final World world = new World(31);
+
+    @BeforeEach
+    void begin() {
+        world.seconds(2);
+    }
+
+    private static String uid(int number) {
+        return "job-%06d".formatted(number);
+    }
+
+    private int accepted(int node, ObjectNode job) {
+        Reply reply = world.submit(node, job);
+        for (int tries = 0; tries < 20 && reply.status() / 100 != 2; tries++) {
+            world.seconds(1);
+            reply = world.submit(node, job);
+        }
+        return reply.status();
+    }
+
+    private void everyNodeSays(String uid, String stage) {
+        for (int node = 0; node < world.nodes(); node++) {
+            if (world.isUp(node)) {
+                assertThat(world.stage(node, uid)).as("%s at %d", uid, node).isEqualTo(stage);
+            }
+        }
+    }
+
+    /** Guards a long list against being lost or forgotten in part: it lies in several values beside the plan. */
+    @Test
+    void aJobThatAwaitsHundredsStartsOnceAllOfThemAreDone() {
+        String[] names = new String[300];
+        for (int i = 0; i < names.length; i++) {
+            names[i] = uid(i + 1);
+            world.submitMeanwhile(i % 3, World.job(names[i], 1));
+            world.seconds(0.05);
+        }
+        world.seconds(5);
+        ObjectNode large = World.job(uid(999), 1, names);
+        assertThat(accepted(0, large)).isIn(200, 201);
+        assertThat(world.state().keysUnder("plan-overflow/" + uid(999))).isNotEmpty();
+        everyNodeSays(uid(999), "queued");
+        // Whoever leads next reads the list again, and so does who is asked for the first time.
+        int leader = world.leader();
+        world.restart((leader + 1) % 3);
+        world.kill(leader);
+        world.seconds(5);
+        world.restart(leader);
+        world.until(() -> world.told(uid(300)) != null && world.leader() >= 0);
+        world.seconds(140);
+        everyNodeSays(uid(999), "done");
+        assertThat(world.state().refusedForSize()).isZero();
+        assertThat(world.broken()).isEmpty();
+    }
+
+    @Test
+    void aWithdrawalOfOneOfHundredsClosesTheJobThatAwaitsThem() {
+        String[] names = new String[200];
+        for (int i = 0; i < names.length; i++) {
+            names[i] = uid(i + 1);
+            world.submitMeanwhile(i % 3, World.job(names[i], 1).put("guess_s", 60.0));
+            world.seconds(0.05);
+        }
+        world.seconds(2);
+        assertThat(accepted(0, World.job(uid(999), 1, names))).isIn(200, 201);
+        world.restart(1);
+        world.seconds(4);
+        assertThat(world.withdraw(2, uid(200)).ok()).isTrue();
+        everyNodeSays(uid(999), "withdrawn");
+        world.seconds(5);
+        assertThat(world.state().value("withdraw/" + uid(999))).isNotNull();
+        assertThat(world.broken()).isEmpty();
+    }
+
+    /** Guards a list that can't be stored against being accepted and lost. */
+    @Test
+    void aListThatCanNotBeStoredIsRefused() {
+        String[] names = new String[1_000];
+        for (int i = 0; i < names.length; i++) {
+            names[i] = uid(i + 1);
+        }
+        Reply reply = world.submit(0, World.job(uid(9_999), 1, names));
+        assertThat(reply.status()).isEqualTo(422);
+        assertThat(reply.json().path("error").asText()).contains("too large", "awaits 1000 jobs");
+        assertThat(world.poll(1, uid(9_999)).status()).isEqualTo(404);
+        assertThat(world.state().keysUnder("plan")).isEmpty();
+        assertThat(world.state().refusedForSize()).isZero();
+        assertThat(world.broken()).isEmpty();
+    }
+}
--- /dev/null
+++ b/src/test/java/io/sillreel/pipeline/PlanRecordTest.java
@@ -0,0 +1,83 @@
+package io.sillreel.pipeline;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import io.sillreel.http.Json;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+class PlanRecordTest {
+    private static final int VALUE_BYTES = 2_048;
+    private static final int MOST_VALUES = 6;
+
+    private static List<String> names(String prefix, int count) {
+        List<String> names = new ArrayList<>();
+        for (int number = 0; number < count; number++) {
+            names.add(prefix + "%06d".formatted(number));
+        }
+        return names;
+    }
+
+    private static PlanRecord plan(List<String> builds, List<String> awaits) {
+        JobSpec spec = new JobSpec(
+                "job-000412",
+                "train",
+                "vision",
+                Rank.HIGH,
+                16,
+                8.0,
+                1.0,
+                64.0,
+                "img-07",
+                6.2,
+                builds,
+                "a",
+                true,
+                false,
+                true,
+                240_000_000L,
+                30_000_000L,
+                4_000_000L,
+                900_000_000L,
+                awaits);
+        return new PlanRecord(1_700_000_123_456_789L, spec);
+    }
+
+    @Test
+    void aPlanThatFitsIsOneValueThatAllVersionsRead() {
+        PlanRecord plan = plan(List.of("g8", "c4"), List.of());
+        Map<String, JsonNode> values = plan.cut(VALUE_BYTES, 1).orElseThrow();
+        assertThat(values).containsExactly(Map.entry("plan/job-000412", plan.json()));
+        assertThat(PlanRecord.of(plan.json())).isEqualTo(plan);
+    }
+
+    @Test
+    void namesThatDoNotFitAreCutAndPutTogetherAgain() {
+        for (PlanRecord plan : List.of(
+                plan(null, names("job-", 600)),
+                plan(names("type-", 90), names("job-", 300)),
+                plan(names("type-", 300), List.of()))) {
+            Map<String, JsonNode> values = plan.cut(VALUE_BYTES, MOST_VALUES).orElseThrow();
+            assertThat(values.values()).allMatch(value -> Json.bytes(value).length <= VALUE_BYTES);
+            PlanRecord head = PlanRecord.of(values.get("plan/job-000412"));
+            assertThat(head.complete()).isFalse();
+            List<JsonNode> overflow = new ArrayList<>();
+            for (int index = 0; index < head.overflowValues(); index++) {
+                overflow.add(values.get(PlanRecord.overflowKey("job-000412", index)));
+            }
+            assertThat(values).hasSize(1 + overflow.size());
+            assertThat(head.with(overflow)).isEqualTo(plan);
+        }
+    }
+
+    @Test
+    void whatTakesTooManyValuesOrHasATooLongNameIsNotCut() {
+        assertThat(plan(null, names("job-", 900)).cut(VALUE_BYTES, MOST_VALUES)).isEmpty();
+        assertThat(plan(null, names("job-", 200)).cut(VALUE_BYTES, 1)).isEmpty();
+        assertThat(plan(List.of("g".repeat(VALUE_BYTES)), List.of()).cut(VALUE_BYTES, MOST_VALUES))
+                .isEmpty();
+    }
+}
