--- a/src/test/java/io/sillreel/UpgradeTest.java
+++ b/src/test/java/io/sillreel/UpgradeTest.java
@@ -15,6 +15,7 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.sillreel.http.Call;
 import io.sillreel.http.Reply;
 import io.sillreel.sim.SimNetwork.Fate;
 import io.sillreel.sim.SimNetwork.Rule;
@@ -109,8 +110,7 @@
         world.untilStarted(6, 4 * SECOND);
         Rule held = world.network()
                 .add((from, to, call) -> from.startsWith("10.0.0.")
-                                && (call.route().equals("/txn")
-                                                && new String(call.body(), StandardCharsets.UTF_8).contains("\"set\"")
+                                && (call.route().equals("/txn") && text(call).contains("\"set\"")
                                         || call.route().equals("/peer/beats"))
                         ? Fate.HOLD
                         : null);
@@ -211,26 +211,35 @@
         everythingEnds(world, 1, List.of(uid(1)));
     }
 
-    /** The cancellations come at moments around the end of a task that runs for three seconds. */
+    /** The write of the end is on its way while another controller confirms the cancellation. */
     @ParameterizedTest
     @EnumSource
-    void aCancellationThatMeetsTheEndOfTheLastTaskHasOneOutcomeForBothVersions(Version leading) {
+    void aCancellationThatOvertakesTheWriteOfTheEndHoldsForBothVersions(Version leading) {
         World world = previousVersion(63);
-        int leader = leadAlone(world, leading);
-        int follower = (leader + 1) % NODES;
-        for (int round = 1; round <= 14; round++) {
-            world.submit(follower, World.job(uid(round), 1));
-            int starts = world.starts();
-            world.until(() -> world.starts() > starts);
-            world.seconds(2.85 + 0.05 * round);
-            String told =
-                    world.withdraw(follower, uid(round)).json().path("stage").asText();
-            world.seconds(2);
-            everyNodeSays(world, uid(round), told);
+        int follower = (leadAlone(world, leading) + 1) % NODES;
+        for (int round = 1; round <= 4; round++) {
+            boolean[] held = {false};
+            Rule endHeld = world.network().add((from, to, call) -> {
+                boolean end = call.route().equals("/txn") && text(call).contains("\"stage\":\"done\"");
+                held[0] |= end;
+                return end ? Fate.HOLD : null;
+            });
+            submitMeanwhile(world, round, 1);
+            world.until(() -> held[0]);
+            Reply reply = world.withdraw(follower, uid(round));
+            assertThat(reply.json().path("stage").asText()).isEqualTo("withdrawn");
+            world.network().remove(endHeld);
+            world.network().release();
+            world.seconds(3);
+            everyNodeSays(world, uid(round), "withdrawn");
         }
         assertThat(world.broken()).isEmpty();
     }
 
+    private static String text(Call call) {
+        return new String(call.body(), StandardCharsets.UTF_8);
+    }
+
     /** The announced limits may come while the last controllers of the previous version are still there. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3})
