--- a/src/main/java/io/sillreel/admission/JobViews.java
+++ b/src/main/java/io/sillreel/admission/JobViews.java
@@ -13,6 +13,7 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Deque;
+import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -40,10 +41,16 @@
     private static final long MOST_GATHER_MICROS = 800_000;
     private static final int BATCHES_AT_ONCE = 2;
     private static final int MOST_PER_BATCH = 40;
+    /** How many steps of a chain are read one by one. */
+    private static final int MOST_STEPS = 4;
     /** A user who polls waits for 2 s. */
     private static final long GIVE_UP_MICROS = 1_900_000;
 
-    private record Question(String uid, long askedMicros, CompletableFuture<JobView> answer) {}
+    private record Question(String uid, long askedMicros, int rounds, CompletableFuture<JobView> answer) {
+        Question again() {
+            return new Question(uid, askedMicros, rounds + 1, answer);
+        }
+    }
 
     /** A question that is being confirmed: what was thought of its job, and the keys that this rests on. */
     private record Compared(Question question, JobView view, Set<String> keys) {}
@@ -95,7 +102,7 @@
             }
         }
         CompletableFuture<JobView> answer = new CompletableFuture<>();
-        ask(new Question(uid, loop.nowMicros(), answer));
+        ask(new Question(uid, loop.nowMicros(), 0, answer));
         return answer;
     }
 
@@ -123,7 +130,7 @@
         if (loop.nowMicros() - question.askedMicros() > GIVE_UP_MICROS) {
             question.answer().complete(null);
         } else {
-            ask(question);
+            ask(question.again());
         }
     }
 
@@ -154,7 +161,7 @@
             batches += batch.isEmpty() ? 0 : 1;
         }
         closed.forEach(question -> question.answer().complete(remembered(question.uid())));
-        toLearn.forEach((question, uids) -> learn(uids).thenAccept(learnt -> {
+        toLearn.forEach((question, uids) -> learnAwaited(question, uids).thenAccept(learnt -> {
             if (learnt) {
                 askAgain(question);
             } else {
@@ -289,6 +296,40 @@
         }
     }
 
+    /**
+     * Reads what is not known of the jobs that a job needs. Chains of a few steps are read step by step; the beginning
+     * of a longer one is found in one list of all plans, since a request for each step would take longer than users
+     * wait.
+     */
+    private CompletableFuture<Boolean> learnAwaited(Question question, Set<String> uids) {
+        return question.rounds() < MOST_STEPS ? learn(uids) : learnFromAllPlans(uids);
+    }
+
+    private CompletableFuture<Boolean> learnFromAllPlans(Set<String> uids) {
+        return store.list(PlanRecord.PREFIX).thenCompose(listing -> {
+            if (listing.outcome() != Outcome.OK) {
+                return CompletableFuture.completedFuture(false);
+            }
+            Map<String, Entry> plans = new HashMap<>();
+            listing.entries().forEach(entry -> plans.put(entry.key(), entry));
+            Set<String> cut = new LinkedHashSet<>();
+            Deque<String> open = new ArrayDeque<>(uids);
+            Set<String> seen = new HashSet<>(uids);
+            while (!open.isEmpty()) {
+                String uid = open.poll();
+                Entry entry = plans.get(PlanRecord.key(uid));
+                PlanRecord plan = entry == null ? null : PlanRecord.of(entry.value());
+                if (plan == null || !plan.complete()) {
+                    cut.add(uid);
+                } else if (!remembered(uid).accepted()) {
+                    remember(planned(uid, entry.stamp(), plan.spec()));
+                    plan.spec().awaits().stream().filter(seen::add).forEach(open::add);
+                }
+            }
+            return learn(cut);
+        });
+    }
+
     /** Reads what is stored of the jobs; false if that can't be said of one of them. */
     private CompletableFuture<Boolean> learn(Collection<String> uids) {
         List<CompletableFuture<Boolean>> each = new ArrayList<>();
--- a/src/test/java/io/sillreel/UpgradeTest.java
+++ b/src/test/java/io/sillreel/UpgradeTest.java
@@ -233,7 +233,8 @@
             world.seconds(3);
             everyNodeSays(world, uid(round), "withdrawn");
             // An end and a cancellation exclude each other in the store, not only in what readers make of them.
-            assertThat(world.state().value("run/" + uid(round)).path("stage").asText()).isNotEqualTo("done");
+            assertThat(world.state().value("run/" + uid(round)).path("stage").asText())
+                    .isNotEqualTo("done");
         }
         assertThat(world.broken()).isEmpty();
     }
--- a/src/test/java/io/sillreel/load/LoadDriver.java
+++ b/src/test/java/io/sillreel/load/LoadDriver.java
@@ -30,14 +30,18 @@
  * <pre>
  * mvn -q test-compile dependency:build-classpath -Dmdep.outputFile=target/cp.txt
  * java -cp target/test-classes:target/classes:$(cat target/cp.txt) io.sillreel.load.LoadDriver \
- *     WORKERS CONTROLLERS SECONDS
+ *     WORKERS CONTROLLERS SECONDS [DONE [AWAITING]]
  * </pre>
+ *
+ * <p>DONE and AWAITING are jobs that the state service holds from the beginning.
  */
 public final class LoadDriver {
     private static final long SECOND = 1_000_000;
     /** Machines to a task of each job: enough for all of them to be busy. */
     private static final int MACHINES_PER_PIECE = 6;
 
+    private static final int MOST_ARGUMENTS = 5;
+
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final NettyLoop loop = new NettyLoop(group.next());
     private final HttpClient client = new HttpClient(group.next(), 4);
@@ -51,7 +55,7 @@
     private final StandIns standIns;
     private final StandIns.Users users;
 
-    private LoadDriver(int workers, int controllers) throws IOException {
+    private LoadDriver(int workers, int controllers, int done, int awaiting) throws IOException {
         for (String line : Files.readAllLines(Path.of("deploy/service.toml"))) {
             if (line.startsWith("run = ")) {
                 run.addAll(List.of(line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'))
@@ -68,7 +72,11 @@
         int cloudPort = freePort();
         standIns = new StandIns(group.next(), loop, publicAddresses, workers, 3 * SECOND);
         users = new StandIns.Users(group.next(), loop, publicAddresses);
-        SimState state = new SimState(time, 48, 32 * 1024, 100);
+        SimState state = new SimState(time, 48, 32 * 1024, Double.MAX_VALUE);
+        StoredJobs stored = new StoredJobs(state);
+        stored.addDone(done);
+        stored.addAwaiting(awaiting);
+        state.limits(48, 32 * 1024, 100);
         new HttpServer(group, 128 * 1024, 1_000).listen(new InetSocketAddress("127.0.0.1", statePort), state);
         new HttpServer(group, 128 * 1024, 1_000).listen(new InetSocketAddress("127.0.0.1", cloudPort), standIns::cloud);
         Path folder = Files.createTempDirectory("sillreel-load");
@@ -270,15 +278,19 @@
         }
         System.out.printf(
                 "takeover: %.1f s to the new term, %.1f s to the first launch of an earlier job, "
-                        + "%.0f ms of the new holder's processor%n",
-                taken, (loop.nowMicros() - begun) / 1e6, used(holder) - before[holder]);
+                        + "%.0f ms of the new holder's processor, %d MB resident%n",
+                taken, (loop.nowMicros() - begun) / 1e6, used(holder) - before[holder], residentMb(holder));
     }
 
-    /** Runs the driver with the number of controllers and workers given as arguments. */
+    /** Runs the driver with the numbers given as arguments. */
     public static void main(String[] args) throws Exception {
-        LoadDriver driver = new LoadDriver(Integer.parseInt(args[0]), Integer.parseInt(args[1]));
+        int[] numbers = new int[MOST_ARGUMENTS];
+        for (int index = 0; index < args.length; index++) {
+            numbers[index] = Integer.parseInt(args[index]);
+        }
+        LoadDriver driver = new LoadDriver(numbers[0], numbers[1], numbers[3], numbers[4]);
         try {
-            driver.play(Integer.parseInt(args[2]));
+            driver.play(numbers[2]);
         } finally {
             for (Process process : driver.processes) {
                 if (process != null) {
--- /dev/null
+++ b/src/test/java/io/sillreel/load/StoredJobs.java
@@ -0,0 +1,86 @@
+package io.sillreel.load;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.sillreel.http.Call;
+import io.sillreel.http.Json;
+import io.sillreel.pipeline.JobSpec;
+import io.sillreel.pipeline.PlanRecord;
+import io.sillreel.pipeline.Rank;
+import io.sillreel.pipeline.RunRecord;
+import io.sillreel.sim.SimState;
+import java.util.List;
+
+/** What earlier terms left in the state service: jobs that are done, and jobs that await one which never starts. */
+final class StoredJobs {
+    private static final long ADMITTED_WALL_MICROS = 1_700_000_000_000_000L;
+    /** Uids of other jobs of the load begin below. */
+    private static final int FIRST_UID = 500_000;
+    /** Half of the unfinished jobs await the one before them, half await the first. */
+    private static final int FANS = 2;
+
+    private final SimState state;
+    private int next = FIRST_UID;
+
+    StoredJobs(SimState state) {
+        this.state = state;
+    }
+
+    void addDone(int count) {
+        for (int each = 0; each < count; each++) {
+            String uid = uid(next++);
+            store(PlanRecord.key(uid), new PlanRecord(ADMITTED_WALL_MICROS, spec(uid, null, List.of())).json());
+            store(
+                    RunRecord.key(uid),
+                    Json.object()
+                            .put("pieces", 60)
+                            .put("done", 60)
+                            .put("running", 0)
+                            .put("stage", RunRecord.DONE));
+        }
+    }
+
+    void addAwaiting(int count) {
+        int first = next;
+        for (int each = 0; each < count; each++) {
+            String uid = uid(next);
+            List<String> awaits = each == 0 ? List.of() : List.of(uid(each % FANS == 0 ? first : next - 1));
+            List<String> builds = each == 0 ? List.of("a-type-that-is-not-there") : null;
+            store(PlanRecord.key(uid), new PlanRecord(ADMITTED_WALL_MICROS, spec(uid, builds, awaits)).json());
+            next++;
+        }
+    }
+
+    private void store(String key, ObjectNode value) {
+        ObjectNode body = Json.object();
+        body.putArray("then").addObject().put("set", key).set("v", value);
+        state.handle(Call.post("/txn", body)).join();
+    }
+
+    private static String uid(int number) {
+        return "job-%06d".formatted(number);
+    }
+
+    private static JobSpec spec(String uid, List<String> builds, List<String> awaits) {
+        return new JobSpec(
+                uid,
+                "a-class-of-jobs",
+                "t",
+                Rank.BEST_EFFORT,
+                60,
+                1.0,
+                0.0,
+                1.6,
+                "img-07",
+                1.0,
+                builds,
+                null,
+                false,
+                false,
+                true,
+                25_000_000L,
+                0L,
+                0L,
+                -1L,
+                awaits);
+    }
+}
--- a/src/test/java/io/sillreel/pipeline/ChainStoriesTest.java
+++ b/src/test/java/io/sillreel/pipeline/ChainStoriesTest.java
@@ -6,6 +6,7 @@
 import io.sillreel.http.Reply;
 import io.sillreel.sim.SimNetwork.Fate;
 import io.sillreel.sim.SimNetwork.Rule;
+import io.sillreel.sim.Troubles;
 import io.sillreel.sim.World;
 import java.util.List;
 import java.util.function.Consumer;
@@ -315,6 +316,33 @@
         assertThat(world.broken()).isEmpty();
     }
 
+    /**
+     * A controller that knows nothing yet is asked for the end of a chain: it reads all plans once, not step by step.
+     */
+    @Test
+    void theFirstPollAtTheEndOfALongChainTakesFewRequests() {
+        world.cloud().outage(true);
+        for (int job = 1; job <= 500; job++) {
+            ObjectNode next = job == 1 ? World.job(uid(1), 1) : World.job(uid(job), 1, uid(job - 1));
+            assertThat(accepted(0, next)).isIn(200, 201);
+        }
+        int asked = world.leader() == 1 ? 2 : 1;
+        world.restart(asked);
+        world.until(() -> world.isOpen(asked));
+        world.seconds(3);
+        int[] requests = {0};
+        world.network().add((from, to, call) -> {
+            boolean counts = from.equals(Troubles.host(asked))
+                    && to.startsWith("state")
+                    && !call.path().contains("grants");
+            requests[0] += counts ? 1 : 0;
+            return null;
+        });
+        assertThat(world.stage(asked, uid(500))).isEqualTo("queued");
+        assertThat(requests[0]).isLessThan(60);
+        assertThat(world.broken()).isEmpty();
+    }
+
     /** Guards a step that thousands await: each of them costs its own links and no more. */
     @Test
     void manyFollowersOfOneJobAreAllReleasedByItsEnd() {
