--- /dev/null
+++ b/src/test/java/io/sillreel/cli/ClassArchiveIT.java
@@ -0,0 +1,71 @@
+package io.sillreel.cli;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.BufferedReader;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Guards the cost of a start on a small share of a core: what the program loads comes from the class archive that the
+ * build has made. The rehearsal is the start of the daemon and a short term as leader, and ends by itself.
+ */
+class ClassArchiveIT {
+    private static final Pattern LOADED = Pattern.compile("\\[class,load\\] (\\S+) source: (.*)");
+    private static final String ARCHIVED = "shared objects file";
+    /** Made while the program runs: proxies, method handles, accessors, and the JDK's serializable comparators. */
+    private static final Pattern MADE_AT_RUN_TIME = Pattern.compile("java\\.lang\\.invoke\\..*|.*\\$Proxy\\d+"
+            + "|jdk\\.internal\\.reflect\\..*|java\\.util\\.Comparator\\$\\$Lambda.*");
+    /** Classes of the JDK that the rehearsal loads now and then, or that can't be archived. */
+    private static final Set<String> NOT_ARCHIVED = Set.of(
+            "java.util.concurrent.atomic.Striped64$Cell",
+            "jdk.internal.event.Event",
+            "jdk.internal.misc.Signal$1",
+            "jdk.jfr.Event");
+
+    private static List<String> command() throws IOException {
+        List<String> command = new ArrayList<>();
+        for (String line : Files.readAllLines(Path.of("deploy/service.toml"))) {
+            if (line.startsWith("run = ")) {
+                String run = line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'));
+                command.addAll(List.of(run.split(" ")));
+            }
+        }
+        command.add(1, "-Xlog:class+load:stdout");
+        command.set(command.size() - 1, "--rehearse");
+        return command;
+    }
+
+    @Test
+    void whatTheProgramLoadsComesFromTheClassArchive() throws IOException, InterruptedException {
+        Process process = new ProcessBuilder(command())
+                .redirectError(ProcessBuilder.Redirect.DISCARD)
+                .start();
+        List<String> outside = new ArrayList<>();
+        int archived = 0;
+        try (BufferedReader output = process.inputReader()) {
+            for (String line = output.readLine(); line != null; line = output.readLine()) {
+                Matcher loaded = LOADED.matcher(line);
+                if (!loaded.find()) {
+                    continue;
+                }
+                if (loaded.group(2).startsWith(ARCHIVED)) {
+                    archived++;
+                } else {
+                    outside.add(loaded.group(1));
+                }
+            }
+        }
+        outside.removeIf(name -> MADE_AT_RUN_TIME.matcher(name).matches() || NOT_ARCHIVED.contains(name));
+        assertThat(process.waitFor()).isZero();
+        assertThat(archived).isGreaterThan(1_000);
+        assertThat(outside).isEmpty();
+    }
+}
