--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -12,18 +12,18 @@
 import io.sillreel.admission.Admission;
 import io.sillreel.admission.LiveCounts;
 import io.sillreel.cloud.CloudClient;
-import io.sillreel.cloud.FlavorBook;
+import io.sillreel.cloud.MachineTypeCatalog;
 import io.sillreel.http.Call;
 import io.sillreel.http.Caller;
 import io.sillreel.http.Json;
 import io.sillreel.http.Loop;
 import io.sillreel.http.Reply;
-import io.sillreel.http.Turns;
-import io.sillreel.http.Turns.Line;
+import io.sillreel.http.RequestQueue;
+import io.sillreel.http.RequestQueue.Line;
 import io.sillreel.overload.AdaptiveLimit;
 import io.sillreel.overload.Lateness;
+import io.sillreel.ownership.LeaderTerm;
 import io.sillreel.ownership.Leadership;
-import io.sillreel.ownership.Tenure;
 import io.sillreel.peer.PeerMessages;
 import io.sillreel.peer.PeerMessages.Hello;
 import io.sillreel.peer.Peers;
@@ -42,11 +42,11 @@
 
 /** One controller, put together from its slices. It does no I/O of its own: time and network are handed in. */
 public final class Controller implements Leadership.Listener, LiveCounts, MeterBinder {
-    private static final String BEAT = "/agent/beat";
+    private static final String HEARTBEAT = "/agent/beat";
     private static final String UP = "/up";
     private static final long HELLO_EVERY_MICROS = 1_000_000;
     private static final long HELLO_TIMEOUT_MICROS = 900_000;
-    private static final long WITHDRAWN_TIMEOUT_MICROS = 2_000_000;
+    private static final long CANCELLED_TIMEOUT_MICROS = 2_000_000;
     private static final int MOST_DECIDED_AT_ONCE = 12;
     private static final Reply NOBODY_LEADS = Reply.later(503, "nobody holds the lease", 1);
     private static final long STORE_SILENCE_MICROS = 4_000_000;
@@ -62,7 +62,7 @@
     private final OperatorProperties operator;
     private final StateStore store;
     private final CloudClient cloud;
-    private final FlavorBook flavors;
+    private final MachineTypeCatalog machineTypes;
     private final Leadership leadership;
     private final AdaptiveLimit users;
     private final ReportRelay relay;
@@ -70,14 +70,14 @@
     private final WorkerSpread spread;
     private final long startedMicros;
     private final Lateness lateness;
-    private final Turns turns;
+    private final RequestQueue requestQueue;
     private MeterRegistry registry;
     private long reports;
     private long handed;
     private long moved;
     private int unanswered;
     private int unansweredBefore;
-    private Tenure tenure;
+    private LeaderTerm leaderTerm;
 
     /** @param leaseCaller for what renews the lease, which waits behind nothing else */
     public Controller(Loop loop, Caller caller, Caller leaseCaller, Settings settings, OperatorProperties operator) {
@@ -87,7 +87,7 @@
         this.operator = operator;
         this.startedMicros = loop.nowMicros();
         this.lateness = new Lateness(loop);
-        this.turns = new Turns(loop);
+        this.requestQueue = new RequestQueue(loop);
         double requests = settings.state().requestsPerSecond() * REQUEST_PART;
         double writes = settings.state().writesPerSecond() * WRITE_PART;
         double calls = settings.cloud().requestsPerSecond() * CLOUD_PART;
@@ -100,9 +100,9 @@
                 new Pacer(loop, writes, writes));
         this.cloud = new CloudClient(caller, loop, settings.cloudAddress(), new Pacer(loop, calls, Math.max(1, calls)));
         this.leadership = new Leadership(store, loop, settings.nodeName(), operator.stateLeaseMicros(), this);
-        this.flavors = new FlavorBook(store, cloud, loop, () -> leadership.heldTerm() > 0);
+        this.machineTypes = new MachineTypeCatalog(store, cloud, loop, () -> leadership.heldTerm() > 0);
         this.users = new AdaptiveLimit(
-                new Admission(store, loop, settings, flavors::types, this, this::tellWithdrawn),
+                new Admission(store, loop, settings, machineTypes::types, this, this::tellCancelled),
                 operator.maxRequests(),
                 loop::nowMicros);
         this.peers = new Peers(loop);
@@ -124,7 +124,7 @@
     public void start(Runnable open) {
         lateness.start();
         leadership.start(open);
-        flavors.start();
+        machineTypes.start();
         hello();
     }
 
@@ -132,14 +132,14 @@
     public static Line line(Call call) {
         return switch (call.route()) {
             case UP -> Line.AT_ONCE;
-            case BEAT -> Line.CROWD;
+            case HEARTBEAT -> Line.CROWD;
             default -> Line.USERS;
         };
     }
 
     /** The turns that the public requests take. */
-    public Turns turns() {
-        return turns;
+    public RequestQueue requestQueue() {
+        return requestQueue;
     }
 
     /** What users, workers and health checks ask. */
@@ -148,8 +148,8 @@
         if (route.equals("/v2/runs") || route.startsWith("/v2/runs/")) {
             return users.handle(call);
         }
-        if (route.equals(BEAT)) {
-            return call.method().equals("POST") ? beat(call) : answer(Reply.refusal(405, "use POST"));
+        if (route.equals(HEARTBEAT)) {
+            return call.method().equals("POST") ? heartbeat(call) : answer(Reply.refusal(405, "use POST"));
         }
         if (route.equals(UP)) {
             return answer(call.method().equals("GET") ? up() : Reply.refusal(405, "use GET"));
@@ -160,16 +160,16 @@
     /** What the other controllers, and operators, ask. */
     public CompletableFuture<Reply> internalCall(Call call) {
         switch (call.route()) {
-            case PeerMessages.BEATS -> {
-                return beats(call);
+            case PeerMessages.HEARTBEATS -> {
+                return heartbeats(call);
             }
             case PeerMessages.HELLO -> {
                 heard(Hello.of(call.body()));
                 return answer(new Reply(200, ownHello().bytes(), 0));
             }
-            case PeerMessages.WITHDRAWN -> {
-                if (tenure != null) {
-                    PeerMessages.withdrawn(call.body()).forEach(tenure::withdrawn);
+            case PeerMessages.CANCELLED -> {
+                if (leaderTerm != null) {
+                    PeerMessages.cancelled(call.body()).forEach(leaderTerm::cancelled);
                 }
                 return answer(Reply.of(200, Json.object()));
             }
@@ -193,7 +193,7 @@
     private Reply up() {
         boolean silent = !storeAnswers();
         boolean othersAnswered = peers.storeAnswersAnother();
-        boolean undecided = flavors.types().isEmpty();
+        boolean undecided = machineTypes.types().isEmpty();
         if (silent && othersAnswered || undecided && othersAnswered) {
             return Reply.later(503, "the state service can't be asked from here", 1);
         }
@@ -204,10 +204,10 @@
         return loop.nowMicros() - Math.max(store.lastAnswerMicros(), startedMicros) < STORE_SILENCE_MICROS;
     }
 
-    /** A worker's report: decided here, handed on to the lease holder, or sent to where it can be. */
-    private CompletableFuture<Reply> beat(Call call) {
+    /** A worker's report: decided here, handed on to the lease leader, or sent to where it can be. */
+    private CompletableFuture<Reply> heartbeat(Call call) {
         reports++;
-        Tenure current = tenure;
+        LeaderTerm current = leaderTerm;
         Optional<Member> leader = current != null ? Optional.empty() : leader();
         if (current == null && leader.isEmpty()) {
             // Not even read: right after a start hundreds ask, and the election can't wait for that.
@@ -247,19 +247,19 @@
         return node == null ? Optional.empty() : settings.member(node);
     }
 
-    /** The lease holder follows the stored withdrawals, but the state service may refuse it alone. */
-    private void tellWithdrawn(String uid) {
-        if (tenure != null) {
-            tenure.withdrawn(uid);
+    /** The lease leader follows the stored cancellations, but the state service may refuse it alone. */
+    private void tellCancelled(String uid) {
+        if (leaderTerm != null) {
+            leaderTerm.cancelled(uid);
         } else {
-            leader().ifPresent(holder ->
-                    caller.call(holder.address(), PeerMessages.withdrawn(uid), WITHDRAWN_TIMEOUT_MICROS));
+            leader().ifPresent(leader ->
+                    caller.call(leader.address(), PeerMessages.cancelled(uid), CANCELLED_TIMEOUT_MICROS));
         }
     }
 
     /** Reports that another controller hands on. */
-    private CompletableFuture<Reply> beats(Call call) {
-        Tenure current = tenure;
+    private CompletableFuture<Reply> heartbeats(Call call) {
+        LeaderTerm current = leaderTerm;
         if (current == null) {
             return answer(Reply.later(503, "not the lease holder", 1));
         }
@@ -271,7 +271,8 @@
     }
 
     /** A few reports at a time, so that neither the renewal nor the other controllers wait for a whole batch. */
-    private void decide(Tenure current, List<Report> reports, List<Reply> replies, CompletableFuture<Reply> answer) {
+    private void decide(
+            LeaderTerm current, List<Report> reports, List<Reply> replies, CompletableFuture<Reply> answer) {
         int upTo = Math.min(reports.size(), replies.size() + MOST_DECIDED_AT_ONCE);
         while (replies.size() < upTo) {
             replies.add(current.answer(reports.get(replies.size())));
@@ -289,7 +290,7 @@
 
     /** True if workers that report here have their reports answered. */
     private boolean serves() {
-        return tenure != null
+        return leaderTerm != null
                 || leader().map(member -> relay.works(member.address())).orElse(false);
     }
 
@@ -298,8 +299,8 @@
         spread.review(leadership.known().node());
         unansweredBefore = unanswered;
         unanswered = 0;
-        if (tenure != null) {
-            tenure.review();
+        if (leaderTerm != null) {
+            leaderTerm.review();
         }
         for (Member member : settings.members()) {
             if (peers.heardWithin(member.nodeName(), HELLO_EVERY_MICROS * 3 / 4)) {
@@ -336,22 +337,32 @@
 
     @Override
     public void took(long term, long leaderStamp) {
-        tenure = new Tenure(
-                loop, store, cloud, caller, settings, operator, leadership, term, leaderStamp, flavors::types, peers);
-        tenure.start();
+        leaderTerm = new LeaderTerm(
+                loop,
+                store,
+                cloud,
+                caller,
+                settings,
+                operator,
+                leadership,
+                term,
+                leaderStamp,
+                machineTypes::types,
+                peers);
+        leaderTerm.start();
     }
 
     @Override
     public void lost(String reason) {
-        if (tenure != null) {
-            tenure.close();
-            tenure = null;
+        if (leaderTerm != null) {
+            leaderTerm.close();
+            leaderTerm = null;
         }
     }
 
     @Override
     public Counts of(String uid) {
-        Tenure current = tenure;
+        LeaderTerm current = leaderTerm;
         return current == null ? null : current.of(uid);
     }
 
@@ -379,8 +390,9 @@
                 .register(to);
         Gauge.builder("sillreel.late.most.ms", lateness, each -> each.mostMicros() / 1_000.0)
                 .register(to);
-        Gauge.builder("sillreel.requests.waiting", turns, Turns::waiting).register(to);
-        FunctionCounter.builder("sillreel.requests.given.up", turns, Turns::givenUp)
+        Gauge.builder("sillreel.requests.waiting", requestQueue, RequestQueue::waiting)
+                .register(to);
+        FunctionCounter.builder("sillreel.requests.given.up", requestQueue, RequestQueue::givenUp)
                 .register(to);
         new JvmMemoryMetrics().bindTo(to);
     }
@@ -399,7 +411,7 @@
             }
             meter.measure().forEach(measurement -> all.put(name.toString(), measurement.getValue()));
         }
-        Tenure current = tenure;
+        LeaderTerm current = leaderTerm;
         if (current != null) {
             current.gauges().forEach(all::put);
         }
--- a/src/main/java/io/sillreel/admission/Admission.java
+++ b/src/main/java/io/sillreel/admission/Admission.java
@@ -46,23 +46,23 @@
     private final Settings settings;
     private final Supplier<Map<String, MachineType>> types;
     private final LiveCounts live;
-    private final Consumer<String> onWithdrawn;
+    private final Consumer<String> onCancelled;
     private final JobViews views;
 
-    /** @param onWithdrawn told of each withdrawal that is stored here, before its user is */
+    /** @param onCancelled told of each cancellation that is stored here, before its user is */
     public Admission(
             StateStore store,
             Loop loop,
             Settings settings,
             Supplier<Map<String, MachineType>> types,
             LiveCounts live,
-            Consumer<String> onWithdrawn) {
+            Consumer<String> onCancelled) {
         this.store = store;
         this.loop = loop;
         this.settings = settings;
         this.types = types;
         this.live = live;
-        this.onWithdrawn = onWithdrawn;
+        this.onCancelled = onCancelled;
         this.views = new JobViews(store, loop, settings.state().txnOps());
     }
 
@@ -73,18 +73,18 @@
             return call.method().equals("POST") ? submit(call) : done(Reply.refusal(405, "use POST"));
         }
         String rest = route.substring(RUNS.length() + 1);
-        boolean withdraw = rest.endsWith("/withdraw");
-        String uid = withdraw ? rest.substring(0, rest.length() - "/withdraw".length()) : rest;
+        boolean cancel = rest.endsWith("/withdraw");
+        String uid = cancel ? rest.substring(0, rest.length() - "/withdraw".length()) : rest;
         if (uid.contains("/")) {
             return done(Reply.refusal(404, "no such path"));
         }
-        if (!call.method().equals(withdraw ? "POST" : "GET")) {
-            return done(Reply.refusal(405, withdraw ? "use POST" : "use GET"));
+        if (!call.method().equals(cancel ? "POST" : "GET")) {
+            return done(Reply.refusal(405, cancel ? "use POST" : "use GET"));
         }
         if (!JobReader.isUid(uid)) {
             return done(Reply.refusal(404, "no such job"));
         }
-        return withdraw ? withdraw(uid, MOST_TRIES) : poll(uid);
+        return cancel ? cancel(uid, MOST_TRIES) : poll(uid);
     }
 
     private CompletableFuture<Reply> poll(String uid) {
@@ -116,7 +116,7 @@
         if (known.isEmpty()) {
             return unlessKnown(uid, Reply.later(503, "the machine types are not known yet", 2));
         }
-        Optional<String> never = JobReader.neverRuns(spec, settings.teams().get(spec.crew()), known.values());
+        Optional<String> never = JobReader.neverRuns(spec, settings.teams().get(spec.team()), known.values());
         if (never.isPresent()) {
             return unlessKnown(uid, Reply.refusal(422, never.get()));
         }
@@ -183,14 +183,14 @@
         String uid = plan.spec().uid();
         Txn txn = new Txn().require(PlanRecord.key(uid), 0);
         values.forEach(txn::set);
-        Optional<JobView> withdrawn = firstWithdrawn(awaited);
-        if (withdrawn.isPresent()) {
+        Optional<JobView> cancelled = firstCancelled(awaited);
+        if (cancelled.isPresent()) {
             ObjectNode closed = Json.object()
                     .put("at_us", plan.admittedWallMicros())
-                    .put("by", withdrawn.get().uid());
+                    .put("by", cancelled.get().uid());
             txn.require("withdraw/" + uid, 0).set("withdraw/" + uid, closed);
         } else {
-            // As far as there is room: what is withdrawn in this very moment closes the job all the same.
+            // As far as there is room: what is cancelled in this very moment closes the job all the same.
             awaited.stream()
                     .filter(each -> !each.done())
                     .limit(4L * settings.state().txnOps() - 1)
@@ -199,8 +199,8 @@
         return store.commit(txn);
     }
 
-    private static Optional<JobView> firstWithdrawn(List<JobView> awaited) {
-        return awaited.stream().filter(JobView::withdrawn).findFirst();
+    private static Optional<JobView> firstCancelled(List<JobView> awaited) {
+        return awaited.stream().filter(JobView::cancelled).findFirst();
     }
 
     private CompletableFuture<Reply> stored(JobSpec spec, List<JobView> awaited, Commit commit, int tries) {
@@ -208,7 +208,7 @@
         switch (commit.outcome()) {
             case OK -> {
                 return done(
-                        admitted(spec, commit.ledger(), firstWithdrawn(awaited).isPresent()));
+                        admitted(spec, commit.ledger(), firstCancelled(awaited).isPresent()));
             }
             case REFUSED -> {
                 return done(Reply.later(503, "the state service does not take the job now", RETRY_SECONDS));
@@ -220,7 +220,7 @@
                 boolean moved =
                         commit.outcome() == Outcome.CONFLICT && !commit.failed().contains(PlanRecord.key(uid));
                 if (moved && tries > 1) {
-                    // One of those that it awaits has been withdrawn since.
+                    // One of those that it awaits has been cancelled since.
                     return admit(spec, tries - 1);
                 }
                 // Known already, or the answer got lost: only the store can say which.
@@ -229,20 +229,20 @@
         }
     }
 
-    private Reply admitted(JobSpec spec, long planStamp, boolean withdrawn) {
+    private Reply admitted(JobSpec spec, long planStamp, boolean cancelled) {
         JobView planned = JobViews.planned(spec.uid(), planStamp, spec);
-        JobView view = withdrawn ? planned.closedBy() : planned;
+        JobView view = cancelled ? planned.closedBy() : planned;
         views.remember(view);
         LOG.info(
                 "admitted {}: {} x {} cpus, {} of {}, rank {}{}",
                 spec.uid(),
                 spec.pieces(),
                 spec.cpus(),
-                spec.lot(),
-                spec.crew(),
+                spec.jobClass(),
+                spec.team(),
                 spec.rank().wire(),
                 after(spec.awaits()));
-        String stage = view.withdrawn() ? "withdrawn" : "queued";
+        String stage = view.cancelled() ? "withdrawn" : "queued";
         return Reply.of(201, Json.object().put("uid", spec.uid()).put("stage", stage));
     }
 
@@ -269,7 +269,7 @@
         });
     }
 
-    private CompletableFuture<Reply> withdraw(String uid, int tries) {
+    private CompletableFuture<Reply> cancel(String uid, int tries) {
         if (tries == 0) {
             return done(Reply.later(503, "the job is changing too fast", RETRY_SECONDS));
         }
@@ -284,14 +284,14 @@
                 return done(Reply.of(200, answer(view)));
             }
             String key = "withdraw/" + uid;
-            // Conditional on the record as read: done and withdrawn exclude each other.
+            // Conditional on the record as read: done and cancelled exclude each other.
             Txn txn = new Txn()
                     .require(key, 0)
                     .require(RunRecord.key(uid), view.runStamp())
                     .set(key, Json.object().put("at_us", loop.wallMicros()));
             return store.commit(txn).thenCompose(commit -> {
                 if (commit.outcome() == Outcome.OK) {
-                    JobView withdrawn = new JobView(
+                    JobView cancelled = new JobView(
                             uid,
                             view.planStamp(),
                             view.pieces(),
@@ -300,15 +300,15 @@
                             view.head(),
                             commit.ledger(),
                             false);
-                    views.remember(withdrawn);
-                    LOG.info("withdrawn {}", uid);
-                    onWithdrawn.accept(uid);
-                    return done(Reply.of(200, answer(withdrawn)));
+                    views.remember(cancelled);
+                    LOG.info("cancelled {}", uid);
+                    onCancelled.accept(uid);
+                    return done(Reply.of(200, answer(cancelled)));
                 }
                 if (commit.outcome() == Outcome.REFUSED) {
                     return done(cannotRead());
                 }
-                return withdraw(uid, tries - 1);
+                return cancel(uid, tries - 1);
             });
         });
     }
--- a/src/main/java/io/sillreel/admission/JobReader.java
+++ b/src/main/java/io/sillreel/admission/JobReader.java
@@ -91,17 +91,17 @@
     /** Why the job can never run, if so. */
     static Optional<String> neverRuns(JobSpec spec, Team team, Collection<MachineType> types) {
         if (team == null) {
-            return Optional.of("crew: there is no team " + spec.crew());
+            return Optional.of("crew: there is no team " + spec.team());
         }
         if (team.cpusMax() > 0 && spec.cpus() > team.cpusMax() || team.gpusMax() > 0 && spec.cards() > team.gpusMax()) {
-            return Optional.of("one task needs more than the limit of team " + spec.crew());
+            return Optional.of("one task needs more than the limit of team " + spec.team());
         }
-        if (spec.oneZone() && spec.mostInOneYard() < spec.pieces()) {
+        if (spec.oneZone() && spec.mostInOneZone() < spec.pieces()) {
             return Optional.of("one_zone and spread exclude each other");
         }
         boolean fits = types.stream()
                 .anyMatch(type -> spec.allowsBuild(type.name())
-                        && (spec.yard() == null || type.yards().contains(spec.yard()))
+                        && (spec.zone() == null || type.zones().contains(spec.zone()))
                         && spec.cpus() <= type.cpus()
                         && spec.cards() <= type.cards()
                         && spec.ramGb() <= type.ramGb());
--- a/src/main/java/io/sillreel/admission/JobView.java
+++ b/src/main/java/io/sillreel/admission/JobView.java
@@ -9,7 +9,7 @@
  * What this controller last read of a job; stamps are 0 for keys that did not exist then.
  *
  * @param awaits the jobs that have to be done before this one
- * @param closed something that it awaits, directly or through others, is withdrawn
+ * @param closed something that it awaits, directly or through others, is cancelled
  */
 record JobView(
         String uid,
@@ -18,7 +18,7 @@
         List<String> awaits,
         long runStamp,
         RunRecord.Head head,
-        long withdrawStamp,
+        long cancellationStamp,
         boolean closed) {
     static JobView unknown(String uid) {
         return new JobView(uid, 0, 0, List.of(), 0, null, 0, false);
@@ -32,23 +32,23 @@
         return head != null && head.isDone();
     }
 
-    /** Withdrawn by itself, or with what it needs: whatever follows a withdrawn job is never released. */
-    boolean withdrawn() {
-        return withdrawStamp > 0 || closed;
+    /** Withdrawn by itself, or with what it needs: whatever follows a cancelled job is never released. */
+    boolean cancelled() {
+        return cancellationStamp > 0 || closed;
     }
 
     /** A stored terminal state never changes, so it may be told without asking the store again. */
     boolean terminal() {
-        return done() || withdrawn();
+        return done() || cancelled();
     }
 
     /** True if its state depends on that of other jobs: once it has been released, all of them are done. */
     boolean awaitsOthers() {
-        return !awaits.isEmpty() && runStamp == 0 && !withdrawn();
+        return !awaits.isEmpty() && runStamp == 0 && !cancelled();
     }
 
     JobView closedBy() {
-        return new JobView(uid, planStamp, pieces, awaits, runStamp, head, withdrawStamp, true);
+        return new JobView(uid, planStamp, pieces, awaits, runStamp, head, cancellationStamp, true);
     }
 
     /** What both know together; neither can be newer than the other in everything. */
@@ -61,14 +61,14 @@
                 awaits.isEmpty() ? old.awaits() : awaits,
                 Math.max(runStamp, old.runStamp()),
                 runOlder ? old.head() : head,
-                Math.max(withdrawStamp, old.withdrawStamp()),
+                Math.max(cancellationStamp, old.cancellationStamp()),
                 closed || old.closed());
     }
 
     /** The users' picture of the job; live counts, if there are any, are newer than the record's. */
     ObjectNode answer(LiveCounts.Counts live) {
         ObjectNode node = Json.object().put("uid", uid);
-        if (withdrawn()) {
+        if (cancelled()) {
             return node.put("stage", "withdrawn")
                     .put("done", head == null ? 0 : head.done())
                     .put("running", 0);
--- a/src/main/java/io/sillreel/admission/JobViews.java
+++ b/src/main/java/io/sillreel/admission/JobViews.java
@@ -28,9 +28,9 @@
  * moved is read again. Either way the store was asked after the question came in, so no answer is older than one given
  * before.
  *
- * <p>A job that awaits others is withdrawn as soon as one of those is, whether or not anybody has written that down: so
+ * <p>A job that awaits others is cancelled as soon as one of those is, whether or not anybody has written that down: so
  * the same transaction confirms that none of the unfinished jobs that it needs, directly or through others, is
- * withdrawn.
+ * cancelled.
  */
 final class JobViews {
     private static final int REMEMBERED = 4_000;
@@ -197,13 +197,13 @@
             own.put(PlanRecord.key(view.uid()), 0L);
         }
         own.put(RunRecord.key(view.uid()), view.runStamp());
-        own.put("withdraw/" + view.uid(), view.withdrawStamp());
+        own.put("withdraw/" + view.uid(), view.cancellationStamp());
         return own;
     }
 
     /**
-     * Adds the absence of withdrawals of all unfinished jobs that this one needs; false if one of them is known to be
-     * withdrawn. Who has been released needs nobody any more, and who is done can't be withdrawn.
+     * Adds the absence of cancellations of all unfinished jobs that this one needs; false if one of them is known to be
+     * cancelled. Who has been released needs nobody any more, and who is done can't be cancelled.
      */
     private boolean addAwaited(JobView view, Map<String, Long> conditions, Set<String> unknown) {
         Deque<String> open = new ArrayDeque<>(view.awaits());
@@ -212,7 +212,7 @@
             JobView awaited = remembered(open.poll());
             if (!awaited.accepted()) {
                 unknown.add(awaited.uid());
-            } else if (awaited.withdrawn()) {
+            } else if (awaited.cancelled()) {
                 return false;
             } else if (!awaited.done()) {
                 conditions.put("withdraw/" + awaited.uid(), 0L);
@@ -224,7 +224,7 @@
         return true;
     }
 
-    /** Compares in as many transactions as it takes: a withdrawal is for ever, so they need not be one moment's. */
+    /** Compares in as many transactions as it takes: a cancellation is for ever, so they need not be one moment's. */
     private CompletableFuture<StateStore.Commit> compare(Map<String, Long> conditions) {
         List<CompletableFuture<StateStore.Commit>> parts = new ArrayList<>();
         Txn txn = new Txn();
@@ -297,9 +297,9 @@
     }
 
     /**
-     * Reads what is not known of the jobs that a job needs. Chains of a few steps are read step by step; the beginning
-     * of a longer one is found in one list of all plans, since a request for each step would take longer than users
-     * wait.
+     * Reads what is not known of the jobs that a job needs. DependencyGraph of a few steps are read step by step; the
+     * beginning of a longer one is found in one list of all plans, since a request for each step would take longer than
+     * users wait.
      */
     private CompletableFuture<Boolean> learnAwaited(Question question, Set<String> uids) {
         return question.rounds() < MOST_STEPS ? learn(uids) : learnFromAllPlans(uids);
@@ -341,9 +341,9 @@
     private CompletableFuture<Boolean> read(String uid) {
         CompletableFuture<Optional<JobView>> planned = readPlan(uid);
         CompletableFuture<Read> run = store.get(RunRecord.key(uid));
-        CompletableFuture<Read> withdraw = store.get("withdraw/" + uid);
-        return CompletableFuture.allOf(planned, run, withdraw).thenApply(ignored -> {
-            boolean decided = run.join().decided() && withdraw.join().decided();
+        CompletableFuture<Read> cancel = store.get("withdraw/" + uid);
+        return CompletableFuture.allOf(planned, run, cancel).thenApply(ignored -> {
+            boolean decided = run.join().decided() && cancel.join().decided();
             if (planned.join().isEmpty() || !decided) {
                 return false;
             }
@@ -356,7 +356,7 @@
                     view.awaits(),
                     run.join().stamp(),
                     head == null ? null : RunRecord.Head.of(head.value()),
-                    withdraw.join().stamp(),
+                    cancel.join().stamp(),
                     false));
             return true;
         });
--- a/src/main/java/io/sillreel/cli/Main.java
+++ b/src/main/java/io/sillreel/cli/Main.java
@@ -146,7 +146,7 @@
         Controller controller = new Controller(loop, client, leaseClient, settings, operator);
         int connections = (int) (settings.resources().maxSockets() * PUBLIC_PART);
         HttpServer users = new HttpServer(
-                group, HttpServer.MAX_BODY_BYTES, connections, Controller::line, controller.turns(), (int)
+                group, HttpServer.MAX_BODY_BYTES, connections, Controller::line, controller.requestQueue(), (int)
                         (connections * WORKERS_PART));
         new HttpServer(group, MAX_BATCH_BYTES, CONNECTIONS_INSIDE)
                 .listen(settings.internalAddress(), controller::internalCall);
--- a/src/main/java/io/sillreel/cli/Rehearsal.java
+++ b/src/main/java/io/sillreel/cli/Rehearsal.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Plays a lease holder and a follower for some seconds, from a submission to its end, so that the build can archive the
+ * Plays a lease leader and a follower for some seconds, from a submission to its end, so that the build can archive the
  * classes which that loads. At a small share of a core a takeover would else spend its first seconds on loading them.
  */
 final class Rehearsal {
@@ -48,7 +48,7 @@
         ask(self + "/v2/runs", behind);
         ask(self + "/v2/runs/job-000004", null);
         ask(self + "/v2/runs/job-000002/withdraw", Json.object());
-        ObjectNode beat = Json.object()
+        ObjectNode heartbeat = Json.object()
                 .put("hopper", "host-000000")
                 .put("addr", "127.0.0.1:1")
                 .put("build", "c4")
@@ -57,13 +57,15 @@
                 .put("shift", 1)
                 .put("baton", 0)
                 .putNull("recall_s");
-        ArrayNode pieces = beat.putArray("pieces");
+        ArrayNode pieces = heartbeat.putArray("pieces");
         for (int round = 1; round <= ROUNDS; round++) {
-            beat.put("tally", round);
-            JsonNode answer = ask("http://127.0.0.1:" + publicPorts[round % 2] + "/agent/beat", beat);
-            beat.put(
+            heartbeat.put("tally", round);
+            JsonNode answer = ask("http://127.0.0.1:" + publicPorts[round % 2] + "/agent/beat", heartbeat);
+            heartbeat.put(
                     "baton",
-                    Math.max(beat.path("baton").asLong(), answer.path("baton").asLong()));
+                    Math.max(
+                            heartbeat.path("baton").asLong(),
+                            answer.path("baton").asLong()));
             pieces.forEach(piece -> ((ObjectNode) piece).put("stage", "ended").put("cause", "done"));
             for (JsonNode order : answer.path("orders")) {
                 if (order.path("verb").asText().equals("launch")) {
--- a/src/main/java/io/sillreel/cli/RehearsalStage.java
+++ b/src/main/java/io/sillreel/cli/RehearsalStage.java
@@ -13,7 +13,7 @@
 
 /**
  * What a rehearsal plays before: a state service that says yes to everything and a cloud with one machine. It serves to
- * load the classes that a lease holder needs, and checks nothing.
+ * load the classes that a lease leader needs, and checks nothing.
  */
 final class RehearsalStage {
     private record Watcher(String prefix, long since, CompletableFuture<Reply> answer) {}
@@ -37,7 +37,7 @@
                     case "/txn" -> commit(Json.parse(call.body()));
                     case "/kv" -> list(query(call, "prefix"));
                     case "/grants" -> Reply.of(200, Json.object().put("permit", 1));
-                    case "/flavors" -> Reply.of(200, flavors());
+                    case "/flavors" -> Reply.of(200, machineTypes());
                     case "/machines" -> Reply.of(200, machines());
                     default -> route.startsWith("/kv/") ? get(route.substring(4)) : Reply.of(200, Json.object());
                 });
@@ -67,16 +67,16 @@
 
     private void wake() {
         watchers.removeIf(watcher -> {
-            ArrayNode news = Json.array();
+            ArrayNode result = Json.array();
             for (ObjectNode change : changes) {
                 if (change.path("stamp").asLong() > watcher.since()
                         && change.path("set").asText().startsWith(watcher.prefix())) {
-                    news.add(change);
+                    result.add(change);
                 }
             }
             ObjectNode body = Json.object().put("ledger", ledger);
-            body.set("news", news);
-            return !news.isEmpty() && watcher.answer().complete(Reply.of(200, body));
+            body.set("news", result);
+            return !result.isEmpty() && watcher.answer().complete(Reply.of(200, body));
         });
     }
 
@@ -92,7 +92,7 @@
         return entry == null ? Reply.of(404, Json.object().put("ledger", ledger)) : Reply.of(200, entry);
     }
 
-    private static ObjectNode flavors() {
+    private static ObjectNode machineTypes() {
         ObjectNode body = Json.object();
         ObjectNode type = body.putArray("builds")
                 .addObject()
--- a/src/main/java/io/sillreel/cloud/CloudClient.java
+++ b/src/main/java/io/sillreel/cloud/CloudClient.java
@@ -26,13 +26,13 @@
 
     /** A machine as the cloud lists it. */
     public record Listed(
-            String name, String address, String build, String yard, boolean spot, String stage, long ageMicros) {}
+            String name, String address, String build, String zone, boolean spot, String stage, long ageMicros) {}
 
     /** The machine types as the cloud lists them. */
-    public record Flavors(Outcome outcome, JsonNode body) {}
+    public record MachineTypeList(Outcome outcome, JsonNode body) {}
 
     /** The machines that a rental request obtained. */
-    public record Hired(Outcome outcome, List<String> machines) {}
+    public record Rented(Outcome outcome, List<String> machines) {}
 
     /** The list of machines, and when the request for it was sent. */
     public record Machines(Outcome outcome, List<Listed> machines, long askedMicros) {}
@@ -54,16 +54,16 @@
         this.pacer = pacer;
     }
 
-    public CompletableFuture<Flavors> flavors() {
-        return send(Call.get("/flavors")).thenApply(reply -> new Flavors(outcome(reply), reply.json()));
+    public CompletableFuture<MachineTypeList> machineTypes() {
+        return send(Call.get("/flavors")).thenApply(reply -> new MachineTypeList(outcome(reply), reply.json()));
     }
 
     /** Rents up to {@code count} machines under a request name that is never used for anything else. */
-    public CompletableFuture<Hired> hire(String request, String build, String yard, boolean spot, int count) {
+    public CompletableFuture<Rented> rent(String request, String build, String zone, boolean spot, int count) {
         ObjectNode body = Json.object()
                 .put("hire", request)
                 .put("build", build)
-                .put("yard", yard)
+                .put("yard", zone)
                 .put("loaners", spot)
                 .put("count", count);
         return send(Call.post("/machines", body)).thenApply(reply -> {
@@ -71,7 +71,7 @@
             reply.json().path("hoppers").forEach(name -> names.add(name.asText()));
             boolean full =
                     reply.status() == 503 && reply.json().path("error").asText().equals("no capacity");
-            return new Hired(full ? Outcome.NO_CAPACITY : outcome(reply), names);
+            return new Rented(full ? Outcome.NO_CAPACITY : outcome(reply), names);
         });
     }
 
--- a/src/main/java/io/sillreel/cloud/MachineType.java
+++ b/src/main/java/io/sillreel/cloud/MachineType.java
@@ -17,14 +17,14 @@
         double price,
         double spotPrice,
         long bootMicros,
-        List<String> yards) {
+        List<String> zones) {
 
     /** Reads the cloud's answer, which is also the form in which it is kept in the state service. */
-    public static Map<String, MachineType> read(JsonNode flavors) {
+    public static Map<String, MachineType> read(JsonNode machineTypes) {
         Map<String, MachineType> types = new LinkedHashMap<>();
-        for (JsonNode node : flavors.path("builds")) {
-            List<String> yards = new ArrayList<>();
-            node.path("yards").forEach(yard -> yards.add(yard.asText()));
+        for (JsonNode node : machineTypes.path("builds")) {
+            List<String> zones = new ArrayList<>();
+            node.path("yards").forEach(zone -> zones.add(zone.asText()));
             MachineType type = new MachineType(
                     node.path("sku").asText(),
                     node.path("vcpus").asDouble(),
@@ -35,7 +35,7 @@
                     node.path("price").asDouble(),
                     node.path("spot_price").asDouble(),
                     Math.round(node.path("boot_s").asDouble() * 1_000_000),
-                    List.copyOf(yards));
+                    List.copyOf(zones));
             types.put(type.name(), type);
         }
         return types;
--- a/src/main/java/io/sillreel/cloud/FlavorBook.java
+++ b/src/main/java/io/sillreel/cloud/MachineTypeCatalog.java
@@ -12,12 +12,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The machine types. The lease holder asks the cloud and stores the answer, so that a controller that starts while the
+ * The machine types. The lease leader asks the cloud and stores the answer, so that a controller that starts while the
  * cloud is down can still judge submissions.
  */
-public final class FlavorBook {
+public final class MachineTypeCatalog {
     public static final String KEY = "flavors";
-    private static final Logger LOG = LoggerFactory.getLogger(FlavorBook.class);
+    private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
     private static final long RETRY_MICROS = 1_000_000;
     private static final long REFRESH_MICROS = 60_000_000;
 
@@ -28,7 +28,7 @@
     private volatile Map<String, MachineType> types = Map.of();
 
     /** @param holdsLease true while this controller may update the stored machine types */
-    public FlavorBook(StateStore store, CloudClient cloud, Loop loop, BooleanSupplier holdsLease) {
+    public MachineTypeCatalog(StateStore store, CloudClient cloud, Loop loop, BooleanSupplier holdsLease) {
         this.store = store;
         this.cloud = cloud;
         this.loop = loop;
@@ -53,7 +53,7 @@
     }
 
     private void ask(long stamp, boolean storable) {
-        cloud.flavors().thenAccept(answer -> {
+        cloud.machineTypes().thenAccept(answer -> {
             if (answer.outcome() != CloudClient.Outcome.OK
                     || MachineType.read(answer.body()).isEmpty()) {
                 return;
@@ -74,8 +74,8 @@
         });
     }
 
-    private void learn(JsonNode flavors) {
-        Map<String, MachineType> read = MachineType.read(flavors);
+    private void learn(JsonNode machineTypes) {
+        Map<String, MachineType> read = MachineType.read(machineTypes);
         if (types.isEmpty() && !read.isEmpty()) {
             LOG.info("machine types: {}", String.join(", ", read.keySet()));
         }
--- a/src/main/java/io/sillreel/fleet/Seat.java
+++ b/src/main/java/io/sillreel/fleet/Allocation.java
@@ -4,44 +4,44 @@
 import io.sillreel.workers.Report.Stage;
 
 /** A task that is, or may be, on a machine. */
-public final class Seat {
+public final class Allocation {
     private final ActiveJob job;
     private final String uid;
     private final int index;
     private final long attempt;
-    private final long launchTally;
+    private final long launchSequence;
     private Machine machine;
     private Stage stage;
     private long runningSinceMicros = -1;
     private boolean holding;
     private boolean halting;
     private long haltWindDownMicros;
-    private long reapTally;
+    private long reapSequence;
 
-    private Seat(ActiveJob job, String uid, int index, long attempt, long launchTally, Stage stage) {
+    private Allocation(ActiveJob job, String uid, int index, long attempt, long launchSequence, Stage stage) {
         this.job = job;
         this.uid = uid;
         this.index = index;
         this.attempt = attempt;
-        this.launchTally = launchTally;
+        this.launchSequence = launchSequence;
         this.stage = stage;
     }
 
-    /** A launch that rides the response to the report with the given tally. */
-    public static Seat launched(ActiveJob job, int index, long attempt, long launchTally) {
-        return new Seat(job, job.uid(), index, attempt, launchTally, null);
+    /** A launch that rides the response to the report with the given sequence. */
+    public static Allocation launched(ActiveJob job, int index, long attempt, long launchSequence) {
+        return new Allocation(job, job.uid(), index, attempt, launchSequence, null);
     }
 
     /** A task found in a report, alive or not. The job is null if it isn't driven any more. */
-    public static Seat found(ActiveJob job, String uid, int index, long attempt, Stage stage) {
-        return new Seat(job, uid, index, attempt, 0, stage);
+    public static Allocation found(ActiveJob job, String uid, int index, long attempt, Stage stage) {
+        return new Allocation(job, uid, index, attempt, 0, stage);
     }
 
     /** The machine takes the task in: from now on a live one holds its piece. */
     void placed(Machine on) {
         machine = on;
         if (job != null && !ended()) {
-            job.seat(index);
+            job.allocate(index);
             on.book().placed(this);
             holding = true;
         }
@@ -52,12 +52,12 @@
     }
 
     /**
-     * The task is certainly not alive. Only a seat that held its piece frees it: an ended task found after a takeover
-     * must not free a piece that by then runs elsewhere.
+     * The task is certainly not alive. Only a allocation that held its piece frees it: an ended task found after a
+     * takeover must not free a piece that by then runs elsewhere.
      */
     public void release() {
         if (holding) {
-            job.unseat(index);
+            job.deallocate(index);
             machine.book().gone(this);
             holding = false;
         }
@@ -80,8 +80,8 @@
         return attempt;
     }
 
-    public long launchTally() {
-        return launchTally;
+    public long launchSequence() {
+        return launchSequence;
     }
 
     /** True as long as no report has shown the task: the launch may not have happened. */
@@ -118,16 +118,16 @@
         haltWindDownMicros = windDownMicros;
     }
 
-    /** The machine is told, in the answer to the report with the given tally, to forget the ended task. */
-    public void reapOrdered(long tally) {
-        if (reapTally == 0) {
-            reapTally = tally;
+    /** The machine is told, in the answer to the report with the given sequence, to forget the ended task. */
+    public void reapCommanded(long sequence) {
+        if (reapSequence == 0) {
+            reapSequence = sequence;
         }
     }
 
     /** The report whose answer first said so, or 0. */
-    public long reapTally() {
-        return reapTally;
+    public long reapSequence() {
+        return reapSequence;
     }
 
     public boolean halting() {
--- /dev/null
+++ b/src/main/java/io/sillreel/fleet/AllocationIndex.java
@@ -0,0 +1,37 @@
+package io.sillreel.fleet;
+
+import io.sillreel.pipeline.ActiveJob;
+import java.util.HashMap;
+import java.util.LinkedHashSet;
+import java.util.Map;
+import java.util.Set;
+
+/** Where each job's live tasks are and what they take of their teams' limits, kept as tasks come and go. */
+public final class AllocationIndex {
+    private final Map<ActiveJob, Set<Allocation>> byJob = new HashMap<>();
+    private final TeamUse use = new TeamUse();
+
+    void placed(Allocation allocation) {
+        byJob.computeIfAbsent(allocation.job(), job -> new LinkedHashSet<>()).add(allocation);
+        use.take(allocation.job().spec(), 1);
+    }
+
+    void gone(Allocation allocation) {
+        Set<Allocation> allocations = byJob.get(allocation.job());
+        allocations.remove(allocation);
+        if (allocations.isEmpty()) {
+            byJob.remove(allocation.job());
+        }
+        use.take(allocation.job().spec(), -1);
+    }
+
+    /** The job's live tasks. */
+    public Set<Allocation> of(ActiveJob job) {
+        return byJob.getOrDefault(job, Set.of());
+    }
+
+    /** What all live tasks take; to be copied before it is changed. */
+    public TeamUse use() {
+        return use;
+    }
+}
--- a/src/main/java/io/sillreel/fleet/FleetKeeper.java
+++ b/src/main/java/io/sillreel/fleet/FleetKeeper.java
@@ -6,8 +6,8 @@
 import io.sillreel.cloud.MachineType;
 import io.sillreel.http.Loop;
 import io.sillreel.placement.CapacityPlanner;
-import io.sillreel.placement.CapacityPlanner.Wish;
 import io.sillreel.placement.Cluster;
+import io.sillreel.placement.RentalRequest;
 import io.sillreel.settings.OperatorProperties;
 import io.sillreel.settings.Settings;
 import io.sillreel.statestore.KeyWriter;
@@ -30,10 +30,10 @@
     private static final Logger LOG = LoggerFactory.getLogger(FleetKeeper.class);
     private static final long LIST_EVERY_MICROS = 5_000_000;
     private static final long FULL_PAUSE_MICROS = 20_000_000;
-    private static final long HIRE_RETRY_MICROS = 2_000_000;
+    private static final long RENTAL_RETRY_MICROS = 2_000_000;
     private static final long LEAST_BOOT_PATIENCE_MICROS = 75_000_000;
     private static final int BOOT_PATIENCE_FACTOR = 3;
-    private static final int HIRES_AT_ONCE = 6;
+    private static final int RENTALS_AT_ONCE = 6;
     private static final int MOST_RETURNED = 100;
     private static final long LEAST_UNHEARD_MICROS = 8_000_000;
     private static final int MOST_UNHEARD_PART = 4;
@@ -64,10 +64,10 @@
     private final BooleanSupplier undisturbed;
     private final Consumer<Machine> clear;
 
-    private final Map<String, Hire> hires = new LinkedHashMap<>();
+    private final Map<String, Rental> rentals = new LinkedHashMap<>();
     private final Set<String> gone = new HashSet<>();
     private final Map<String, Long> strangers = new HashMap<>();
-    private final Set<Hire> wentDown = new LinkedHashSet<>();
+    private final Set<Rental> wentDown = new LinkedHashSet<>();
     private final List<Long> lostMicros = new ArrayList<>();
     private final long begunMicros;
     private long manySilentMicros = Long.MIN_VALUE / 2;
@@ -108,25 +108,25 @@
         this.begunMicros = loop.nowMicros();
     }
 
-    /** Takes over a stored hire; its machines may run tasks of an earlier holder until the bound. */
-    public void inherit(Hire hire, long aliveUntilMicros) {
-        int most = Hire.mostMachines(settings.state().values().announcedBytes());
-        if (hire.machines().size() > most) {
-            hire.split(most, writer::enqueue).forEach(part -> {
+    /** Takes over a stored rental; its machines may run tasks of an earlier leader until the bound. */
+    public void inherit(Rental rental, long aliveUntilMicros) {
+        int most = Rental.mostMachines(settings.state().values().announcedBytes());
+        if (rental.machines().size() > most) {
+            rental.split(most, writer::enqueue).forEach(part -> {
                 inherit(part, aliveUntilMicros);
                 writer.enqueue(part);
             });
         }
-        hires.put(hire.name(), hire);
-        for (String name : List.copyOf(hire.machines())) {
-            MachineType type = types.get().get(hire.build());
+        rentals.put(rental.name(), rental);
+        for (String name : List.copyOf(rental.machines())) {
+            MachineType type = types.get().get(rental.build());
             if (cluster.machine(name) != null) {
-                // Cut off from another hire that was not written again: one of them is enough.
-                hire.gone(name);
-                writer.enqueue(hire);
+                // Cut off from another rental that was not written again: one of them is enough.
+                rental.gone(name);
+                writer.enqueue(rental);
             } else if (type != null) {
                 Machine machine =
-                        new Machine(name, type, hire.yard(), hire.spot(), hire, loop.nowMicros(), cluster.book());
+                        new Machine(name, type, rental.zone(), rental.spot(), rental, loop.nowMicros(), cluster.book());
                 machine.aliveUntil(aliveUntilMicros);
                 cluster.addInherited(machine);
             }
@@ -139,39 +139,39 @@
 
     /** A machine has reported: it is stored as up before it may be given tasks. */
     public void cameUp(Machine machine) {
-        if (machine.hire().cameUp(machine.name())) {
-            writer.enqueue(machine.hire());
+        if (machine.rental().cameUp(machine.name())) {
+            writer.enqueue(machine.rental());
         }
     }
 
-    /** A machine was silent for longer than anything could live on it: stored soon, with others of its hire. */
+    /** A machine was silent for longer than anything could live on it: stored soon, with others of its rental. */
     public void wentDown(Machine machine) {
-        if (machine.hire().wentDown(machine.name())) {
-            wentDown.add(machine.hire());
+        if (machine.rental().wentDown(machine.name())) {
+            wentDown.add(machine.rental());
         }
     }
 
-    /** A machine that no known hire brought: used from now on, once it is stored. */
-    public Machine adopt(String name, String build, String yard, boolean spot) {
+    /** A machine that no known rental brought: used from now on, once it is stored. */
+    public Machine adopt(String name, String build, String zone, boolean spot) {
         MachineType type = types.get().get(build);
         if (type == null) {
             return null;
         }
-        Hire hire = new Hire("adopted-" + term + "-" + ++names, build, yard, spot, 1);
-        hire.answered(List.of(name));
-        hires.put(hire.name(), hire);
-        LOG.info("machine {} ({}, {}) was not expected, it is taken into the fleet", name, build, yard);
-        Machine machine = enter(name, hire, loop.nowMicros());
-        writer.enqueue(hire);
+        Rental rental = new Rental("adopted-" + term + "-" + ++names, build, zone, spot, 1);
+        rental.answered(List.of(name));
+        rentals.put(rental.name(), rental);
+        LOG.info("machine {} ({}, {}) was not expected, it is taken into the fleet", name, build, zone);
+        Machine machine = enter(name, rental, loop.nowMicros());
+        writer.enqueue(rental);
         return machine;
     }
 
-    private Machine enter(String name, Hire hire, long hiredMicros) {
-        MachineType type = types.get().get(hire.build());
+    private Machine enter(String name, Rental rental, long rentedMicros) {
+        MachineType type = types.get().get(rental.build());
         if (type == null || cluster.machine(name) != null) {
             return cluster.machine(name);
         }
-        Machine machine = new Machine(name, type, hire.yard(), hire.spot(), hire, hiredMicros, cluster.book());
+        Machine machine = new Machine(name, type, rental.zone(), rental.spot(), rental, rentedMicros, cluster.book());
         cluster.add(machine);
         strangers.remove(name);
         return machine;
@@ -182,7 +182,7 @@
         long now = loop.nowMicros();
         synchronized (cluster) {
             retire(now);
-            wentDown.stream().filter(hire -> !hire.dropped()).forEach(writer::enqueue);
+            wentDown.stream().filter(rental -> !rental.dropped()).forEach(writer::enqueue);
             wentDown.clear();
         }
         if (!listing && now - listedMicros > LIST_EVERY_MICROS) {
@@ -196,12 +196,12 @@
     /** Decides which machines are to go. */
     private void retire(long now) {
         for (Machine machine : cluster.machines()) {
-            long sinceReport = now - Math.max(machine.lastReportMicros(), machine.hiredMicros());
-            if (machine.state() == Machine.State.HIRED) {
+            long sinceReport = now - Math.max(machine.lastReportMicros(), machine.rentedMicros());
+            if (machine.state() == Machine.State.RENTED) {
                 long patience = Math.max(
                         LEAST_BOOT_PATIENCE_MICROS,
                         BOOT_PATIENCE_FACTOR * machine.type().bootMicros());
-                if (now - machine.hiredMicros() > patience && machine.leaseBoundMicros() < now) {
+                if (now - machine.rentedMicros() > patience && machine.leaseBoundMicros() < now) {
                     leave(machine, "it never came up");
                 }
             } else if (machine.state() == Machine.State.UP) {
@@ -313,7 +313,7 @@
                 "machine {} ({}, {}{}) is to be returned: {}",
                 machine.name(),
                 machine.type().name(),
-                machine.yard(),
+                machine.zone(),
                 machine.spot() ? ", spot" : "",
                 reason);
     }
@@ -351,11 +351,11 @@
         clear.accept(machine);
         cluster.remove(machine);
         gone.add(machine.name());
-        machine.hire().gone(machine.name());
-        if (machine.hire().dropped()) {
-            hires.remove(machine.hire().name());
+        machine.rental().gone(machine.name());
+        if (machine.rental().dropped()) {
+            rentals.remove(machine.rental().name());
         }
-        writer.enqueue(machine.hire());
+        writer.enqueue(machine.rental());
     }
 
     private void list() {
@@ -409,11 +409,11 @@
         }
         // It may be the answer to a call still under way, so a second look decides.
         Long first = strangers.putIfAbsent(entry.name(), asked);
-        boolean pending = hires.values().stream().anyMatch(hire -> !hire.answered());
+        boolean pending = rentals.values().stream().anyMatch(rental -> !rental.answered());
         if (first == null || pending && asked - first < 30_000_000) {
             return;
         }
-        Machine machine = adopt(entry.name(), entry.build(), entry.yard(), entry.spot());
+        Machine machine = adopt(entry.name(), entry.build(), entry.zone(), entry.spot());
         if (machine != null) {
             machine.address(entry.address());
             machine.listed(asked);
@@ -424,117 +424,125 @@
     }
 
     private void rent(long now) {
-        // A hire is stored before the cloud is asked, so it waits while the store can't keep up with what is as urgent.
+        // A rental is stored before the cloud is asked, so it waits while the store can't keep up with what is as
+        // urgent.
         if (!mayAct.getAsBoolean() || writer.pressing() > settings.state().txnOps()) {
             return;
         }
-        List<Wish> wishes;
+        List<RentalRequest> rentalRequests;
         synchronized (cluster) {
             long pending = 0;
             long pendingOrdinary = 0;
             int open = 0;
-            for (Hire hire : hires.values()) {
-                if (!hire.answered()) {
-                    MachineType type = types.get().get(hire.build());
-                    long cpus = type == null ? 0 : Math.round(type.cpus() * hire.count());
+            for (Rental rental : rentals.values()) {
+                if (!rental.answered()) {
+                    MachineType type = types.get().get(rental.build());
+                    long cpus = type == null ? 0 : Math.round(type.cpus() * rental.count());
                     pending += cpus;
-                    pendingOrdinary += hire.spot() ? 0 : cpus;
+                    pendingOrdinary += rental.spot() ? 0 : cpus;
                     open++;
                 }
             }
-            if (open >= HIRES_AT_ONCE) {
+            if (open >= RENTALS_AT_ONCE) {
                 return;
             }
-            wishes = capacity.wishes(types.get().values(), pending, pendingOrdinary, now, loop.wallMicros());
+            rentalRequests =
+                    capacity.rentalRequests(types.get().values(), pending, pendingOrdinary, now, loop.wallMicros());
         }
-        for (Wish wish : wishes) {
+        for (RentalRequest rentalRequest : rentalRequests) {
             int count = Math.min(
-                    wish.count(), Hire.mostMachines(settings.state().values().announcedBytes()));
-            Hire hire = new Hire("r-" + term + "-" + ++names, wish.type().name(), wish.yard(), wish.spot(), count);
-            hires.put(hire.name(), hire);
-            hire.onStored(() -> ask(hire));
-            writer.enqueue(hire);
+                    rentalRequest.count(),
+                    Rental.mostMachines(settings.state().values().announcedBytes()));
+            Rental rental = new Rental(
+                    "r-" + term + "-" + ++names,
+                    rentalRequest.type().name(),
+                    rentalRequest.zone(),
+                    rentalRequest.spot(),
+                    count);
+            rentals.put(rental.name(), rental);
+            rental.onStored(() -> ask(rental));
+            writer.enqueue(rental);
         }
     }
 
     private void askAgain(long now) {
-        for (Hire hire : List.copyOf(hires.values())) {
-            if (!hire.answered()
-                    && !hire.dropped()
-                    && hire.stamp() > 0
-                    && now - hire.askedMicros() > HIRE_RETRY_MICROS + 6_000_000) {
-                ask(hire);
+        for (Rental rental : List.copyOf(rentals.values())) {
+            if (!rental.answered()
+                    && !rental.dropped()
+                    && rental.stamp() > 0
+                    && now - rental.askedMicros() > RENTAL_RETRY_MICROS + 6_000_000) {
+                ask(rental);
             }
         }
     }
 
-    private void ask(Hire hire) {
-        if (!mayAct.getAsBoolean() || hire.answered() || hire.dropped()) {
+    private void ask(Rental rental) {
+        if (!mayAct.getAsBoolean() || rental.answered() || rental.dropped()) {
             return;
         }
-        hire.askedMicros(loop.nowMicros());
-        cloud.hire(hire.name(), hire.build(), hire.yard(), hire.spot(), hire.count())
-                .thenAccept(hired -> {
+        rental.askedMicros(loop.nowMicros());
+        cloud.rent(rental.name(), rental.build(), rental.zone(), rental.spot(), rental.count())
+                .thenAccept(rented -> {
                     synchronized (cluster) {
-                        hired(hire, hired);
+                        rented(rental, rented);
                     }
                 });
     }
 
-    private void hired(Hire hire, CloudClient.Hired hired) {
+    private void rented(Rental rental, CloudClient.Rented rented) {
         long now = loop.nowMicros();
-        if (hire.answered() || hire.dropped()) {
+        if (rental.answered() || rental.dropped()) {
             // Asked twice, since an answer seemed lost: the first one counts, and what it brought may be at work.
             return;
         }
-        switch (hired.outcome()) {
+        switch (rented.outcome()) {
             case OK -> {
                 LOG.info(
                         "rented {} of {} {} in {}{} as {}",
-                        hired.machines().size(),
-                        hire.count(),
-                        hire.build(),
-                        hire.yard(),
-                        hire.spot() ? ", spot" : "",
-                        hire.name());
-                List<String> fresh = hired.machines().stream()
+                        rented.machines().size(),
+                        rental.count(),
+                        rental.build(),
+                        rental.zone(),
+                        rental.spot() ? ", spot" : "",
+                        rental.name());
+                List<String> fresh = rented.machines().stream()
                         .filter(name -> cluster.machine(name) == null && !gone.contains(name))
                         .toList();
-                hire.answered(fresh);
-                fresh.forEach(name -> enter(name, hire, now));
-                if (hired.machines().size() < hire.count()) {
-                    capacity.full(hire.build(), hire.yard(), hire.spot(), now + FULL_PAUSE_MICROS);
+                rental.answered(fresh);
+                fresh.forEach(name -> enter(name, rental, now));
+                if (rented.machines().size() < rental.count()) {
+                    capacity.full(rental.build(), rental.zone(), rental.spot(), now + FULL_PAUSE_MICROS);
                 }
                 if (fresh.isEmpty()) {
-                    forget(hire);
+                    forget(rental);
                 }
-                writer.enqueue(hire);
+                writer.enqueue(rental);
             }
             case NO_CAPACITY -> {
-                capacity.full(hire.build(), hire.yard(), hire.spot(), now + FULL_PAUSE_MICROS);
-                forget(hire);
-                writer.enqueue(hire);
+                capacity.full(rental.build(), rental.zone(), rental.spot(), now + FULL_PAUSE_MICROS);
+                forget(rental);
+                writer.enqueue(rental);
             }
             case REFUSED -> {
-                if (hire.maybeExecuted()) {
-                    hire.askedMicros(now - 6_000_000);
+                if (rental.maybeExecuted()) {
+                    rental.askedMicros(now - 6_000_000);
                 } else {
                     // Surely rented nothing; the wish is formed anew when the cloud answers again.
-                    capacity.full(hire.build(), hire.yard(), hire.spot(), now + HIRE_RETRY_MICROS);
-                    forget(hire);
-                    writer.enqueue(hire);
+                    capacity.full(rental.build(), rental.zone(), rental.spot(), now + RENTAL_RETRY_MICROS);
+                    forget(rental);
+                    writer.enqueue(rental);
                 }
             }
             default -> {
-                LOG.info("the rental {} got no answer, asking again under the same name", hire.name());
-                hire.maybeExecuted(true);
-                hire.askedMicros(now - 6_000_000);
+                LOG.info("the rental {} got no answer, asking again under the same name", rental.name());
+                rental.maybeExecuted(true);
+                rental.askedMicros(now - 6_000_000);
             }
         }
     }
 
-    private void forget(Hire hire) {
-        hire.drop();
-        hires.remove(hire.name());
+    private void forget(Rental rental) {
+        rental.drop();
+        rentals.remove(rental.name());
     }
 }
--- a/src/main/java/io/sillreel/fleet/Machine.java
+++ b/src/main/java/io/sillreel/fleet/Machine.java
@@ -16,7 +16,7 @@
 public final class Machine {
     /** HIRED: no report yet. UP: reports. LEAVING: takes nothing more. RETURNING: the cloud was asked to take it. */
     public enum State {
-        HIRED,
+        RENTED,
         UP,
         LEAVING,
         RETURNING
@@ -27,7 +27,7 @@
 
     private static final double EPSILON = 1e-6;
     /** So many answers in a row without effect are no accident. */
-    private static final int DEAF_AFTER = 3;
+    private static final int UNRESPONSIVE_AFTER = 3;
 
     private static final int STALE_BEFORE_ASKING = 3;
     /** A machine that is silent for so long may have lost answers with its reports. */
@@ -41,23 +41,23 @@
 
     private final String name;
     private final MachineType type;
-    private final String yard;
+    private final String zone;
     private final boolean spot;
-    private final Hire hire;
-    private final long hiredMicros;
-    private final SeatBook book;
-    private final Map<String, Seat> seats = new LinkedHashMap<>();
+    private final Rental rental;
+    private final long rentedMicros;
+    private final AllocationIndex book;
+    private final Map<String, Allocation> allocations = new LinkedHashMap<>();
     private final Set<String> images = new LinkedHashSet<>();
     private final Set<String> blamedBy = new HashSet<>();
     private final Set<String> slowJobs = new HashSet<>();
 
-    private State state = State.HIRED;
+    private State state = State.RENTED;
     private String address;
     private boolean inherited;
     private boolean trusted;
-    private long shift;
-    private long tally;
-    private long endedShift;
+    private long session;
+    private long sequence;
+    private long endedSession;
     private long upMicros = -1;
     private long lastReportMicros = -1;
     private long leaseBoundMicros;
@@ -66,8 +66,8 @@
     private long firstListedMicros = -1;
     private int answered;
     private long directMicros = Long.MIN_VALUE;
-    private long staleShift;
-    private long staleTally;
+    private long staleSession;
+    private long staleSequence;
     private int staleCount;
     private int unheeded;
     private long doubtMicros;
@@ -81,22 +81,28 @@
     private int liveCount;
 
     /**
-     * @param hire the rental that the machine belongs to, or null if no stored one names it
+     * @param rental the rental that the machine belongs to, or null if no stored one names it
      * @param book counts the tasks of all machines
      */
     public Machine(
-            String name, MachineType type, String yard, boolean spot, Hire hire, long hiredMicros, SeatBook book) {
+            String name,
+            MachineType type,
+            String zone,
+            boolean spot,
+            Rental rental,
+            long rentedMicros,
+            AllocationIndex book) {
         this.name = name;
         this.type = type;
-        this.yard = yard;
+        this.zone = zone;
         this.spot = spot;
-        this.hire = hire;
-        this.hiredMicros = hiredMicros;
-        this.idleSinceMicros = hiredMicros;
+        this.rental = rental;
+        this.rentedMicros = rentedMicros;
+        this.idleSinceMicros = rentedMicros;
         this.book = book;
     }
 
-    SeatBook book() {
+    AllocationIndex book() {
         return book;
     }
 
@@ -108,20 +114,20 @@
         return type;
     }
 
-    public String yard() {
-        return yard;
+    public String zone() {
+        return zone;
     }
 
     public boolean spot() {
         return spot;
     }
 
-    public Hire hire() {
-        return hire;
+    public Rental rental() {
+        return rental;
     }
 
-    public long hiredMicros() {
-        return hiredMicros;
+    public long rentedMicros() {
+        return rentedMicros;
     }
 
     public State state() {
@@ -139,7 +145,7 @@
         }
     }
 
-    /** True if an earlier holder rented the machine: it boots no longer, or not for long. */
+    /** True if an earlier leader rented the machine: it boots no longer, or not for long. */
     public boolean inherited() {
         return inherited;
     }
@@ -157,12 +163,12 @@
         trusted = true;
     }
 
-    public long shift() {
-        return shift;
+    public long session() {
+        return session;
     }
 
-    public long tally() {
-        return tally;
+    public long sequence() {
+        return sequence;
     }
 
     /**
@@ -170,12 +176,12 @@
      * over: a report held back by the network, or a copy of one, shows tasks that have died since.
      */
     public boolean advance(Report report, boolean direct, long nowMicros) {
-        if (!report.newerThan(shift, tally) || report.shift() <= endedShift) {
+        if (!report.newerThan(session, sequence) || report.session() <= endedSession) {
             return false;
         }
-        if (shift > 0 && report.shift() > shift && answered > 1) {
+        if (session > 0 && report.session() > session && answered > 1) {
             // Its lease ran out though it was answered all along.
-            unheeded = DEAF_AFTER;
+            unheeded = UNRESPONSIVE_AFTER;
             doubtMicros = nowMicros;
         }
         answered = nowMicros - lastReportMicros < GAP_MICROS ? answered : 0;
@@ -183,14 +189,14 @@
             // Many seemed deaf at once, so it was not given up; now it is tried again, with one task.
             unheeded = 1;
         }
-        shift = report.shift();
-        tally = report.tally();
+        session = report.session();
+        sequence = report.sequence();
         directMicros = direct ? nowMicros : Long.MIN_VALUE;
         staleCount = 0;
         lastReportMicros = nowMicros;
         address(report.address());
         recallAtMicros = report.recallMicros() < 0 ? -1 : nowMicros + report.recallMicros();
-        if (state == State.HIRED) {
+        if (state == State.RENTED) {
             state = State.UP;
             upMicros = nowMicros;
             idleSinceMicros = nowMicros;
@@ -203,9 +209,9 @@
      * answer.
      */
     public boolean overtaken(Report report, long withinMicros, long nowMicros) {
-        return report.shift() == shift
-                && report.tally() == tally - 1
-                && shift > endedShift
+        return report.session() == session
+                && report.sequence() == sequence - 1
+                && session > endedSession
                 && directMicros != Long.MIN_VALUE
                 && nowMicros - directMicros < withinMicros;
     }
@@ -215,9 +221,9 @@
      * ones do that too, but so does a machine that is back and counts anew.
      */
     public boolean countsAnew(Report report) {
-        if (staleCount == 0 || report.newerThan(staleShift, staleTally)) {
-            staleShift = report.shift();
-            staleTally = report.tally();
+        if (staleCount == 0 || report.newerThan(staleSession, staleSequence)) {
+            staleSession = report.session();
+            staleSequence = report.sequence();
             staleCount++;
         }
         if (staleCount < STALE_BEFORE_ASKING) {
@@ -261,8 +267,8 @@
     }
 
     /** True once several answers in a row have shown no effect: its reports arrive, but it hears nothing. */
-    public boolean deaf() {
-        return unheeded >= DEAF_AFTER;
+    public boolean unresponsive() {
+        return unheeded >= UNRESPONSIVE_AFTER;
     }
 
     /** Goes back to the cloud whatever is on it: nothing else can make an end of that. */
@@ -290,16 +296,16 @@
 
     /** The lease has run out whatever the worker heard last: what belongs to its session is dead. */
     public void endSession() {
-        endedShift = shift;
+        endedSession = session;
     }
 
     public void aliveUntil(long boundMicros) {
         leaseBoundMicros = Math.max(leaseBoundMicros, boundMicros);
     }
 
-    /** True if an earlier holder may have launched tasks here: only on machines that are stored as up. */
+    /** True if an earlier leader may have launched tasks here: only on machines that are stored as up. */
     public boolean mayHoldEarlier() {
-        return hire.mayHold(name);
+        return rental.mayHold(name);
     }
 
     /** When the cloud takes the machine back, or -1. */
@@ -321,12 +327,12 @@
 
     /** True if nothing is on it that would be lost with it: no live task, and no result that only it knows. */
     public boolean empty() {
-        for (Seat seat : seats.values()) {
-            if (!seat.ended()
-                    || seat.job() != null
-                            && !seat.job().withdrawn()
-                            && seat.job().isDone(seat.index())
-                            && !seat.job().isStored(seat.index())) {
+        for (Allocation allocation : allocations.values()) {
+            if (!allocation.ended()
+                    || allocation.job() != null
+                            && !allocation.job().cancelled()
+                            && allocation.job().isDone(allocation.index())
+                            && !allocation.job().isStored(allocation.index())) {
                 return false;
             }
         }
@@ -379,7 +385,7 @@
 
     /** Takes nothing more and goes back to the cloud once it is empty. */
     public void leave(String reason) {
-        if (state == State.HIRED || state == State.UP) {
+        if (state == State.RENTED || state == State.UP) {
             state = State.LEAVING;
             leavingReason = reason;
         }
@@ -393,12 +399,12 @@
         return leavingReason;
     }
 
-    public Collection<Seat> seats() {
-        return seats.values();
+    public Collection<Allocation> allocations() {
+        return allocations.values();
     }
 
-    public Seat seat(String uid, int index, long attempt) {
-        return seats.get(key(uid, index, attempt));
+    public Allocation allocation(String uid, int index, long attempt) {
+        return allocations.get(key(uid, index, attempt));
     }
 
     private static String key(String uid, int index, long attempt) {
@@ -406,31 +412,31 @@
     }
 
     /** Adds a task to the machine. */
-    public void add(Seat seat) {
-        seats.put(key(seat.uid(), seat.index(), seat.attempt()), seat);
+    public void add(Allocation allocation) {
+        allocations.put(key(allocation.uid(), allocation.index(), allocation.attempt()), allocation);
         changed();
-        seat.placed(this);
-        if (seat.job() != null) {
-            fetch(seat.job().spec());
+        allocation.placed(this);
+        if (allocation.job() != null) {
+            fetch(allocation.job().spec());
         }
     }
 
-    public void remove(Seat seat) {
-        seats.remove(key(seat.uid(), seat.index(), seat.attempt()));
+    public void remove(Allocation allocation) {
+        allocations.remove(key(allocation.uid(), allocation.index(), allocation.attempt()));
         changed();
     }
 
     /** Removes all tasks and returns them. */
-    public List<Seat> clearSeats() {
-        List<Seat> gone = new ArrayList<>(seats.values());
-        seats.clear();
+    public List<Allocation> clearAllocations() {
+        List<Allocation> gone = new ArrayList<>(allocations.values());
+        allocations.clear();
         changed();
         return gone;
     }
 
     /** Remembers the image as the most recently used; what the cache can't hold is thought to be gone. */
     private void fetch(JobSpec spec) {
-        String image = spec.reel() + "@" + spec.imageGb();
+        String image = spec.image() + "@" + spec.imageGb();
         images.remove(image);
         images.add(image);
         double total = 0;
@@ -445,7 +451,7 @@
     }
 
     public boolean hasImage(JobSpec spec) {
-        return images.contains(spec.reel() + "@" + spec.imageGb());
+        return images.contains(spec.image() + "@" + spec.imageGb());
     }
 
     public double freeCpus() {
@@ -488,21 +494,21 @@
         usedRamGb = 0;
         usedCards = 0;
         liveCount = 0;
-        for (Seat seat : seats.values()) {
-            if (seat.ended()) {
+        for (Allocation allocation : allocations.values()) {
+            if (allocation.ended()) {
                 continue;
             }
             liveCount++;
-            if (seat.job() == null) {
+            if (allocation.job() == null) {
                 // What it takes isn't known here, so it counts as everything.
                 usedCpus = Double.MAX_VALUE;
                 usedRamGb = Double.MAX_VALUE;
                 usedCards = Double.MAX_VALUE;
                 return;
             }
-            usedCpus += seat.job().spec().cpus();
-            usedRamGb += seat.job().spec().ramGb();
-            usedCards += seat.job().spec().cards();
+            usedCpus += allocation.job().spec().cpus();
+            usedRamGb += allocation.job().spec().ramGb();
+            usedCards += allocation.job().spec().cards();
         }
     }
 
@@ -511,6 +517,12 @@
         return fits(spec, freeCpus(), freeRamGb(), freeCards());
     }
 
+    /** True if a task of the job fits into an empty machine of the type. */
+    public static boolean fitsEmpty(JobSpec spec, MachineType type) {
+        return fits(spec, type.cpus(), type.ramGb(), type.cards()) > 0;
+    }
+
+    /** Returns how many tasks of the job fit into the free resources. */
     public static int fits(JobSpec spec, double cpus, double ramGb, double cards) {
         return Math.min(fits(cpus, spec.cpus()), Math.min(fits(ramGb, spec.ramGb()), fits(cards, spec.cards())));
     }
--- a/src/main/java/io/sillreel/fleet/Hire.java
+++ b/src/main/java/io/sillreel/fleet/Rental.java
@@ -15,23 +15,23 @@
 
 /**
  * A rental under its unique name: stored before the cloud is asked, and again with its machines before any of them gets
- * a task. The stored hires bound where tasks can be.
+ * a task. The stored rentals bound where tasks can be.
  */
-public final class Hire implements KeyWriter.Item {
+public final class Rental implements KeyWriter.Item {
     public static final String PREFIX = "hire/";
     private static final int MACHINE_BYTES = 40;
     private static final int REST_BYTES = 300;
 
     private final String name;
     private final String build;
-    private final String yard;
+    private final String zone;
     private final boolean spot;
     private final int count;
     private final Set<String> machines = new LinkedHashSet<>();
     private final Set<String> storedMachines = new LinkedHashSet<>();
     private final Set<String> sentMachines = new LinkedHashSet<>();
     private final Set<String> up = new LinkedHashSet<>();
-    private final List<Hire> splitOff = new ArrayList<>();
+    private final List<Rental> splitOff = new ArrayList<>();
     private Runnable onStored = () -> {};
     private long stamp;
     private boolean answered;
@@ -40,33 +40,33 @@
     private long askedMicros;
 
     /** Creates a rental that the cloud has not been asked for yet. */
-    public Hire(String name, String build, String yard, boolean spot, int count) {
+    public Rental(String name, String build, String zone, boolean spot, int count) {
         this.name = name;
         this.build = build;
-        this.yard = yard;
+        this.zone = zone;
         this.spot = spot;
         this.count = count;
     }
 
-    /** Reads a stored hire. */
-    public static Hire of(String key, JsonNode value, long stamp) {
-        Hire hire = new Hire(
+    /** Reads a stored rental. */
+    public static Rental of(String key, JsonNode value, long stamp) {
+        Rental rental = new Rental(
                 key.substring(PREFIX.length()),
                 value.path("build").asText(),
                 value.path("yard").asText(),
                 value.path("spot").asBoolean(),
                 value.path("count").asInt());
-        hire.stamp = stamp;
-        hire.answered = value.has("machines");
-        hire.maybeExecuted = true;
-        value.path("machines").forEach(machine -> hire.machines.add(machine.asText()));
+        rental.stamp = stamp;
+        rental.answered = value.has("machines");
+        rental.maybeExecuted = true;
+        value.path("machines").forEach(machine -> rental.machines.add(machine.asText()));
         if (value.has("up")) {
-            value.path("up").forEach(machine -> hire.up.add(machine.asText()));
+            value.path("up").forEach(machine -> rental.up.add(machine.asText()));
         } else {
-            hire.up.addAll(hire.machines);
+            rental.up.addAll(rental.machines);
         }
-        hire.storedMachines.addAll(hire.up);
-        return hire;
+        rental.storedMachines.addAll(rental.up);
+        return rental;
     }
 
     /** How many machines fit into a value of that size, each of them named twice. */
@@ -75,27 +75,27 @@
     }
 
     /**
-     * Cuts off what is beyond so many machines, into hires of their own that are stored before this one is written
+     * Cuts off what is beyond so many machines, into rentals of their own that are stored before this one is written
      * again: it may have been stored when values could be larger.
      */
-    public List<Hire> split(int most, Consumer<Hire> enqueue) {
+    public List<Rental> split(int most, Consumer<Rental> enqueue) {
         List<String> all = new ArrayList<>(machines);
         for (int from = most; from < all.size(); from += most) {
             List<String> part = all.subList(from, Math.min(all.size(), from + most));
-            Hire hire = new Hire(name + "." + from / most, build, yard, spot, part.size());
-            hire.answered(part);
-            part.stream().filter(up::remove).forEach(hire.up::add);
-            part.stream().filter(storedMachines::remove).forEach(hire.storedMachines::add);
+            Rental rental = new Rental(name + "." + from / most, build, zone, spot, part.size());
+            rental.answered(part);
+            part.stream().filter(up::remove).forEach(rental.up::add);
+            part.stream().filter(storedMachines::remove).forEach(rental.storedMachines::add);
             part.forEach(machines::remove);
-            hire.onStored(() -> enqueue.accept(this));
-            splitOff.add(hire);
+            rental.onStored(() -> enqueue.accept(this));
+            splitOff.add(rental);
         }
         return List.copyOf(splitOff);
     }
 
     @Override
     public List<KeyWriter.Item> first() {
-        splitOff.removeIf(hire -> hire.stamp > 0 || hire.dropped);
+        splitOff.removeIf(rental -> rental.stamp > 0 || rental.dropped);
         return List.copyOf(splitOff);
     }
 
@@ -107,8 +107,8 @@
         return build;
     }
 
-    public String yard() {
-        return yard;
+    public String zone() {
+        return zone;
     }
 
     public boolean spot() {
@@ -124,7 +124,7 @@
     }
 
     /**
-     * True once the machine stands as up in the stored hire, so that a successor knows to look there. Machines that
+     * True once the machine stands as up in the stored rental, so that a successor knows to look there. Machines that
      * have not reported yet don't, so that those that boot or never come up hold up no takeover.
      */
     public boolean mayHold(String machine) {
@@ -138,7 +138,7 @@
 
     /**
      * Nothing lives on the machine any more; true if that is yet to be stored. Until it has reported again, and stands
-     * as up again, it gets no task and holds up no takeover: a third of the fleet may be silent when the holder
+     * as up again, it gets no task and holds up no takeover: a third of the fleet may be silent when the leader
      * crashes.
      */
     public boolean wentDown(String machine) {
@@ -216,7 +216,7 @@
     private ObjectNode json() {
         ObjectNode value = Json.object()
                 .put("build", build)
-                .put("yard", yard)
+                .put("yard", zone)
                 .put("spot", spot)
                 .put("count", count);
         if (answered) {
--- a/src/main/java/io/sillreel/fleet/TeamUse.java
+++ b/src/main/java/io/sillreel/fleet/TeamUse.java
@@ -40,7 +40,7 @@
 
     /** The tasks' amounts are added, or taken off if there are fewer than none. */
     public void take(JobSpec spec, int tasks) {
-        Amount amount = teams.computeIfAbsent(spec.crew(), team -> new Amount());
+        Amount amount = teams.computeIfAbsent(spec.team(), team -> new Amount());
         amount.cpus += tasks * milli(spec.cpus());
         amount.cards += tasks * milli(spec.cards());
     }
--- a/src/main/java/io/sillreel/http/HttpClient.java
+++ b/src/main/java/io/sillreel/http/HttpClient.java
@@ -40,7 +40,7 @@
     private static final int MAX_ANSWER_BYTES = 16 * 1024 * 1024;
     private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
     /**
-     * A connection without work is closed after so long. A lease holder sends commands to every machine now and then;
+     * A connection without work is closed after so long. A lease leader sends commands to every machine now and then;
      * the connections that this left open would add up to the fleet and take the sockets that the state service needs.
      */
     private static final long IDLE_MICROS = 2_000_000;
--- a/src/main/java/io/sillreel/http/HttpServer.java
+++ b/src/main/java/io/sillreel/http/HttpServer.java
@@ -24,7 +24,7 @@
 import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
-import io.sillreel.http.Turns.Line;
+import io.sillreel.http.RequestQueue.Line;
 import java.net.InetSocketAddress;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
@@ -46,7 +46,7 @@
     private final int maxBodyBytes;
     private final int maxConnections;
     private final Function<Call, Line> lines;
-    private final Turns turns;
+    private final RequestQueue requestQueue;
     private final int maxCrowd;
     private int connections;
     private int crowded;
@@ -65,13 +65,13 @@
             int maxBodyBytes,
             int maxConnections,
             Function<Call, Line> lines,
-            Turns turns,
+            RequestQueue requestQueue,
             int maxCrowd) {
         this.group = group;
         this.maxBodyBytes = maxBodyBytes;
         this.maxConnections = maxConnections;
         this.lines = lines;
-        this.turns = turns;
+        this.requestQueue = requestQueue;
         this.maxCrowd = maxCrowd;
     }
 
@@ -178,7 +178,8 @@
                 write(ctx, Reply.later(503, "too many connections", 1), false);
             } else if (line == Line.AT_ONCE) {
                 answer(ctx, call, keepAlive);
-            } else if (!turns.await(line, body.length, ctx.channel()::isActive, () -> answer(ctx, call, keepAlive))) {
+            } else if (!requestQueue.await(
+                    line, body.length, ctx.channel()::isActive, () -> answer(ctx, call, keepAlive))) {
                 write(ctx, Reply.later(503, "too much waits already", 1), keepAlive);
             }
         }
--- a/src/main/java/io/sillreel/http/Turns.java
+++ b/src/main/java/io/sillreel/http/RequestQueue.java
@@ -12,7 +12,7 @@
  * <p>Whoever has given up is passed over. Once the line is so long that whoever has waited longest is about to give up,
  * the newest go first: else everybody would be served a moment too late.
  */
-public final class Turns {
+public final class RequestQueue {
     /** Where a request waits; what is asked to see whether this process is alive does not wait. */
     public enum Line {
         AT_ONCE,
@@ -41,7 +41,7 @@
     private long givenUp;
     private long bytesWaiting;
 
-    public Turns(Loop loop) {
+    public RequestQueue(Loop loop) {
         this.loop = loop;
     }
 
--- a/src/main/java/io/sillreel/overload/AdaptiveLimit.java
+++ b/src/main/java/io/sillreel/overload/AdaptiveLimit.java
@@ -14,9 +14,9 @@
 
 /**
  * A limit on users' requests in progress that sets itself from measured times. Polls may take only a part of it, so
- * that submissions and withdrawals pass when everybody asks at once. What is over the limit is refused at once, but not
- * the same question for ever: one that has been refused for a while is owed an answer, and a few of those pass beside
- * the limit. Else a job could stay without an answer for as long as others are asked about.
+ * that submissions and cancellations pass when everybody asks at once. What is over the limit is refused at once, but
+ * not the same question for ever: one that has been refused for a while is owed an answer, and a few of those pass
+ * beside the limit. Else a job could stay without an answer for as long as others are asked about.
  */
 public final class AdaptiveLimit implements Handler {
     private static final double POLL_SHARE = 0.7;
--- a/src/main/java/io/sillreel/ownership/Tenure.java
+++ b/src/main/java/io/sillreel/ownership/LeaderTerm.java
@@ -3,9 +3,9 @@
 import io.sillreel.admission.LiveCounts;
 import io.sillreel.cloud.CloudClient;
 import io.sillreel.cloud.MachineType;
+import io.sillreel.fleet.Allocation;
 import io.sillreel.fleet.FleetKeeper;
 import io.sillreel.fleet.Machine;
-import io.sillreel.fleet.Seat;
 import io.sillreel.http.Call;
 import io.sillreel.http.Caller;
 import io.sillreel.http.Loop;
@@ -13,8 +13,8 @@
 import io.sillreel.ownership.StoredState.StoredJob;
 import io.sillreel.peer.Peers;
 import io.sillreel.pipeline.ActiveJob;
-import io.sillreel.pipeline.Chains;
-import io.sillreel.pipeline.Closure;
+import io.sillreel.pipeline.CascadingCancellation;
+import io.sillreel.pipeline.DependencyGraph;
 import io.sillreel.pipeline.JobSpec;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RetrySchedule;
@@ -32,9 +32,9 @@
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.StateStore.Change;
 import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.workers.Orders;
+import io.sillreel.workers.Commands;
 import io.sillreel.workers.Report;
-import io.sillreel.workers.ReportDesk;
+import io.sillreel.workers.ReportProcessor;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
@@ -52,10 +52,11 @@
 
 /**
  * Everything a controller holds while it leads one term: built from the stored plans, records and fleet and from the
- * machines' reports, thrown away with the term. A deposed holder has nothing left to act on.
+ * machines' reports, thrown away with the term. A deposed leader has nothing left to act on.
  */
-public final class Tenure implements ReportDesk.Office, ActiveJob.Watcher, Chains.Office, LiveCounts {
-    private static final Logger LOG = LoggerFactory.getLogger(Tenure.class);
+public final class LeaderTerm
+        implements ReportProcessor.Callbacks, ActiveJob.Watcher, DependencyGraph.Callbacks, LiveCounts {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
     private static final long TICK_MICROS = 100_000;
     private static final long PLAN_AT_LEAST_MICROS = 2_000_000;
     private static final long PLAN_EVERY_MICROS = 200_000;
@@ -65,24 +66,24 @@
     private static final long FLEET_MICROS = 1_000_000;
     private static final long RETRY_MICROS = 300_000;
     private static final long PLAN_WATCH_MICROS = 10_000_000;
-    private static final long WITHDRAW_WATCH_MICROS = 1_000_000;
-    /** Launches need to have asked for withdrawals this recently. */
-    private static final long WITHDRAW_STALE_MICROS = 4_000_000;
+    private static final long CANCELLATIONS_WATCH_MICROS = 1_000_000;
+    /** Launches need to have asked for cancellations this recently. */
+    private static final long CANCELLATIONS_STALE_MICROS = 4_000_000;
 
-    private static final long HOLDOVER_MARGIN_MICROS = 1_500_000;
+    private static final long GRACE_MARGIN_MICROS = 1_500_000;
     private static final int MOST_DONE_REMEMBERED = 4_000;
     private static final long LOOK_AGAIN_MICROS = 1_000_000;
     private static final long DO_TIMEOUT_MICROS = 3_000_000;
     /** A task that needs so many times what its machine has left is not worth waiting for. */
-    private static final double HOPELESS_FACTOR = 1.5;
+    private static final double UNFINISHABLE_FACTOR = 1.5;
     /** So long without any report, while others get some they can't hand on, or while nobody says anything. */
     private static final long UNREACHED_MICROS = 6_000_000;
 
-    private static final long LONE_MICROS = 12_000_000;
-    /** So long without knowing the withdrawals, in which nothing may be launched, while the lease is renewed. */
-    private static final long BLIND_MICROS = 15_000_000;
+    private static final long ISOLATED_MICROS = 12_000_000;
+    /** So long without knowing the cancellations, in which nothing may be launched, while the lease is renewed. */
+    private static final long CANCELLATIONS_UNKNOWN_MICROS = 15_000_000;
 
-    private static final long STAND_BACK_MICROS = 10_000_000;
+    private static final long CANDIDACY_PAUSE_MICROS = 10_000_000;
     /** A worker finds another controller within two time-outs and a report. */
     private static final long DETOURS_OVER_MICROS = 15_000_000;
 
@@ -100,10 +101,10 @@
     private final Estimates estimates = new Estimates();
     private final Planner planner;
     private final CapacityPlanner capacity;
-    private final ReportDesk desk;
+    private final ReportProcessor reportProcessor;
     private final FleetKeeper fleet;
-    private final Chains chains = new Chains(this);
-    private final PriorityInheritance inheritance = new PriorityInheritance(chains, estimates);
+    private final DependencyGraph dependencies = new DependencyGraph(this);
+    private final PriorityInheritance inheritance = new PriorityInheritance(dependencies, estimates);
     /** Jobs that are certainly done, as far as they are remembered; the store knows of all. */
     private final Set<String> doneUids = Collections.newSetFromMap(new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
@@ -114,13 +115,13 @@
         }
     });
 
-    private final Set<String> withdrawnUids = new HashSet<>();
+    private final Set<String> cancelledUids = new HashSet<>();
     private final Set<Machine> haltsDue = new LinkedHashSet<>();
 
     private boolean loaded;
     private boolean closed;
     private boolean dirty = true;
-    private long withdrawProofMicros;
+    private long cancellationProofMicros;
     private long plannedMicros;
     private long fleetMicros;
     private long statusMicros;
@@ -133,7 +134,7 @@
     private final Set<String> sentToLook = new HashSet<>();
 
     /** Creates the state of one term; {@link #start} begins to read what is stored. */
-    public Tenure(
+    public LeaderTerm(
             Loop loop,
             StateStore store,
             CloudClient cloud,
@@ -166,7 +167,7 @@
         this.capacity = new CapacityPlanner(cluster, deadlines, estimates);
         RetrySchedule retries = new RetrySchedule(
                 operator.retryInitialMicros(), operator.retryMaximumMicros(), operator.parkedMicros());
-        this.desk = new ReportDesk(
+        this.reportProcessor = new ReportProcessor(
                 loop, term, cluster, writer, settings.workers(), retries, estimates, planner, this, this::mayAct);
         this.fleet = new FleetKeeper(
                 loop,
@@ -180,7 +181,7 @@
                 types,
                 this::mayAct,
                 this::undisturbed,
-                desk::clear);
+                reportProcessor::clear);
     }
 
     public void start() {
@@ -196,27 +197,27 @@
         return term;
     }
 
-    /** Launches, rentals and returns need proof of holding the lease and of knowing the withdrawals. */
+    /** Launches, rentals and returns need proof of holding the lease and of knowing the cancellations. */
     private boolean mayAct() {
         return !closed
                 && loaded
                 && leadership.proven()
                 && leadership.heldTerm() == term
-                && loop.nowMicros() - withdrawProofMicros < WITHDRAW_STALE_MICROS;
+                && loop.nowMicros() - cancellationProofMicros < CANCELLATIONS_STALE_MICROS;
     }
 
     /**
-     * How long after the last proof reports are still answered. A withdrawal that this holder can't hear of is told to
-     * a user after that proof; tasks answered until then plus the lease are gone before cancel_s is over.
+     * How long after the last proof reports are still answered. A cancellation that this leader can't hear of is told
+     * to a user after that proof; tasks answered until then plus the lease are gone before cancel_s is over.
      */
-    private long holdoverMicros() {
+    private long gracePeriodMicros() {
         return Math.max(
-                0, settings.workers().cancelMicros() - settings.workers().leaseMicros() - HOLDOVER_MARGIN_MICROS);
+                0, settings.workers().cancelMicros() - settings.workers().leaseMicros() - GRACE_MARGIN_MICROS);
     }
 
     private boolean mayKeepAlive() {
-        long proof = Math.min(leadership.proofMicros(), withdrawProofMicros);
-        return loop.nowMicros() < proof + holdoverMicros();
+        long proof = Math.min(leadership.proofMicros(), cancellationProofMicros);
+        return loop.nowMicros() < proof + gracePeriodMicros();
     }
 
     // --- Taking over -----------------------------------------------------------------------------------------------
@@ -241,21 +242,21 @@
                         loop.after(RETRY_MICROS, this::load);
                         return;
                     }
-                    withdrawProofMicros = asked;
+                    cancellationProofMicros = asked;
                     begin(state.get());
                 });
     }
 
     private void begin(StoredState state) {
         synchronized (cluster) {
-            withdrawnUids.addAll(state.cancelled());
+            cancelledUids.addAll(state.cancelled());
             state.recentlyDone().forEach(plan -> capacity.arrived(plan.spec(), plan.admittedWallMicros()));
             toWrite(state.leftovers());
             List<ActiveJob> unfinished = new ArrayList<>();
             state.unfinished().forEach(stored -> unfinished.add(inherit(stored)));
-            chains.begin(unfinished, state.done()::contains, withdrawnUids::contains);
+            dependencies.begin(unfinished, state.done()::contains, cancelledUids::contains);
             unfinished.forEach(inheritance::joined);
-            long bound = desk.aliveUntil(loop.nowMicros()) + holdoverMicros() + HOLDOVER_MARGIN_MICROS / 3;
+            long bound = reportProcessor.aliveUntil(loop.nowMicros()) + gracePeriodMicros() + GRACE_MARGIN_MICROS / 3;
             state.rentals().forEach(rental -> fleet.inherit(rental, bound));
             loaded = true;
             loadedMicros = loop.nowMicros();
@@ -267,7 +268,7 @@
                 cluster.jobs().size(),
                 cluster.machines().size());
         watchPlans(state.plansRevision());
-        watchWithdrawals(state.cancellationsRevision());
+        watchCancellations(state.cancellationsRevision());
         loop.after(0, this::tick);
     }
 
@@ -277,7 +278,7 @@
             job.inherit(stored.headStamp(), stored.head(), stored.pieces());
         }
         add(job);
-        if (job.complete() && !job.withdrawn()) {
+        if (job.complete() && !job.cancelled()) {
             writer.enqueue(job);
         }
         return job;
@@ -294,8 +295,8 @@
     }
 
     private void add(ActiveJob job) {
-        if (withdrawnUids.contains(job.uid())) {
-            job.withdraw();
+        if (cancelledUids.contains(job.uid())) {
+            job.cancel();
         }
         if (!job.awaitsOthers()) {
             capacity.arrived(job.spec(), job.readyWallMicros());
@@ -318,7 +319,7 @@
                 if (cluster.job(plan.spec().uid()) == null) {
                     ActiveJob job = create(complete.get(), stamp);
                     add(job);
-                    chains.enter(job, withdrawnUids::contains);
+                    dependencies.enter(job, cancelledUids::contains);
                     inheritance.joined(job);
                 }
             }
@@ -327,7 +328,7 @@
 
     @Override
     public void ready(ActiveJob job) {
-        if (job.withdrawn()) {
+        if (job.cancelled()) {
             return;
         }
         if (job.awaitsOthers()) {
@@ -339,23 +340,25 @@
         }
     }
 
-    /** The withdrawal of what follows is told from that of the first; writing it down spares readers to look for it. */
+    /**
+     * The cancellation of what follows is told from that of the first; writing it down spares readers to look for it.
+     */
     @Override
     public void closed(ActiveJob job, String because) {
-        if (withdrawnUids.add(job.uid())) {
-            LOG.info("withdrawn {}, which needs {}", job.uid(), because);
-            writer.enqueue(new Closure(job.uid(), because, loop.wallMicros()));
+        if (cancelledUids.add(job.uid())) {
+            LOG.info("cancelled {}, which needs {}", job.uid(), because);
+            writer.enqueue(new CascadingCancellation(job.uid(), because, loop.wallMicros()));
         }
-        foundWithdrawn(job);
+        foundCancelled(job);
     }
 
     @Override
     public void lookUp(String uid) {
-        if (closed || !chains.asks(uid)) {
+        if (closed || !dependencies.asks(uid)) {
             return;
         }
         if (doneUids.contains(uid)) {
-            chains.found(uid);
+            dependencies.found(uid);
             return;
         }
         store.get(RunRecord.key(uid)).thenAccept(read -> {
@@ -363,7 +366,7 @@
                 if (read.outcome() == Outcome.OK
                         && RunRecord.Head.of(read.entry().value()).isDone()) {
                     doneUids.add(uid);
-                    chains.found(uid);
+                    dependencies.found(uid);
                     return;
                 }
             }
@@ -389,24 +392,24 @@
                 sent -> {});
     }
 
-    private void watchWithdrawals(long since) {
+    private void watchCancellations(long since) {
         follow(
                 StoredStateReader.CANCELLATIONS,
                 since,
-                WITHDRAW_WATCH_MICROS,
-                change -> withdrawn(change.key().substring(StoredStateReader.CANCELLATIONS.length())),
-                sent -> withdrawProofMicros = Math.max(withdrawProofMicros, sent));
+                CANCELLATIONS_WATCH_MICROS,
+                change -> cancelled(change.key().substring(StoredStateReader.CANCELLATIONS.length())),
+                sent -> cancellationProofMicros = Math.max(cancellationProofMicros, sent));
     }
 
-    /** A withdrawal has been stored: seen there, or heard of from the controller that stored it. */
-    public void withdrawn(String uid) {
+    /** A cancellation has been stored: seen there, or heard of from the controller that stored it. */
+    public void cancelled(String uid) {
         synchronized (cluster) {
-            withdrawnUids.add(uid);
+            cancelledUids.add(uid);
             ActiveJob job = cluster.job(uid);
             if (job != null) {
-                foundWithdrawn(job);
+                foundCancelled(job);
             }
-            chains.withdrawn(uid);
+            dependencies.cancelled(uid);
         }
     }
 
@@ -416,17 +419,17 @@
             return;
         }
         long sent = loop.nowMicros();
-        store.watch(prefix, since, blockMicros).thenAccept(news -> {
+        store.watch(prefix, since, blockMicros).thenAccept(result -> {
             if (closed) {
                 return;
             }
-            switch (news.outcome()) {
+            switch (result.outcome()) {
                 case OK -> {
                     synchronized (cluster) {
-                        news.changes().forEach(each);
+                        result.changes().forEach(each);
                     }
                     proven.accept(sent);
-                    follow(prefix, news.ledger(), blockMicros, each, proven);
+                    follow(prefix, result.ledger(), blockMicros, each, proven);
                 }
                 case COMPACTED -> leadership.resign("the changes under " + prefix + " were missed");
                 default -> loop.after(RETRY_MICROS, () -> follow(prefix, since, blockMicros, each, proven));
@@ -438,8 +441,8 @@
 
     /** Answers a worker's report, or says that this controller may not. */
     public Reply answer(Report report) {
-        if (report.baton() > term) {
-            leadership.heard(null, report.baton());
+        if (report.token() > term) {
+            leadership.heard(null, report.token());
             return Reply.later(503, "a later term has begun", 1);
         }
         if (closed || !loaded) {
@@ -452,7 +455,7 @@
         if (!leadership.proven() && betterElsewhere(report.machine())) {
             return Reply.later(503, "another controller may hold the lease by now", 1);
         }
-        return desk.report(report);
+        return reportProcessor.report(report);
     }
 
     /**
@@ -469,7 +472,7 @@
         return settings.controllers() > 1 && peers.silent() && sentToLook.add(machine);
     }
 
-    /** Looks, about once a second, whether the workers reach this holder at all. */
+    /** Looks, about once a second, whether the workers reach this leader at all. */
     public void review() {
         long now = loop.nowMicros();
         boolean expected;
@@ -479,13 +482,14 @@
         }
         if (leadership.proven()) {
             sentToLook.clear();
-            boolean blind = loaded && now - withdrawProofMicros > BLIND_MICROS;
-            if (blind || writer.stuck()) {
+            boolean cancellationsUnknown = loaded && now - cancellationProofMicros > CANCELLATIONS_UNKNOWN_MICROS;
+            if (cancellationsUnknown || writer.stuck()) {
                 // The lease is held and nothing comes of it; whoever begins anew from what is stored is better off.
                 if (settings.controllers() > 1) {
-                    leadership.standBack(STAND_BACK_MICROS);
+                    leadership.pauseCandidacy(CANDIDACY_PAUSE_MICROS);
                 }
-                leadership.resign(blind ? "withdrawals can't be followed" : "writes do not come to an end");
+                leadership.resign(
+                        cancellationsUnknown ? "cancellations can't be followed" : "writes do not come to an end");
                 return;
             }
         }
@@ -497,10 +501,10 @@
             // Nobody else could lead, or nobody hears a worker, so there is none to hear.
             return;
         }
-        long patience = heardElsewhere ? UNREACHED_MICROS : LONE_MICROS;
+        long patience = heardElsewhere ? UNREACHED_MICROS : ISOLATED_MICROS;
         if (expected && now - Math.max(reportMicros, loadedMicros) > patience) {
             // Whoever can be reached may lead instead; tasks die if nobody answers for them.
-            leadership.standBack(STAND_BACK_MICROS);
+            leadership.pauseCandidacy(CANDIDACY_PAUSE_MICROS);
             leadership.resign("no worker reaches this controller");
         }
     }
@@ -512,7 +516,7 @@
 
     @Override
     public Machine adopt(Report report) {
-        return fleet.adopt(report.machine(), report.build(), report.yard(), report.spot());
+        return fleet.adopt(report.machine(), report.build(), report.zone(), report.spot());
     }
 
     @Override
@@ -540,12 +544,12 @@
         if (machine.address() == null) {
             return;
         }
-        long shift = machine.shift();
-        long tally = machine.tally();
+        long session = machine.session();
+        long sequence = machine.sequence();
         caller.call(machine.address(), Call.get("/status"), DO_TIMEOUT_MICROS).thenAccept(reply -> {
             Report report = !closed && reply.ok() ? Report.read(reply.body()) : null;
             if (report != null && report.machine().equals(machine.name())) {
-                desk.asked(report, shift, tally);
+                reportProcessor.asked(report, session, sequence);
             }
         });
     }
@@ -564,11 +568,11 @@
         dirty = false;
         plannedMicros = now;
         Planner.Plan plan = planner.plan(now, loop.wallMicros());
-        desk.plan(plan);
-        for (Seat seat : plan.halts()) {
-            LOG.debug("stopping {}/{} to make room", seat.uid(), seat.index());
-            seat.halt(seat.job().spec().stashMicros() + 1_000_000);
-            haltsDue.add(seat.machine());
+        reportProcessor.plan(plan);
+        for (Allocation allocation : plan.halts()) {
+            LOG.debug("stopping {}/{} to make room", allocation.uid(), allocation.index());
+            allocation.halt(allocation.job().spec().saveMicros() + 1_000_000);
+            haltsDue.add(allocation.machine());
         }
         planCostMicros = loop.nowMicros() - now;
         plans++;
@@ -579,21 +583,21 @@
     public void recordStored(ActiveJob job) {
         synchronized (cluster) {
             dirty = true;
-            chains.released(job);
+            dependencies.released(job);
             if (job.doneStored()) {
                 cluster.remove(job);
                 doneUids.add(job.uid());
                 LOG.info("done {}", job.uid());
-                chains.done(job);
+                dependencies.done(job);
             }
         }
     }
 
     @Override
-    public void foundWithdrawn(ActiveJob job) {
+    public void foundCancelled(ActiveJob job) {
         synchronized (cluster) {
-            if (!job.withdrawn()) {
-                job.withdraw();
+            if (!job.cancelled()) {
+                job.cancel();
                 dirty = true;
                 halt(job);
                 inheritance.left(List.of(job));
@@ -602,8 +606,8 @@
     }
 
     private void halt(ActiveJob job) {
-        for (Seat seat : cluster.book().of(job)) {
-            haltsDue.add(seat.machine());
+        for (Allocation allocation : cluster.book().of(job)) {
+            haltsDue.add(allocation.machine());
         }
     }
 
@@ -612,17 +616,17 @@
         if (machine.address() == null || !machine.trusted()) {
             return;
         }
-        Orders orders = new Orders();
-        desk.command(machine, orders);
-        if (orders.isEmpty()) {
+        Commands commands = new Commands();
+        reportProcessor.command(machine, commands);
+        if (commands.isEmpty()) {
             return;
         }
-        Call call = Call.post("/do", orders.body(term).put("shift", machine.shift()));
+        Call call = Call.post("/do", commands.body(term).put("shift", machine.session()));
         caller.call(machine.address(), call, DO_TIMEOUT_MICROS).thenAccept(reply -> {
             if (!closed && (reply.status() == 200 || reply.status() == 409)) {
                 Report report = Report.read(reply.body());
                 if (report != null) {
-                    desk.answered(report);
+                    reportProcessor.answered(report);
                 }
             }
         });
@@ -638,7 +642,7 @@
         long now = loop.nowMicros();
         List<Machine> toPush = new ArrayList<>();
         synchronized (cluster) {
-            desk.expire();
+            reportProcessor.expire();
             dirty |= now - plannedMicros > PLAN_AT_LEAST_MICROS;
             plan();
             haltsDue.addAll(drainRecalled(now));
@@ -653,10 +657,10 @@
         if (mayAct() && now - fleetMicros > FLEET_MICROS) {
             fleetMicros = now;
             synchronized (cluster) {
-                desk.drainSlow();
+                reportProcessor.drainSlow();
             }
             fleet.tick();
-            forgetWithdrawn(now);
+            forgetCancelled(now);
             tellStatus(now);
         }
     }
@@ -672,15 +676,18 @@
                 continue;
             }
             long left = machine.recallAtMicros() - now;
-            for (Seat seat : machine.seats()) {
-                if (seat.job() == null || seat.ended() || seat.unconfirmed() || seat.halting()) {
+            for (Allocation allocation : machine.allocations()) {
+                if (allocation.job() == null
+                        || allocation.ended()
+                        || allocation.unconfirmed()
+                        || allocation.halting()) {
                     continue;
                 }
-                JobSpec spec = seat.job().spec();
+                JobSpec spec = allocation.job().spec();
                 if (spec.saves()
-                        ? left < 2 * spec.stashMicros() + 3_000_000
-                        : remainingMicros(seat, now) > HOPELESS_FACTOR * left) {
-                    seat.halt(spec.saves() ? spec.stashMicros() + 1_000_000 : 0);
+                        ? left < 2 * spec.saveMicros() + 3_000_000
+                        : remainingMicros(allocation, now) > UNFINISHABLE_FACTOR * left) {
+                    allocation.halt(spec.saves() ? spec.saveMicros() + 1_000_000 : 0);
                     touched.add(machine);
                 }
             }
@@ -688,21 +695,21 @@
         return touched;
     }
 
-    private long remainingMicros(Seat seat, long now) {
-        long ran = seat.runningSinceMicros() < 0 ? 0 : now - seat.runningSinceMicros();
-        return estimates.expectedMicros(seat.job()) - ran;
+    private long remainingMicros(Allocation allocation, long now) {
+        long ran = allocation.runningSinceMicros() < 0 ? 0 : now - allocation.runningSinceMicros();
+        return estimates.expectedMicros(allocation.job()) - ran;
     }
 
-    /** A withdrawn job is kept for as long as one of its tasks may be anywhere. */
-    private void forgetWithdrawn(long now) {
+    /** A cancelled job is kept for as long as one of its tasks may be anywhere. */
+    private void forgetCancelled(long now) {
         synchronized (cluster) {
             if (!cluster.allHeard()) {
                 return;
             }
             for (ActiveJob job : List.copyOf(cluster.jobs())) {
-                if (job.withdrawn() && job.seatedCount() == 0) {
+                if (job.cancelled() && job.allocatedCount() == 0) {
                     cluster.remove(job);
-                    chains.forget(job);
+                    dependencies.forget(job);
                     toWrite(job.leftovers());
                 }
             }
@@ -715,7 +722,9 @@
     public Counts of(String uid) {
         synchronized (cluster) {
             ActiveJob job = cluster.job(uid);
-            return job == null || job.complete() ? null : new Counts(job.doneCount(), job.seatedCount(), job.reason());
+            return job == null || job.complete()
+                    ? null
+                    : new Counts(job.doneCount(), job.allocatedCount(), job.reason());
         }
     }
 
@@ -752,7 +761,7 @@
             Map<String, Double> gauges = new HashMap<>();
             int waiting = 0;
             for (ActiveJob job : cluster.jobs()) {
-                waiting += job.withdrawn() || job.awaitsOthers() ? 0 : job.waitingCount();
+                waiting += job.cancelled() || job.awaitsOthers() ? 0 : job.waitingCount();
             }
             double cpus = cluster.machines().stream()
                     .filter(machine -> machine.state() == Machine.State.UP)
--- a/src/main/java/io/sillreel/ownership/Leadership.java
+++ b/src/main/java/io/sillreel/ownership/Leadership.java
@@ -118,7 +118,7 @@
     }
 
     /** Does not try to take the lease for so long, so that another controller can. */
-    public synchronized void standBack(long forMicros) {
+    public synchronized void pauseCandidacy(long forMicros) {
         notBeforeMicros = loop.nowMicros() + forMicros;
     }
 
@@ -152,13 +152,13 @@
     }
 
     private void watch(long since) {
-        store.watch(LEADER_KEY, since, WATCH_MICROS).thenAccept(news -> {
-            if (news.outcome() != Outcome.OK) {
+        store.watch(LEADER_KEY, since, WATCH_MICROS).thenAccept(result -> {
+            if (result.outcome() != Outcome.OK) {
                 loop.after(RETRY_MICROS, this::look);
                 return;
             }
             boolean vacant = false;
-            for (Change change : news.changes()) {
+            for (Change change : result.changes()) {
                 if (!change.key().equals(LEADER_KEY)) {
                     continue;
                 }
@@ -172,11 +172,11 @@
                 }
             }
             if (vacant) {
-                acquire(0, news.ledger());
+                acquire(0, result.ledger());
             } else if (known().node() == null && heldTerm() == 0) {
                 look();
             } else {
-                watch(news.ledger());
+                watch(result.ledger());
             }
         });
     }
--- a/src/main/java/io/sillreel/ownership/StoredState.java
+++ b/src/main/java/io/sillreel/ownership/StoredState.java
@@ -1,6 +1,6 @@
 package io.sillreel.ownership;
 
-import io.sillreel.fleet.Hire;
+import io.sillreel.fleet.Rental;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.statestore.KeyWriter;
@@ -25,7 +25,7 @@
         List<PlanRecord> recentlyDone,
         List<KeyWriter.Item> leftovers,
         Set<String> cancelled,
-        List<Hire> rentals,
+        List<Rental> rentals,
         long plansRevision,
         long cancellationsRevision) {
 
--- a/src/main/java/io/sillreel/ownership/StoredStateReader.java
+++ b/src/main/java/io/sillreel/ownership/StoredStateReader.java
@@ -1,6 +1,6 @@
 package io.sillreel.ownership;
 
-import io.sillreel.fleet.Hire;
+import io.sillreel.fleet.Rental;
 import io.sillreel.ownership.StoredState.StoredJob;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
@@ -45,7 +45,7 @@
         CompletableFuture<Listing> plans = store.list(PlanRecord.PREFIX);
         CompletableFuture<Listing> runs = store.list(RunRecord.PREFIX);
         CompletableFuture<Listing> cancellations = store.list(CANCELLATIONS);
-        CompletableFuture<Listing> rentals = store.list(Hire.PREFIX);
+        CompletableFuture<Listing> rentals = store.list(Rental.PREFIX);
         CompletableFuture<Listing> parts = store.list(RunRecord.partsPrefix());
         List<CompletableFuture<Listing>> all = List.of(plans, runs, cancellations, rentals, parts);
         return CompletableFuture.allOf(all.toArray(CompletableFuture[]::new)).thenCompose(done -> {
@@ -54,15 +54,15 @@
             }
             Set<String> cancelled = new HashSet<>();
             cancellations.join().entries().forEach(entry -> cancelled.add(after(CANCELLATIONS, entry)));
-            List<Hire> hires = new ArrayList<>();
-            rentals.join().entries().forEach(entry -> hires.add(Hire.of(entry.key(), entry.value(), entry.stamp())));
+            List<Rental> read = new ArrayList<>();
+            rentals.join().entries().forEach(entry -> read.add(Rental.of(entry.key(), entry.value(), entry.stamp())));
             StoredState state = new StoredState(
                     new ArrayList<>(),
                     new HashSet<>(),
                     new ArrayList<>(),
                     new ArrayList<>(),
                     cancelled,
-                    hires,
+                    read,
                     plans.join().ledger(),
                     cancellations.join().ledger());
             addJobs(state, plans.join(), new Records(runs.join(), parts.join()));
--- a/src/main/java/io/sillreel/peer/PeerMessages.java
+++ b/src/main/java/io/sillreel/peer/PeerMessages.java
@@ -17,9 +17,9 @@
 
 /** What controllers say to each other, in CBOR. */
 public final class PeerMessages {
-    public static final String BEATS = "/peer/beats";
+    public static final String HEARTBEATS = "/peer/beats";
     public static final String HELLO = "/peer/hello";
-    public static final String WITHDRAWN = "/peer/withdrawn";
+    public static final String CANCELLED = "/peer/withdrawn";
     private static final CBORFactory STREAM = new CBORFactory();
     private static final Report.Stage[] STAGES = Report.Stage.values();
 
@@ -72,8 +72,8 @@
 
     private PeerMessages() {}
 
-    /** A job whose withdrawal has been stored. */
-    public static Call withdrawn(String uid) {
+    /** A job whose cancellation has been stored. */
+    public static Call cancelled(String uid) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(32);
         try (CBORGenerator out = STREAM.createGenerator(bytes)) {
             out.writeStartArray(null, 1);
@@ -82,11 +82,11 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return new Call("POST", WITHDRAWN, bytes.toByteArray());
+        return new Call("POST", CANCELLED, bytes.toByteArray());
     }
 
-    /** @throws UncheckedIOException if that is not what {@link #withdrawn} wrote */
-    public static List<String> withdrawn(byte[] body) {
+    /** @throws UncheckedIOException if that is not what {@link #cancelled} wrote */
+    public static List<String> cancelled(byte[] body) {
         List<String> uids = new ArrayList<>();
         try (CBORParser in = STREAM.createParser(body)) {
             in.nextToken();
@@ -100,7 +100,7 @@
     }
 
     /** Workers' reports, handed on together. */
-    public static Call beats(List<Report> reports) {
+    public static Call heartbeats(List<Report> reports) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(512 * reports.size());
         try (CBORGenerator out = STREAM.createGenerator(bytes)) {
             out.writeStartArray(null, reports.size());
@@ -111,7 +111,7 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return new Call("POST", BEATS, bytes.toByteArray());
+        return new Call("POST", HEARTBEATS, bytes.toByteArray());
     }
 
     private static void write(CBORGenerator out, Report report) throws IOException {
@@ -119,11 +119,11 @@
         out.writeString(report.machine());
         out.writeString(report.address());
         out.writeString(report.build());
-        out.writeString(report.yard());
+        out.writeString(report.zone());
         out.writeBoolean(report.spot());
-        out.writeNumber(report.shift());
-        out.writeNumber(report.tally());
-        out.writeNumber(report.baton());
+        out.writeNumber(report.session());
+        out.writeNumber(report.sequence());
+        out.writeNumber(report.token());
         out.writeNumber(report.recallMicros());
         out.writeStartArray(null, report.pieces().size());
         for (PieceState piece : report.pieces()) {
@@ -139,7 +139,7 @@
         out.writeEndArray();
     }
 
-    /** @throws UncheckedIOException if that is not what {@link #beats} wrote */
+    /** @throws UncheckedIOException if that is not what {@link #heartbeats} wrote */
     public static List<Report> reports(byte[] body) {
         List<Report> reports = new ArrayList<>();
         try (CBORParser in = STREAM.createParser(body)) {
@@ -157,11 +157,11 @@
         String machine = in.nextTextValue();
         String address = in.nextTextValue();
         String build = in.nextTextValue();
-        String yard = in.nextTextValue();
+        String zone = in.nextTextValue();
         boolean spot = in.nextToken() == JsonToken.VALUE_TRUE;
-        long shift = in.nextLongValue(0);
-        long tally = in.nextLongValue(0);
-        long baton = in.nextLongValue(0);
+        long session = in.nextLongValue(0);
+        long sequence = in.nextLongValue(0);
+        long token = in.nextLongValue(0);
         long recallMicros = in.nextLongValue(-1);
         List<PieceState> pieces = new ArrayList<>();
         in.nextToken();
@@ -175,10 +175,10 @@
             in.nextToken();
         }
         in.nextToken();
-        return new Report(machine, address, build, yard, spot, shift, tally, baton, recallMicros, pieces);
+        return new Report(machine, address, build, zone, spot, session, sequence, token, recallMicros, pieces);
     }
 
-    /** The lease holder's answers to reports, in their order. */
+    /** The lease leader's answers to reports, in their order. */
     public static byte[] answers(List<Reply> replies) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64 * replies.size());
         try (CBORGenerator out = STREAM.createGenerator(bytes)) {
--- a/src/main/java/io/sillreel/pipeline/ActiveJob.java
+++ b/src/main/java/io/sillreel/pipeline/ActiveJob.java
@@ -12,15 +12,15 @@
 import org.agrona.collections.Int2IntCounterMap;
 
 /**
- * A pipeline as its lease holder drives it: which pieces are done, which have a seat on a machine, and what of that is
- * stored. Nothing is launched before the release is stored, nothing is reaped before the settlement is.
+ * A pipeline as its lease leader drives it: which pieces are done, which have a allocation on a machine, and what of
+ * that is stored. Nothing is launched before the release is stored, nothing is reaped before the settlement is.
  */
 public final class ActiveJob implements KeyWriter.Item {
     /** Told in the loop about what happened to the record. */
     public interface Watcher {
         void recordStored(ActiveJob job);
 
-        void foundWithdrawn(ActiveJob job);
+        void foundCancelled(ActiveJob job);
 
         /** These are to be written as well, or the job again if it is among them. */
         void toWrite(List<? extends KeyWriter.Item> items);
@@ -42,15 +42,15 @@
     private final BitSet done = new BitSet();
     private final BitSet stored = new BitSet();
     private final BitSet sent = new BitSet();
-    private final BitSet seated = new BitSet();
-    /** Pieces that are done or have a seat; kept with the counts, since reports ask for them all the time. */
+    private final BitSet allocated = new BitSet();
+    /** Pieces that are done or have a allocation; kept with the counts, since reports ask for them all the time. */
     private final BitSet taken = new BitSet();
 
-    private final Int2IntCounterMap seats = new Int2IntCounterMap(0);
+    private final Int2IntCounterMap allocations = new Int2IntCounterMap(0);
     private final Set<String> failedOn = new HashSet<>();
 
     private int doneCount;
-    private int seatedCount;
+    private int allocatedCount;
     private int takenCount;
     private int ranCount;
     private long ranMicros;
@@ -68,7 +68,7 @@
     private boolean inherited;
     private boolean doneSent;
     private boolean doneStored;
-    private boolean withdrawn;
+    private boolean cancelled;
     private int attempts;
     private int attemptsSent;
     private long nextWallMicros;
@@ -95,7 +95,7 @@
         this.readyWallMicros = admittedWallMicros;
     }
 
-    /** Takes over what an earlier holder stored: the job may have tasks anywhere in the stored fleet. */
+    /** Takes over what an earlier leader stored: the job may have tasks anywhere in the stored fleet. */
     public void inherit(long stamp, RunRecord.Head head, RunRecord.Pieces pieces) {
         runStamp = stamp;
         released = true;
@@ -191,17 +191,17 @@
         return released;
     }
 
-    /** True if an earlier holder may have launched tasks of this job. */
+    /** True if an earlier leader may have launched tasks of this job. */
     public boolean inherited() {
         return inherited;
     }
 
-    public boolean withdrawn() {
-        return withdrawn;
+    public boolean cancelled() {
+        return cancelled;
     }
 
-    public void withdraw() {
-        withdrawn = true;
+    public void cancel() {
+        cancelled = true;
     }
 
     public boolean complete() {
@@ -248,11 +248,11 @@
     }
 
     /** One more live task of the piece; normally the only one. */
-    public void seat(int piece) {
-        seats.incrementAndGet(piece);
-        if (!seated.get(piece)) {
-            seated.set(piece);
-            seatedCount++;
+    public void allocate(int piece) {
+        allocations.incrementAndGet(piece);
+        if (!allocated.get(piece)) {
+            allocated.set(piece);
+            allocatedCount++;
             if (!taken.get(piece)) {
                 taken.set(piece);
                 takenCount++;
@@ -263,12 +263,12 @@
     /**
      * One live task less. A piece waits again only once none is left: two may be known for a moment after a takeover.
      */
-    public void unseat(int piece) {
-        if (seats.decrementAndGet(piece) <= 0) {
-            seats.remove(piece);
-            if (seated.get(piece)) {
-                seated.clear(piece);
-                seatedCount--;
+    public void deallocate(int piece) {
+        if (allocations.decrementAndGet(piece) <= 0) {
+            allocations.remove(piece);
+            if (allocated.get(piece)) {
+                allocated.clear(piece);
+                allocatedCount--;
                 if (!done.get(piece)) {
                     taken.clear(piece);
                     takenCount--;
@@ -277,12 +277,12 @@
         }
     }
 
-    public boolean isSeated(int piece) {
-        return seated.get(piece);
+    public boolean isAllocated(int piece) {
+        return allocated.get(piece);
     }
 
-    public int seatedCount() {
-        return seatedCount;
+    public int allocatedCount() {
+        return allocatedCount;
     }
 
     /** The next piece that is neither done nor on a machine, or -1. */
@@ -390,7 +390,7 @@
             parts.addTo(sent);
             generationsSent = parts.generations();
         }
-        int running = seatedCount;
+        int running = allocatedCount;
         String stage = doneSent ? RunRecord.DONE : running > 0 ? "running" : "queued";
         return Map.of(
                 key(),
@@ -447,6 +447,6 @@
 
     @Override
     public void forbidden() {
-        watcher.foundWithdrawn(this);
+        watcher.foundCancelled(this);
     }
 }
--- a/src/main/java/io/sillreel/pipeline/Closure.java
+++ b/src/main/java/io/sillreel/pipeline/CascadingCancellation.java
@@ -5,13 +5,13 @@
 import io.sillreel.statestore.KeyWriter;
 import java.util.Map;
 
-/** The withdrawal of a job that follows a withdrawn one, to be written down unless its user was faster. */
-public final class Closure extends KeyWriter.OneKey {
+/** The cancellation of a job that follows a cancelled one, to be written down unless its user was faster. */
+public final class CascadingCancellation extends KeyWriter.OneKey {
     private final String because;
     private final long wallMicros;
 
     /** @param because the cancelled job that this one needs, directly or through others */
-    public Closure(String uid, String because, long wallMicros) {
+    public CascadingCancellation(String uid, String because, long wallMicros) {
         super("withdraw/" + uid, 0);
         this.because = because;
         this.wallMicros = wallMicros;
--- a/src/main/java/io/sillreel/pipeline/Chains.java
+++ b/src/main/java/io/sillreel/pipeline/DependencyGraph.java
@@ -15,28 +15,28 @@
 
 /**
  * The jobs that a term drives, and the links by which they await each other. A job is released only once the end of all
- * that it awaits is stored; what follows a withdrawn job is closed. What is awaited and not driven here, since it ended
+ * that it awaits is stored; what follows a cancelled job is closed. What is awaited and not driven here, since it ended
  * long ago or its plan has not been seen yet, is looked up in the store and not guessed.
  */
-public final class Chains {
+public final class DependencyGraph {
     /** What becomes of jobs when links settle. */
-    public interface Office {
+    public interface Callbacks {
         /** All that the job awaits is stored as done: it may be released. */
         void ready(ActiveJob job);
 
-        /** Something that the job awaits was withdrawn, and so it is. */
+        /** Something that the job awaits was cancelled, and so it is. */
         void closed(ActiveJob job, String because);
 
         /** Find out whether the job, which is not driven here, is done, and tell {@link #found}. */
         void lookUp(String uid);
     }
 
-    private final Office office;
+    private final Callbacks callbacks;
     private final Map<String, ActiveJob> jobs = new HashMap<>();
     private PipelineRun run = new PipelineRun(PipelinePlan.compile(List.of(), List.of()));
 
-    public Chains(Office office) {
-        this.office = office;
+    public DependencyGraph(Callbacks callbacks) {
+        this.callbacks = callbacks;
     }
 
     /**
@@ -44,9 +44,9 @@
      *
      * @param unfinished the jobs of the term; those with a stored release need nothing any more
      * @param done whose end is stored
-     * @param withdrawn whose withdrawal is stored
+     * @param cancelled whose cancellation is stored
      */
-    public void begin(Collection<ActiveJob> unfinished, Predicate<String> done, Predicate<String> withdrawn) {
+    public void begin(Collection<ActiveJob> unfinished, Predicate<String> done, Predicate<String> cancelled) {
         Map<String, ActiveJob> byUid = new LinkedHashMap<>();
         unfinished.forEach(job -> byUid.put(job.uid(), job));
         Set<String> names = new LinkedHashSet<>(byUid.keySet());
@@ -72,18 +72,18 @@
             }
         }
         for (String uid : plan.order()) {
-            if (withdrawn.test(uid)) {
-                withdrawn(uid);
+            if (cancelled.test(uid)) {
+                cancelled(uid);
             }
         }
         for (String uid : run.ready()) {
-            office.ready(jobs.get(uid));
+            callbacks.ready(jobs.get(uid));
         }
-        unknown.forEach(office::lookUp);
+        unknown.forEach(callbacks::lookUp);
     }
 
     /** A job that was admitted during the term. */
-    public void enter(ActiveJob job, Predicate<String> withdrawn) {
+    public void enter(ActiveJob job, Predicate<String> cancelled) {
         List<Link> into = new ArrayList<>();
         List<String> unknown = new ArrayList<>();
         String closedBy = null;
@@ -91,7 +91,7 @@
             if (run.state(awaited) == JobState.SUCCEEDED) {
                 continue;
             }
-            boolean closed = withdrawn.test(awaited);
+            boolean closed = cancelled.test(awaited);
             if (closed) {
                 closedBy = awaited;
             }
@@ -106,11 +106,11 @@
         join(job, into);
         if (closedBy != null) {
             run.cancel(job.uid());
-            office.closed(job, closedBy);
+            callbacks.closed(job, closedBy);
         } else if (run.state(job.uid()) == JobState.READY) {
-            office.ready(job);
+            callbacks.ready(job);
         }
-        unknown.forEach(office::lookUp);
+        unknown.forEach(callbacks::lookUp);
     }
 
     private void join(ActiveJob job, Collection<Link> into) {
@@ -141,7 +141,7 @@
         forget(job);
     }
 
-    /** What was asked for by {@link Office#lookUp} is known: the job is done. */
+    /** What was asked for by {@link Callbacks#lookUp} is known: the job is done. */
     public void found(String uid) {
         tellReady(run.found(uid, true));
         if (run.state(uid) == JobState.SUCCEEDED) {
@@ -155,15 +155,15 @@
     }
 
     private void tellReady(List<String> uids) {
-        uids.forEach(uid -> office.ready(jobs.get(uid)));
+        uids.forEach(uid -> callbacks.ready(jobs.get(uid)));
     }
 
-    /** The job's withdrawal is stored: all that needs it is closed, in compiled order. */
-    public void withdrawn(String uid) {
+    /** The job's cancellation is stored: all that needs it is closed, in compiled order. */
+    public void cancelled(String uid) {
         for (String closed : run.cancel(uid)) {
             ActiveJob job = jobs.get(closed);
             if (job != null) {
-                office.closed(job, uid);
+                callbacks.closed(job, uid);
             }
         }
     }
--- a/src/main/java/io/sillreel/pipeline/JobSpec.java
+++ b/src/main/java/io/sillreel/pipeline/JobSpec.java
@@ -8,46 +8,46 @@
 import java.util.List;
 
 /**
- * What was submitted. {@code builds} and {@code yard} are null for any; {@code dueMicros} is negative without a
+ * What was submitted. {@code builds} and {@code zone} are null for any; {@code dueMicros} is negative without a
  * deadline; {@code awaits} names the jobs that must be done before this one.
  */
 public record JobSpec(
         String uid,
-        String lot,
-        String crew,
+        String jobClass,
+        String team,
         Rank rank,
         int pieces,
         double cpus,
         double cards,
         double ramGb,
-        String reel,
+        String image,
         double imageGb,
         List<String> builds,
-        String yard,
+        String zone,
         boolean oneZone,
         boolean spread,
         boolean spot,
         long guessMicros,
-        long markEveryMicros,
-        long stashMicros,
+        long checkpointMicros,
+        long saveMicros,
         long dueMicros,
         List<String> awaits) {
 
     /** True if a task saves its progress when it is stopped with enough time. */
     public boolean saves() {
-        return markEveryMicros > 0;
+        return checkpointMicros > 0;
     }
 
     public boolean allowsBuild(String build) {
         return builds == null || builds.contains(build);
     }
 
-    public boolean allowsYard(String where) {
-        return yard == null || yard.equals(where);
+    public boolean allowsZone(String where) {
+        return zone == null || zone.equals(where);
     }
 
     /** The most tasks that may be in one zone. */
-    public int mostInOneYard() {
+    public int mostInOneZone() {
         return spread ? (pieces + 1) / 2 : pieces;
     }
 
@@ -55,23 +55,23 @@
     JobSpec withNames(List<String> otherBuilds, List<String> otherAwaits) {
         return new JobSpec(
                 uid,
-                lot,
-                crew,
+                jobClass,
+                team,
                 rank,
                 pieces,
                 cpus,
                 cards,
                 ramGb,
-                reel,
+                image,
                 imageGb,
                 otherBuilds,
-                yard,
+                zone,
                 oneZone,
                 spread,
                 spot,
                 guessMicros,
-                markEveryMicros,
-                stashMicros,
+                checkpointMicros,
+                saveMicros,
                 dueMicros,
                 otherAwaits);
     }
@@ -80,22 +80,22 @@
     public ObjectNode json() {
         ObjectNode node = Json.object();
         node.put("uid", uid)
-                .put("lot", lot)
-                .put("crew", crew)
+                .put("lot", jobClass)
+                .put("crew", team)
                 .put("rank", rank.wire())
                 .put("pieces", pieces)
                 .put("vcpus", cpus)
                 .put("cards", cards)
                 .put("ram_gb", ramGb)
-                .put("reel", reel)
+                .put("reel", image)
                 .put("image_gb", imageGb)
-                .put("yard", yard)
+                .put("yard", zone)
                 .put("one_zone", oneZone)
                 .put("spread", spread)
                 .put("loaners", spot)
                 .put("guess_us", guessMicros)
-                .put("mark_us", markEveryMicros)
-                .put("stash_us", stashMicros)
+                .put("mark_us", checkpointMicros)
+                .put("stash_us", saveMicros)
                 .put("due_us", dueMicros);
         if (builds != null) {
             ArrayNode names = Json.array();
@@ -112,7 +112,7 @@
     /** Reads what {@link #json()} wrote; it was checked when it was admitted. */
     public static JobSpec ofPlan(JsonNode node) {
         List<String> builds = node.has("builds") ? texts(node.path("builds")) : null;
-        JsonNode yard = node.path("yard");
+        JsonNode zone = node.path("yard");
         return new JobSpec(
                 node.path("uid").asText(),
                 node.path("lot").asText(),
@@ -125,7 +125,7 @@
                 node.path("reel").asText(),
                 node.path("image_gb").asDouble(),
                 builds,
-                yard.isTextual() ? yard.asText() : null,
+                zone.isTextual() ? zone.asText() : null,
                 node.path("one_zone").asBoolean(),
                 node.path("spread").asBoolean(),
                 node.path("loaners").asBoolean(),
--- a/src/main/java/io/sillreel/placement/CapacityPlanner.java
+++ b/src/main/java/io/sillreel/placement/CapacityPlanner.java
@@ -1,8 +1,8 @@
 package io.sillreel.placement;
 
 import io.sillreel.cloud.MachineType;
+import io.sillreel.fleet.Allocation;
 import io.sillreel.fleet.Machine;
-import io.sillreel.fleet.Seat;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.JobSpec;
 import io.sillreel.pipeline.Rank;
@@ -18,8 +18,8 @@
 
 /** How much to rent: as many processors as let the queued work end in time, at the lowest price that is to be had. */
 public final class CapacityPlanner {
-    /** A rental worth asking for. */
-    public record Wish(MachineType type, String yard, boolean spot, int count) {}
+    /** What the cloud may have or lack: a kind of machine in a zone. */
+    private record Offer(String type, String zone, boolean spot) {}
 
     private static final int MOST_AT_ONCE = 50;
     private static final double SAME_PLACE_WEIGHT = 0.25;
@@ -36,7 +36,7 @@
     private final Cluster cluster;
     private final Deadlines deadlines;
     private final Estimates estimates;
-    private final Map<String, Long> fullUntil = new HashMap<>();
+    private final Map<Offer, Long> fullUntil = new HashMap<>();
     private final Map<Rank, Demand> demand = new EnumMap<>(Rank.class);
     /** What arrives for ordinary machines alone; it is part of the demand of its rank as well. */
     private final Demand ordinaryDemand = new Demand();
@@ -51,12 +51,8 @@
     }
 
     /** The cloud had none, or too few, of the kind; it isn't asked for more until then. */
-    public void full(String type, String yard, boolean spot, long untilMicros) {
-        fullUntil.put(place(type, yard, spot), untilMicros);
-    }
-
-    private static String place(String type, String yard, boolean spot) {
-        return type + "@" + yard + (spot ? "/spot" : "");
+    public void full(String type, String zone, boolean spot, long untilMicros) {
+        fullUntil.put(new Offer(type, zone, spot), untilMicros);
     }
 
     /**
@@ -84,12 +80,12 @@
         }
         List<Load> loads = new ArrayList<>();
         for (ActiveJob job : cluster.jobs()) {
-            if (job.withdrawn() || job.awaitsOthers() || wallMicros < job.nextWallMicros()) {
+            if (job.cancelled() || job.awaitsOthers() || wallMicros < job.nextWallMicros()) {
                 continue;
             }
             JobSpec spec = job.spec();
             long each = estimates.occupiedMicros(job);
-            double work = (job.waitingCount() + RUNNING_PART * job.seatedCount()) * spec.cpus() * each;
+            double work = (job.waitingCount() + RUNNING_PART * job.allocatedCount()) * spec.cpus() * each;
             // Whole tasks don't fill the time to the end.
             long left = deadlines.of(job, wallMicros, bootMicros) - wallMicros - each / 2;
             if (left < bootMicros + each) {
@@ -153,11 +149,15 @@
     /**
      * Rentals to ask for now, at most a few.
      *
-     * @param hiringCpus processors that the cloud has been asked for, and of those the ones of ordinary machines
+     * @param rentingCpus processors that the cloud has been asked for, and of those the ones of ordinary machines
      */
-    public List<Wish> wishes(
-            Collection<MachineType> types, long hiringCpus, long hiringOrdinaryCpus, long nowMicros, long wallMicros) {
-        double have = hiringCpus;
+    public List<RentalRequest> rentalRequests(
+            Collection<MachineType> types,
+            long rentingCpus,
+            long rentingOrdinaryCpus,
+            long nowMicros,
+            long wallMicros) {
+        double have = rentingCpus;
         for (Machine machine : cluster.machines()) {
             if (counts(machine, nowMicros)) {
                 have += machine.type().cpus();
@@ -166,24 +166,25 @@
         long boot = types.stream().mapToLong(MachineType::bootMicros).min().orElse(0);
         double urgent = urgentCpus(have, boot, nowMicros, wallMicros);
         double standing = standingCpus(wallMicros) - have;
-        List<Wish> wishes = new ArrayList<>();
-        double ordinary = confined(types, hiringOrdinaryCpus, nowMicros, wallMicros, wishes);
+        List<RentalRequest> rentalRequests = new ArrayList<>();
+        double ordinary = confined(types, rentingOrdinaryCpus, nowMicros, wallMicros, rentalRequests);
         urgent -= ordinary;
         double missing = Math.max(urgent, standing - ordinary);
-        while (missing > SMALLEST_MISSING && wishes.size() < 3) {
+        while (missing > SMALLEST_MISSING && rentalRequests.size() < 3) {
             // Ordinary machines cost a multiple: they are for work that would be late, not for the standing demand.
-            Wish wish = cheapest(types, missing, null, urgent > SMALLEST_MISSING, true, wishes, nowMicros);
-            if (wish == null) {
+            RentalRequest rentalRequest =
+                    cheapest(types, missing, null, urgent > SMALLEST_MISSING, true, rentalRequests, nowMicros);
+            if (rentalRequest == null) {
                 break;
             }
-            wishes.add(wish);
-            missing -= wish.count() * wish.type().cpus();
-            urgent -= wish.count() * wish.type().cpus();
+            rentalRequests.add(rentalRequest);
+            missing -= rentalRequest.count() * rentalRequest.type().cpus();
+            urgent -= rentalRequest.count() * rentalRequest.type().cpus();
         }
-        if (wishes.isEmpty() && hiringCpus == 0) {
-            stranded(types, nowMicros, wallMicros, wishes);
+        if (rentalRequests.isEmpty() && rentingCpus == 0) {
+            stranded(types, nowMicros, wallMicros, rentalRequests);
         }
-        return wishes;
+        return rentalRequests;
     }
 
     /**
@@ -194,12 +195,12 @@
      */
     private double confined(
             Collection<MachineType> types,
-            long hiringOrdinaryCpus,
+            long rentingOrdinaryCpus,
             long nowMicros,
             long wallMicros,
-            List<Wish> wishes) {
-        double free = hiringOrdinaryCpus;
-        double have = hiringOrdinaryCpus;
+            List<RentalRequest> rentalRequests) {
+        double free = rentingOrdinaryCpus;
+        double have = rentingOrdinaryCpus;
         for (Machine machine : cluster.machines()) {
             if (!machine.spot() && counts(machine, nowMicros)) {
                 have += machine.type().cpus();
@@ -222,45 +223,43 @@
         if (missing <= SMALLEST_MISSING) {
             return 0;
         }
-        Wish wish = cheapest(types, missing, largest, true, false, wishes, nowMicros);
-        if (wish == null) {
+        RentalRequest rentalRequest = cheapest(types, missing, largest, true, false, rentalRequests, nowMicros);
+        if (rentalRequest == null) {
             return 0;
         }
-        wishes.add(wish);
-        return wish.count() * wish.type().cpus();
+        rentalRequests.add(rentalRequest);
+        return rentalRequest.count() * rentalRequest.type().cpus();
     }
 
     /** Waiting jobs that no machine of the fleet could ever take get one that can. */
-    private void stranded(Collection<MachineType> types, long nowMicros, long wallMicros, List<Wish> wishes) {
+    private void stranded(
+            Collection<MachineType> types, long nowMicros, long wallMicros, List<RentalRequest> rentalRequests) {
         for (ActiveJob job : cluster.jobs()) {
-            if (!cluster.launchable(job, wallMicros) || job.waitingCount() == 0 || job.seatedCount() > 0) {
+            if (!cluster.launchable(job, wallMicros) || job.waitingCount() == 0 || job.allocatedCount() > 0) {
                 continue;
             }
             boolean hosted = cluster.machines().stream()
                     .anyMatch(machine -> counts(machine, nowMicros)
                             && Cluster.allows(job.spec(), machine)
                             && !job.failedOn().contains(machine.name())
-                            && fitsEmpty(job.spec(), machine.type()));
+                            && Machine.fitsEmpty(job.spec(), machine.type()));
             if (!hosted) {
-                Wish wish = cheapest(types, job.spec().cpus(), job.spec(), true, true, wishes, nowMicros);
-                if (wish != null) {
-                    wishes.add(wish);
+                RentalRequest rentalRequest =
+                        cheapest(types, job.spec().cpus(), job.spec(), true, true, rentalRequests, nowMicros);
+                if (rentalRequest != null) {
+                    rentalRequests.add(rentalRequest);
                     return;
                 }
             }
         }
     }
 
-    private static boolean fitsEmpty(JobSpec spec, MachineType type) {
-        return Machine.fits(spec, type.cpus(), type.ramGb(), type.cards()) > 0;
-    }
-
     /** True if the machine is, or will soon be, there to work. */
     private static boolean counts(Machine machine, long nowMicros) {
         return switch (machine.state()) {
             case UP -> !machine.recalled() && !machine.suspect() && !isAway(machine, nowMicros);
-            case HIRED ->
-                nowMicros - machine.hiredMicros()
+            case RENTED ->
+                nowMicros - machine.rentedMicros()
                         < (machine.inherited() ? 1 : LATE_BOOT_FACTOR)
                                 * machine.type().bootMicros();
             default -> false;
@@ -272,37 +271,37 @@
         return machine.leaseBoundMicros() < nowMicros;
     }
 
-    private Wish cheapest(
+    private RentalRequest cheapest(
             Collection<MachineType> types,
             double missing,
             JobSpec only,
             boolean ordinaryToo,
             boolean spotToo,
-            List<Wish> already,
+            List<RentalRequest> already,
             long nowMicros) {
         boolean anySpot = spotToo && (only == null || only.spot());
-        Wish best = null;
+        RentalRequest best = null;
         double bestCost = Double.MAX_VALUE;
         for (MachineType type : types) {
-            if (only != null && (!only.allowsBuild(type.name()) || !fitsEmpty(only, type))) {
+            if (only != null && (!only.allowsBuild(type.name()) || !Machine.fitsEmpty(only, type))) {
                 continue;
             }
-            for (String yard : type.yards()) {
-                if (only != null && !only.allowsYard(yard)) {
+            for (String zone : type.zones()) {
+                if (only != null && !only.allowsZone(zone)) {
                     continue;
                 }
                 for (boolean spot : new boolean[] {true, false}) {
-                    boolean full = fullUntil.getOrDefault(place(type.name(), yard, spot), 0L) > nowMicros;
-                    if (full || !(spot ? anySpot : ordinaryToo) || asked(already, type, yard, spot)) {
+                    boolean full = fullUntil.getOrDefault(new Offer(type.name(), zone, spot), 0L) > nowMicros;
+                    if (full || !(spot ? anySpot : ordinaryToo) || asked(already, type, zone, spot)) {
                         continue;
                     }
                     double cost = type.priceOf(spot)
                             / Math.min(type.cpus(), missing)
-                            * (1 + SAME_PLACE_WEIGHT * share(yard, spot));
+                            * (1 + SAME_PLACE_WEIGHT * share(zone, spot));
                     if (cost < bestCost) {
                         bestCost = cost;
                         int count = (int) Math.max(1, Math.floor(missing / type.cpus()));
-                        best = new Wish(type, yard, spot, Math.min(count, MOST_AT_ONCE));
+                        best = new RentalRequest(type, zone, spot, Math.min(count, MOST_AT_ONCE));
                     }
                 }
             }
@@ -310,13 +309,15 @@
         return best;
     }
 
-    private static boolean asked(List<Wish> already, MachineType type, String yard, boolean spot) {
+    private static boolean asked(List<RentalRequest> already, MachineType type, String zone, boolean spot) {
         return already.stream()
-                .anyMatch(wish -> wish.type() == type && wish.yard().equals(yard) && wish.spot() == spot);
+                .anyMatch(rentalRequest -> rentalRequest.type() == type
+                        && rentalRequest.zone().equals(zone)
+                        && rentalRequest.spot() == spot);
     }
 
     /** The part of the spot fleet that one wave in this place could take. */
-    private double share(String yard, boolean spot) {
+    private double share(String zone, boolean spot) {
         if (!spot) {
             return 0;
         }
@@ -325,7 +326,7 @@
         for (Machine machine : cluster.machines()) {
             if (machine.spot()) {
                 all += machine.type().cpus();
-                if (machine.yard().equals(yard)) {
+                if (machine.zone().equals(zone)) {
                     here += machine.type().cpus();
                 }
             }
@@ -377,20 +378,20 @@
 
     /** Processors taken by tasks now. */
     public double busyCpus() {
-        return cpusOf(seat -> true);
+        return cpusOf(allocation -> true);
     }
 
     /** Processors taken by tasks that wait for their images, or whose launch no report has shown yet. */
     public double startingCpus() {
-        return cpusOf(seat -> seat.unconfirmed() || seat.stage() == Report.Stage.PULLING);
+        return cpusOf(allocation -> allocation.unconfirmed() || allocation.stage() == Report.Stage.PULLING);
     }
 
-    private double cpusOf(Predicate<Seat> counted) {
+    private double cpusOf(Predicate<Allocation> counted) {
         double cpus = 0;
         for (Machine machine : cluster.machines()) {
-            for (Seat seat : machine.seats()) {
-                if (!seat.ended() && seat.job() != null && counted.test(seat)) {
-                    cpus += seat.job().spec().cpus();
+            for (Allocation allocation : machine.allocations()) {
+                if (!allocation.ended() && allocation.job() != null && counted.test(allocation)) {
+                    cpus += allocation.job().spec().cpus();
                 }
             }
         }
--- a/src/main/java/io/sillreel/placement/Cluster.java
+++ b/src/main/java/io/sillreel/placement/Cluster.java
@@ -1,8 +1,8 @@
 package io.sillreel.placement;
 
+import io.sillreel.fleet.Allocation;
+import io.sillreel.fleet.AllocationIndex;
 import io.sillreel.fleet.Machine;
-import io.sillreel.fleet.Seat;
-import io.sillreel.fleet.SeatBook;
 import io.sillreel.fleet.TeamUse;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.JobSpec;
@@ -14,15 +14,15 @@
 import java.util.Set;
 
 /**
- * What the lease holder knows of jobs and machines, and the rules of where a task may start. All access is under the
+ * What the lease leader knows of jobs and machines, and the rules of where a task may start. All access is under the
  * object's own lock, which is held for one report or one tick and never across I/O.
  */
 public final class Cluster {
     private final Map<String, Team> teams;
     private final Map<String, ActiveJob> jobs = new LinkedHashMap<>();
     private final Map<String, Machine> machines = new LinkedHashMap<>();
-    private final SeatBook book = new SeatBook();
-    /** Machines on which an earlier holder's tasks may be that no report has shown yet. */
+    private final AllocationIndex book = new AllocationIndex();
+    /** Machines on which an earlier leader's tasks may be that no report has shown yet. */
     private final Set<Machine> unheard = new LinkedHashSet<>();
 
     private long work;
@@ -78,7 +78,7 @@
         unheard.remove(machine);
     }
 
-    public SeatBook book() {
+    public AllocationIndex book() {
         return book;
     }
 
@@ -115,7 +115,7 @@
         return usage;
     }
 
-    /** An earlier holder's tasks on machines not heard of yet count as if they were all there. */
+    /** An earlier leader's tasks on machines not heard of yet count as if they were all there. */
     private void addWorstCase(TeamUse usage) {
         double unheardCpus = 0;
         double unheardCards = 0;
@@ -134,11 +134,11 @@
 
     /** How many more tasks of the job its team's limit allows. */
     public int headroom(JobSpec spec, TeamUse usage) {
-        Team team = teams.get(spec.crew());
+        Team team = teams.get(spec.team());
         if (team == null) {
             return 0;
         }
-        TeamUse.Amount used = usage.of(spec.crew());
+        TeamUse.Amount used = usage.of(spec.team());
         return Math.min(
                 left(team.cpusMax(), used.cpus(), spec.cpus()), left(team.gpusMax(), used.cards(), spec.cards()));
     }
@@ -153,7 +153,7 @@
     /** True if the job's tasks may be launched at all now. */
     public boolean launchable(ActiveJob job, long wallMicros) {
         return job.released()
-                && !job.withdrawn()
+                && !job.cancelled()
                 && !job.complete()
                 && wallMicros >= job.nextWallMicros()
                 && (!job.inherited() || !mayBeHidden(job));
@@ -162,13 +162,7 @@
     /** True if a machine that has not been heard in this term could hold tasks of the job. */
     private boolean mayBeHidden(ActiveJob job) {
         for (Machine machine : unheard) {
-            if (allows(job.spec(), machine)
-                    && Machine.fits(
-                                    job.spec(),
-                                    machine.type().cpus(),
-                                    machine.type().ramGb(),
-                                    machine.type().cards())
-                            > 0) {
+            if (allows(job.spec(), machine) && Machine.fitsEmpty(job.spec(), machine.type())) {
                 return true;
             }
         }
@@ -178,20 +172,20 @@
     /** True if the machine is one the job allows, its other tasks aside. */
     public static boolean allows(JobSpec spec, Machine machine) {
         return spec.allowsBuild(machine.type().name())
-                && spec.allowsYard(machine.yard())
+                && spec.allowsZone(machine.zone())
                 && (spec.spot() || !machine.spot());
     }
 
     /** How many tasks of the job may start in the machine's zone given where its other tasks are. */
-    public int yardRoom(ActiveJob job, String yard) {
+    public int zoneRoom(ActiveJob job, String zone) {
         JobSpec spec = job.spec();
         if (!spec.oneZone() && !spec.spread()) {
             return Integer.MAX_VALUE;
         }
         int here = 0;
         int elsewhere = 0;
-        for (Seat seat : book.of(job)) {
-            if (seat.machine().yard().equals(yard)) {
+        for (Allocation allocation : book.of(job)) {
+            if (allocation.machine().zone().equals(zone)) {
                 here++;
             } else {
                 elsewhere++;
@@ -200,6 +194,6 @@
         if (spec.oneZone() && elsewhere > 0) {
             return 0;
         }
-        return spec.mostInOneYard() - here;
+        return spec.mostInOneZone() - here;
     }
 }
--- a/src/main/java/io/sillreel/placement/Deadlines.java
+++ b/src/main/java/io/sillreel/placement/Deadlines.java
@@ -44,7 +44,7 @@
         long first = needed >= reachable ? needed : Long.MAX_VALUE;
         long last = -1;
         for (Objective aim : objectives) {
-            if (aim.jobClass().equals(spec.lot()) && aim.withinMicros() > 0) {
+            if (aim.jobClass().equals(spec.jobClass()) && aim.withinMicros() > 0) {
                 // An aim for starting leaves the whole run after it; all count from when the job was ready.
                 long at = job.readyWallMicros()
                         + aim.withinMicros()
--- a/src/main/java/io/sillreel/placement/Estimates.java
+++ b/src/main/java/io/sillreel/placement/Estimates.java
@@ -34,11 +34,11 @@
         job.ran(ranMicros);
         if (spec.guessMicros() > 0) {
             double ratio = Math.max(LEAST, Math.min(MOST, (double) ranMicros / spec.guessMicros()));
-            ratios.merge(spec.lot(), ratio, (old, now) -> old + WEIGHT * (now - old));
+            ratios.merge(spec.jobClass(), ratio, (old, now) -> old + WEIGHT * (now - old));
         }
         if (job.ranCount() >= LEAST_TASKS_OF_A_TAIL && job.ranCount() == spec.pieces()) {
             double tail = Math.min(MOST_TAIL, (double) job.longestMicros() * job.ranCount() / job.ranMicros());
-            tails.merge(spec.lot(), tail, (old, now) -> old + WEIGHT * (now - old));
+            tails.merge(spec.jobClass(), tail, (old, now) -> old + WEIGHT * (now - old));
         }
     }
 
@@ -65,7 +65,7 @@
 
     /** How long a task like the job's is expected to run, without its image fetch. */
     public synchronized long expectedMicros(JobSpec spec) {
-        return Math.max(1_000_000, Math.round(spec.guessMicros() * ratios.getOrDefault(spec.lot(), 1.0)));
+        return Math.max(1_000_000, Math.round(spec.guessMicros() * ratios.getOrDefault(spec.jobClass(), 1.0)));
     }
 
     /** How long a task of the job is expected to run, from its class and from its own tasks that have ended. */
@@ -77,7 +77,7 @@
     public synchronized long slowestMicros(ActiveJob job) {
         double tail = job.spec().pieces() < LEAST_TASKS_OF_A_TAIL
                 ? 1
-                : tails.getOrDefault(job.spec().lot(), FIRST_TAIL);
+                : tails.getOrDefault(job.spec().jobClass(), FIRST_TAIL);
         return Math.round(expectedMicros(job) * tail);
     }
 }
--- a/src/main/java/io/sillreel/placement/Planner.java
+++ b/src/main/java/io/sillreel/placement/Planner.java
@@ -1,7 +1,7 @@
 package io.sillreel.placement;
 
+import io.sillreel.fleet.Allocation;
 import io.sillreel.fleet.Machine;
-import io.sillreel.fleet.Seat;
 import io.sillreel.fleet.TeamUse;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.JobSpec;
@@ -49,7 +49,10 @@
      * that are being emptied for a task that has waited too long.
      */
     public record Plan(
-            Map<String, List<Assignment>> launches, List<Seat> halts, List<Queued> left, Map<String, Queued> reserved) {
+            Map<String, List<Assignment>> launches,
+            List<Allocation> halts,
+            List<Queued> left,
+            Map<String, Queued> reserved) {
         public static final Plan EMPTY = new Plan(Collections.emptyMap(), List.of(), List.of(), Map.of());
     }
 
@@ -115,11 +118,11 @@
             cpus -= tasks * spec.cpus();
             ramGb -= tasks * spec.ramGb();
             cards -= tasks * spec.cards();
-            images.add(spec.reel());
+            images.add(spec.image());
         }
 
         boolean hasImage(JobSpec spec) {
-            return images.contains(spec.reel()) || machine.hasImage(spec);
+            return images.contains(spec.image()) || machine.hasImage(spec);
         }
     }
 
@@ -128,8 +131,8 @@
         return machine.state() == Machine.State.UP
                 && machine.trusted()
                 && !machine.recalled()
-                && !machine.deaf()
-                && machine.hire().mayHold(machine.name())
+                && !machine.unresponsive()
+                && machine.rental().mayHold(machine.name())
                 && nowMicros - machine.lastReportMicros() < REPORT_SILENCE_FACTOR * reportMicros;
     }
 
@@ -239,7 +242,7 @@
         }
         return Math.min(
                 job.waitingCount(),
-                Math.min(cluster.headroom(job.spec(), usage), cluster.yardRoom(job, machine.yard())));
+                Math.min(cluster.headroom(job.spec(), usage), cluster.zoneRoom(job, machine.zone())));
     }
 
     /** True while it isn't known whether the job fails everywhere: then one task at a time is tried. */
@@ -273,7 +276,7 @@
     }
 
     private static boolean unbegun(ActiveJob job) {
-        return job.seatedCount() == 0 && job.doneCount() == 0;
+        return job.allocatedCount() == 0 && job.doneCount() == 0;
     }
 
     /**
@@ -308,12 +311,12 @@
         List<ActiveJob> jobs = new ArrayList<>(cluster.jobs());
         jobs.sort(Comparator.comparingLong(ActiveJob::planStamp));
         for (ActiveJob job : jobs) {
-            Team team = cluster.team(job.spec().crew());
-            if (job.withdrawn() || job.awaitsOthers() || team == null) {
+            Team team = cluster.team(job.spec().team());
+            if (job.cancelled() || job.awaitsOthers() || team == null) {
                 continue;
             }
             claimed.take(job.spec(), job.spec().pieces());
-            TeamUse.Amount sum = claimed.of(job.spec().crew());
+            TeamUse.Amount sum = claimed.of(job.spec().team());
             if (sum.cpus() <= TeamUse.milli(team.cpus()) && sum.cards() <= TeamUse.milli(team.gpus())) {
                 within.add(job);
             }
@@ -327,7 +330,7 @@
         JobSpec spec = job.spec();
         int waiting = Math.min(queued.left, cluster.headroom(spec, usage));
         if (probing(job)) {
-            waiting = Math.min(waiting, job.seatedCount() == 0 ? 1 : 0);
+            waiting = Math.min(waiting, job.allocatedCount() == 0 ? 1 : 0);
         }
         if (waiting <= 0) {
             return 0;
@@ -355,23 +358,23 @@
                 .thenComparingInt(space -> space.machine.spot() == spec.saves() ? 0 : 1)
                 .thenComparingDouble(packing::get)
                 .thenComparing(space -> space.machine.name()));
-        Map<String, Integer> yardRoom = new HashMap<>();
-        String onlyYard = null;
+        Map<String, Integer> zoneRoom = new HashMap<>();
+        String onlyZone = null;
         for (Space space : candidates) {
             if (waiting == 0) {
                 break;
             }
-            String yard = space.machine.yard();
-            if (spec.oneZone() && onlyYard != null && !onlyYard.equals(yard)) {
+            String zone = space.machine.zone();
+            if (spec.oneZone() && onlyZone != null && !onlyZone.equals(zone)) {
                 continue;
             }
-            int inYard = yardRoom.computeIfAbsent(yard, where -> cluster.yardRoom(job, where));
-            int count = Math.min(waiting, Math.min(space.room(spec), inYard));
+            int inZone = zoneRoom.computeIfAbsent(zone, where -> cluster.zoneRoom(job, where));
+            int count = Math.min(waiting, Math.min(space.room(spec), inZone));
             if (count <= 0) {
                 continue;
             }
-            onlyYard = yard;
-            yardRoom.put(yard, inYard == Integer.MAX_VALUE ? inYard : inYard - count);
+            onlyZone = zone;
+            zoneRoom.put(zone, inZone == Integer.MAX_VALUE ? inZone : inZone - count);
             space.take(spec, count);
             usage.take(spec, count);
             waiting -= count;
@@ -402,12 +405,7 @@
                     && Cluster.allows(spec, machine)
                     && !machine.suspect()
                     && !plan.reserved().containsKey(machine.name())
-                    && Machine.fits(
-                                    spec,
-                                    machine.type().cpus(),
-                                    machine.type().ramGb(),
-                                    machine.type().cards())
-                            > 0) {
+                    && Machine.fitsEmpty(spec, machine.type())) {
                 machines.add(machine);
             }
         }
@@ -423,7 +421,7 @@
         private final Plan plan;
         private final Set<ActiveJob> guaranteed;
         private final long nowMicros;
-        private final Set<Seat> halting = new HashSet<>();
+        private final Set<Allocation> halting = new HashSet<>();
         private final List<Machine> machines = new ArrayList<>();
         private final List<Machine> freeing = new ArrayList<>();
         /** How much each team runs beyond its guarantee, in thousandths of processors. */
@@ -449,10 +447,11 @@
                 if (!machine.suspect()) {
                     machines.add(machine);
                 }
-                if (machine.seats().stream().anyMatch(seat -> seat.halting() && !seat.ended())) {
+                if (machine.allocations().stream()
+                        .anyMatch(allocation -> allocation.halting() && !allocation.ended())) {
                     freeing.add(machine);
                 }
-                cluster.worked(machine.seats().size());
+                cluster.worked(machine.allocations().size());
             }
         }
 
@@ -494,14 +493,20 @@
                             spec,
                             needed,
                             allowed,
-                            seat -> seat.job().rank() == rank
-                                    && (urgent || seat.job().spec().saves() && !guaranteed.contains(seat.job())));
+                            allocation -> allocation.job().rank() == rank
+                                    && (urgent
+                                            || allocation.job().spec().saves()
+                                                    && !guaranteed.contains(allocation.job())));
                 }
             }
             if (owed && needed > 0) {
-                needed -= stop(spec, needed, allowed, seat -> seat.job().spec().saves() && isBeyond(seat, queued.job));
+                needed -= stop(
+                        spec,
+                        needed,
+                        allowed,
+                        allocation -> allocation.job().spec().saves() && isBeyond(allocation, queued.job));
                 if (needed > 0 && !missed) {
-                    stop(spec, needed, allowed, seat -> isBeyond(seat, queued.job));
+                    stop(spec, needed, allowed, allocation -> isBeyond(allocation, queued.job));
                 }
             }
             return true;
@@ -511,19 +516,20 @@
          * True if the task is part of what another team runs beyond its own guarantee. High ranks are left alone: they
          * go first in the order, and would take the place back at once.
          */
-        private boolean isBeyond(Seat seat, ActiveJob forWhom) {
-            JobSpec spec = seat.job().spec();
-            if (spec.crew().equals(forWhom.spec().crew())
-                    || guaranteed.contains(seat.job())
-                    || seat.job().rank().above(Rank.NORMAL) && !forWhom.rank().above(Rank.NORMAL)) {
+        private boolean isBeyond(Allocation allocation, ActiveJob forWhom) {
+            JobSpec spec = allocation.job().spec();
+            if (spec.team().equals(forWhom.spec().team())
+                    || guaranteed.contains(allocation.job())
+                    || allocation.job().rank().above(Rank.NORMAL)
+                            && !forWhom.rank().above(Rank.NORMAL)) {
                 return false;
             }
-            return left(spec.crew()) >= TeamUse.milli(spec.cpus());
+            return left(spec.team()) >= TeamUse.milli(spec.cpus());
         }
 
-        private long left(String crew) {
+        private long left(String team) {
             return beyond.computeIfAbsent(
-                    crew,
+                    team,
                     name -> cluster.book().use().of(name).cpus()
                             - TeamUse.milli(
                                     cluster.team(name) == null
@@ -531,7 +537,7 @@
                                             : cluster.team(name).cpus()));
         }
 
-        private int stop(JobSpec spec, int needed, List<Machine> allowed, Predicate<Seat> may) {
+        private int stop(JobSpec spec, int needed, List<Machine> allowed, Predicate<Allocation> may) {
             int gained = 0;
             for (Machine machine : allowed) {
                 if (gained >= needed) {
@@ -543,33 +549,33 @@
         }
 
         /** Stops tasks on the machine, the least work first, and returns how many of the job's will fit for it. */
-        private int stop(JobSpec spec, int needed, Machine machine, Predicate<Seat> may) {
-            List<Seat> victims = new ArrayList<>();
+        private int stop(JobSpec spec, int needed, Machine machine, Predicate<Allocation> may) {
+            List<Allocation> victims = new ArrayList<>();
             double cpus = machine.freeCpus();
             double ram = machine.freeRamGb();
             double cards = machine.freeCards();
-            for (Seat seat : machine.seats()) {
-                if (seat.job() == null || seat.ended()) {
+            for (Allocation allocation : machine.allocations()) {
+                if (allocation.job() == null || allocation.ended()) {
                     continue;
                 }
-                JobSpec running = seat.job().spec();
-                if (halting.contains(seat)) {
+                JobSpec running = allocation.job().spec();
+                if (halting.contains(allocation)) {
                     cpus += running.cpus();
                     ram += running.ramGb();
                     cards += running.cards();
-                } else if (!seat.unconfirmed() && !seat.halting() && may.test(seat)) {
-                    victims.add(seat);
+                } else if (!allocation.unconfirmed() && !allocation.halting() && may.test(allocation)) {
+                    victims.add(allocation);
                 }
             }
-            cluster.worked(machine.seats().size());
+            cluster.worked(machine.allocations().size());
             if (victims.isEmpty()) {
                 return 0;
             }
-            victims.sort(Comparator.comparingDouble(seat -> lost(seat, nowMicros)));
+            victims.sort(Comparator.comparingDouble(allocation -> lost(allocation, nowMicros)));
             int before = Machine.fits(spec, cpus, ram, cards);
             int gained = 0;
-            List<Seat> chosen = new ArrayList<>();
-            for (Seat victim : victims) {
+            List<Allocation> chosen = new ArrayList<>();
+            for (Allocation victim : victims) {
                 if (gained >= needed || !may.test(victim)) {
                     break;
                 }
@@ -589,11 +595,11 @@
             return gained;
         }
 
-        private void halt(Seat seat) {
-            JobSpec spec = seat.job().spec();
-            halting.add(seat);
-            plan.halts().add(seat);
-            beyond.put(spec.crew(), left(spec.crew()) - TeamUse.milli(spec.cpus()));
+        private void halt(Allocation allocation) {
+            JobSpec spec = allocation.job().spec();
+            halting.add(allocation);
+            plan.halts().add(allocation);
+            beyond.put(spec.team(), left(spec.team()) - TeamUse.milli(spec.cpus()));
         }
 
         /** Tasks of the job that will fit where others are being stopped already. */
@@ -603,11 +609,11 @@
                 double cpus = 0;
                 double ram = 0;
                 double cards = 0;
-                for (Seat seat : machine.seats()) {
-                    if (seat.halting() && !seat.ended() && seat.job() != null) {
-                        cpus += seat.job().spec().cpus();
-                        ram += seat.job().spec().ramGb();
-                        cards += seat.job().spec().cards();
+                for (Allocation allocation : machine.allocations()) {
+                    if (allocation.halting() && !allocation.ended() && allocation.job() != null) {
+                        cpus += allocation.job().spec().cpus();
+                        ram += allocation.job().spec().ramGb();
+                        cards += allocation.job().spec().cards();
                     }
                 }
                 count += Math.min(Machine.fits(spec, cpus, ram, cards), Integer.MAX_VALUE / 1_000);
@@ -617,9 +623,9 @@
     }
 
     /** Work that is lost when the task is stopped: what it has done so far, or the time it takes to save that. */
-    private static double lost(Seat seat, long nowMicros) {
-        JobSpec spec = seat.job().spec();
-        long ran = seat.runningSinceMicros() < 0 ? 0 : nowMicros - seat.runningSinceMicros();
-        return spec.cpus() * (spec.saves() ? Math.min(ran, spec.stashMicros()) : ran);
+    private static double lost(Allocation allocation, long nowMicros) {
+        JobSpec spec = allocation.job().spec();
+        long ran = allocation.runningSinceMicros() < 0 ? 0 : nowMicros - allocation.runningSinceMicros();
+        return spec.cpus() * (spec.saves() ? Math.min(ran, spec.saveMicros()) : ran);
     }
 }
--- a/src/main/java/io/sillreel/placement/PriorityInheritance.java
+++ b/src/main/java/io/sillreel/placement/PriorityInheritance.java
@@ -1,21 +1,21 @@
 package io.sillreel.placement;
 
 import io.sillreel.pipeline.ActiveJob;
-import io.sillreel.pipeline.Chains;
+import io.sillreel.pipeline.DependencyGraph;
 import java.util.ArrayDeque;
 import java.util.Collection;
 import java.util.Deque;
 
 /**
  * A job is as urgent as whatever needs it: it takes the highest rank of those, and a deadline that leaves them the time
- * they are expected to take. Both follow as jobs join a chain and as jobs that needed others are withdrawn.
+ * they are expected to take. Both follow as jobs join a chain and as jobs that needed others are cancelled.
  */
 public final class PriorityInheritance {
-    private final Chains chains;
+    private final DependencyGraph dependencies;
     private final Estimates estimates;
 
-    public PriorityInheritance(Chains chains, Estimates estimates) {
-        this.chains = chains;
+    public PriorityInheritance(DependencyGraph dependencies, Estimates estimates) {
+        this.dependencies = dependencies;
         this.estimates = estimates;
     }
 
@@ -25,10 +25,10 @@
         open.add(job);
         while (!open.isEmpty()) {
             ActiveJob needing = open.poll();
-            if (needing.withdrawn()) {
+            if (needing.cancelled()) {
                 continue;
             }
-            for (ActiveJob awaited : chains.awaited(needing)) {
+            for (ActiveJob awaited : dependencies.awaited(needing)) {
                 if (awaited.neededBy(needing.rank(), startBy(needing))) {
                     open.add(awaited);
                 }
@@ -36,25 +36,25 @@
         }
     }
 
-    /** Jobs that needed others are withdrawn: what they awaited is only as urgent as those that still need it. */
-    public void left(Collection<ActiveJob> withdrawn) {
+    /** Jobs that needed others are cancelled: what they awaited is only as urgent as those that still need it. */
+    public void left(Collection<ActiveJob> cancelled) {
         Deque<ActiveJob> open = new ArrayDeque<>();
-        withdrawn.forEach(job -> open.addAll(chains.awaited(job)));
+        cancelled.forEach(job -> open.addAll(dependencies.awaited(job)));
         while (!open.isEmpty()) {
             ActiveJob job = open.poll();
-            if (job.withdrawn()) {
+            if (job.cancelled()) {
                 continue;
             }
             var rank = job.rank();
             long before = job.neededByMicros();
             job.neededByNobody();
-            for (ActiveJob needing : chains.following(job)) {
-                if (!needing.withdrawn()) {
+            for (ActiveJob needing : dependencies.following(job)) {
+                if (!needing.cancelled()) {
                     job.neededBy(needing.rank(), startBy(needing));
                 }
             }
             if (rank != job.rank() || before != job.neededByMicros()) {
-                open.addAll(chains.awaited(job));
+                open.addAll(dependencies.awaited(job));
             }
         }
     }
--- a/src/main/java/io/sillreel/statestore/KeyWriter.java
+++ b/src/main/java/io/sillreel/statestore/KeyWriter.java
@@ -20,8 +20,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The lease holder's only way to write: changes merged into one transaction at a time, each conditional on the leader
- * key's stamp and on the changed key's own. So neither a former holder's late transaction nor an own one whose answer
+ * The lease leader's only way to write: changes merged into one transaction at a time, each conditional on the leader
+ * key's stamp and on the changed key's own. So neither a former leader's late transaction nor an own one whose answer
  * was lost can undo what was written after it.
  */
 public final class KeyWriter {
@@ -112,7 +112,8 @@
     private static final long IDLE_MICROS = 50_000;
     private static final long STUCK_MICROS = 15_000_000;
     /**
-     * Writes left over for withdrawals and admissions on this controller, and the most of a low rate that this may be.
+     * Writes left over for cancellations and admissions on this controller, and the most of a low rate that this may
+     * be.
      */
     private static final double RESERVE = 2;
 
@@ -359,9 +360,9 @@
     }
 
     /** One item that can't take what became of its write must not keep all others from being written. */
-    private static void tell(Item item, Consumer<Item> news) {
+    private static void tell(Item item, Consumer<Item> result) {
         try {
-            news.accept(item);
+            result.accept(item);
         } catch (RuntimeException e) {
             LOG.error("{} could not take what became of its write", item.key(), e);
         }
--- a/src/main/java/io/sillreel/statestore/StateStore.java
+++ b/src/main/java/io/sillreel/statestore/StateStore.java
@@ -58,7 +58,7 @@
     public record Change(String key, JsonNode value, long stamp) {}
 
     /** The changes that a watch has seen, and the revision up to which it has seen them. */
-    public record News(Outcome outcome, long ledger, List<Change> changes) {}
+    public record WatchResult(Outcome outcome, long ledger, List<Change> changes) {}
 
     private static final long TIMEOUT_MICROS = 1_500_000;
     /** Whoever compares waits for less: the same can be read, and a user who polls gives up after two seconds. */
@@ -180,7 +180,7 @@
     }
 
     /** Waits until a key under the prefix has changed after the revision, or until the time is over. */
-    public CompletableFuture<News> watch(String prefix, long since, long blockMicros) {
+    public CompletableFuture<WatchResult> watch(String prefix, long since, long blockMicros) {
         String path = "/watch?prefix=" + prefix + "&since=" + since + "&block_ms=" + blockMicros / 1_000;
         return send(Call.get(path), blockMicros + WATCH_SLACK_MICROS).thenApply(reply -> {
             Outcome outcome = outcome(reply);
@@ -193,7 +193,7 @@
                         removed ? null : change.path("v"),
                         change.path("stamp").asLong()));
             }
-            return new News(outcome, body.path("ledger").asLong(), changes);
+            return new WatchResult(outcome, body.path("ledger").asLong(), changes);
         });
     }
 
--- a/src/main/java/io/sillreel/workers/Orders.java
+++ b/src/main/java/io/sillreel/workers/Commands.java
@@ -6,11 +6,11 @@
 import io.sillreel.http.Reply;
 
 /** Commands to one worker, in the order in which it is to carry them out. */
-public final class Orders {
+public final class Commands {
     /** Keeps a response far below the longest line that a worker reads. */
     private static final int MOST = 400;
 
-    private final ArrayNode orders = Json.array();
+    private final ArrayNode commands = Json.array();
 
     public void launch(String uid, int index, long attempt) {
         add("launch", uid, index, attempt);
@@ -25,26 +25,26 @@
     }
 
     public boolean full() {
-        return orders.size() >= MOST;
+        return commands.size() >= MOST;
     }
 
     public boolean isEmpty() {
-        return orders.isEmpty();
+        return commands.isEmpty();
     }
 
     /** Returns the commands under that token, as the body of a response or of a direct command. */
-    public ObjectNode body(long baton) {
-        ObjectNode body = Json.object().put("baton", baton);
-        body.set("orders", orders);
+    public ObjectNode body(long token) {
+        ObjectNode body = Json.object().put("baton", token);
+        body.set("orders", commands);
         return body;
     }
 
-    public Reply reply(long baton) {
-        return Reply.of(200, body(baton));
+    public Reply reply(long token) {
+        return Reply.of(200, body(token));
     }
 
     private ObjectNode add(String verb, String uid, int index, long attempt) {
-        return orders.addObject()
+        return commands.addObject()
                 .put("verb", verb)
                 .put("piece", uid + "/" + index)
                 .put("try", attempt);
--- a/src/main/java/io/sillreel/workers/Blame.java
+++ b/src/main/java/io/sillreel/workers/FaultAttribution.java
@@ -7,7 +7,7 @@
  * Whose fault a failed task is. A task that fails says nothing by itself: a faulty machine fails tasks of every job, a
  * mistaken job fails on every machine. Until it is known, the machine gets nothing new and the job one task elsewhere.
  */
-public final class Blame {
+public final class FaultAttribution {
     /** Who is at fault for a failed task. */
     public enum Verdict {
         UNKNOWN,
@@ -18,7 +18,7 @@
     /** So many machines, none of them known to be faulty, must have failed a job before it is blamed. */
     private static final int MACHINES_THAT_BLAME_A_JOB = 2;
 
-    private Blame() {}
+    private FaultAttribution() {}
 
     /** Judges a task of the job that failed on the machine. */
     public static Verdict failed(ActiveJob job, Machine machine) {
--- a/src/main/java/io/sillreel/workers/Report.java
+++ b/src/main/java/io/sillreel/workers/Report.java
@@ -12,11 +12,11 @@
         String machine,
         String address,
         String build,
-        String yard,
+        String zone,
         boolean spot,
-        long shift,
-        long tally,
-        long baton,
+        long session,
+        long sequence,
+        long token,
         long recallMicros,
         List<PieceState> pieces) {
 
@@ -46,11 +46,11 @@
         String machine = "";
         String address = "";
         String build = "";
-        String yard = "";
+        String zone = "";
         boolean spot = false;
-        long shift = 0;
-        long tally = 0;
-        long baton = 0;
+        long session = 0;
+        long sequence = 0;
+        long token = 0;
         long recallMicros = -1;
         List<PieceState> pieces = List.of();
         while (in.nextToken() == JsonToken.FIELD_NAME) {
@@ -60,11 +60,11 @@
                 case "hopper" -> machine = in.getValueAsString("");
                 case "addr" -> address = in.getValueAsString("");
                 case "build" -> build = in.getValueAsString("");
-                case "yard" -> yard = in.getValueAsString("");
+                case "yard" -> zone = in.getValueAsString("");
                 case "loaners" -> spot = in.getValueAsBoolean();
-                case "shift" -> shift = in.getValueAsLong();
-                case "tally" -> tally = in.getValueAsLong();
-                case "baton" -> baton = in.getValueAsLong();
+                case "shift" -> session = in.getValueAsLong();
+                case "tally" -> sequence = in.getValueAsLong();
+                case "baton" -> token = in.getValueAsLong();
                 case "recall_s" -> recallMicros = value.isNumeric() ? Math.round(in.getDoubleValue() * 1_000_000) : -1;
                 case "pieces" -> {
                     if (value == JsonToken.START_ARRAY) {
@@ -76,7 +76,7 @@
         }
         return machine.isEmpty()
                 ? null
-                : new Report(machine, address, build, yard, spot, shift, tally, baton, recallMicros, pieces);
+                : new Report(machine, address, build, zone, spot, session, sequence, token, recallMicros, pieces);
     }
 
     private static List<PieceState> pieces(JsonParser in) throws IOException {
@@ -117,7 +117,7 @@
     }
 
     /** True if this message was made after one with the given numbers. */
-    public boolean newerThan(long otherShift, long otherTally) {
-        return shift > otherShift || shift == otherShift && tally > otherTally;
+    public boolean newerThan(long otherSession, long otherSequence) {
+        return session > otherSession || session == otherSession && sequence > otherSequence;
     }
 }
