--- a/src/main/java/io/sillreel/workers/ReportDesk.java
+++ b/src/main/java/io/sillreel/workers/ReportProcessor.java
@@ -1,7 +1,7 @@
 package io.sillreel.workers;
 
+import io.sillreel.fleet.Allocation;
 import io.sillreel.fleet.Machine;
-import io.sillreel.fleet.Seat;
 import io.sillreel.fleet.TeamUse;
 import io.sillreel.http.Loop;
 import io.sillreel.http.Reply;
@@ -26,9 +26,9 @@
  * are given in no other way: a worker drops a response that comes late, so a launch that the next report does not show
  * has not happened and never will.
  */
-public final class ReportDesk {
+public final class ReportProcessor {
     /** What the desk asks of the rest of the term. */
-    public interface Office {
+    public interface Callbacks {
         /** A machine that nobody rented under a known name has reported. */
         Machine adopt(Report report);
 
@@ -47,7 +47,7 @@
         void ask(Machine machine);
     }
 
-    private static final Logger LOG = LoggerFactory.getLogger(ReportDesk.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ReportProcessor.class);
     /** Attempt ids never repeat: the term in the high bits, a count below. */
     private static final int TERM_SHIFT = 32;
 
@@ -56,7 +56,7 @@
     /** A worker waits so long for the answer to a report. */
     private static final long OVERTAKEN_MICROS = 4_000_000;
 
-    private static final int MOST_DEAF_PART = 8;
+    private static final int MOST_UNRESPONSIVE_PART = 8;
 
     private final Loop loop;
     private final long term;
@@ -66,14 +66,14 @@
     private final RetrySchedule retries;
     private final Estimates estimates;
     private final Planner planner;
-    private final Office office;
+    private final Callbacks callbacks;
     private final BooleanSupplier mayAct;
     private final Reply nothing;
     private long attempts;
     private Planner.Plan plan = Planner.Plan.EMPTY;
 
     /** @param mayAct true while the lease and the cancellations are known well enough to launch tasks */
-    public ReportDesk(
+    public ReportProcessor(
             Loop loop,
             long term,
             Cluster cluster,
@@ -82,7 +82,7 @@
             RetrySchedule retries,
             Estimates estimates,
             Planner planner,
-            Office office,
+            Callbacks callbacks,
             BooleanSupplier mayAct) {
         this.loop = loop;
         this.term = term;
@@ -91,10 +91,10 @@
         this.times = times;
         this.retries = retries;
         this.estimates = estimates;
-        this.office = office;
+        this.callbacks = callbacks;
         this.mayAct = mayAct;
         this.planner = planner;
-        this.nothing = new Orders().reply(term);
+        this.nothing = new Commands().reply(term);
     }
 
     /** The proposal from which the next responses are filled. */
@@ -115,7 +115,7 @@
             if (machine == null) {
                 return stranger(report);
             }
-            if (machine.trusted() && report.baton() < term && report.newerThan(machine.shift(), machine.tally())) {
+            if (machine.trusted() && report.token() < term && report.newerThan(machine.session(), machine.sequence())) {
                 // Within one life neither the token nor the numbers fall.
                 return newLife(machine);
             }
@@ -123,33 +123,33 @@
                 return notNewer(machine, report, now);
             }
             cluster.worked(report.pieces().size() + 1);
-            office.cameUp(machine);
-            if (report.baton() != term) {
+            callbacks.cameUp(machine);
+            if (report.token() != term) {
                 return unheard(machine, now);
             }
             take(machine, report, true, now);
-            if (deaf(machine)) {
+            if (unresponsive(machine)) {
                 return giveUp(machine);
             }
             machine.answered(aliveUntil(now));
-            Orders orders = new Orders();
-            command(machine, orders);
+            Commands commands = new Commands();
+            command(machine, commands);
             if (mayAct.getAsBoolean()) {
-                launch(machine, report, orders, now);
+                launch(machine, report, commands, now);
             }
-            return orders.isEmpty() ? nothing : orders.reply(term);
+            return commands.isEmpty() ? nothing : commands.reply(term);
         }
     }
 
     /**
-     * A machine that no stored hire names holds nothing of ours. It is used once it shows the current token: a copy of
-     * an old report, of a machine that was returned since, never does.
+     * A machine that no stored rental names holds nothing of ours. It is used once it shows the current token: a copy
+     * of an old report, of a machine that was returned since, never does.
      */
     private Reply stranger(Report report) {
-        if (office.isGone(report.machine())) {
+        if (callbacks.isGone(report.machine())) {
             return Reply.later(503, "the machine was returned", 1);
         }
-        if (report.baton() == term && office.adopt(report) == null) {
+        if (report.token() == term && callbacks.adopt(report) == null) {
             return Reply.later(503, "machine type " + report.build() + " is not known", 1);
         }
         return nothing;
@@ -165,16 +165,16 @@
             return nothing;
         }
         if (machine.countsAnew(report)) {
-            office.ask(machine);
+            callbacks.ask(machine);
         }
         return Reply.later(503, "a newer report was seen", 1);
     }
 
     /**
-     * The machine does not know this term yet: it may still obey an earlier holder. It is told, but not without end.
+     * The machine does not know this term yet: it may still obey an earlier leader. It is told, but not without end.
      */
     private Reply unheard(Machine machine, long now) {
-        if (deaf(machine)) {
+        if (unresponsive(machine)) {
             return giveUp(machine);
         }
         machine.unaware(now);
@@ -183,22 +183,23 @@
     }
 
     /** True if the machine alone, or with few others, hears nothing; if many do, the fault is on this side. */
-    private boolean deaf(Machine machine) {
-        if (!machine.deaf()) {
+    private boolean unresponsive(Machine machine) {
+        if (!machine.unresponsive()) {
             return false;
         }
-        long deaf = cluster.machines().stream().filter(Machine::deaf).count();
-        return deaf <= Math.max(2, cluster.machines().size() / MOST_DEAF_PART);
+        long unresponsive =
+                cluster.machines().stream().filter(Machine::unresponsive).count();
+        return unresponsive <= Math.max(2, cluster.machines().size() / MOST_UNRESPONSIVE_PART);
     }
 
     /** It hears nothing: not answering lets its lease, and with it its tasks, run out; then it goes back. */
     private Reply giveUp(Machine machine) {
         if (machine.state() == Machine.State.UP) {
             LOG.info(
-                    "machine {} ({}) hears nothing of what it is told",
+                    "machine {} ({}) does not react to its commands",
                     machine.name(),
                     machine.type().name());
-            office.progressed();
+            callbacks.progressed();
             if (machine.trusted()) {
                 machine.leave("it hears nothing");
             } else {
@@ -212,7 +213,7 @@
     public void answered(Report report) {
         synchronized (cluster) {
             Machine machine = cluster.machine(report.machine());
-            if (machine != null && report.baton() == term && machine.advance(report, true, loop.nowMicros())) {
+            if (machine != null && report.token() == term && machine.advance(report, true, loop.nowMicros())) {
                 take(machine, report, false, loop.nowMicros());
             }
         }
@@ -222,13 +223,13 @@
      * What the machine said when it was asked how far it counts: less than it had counted when it was asked means that
      * it is a new life of it. If reports have been taken since, the answer is older than they are and says nothing.
      */
-    public void asked(Report report, long shiftBefore, long tallyBefore) {
+    public void asked(Report report, long sessionBefore, long sequenceBefore) {
         synchronized (cluster) {
             Machine machine = cluster.machine(report.machine());
             if (machine != null
-                    && machine.shift() == shiftBefore
-                    && machine.tally() == tallyBefore
-                    && !report.newerThan(shiftBefore, tallyBefore)) {
+                    && machine.session() == sessionBefore
+                    && machine.sequence() == sequenceBefore
+                    && !report.newerThan(sessionBefore, sequenceBefore)) {
                 newLife(machine);
             }
         }
@@ -241,8 +242,8 @@
      */
     private Reply newLife(Machine machine) {
         if (!machine.condemned()) {
-            LOG.info("machine {} is back and counts anew", machine.name());
-            machine.condemn("it counts anew");
+            LOG.info("machine {} has restarted under its old name", machine.name());
+            machine.condemn("it has restarted");
         }
         return Reply.later(503, "the machine is taken for one that has started again", 1);
     }
@@ -256,35 +257,36 @@
                     "machine {} ({}, {}) heard with {} tasks",
                     machine.name(),
                     machine.type().name(),
-                    machine.yard(),
+                    machine.zone(),
                     report.pieces().size());
-            office.progressed();
+            callbacks.progressed();
         }
-        Set<Seat> shown = new HashSet<>();
+        Set<Allocation> shown = new HashSet<>();
         boolean heeded = false;
         boolean unheeded = false;
         for (PieceState piece : report.pieces()) {
-            Seat seat = machine.seat(piece.uid(), piece.index(), piece.attempt());
-            if (seat == null) {
-                seat = found(machine, piece, now);
-            } else if (!seat.ended()) {
-                heeded |= seat.unconfirmed();
-                seat.seen(piece.stage(), now);
-                if (seat.ended()) {
-                    ended(machine, seat, piece.cause(), now);
+            Allocation allocation = machine.allocation(piece.uid(), piece.index(), piece.attempt());
+            if (allocation == null) {
+                allocation = found(machine, piece, now);
+            } else if (!allocation.ended()) {
+                heeded |= allocation.unconfirmed();
+                allocation.seen(piece.stage(), now);
+                if (allocation.ended()) {
+                    ended(machine, allocation, piece.cause(), now);
                 }
-            } else if (ownReport && seat.reapTally() > 0 && seat.reapTally() < report.tally()) {
+            } else if (ownReport && allocation.reapSequence() > 0 && allocation.reapSequence() < report.sequence()) {
                 unheeded = true;
             }
-            shown.add(seat);
+            shown.add(allocation);
         }
-        if (shown.size() < machine.seats().size()) {
-            for (Seat seat : List.copyOf(machine.seats())) {
-                boolean neverStarted = seat.unconfirmed() && ownReport && seat.launchTally() < report.tally();
-                if (!shown.contains(seat) && (neverStarted || !seat.unconfirmed())) {
+        if (shown.size() < machine.allocations().size()) {
+            for (Allocation allocation : List.copyOf(machine.allocations())) {
+                boolean neverStarted =
+                        allocation.unconfirmed() && ownReport && allocation.launchSequence() < report.sequence();
+                if (!shown.contains(allocation) && (neverStarted || !allocation.unconfirmed())) {
                     unheeded |= neverStarted;
                     heeded |= !neverStarted;
-                    vacate(machine, seat);
+                    vacate(machine, allocation);
                 }
             }
         }
@@ -295,47 +297,47 @@
         }
     }
 
-    private Seat found(Machine machine, PieceState piece, long now) {
+    private Allocation found(Machine machine, PieceState piece, long now) {
         ActiveJob job = cluster.job(piece.uid());
         if (job != null && (piece.index() < 0 || piece.index() >= job.spec().pieces())) {
             job = null;
         }
-        boolean elsewhere = job != null && job.isSeated(piece.index());
-        Seat seat = Seat.found(job, piece.uid(), piece.index(), piece.attempt(), piece.stage());
-        machine.add(seat);
-        if (seat.ended()) {
-            ended(machine, seat, piece.cause(), now);
+        boolean elsewhere = job != null && job.isAllocated(piece.index());
+        Allocation allocation = Allocation.found(job, piece.uid(), piece.index(), piece.attempt(), piece.stage());
+        machine.add(allocation);
+        if (allocation.ended()) {
+            ended(machine, allocation, piece.cause(), now);
         } else if (elsewhere) {
             LOG.error("{}/{} is on {} and elsewhere, stopping it here", piece.uid(), piece.index(), machine.name());
-            seat.halt(0);
+            allocation.halt(0);
         }
-        return seat;
+        return allocation;
     }
 
-    private void ended(Machine machine, Seat seat, String cause, long now) {
-        ActiveJob job = seat.job();
-        office.progressed();
+    private void ended(Machine machine, Allocation allocation, String cause, long now) {
+        ActiveJob job = allocation.job();
+        callbacks.progressed();
         if (job == null) {
             return;
         }
-        seat.release();
+        allocation.release();
         switch (cause) {
             case "done" -> {
-                if (seat.runningSinceMicros() >= 0) {
-                    long ran = now - seat.runningSinceMicros();
+                if (allocation.runningSinceMicros() >= 0) {
+                    long ran = now - allocation.runningSinceMicros();
                     machine.ran((double) ran / estimates.expectedMicros(job.spec()), job.uid());
                     estimates.measured(job, ran);
                 }
                 machine.clearBlame(job.uid());
                 judge(job);
-                if (job.settle(seat.index()) && !job.withdrawn()) {
+                if (job.settle(allocation.index()) && !job.cancelled()) {
                     writer.enqueue(job);
                 }
             }
-            case "error" -> failed(machine, job, seat);
+            case "error" -> failed(machine, job, allocation);
             case "no_room", "busy", "no_such" ->
-                LOG.info("{} refused {}/{}: {}", machine.name(), seat.uid(), seat.index(), cause);
-            default -> LOG.debug("{}/{} ended on {}: {}", seat.uid(), seat.index(), machine.name(), cause);
+                LOG.info("{} refused {}/{}: {}", machine.name(), allocation.uid(), allocation.index(), cause);
+            default -> LOG.debug("{}/{} ended on {}: {}", allocation.uid(), allocation.index(), machine.name(), cause);
         }
     }
 
@@ -344,19 +346,23 @@
         for (String name : job.failedOn()) {
             Machine blamed = cluster.machine(name);
             if (blamed != null && blamed.blamedBy().contains(job.uid())) {
-                LOG.info("machine {} is taken for faulty: {} succeeds elsewhere", name, job.uid());
+                LOG.info("machine {} is considered faulty: {} succeeds elsewhere", name, job.uid());
                 blamed.leave("faulty");
             }
         }
     }
 
-    private void failed(Machine machine, ActiveJob job, Seat seat) {
-        if (job.withdrawn() || machine.state() == Machine.State.LEAVING) {
+    private void failed(Machine machine, ActiveJob job, Allocation allocation) {
+        if (job.cancelled() || machine.state() == Machine.State.LEAVING) {
             return;
         }
-        switch (Blame.failed(job, machine)) {
+        switch (FaultAttribution.failed(job, machine)) {
             case MACHINE -> {
-                LOG.info("machine {} is taken for faulty: it failed {}/{}", machine.name(), seat.uid(), seat.index());
+                LOG.info(
+                        "machine {} is considered faulty: it failed {}/{}",
+                        machine.name(),
+                        allocation.uid(),
+                        allocation.index());
                 machine.leave("faulty");
                 job.failedOn().remove(machine.name());
             }
@@ -370,38 +376,44 @@
                 LOG.info("job {}: {}", job.uid(), job.reason());
                 writer.enqueue(job);
             }
-            default -> LOG.info("{}/{} failed on {}, trying it elsewhere", seat.uid(), seat.index(), machine.name());
+            default ->
+                LOG.info(
+                        "{}/{} failed on {}, trying it elsewhere",
+                        allocation.uid(),
+                        allocation.index(),
+                        machine.name());
         }
     }
 
-    private void vacate(Machine machine, Seat seat) {
-        machine.remove(seat);
-        seat.release();
-        office.progressed();
+    private void vacate(Machine machine, Allocation allocation) {
+        machine.remove(allocation);
+        allocation.release();
+        callbacks.progressed();
     }
 
     /** Reaps what is settled and stops what must not run; both are repeated until the reports show them done. */
-    public void command(Machine machine, Orders orders) {
-        for (Seat seat : machine.seats()) {
-            if (orders.full()) {
+    public void command(Machine machine, Commands commands) {
+        for (Allocation allocation : machine.allocations()) {
+            if (commands.full()) {
                 return;
             }
-            ActiveJob job = seat.job();
-            boolean idle = job == null || job.withdrawn();
-            if (seat.ended()) {
+            ActiveJob job = allocation.job();
+            boolean idle = job == null || job.cancelled();
+            if (allocation.ended()) {
                 // The worker is the only one to know of a completion until the store does.
-                if (idle || !job.isDone(seat.index()) || job.isStored(seat.index())) {
-                    seat.reapOrdered(machine.tally());
-                    orders.reap(seat.uid(), seat.index(), seat.attempt());
+                if (idle || !job.isDone(allocation.index()) || job.isStored(allocation.index())) {
+                    allocation.reapCommanded(machine.sequence());
+                    commands.reap(allocation.uid(), allocation.index(), allocation.attempt());
                 }
-            } else if (seat.unconfirmed()) {
+            } else if (allocation.unconfirmed()) {
                 if (idle) {
-                    orders.halt(seat.uid(), seat.index(), seat.attempt(), 0);
+                    commands.halt(allocation.uid(), allocation.index(), allocation.attempt(), 0);
                 }
-            } else if (idle || job.isDone(seat.index())) {
-                orders.halt(seat.uid(), seat.index(), seat.attempt(), 0);
-            } else if (seat.halting()) {
-                orders.halt(seat.uid(), seat.index(), seat.attempt(), seat.haltWindDownMicros());
+            } else if (idle || job.isDone(allocation.index())) {
+                commands.halt(allocation.uid(), allocation.index(), allocation.attempt(), 0);
+            } else if (allocation.halting()) {
+                commands.halt(
+                        allocation.uid(), allocation.index(), allocation.attempt(), allocation.haltWindDownMicros());
             }
         }
     }
@@ -409,23 +421,23 @@
     /**
      * Gives the machine what the plan has for it, and what it had no room for elsewhere as far as there is room here.
      */
-    private void launch(Machine machine, Report report, Orders orders, long now) {
+    private void launch(Machine machine, Report report, Commands commands, long now) {
         List<Assignment> planned = plan.launches().remove(machine.name());
         if (!planner.usable(machine, now)) {
             return;
         }
         if (planned != null) {
-            launch(machine, planned, report, orders, now);
+            launch(machine, planned, report, commands, now);
         }
         if (machine.freeCpus() > 0) {
             List<Assignment> left = planner.fill(plan, machine, now, loop.wallMicros());
             if (!left.isEmpty()) {
-                launch(machine, left, report, orders, now);
+                launch(machine, left, report, commands, now);
             }
         }
     }
 
-    private void launch(Machine machine, List<Assignment> assignments, Report report, Orders orders, long now) {
+    private void launch(Machine machine, List<Assignment> assignments, Report report, Commands commands, long now) {
         TeamUse usage = cluster.usage();
         // A machine that has not heeded its last answer is tried with one task, not with all that it has room for.
         int most = machine.unheededCount() > 0 ? 1 : Integer.MAX_VALUE;
@@ -438,17 +450,17 @@
                     assignment.count(),
                     Math.min(
                             machine.room(job.spec()),
-                            Math.min(cluster.headroom(job.spec(), usage), cluster.yardRoom(job, machine.yard()))));
-            for (int i = 0; i < count && most > 0 && !orders.full(); i++) {
+                            Math.min(cluster.headroom(job.spec(), usage), cluster.zoneRoom(job, machine.zone()))));
+            for (int i = 0; i < count && most > 0 && !commands.full(); i++) {
                 int piece = job.nextWaiting();
                 if (piece < 0) {
                     break;
                 }
                 long attempt = (term << TERM_SHIFT) + ++attempts;
-                machine.add(Seat.launched(job, piece, attempt, report.tally()));
+                machine.add(Allocation.launched(job, piece, attempt, report.sequence()));
                 usage.take(job.spec(), 1);
                 most--;
-                orders.launch(job.uid(), piece, attempt);
+                commands.launch(job.uid(), piece, attempt);
             }
         }
     }
@@ -459,22 +471,24 @@
         for (Machine machine : cluster.machines()) {
             int late = 0;
             Set<String> lateJobs = new HashSet<>();
-            for (Seat seat : machine.seats()) {
-                if (seat.job() != null
-                        && !seat.ended()
-                        && seat.runningSinceMicros() >= 0
-                        && now - seat.runningSinceMicros()
+            for (Allocation allocation : machine.allocations()) {
+                if (allocation.job() != null
+                        && !allocation.ended()
+                        && allocation.runningSinceMicros() >= 0
+                        && now - allocation.runningSinceMicros()
                                 > Machine.SLOW_RATIO
-                                        * estimates.expectedMicros(seat.job().spec())) {
+                                        * estimates.expectedMicros(
+                                                allocation.job().spec())) {
                     late++;
-                    lateJobs.add(seat.uid());
+                    lateJobs.add(allocation.uid());
                 }
             }
             if (machine.state() == Machine.State.UP
                     && (machine.slow()
-                            || lateJobs.size() > 1 && late > machine.seats().size() / 2)) {
+                            || lateJobs.size() > 1
+                                    && late > machine.allocations().size() / 2)) {
                 LOG.info(
-                        "machine {} ({}) is taken for slow",
+                        "machine {} ({}) is considered slow",
                         machine.name(),
                         machine.type().name());
                 machine.leave("slow");
@@ -490,13 +504,13 @@
                 machine.endSession();
                 cluster.cleared(machine);
                 if (mayAct.getAsBoolean()) {
-                    office.wentDown(machine);
+                    callbacks.wentDown(machine);
                 }
-                if (!machine.seats().isEmpty()) {
+                if (!machine.allocations().isEmpty()) {
                     LOG.info(
-                            "machine {} is silent beyond its lease, {} tasks go back",
+                            "machine {} is silent beyond its lease, {} tasks are queued again",
                             machine.name(),
-                            machine.seats().size());
+                            machine.allocations().size());
                     clear(machine);
                 }
             }
@@ -505,7 +519,7 @@
 
     /** All tasks of the machine are certainly gone. */
     public void clear(Machine machine) {
-        machine.clearSeats().forEach(Seat::release);
-        office.progressed();
+        machine.clearAllocations().forEach(Allocation::release);
+        callbacks.progressed();
     }
 }
--- a/src/main/java/io/sillreel/workers/ReportRelay.java
+++ b/src/main/java/io/sillreel/workers/ReportRelay.java
@@ -13,7 +13,7 @@
 import java.util.function.IntSupplier;
 
 /**
- * Hands workers' reports on to the lease holder, many in one request, and each worker the answer that was decided
+ * Hands workers' reports on to the lease leader, many in one request, and each worker the answer that was decided
  * there. A batch that gets no answer is refused to its workers as 503: what it carried was then decided for nobody, and
  * the workers' next reports show that.
  */
@@ -33,7 +33,7 @@
     /** After a batch was lost nothing is handed on for so long. */
     private static final long BROKEN_MICROS = 2_000_000;
     /**
-     * One batch without an answer may just be late, at a holder that has much to do; sending its workers there by
+     * One batch without an answer may just be late, at a leader that has much to do; sending its workers there by
      * themselves would give it more. One that could not even be sent, or two in a row, mean that there is no way.
      */
     private static final int LATE_BATCHES = 1;
@@ -62,7 +62,7 @@
         this.workers = workers;
     }
 
-    /** True unless the last batch to this lease holder was lost a moment ago. */
+    /** True unless the last batch to this lease leader was lost a moment ago. */
     public synchronized boolean works(String leaderAddress) {
         return !leader.equals(leaderAddress) || loop.nowMicros() >= brokenUntilMicros;
     }
@@ -120,7 +120,7 @@
             batchesSent++;
             to = leader;
         }
-        Call call = PeerMessages.beats(reports);
+        Call call = PeerMessages.heartbeats(reports);
         caller.call(to, call, TIMEOUT_MICROS).thenAccept(reply -> {
             List<Reply> replies = reply.ok() ? PeerMessages.replies(reply.body()) : List.of();
             boolean more;
--- a/src/main/java/io/sillreel/workers/WorkerSpread.java
+++ b/src/main/java/io/sillreel/workers/WorkerSpread.java
@@ -8,7 +8,7 @@
 
 /**
  * Spreads the workers over the controllers that can serve them: whoever has more than its part sends some on. The lease
- * holder keeps a smaller part, since it decides every answer already.
+ * leader keeps a smaller part, since it decides every answer already.
  */
 public final class WorkerSpread {
     private static final double LEADER_PART = 0.25;
