--- /dev/null
+++ b/src/main/java/io/sillreel/ownership/RecallDrain.java
@@ -0,0 +1,63 @@
+package io.sillreel.ownership;
+
+import io.sillreel.fleet.Allocation;
+import io.sillreel.fleet.Machine;
+import io.sillreel.pipeline.JobSpec;
+import io.sillreel.placement.Cluster;
+import io.sillreel.placement.Estimates;
+import java.util.LinkedHashSet;
+import java.util.Set;
+
+/** Stops tasks on machines that the cloud has announced to take back. */
+final class RecallDrain {
+    /** A task that needs so many times what its machine has left is not worth waiting for. */
+    private static final double UNFINISHABLE_FACTOR = 1.5;
+    /** What stopping takes besides saving: the way of the command, and of the report of the end. */
+    private static final long COMMAND_MICROS = 3_000_000;
+
+    private static final long SAVE_MARGIN_MICROS = 1_000_000;
+
+    private final Cluster cluster;
+    private final Estimates estimates;
+
+    RecallDrain(Cluster cluster, Estimates estimates) {
+        this.cluster = cluster;
+        this.estimates = estimates;
+    }
+
+    /**
+     * Returns the machines with stopped tasks. Tasks that can save are stopped while there is time to. The others may
+     * yet end by themselves; those that surely won't lose nothing by being stopped at once, and start elsewhere so much
+     * sooner.
+     */
+    Set<Machine> drain(long now) {
+        Set<Machine> touched = new LinkedHashSet<>();
+        for (Machine machine : cluster.machines()) {
+            if (!machine.recalled()) {
+                continue;
+            }
+            long left = machine.recallAtMicros() - now;
+            for (Allocation allocation : machine.allocations()) {
+                if (allocation.job() == null
+                        || allocation.ended()
+                        || allocation.unconfirmed()
+                        || allocation.halting()) {
+                    continue;
+                }
+                JobSpec spec = allocation.job().spec();
+                if (spec.saves()
+                        ? left < 2 * spec.saveMicros() + COMMAND_MICROS
+                        : remainingMicros(allocation, now) > UNFINISHABLE_FACTOR * left) {
+                    allocation.halt(spec.saves() ? spec.saveMicros() + SAVE_MARGIN_MICROS : 0);
+                    touched.add(machine);
+                }
+            }
+        }
+        return touched;
+    }
+
+    private long remainingMicros(Allocation allocation, long now) {
+        long ran = allocation.runningSinceMicros() < 0 ? 0 : now - allocation.runningSinceMicros();
+        return estimates.expectedMicros(allocation.job()) - ran;
+    }
+}
--- /dev/null
+++ b/src/main/java/io/sillreel/ownership/TermJobs.java
@@ -0,0 +1,332 @@
+package io.sillreel.ownership;
+
+import io.sillreel.http.Loop;
+import io.sillreel.ownership.StoredState.StoredJob;
+import io.sillreel.pipeline.ActiveJob;
+import io.sillreel.pipeline.CascadingCancellation;
+import io.sillreel.pipeline.DependencyGraph;
+import io.sillreel.pipeline.PlanRecord;
+import io.sillreel.pipeline.RunRecord;
+import io.sillreel.placement.CapacityPlanner;
+import io.sillreel.placement.Cluster;
+import io.sillreel.placement.Estimates;
+import io.sillreel.placement.PriorityInheritance;
+import io.sillreel.settings.ValueLimits;
+import io.sillreel.statestore.KeyWriter;
+import io.sillreel.statestore.StateStore;
+import io.sillreel.statestore.StateStore.Change;
+import io.sillreel.statestore.StateStore.Outcome;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The jobs of one term: those that were stored when it began and those that have been admitted since. Follows plans and
+ * cancellations in the state service, and releases or cancels what awaits a job once its end or cancellation is stored.
+ * All state is behind the lock of the cluster.
+ */
+final class TermJobs implements ActiveJob.Watcher, DependencyGraph.Callbacks {
+    private static final Logger LOG = LoggerFactory.getLogger(TermJobs.class);
+    private static final long RETRY_MICROS = 300_000;
+    private static final long PLAN_WATCH_MICROS = 10_000_000;
+    private static final long CANCELLATIONS_WATCH_MICROS = 1_000_000;
+    private static final int MOST_DONE_REMEMBERED = 4_000;
+    private static final long LOOK_AGAIN_MICROS = 1_000_000;
+
+    private final Loop loop;
+    private final StateStore store;
+    private final Cluster cluster;
+    private final KeyWriter writer;
+    private final CapacityPlanner capacity;
+    private final ValueLimits limits;
+    private final Runnable changed;
+    private final Consumer<ActiveJob> onCancelled;
+    private final Consumer<String> missedChanges;
+    private final DependencyGraph dependencies = new DependencyGraph(this);
+    private final PriorityInheritance inheritance;
+    /** Jobs that are certainly done, as far as they are remembered; the store knows of all. */
+    private final Set<String> doneUids = Collections.newSetFromMap(new LinkedHashMap<>() {
+        private static final long serialVersionUID = 1L;
+
+        @Override
+        protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
+            return size() > MOST_DONE_REMEMBERED;
+        }
+    });
+
+    private final Set<String> cancelledUids = new HashSet<>();
+    private long cancellationProofMicros;
+    private boolean closed;
+
+    /**
+     * @param changed called when there may be something new to plan
+     * @param onCancelled told of each job that turns out to be cancelled, once
+     * @param missedChanges told of a prefix whose changes can't be followed any more
+     */
+    TermJobs(
+            Loop loop,
+            StateStore store,
+            Cluster cluster,
+            KeyWriter writer,
+            CapacityPlanner capacity,
+            Estimates estimates,
+            ValueLimits limits,
+            Runnable changed,
+            Consumer<ActiveJob> onCancelled,
+            Consumer<String> missedChanges) {
+        this.loop = loop;
+        this.store = store;
+        this.cluster = cluster;
+        this.writer = writer;
+        this.capacity = capacity;
+        this.limits = limits;
+        this.changed = changed;
+        this.onCancelled = onCancelled;
+        this.missedChanges = missedChanges;
+        this.inheritance = new PriorityInheritance(dependencies, estimates);
+    }
+
+    /**
+     * Takes over what is stored.
+     *
+     * @param askedMicros when it was asked for: all cancellations confirmed before are known
+     */
+    void begin(StoredState state, long askedMicros) {
+        cancellationProofMicros = askedMicros;
+        cancelledUids.addAll(state.cancelled());
+        state.recentlyDone().forEach(plan -> capacity.arrived(plan.spec(), plan.admittedWallMicros()));
+        toWrite(state.leftovers());
+        List<ActiveJob> unfinished = new ArrayList<>();
+        state.unfinished().forEach(stored -> unfinished.add(inherit(stored)));
+        dependencies.begin(unfinished, state.done()::contains, cancelledUids::contains);
+        unfinished.forEach(inheritance::joined);
+    }
+
+    /** Follows from then on what becomes of plans and cancellations. */
+    void follow(StoredState state) {
+        watchPlans(state.plansRevision());
+        watchCancellations(state.cancellationsRevision());
+    }
+
+    void close() {
+        closed = true;
+    }
+
+    /** All cancellations that were confirmed before this time are known. */
+    long cancellationProofMicros() {
+        return cancellationProofMicros;
+    }
+
+    private ActiveJob inherit(StoredJob stored) {
+        ActiveJob job = create(stored.plan(), stored.planStamp());
+        if (stored.head() != null) {
+            job.inherit(stored.headStamp(), stored.head(), stored.pieces());
+        }
+        add(job);
+        if (job.complete() && !job.cancelled()) {
+            writer.enqueue(job);
+        }
+        return job;
+    }
+
+    @Override
+    public void toWrite(List<? extends KeyWriter.Item> items) {
+        items.forEach(writer::enqueue);
+    }
+
+    private ActiveJob create(PlanRecord plan, long stamp) {
+        return new ActiveJob(plan.spec(), stamp, plan.admittedWallMicros(), limits, this);
+    }
+
+    private void add(ActiveJob job) {
+        if (cancelledUids.contains(job.uid())) {
+            job.cancel();
+        }
+        if (!job.awaitsOthers()) {
+            capacity.arrived(job.spec(), job.readyWallMicros());
+        }
+        cluster.add(job);
+        changed.run();
+    }
+
+    /** A job that was admitted during the term; names in overflow values are read first. */
+    private void enter(PlanRecord plan, long stamp) {
+        plan.complete(store).thenAccept(complete -> {
+            if (closed) {
+                return;
+            }
+            if (complete.isEmpty()) {
+                loop.after(RETRY_MICROS, () -> enter(plan, stamp));
+                return;
+            }
+            synchronized (cluster) {
+                if (cluster.job(plan.spec().uid()) == null) {
+                    ActiveJob job = create(complete.get(), stamp);
+                    add(job);
+                    dependencies.enter(job, cancelledUids::contains);
+                    inheritance.joined(job);
+                }
+            }
+        });
+    }
+
+    @Override
+    public void ready(ActiveJob job) {
+        if (job.cancelled()) {
+            return;
+        }
+        if (job.awaitsOthers()) {
+            job.ready(loop.wallMicros());
+            capacity.arrived(job.spec(), job.readyWallMicros());
+        }
+        if (!job.released()) {
+            writer.enqueue(job);
+        }
+    }
+
+    /**
+     * The cancellation of what follows is told from that of the first; writing it down spares readers to look for it.
+     */
+    @Override
+    public void closed(ActiveJob job, String because) {
+        if (cancelledUids.add(job.uid())) {
+            LOG.info("cancelled {}, which needs {}", job.uid(), because);
+            writer.enqueue(new CascadingCancellation(job.uid(), because, loop.wallMicros()));
+        }
+        foundCancelled(job);
+    }
+
+    @Override
+    public void lookUp(String uid) {
+        if (closed || !dependencies.asks(uid)) {
+            return;
+        }
+        if (doneUids.contains(uid)) {
+            dependencies.found(uid);
+            return;
+        }
+        store.get(RunRecord.key(uid)).thenAccept(read -> {
+            synchronized (cluster) {
+                if (read.outcome() == Outcome.OK
+                        && RunRecord.Head.of(read.entry().value()).isDone()) {
+                    doneUids.add(uid);
+                    dependencies.found(uid);
+                    return;
+                }
+            }
+            // Not read, or not done though nobody drives it: its plan may yet be seen.
+            loop.after(LOOK_AGAIN_MICROS, () -> {
+                synchronized (cluster) {
+                    lookUp(uid);
+                }
+            });
+        });
+    }
+
+    private void watchPlans(long since) {
+        follow(
+                PlanRecord.PREFIX,
+                since,
+                PLAN_WATCH_MICROS,
+                change -> {
+                    if (change.value() != null) {
+                        enter(PlanRecord.of(change.value()), change.stamp());
+                    }
+                },
+                sent -> {});
+    }
+
+    private void watchCancellations(long since) {
+        follow(
+                StoredStateReader.CANCELLATIONS,
+                since,
+                CANCELLATIONS_WATCH_MICROS,
+                change -> cancelled(change.key().substring(StoredStateReader.CANCELLATIONS.length())),
+                sent -> cancellationProofMicros = Math.max(cancellationProofMicros, sent));
+    }
+
+    /** A cancellation has been stored: seen there, or heard of from the controller that stored it. */
+    void cancelled(String uid) {
+        synchronized (cluster) {
+            cancelledUids.add(uid);
+            ActiveJob job = cluster.job(uid);
+            if (job != null) {
+                foundCancelled(job);
+            }
+            dependencies.cancelled(uid);
+        }
+    }
+
+    /** Follows the changes under a prefix for as long as the term lasts. */
+    private void follow(String prefix, long since, long blockMicros, Consumer<Change> each, Consumer<Long> proven) {
+        if (closed) {
+            return;
+        }
+        long sent = loop.nowMicros();
+        store.watch(prefix, since, blockMicros).thenAccept(result -> {
+            if (closed) {
+                return;
+            }
+            switch (result.outcome()) {
+                case OK -> {
+                    synchronized (cluster) {
+                        result.changes().forEach(each);
+                    }
+                    proven.accept(sent);
+                    follow(prefix, result.ledger(), blockMicros, each, proven);
+                }
+                case COMPACTED -> missedChanges.accept(prefix);
+                default -> loop.after(RETRY_MICROS, () -> follow(prefix, since, blockMicros, each, proven));
+            }
+        });
+    }
+
+    @Override
+    public void recordStored(ActiveJob job) {
+        synchronized (cluster) {
+            changed.run();
+            dependencies.released(job);
+            if (job.doneStored()) {
+                cluster.remove(job);
+                doneUids.add(job.uid());
+                LOG.info("done {}", job.uid());
+                dependencies.done(job);
+            }
+        }
+    }
+
+    @Override
+    public void foundCancelled(ActiveJob job) {
+        synchronized (cluster) {
+            if (!job.cancelled()) {
+                job.cancel();
+                changed.run();
+                onCancelled.accept(job);
+                inheritance.left(List.of(job));
+            }
+        }
+    }
+
+    /** A cancelled job is kept for as long as one of its tasks may be anywhere. */
+    void forgetCancelled() {
+        synchronized (cluster) {
+            if (!cluster.allHeard()) {
+                return;
+            }
+            for (ActiveJob job : List.copyOf(cluster.jobs())) {
+                if (job.cancelled() && job.allocatedCount() == 0) {
+                    cluster.remove(job);
+                    dependencies.forget(job);
+                    toWrite(job.leftovers());
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/io/sillreel/ownership/TermStatus.java
@@ -0,0 +1,91 @@
+package io.sillreel.ownership;
+
+import io.sillreel.fleet.Machine;
+import io.sillreel.http.Loop;
+import io.sillreel.pipeline.ActiveJob;
+import io.sillreel.placement.CapacityPlanner;
+import io.sillreel.placement.Cluster;
+import io.sillreel.statestore.KeyWriter;
+import java.util.HashMap;
+import java.util.Map;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** The state of a term in figures, for the log and for metrics. */
+final class TermStatus {
+    private static final Logger LOG = LoggerFactory.getLogger(TermStatus.class);
+    private static final long STATUS_MICROS = 10_000_000;
+
+    private final Loop loop;
+    private final long term;
+    private final Cluster cluster;
+    private final CapacityPlanner capacity;
+    private final KeyWriter writer;
+    private long statusMicros;
+
+    TermStatus(Loop loop, long term, Cluster cluster, CapacityPlanner capacity, KeyWriter writer) {
+        this.loop = loop;
+        this.term = term;
+        this.cluster = cluster;
+        this.capacity = capacity;
+        this.writer = writer;
+    }
+
+    /** Every so often one line that tells an on-call reader how things stand. */
+    void tell() {
+        long now = loop.nowMicros();
+        if (now - statusMicros < STATUS_MICROS
+                || cluster.jobs().isEmpty() && cluster.machines().isEmpty()) {
+            return;
+        }
+        statusMicros = now;
+        Map<String, Double> gauges = gauges();
+        LOG.info(
+                "term {}: {} jobs unfinished, {} tasks wait; cpus: {} up, {} busy, {} starting, {} wanted, "
+                        + "{} standing; {} machines, {} ordinary",
+                term,
+                count(gauges, "sillreel.jobs.unfinished"),
+                count(gauges, "sillreel.tasks.waiting"),
+                count(gauges, "sillreel.cpus.up"),
+                count(gauges, "sillreel.cpus.busy"),
+                count(gauges, "sillreel.cpus.starting"),
+                count(gauges, "sillreel.cpus.wanted"),
+                count(gauges, "sillreel.cpus.standing"),
+                count(gauges, "sillreel.machines"),
+                count(gauges, "sillreel.machines.ordinary"));
+    }
+
+    private static long count(Map<String, Double> gauges, String name) {
+        return Math.round(gauges.get(name));
+    }
+
+    /** For the log and for metrics. */
+    Map<String, Double> gauges() {
+        synchronized (cluster) {
+            Map<String, Double> gauges = new HashMap<>();
+            int waiting = 0;
+            for (ActiveJob job : cluster.jobs()) {
+                waiting += job.cancelled() || job.awaitsOthers() ? 0 : job.waitingCount();
+            }
+            double cpus = cluster.machines().stream()
+                    .filter(machine -> machine.state() == Machine.State.UP)
+                    .mapToDouble(machine -> machine.type().cpus())
+                    .sum();
+            gauges.put("sillreel.jobs.unfinished", (double) cluster.jobs().size());
+            gauges.put("sillreel.tasks.waiting", (double) waiting);
+            gauges.put("sillreel.machines", (double) cluster.machines().size());
+            gauges.put("sillreel.machines.ordinary", (double) cluster.machines().stream()
+                    .filter(machine -> !machine.spot())
+                    .count());
+            gauges.put("sillreel.cpus.up", cpus);
+            gauges.put("sillreel.cpus.busy", capacity.busyCpus());
+            gauges.put("sillreel.cpus.starting", capacity.startingCpus());
+            gauges.put("sillreel.cpus.wanted", capacity.wantedCpus(loop.wallMicros()));
+            gauges.put("sillreel.cpus.standing", capacity.standingCpus(loop.wallMicros()));
+            gauges.put("sillreel.writes.waiting", (double) writer.backlog());
+            gauges.put("sillreel.machines.unheard", (double) cluster.unheard().size());
+            gauges.put("sillreel.work", (double) cluster.work());
+            return gauges;
+        }
+    }
+}
