--- a/src/main/java/io/sillreel/ownership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/ownership/LeaderTerm.java
@@ -145,8 +145,7 @@
                 prefix -> leadership.resign("the changes under " + prefix + " were missed"));
         this.recallDrain = new RecallDrain(cluster, estimates);
         this.status = new TermStatus(loop, term, cluster, capacity, writer);
-        RetrySchedule retries = new RetrySchedule(
-                operator.retryInitialMicros(), operator.retryMaximumMicros(), operator.parkedMicros());
+        RetrySchedule retries = retries(operator);
         this.reportProcessor = new ReportProcessor(
                 loop, term, cluster, writer, settings.workers(), retries, estimates, planner, this, this::mayAct);
         this.fleet = new FleetKeeper(
@@ -164,10 +163,16 @@
                 reportProcessor::clear);
     }
 
+    private static RetrySchedule retries(OperatorProperties operator) {
+        return new RetrySchedule(operator.retryInitialMicros(), operator.retryMaximumMicros(), operator.parkedMicros());
+    }
+
+    /** Begins to read what is stored. */
     public void start() {
         load();
     }
 
+    /** Ends the term here: nothing is written or launched any more. */
     public void close() {
         closed = true;
         jobs.close();
