--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -261,7 +261,7 @@
     private CompletableFuture<Reply> heartbeats(Call call) {
         LeaderTerm current = leaderTerm;
         if (current == null) {
-            return answer(Reply.later(503, "not the lease holder", 1));
+            return answer(Reply.later(503, "not the leader", 1));
         }
         List<Report> reports = PeerMessages.reports(call.body());
         handed += reports.size();
--- a/src/main/java/io/sillreel/admission/JobView.java
+++ b/src/main/java/io/sillreel/admission/JobView.java
@@ -32,7 +32,7 @@
         return head != null && head.isDone();
     }
 
-    /** Withdrawn by itself, or with what it needs: whatever follows a cancelled job is never released. */
+    /** Cancelled by itself, or with what it needs: whatever follows a cancelled job is never released. */
     boolean cancelled() {
         return cancellationStamp > 0 || closed;
     }
--- a/src/main/java/io/sillreel/fleet/FleetKeeper.java
+++ b/src/main/java/io/sillreel/fleet/FleetKeeper.java
@@ -228,8 +228,11 @@
      */
     private void retireRecalled(Machine machine, long now) {
         boolean here = machine.state() == Machine.State.UP || machine.state() == Machine.State.LEAVING;
-        if (here && machine.recalled() && machine.recallAtMicros() - now < LAST_MOMENT_MICROS && !machine.condemned()) {
-            condemn(machine, "the cloud takes it back");
+        if (here
+                && machine.recalled()
+                && machine.recallAtMicros() - now < LAST_MOMENT_MICROS
+                && !machine.toBeReturned()) {
+            scheduleReturn(machine, "the cloud takes it back");
         }
     }
 
@@ -269,7 +272,7 @@
             return;
         }
         for (Machine machine : lost) {
-            condemn(machine, "it has fallen silent");
+            scheduleReturn(machine, "it has fallen silent");
             lostMicros.add(now);
         }
     }
@@ -292,8 +295,8 @@
             return;
         }
         for (Machine machine : cluster.unheard()) {
-            if (now - Math.max(machine.upMicros(), begunMicros) > patience && !machine.condemned()) {
-                condemn(machine, "it has not been heard, or does not hear, since the term began");
+            if (now - Math.max(machine.upMicros(), begunMicros) > patience && !machine.toBeReturned()) {
+                scheduleReturn(machine, "it has not been heard, or does not hear, since the term began");
             }
         }
     }
@@ -303,9 +306,9 @@
         machine.leave(reason);
     }
 
-    private static void condemn(Machine machine, String reason) {
+    private static void scheduleReturn(Machine machine, String reason) {
         tell(machine, reason);
-        machine.condemn(reason);
+        machine.scheduleReturn(reason);
     }
 
     private static void tell(Machine machine, String reason) {
@@ -325,7 +328,7 @@
             for (Machine machine : cluster.machines()) {
                 boolean leaving =
                         machine.state() == Machine.State.LEAVING || machine.state() == Machine.State.RETURNING;
-                if (leaving && (machine.condemned() || machine.empty()) && empty.size() < MOST_RETURNED) {
+                if (leaving && (machine.toBeReturned() || machine.empty()) && empty.size() < MOST_RETURNED) {
                     empty.add(machine);
                 }
             }
@@ -527,7 +530,7 @@
                 if (rental.maybeExecuted()) {
                     rental.askedMicros(now - 6_000_000);
                 } else {
-                    // Surely rented nothing; the wish is formed anew when the cloud answers again.
+                    // Surely rented nothing; the request is formed anew when the cloud answers again.
                     capacity.full(rental.build(), rental.zone(), rental.spot(), now + RENTAL_RETRY_MICROS);
                     forget(rental);
                     writer.enqueue(rental);
--- a/src/main/java/io/sillreel/fleet/Machine.java
+++ b/src/main/java/io/sillreel/fleet/Machine.java
@@ -14,7 +14,7 @@
 
 /** A machine of the fleet and what is known of it. */
 public final class Machine {
-    /** HIRED: no report yet. UP: reports. LEAVING: takes nothing more. RETURNING: the cloud was asked to take it. */
+    /** RENTED: no report yet. UP: reports. LEAVING: takes nothing more. RETURNING: the cloud was asked to take it. */
     public enum State {
         RENTED,
         UP,
@@ -71,7 +71,7 @@
     private int staleCount;
     private int unheeded;
     private long doubtMicros;
-    private boolean condemned;
+    private boolean toBeReturned;
     private boolean suspect;
     private String leavingReason;
     private boolean counted;
@@ -186,7 +186,7 @@
         }
         answered = nowMicros - lastReportMicros < GAP_MICROS ? answered : 0;
         if (unheeded > 1 && state == State.UP && nowMicros - doubtMicros > FORGIVEN_MICROS) {
-            // Many seemed deaf at once, so it was not given up; now it is tried again, with one task.
+            // Many seemed to receive nothing at once, so it was not given up; now it is tried again, with one task.
             unheeded = 1;
         }
         session = report.session();
@@ -272,13 +272,13 @@
     }
 
     /** Goes back to the cloud whatever is on it: nothing else can make an end of that. */
-    public void condemn(String reason) {
+    public void scheduleReturn(String reason) {
         leave(reason);
-        condemned = true;
+        toBeReturned = true;
     }
 
-    public boolean condemned() {
-        return condemned;
+    public boolean toBeReturned() {
+        return toBeReturned;
     }
 
     public long upMicros() {
--- a/src/main/java/io/sillreel/ownership/StoredState.java
+++ b/src/main/java/io/sillreel/ownership/StoredState.java
@@ -34,5 +34,6 @@
      *
      * @param head what is stored of its progress, or null if it has not been released
      */
-    record StoredJob(PlanRecord plan, long planStamp, RunRecord.Head head, long headStamp, RunRecord.Pieces pieces) {}
+    record StoredJob(
+            PlanRecord plan, long planStamp, RunRecord.Head head, long headStamp, RunRecord.StoredParts pieces) {}
 }
--- a/src/main/java/io/sillreel/ownership/StoredStateReader.java
+++ b/src/main/java/io/sillreel/ownership/StoredStateReader.java
@@ -27,7 +27,7 @@
     static final String CANCELLATIONS = "withdraw/";
 
     private final StateStore store;
-    private final int previousVersionChunkPieces;
+    private final int previousVersionChunkTasks;
     private final LongPredicate countsAsDemand;
 
     /**
@@ -36,7 +36,7 @@
      */
     StoredStateReader(StateStore store, int presentValueBytes, LongPredicate countsAsDemand) {
         this.store = store;
-        this.previousVersionChunkPieces = RunRecord.chunkPieces(presentValueBytes);
+        this.previousVersionChunkTasks = RunRecord.chunkTasks(presentValueBytes);
         this.countsAsDemand = countsAsDemand;
     }
 
@@ -80,7 +80,7 @@
         for (Entry plan : inOrder) {
             String uid = after(PlanRecord.PREFIX, plan);
             Entry head = records.heads.get(uid);
-            RunRecord.Pieces pieces = records.pieces.getOrDefault(uid, RunRecord.Pieces.NONE);
+            RunRecord.StoredParts pieces = records.pieces.getOrDefault(uid, RunRecord.StoredParts.NONE);
             if (head != null && RunRecord.isDone(head.value())) {
                 state.done().add(uid);
                 state.leftovers().addAll(pieces.removals());
@@ -118,7 +118,7 @@
     /** The stored records of all jobs, by their ids. */
     private final class Records {
         final Map<String, Entry> heads = new HashMap<>();
-        final Map<String, RunRecord.Pieces> pieces = new HashMap<>();
+        final Map<String, RunRecord.StoredParts> pieces = new HashMap<>();
 
         Records(Listing runs, Listing parts) {
             for (Entry entry : runs.entries()) {
@@ -127,16 +127,17 @@
                 if (slash < 0) {
                     heads.put(rest, entry);
                 } else {
-                    addPiece(rest.substring(0, slash), entry);
+                    addPart(rest.substring(0, slash), entry);
                 }
             }
-            parts.entries().forEach(entry -> addPiece(RunRecord.uidOfPart(entry.key()), entry));
+            parts.entries().forEach(entry -> addPart(RunRecord.uidOfPart(entry.key()), entry));
         }
 
-        private void addPiece(String uid, Entry entry) {
+        private void addPart(String uid, Entry entry) {
             pieces.computeIfAbsent(
                             uid,
-                            each -> new RunRecord.Pieces(new HashMap<>(), new HashMap<>(), previousVersionChunkPieces))
+                            each -> new RunRecord.StoredParts(
+                                    new HashMap<>(), new HashMap<>(), previousVersionChunkTasks))
                     .add(entry);
         }
     }
--- a/src/main/java/io/sillreel/peer/PeerMessages.java
+++ b/src/main/java/io/sillreel/peer/PeerMessages.java
@@ -8,7 +8,7 @@
 import io.sillreel.http.Call;
 import io.sillreel.http.Reply;
 import io.sillreel.workers.Report;
-import io.sillreel.workers.Report.PieceState;
+import io.sillreel.workers.Report.TaskState;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -126,7 +126,7 @@
         out.writeNumber(report.token());
         out.writeNumber(report.recallMicros());
         out.writeStartArray(null, report.pieces().size());
-        for (PieceState piece : report.pieces()) {
+        for (TaskState piece : report.pieces()) {
             out.writeStartArray(null, 5);
             out.writeString(piece.uid());
             out.writeNumber(piece.index());
@@ -163,10 +163,10 @@
         long sequence = in.nextLongValue(0);
         long token = in.nextLongValue(0);
         long recallMicros = in.nextLongValue(-1);
-        List<PieceState> pieces = new ArrayList<>();
+        List<TaskState> pieces = new ArrayList<>();
         in.nextToken();
         while (in.nextToken() == JsonToken.START_ARRAY) {
-            pieces.add(new PieceState(
+            pieces.add(new TaskState(
                     in.nextTextValue(),
                     in.nextIntValue(0),
                     in.nextLongValue(0),
--- a/src/main/java/io/sillreel/pipeline/ActiveJob.java
+++ b/src/main/java/io/sillreel/pipeline/ActiveJob.java
@@ -59,7 +59,7 @@
     private Rank rank;
     private long neededByMicros;
     /** What another version stored beside the head and this one does not: removed once the head says all. */
-    private final List<KeyWriter.Item> oldPieces = new ArrayList<>();
+    private final List<KeyWriter.Item> oldParts = new ArrayList<>();
 
     private long[] generationsSent = {};
     private boolean ready;
@@ -85,18 +85,18 @@
         this.planStamp = planStamp;
         this.admittedWallMicros = admittedWallMicros;
         this.watcher = watcher;
-        int per = RunRecord.chunkPieces(limits.announcedBytes());
+        int per = RunRecord.chunkTasks(limits.announcedBytes());
         this.parts = spec.pieces() <= per
                 ? null
                 : new DoneParts(spec.uid(), spec.pieces(), per, all -> watcher.toWrite(List.of(this)));
-        this.inParts = spec.pieces() > RunRecord.chunkPieces(limits.presentBytes());
+        this.inParts = spec.pieces() > RunRecord.chunkTasks(limits.presentBytes());
         neededByNobody();
         this.ready = spec.awaits().isEmpty();
         this.readyWallMicros = admittedWallMicros;
     }
 
     /** Takes over what an earlier leader stored: the job may have tasks anywhere in the stored fleet. */
-    public void inherit(long stamp, RunRecord.Head head, RunRecord.Pieces pieces) {
+    public void inherit(long stamp, RunRecord.Head head, RunRecord.StoredParts pieces) {
         runStamp = stamp;
         released = true;
         inherited = true;
@@ -114,7 +114,7 @@
         if (parts != null) {
             parts.inherit(head, pieces.stamps(), done);
         } else if (!pieces.stamps().isEmpty()) {
-            oldPieces.addAll(pieces.removals());
+            oldParts.addAll(pieces.removals());
         }
         taken.or(done);
         doneCount = done.cardinality();
@@ -344,7 +344,7 @@
 
     /** What is stored beside the head, once nobody needs it any more. */
     public List<KeyWriter.Item> leftovers() {
-        return parts == null ? List.copyOf(oldPieces) : parts.removeAll();
+        return parts == null ? List.copyOf(oldParts) : parts.removeAll();
     }
 
     @Override
@@ -415,8 +415,8 @@
         released = true;
         stored.or(sent);
         doneStored |= doneSent;
-        List<KeyWriter.Item> unneeded = new ArrayList<>(oldPieces);
-        oldPieces.clear();
+        List<KeyWriter.Item> unneeded = new ArrayList<>(oldParts);
+        oldParts.clear();
         if (doneStored && parts != null) {
             unneeded.addAll(parts.removeAll());
         } else if (inParts) {
--- a/src/main/java/io/sillreel/pipeline/RunRecord.java
+++ b/src/main/java/io/sillreel/pipeline/RunRecord.java
@@ -31,8 +31,8 @@
      * @param values what the keys hold, by key; {@code stamps} are theirs
      * @param firstVersionPer how many pieces the first version put into one value
      */
-    public record Pieces(Map<String, String> values, Map<String, Long> stamps, int firstVersionPer) {
-        public static final Pieces NONE = new Pieces(Map.of(), Map.of(), 0);
+    public record StoredParts(Map<String, String> values, Map<String, Long> stamps, int firstVersionPer) {
+        public static final StoredParts NONE = new StoredParts(Map.of(), Map.of(), 0);
 
         /** The done set of the head and of the parts that it names. */
         BitSet read(String uid, Head head) {
@@ -71,7 +71,7 @@
     }
 
     /** How many pieces' done bits fit into one value, leaving half of it for everything else. */
-    public static int chunkPieces(int valueBytes) {
+    public static int chunkTasks(int valueBytes) {
         return Math.max(8, valueBytes / 2 / 4 * 3 * 8);
     }
 
--- a/src/main/java/io/sillreel/workers/Report.java
+++ b/src/main/java/io/sillreel/workers/Report.java
@@ -18,7 +18,7 @@
         long sequence,
         long token,
         long recallMicros,
-        List<PieceState> pieces) {
+        List<TaskState> pieces) {
 
     /** The state of a task on its machine; the order is part of the message format between controllers. */
     public enum Stage {
@@ -29,7 +29,7 @@
     }
 
     /** One task on the machine; the cause is empty unless it has ended. */
-    public record PieceState(String uid, int index, long attempt, Stage stage, String cause) {}
+    public record TaskState(String uid, int index, long attempt, Stage stage, String cause) {}
 
     /**
      * Reads a report, or returns null if it is none. Read as a stream: reports are most of what a controller is sent.
@@ -52,7 +52,7 @@
         long sequence = 0;
         long token = 0;
         long recallMicros = -1;
-        List<PieceState> pieces = List.of();
+        List<TaskState> pieces = List.of();
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String field = in.currentName();
             JsonToken value = in.nextToken();
@@ -79,8 +79,8 @@
                 : new Report(machine, address, build, zone, spot, session, sequence, token, recallMicros, pieces);
     }
 
-    private static List<PieceState> pieces(JsonParser in) throws IOException {
-        List<PieceState> pieces = new ArrayList<>();
+    private static List<TaskState> pieces(JsonParser in) throws IOException {
+        List<TaskState> pieces = new ArrayList<>();
         while (in.nextToken() == JsonToken.START_OBJECT) {
             String piece = "";
             long attempt = 0;
@@ -105,7 +105,7 @@
                     case "ended" -> Stage.ENDED;
                     default -> Stage.RUNNING;
                 };
-                pieces.add(new PieceState(
+                pieces.add(new TaskState(
                         piece.substring(0, slash),
                         Integer.parseInt(piece.substring(slash + 1)),
                         attempt,
--- a/src/main/java/io/sillreel/workers/ReportProcessor.java
+++ b/src/main/java/io/sillreel/workers/ReportProcessor.java
@@ -13,7 +13,7 @@
 import io.sillreel.placement.Planner.Assignment;
 import io.sillreel.settings.Settings.WorkerTimes;
 import io.sillreel.statestore.KeyWriter;
-import io.sillreel.workers.Report.PieceState;
+import io.sillreel.workers.Report.TaskState;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -27,7 +27,7 @@
  * has not happened and never will.
  */
 public final class ReportProcessor {
-    /** What the desk asks of the rest of the term. */
+    /** What the processing of reports needs from the rest of the term. */
     public interface Callbacks {
         /** A machine that nobody rented under a known name has reported. */
         Machine adopt(Report report);
@@ -203,7 +203,7 @@
             if (machine.trusted()) {
                 machine.leave("it hears nothing");
             } else {
-                machine.condemn("it hears nothing");
+                machine.scheduleReturn("it hears nothing");
             }
         }
         return Reply.later(503, "earlier answers did not arrive", 1);
@@ -241,9 +241,9 @@
      * its lease has run out, since the new life may have been given some of it.
      */
     private Reply newLife(Machine machine) {
-        if (!machine.condemned()) {
+        if (!machine.toBeReturned()) {
             LOG.info("machine {} has restarted under its old name", machine.name());
-            machine.condemn("it has restarted");
+            machine.scheduleReturn("it has restarted");
         }
         return Reply.later(503, "the machine is taken for one that has started again", 1);
     }
@@ -264,7 +264,7 @@
         Set<Allocation> shown = new HashSet<>();
         boolean heeded = false;
         boolean unheeded = false;
-        for (PieceState piece : report.pieces()) {
+        for (TaskState piece : report.pieces()) {
             Allocation allocation = machine.allocation(piece.uid(), piece.index(), piece.attempt());
             if (allocation == null) {
                 allocation = found(machine, piece, now);
@@ -297,7 +297,7 @@
         }
     }
 
-    private Allocation found(Machine machine, PieceState piece, long now) {
+    private Allocation found(Machine machine, TaskState piece, long now) {
         ActiveJob job = cluster.job(piece.uid());
         if (job != null && (piece.index() < 0 || piece.index() >= job.spec().pieces())) {
             job = null;
--- a/src/main/java/io/sillreel/workers/ReportRelay.java
+++ b/src/main/java/io/sillreel/workers/ReportRelay.java
@@ -38,7 +38,7 @@
      */
     private static final int LATE_BATCHES = 1;
 
-    private static final Reply LOST = Reply.later(503, "the lease holder can't be reached", 1);
+    private static final Reply LOST = Reply.later(503, "the leader can't be reached", 1);
 
     private record Waiting(Report report, CompletableFuture<Reply> answer) {}
 
--- a/src/test/java/io/sillreel/RandomScheduleTest.java
+++ b/src/test/java/io/sillreel/RandomScheduleTest.java
@@ -24,7 +24,7 @@
 
 /**
  * Random troubles over the whole service in memory: kills, restarts within a moment, cuts that lose or hold messages,
- * late copies of reports, machines that hear nothing or start again, lone controllers, outages, machines taken. The
+ * late copies of reports, machines that hear nothing or start again, isolated controllers, outages, machines taken. The
  * users' rules are watched all along, and once the troubles end every job must end. A seed that fails is named;
  * {@code -Dsillreel.seed=N} plays one by hand.
  */
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -121,7 +121,7 @@
     void whatItStoredIsRead() {
         assertThat(JobSpec.ofPlan(json(PLAN).path("job"))).isEqualTo(spec("job-000412", 16));
         ActiveJob job = job(16);
-        job.inherit(9, Head.of(json(RUNNING)), RunRecord.Pieces.NONE);
+        job.inherit(9, Head.of(json(RUNNING)), RunRecord.StoredParts.NONE);
         assertThat(job.doneCount()).isEqualTo(3);
         assertThat(job.isStored(15)).isTrue();
         assertThat(job.awaitsOthers()).isFalse();
@@ -203,8 +203,8 @@
                 41,
                 -1,
                 List.of(
-                        new Report.PieceState("job-000412", 3, 2L + (41L << 32), Report.Stage.RUNNING, ""),
-                        new Report.PieceState("job-000398", 0, 1, Report.Stage.ENDED, "done")));
+                        new Report.TaskState("job-000412", 3, 2L + (41L << 32), Report.Stage.RUNNING, ""),
+                        new Report.TaskState("job-000398", 0, 1, Report.Stage.ENDED, "done")));
         assertThat(PeerMessages.reports(bytes(HEARTBEATS))).containsExactly(report);
         assertThat(PeerMessages.heartbeats(List.of(report)).body()).isEqualTo(bytes(HEARTBEATS));
         Commands commands = new Commands();
@@ -310,7 +310,7 @@
                 stamps.put(key, 101L);
             }
         });
-        RunRecord.Pieces stored = new RunRecord.Pieces(values, stamps, RunRecord.chunkPieces(64));
+        RunRecord.StoredParts stored = new RunRecord.StoredParts(values, stamps, RunRecord.chunkTasks(64));
         job.inherit(101, Head.of(json(CHUNKED.get("run/job-000413"))), stored);
         assertThat(List.of(0, 191, 192, 399)).allMatch(job::isStored);
         assertThat(job.doneCount()).isEqualTo(4);
@@ -326,7 +326,7 @@
         state.keysUnder("bits/")
                 .forEach(key -> values.put(key, state.value(key).path("bits").asText()));
         successor.inherit(
-                102, Head.of(state.value("run/job-000413")), new RunRecord.Pieces(values, new HashMap<>(), 0));
+                102, Head.of(state.value("run/job-000413")), new RunRecord.StoredParts(values, new HashMap<>(), 0));
         assertThat(successor.doneCount()).isEqualTo(5);
         assertThat(List.of(0, 191, 192, 200, 399)).allMatch(successor::isDone);
 
--- a/src/test/java/io/sillreel/load/LoadDriver.java
+++ b/src/test/java/io/sillreel/load/LoadDriver.java
@@ -253,7 +253,7 @@
             System.out.printf(
                     "  %s, %s: %.1f ms a second, %d MB resident, %d workers%n",
                     what,
-                    node == leader ? "holder" : "follower",
+                    node == leader ? "leader" : "follower",
                     spent / seconds,
                     residentMb(node),
                     metrics(node).path("sillreel.workers").asInt());
@@ -278,7 +278,7 @@
         }
         System.out.printf(
                 "takeover: %.1f s to the new term, %.1f s to the first launch of an earlier job, "
-                        + "%.0f ms of the new holder's processor, %d MB resident%n",
+                        + "%.0f ms of the new leader's processor, %d MB resident%n",
                 taken, (loop.nowMicros() - begun) / 1e6, used(leader) - before[leader], residentMb(leader));
     }
 
--- a/src/test/java/io/sillreel/pipeline/PipelineTest.java
+++ b/src/test/java/io/sillreel/pipeline/PipelineTest.java
@@ -96,8 +96,7 @@
         }
         // The parts first, one after the other, then the head that names them: each a value and a change of its own.
         List<KeyWriter.Item> parts = List.copyOf(job.first());
-        assertThat(parts)
-                .hasSize((100_000 + RunRecord.chunkPieces(valueBytes) - 1) / RunRecord.chunkPieces(valueBytes));
+        assertThat(parts).hasSize((100_000 + RunRecord.chunkTasks(valueBytes) - 1) / RunRecord.chunkTasks(valueBytes));
         Map<String, String> values = new HashMap<>();
         for (KeyWriter.Item part : parts) {
             assertThat(part.changes()).hasSize(1);
@@ -120,10 +119,10 @@
         assertThat(again.nextWaiting()).isEqualTo(1);
     }
 
-    private static RunRecord.Pieces pieces(Map<String, String> values) {
+    private static RunRecord.StoredParts pieces(Map<String, String> values) {
         Map<String, Long> stamps = new HashMap<>();
         values.keySet().forEach(key -> stamps.put(key, 8L));
-        return new RunRecord.Pieces(values, stamps, RunRecord.chunkPieces(8 * 1024));
+        return new RunRecord.StoredParts(values, stamps, RunRecord.chunkTasks(8 * 1024));
     }
 
     /** Guards against freeing a piece that a second live task still holds. */
--- a/src/test/java/io/sillreel/workers/FailureTest.java
+++ b/src/test/java/io/sillreel/workers/FailureTest.java
@@ -10,7 +10,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Troubles between machines and controllers that are no plain cut: deafness, copies, new lives, lone controllers. */
+/**
+ * Troubles between machines and controllers that are no plain cut: unanswered machines, copies, restarts, isolated
+ * controllers.
+ */
 class FailureTest {
     private final World world = new World(11);
 
