--- a/src/test/java/io/sillreel/cli/ClassArchiveIT.java
+++ b/src/test/java/io/sillreel/cli/ClassArchiveIT.java
@@ -4,14 +4,17 @@
 
 import java.io.BufferedReader;
 import java.io.IOException;
+import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 /**
  * Guards the cost of a start on a small share of a core: what the program loads comes from the class archive that the
@@ -34,8 +37,9 @@
     private static final Pattern LAMBDA = Pattern.compile(".*\\$\\$Lambda\\$.*");
 
     private static final int MOST_LAMBDAS_LINKED_TWICE = 9;
+    private static final int LEAST_ARCHIVED = 1_000;
 
-    private static List<String> command() throws IOException {
+    private static List<String> command(String argument) throws IOException {
         List<String> command = new ArrayList<>();
         for (String line : Files.readAllLines(Path.of("deploy/service.toml"))) {
             if (line.startsWith("run = ")) {
@@ -44,13 +48,16 @@
             }
         }
         command.add(1, "-Xlog:class+load:stdout");
-        command.set(command.size() - 1, "--rehearse");
+        command.set(command.size() - 1, argument);
         return command;
     }
 
-    @Test
-    void whatTheProgramLoadsComesFromTheClassArchive() throws IOException, InterruptedException {
-        Process process = new ProcessBuilder(command())
+    /** Classes by where they came from, over a run of the program that ends by itself. */
+    private record Loaded(int archived, List<String> outside) {}
+
+    private static Loaded run(Path folder, String argument) throws IOException, InterruptedException {
+        Process process = new ProcessBuilder(command(argument))
+                .directory(folder.toFile())
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
                 .start();
         List<String> outside = new ArrayList<>();
@@ -70,9 +77,30 @@
         }
         outside.removeIf(name -> MADE_AT_RUN_TIME.matcher(name).matches() || NOT_ARCHIVED.contains(name));
         assertThat(process.waitFor()).isZero();
-        assertThat(archived).isGreaterThan(1_000);
-        assertThat(outside.stream().filter(name -> !LAMBDA.matcher(name).matches()))
+        return new Loaded(archived, outside);
+    }
+
+    @Test
+    void whatTheProgramLoadsComesFromTheClassArchive() throws IOException, InterruptedException {
+        Loaded loaded = run(Path.of("."), "--rehearse");
+        assertThat(loaded.archived()).isGreaterThan(LEAST_ARCHIVED);
+        assertThat(loaded.outside().stream()
+                        .filter(name -> !LAMBDA.matcher(name).matches()))
                 .isEmpty();
-        assertThat(outside).hasSizeLessThanOrEqualTo(MOST_LAMBDAS_LINKED_TWICE);
+        assertThat(loaded.outside()).hasSizeLessThanOrEqualTo(MOST_LAMBDAS_LINKED_TWICE);
+    }
+
+    /** Guards a deployment that builds in one folder and runs in another. */
+    @Test
+    void aBuildThatIsMovedKeepsItsClassArchive(@TempDir Path elsewhere) throws IOException, InterruptedException {
+        for (String folder : List.of("target", "target/lib")) {
+            Files.createDirectories(elsewhere.resolve(folder));
+            try (DirectoryStream<Path> files = Files.newDirectoryStream(Path.of(folder), "*.{jar,jsa}")) {
+                for (Path file : files) {
+                    Files.copy(file, elsewhere.resolve(file), StandardCopyOption.COPY_ATTRIBUTES);
+                }
+            }
+        }
+        assertThat(run(elsewhere, "--version").archived()).isGreaterThan(LEAST_ARCHIVED);
     }
 }
