--- a/src/main/java/io/sillreel/cli/Main.java
+++ b/src/main/java/io/sillreel/cli/Main.java
@@ -34,6 +34,7 @@
         footer = "Logs go to standard error; LOG_LEVEL sets how much (error, info, debug).")
 public final class Main implements Callable<Integer> {
     private static final int BAD_SETTINGS = 2;
+    private static final int THREAD_ENDED = 3;
     private static final int CONNECTIONS_PER_ADDRESS = 24;
     private static final int LEASE_CONNECTIONS = 2;
     /** What a batch of the longest reports may take. */
@@ -79,6 +80,15 @@
         }
     }
 
+    /** A controller whose event loop has died serves nobody, and is only started again once its process has ended. */
+    private static void endProcess(Thread thread, Throwable error) {
+        try {
+            System.err.println("sillreel: thread " + thread.getName() + " ended: " + error);
+        } finally {
+            Runtime.getRuntime().halt(THREAD_ENDED);
+        }
+    }
+
     /** Runs the daemon, or does what the command line asks for instead. */
     public static void main(String[] args) throws Exception {
         String level = System.getenv().getOrDefault("LOG_LEVEL", "info").toLowerCase(Locale.ROOT);
@@ -86,6 +96,7 @@
         for (Map.Entry<String, String> setting : LIBRARY_SETTINGS.entrySet()) {
             System.setProperty(setting.getKey(), setting.getValue());
         }
+        Thread.setDefaultUncaughtExceptionHandler(Main::endProcess);
         if (System.getProperty("os.name").equals("Linux")) {
             // Else every archive of the class path is opened to look for another one.
             System.setProperty("java.nio.channels.spi.SelectorProvider", "sun.nio.ch.EPollSelectorProvider");
--- a/src/test/java/io/sillreel/cli/ClassArchiveIT.java
+++ b/src/test/java/io/sillreel/cli/ClassArchiveIT.java
@@ -11,6 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
+import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
@@ -38,6 +39,7 @@
 
     private static final int MOST_LAMBDAS_LINKED_TWICE = 9;
     private static final int LEAST_ARCHIVED = 1_000;
+    private static final int MOST_SECONDS = 120;
 
     private static List<String> command(String argument) throws IOException {
         List<String> command = new ArrayList<>();
@@ -90,6 +92,21 @@
         assertThat(loaded.outside()).hasSizeLessThanOrEqualTo(MOST_LAMBDAS_LINKED_TWICE);
     }
 
+    /** Guards the ceilings of the run command: without its archive the program keeps all classes in the metaspace. */
+    @Test
+    void theProgramRunsWithoutItsClassArchive() throws IOException, InterruptedException {
+        List<String> command = command("--rehearse");
+        command.set(command.indexOf("-Xshare:auto"), "-Xshare:off");
+        Process process = new ProcessBuilder(command)
+                .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                .redirectError(ProcessBuilder.Redirect.DISCARD)
+                .start();
+        boolean ended = process.waitFor(MOST_SECONDS, TimeUnit.SECONDS);
+        process.destroyForcibly();
+        assertThat(ended).isTrue();
+        assertThat(process.exitValue()).isZero();
+    }
+
     /** Guards a deployment that builds in one folder and runs in another. */
     @Test
     void aBuildThatIsMovedKeepsItsClassArchive(@TempDir Path elsewhere) throws IOException, InterruptedException {
