--- a/src/main/java/io/sillreel/admission/Admission.java
+++ b/src/main/java/io/sillreel/admission/Admission.java
@@ -165,9 +165,11 @@
         }
         return commit(plan, values.get(), awaited)
                 .thenCompose(commit -> {
-                    Optional<Map<String, JsonNode>> smaller = cut(plan);
-                    boolean again = commit.outcome() == Outcome.TOO_LARGE && !maybeCut && smaller.isPresent();
-                    return again ? commit(plan, smaller.get(), awaited) : CompletableFuture.completedFuture(commit);
+                    boolean cutSmaller = commit.outcome() == Outcome.TOO_LARGE && !maybeCut;
+                    Optional<Map<String, JsonNode>> smaller = cutSmaller ? cut(plan) : Optional.empty();
+                    return smaller.isPresent()
+                            ? commit(plan, smaller.get(), awaited)
+                            : CompletableFuture.completedFuture(commit);
                 })
                 .thenCompose(commit -> stored(spec, awaited, commit, tries));
     }
