--- a/src/main/java/io/sillreel/ControllerMetrics.java
+++ b/src/main/java/io/sillreel/ControllerMetrics.java
@@ -9,13 +9,14 @@
 import io.micrometer.core.instrument.binder.MeterBinder;
 import io.micrometer.core.instrument.binder.jvm.JvmMemoryMetrics;
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
+import io.sillreel.heartbeat.ReportRelay;
+import io.sillreel.heartbeat.ReportRouter;
+import io.sillreel.heartbeat.WorkerSpread;
 import io.sillreel.http.Json;
 import io.sillreel.http.RequestQueue;
+import io.sillreel.leadership.Leadership;
 import io.sillreel.overload.AdaptiveLimit;
 import io.sillreel.overload.Lateness;
-import io.sillreel.ownership.Leadership;
-import io.sillreel.workers.ReportRelay;
-import io.sillreel.workers.WorkerSpread;
 
 /** The figures of one controller, as Micrometer's meters and as the JSON that operators are served. */
 final class ControllerMetrics implements MeterBinder {
--- a/src/main/java/io/sillreel/admission/Admission.java
+++ b/src/main/java/io/sillreel/admission/Admission.java
@@ -11,6 +11,7 @@
 import io.sillreel.limits.ProcessLimits;
 import io.sillreel.pipeline.CancellationRecord;
 import io.sillreel.pipeline.JobSpec;
+import io.sillreel.pipeline.LiveCounts;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.settings.Settings;
--- a/src/main/java/io/sillreel/admission/JobView.java
+++ b/src/main/java/io/sillreel/admission/JobView.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.http.Json;
+import io.sillreel.pipeline.LiveCounts;
 import io.sillreel.pipeline.RunRecord;
 import java.util.List;
 
--- a/src/main/java/io/sillreel/workers/Commands.java
+++ b/src/main/java/io/sillreel/agent/Commands.java
@@ -1,4 +1,4 @@
-package io.sillreel.workers;
+package io.sillreel.agent;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
--- a/src/main/java/io/sillreel/workers/Report.java
+++ b/src/main/java/io/sillreel/agent/Report.java
@@ -1,4 +1,4 @@
-package io.sillreel.workers;
+package io.sillreel.agent;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
--- a/src/main/java/io/sillreel/cloud/CloudClient.java
+++ b/src/main/java/io/sillreel/cloud/CloudClient.java
@@ -8,7 +8,7 @@
 import io.sillreel.http.Json;
 import io.sillreel.http.Loop;
 import io.sillreel.http.Reply;
-import io.sillreel.statestore.Pacer;
+import io.sillreel.overload.Pacer;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
--- a/src/main/java/io/sillreel/fleet/Allocation.java
+++ b/src/main/java/io/sillreel/cluster/Allocation.java
@@ -1,7 +1,7 @@
-package io.sillreel.fleet;
+package io.sillreel.cluster;
 
+import io.sillreel.agent.Report.Stage;
 import io.sillreel.pipeline.ActiveJob;
-import io.sillreel.workers.Report.Stage;
 
 /** A task that is, or may be, on a machine. */
 public final class Allocation {
--- a/src/main/java/io/sillreel/placement/Cluster.java
+++ b/src/main/java/io/sillreel/cluster/Cluster.java
@@ -1,10 +1,6 @@
-package io.sillreel.placement;
+package io.sillreel.cluster;
 
 import io.sillreel.cloud.MachineType;
-import io.sillreel.fleet.Allocation;
-import io.sillreel.fleet.AllocationIndex;
-import io.sillreel.fleet.Machine;
-import io.sillreel.fleet.TeamUse;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.JobSpec;
 import io.sillreel.settings.Settings.Team;
@@ -158,7 +154,7 @@
     }
 
     /** True if machines of the type, in the zone and of the kind are such as the job allows. */
-    static boolean allows(JobSpec spec, MachineType type, String zone, boolean spot) {
+    public static boolean allows(JobSpec spec, MachineType type, String zone, boolean spot) {
         return spec.allowsBuild(type.name()) && spec.allowsZone(zone) && (spec.spot() || !spot);
     }
 
--- a/src/main/java/io/sillreel/fleet/Machine.java
+++ b/src/main/java/io/sillreel/cluster/Machine.java
@@ -1,9 +1,9 @@
-package io.sillreel.fleet;
+package io.sillreel.cluster;
 
+import io.sillreel.agent.Report;
 import io.sillreel.cloud.MachineType;
-import io.sillreel.fleet.ImageCache.Image;
+import io.sillreel.cluster.ImageCache.Image;
 import io.sillreel.pipeline.JobSpec;
-import io.sillreel.workers.Report;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
--- a/src/main/java/io/sillreel/fleet/MessageOrder.java
+++ b/src/main/java/io/sillreel/cluster/MessageOrder.java
@@ -1,6 +1,6 @@
-package io.sillreel.fleet;
+package io.sillreel.cluster;
 
-import io.sillreel.workers.Report;
+import io.sillreel.agent.Report;
 
 /**
  * The order of a worker's messages, by session and sequence. What is not newer than what was seen says nothing; reports
--- a/src/main/java/io/sillreel/fleet/Rental.java
+++ b/src/main/java/io/sillreel/cluster/Rental.java
@@ -1,4 +1,4 @@
-package io.sillreel.fleet;
+package io.sillreel.cluster;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
--- a/src/main/java/io/sillreel/fleet/ResourceUse.java
+++ b/src/main/java/io/sillreel/cluster/ResourceUse.java
@@ -1,4 +1,4 @@
-package io.sillreel.fleet;
+package io.sillreel.cluster;
 
 import java.util.Collection;
 
--- a/src/main/java/io/sillreel/fleet/Responsiveness.java
+++ b/src/main/java/io/sillreel/cluster/Responsiveness.java
@@ -1,4 +1,4 @@
-package io.sillreel.fleet;
+package io.sillreel.cluster;
 
 /** Whether a machine hears what it is told: its reports may arrive while the answers to them do not. */
 public final class Responsiveness {
--- a/src/main/java/io/sillreel/fleet/TeamUse.java
+++ b/src/main/java/io/sillreel/cluster/TeamUse.java
@@ -1,4 +1,4 @@
-package io.sillreel.fleet;
+package io.sillreel.cluster;
 
 import io.sillreel.pipeline.JobSpec;
 import java.util.HashMap;
--- a/src/main/java/io/sillreel/placement/UnheardMachines.java
+++ b/src/main/java/io/sillreel/cluster/UnheardMachines.java
@@ -1,7 +1,6 @@
-package io.sillreel.placement;
+package io.sillreel.cluster;
 
 import io.sillreel.cloud.MachineType;
-import io.sillreel.fleet.Machine;
 import io.sillreel.pipeline.JobSpec;
 import java.util.Collection;
 import java.util.Collections;
--- a/src/main/java/io/sillreel/fleet/FleetRegistry.java
+++ b/src/main/java/io/sillreel/fleet/FleetRegistry.java
@@ -1,8 +1,10 @@
 package io.sillreel.fleet;
 
 import io.sillreel.cloud.MachineType;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.Rental;
 import io.sillreel.http.Loop;
-import io.sillreel.placement.Cluster;
 import io.sillreel.settings.ValueLimits;
 import io.sillreel.statestore.KeyWriter;
 import java.util.Collection;
--- a/src/main/java/io/sillreel/fleet/FleetThresholds.java
+++ b/src/main/java/io/sillreel/fleet/FleetThresholds.java
@@ -1,6 +1,7 @@
 package io.sillreel.fleet;
 
 import io.sillreel.cloud.CloudClient;
+import io.sillreel.cluster.Rental;
 import io.sillreel.settings.Settings;
 
 /**
--- a/src/main/java/io/sillreel/ownership/RecallDrain.java
+++ b/src/main/java/io/sillreel/fleet/RecallDrain.java
@@ -1,15 +1,15 @@
-package io.sillreel.ownership;
+package io.sillreel.fleet;
 
-import io.sillreel.fleet.Allocation;
-import io.sillreel.fleet.Machine;
+import io.sillreel.cluster.Allocation;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
 import io.sillreel.pipeline.JobSpec;
-import io.sillreel.placement.Cluster;
 import io.sillreel.placement.Estimates;
 import java.util.LinkedHashSet;
 import java.util.Set;
 
 /** Stops tasks on machines that the cloud has announced to take back. */
-final class RecallDrain {
+public final class RecallDrain {
     /** A task that needs so many times what its machine has left is not worth waiting for. */
     private static final double UNFINISHABLE_FACTOR = 1.5;
     /** What stopping takes besides saving: the way of the command, and of the report of the end. */
@@ -20,7 +20,7 @@
     private final Cluster cluster;
     private final Estimates estimates;
 
-    RecallDrain(Cluster cluster, Estimates estimates) {
+    public RecallDrain(Cluster cluster, Estimates estimates) {
         this.cluster = cluster;
         this.estimates = estimates;
     }
@@ -30,7 +30,7 @@
      * yet end by themselves; those that surely won't lose nothing by being stopped at once, and start elsewhere so much
      * sooner.
      */
-    Set<Machine> drain(long now) {
+    public Set<Machine> drain(long now) {
         Set<Machine> touched = new LinkedHashSet<>();
         for (Machine machine : cluster.machines()) {
             if (!machine.recalled()) {
--- a/src/main/java/io/sillreel/fleet/RentalRequester.java
+++ b/src/main/java/io/sillreel/fleet/RentalRequester.java
@@ -2,10 +2,12 @@
 
 import io.sillreel.cloud.CloudClient;
 import io.sillreel.cloud.MachineType;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.Rental;
 import io.sillreel.http.Loop;
 import io.sillreel.limits.FleetCapacity;
 import io.sillreel.placement.CapacityPlanner;
-import io.sillreel.placement.Cluster;
 import io.sillreel.placement.RentalRequest;
 import io.sillreel.statestore.KeyWriter;
 import java.util.List;
--- a/src/main/java/io/sillreel/fleet/RetirementPolicy.java
+++ b/src/main/java/io/sillreel/fleet/RetirementPolicy.java
@@ -1,8 +1,9 @@
 package io.sillreel.fleet;
 
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
 import io.sillreel.http.Loop;
 import io.sillreel.placement.CapacityPlanner;
-import io.sillreel.placement.Cluster;
 import io.sillreel.settings.OperatorProperties;
 import io.sillreel.settings.Settings.WorkerTimes;
 import java.util.ArrayList;
--- a/src/main/java/io/sillreel/workers/SlowMachines.java
+++ b/src/main/java/io/sillreel/fleet/SlowMachines.java
@@ -1,9 +1,9 @@
-package io.sillreel.workers;
+package io.sillreel.fleet;
 
-import io.sillreel.fleet.Allocation;
-import io.sillreel.fleet.Machine;
-import io.sillreel.fleet.MachineFaults;
-import io.sillreel.placement.Cluster;
+import io.sillreel.cluster.Allocation;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.MachineFaults;
 import io.sillreel.placement.Estimates;
 import java.util.HashSet;
 import java.util.Set;
--- a/src/main/java/io/sillreel/workers/AttemptIds.java
+++ b/src/main/java/io/sillreel/heartbeat/AttemptIds.java
@@ -1,4 +1,4 @@
-package io.sillreel.workers;
+package io.sillreel.heartbeat;
 
 /**
  * Ids of launches, which never repeat: the term in the high bits, a count below. A term that has used up its count must
--- a/src/main/java/io/sillreel/workers/CommandWriter.java
+++ b/src/main/java/io/sillreel/heartbeat/CommandWriter.java
@@ -1,11 +1,13 @@
-package io.sillreel.workers;
+package io.sillreel.heartbeat;
 
-import io.sillreel.fleet.Allocation;
-import io.sillreel.fleet.Machine;
-import io.sillreel.fleet.TeamUse;
+import io.sillreel.agent.Commands;
+import io.sillreel.agent.Report;
+import io.sillreel.cluster.Allocation;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.TeamUse;
 import io.sillreel.http.Loop;
 import io.sillreel.pipeline.ActiveJob;
-import io.sillreel.placement.Cluster;
 import io.sillreel.placement.Planner;
 import io.sillreel.placement.Planner.Assignment;
 import java.util.List;
--- a/src/main/java/io/sillreel/workers/FaultAttribution.java
+++ b/src/main/java/io/sillreel/heartbeat/FaultAttribution.java
@@ -1,6 +1,6 @@
-package io.sillreel.workers;
+package io.sillreel.heartbeat;
 
-import io.sillreel.fleet.Machine;
+import io.sillreel.cluster.Machine;
 import io.sillreel.pipeline.ActiveJob;
 
 /**
--- a/src/main/java/io/sillreel/ReportBatch.java
+++ b/src/main/java/io/sillreel/heartbeat/ReportBatch.java
@@ -1,9 +1,9 @@
-package io.sillreel;
+package io.sillreel.heartbeat;
 
+import io.sillreel.agent.Report;
 import io.sillreel.http.Loop;
 import io.sillreel.http.Reply;
 import io.sillreel.peer.PeerMessages;
-import io.sillreel.workers.Report;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
--- a/src/main/java/io/sillreel/workers/ReportProcessor.java
+++ b/src/main/java/io/sillreel/heartbeat/ReportProcessor.java
@@ -1,11 +1,13 @@
-package io.sillreel.workers;
+package io.sillreel.heartbeat;
 
+import io.sillreel.agent.Commands;
+import io.sillreel.agent.Report;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
 import io.sillreel.fleet.FleetThresholds;
-import io.sillreel.fleet.Machine;
 import io.sillreel.http.Loop;
 import io.sillreel.http.Reply;
 import io.sillreel.pipeline.RetrySchedule;
-import io.sillreel.placement.Cluster;
 import io.sillreel.placement.Estimates;
 import io.sillreel.placement.Planner;
 import io.sillreel.settings.Settings.WorkerTimes;
--- a/src/main/java/io/sillreel/workers/ReportRelay.java
+++ b/src/main/java/io/sillreel/heartbeat/ReportRelay.java
@@ -1,5 +1,6 @@
-package io.sillreel.workers;
+package io.sillreel.heartbeat;
 
+import io.sillreel.agent.Report;
 import io.sillreel.http.Call;
 import io.sillreel.http.Caller;
 import io.sillreel.http.Loop;
--- a/src/main/java/io/sillreel/ReportRouter.java
+++ b/src/main/java/io/sillreel/heartbeat/ReportRouter.java
@@ -1,25 +1,22 @@
-package io.sillreel;
+package io.sillreel.heartbeat;
 
+import io.sillreel.agent.Report;
 import io.sillreel.http.Call;
 import io.sillreel.http.Json;
 import io.sillreel.http.Loop;
 import io.sillreel.http.Reply;
-import io.sillreel.ownership.LeaderTerm;
-import io.sillreel.ownership.Leadership;
+import io.sillreel.leadership.LeaderTerm;
+import io.sillreel.leadership.Leadership;
 import io.sillreel.peer.PeerMessages;
 import io.sillreel.settings.Settings;
 import io.sillreel.settings.Settings.Member;
-import io.sillreel.workers.Report;
-import io.sillreel.workers.ReportRelay;
-import io.sillreel.workers.ReportWatcher;
-import io.sillreel.workers.WorkerSpread;
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 
 /** Brings workers' reports to where they can be decided: here, at the lease leader, or at another controller. */
-final class ReportRouter {
+public final class ReportRouter {
     private static final Reply NOBODY_LEADS = Reply.later(503, "nobody holds the lease", 1);
 
     private final Loop loop;
@@ -36,7 +33,7 @@
     private int unansweredBefore;
 
     /** @param leaderTerm the term that this controller leads, or null */
-    ReportRouter(
+    public ReportRouter(
             Loop loop,
             Settings settings,
             Leadership leadership,
@@ -54,7 +51,7 @@
     }
 
     /** A worker's report: decided here, handed on to the lease leader, or sent to where it can be. */
-    CompletableFuture<Reply> heartbeat(Call call) {
+    public CompletableFuture<Reply> heartbeat(Call call) {
         reports++;
         LeaderTerm current = leaderTerm.get();
         Optional<Member> leader = current != null ? Optional.empty() : leader();
@@ -93,13 +90,13 @@
     }
 
     /** The controller that is known to lead, unless it is this one or nobody. */
-    Optional<Member> leader() {
+    public Optional<Member> leader() {
         String node = leadership.known().node();
         return node == null ? Optional.empty() : settings.member(node);
     }
 
     /** Reports that another controller hands on. */
-    CompletableFuture<Reply> handedOn(Call call) {
+    public CompletableFuture<Reply> handedOn(Call call) {
         LeaderTerm current = leaderTerm.get();
         if (current == null) {
             return answer(Reply.later(503, "not the leader", 1));
@@ -118,34 +115,34 @@
     }
 
     /** True if workers that report here have their reports answered. */
-    boolean serves() {
+    public boolean serves() {
         return leaderTerm.get() != null
                 || leader().map(member -> relay.works(member.address())).orElse(false);
     }
 
     /** A second or so has passed; what went unanswered is remembered for one more. */
-    void review() {
+    public void review() {
         unansweredBefore = unanswered;
         unanswered = 0;
     }
 
     /** Reports that could not be answered within the last two seconds or so. */
-    int recentlyUnanswered() {
+    public int recentlyUnanswered() {
         return unanswered + unansweredBefore;
     }
 
     /** Reports that came from workers. */
-    long reports() {
+    public long reports() {
         return reports;
     }
 
     /** Reports that other controllers handed on. */
-    long reportsHandedOn() {
+    public long reportsHandedOn() {
         return handed;
     }
 
     /** Workers that were sent to another controller. */
-    long workersMoved() {
+    public long workersMoved() {
         return moved;
     }
 
--- a/src/main/java/io/sillreel/workers/ReportWatcher.java
+++ b/src/main/java/io/sillreel/heartbeat/ReportWatcher.java
@@ -1,4 +1,6 @@
-package io.sillreel.workers;
+package io.sillreel.heartbeat;
+
+import io.sillreel.agent.Report;
 
 /** Sees workers' reports before they are decided. */
 public interface ReportWatcher {
--- a/src/main/java/io/sillreel/workers/TaskReconciler.java
+++ b/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
@@ -1,14 +1,15 @@
-package io.sillreel.workers;
+package io.sillreel.heartbeat;
 
-import io.sillreel.fleet.Allocation;
-import io.sillreel.fleet.Machine;
+import io.sillreel.agent.Report;
+import io.sillreel.agent.Report.TaskState;
+import io.sillreel.cluster.Allocation;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
 import io.sillreel.http.Loop;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.RetrySchedule;
-import io.sillreel.placement.Cluster;
 import io.sillreel.placement.Estimates;
 import io.sillreel.statestore.KeyWriter;
-import io.sillreel.workers.Report.TaskState;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
--- a/src/main/java/io/sillreel/workers/WorkerSpread.java
+++ b/src/main/java/io/sillreel/heartbeat/WorkerSpread.java
@@ -1,4 +1,4 @@
-package io.sillreel.workers;
+package io.sillreel.heartbeat;
 
 import io.sillreel.http.Loop;
 import io.sillreel.peer.PeerMessages.Hello;
--- a/src/main/java/io/sillreel/ownership/LeaderReachability.java
+++ b/src/main/java/io/sillreel/leadership/LeaderReachability.java
@@ -1,8 +1,8 @@
-package io.sillreel.ownership;
+package io.sillreel.leadership;
 
+import io.sillreel.cluster.Cluster;
 import io.sillreel.http.Loop;
 import io.sillreel.peer.Peers;
-import io.sillreel.placement.Cluster;
 import io.sillreel.settings.Settings;
 import java.util.HashSet;
 import java.util.Set;
--- a/src/main/java/io/sillreel/ownership/Leadership.java
+++ b/src/main/java/io/sillreel/leadership/Leadership.java
@@ -1,4 +1,4 @@
-package io.sillreel.ownership;
+package io.sillreel.leadership;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.http.Json;
--- a/src/main/java/io/sillreel/ownership/PlanningCycle.java
+++ b/src/main/java/io/sillreel/leadership/PlanningCycle.java
@@ -1,16 +1,17 @@
-package io.sillreel.ownership;
+package io.sillreel.leadership;
 
-import io.sillreel.fleet.Allocation;
-import io.sillreel.fleet.Machine;
+import io.sillreel.agent.Commands;
+import io.sillreel.agent.Report;
+import io.sillreel.cluster.Allocation;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
+import io.sillreel.fleet.RecallDrain;
+import io.sillreel.heartbeat.ReportProcessor;
 import io.sillreel.http.Call;
 import io.sillreel.http.Caller;
 import io.sillreel.http.Loop;
 import io.sillreel.pipeline.ActiveJob;
-import io.sillreel.placement.Cluster;
 import io.sillreel.placement.Planner;
-import io.sillreel.workers.Commands;
-import io.sillreel.workers.Report;
-import io.sillreel.workers.ReportProcessor;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
--- a/src/main/java/io/sillreel/ownership/StoredJobsReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredJobsReader.java
@@ -1,9 +1,9 @@
-package io.sillreel.ownership;
+package io.sillreel.leadership;
 
-import static io.sillreel.ownership.StoredStateReader.after;
+import static io.sillreel.leadership.StoredStateReader.after;
 
-import io.sillreel.fleet.Rental;
-import io.sillreel.ownership.StoredState.StoredJob;
+import io.sillreel.cluster.Rental;
+import io.sillreel.leadership.StoredState.StoredJob;
 import io.sillreel.pipeline.JobIdSet;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
--- a/src/main/java/io/sillreel/ownership/StoredState.java
+++ b/src/main/java/io/sillreel/leadership/StoredState.java
@@ -1,6 +1,6 @@
-package io.sillreel.ownership;
+package io.sillreel.leadership;
 
-import io.sillreel.fleet.Rental;
+import io.sillreel.cluster.Rental;
 import io.sillreel.pipeline.JobIdSet;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
--- a/src/main/java/io/sillreel/ownership/TermJobs.java
+++ b/src/main/java/io/sillreel/leadership/TermJobs.java
@@ -1,7 +1,8 @@
-package io.sillreel.ownership;
+package io.sillreel.leadership;
 
+import io.sillreel.cluster.Cluster;
 import io.sillreel.http.Loop;
-import io.sillreel.ownership.StoredState.StoredJob;
+import io.sillreel.leadership.StoredState.StoredJob;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.CancellationRecord;
 import io.sillreel.pipeline.CascadingCancellation;
@@ -10,7 +11,6 @@
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.placement.CapacityPlanner;
-import io.sillreel.placement.Cluster;
 import io.sillreel.placement.Estimates;
 import io.sillreel.placement.PriorityInheritance;
 import io.sillreel.settings.ValueLimits;
--- a/src/main/java/io/sillreel/ownership/TermStatus.java
+++ b/src/main/java/io/sillreel/leadership/TermStatus.java
@@ -1,10 +1,10 @@
-package io.sillreel.ownership;
+package io.sillreel.leadership;
 
-import io.sillreel.fleet.Machine;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
 import io.sillreel.http.Loop;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.placement.CapacityPlanner;
-import io.sillreel.placement.Cluster;
 import io.sillreel.statestore.KeyWriter;
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/io/sillreel/statestore/Pacer.java
+++ b/src/main/java/io/sillreel/overload/Pacer.java
@@ -1,4 +1,4 @@
-package io.sillreel.statestore;
+package io.sillreel.overload;
 
 import io.sillreel.http.Loop;
 
--- a/src/main/java/io/sillreel/admission/LiveCounts.java
+++ b/src/main/java/io/sillreel/pipeline/LiveCounts.java
@@ -1,4 +1,4 @@
-package io.sillreel.admission;
+package io.sillreel.pipeline;
 
 /** Counts for display, known on the controller that drives the pipelines. */
 public interface LiveCounts {
--- a/src/main/java/io/sillreel/placement/CapacityPlanner.java
+++ b/src/main/java/io/sillreel/placement/CapacityPlanner.java
@@ -1,12 +1,13 @@
 package io.sillreel.placement;
 
+import io.sillreel.agent.Report;
 import io.sillreel.cloud.MachineType;
-import io.sillreel.fleet.Allocation;
-import io.sillreel.fleet.Machine;
+import io.sillreel.cluster.Allocation;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.JobSpec;
 import io.sillreel.pipeline.Rank;
-import io.sillreel.workers.Report;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
--- a/src/main/java/io/sillreel/placement/MachineSpace.java
+++ b/src/main/java/io/sillreel/placement/MachineSpace.java
@@ -1,7 +1,7 @@
 package io.sillreel.placement;
 
-import io.sillreel.fleet.ImageCache.Image;
-import io.sillreel.fleet.Machine;
+import io.sillreel.cluster.ImageCache.Image;
+import io.sillreel.cluster.Machine;
 import io.sillreel.pipeline.JobSpec;
 import java.util.HashSet;
 import java.util.Set;
--- a/src/main/java/io/sillreel/placement/OfferSelector.java
+++ b/src/main/java/io/sillreel/placement/OfferSelector.java
@@ -2,7 +2,8 @@
 
 import io.sillreel.cloud.CloudClient;
 import io.sillreel.cloud.MachineType;
-import io.sillreel.fleet.Machine;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
 import io.sillreel.pipeline.JobSpec;
 import java.util.Collection;
 import java.util.HashMap;
--- a/src/main/java/io/sillreel/placement/PlacementIndex.java
+++ b/src/main/java/io/sillreel/placement/PlacementIndex.java
@@ -1,8 +1,9 @@
 package io.sillreel.placement;
 
 import io.sillreel.cloud.MachineType;
-import io.sillreel.fleet.ImageCache.Image;
-import io.sillreel.fleet.Machine;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.ImageCache.Image;
+import io.sillreel.cluster.Machine;
 import io.sillreel.pipeline.JobSpec;
 import java.util.HashMap;
 import java.util.Iterator;
--- a/src/main/java/io/sillreel/placement/Planner.java
+++ b/src/main/java/io/sillreel/placement/Planner.java
@@ -1,8 +1,9 @@
 package io.sillreel.placement;
 
-import io.sillreel.fleet.Allocation;
-import io.sillreel.fleet.Machine;
-import io.sillreel.fleet.TeamUse;
+import io.sillreel.cluster.Allocation;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.TeamUse;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.JobSpec;
 import java.util.ArrayList;
--- a/src/main/java/io/sillreel/placement/ServiceOrder.java
+++ b/src/main/java/io/sillreel/placement/ServiceOrder.java
@@ -1,6 +1,7 @@
 package io.sillreel.placement;
 
-import io.sillreel.fleet.TeamUse;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.TeamUse;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.Rank;
 import io.sillreel.settings.Settings.Team;
--- a/src/main/java/io/sillreel/recovery/ChangeLog.java
+++ b/src/main/java/io/sillreel/recovery/ChangeLog.java
@@ -1,6 +1,6 @@
 package io.sillreel.recovery;
 
-import io.sillreel.ownership.Leadership;
+import io.sillreel.leadership.Leadership;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashSet;
--- a/src/main/java/io/sillreel/recovery/PermanentKeys.java
+++ b/src/main/java/io/sillreel/recovery/PermanentKeys.java
@@ -1,6 +1,6 @@
 package io.sillreel.recovery;
 
-import io.sillreel.ownership.Leadership;
+import io.sillreel.leadership.Leadership;
 import io.sillreel.pipeline.CancellationRecord;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
--- a/src/main/java/io/sillreel/recovery/RebuildTerm.java
+++ b/src/main/java/io/sillreel/recovery/RebuildTerm.java
@@ -1,7 +1,7 @@
 package io.sillreel.recovery;
 
 import io.sillreel.http.Loop;
-import io.sillreel.ownership.Leadership;
+import io.sillreel.leadership.Leadership;
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.StateStore.Commit;
 import io.sillreel.statestore.StateStore.Outcome;
--- a/src/main/java/io/sillreel/recovery/Recovery.java
+++ b/src/main/java/io/sillreel/recovery/Recovery.java
@@ -1,17 +1,17 @@
 package io.sillreel.recovery;
 
+import io.sillreel.agent.Report;
+import io.sillreel.heartbeat.ReportWatcher;
 import io.sillreel.http.Call;
 import io.sillreel.http.Caller;
 import io.sillreel.http.Loop;
 import io.sillreel.http.Reply;
-import io.sillreel.ownership.Leadership;
+import io.sillreel.leadership.Leadership;
 import io.sillreel.recovery.ChangeLog.Memory;
 import io.sillreel.recovery.RecoveryMessages.Greeting;
 import io.sillreel.settings.Settings;
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.workers.Report;
-import io.sillreel.workers.ReportWatcher;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
--- a/src/main/java/io/sillreel/recovery/RestorePolicy.java
+++ b/src/main/java/io/sillreel/recovery/RestorePolicy.java
@@ -1,7 +1,7 @@
 package io.sillreel.recovery;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.sillreel.ownership.Leadership;
+import io.sillreel.leadership.Leadership;
 import io.sillreel.pipeline.CancellationRecord;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
--- a/src/main/java/io/sillreel/recovery/TermEvidence.java
+++ b/src/main/java/io/sillreel/recovery/TermEvidence.java
@@ -1,10 +1,10 @@
 package io.sillreel.recovery;
 
-import io.sillreel.ownership.Leadership;
+import io.sillreel.agent.Report;
+import io.sillreel.agent.Report.TaskState;
+import io.sillreel.heartbeat.AttemptIds;
+import io.sillreel.leadership.Leadership;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.workers.AttemptIds;
-import io.sillreel.workers.Report;
-import io.sillreel.workers.Report.TaskState;
 import java.util.HashSet;
 import java.util.Set;
 import java.util.function.Consumer;
--- a/src/main/java/io/sillreel/statestore/StateStore.java
+++ b/src/main/java/io/sillreel/statestore/StateStore.java
@@ -8,6 +8,7 @@
 import io.sillreel.http.Json;
 import io.sillreel.http.Loop;
 import io.sillreel.http.Reply;
+import io.sillreel.overload.Pacer;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
--- a/src/test/java/io/sillreel/workers/MessageSizeTest.java
+++ b/src/test/java/io/sillreel/agent/MessageSizeTest.java
@@ -1,10 +1,10 @@
-package io.sillreel.workers;
+package io.sillreel.agent;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.fleet.Machine;
+import io.sillreel.cluster.Machine;
 import io.sillreel.http.HttpServer;
 import io.sillreel.http.Json;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/io/sillreel/workers/ReportTest.java
+++ b/src/test/java/io/sillreel/agent/ReportTest.java
@@ -1,4 +1,4 @@
-package io.sillreel.workers;
+package io.sillreel.agent;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/io/sillreel/fleet/RentalTest.java
+++ b/src/test/java/io/sillreel/cluster/RentalTest.java
@@ -1,4 +1,4 @@
-package io.sillreel.fleet;
+package io.sillreel.cluster;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/io/sillreel/fleet/FleetRegistryTest.java
+++ b/src/test/java/io/sillreel/fleet/FleetRegistryTest.java
@@ -3,7 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.sillreel.cloud.MachineType;
-import io.sillreel.placement.Cluster;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
 import io.sillreel.settings.ValueLimits;
 import io.sillreel.sim.SimNetwork;
 import io.sillreel.sim.SimTime;
--- a/src/test/java/io/sillreel/workers/FailureTest.java
+++ b/src/test/java/io/sillreel/heartbeat/FailureTest.java
@@ -1,4 +1,4 @@
-package io.sillreel.workers;
+package io.sillreel.heartbeat;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/io/sillreel/ReportBatchTest.java
+++ b/src/test/java/io/sillreel/heartbeat/ReportBatchTest.java
@@ -1,11 +1,11 @@
-package io.sillreel;
+package io.sillreel.heartbeat;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.sillreel.agent.Report;
 import io.sillreel.http.Reply;
 import io.sillreel.peer.PeerMessages;
 import io.sillreel.sim.SimTime;
-import io.sillreel.workers.Report;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
--- a/src/test/java/io/sillreel/workers/ReportRelayTest.java
+++ b/src/test/java/io/sillreel/heartbeat/ReportRelayTest.java
@@ -1,13 +1,14 @@
-package io.sillreel.workers;
+package io.sillreel.heartbeat;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.sillreel.agent.Report;
+import io.sillreel.agent.Report.Stage;
+import io.sillreel.agent.Report.TaskState;
 import io.sillreel.http.Call;
 import io.sillreel.http.Reply;
 import io.sillreel.peer.PeerMessages;
 import io.sillreel.sim.SimTime;
-import io.sillreel.workers.Report.Stage;
-import io.sillreel.workers.Report.TaskState;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
--- a/src/test/java/io/sillreel/ownership/TakeoverTest.java
+++ b/src/test/java/io/sillreel/leadership/TakeoverTest.java
@@ -1,4 +1,4 @@
-package io.sillreel.ownership;
+package io.sillreel.leadership;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/io/sillreel/placement/PlacementIndexTest.java
+++ b/src/test/java/io/sillreel/placement/PlacementIndexTest.java
@@ -3,8 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.sillreel.cloud.MachineType;
-import io.sillreel.fleet.AllocationIndex;
-import io.sillreel.fleet.Machine;
+import io.sillreel.cluster.AllocationIndex;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
 import io.sillreel.http.Json;
 import io.sillreel.pipeline.JobSpec;
 import io.sillreel.sim.World;
--- a/src/test/java/io/sillreel/placement/PlannerTest.java
+++ b/src/test/java/io/sillreel/placement/PlannerTest.java
@@ -2,10 +2,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.sillreel.agent.Report;
+import io.sillreel.agent.Report.Stage;
 import io.sillreel.cloud.MachineType;
-import io.sillreel.fleet.Allocation;
-import io.sillreel.fleet.Machine;
-import io.sillreel.fleet.Rental;
+import io.sillreel.cluster.Allocation;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.Rental;
 import io.sillreel.http.Json;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.JobSpec;
@@ -15,8 +18,6 @@
 import io.sillreel.placement.Planner.Plan;
 import io.sillreel.settings.Settings.Team;
 import io.sillreel.settings.ValueLimits;
-import io.sillreel.workers.Report;
-import io.sillreel.workers.Report.Stage;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
+++ b/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
@@ -2,6 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.sillreel.cluster.Cluster;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.DependencyGraph;
 import io.sillreel.pipeline.JobSpec;
--- a/src/test/java/io/sillreel/sim/SimNetwork.java
+++ b/src/test/java/io/sillreel/sim/SimNetwork.java
@@ -5,7 +5,7 @@
 import io.sillreel.http.Handler;
 import io.sillreel.http.Loop;
 import io.sillreel.http.Reply;
-import io.sillreel.statestore.Pacer;
+import io.sillreel.overload.Pacer;
 import io.sillreel.statestore.StateStore;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/src/test/java/io/sillreel/statestore/ScanTest.java
+++ b/src/test/java/io/sillreel/statestore/ScanTest.java
@@ -4,6 +4,7 @@
 
 import io.sillreel.http.Json;
 import io.sillreel.http.Reply;
+import io.sillreel.overload.Pacer;
 import io.sillreel.sim.SimNetwork;
 import io.sillreel.sim.SimNetwork.Fate;
 import io.sillreel.sim.SimState;
