--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -6,28 +6,28 @@
 import io.sillreel.admission.Admission;
 import io.sillreel.cloud.CloudClient;
 import io.sillreel.cloud.MachineTypeCatalog;
-import io.sillreel.heartbeat.ReportRelay;
-import io.sillreel.heartbeat.ReportRouter;
-import io.sillreel.heartbeat.ReportWatcher;
-import io.sillreel.heartbeat.WorkerSpread;
-import io.sillreel.http.Call;
-import io.sillreel.http.Caller;
+import io.sillreel.heartbeat.HeartbeatObserver;
+import io.sillreel.heartbeat.HeartbeatRelay;
+import io.sillreel.heartbeat.HeartbeatRouter;
+import io.sillreel.heartbeat.WorkerLoadBalancer;
+import io.sillreel.http.EventLoop;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Loop;
-import io.sillreel.http.Reply;
 import io.sillreel.http.RequestQueue;
-import io.sillreel.http.RequestQueue.Line;
+import io.sillreel.http.RequestQueue.RequestClass;
+import io.sillreel.leadership.LeaderElection;
 import io.sillreel.leadership.LeaderTerm;
-import io.sillreel.leadership.Leadership;
 import io.sillreel.limits.FleetCapacity;
 import io.sillreel.limits.ProcessLimits;
 import io.sillreel.overload.AdaptiveLimit;
-import io.sillreel.overload.Lateness;
-import io.sillreel.overload.Pacer;
+import io.sillreel.overload.EventLoopLag;
+import io.sillreel.overload.RateLimiter;
 import io.sillreel.peer.PeerMessages;
 import io.sillreel.peer.PeerMessages.Hello;
 import io.sillreel.peer.Peers;
-import io.sillreel.pipeline.LiveCounts;
+import io.sillreel.pipeline.LiveTaskCounts;
 import io.sillreel.recovery.Recovery;
 import io.sillreel.settings.OperatorProperties;
 import io.sillreel.settings.Settings;
@@ -36,7 +36,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** One controller, put together from its slices. It does no I/O of its own: time and network are handed in. */
-public final class Controller implements Leadership.Listener, LiveCounts, MeterBinder {
+public final class Controller implements LeaderElection.Listener, LiveTaskCounts, MeterBinder {
     private static final String HEARTBEAT = "/agent/beat";
     private static final String UP = "/up";
     private static final long HELLO_EVERY_MICROS = 1_000_000;
@@ -49,22 +49,22 @@
     private static final double WRITE_PART = 0.7;
     private static final double CLOUD_PART = 0.8;
 
-    private final Loop loop;
-    private final Caller caller;
+    private final EventLoop loop;
+    private final HttpClient caller;
     private final Settings settings;
     private final OperatorProperties operator;
     private final FleetCapacity fleetCapacity;
     private final StateStore store;
     private final CloudClient cloud;
     private final MachineTypeCatalog machineTypes;
-    private final Leadership leadership;
+    private final LeaderElection leadership;
     private final AdaptiveLimit users;
-    private final ReportRelay relay;
-    private final ReportRouter reports;
+    private final HeartbeatRelay relay;
+    private final HeartbeatRouter reports;
     private final Peers peers;
-    private final WorkerSpread spread;
+    private final WorkerLoadBalancer spread;
     private final long startedMicros;
-    private final Lateness lateness;
+    private final EventLoopLag lateness;
     private final RequestQueue requestQueue;
     /** Null unless operators have switched it on: then nothing of it is loaded. */
     private final Recovery recovery;
@@ -77,9 +77,9 @@
      * @param limits what the memory and the sockets of this process allow
      */
     public Controller(
-            Loop loop,
-            Caller caller,
-            Caller leaseCaller,
+            EventLoop loop,
+            HttpClient caller,
+            HttpClient leaseCaller,
             Settings settings,
             OperatorProperties operator,
             ProcessLimits limits) {
@@ -89,7 +89,7 @@
         this.operator = operator;
         this.fleetCapacity = new FleetCapacity(limits);
         this.startedMicros = loop.nowMicros();
-        this.lateness = new Lateness(loop);
+        this.lateness = new EventLoopLag(loop);
         this.requestQueue = new RequestQueue(loop, limits.waitingRequestBytes());
         double requests = settings.state().requestsPerSecond() * REQUEST_PART;
         double writes = settings.state().writesPerSecond() * WRITE_PART;
@@ -100,10 +100,11 @@
                 recovery == null ? leaseCaller : recovery.monitored(leaseCaller),
                 loop,
                 settings.stateAddress(),
-                new Pacer(loop, requests, requests),
-                new Pacer(loop, writes, writes));
-        this.cloud = new CloudClient(caller, loop, settings.cloudAddress(), new Pacer(loop, calls, Math.max(1, calls)));
-        this.leadership = new Leadership(
+                new RateLimiter(loop, requests, requests),
+                new RateLimiter(loop, writes, writes));
+        this.cloud = new CloudClient(
+                caller, loop, settings.cloudAddress(), new RateLimiter(loop, calls, Math.max(1, calls)));
+        this.leadership = new LeaderElection(
                 store,
                 loop,
                 settings.nodeName(),
@@ -117,17 +118,17 @@
                 limits.rememberedJobs(),
                 loop::nowMicros);
         this.peers = new Peers(loop);
-        this.spread = new WorkerSpread(
+        this.spread = new WorkerLoadBalancer(
                 loop, peers, settings.nodeName(), settings.workers().reportMicros());
-        this.relay = new ReportRelay(loop, caller, spread::workers);
-        this.reports = new ReportRouter(
+        this.relay = new HeartbeatRelay(loop, caller, spread::workers);
+        this.reports = new HeartbeatRouter(
                 loop,
                 settings,
                 leadership,
                 relay,
                 spread,
                 () -> leaderTerm,
-                recovery == null ? ReportWatcher.NONE : recovery);
+                recovery == null ? HeartbeatObserver.NONE : recovery);
     }
 
     private Recovery newRecovery(ProcessLimits limits) {
@@ -160,11 +161,11 @@
     }
 
     /** Where a public request waits for its turn: health checks nowhere, workers apart from users. */
-    public static Line line(Call call) {
+    public static RequestClass line(HttpRequest call) {
         return switch (call.route()) {
-            case UP -> Line.AT_ONCE;
-            case HEARTBEAT -> Line.CROWD;
-            default -> Line.USERS;
+            case UP -> RequestClass.AT_ONCE;
+            case HEARTBEAT -> RequestClass.CROWD;
+            default -> RequestClass.USERS;
         };
     }
 
@@ -174,47 +175,49 @@
     }
 
     /** What users, workers and health checks ask. */
-    public CompletableFuture<Reply> publicCall(Call call) {
+    public CompletableFuture<HttpResponse> publicCall(HttpRequest call) {
         String route = call.route();
         if (route.equals("/v2/runs") || route.startsWith("/v2/runs/")) {
             return recovery == null ? users.handle(call) : recovery.guarded(() -> users.handle(call));
         }
         if (route.equals(HEARTBEAT)) {
-            return call.method().equals("POST") ? reports.heartbeat(call) : answer(Reply.refusal(405, "use POST"));
+            return call.method().equals("POST")
+                    ? reports.heartbeat(call)
+                    : answer(HttpResponse.refusal(405, "use POST"));
         }
         if (route.equals(UP)) {
-            return answer(call.method().equals("GET") ? up() : Reply.refusal(405, "use GET"));
+            return answer(call.method().equals("GET") ? up() : HttpResponse.refusal(405, "use GET"));
         }
-        return answer(Reply.refusal(404, "no such path"));
+        return answer(HttpResponse.refusal(404, "no such path"));
     }
 
     /** What the other controllers, and operators, ask. */
-    public CompletableFuture<Reply> internalCall(Call call) {
+    public CompletableFuture<HttpResponse> internalCall(HttpRequest call) {
         switch (call.route()) {
             case PeerMessages.HEARTBEATS -> {
                 return reports.handedOn(call);
             }
             case PeerMessages.HELLO -> {
                 heard(Hello.of(call.body()));
-                return answer(new Reply(200, ownHello().bytes(), 0));
+                return answer(new HttpResponse(200, ownHello().bytes(), 0));
             }
             case PeerMessages.CANCELLED -> {
                 if (leaderTerm != null) {
                     PeerMessages.cancelled(call.body()).forEach(leaderTerm::cancelled);
                 }
-                return answer(Reply.of(200, Json.object()));
+                return answer(HttpResponse.of(200, Json.object()));
             }
             case "/metrics" -> {
-                return answer(Reply.of(200, measured()));
+                return answer(HttpResponse.of(200, measured()));
             }
             default -> {
                 boolean known = recovery != null && Recovery.concerns(call.route());
-                return answer(known ? recovery.answer(call) : Reply.refusal(404, "no such path"));
+                return answer(known ? recovery.answer(call) : HttpResponse.refusal(404, "no such path"));
             }
         }
     }
 
-    private static CompletableFuture<Reply> answer(Reply reply) {
+    private static CompletableFuture<HttpResponse> answer(HttpResponse reply) {
         return CompletableFuture.completedFuture(reply);
     }
 
@@ -222,14 +225,14 @@
      * Healthy unless the state service refuses this controller while it answers another: then users are better served
      * elsewhere. When nobody is answered, going away would help no one.
      */
-    private Reply up() {
+    private HttpResponse up() {
         boolean silent = !storeAnswers();
         boolean othersAnswered = peers.storeAnswersAnother();
         boolean undecided = machineTypes.types().isEmpty();
         if (silent && othersAnswered || undecided && othersAnswered) {
-            return Reply.later(503, "the state service can't be asked from here", 1);
+            return HttpResponse.later(503, "the state service can't be asked from here", 1);
         }
-        return Reply.of(200, Json.object().put("ok", true));
+        return HttpResponse.of(200, Json.object().put("ok", true));
     }
 
     private boolean storeAnswers() {
@@ -259,7 +262,8 @@
                 // It has just asked; its question and our answer have told both sides all there is to tell.
                 continue;
             }
-            Call call = new Call("POST", PeerMessages.HELLO, ownHello().bytes());
+            HttpRequest call =
+                    new HttpRequest("POST", PeerMessages.HELLO, ownHello().bytes());
             caller.call(member.address(), call, HELLO_TIMEOUT_MICROS).thenAccept(reply -> {
                 if (reply.ok()) {
                     heard(Hello.of(reply.body()));
@@ -269,7 +273,7 @@
     }
 
     private Hello ownHello() {
-        Leadership.Leader leader = leadership.known();
+        LeaderElection.Leader leader = leadership.known();
         return new Hello(
                 settings.nodeName(),
                 leader.node(),
--- a/src/main/java/io/sillreel/ControllerMetrics.java
+++ b/src/main/java/io/sillreel/ControllerMetrics.java
@@ -9,33 +9,33 @@
 import io.micrometer.core.instrument.binder.MeterBinder;
 import io.micrometer.core.instrument.binder.jvm.JvmMemoryMetrics;
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
-import io.sillreel.heartbeat.ReportRelay;
-import io.sillreel.heartbeat.ReportRouter;
-import io.sillreel.heartbeat.WorkerSpread;
+import io.sillreel.heartbeat.HeartbeatRelay;
+import io.sillreel.heartbeat.HeartbeatRouter;
+import io.sillreel.heartbeat.WorkerLoadBalancer;
 import io.sillreel.http.Json;
 import io.sillreel.http.RequestQueue;
-import io.sillreel.leadership.Leadership;
+import io.sillreel.leadership.LeaderElection;
 import io.sillreel.overload.AdaptiveLimit;
-import io.sillreel.overload.Lateness;
+import io.sillreel.overload.EventLoopLag;
 
 /** The figures of one controller, as Micrometer's meters and as the JSON that operators are served. */
 final class ControllerMetrics implements MeterBinder {
-    private final ReportRouter reports;
-    private final Leadership leadership;
+    private final HeartbeatRouter reports;
+    private final LeaderElection leadership;
     private final AdaptiveLimit users;
-    private final ReportRelay relay;
-    private final WorkerSpread spread;
-    private final Lateness lateness;
+    private final HeartbeatRelay relay;
+    private final WorkerLoadBalancer spread;
+    private final EventLoopLag lateness;
     private final RequestQueue requestQueue;
     private MeterRegistry ownRegistry;
 
     ControllerMetrics(
-            ReportRouter reports,
-            Leadership leadership,
+            HeartbeatRouter reports,
+            LeaderElection leadership,
             AdaptiveLimit users,
-            ReportRelay relay,
-            WorkerSpread spread,
-            Lateness lateness,
+            HeartbeatRelay relay,
+            WorkerLoadBalancer spread,
+            EventLoopLag lateness,
             RequestQueue requestQueue) {
         this.reports = reports;
         this.leadership = leadership;
@@ -48,26 +48,26 @@
 
     @Override
     public void bindTo(MeterRegistry to) {
-        FunctionCounter.builder("sillreel.reports", reports, ReportRouter::reports)
+        FunctionCounter.builder("sillreel.reports", reports, HeartbeatRouter::reports)
                 .register(to);
-        FunctionCounter.builder("sillreel.reports.handed", reports, ReportRouter::reportsHandedOn)
+        FunctionCounter.builder("sillreel.reports.handed", reports, HeartbeatRouter::reportsHandedOn)
                 .register(to);
-        FunctionCounter.builder("sillreel.reports.passed", relay, ReportRelay::passed)
+        FunctionCounter.builder("sillreel.reports.passed", relay, HeartbeatRelay::passed)
                 .register(to);
-        FunctionCounter.builder("sillreel.reports.lost", relay, ReportRelay::lost)
+        FunctionCounter.builder("sillreel.reports.lost", relay, HeartbeatRelay::lost)
                 .register(to);
-        FunctionCounter.builder("sillreel.reports.batches", relay, ReportRelay::batchesSent)
+        FunctionCounter.builder("sillreel.reports.batches", relay, HeartbeatRelay::batchesSent)
                 .register(to);
-        FunctionCounter.builder("sillreel.workers.moved", reports, ReportRouter::workersMoved)
+        FunctionCounter.builder("sillreel.workers.moved", reports, HeartbeatRouter::workersMoved)
                 .register(to);
         FunctionCounter.builder("sillreel.requests.refused", users, AdaptiveLimit::refused)
                 .register(to);
         Gauge.builder("sillreel.requests.limit", users, AdaptiveLimit::limit).register(to);
-        Gauge.builder("sillreel.workers", spread, WorkerSpread::workers).register(to);
+        Gauge.builder("sillreel.workers", spread, WorkerLoadBalancer::workers).register(to);
         Gauge.builder("sillreel.version", () -> 1)
                 .tag("version", Controller.version())
                 .register(to);
-        Gauge.builder("sillreel.leads", leadership, Leadership::heldTerm).register(to);
+        Gauge.builder("sillreel.leads", leadership, LeaderElection::heldTerm).register(to);
         Gauge.builder("sillreel.late.ms", lateness, each -> each.micros() / 1_000.0)
                 .register(to);
         Gauge.builder("sillreel.late.most.ms", lateness, each -> each.mostMicros() / 1_000.0)
--- a/src/main/java/io/sillreel/admission/Admission.java
+++ b/src/main/java/io/sillreel/admission/Admission.java
@@ -3,15 +3,15 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.cloud.MachineType;
-import io.sillreel.http.Call;
-import io.sillreel.http.Handler;
+import io.sillreel.http.EventLoop;
+import io.sillreel.http.HttpHandler;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Loop;
-import io.sillreel.http.Reply;
 import io.sillreel.limits.ProcessLimits;
 import io.sillreel.pipeline.CancellationRecord;
 import io.sillreel.pipeline.JobSpec;
-import io.sillreel.pipeline.LiveCounts;
+import io.sillreel.pipeline.LiveTaskCounts;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.settings.Settings;
@@ -20,7 +20,7 @@
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.StateStore.Commit;
 import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Txn;
+import io.sillreel.statestore.StateStore.Transaction;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -34,7 +34,7 @@
  * The users' interface. Any controller admits and answers: a plan is written by the one that was asked, and what is
  * told is either terminal and stored, or was confirmed by the store after the question came in.
  */
-public final class Admission implements Handler {
+public final class Admission implements HttpHandler {
     private static final Logger LOG = LoggerFactory.getLogger(Admission.class);
     private static final String RUNS = "/v2/runs";
     /** A plan that is not cut is one value. */
@@ -45,21 +45,21 @@
     private static final int MAX_TRIES = 5;
 
     private final StateStore store;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Settings settings;
     private final Supplier<Map<String, MachineType>> types;
-    private final LiveCounts live;
+    private final LiveTaskCounts live;
     private final Consumer<String> onCancelled;
-    private final JobViews views;
+    private final JobStatusService views;
 
     /** @param onCancelled told of each cancellation that is stored here, before its user is */
     public Admission(
             StateStore store,
-            Loop loop,
+            EventLoop loop,
             Settings settings,
             ProcessLimits limits,
             Supplier<Map<String, MachineType>> types,
-            LiveCounts live,
+            LiveTaskCounts live,
             Consumer<String> onCancelled) {
         this.store = store;
         this.loop = loop;
@@ -67,62 +67,63 @@
         this.types = types;
         this.live = live;
         this.onCancelled = onCancelled;
-        this.views = new JobViews(store, loop, settings.state().txnOps(), limits.rememberedJobs());
+        this.views = new JobStatusService(store, loop, settings.state().txnOps(), limits.rememberedJobs());
     }
 
     @Override
-    public CompletableFuture<Reply> handle(Call call) {
+    public CompletableFuture<HttpResponse> handle(HttpRequest call) {
         String route = call.route();
         if (route.equals(RUNS)) {
-            return call.method().equals("POST") ? submit(call) : done(Reply.refusal(405, "use POST"));
+            return call.method().equals("POST") ? submit(call) : done(HttpResponse.refusal(405, "use POST"));
         }
         String rest = route.substring(RUNS.length() + 1);
         boolean cancel = rest.endsWith("/withdraw");
         String uid = cancel ? rest.substring(0, rest.length() - "/withdraw".length()) : rest;
         if (uid.contains("/")) {
-            return done(Reply.refusal(404, "no such path"));
+            return done(HttpResponse.refusal(404, "no such path"));
         }
         if (!call.method().equals(cancel ? "POST" : "GET")) {
-            return done(Reply.refusal(405, cancel ? "use POST" : "use GET"));
+            return done(HttpResponse.refusal(405, cancel ? "use POST" : "use GET"));
         }
-        if (!JobReader.isUid(uid)) {
-            return done(Reply.refusal(404, "no such job"));
+        if (!SubmissionDecoder.isUid(uid)) {
+            return done(HttpResponse.refusal(404, "no such job"));
         }
         return cancel ? cancel(uid, MAX_TRIES) : poll(uid);
     }
 
-    private CompletableFuture<Reply> poll(String uid) {
+    private CompletableFuture<HttpResponse> poll(String uid) {
         return views.fresh(uid).thenApply(view -> {
             if (view == null) {
                 return cannotRead();
             }
-            return view.accepted() ? Reply.of(200, answer(view)) : Reply.refusal(404, "no such job");
+            return view.accepted() ? HttpResponse.of(200, answer(view)) : HttpResponse.refusal(404, "no such job");
         });
     }
 
-    private CompletableFuture<Reply> submit(Call call) {
+    private CompletableFuture<HttpResponse> submit(HttpRequest call) {
         JsonNode body = Json.parse(call.body());
         if (!body.isObject()) {
-            return done(Reply.refusal(400, "the body is not a JSON object"));
+            return done(HttpResponse.refusal(400, "the body is not a JSON object"));
         }
         JsonNode named = body.path("uid");
-        if (!named.isTextual() || !JobReader.isUid(named.asText())) {
-            return done(Reply.refusal(400, "uid: is not of the form job-000412"));
+        if (!named.isTextual() || !SubmissionDecoder.isUid(named.asText())) {
+            return done(HttpResponse.refusal(400, "uid: is not of the form job-000412"));
         }
         String uid = named.asText();
         JobSpec spec;
         try {
-            spec = JobReader.read(body);
-        } catch (JobReader.Malformed e) {
-            return unlessKnown(uid, Reply.refusal(400, e.getMessage()));
+            spec = SubmissionDecoder.read(body);
+        } catch (SubmissionDecoder.Malformed e) {
+            return unlessKnown(uid, HttpResponse.refusal(400, e.getMessage()));
         }
         Map<String, MachineType> known = types.get();
         if (known.isEmpty()) {
-            return unlessKnown(uid, Reply.later(503, "the machine types are not known yet", 2));
+            return unlessKnown(uid, HttpResponse.later(503, "the machine types are not known yet", 2));
         }
-        Optional<String> never = JobReader.neverRuns(spec, settings.teams().get(spec.team()), known.values());
+        Optional<String> never =
+                SubmissionDecoder.neverRuns(spec, settings.teams().get(spec.team()), known.values());
         if (never.isPresent()) {
-            return unlessKnown(uid, Reply.refusal(422, never.get()));
+            return unlessKnown(uid, HttpResponse.refusal(422, never.get()));
         }
         if (views.remembered(uid).accepted()) {
             return unlessKnown(uid, cannotRead());
@@ -130,7 +131,7 @@
         return admit(spec, MAX_TRIES);
     }
 
-    private CompletableFuture<Reply> admit(JobSpec spec, int tries) {
+    private CompletableFuture<HttpResponse> admit(JobSpec spec, int tries) {
         if (store.silent()) {
             return done(cannotRead());
         }
@@ -145,9 +146,10 @@
             if (awaited.contains(null)) {
                 return done(cannotRead());
             }
-            for (JobView each : awaited) {
+            for (JobStatus each : awaited) {
                 if (!each.accepted()) {
-                    return unlessKnown(spec.uid(), Reply.refusal(422, "awaits: " + each.uid() + " was never accepted"));
+                    return unlessKnown(
+                            spec.uid(), HttpResponse.refusal(422, "awaits: " + each.uid() + " was never accepted"));
                 }
             }
             return store(spec, awaited, tries);
@@ -159,7 +161,7 @@
      * controller may drive is cut only once the state service has refused the size: then the announced limits are in
      * force, and no such controller is left. Jobs that await others are submitted only after the upgrade.
      */
-    private CompletableFuture<Reply> store(JobSpec spec, List<JobView> awaited, int tries) {
+    private CompletableFuture<HttpResponse> store(JobSpec spec, List<JobStatus> awaited, int tries) {
         PlanRecord plan = new PlanRecord(loop.wallMicros(), spec);
         ValueLimits limits = settings.state().values();
         boolean maybeCut = !spec.awaits().isEmpty();
@@ -185,11 +187,11 @@
     }
 
     /** Stores the values of a plan; a job which awaits a cancelled one is cancelled in the same transaction. */
-    private CompletableFuture<Commit> commit(PlanRecord plan, Map<String, JsonNode> values, List<JobView> awaited) {
+    private CompletableFuture<Commit> commit(PlanRecord plan, Map<String, JsonNode> values, List<JobStatus> awaited) {
         String uid = plan.spec().uid();
-        Txn txn = new Txn().require(PlanRecord.key(uid), 0);
+        Transaction txn = new Transaction().require(PlanRecord.key(uid), 0);
         values.forEach(txn::set);
-        Optional<JobView> cancelled = firstCancelled(awaited);
+        Optional<JobStatus> cancelled = firstCancelled(awaited);
         if (cancelled.isPresent()) {
             ObjectNode closed = Json.object()
                     .put("at_us", plan.admittedWallMicros())
@@ -205,11 +207,11 @@
         return store.commit(txn);
     }
 
-    private static Optional<JobView> firstCancelled(List<JobView> awaited) {
-        return awaited.stream().filter(JobView::cancelled).findFirst();
+    private static Optional<JobStatus> firstCancelled(List<JobStatus> awaited) {
+        return awaited.stream().filter(JobStatus::cancelled).findFirst();
     }
 
-    private CompletableFuture<Reply> stored(JobSpec spec, List<JobView> awaited, Commit commit, int tries) {
+    private CompletableFuture<HttpResponse> stored(JobSpec spec, List<JobStatus> awaited, Commit commit, int tries) {
         String uid = spec.uid();
         switch (commit.outcome()) {
             case OK -> {
@@ -217,7 +219,7 @@
                         admitted(spec, commit.ledger(), firstCancelled(awaited).isPresent()));
             }
             case REFUSED -> {
-                return done(Reply.later(503, "the state service does not take the job now", RETRY_SECONDS));
+                return done(HttpResponse.later(503, "the state service does not take the job now", RETRY_SECONDS));
             }
             case TOO_LARGE -> {
                 return unlessKnown(uid, tooLarge(spec));
@@ -230,14 +232,15 @@
                     return admit(spec, tries - 1);
                 }
                 // Known already, or the answer got lost: only the store can say which.
-                return unlessKnown(uid, Reply.later(503, "the job could not be stored for certain", RETRY_SECONDS));
+                return unlessKnown(
+                        uid, HttpResponse.later(503, "the job could not be stored for certain", RETRY_SECONDS));
             }
         }
     }
 
-    private Reply admitted(JobSpec spec, long planStamp, boolean cancelled) {
-        JobView planned = JobViewReader.planned(spec.uid(), planStamp, spec);
-        JobView view = cancelled ? planned.closedBy() : planned;
+    private HttpResponse admitted(JobSpec spec, long planStamp, boolean cancelled) {
+        JobStatus planned = JobStatusReader.planned(spec.uid(), planStamp, spec);
+        JobStatus view = cancelled ? planned.closedBy() : planned;
         views.remember(view);
         LOG.info(
                 "admitted {}: {} x {} cpus, {} of {}, rank {}{}",
@@ -249,7 +252,7 @@
                 spec.rank().wire(),
                 after(spec.awaits()));
         String stage = view.cancelled() ? "withdrawn" : "queued";
-        return Reply.of(201, Json.object().put("uid", spec.uid()).put("stage", stage));
+        return HttpResponse.of(201, Json.object().put("uid", spec.uid()).put("stage", stage));
     }
 
     private static String after(List<String> awaits) {
@@ -259,45 +262,45 @@
         return ", after " + (awaits.size() > MAX_LOGGED ? awaits.size() + " jobs" : String.join(", ", awaits));
     }
 
-    private static Reply tooLarge(JobSpec spec) {
+    private static HttpResponse tooLarge(JobSpec spec) {
         int names = spec.awaits().size();
         String awaits = names == 0 ? "" : "; it awaits " + names + " jobs, split them over several jobs";
-        return Reply.refusal(422, "the job's description is too large to be stored" + awaits);
+        return HttpResponse.refusal(422, "the job's description is too large to be stored" + awaits);
     }
 
     /** A job that was accepted is answered as such before anything else is held against the request. */
-    private CompletableFuture<Reply> unlessKnown(String uid, Reply otherwise) {
+    private CompletableFuture<HttpResponse> unlessKnown(String uid, HttpResponse otherwise) {
         return views.fresh(uid).thenApply(view -> {
             if (view == null) {
                 return cannotRead();
             }
-            return view.accepted() ? Reply.of(200, answer(view)) : otherwise;
+            return view.accepted() ? HttpResponse.of(200, answer(view)) : otherwise;
         });
     }
 
-    private CompletableFuture<Reply> cancel(String uid, int tries) {
+    private CompletableFuture<HttpResponse> cancel(String uid, int tries) {
         if (tries == 0) {
-            return done(Reply.later(503, "the job is changing too fast", RETRY_SECONDS));
+            return done(HttpResponse.later(503, "the job is changing too fast", RETRY_SECONDS));
         }
         return views.fresh(uid).thenCompose(view -> {
             if (view == null) {
                 return done(cannotRead());
             }
             if (!view.accepted()) {
-                return done(Reply.refusal(404, "no such job"));
+                return done(HttpResponse.refusal(404, "no such job"));
             }
             if (view.terminal()) {
-                return done(Reply.of(200, answer(view)));
+                return done(HttpResponse.of(200, answer(view)));
             }
             String key = CancellationRecord.key(uid);
             // Conditional on the record as read: done and cancelled exclude each other.
-            Txn txn = new Txn()
+            Transaction txn = new Transaction()
                     .require(key, 0)
                     .require(RunRecord.key(uid), view.runStamp())
                     .set(key, Json.object().put("at_us", loop.wallMicros()));
             return store.commit(txn).thenCompose(commit -> {
                 if (commit.outcome() == Outcome.OK) {
-                    JobView cancelled = new JobView(
+                    JobStatus cancelled = new JobStatus(
                             uid,
                             view.planStamp(),
                             view.tasks(),
@@ -309,7 +312,7 @@
                     views.remember(cancelled);
                     LOG.info("cancelled {}", uid);
                     onCancelled.accept(uid);
-                    return done(Reply.of(200, answer(cancelled)));
+                    return done(HttpResponse.of(200, answer(cancelled)));
                 }
                 if (commit.outcome() == Outcome.REFUSED) {
                     return done(cannotRead());
@@ -319,15 +322,15 @@
         });
     }
 
-    private ObjectNode answer(JobView view) {
+    private ObjectNode answer(JobStatus view) {
         return view.answer(view.terminal() ? null : live.of(view.uid()));
     }
 
-    private static Reply cannotRead() {
-        return Reply.later(503, "the state service can't be asked now", RETRY_SECONDS);
+    private static HttpResponse cannotRead() {
+        return HttpResponse.later(503, "the state service can't be asked now", RETRY_SECONDS);
     }
 
-    private static CompletableFuture<Reply> done(Reply reply) {
+    private static CompletableFuture<HttpResponse> done(HttpResponse reply) {
         return CompletableFuture.completedFuture(reply);
     }
 }
--- a/src/main/java/io/sillreel/admission/JobView.java
+++ b/src/main/java/io/sillreel/admission/JobStatus.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.http.Json;
-import io.sillreel.pipeline.LiveCounts;
+import io.sillreel.pipeline.LiveTaskCounts;
 import io.sillreel.pipeline.RunRecord;
 import java.util.List;
 
@@ -12,7 +12,7 @@
  * @param awaits the jobs that have to be done before this one
  * @param closed something that it awaits, directly or through others, is cancelled
  */
-record JobView(
+record JobStatus(
         String uid,
         long planStamp,
         int tasks,
@@ -21,8 +21,8 @@
         RunRecord.Head head,
         long cancellationStamp,
         boolean closed) {
-    static JobView unknown(String uid) {
-        return new JobView(uid, 0, 0, List.of(), 0, null, 0, false);
+    static JobStatus unknown(String uid) {
+        return new JobStatus(uid, 0, 0, List.of(), 0, null, 0, false);
     }
 
     boolean accepted() {
@@ -48,14 +48,14 @@
         return !awaits.isEmpty() && runStamp == 0 && !cancelled();
     }
 
-    JobView closedBy() {
-        return new JobView(uid, planStamp, tasks, awaits, runStamp, head, cancellationStamp, true);
+    JobStatus closedBy() {
+        return new JobStatus(uid, planStamp, tasks, awaits, runStamp, head, cancellationStamp, true);
     }
 
     /** What both know together; neither can be newer than the other in everything. */
-    JobView with(JobView old) {
+    JobStatus with(JobStatus old) {
         boolean runOlder = runStamp < old.runStamp();
-        return new JobView(
+        return new JobStatus(
                 uid,
                 Math.max(planStamp, old.planStamp()),
                 Math.max(tasks, old.tasks()),
@@ -67,7 +67,7 @@
     }
 
     /** The users' picture of the job; live counts, if there are any, are newer than the record's. */
-    ObjectNode answer(LiveCounts.Counts live) {
+    ObjectNode answer(LiveTaskCounts.Counts live) {
         ObjectNode node = Json.object().put("uid", uid);
         if (cancelled()) {
             return node.put("stage", "withdrawn")
--- a/src/main/java/io/sillreel/admission/JobViewReader.java
+++ b/src/main/java/io/sillreel/admission/JobStatusReader.java
@@ -21,19 +21,19 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
-/** Reads what is stored of jobs into the views that {@link JobViews} remembers. */
-final class JobViewReader {
+/** Reads what is stored of jobs into the views that {@link JobStatusService} remembers. */
+final class JobStatusReader {
     /** What a view of a job that awaits others takes from its plan, which never changes. */
     private record ChainPlan(long stamp, int tasks, List<String> awaits) {}
 
     private final StateStore store;
-    private final JobViews views;
+    private final JobStatusService views;
     private final int maxChainPlans;
     /** The reading of all plans that is under way; whoever asks meanwhile is answered from it. */
     private CompletableFuture<Optional<Map<String, ChainPlan>>> allPlans;
 
     /** @param maxChainPlans how many plans of jobs that await others may be held at once */
-    JobViewReader(StateStore store, JobViews views, int maxChainPlans) {
+    JobStatusReader(StateStore store, JobStatusService views, int maxChainPlans) {
         this.store = store;
         this.views = views;
         this.maxChainPlans = maxChainPlans;
@@ -100,7 +100,7 @@
     }
 
     private CompletableFuture<Boolean> read(String uid) {
-        CompletableFuture<Optional<JobView>> planned = readPlan(uid);
+        CompletableFuture<Optional<JobStatus>> planned = readPlan(uid);
         CompletableFuture<Read> run = store.get(RunRecord.key(uid));
         CompletableFuture<Read> cancel = store.get(CancellationRecord.key(uid));
         return CompletableFuture.allOf(planned, run, cancel).thenApply(ignored -> {
@@ -108,9 +108,9 @@
             if (planned.join().isEmpty() || !decided) {
                 return false;
             }
-            JobView view = planned.join().get();
+            JobStatus view = planned.join().get();
             Entry head = run.join().entry();
-            views.remember(new JobView(
+            views.remember(new JobStatus(
                     uid,
                     view.planStamp(),
                     view.tasks(),
@@ -124,8 +124,8 @@
     }
 
     /** What the plan says of a job, read unless it is remembered; empty if that can't be said. */
-    private CompletableFuture<Optional<JobView>> readPlan(String uid) {
-        JobView old = views.remembered(uid);
+    private CompletableFuture<Optional<JobStatus>> readPlan(String uid) {
+        JobStatus old = views.remembered(uid);
         if (old.accepted()) {
             return CompletableFuture.completedFuture(Optional.of(old));
         }
@@ -142,12 +142,12 @@
         });
     }
 
-    private static JobView planned(String uid, ChainPlan plan) {
-        return new JobView(uid, plan.stamp(), plan.tasks(), plan.awaits(), 0, null, 0, false);
+    private static JobStatus planned(String uid, ChainPlan plan) {
+        return new JobStatus(uid, plan.stamp(), plan.tasks(), plan.awaits(), 0, null, 0, false);
     }
 
     /** What is known of a job by its plan alone. */
-    static JobView planned(String uid, long planStamp, JobSpec spec) {
+    static JobStatus planned(String uid, long planStamp, JobSpec spec) {
         return planned(uid, new ChainPlan(planStamp, spec.tasks(), spec.awaits()));
     }
 }
--- a/src/main/java/io/sillreel/admission/JobViews.java
+++ b/src/main/java/io/sillreel/admission/JobStatusService.java
@@ -1,12 +1,12 @@
 package io.sillreel.admission;
 
-import io.sillreel.http.Loop;
+import io.sillreel.http.EventLoop;
 import io.sillreel.pipeline.CancellationRecord;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Txn;
+import io.sillreel.statestore.StateStore.Transaction;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -28,7 +28,7 @@
  * the same transaction confirms that none of the unfinished jobs that it needs, directly or through others, is
  * cancelled.
  */
-final class JobViews {
+final class JobStatusService {
     private static final long GATHER_MICROS = 4_000;
     /** What takes many transactions, as long chains do, is asked for the more questions together, the longer it is. */
     private static final long GATHER_PER_PART_MICROS = 40_000;
@@ -43,23 +43,23 @@
     /** A user who polls waits for 2 s. */
     private static final long GIVE_UP_MICROS = 1_900_000;
 
-    private record Question(String uid, long askedMicros, int rounds, CompletableFuture<JobView> answer) {
+    private record Question(String uid, long askedMicros, int rounds, CompletableFuture<JobStatus> answer) {
         Question again() {
             return new Question(uid, askedMicros, rounds + 1, answer);
         }
     }
 
     /** A question that is being confirmed: what was thought of its job, and the keys that this rests on. */
-    private record Compared(Question question, JobView view, Set<String> keys) {}
+    private record Compared(Question question, JobStatus view, Set<String> keys) {}
 
     private final StateStore store;
-    private final Loop loop;
+    private final EventLoop loop;
     private final int mostConditions;
-    private final JobViewReader reader;
+    private final JobStatusReader reader;
     /**
      * The views that were used last; one that is forgotten costs three reads, one that is kept a part of a comparison.
      */
-    private final Map<String, JobView> views;
+    private final Map<String, JobStatus> views;
 
     private final Deque<Question> questions = new ArrayDeque<>();
     private int batches;
@@ -67,38 +67,38 @@
     private long gatherMicros = GATHER_MICROS;
 
     /** @param maxRemembered how many views are kept */
-    JobViews(StateStore store, Loop loop, int txnOps, int maxRemembered) {
+    JobStatusService(StateStore store, EventLoop loop, int txnOps, int maxRemembered) {
         this.store = store;
         this.loop = loop;
         this.mostConditions = 4 * txnOps;
-        this.reader = new JobViewReader(store, this, MAX_CHAIN_PLANS_FACTOR * maxRemembered);
+        this.reader = new JobStatusReader(store, this, MAX_CHAIN_PLANS_FACTOR * maxRemembered);
         this.views = new LinkedHashMap<>(64, 0.75f, true) {
             private static final long serialVersionUID = 1L;
 
             @Override
-            protected boolean removeEldestEntry(Map.Entry<String, JobView> eldest) {
+            protected boolean removeEldestEntry(Map.Entry<String, JobStatus> eldest) {
                 return size() > maxRemembered;
             }
         };
     }
 
-    synchronized JobView remembered(String uid) {
-        JobView view = views.get(uid);
-        return view == null ? JobView.unknown(uid) : view;
+    synchronized JobStatus remembered(String uid) {
+        JobStatus view = views.get(uid);
+        return view == null ? JobStatus.unknown(uid) : view;
     }
 
     /** Remembers a view unless what is remembered is newer. */
-    synchronized void remember(JobView view) {
-        JobView merged = view.with(remembered(view.uid()));
+    synchronized void remember(JobStatus view) {
+        JobStatus merged = view.with(remembered(view.uid()));
         if (merged.accepted()) {
             views.put(view.uid(), merged);
         }
     }
 
     /** A view read after this call, or a terminal one; null if the store could not be asked. */
-    CompletableFuture<JobView> fresh(String uid) {
+    CompletableFuture<JobStatus> fresh(String uid) {
         synchronized (this) {
-            JobView view = remembered(uid);
+            JobStatus view = remembered(uid);
             if (view.terminal()) {
                 return CompletableFuture.completedFuture(view);
             }
@@ -106,14 +106,14 @@
                 return CompletableFuture.completedFuture(null);
             }
         }
-        CompletableFuture<JobView> answer = new CompletableFuture<>();
+        CompletableFuture<JobStatus> answer = new CompletableFuture<>();
         ask(new Question(uid, loop.nowMicros(), 0, answer));
         return answer;
     }
 
     /** Views of several jobs, in their order; null for each that the store could not be asked about. */
-    CompletableFuture<List<JobView>> fresh(Collection<String> uids) {
-        List<CompletableFuture<JobView>> each = new ArrayList<>();
+    CompletableFuture<List<JobStatus>> fresh(Collection<String> uids) {
+        List<CompletableFuture<JobStatus>> each = new ArrayList<>();
         uids.forEach(uid -> each.add(fresh(uid)));
         return CompletableFuture.allOf(each.toArray(CompletableFuture[]::new))
                 .thenApply(all -> each.stream().map(CompletableFuture::join).toList());
@@ -148,7 +148,7 @@
             gathering = false;
             while (!questions.isEmpty() && batch.size() < MAX_PER_BATCH) {
                 Question question = questions.peek();
-                JobView view = remembered(question.uid());
+                JobStatus view = remembered(question.uid());
                 Map<String, Long> own = own(view);
                 Set<String> unknown = new LinkedHashSet<>();
                 if (view.awaitsOthers() && !addAwaited(view, own, unknown)) {
@@ -196,7 +196,7 @@
         loop.after(gatherMicros > GATHER_MICROS ? gatherMicros : 0, this::ask);
     }
 
-    private static Map<String, Long> own(JobView view) {
+    private static Map<String, Long> own(JobStatus view) {
         Map<String, Long> own = new LinkedHashMap<>();
         if (!view.accepted()) {
             own.put(PlanRecord.key(view.uid()), 0L);
@@ -210,11 +210,11 @@
      * Adds the absence of cancellations of all unfinished jobs that this one needs; false if one of them is known to be
      * cancelled. Who has been released needs nobody any more, and who is done can't be cancelled.
      */
-    private boolean addAwaited(JobView view, Map<String, Long> conditions, Set<String> unknown) {
+    private boolean addAwaited(JobStatus view, Map<String, Long> conditions, Set<String> unknown) {
         Deque<String> open = new ArrayDeque<>(view.awaits());
         Set<String> seen = new HashSet<>(open);
         while (!open.isEmpty()) {
-            JobView awaited = remembered(open.poll());
+            JobStatus awaited = remembered(open.poll());
             if (!awaited.accepted()) {
                 unknown.add(awaited.uid());
             } else if (awaited.cancelled()) {
@@ -232,12 +232,12 @@
     /** Compares in as many transactions as it takes: a cancellation is for ever, so they need not be one moment's. */
     private CompletableFuture<StateStore.Commit> compare(Map<String, Long> conditions) {
         List<CompletableFuture<StateStore.Commit>> parts = new ArrayList<>();
-        Txn txn = new Txn();
+        Transaction txn = new Transaction();
         int size = 0;
         for (Map.Entry<String, Long> condition : conditions.entrySet()) {
             if (size == mostConditions) {
                 parts.add(store.commit(txn));
-                txn = new Txn();
+                txn = new Transaction();
                 size = 0;
             }
             txn.require(condition.getKey(), condition.getValue());
@@ -292,7 +292,7 @@
 
     /** Answers with what has just been read, if that was of the job itself and is all there is to know. */
     private void answerFrom(Question question, boolean read, boolean ofItself) {
-        JobView view = remembered(question.uid());
+        JobStatus view = remembered(question.uid());
         if (!read) {
             question.answer().complete(null);
         } else if (ofItself && !view.awaitsOthers()) {
--- a/src/main/java/io/sillreel/admission/JobReader.java
+++ b/src/main/java/io/sillreel/admission/SubmissionDecoder.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.sillreel.cloud.MachineType;
 import io.sillreel.pipeline.JobSpec;
-import io.sillreel.pipeline.Rank;
+import io.sillreel.pipeline.PriorityClass;
 import io.sillreel.settings.Settings.Team;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -13,7 +13,7 @@
 import java.util.regex.Pattern;
 
 /** Reads a submission and judges it. */
-public final class JobReader {
+public final class SubmissionDecoder {
     private static final Pattern UID = Pattern.compile("job-[0-9]{1,18}");
     private static final int MAX_TASKS = 100_000;
     private static final int LONGEST_TEXT = 200;
@@ -29,7 +29,7 @@
         }
     }
 
-    private JobReader() {}
+    private SubmissionDecoder() {}
 
     static boolean isUid(String text) {
         return UID.matcher(text).matches();
@@ -43,7 +43,8 @@
         if (!"sweep".equals(text(body, "form"))) {
             throw new Malformed("form: only sweep is known");
         }
-        Rank rank = Rank.of(text(body, "rank")).orElseThrow(() -> new Malformed("rank: is not a known rank"));
+        PriorityClass rank =
+                PriorityClass.of(text(body, "rank")).orElseThrow(() -> new Malformed("rank: is not a known rank"));
         JsonNode tasks = field(body, "pieces");
         if (!tasks.isIntegralNumber() || !tasks.canConvertToInt() || tasks.asInt() < 1 || tasks.asInt() > MAX_TASKS) {
             throw new Malformed("pieces: is not a whole number from 1 to " + MAX_TASKS);
--- a/src/main/java/io/sillreel/agent/Commands.java
+++ b/src/main/java/io/sillreel/agent/AgentCommands.java
@@ -2,11 +2,11 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Reply;
 
 /** Commands to one worker, in the order in which it is to carry them out. */
-public final class Commands {
+public final class AgentCommands {
     /** Keeps a response far below the longest line that a worker reads. */
     static final int MAX_COMMANDS = 400;
 
@@ -39,8 +39,8 @@
         return body;
     }
 
-    public Reply reply(long token) {
-        return Reply.of(200, body(token));
+    public HttpResponse reply(long token) {
+        return HttpResponse.of(200, body(token));
     }
 
     private ObjectNode add(String verb, String uid, int index, long attempt) {
--- a/src/main/java/io/sillreel/agent/Report.java
+++ b/src/main/java/io/sillreel/agent/Heartbeat.java
@@ -8,7 +8,7 @@
 import java.util.List;
 
 /** A worker's report. {@code recallMicros} is negative without a spot notice. */
-public record Report(
+public record Heartbeat(
         String machine,
         String address,
         String build,
@@ -18,13 +18,13 @@
         long sequence,
         long token,
         long recallMicros,
-        List<TaskState> tasks) {
+        List<TaskStatus> tasks) {
 
     /** A worker waits so long for the answer to a report. */
     public static final long ANSWER_WAIT_MICROS = 4_000_000;
 
     /** The state of a task on its machine; the order is part of the message format between controllers. */
-    public enum Stage {
+    public enum TaskStage {
         PULLING,
         RUNNING,
         FLUSHING,
@@ -32,12 +32,12 @@
     }
 
     /** One task on the machine; the cause is empty unless it has ended. */
-    public record TaskState(String uid, int index, long attempt, Stage stage, String cause) {}
+    public record TaskStatus(String uid, int index, long attempt, TaskStage stage, String cause) {}
 
     /**
      * Reads a report, or returns null if it is none. Read as a stream: reports are most of what a controller is sent.
      */
-    public static Report read(byte[] body) {
+    public static Heartbeat read(byte[] body) {
         try (JsonParser in = Json.parser(body)) {
             return in.nextToken() == JsonToken.START_OBJECT ? read(in) : null;
         } catch (IOException | NumberFormatException e) {
@@ -45,7 +45,7 @@
         }
     }
 
-    private static Report read(JsonParser in) throws IOException {
+    private static Heartbeat read(JsonParser in) throws IOException {
         String machine = "";
         String address = "";
         String build = "";
@@ -55,7 +55,7 @@
         long sequence = 0;
         long token = 0;
         long recallMicros = -1;
-        List<TaskState> tasks = List.of();
+        List<TaskStatus> tasks = List.of();
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String field = in.currentName();
             JsonToken value = in.nextToken();
@@ -79,11 +79,11 @@
         }
         return machine.isEmpty()
                 ? null
-                : new Report(machine, address, build, zone, spot, session, sequence, token, recallMicros, tasks);
+                : new Heartbeat(machine, address, build, zone, spot, session, sequence, token, recallMicros, tasks);
     }
 
-    private static List<TaskState> tasks(JsonParser in) throws IOException {
-        List<TaskState> tasks = new ArrayList<>();
+    private static List<TaskStatus> tasks(JsonParser in) throws IOException {
+        List<TaskStatus> tasks = new ArrayList<>();
         while (in.nextToken() == JsonToken.START_OBJECT) {
             String task = "";
             long attempt = 0;
@@ -102,13 +102,13 @@
             }
             int slash = task.lastIndexOf('/');
             if (slash >= 0) {
-                Stage known = switch (stage) {
-                    case "pulling" -> Stage.PULLING;
-                    case "flushing" -> Stage.FLUSHING;
-                    case "ended" -> Stage.ENDED;
-                    default -> Stage.RUNNING;
+                TaskStage known = switch (stage) {
+                    case "pulling" -> TaskStage.PULLING;
+                    case "flushing" -> TaskStage.FLUSHING;
+                    case "ended" -> TaskStage.ENDED;
+                    default -> TaskStage.RUNNING;
                 };
-                tasks.add(new TaskState(
+                tasks.add(new TaskStatus(
                         task.substring(0, slash), Integer.parseInt(task.substring(slash + 1)), attempt, known, cause));
             }
         }
--- a/src/main/java/io/sillreel/cli/Rehearsal.java
+++ b/src/main/java/io/sillreel/cli/ArchiveTrainingRun.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.netty.channel.EventLoopGroup;
-import io.sillreel.http.HttpServer;
 import io.sillreel.http.Json;
+import io.sillreel.http.NettyHttpServer;
 import io.sillreel.settings.OperatorProperties;
 import io.sillreel.settings.SettingsReader;
 import java.io.IOException;
@@ -30,7 +30,7 @@
  * Plays a lease leader and a follower for some seconds, from a submission to its end, so that the build can archive the
  * classes which that loads. At a small share of a core a takeover would else spend its first seconds on loading them.
  */
-final class Rehearsal {
+final class ArchiveTrainingRun {
     private static final int MIN_ROUNDS = 12;
     /** Rounds after which the rehearsal gives up waiting for what a very busy machine has not done by then. */
     private static final int MAX_ROUNDS = 100;
@@ -54,7 +54,7 @@
 
     private static int portsTaken;
 
-    private Rehearsal() {}
+    private ArchiveTrainingRun() {}
 
     static void run() throws IOException, InterruptedException {
         loadOwnClasses();
@@ -69,8 +69,8 @@
             String settings = settings(i, publicPorts[i], internalPorts[i], internalPorts[1 - i], stagePort);
             daemons[i] = Main.run(SettingsReader.parse(settings), OperatorProperties.defaults());
             if (i == 0) {
-                new HttpServer(daemons[0], HttpServer.MAX_BODY_BYTES, 100)
-                        .listen(new InetSocketAddress("127.0.0.1", stagePort), new RehearsalStage()::handle);
+                new NettyHttpServer(daemons[0], NettyHttpServer.MAX_BODY_BYTES, 100)
+                        .listen(new InetSocketAddress("127.0.0.1", stagePort), new TrainingServices()::handle);
             }
         }
         Thread.sleep(1_500);
@@ -107,7 +107,7 @@
      * those would lack one now and then.
      */
     private static void loadOwnClasses() throws IOException {
-        Path jar = Path.of(Rehearsal.class
+        Path jar = Path.of(ArchiveTrainingRun.class
                 .getProtectionDomain()
                 .getCodeSource()
                 .getLocation()
@@ -117,7 +117,7 @@
                 String name = entry.getName();
                 if (name.endsWith(CLASS_SUFFIX)) {
                     String className = name.substring(0, name.length() - CLASS_SUFFIX.length());
-                    Class.forName(className.replace('/', '.'), false, Rehearsal.class.getClassLoader());
+                    Class.forName(className.replace('/', '.'), false, ArchiveTrainingRun.class.getClassLoader());
                 }
             }
         } catch (ClassNotFoundException e) {
--- a/src/main/java/io/sillreel/cli/Main.java
+++ b/src/main/java/io/sillreel/cli/Main.java
@@ -5,9 +5,9 @@
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.util.concurrent.DefaultThreadFactory;
 import io.sillreel.Controller;
-import io.sillreel.http.HttpClient;
-import io.sillreel.http.HttpServer;
-import io.sillreel.http.NettyLoop;
+import io.sillreel.http.NettyEventLoop;
+import io.sillreel.http.NettyHttpClient;
+import io.sillreel.http.NettyHttpServer;
 import io.sillreel.limits.FleetCapacity;
 import io.sillreel.limits.ProcessLimits;
 import io.sillreel.settings.OperatorProperties;
@@ -123,7 +123,7 @@
     public Integer call() throws Exception {
         if (rehearse) {
             try {
-                Rehearsal.run();
+                ArchiveTrainingRun.run();
             } catch (IOException e) {
                 // The archive then lacks some classes, which makes starts slower and nothing else.
                 System.err.println("sillreel: the rehearsal ended early (" + e.getMessage() + ")");
@@ -177,18 +177,18 @@
         ProcessLimits limits = limits(settings);
         EventLoopGroup group =
                 new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop"), NioIoHandler.newFactory());
-        NettyLoop loop = new NettyLoop(group.next());
-        HttpClient client = new HttpClient(group.next(), CONNECTIONS_PER_ADDRESS, limits.maxAnswerBytes());
-        HttpClient leaseClient = new HttpClient(group.next(), LEASE_CONNECTIONS, limits.maxAnswerBytes());
+        NettyEventLoop loop = new NettyEventLoop(group.next());
+        NettyHttpClient client = new NettyHttpClient(group.next(), CONNECTIONS_PER_ADDRESS, limits.maxAnswerBytes());
+        NettyHttpClient leaseClient = new NettyHttpClient(group.next(), LEASE_CONNECTIONS, limits.maxAnswerBytes());
         Controller controller = new Controller(loop, client, leaseClient, settings, operator, limits);
-        HttpServer users = new HttpServer(
+        NettyHttpServer users = new NettyHttpServer(
                 group,
-                HttpServer.MAX_BODY_BYTES,
+                NettyHttpServer.MAX_BODY_BYTES,
                 limits.publicConnections(),
                 Controller::line,
                 controller.requestQueue(),
                 limits.workerConnections());
-        new HttpServer(group, MAX_BATCH_BYTES, limits.internalConnections())
+        new NettyHttpServer(group, MAX_BATCH_BYTES, limits.internalConnections())
                 .listen(settings.internalAddress(), controller::internalCall);
         loop.execute(() -> controller.start(() -> users.bind(settings.publicAddress(), controller::publicCall)
                 .addListener(bound -> {
--- a/src/main/java/io/sillreel/cli/RehearsalStage.java
+++ b/src/main/java/io/sillreel/cli/TrainingServices.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Call;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Reply;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
@@ -15,15 +15,15 @@
  * What a rehearsal plays before: a state service that says yes to everything and a cloud with one machine. It serves to
  * load the classes that a lease leader needs, and checks nothing.
  */
-final class RehearsalStage {
-    private record Watcher(String prefix, long since, CompletableFuture<Reply> answer) {}
+final class TrainingServices {
+    private record Watcher(String prefix, long since, CompletableFuture<HttpResponse> answer) {}
 
     private final TreeMap<String, ObjectNode> keys = new TreeMap<>();
     private final List<ObjectNode> changes = new ArrayList<>();
     private final List<Watcher> watchers = new ArrayList<>();
     private long ledger = 1;
 
-    synchronized CompletableFuture<Reply> handle(Call call) {
+    synchronized CompletableFuture<HttpResponse> handle(HttpRequest call) {
         String route = call.route();
         if (route.equals("/watch")) {
             Watcher watcher =
@@ -36,14 +36,14 @@
                 switch (route) {
                     case "/txn" -> commit(Json.parse(call.body()));
                     case "/kv" -> list(call.query("prefix"));
-                    case "/grants" -> Reply.of(200, Json.object().put("permit", 1));
-                    case "/flavors" -> Reply.of(200, machineTypes());
-                    case "/machines" -> Reply.of(200, machines());
-                    default -> route.startsWith("/kv/") ? get(route.substring(4)) : Reply.of(200, Json.object());
+                    case "/grants" -> HttpResponse.of(200, Json.object().put("permit", 1));
+                    case "/flavors" -> HttpResponse.of(200, machineTypes());
+                    case "/machines" -> HttpResponse.of(200, machines());
+                    default -> route.startsWith("/kv/") ? get(route.substring(4)) : HttpResponse.of(200, Json.object());
                 });
     }
 
-    private Reply commit(JsonNode body) {
+    private HttpResponse commit(JsonNode body) {
         ledger++;
         for (JsonNode change : body.path("then")) {
             if (change.has("set")) {
@@ -53,7 +53,7 @@
             }
         }
         wake();
-        return Reply.of(200, Json.object().put("ledger", ledger));
+        return HttpResponse.of(200, Json.object().put("ledger", ledger));
     }
 
     private void wake() {
@@ -67,20 +67,20 @@
             }
             ObjectNode body = Json.object().put("ledger", ledger);
             body.set("news", result);
-            return !result.isEmpty() && watcher.answer().complete(Reply.of(200, body));
+            return !result.isEmpty() && watcher.answer().complete(HttpResponse.of(200, body));
         });
     }
 
-    private Reply list(String prefix) {
+    private HttpResponse list(String prefix) {
         ObjectNode body = Json.object().put("truncated", false).put("ledger", ledger);
         ArrayNode entries = body.putArray("entries");
         keys.subMap(prefix, prefix + Character.MAX_VALUE).values().forEach(entries::add);
-        return Reply.of(200, body);
+        return HttpResponse.of(200, body);
     }
 
-    private Reply get(String key) {
+    private HttpResponse get(String key) {
         ObjectNode entry = keys.get(key);
-        return entry == null ? Reply.of(404, Json.object().put("ledger", ledger)) : Reply.of(200, entry);
+        return entry == null ? HttpResponse.of(404, Json.object().put("ledger", ledger)) : HttpResponse.of(200, entry);
     }
 
     private static ObjectNode machineTypes() {
--- a/src/main/java/io/sillreel/cloud/CloudClient.java
+++ b/src/main/java/io/sillreel/cloud/CloudClient.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Call;
-import io.sillreel.http.Caller;
+import io.sillreel.http.EventLoop;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Loop;
-import io.sillreel.http.Reply;
-import io.sillreel.overload.Pacer;
+import io.sillreel.overload.RateLimiter;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -55,13 +55,13 @@
     /** The most machines that one request may rent. */
     public static final int MAX_RENTED = 50;
 
-    private final Caller caller;
-    private final Loop loop;
+    private final HttpClient caller;
+    private final EventLoop loop;
     private final String address;
-    private final Pacer pacer;
+    private final RateLimiter pacer;
 
     /** @param pacer keeps this controller below its part of the shared request rate */
-    public CloudClient(Caller caller, Loop loop, String address, Pacer pacer) {
+    public CloudClient(HttpClient caller, EventLoop loop, String address, RateLimiter pacer) {
         this.caller = caller;
         this.loop = loop;
         this.address = address;
@@ -69,7 +69,7 @@
     }
 
     public CompletableFuture<MachineTypeList> machineTypes() {
-        return send(Call.get("/flavors")).thenApply(reply -> new MachineTypeList(outcome(reply), reply.json()));
+        return send(HttpRequest.get("/flavors")).thenApply(reply -> new MachineTypeList(outcome(reply), reply.json()));
     }
 
     /** Rents up to {@code count} machines under a request name that is never used for anything else. */
@@ -80,7 +80,7 @@
                 .put("yard", zone)
                 .put("loaners", spot)
                 .put("count", count);
-        return send(Call.post("/machines", body)).thenApply(reply -> {
+        return send(HttpRequest.post("/machines", body)).thenApply(reply -> {
             List<String> names = new ArrayList<>();
             reply.json().path("hoppers").forEach(name -> names.add(name.asText()));
             boolean full =
@@ -95,7 +95,7 @@
         machines.stream().limit(MAX_RETURNED).forEach(names::add);
         ObjectNode body = Json.object();
         body.set("hoppers", names);
-        return send(Call.post("/machines/return", body)).thenApply(this::outcome);
+        return send(HttpRequest.post("/machines/return", body)).thenApply(this::outcome);
     }
 
     /**
@@ -123,8 +123,8 @@
             this.pageDueMicros = askedMicros;
         }
 
-        Call call() {
-            return Call.get("/machines?limit=" + PAGE + (since.isEmpty() ? "" : "&since=" + since));
+        HttpRequest call() {
+            return HttpRequest.get("/machines?limit=" + PAGE + (since.isEmpty() ? "" : "&since=" + since));
         }
 
         void finish(Outcome outcome) {
@@ -174,14 +174,14 @@
                 Math.round(node.path("age_s").asDouble() * 1_000_000));
     }
 
-    private CompletableFuture<Reply> send(Call call) {
+    private CompletableFuture<HttpResponse> send(HttpRequest call) {
         if (!pacer.tryTake(1)) {
-            return CompletableFuture.completedFuture(Reply.later(429, "paced", 1));
+            return CompletableFuture.completedFuture(HttpResponse.later(429, "paced", 1));
         }
         return caller.call(address, call, TIMEOUT_MICROS);
     }
 
-    private Outcome outcome(Reply reply) {
+    private Outcome outcome(HttpResponse reply) {
         if (reply.ok()) {
             return Outcome.OK;
         }
--- a/src/main/java/io/sillreel/cloud/MachineTypeCatalog.java
+++ b/src/main/java/io/sillreel/cloud/MachineTypeCatalog.java
@@ -1,11 +1,11 @@
 package io.sillreel.cloud;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import io.sillreel.http.EventLoop;
 import io.sillreel.http.Json;
-import io.sillreel.http.Loop;
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Txn;
+import io.sillreel.statestore.StateStore.Transaction;
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 import org.slf4j.Logger;
@@ -23,12 +23,12 @@
 
     private final StateStore store;
     private final CloudClient cloud;
-    private final Loop loop;
+    private final EventLoop loop;
     private final BooleanSupplier holdsLease;
     private volatile Map<String, MachineType> types = Map.of();
 
     /** @param holdsLease true while this controller may update the stored machine types */
-    public MachineTypeCatalog(StateStore store, CloudClient cloud, Loop loop, BooleanSupplier holdsLease) {
+    public MachineTypeCatalog(StateStore store, CloudClient cloud, EventLoop loop, BooleanSupplier holdsLease) {
         this.store = store;
         this.cloud = cloud;
         this.loop = loop;
@@ -60,7 +60,7 @@
             }
             learn(answer.body());
             if (storable) {
-                store.commit(new Txn().require(KEY, stamp).set(KEY, answer.body()))
+                store.commit(new Transaction().require(KEY, stamp).set(KEY, answer.body()))
                         .thenAccept(commit -> {
                             if (commit.outcome() == Outcome.TOO_LARGE) {
                                 LOG.error(
--- a/src/main/java/io/sillreel/cluster/Allocation.java
+++ b/src/main/java/io/sillreel/cluster/Allocation.java
@@ -1,6 +1,6 @@
 package io.sillreel.cluster;
 
-import io.sillreel.agent.Report.Stage;
+import io.sillreel.agent.Heartbeat.TaskStage;
 import io.sillreel.pipeline.ActiveJob;
 
 /** A task that is, or may be, on a machine. */
@@ -11,14 +11,14 @@
     private final long attempt;
     private final long launchSequence;
     private Machine machine;
-    private Stage stage;
+    private TaskStage stage;
     private long runningSinceMicros = -1;
     private boolean holding;
     private boolean halting;
     private long haltWindDownMicros;
     private long reapSequence;
 
-    private Allocation(ActiveJob job, String uid, int index, long attempt, long launchSequence, Stage stage) {
+    private Allocation(ActiveJob job, String uid, int index, long attempt, long launchSequence, TaskStage stage) {
         this.job = job;
         this.uid = uid;
         this.index = index;
@@ -33,7 +33,7 @@
     }
 
     /** A task found in a report, alive or not. The job is null if it isn't driven any more. */
-    public static Allocation found(ActiveJob job, String uid, int index, long attempt, Stage stage) {
+    public static Allocation found(ActiveJob job, String uid, int index, long attempt, TaskStage stage) {
         return new Allocation(job, uid, index, attempt, 0, stage);
     }
 
@@ -89,13 +89,13 @@
         return stage == null;
     }
 
-    public Stage stage() {
+    public TaskStage stage() {
         return stage;
     }
 
     /** Takes note of the state in which a report shows the task. */
-    public void seen(Stage newStage, long nowMicros) {
-        if (newStage == Stage.RUNNING && runningSinceMicros < 0) {
+    public void seen(TaskStage newStage, long nowMicros) {
+        if (newStage == TaskStage.RUNNING && runningSinceMicros < 0) {
             runningSinceMicros = nowMicros;
         }
         stage = newStage;
@@ -110,7 +110,7 @@
     }
 
     public boolean ended() {
-        return stage == Stage.ENDED;
+        return stage == TaskStage.ENDED;
     }
 
     public void halt(long windDownMicros) {
--- a/src/main/java/io/sillreel/cluster/AllocationIndex.java
+++ b/src/main/java/io/sillreel/cluster/AllocationIndex.java
@@ -9,7 +9,7 @@
 /** Where each job's live tasks are and what they take of their teams' limits, kept as tasks come and go. */
 public final class AllocationIndex {
     private final Map<ActiveJob, Set<Allocation>> byJob = new HashMap<>();
-    private final TeamUse use = new TeamUse();
+    private final QuotaUsage use = new QuotaUsage();
 
     void placed(Allocation allocation) {
         byJob.computeIfAbsent(allocation.job(), job -> new LinkedHashSet<>()).add(allocation);
@@ -31,7 +31,7 @@
     }
 
     /** What all live tasks take; to be copied before it is changed. */
-    public TeamUse use() {
+    public QuotaUsage use() {
         return use;
     }
 }
--- a/src/main/java/io/sillreel/cluster/Cluster.java
+++ b/src/main/java/io/sillreel/cluster/Cluster.java
@@ -17,7 +17,7 @@
     private final Map<String, ActiveJob> jobs = new LinkedHashMap<>();
     private final Map<String, Machine> machines = new LinkedHashMap<>();
     private final AllocationIndex book = new AllocationIndex();
-    private final UnheardMachines unheard = new UnheardMachines();
+    private final UnreconciledMachines unheard = new UnreconciledMachines();
 
     private long work;
 
@@ -102,8 +102,8 @@
     }
 
     /** What each team's tasks take; tasks count until they are certainly gone. To be changed freely by the caller. */
-    public TeamUse usage() {
-        TeamUse usage = book.use().copy();
+    public QuotaUsage usage() {
+        QuotaUsage usage = book.use().copy();
         if (!unheard.isEmpty()) {
             addWorstCase(usage);
         }
@@ -111,8 +111,8 @@
     }
 
     /** An earlier leader's tasks on machines not heard of yet count as if they were all there. */
-    private void addWorstCase(TeamUse usage) {
-        TeamUse hidden = new TeamUse();
+    private void addWorstCase(QuotaUsage usage) {
+        QuotaUsage hidden = new QuotaUsage();
         for (ActiveJob job : jobs.values()) {
             if (job.inherited()) {
                 hidden.take(job.spec(), job.waitingCount());
@@ -122,12 +122,12 @@
     }
 
     /** How many more tasks of the job its team's limit allows. */
-    public int headroom(JobSpec spec, TeamUse usage) {
+    public int headroom(JobSpec spec, QuotaUsage usage) {
         Team team = teams.get(spec.team());
         if (team == null) {
             return 0;
         }
-        TeamUse.Amount used = usage.of(spec.team());
+        QuotaUsage.Amount used = usage.of(spec.team());
         return Math.min(
                 left(team.cpusMax(), used.cpus(), spec.cpus()), left(team.gpusMax(), used.cards(), spec.cards()));
     }
@@ -136,7 +136,7 @@
         if (most <= 0 || each <= 0) {
             return Integer.MAX_VALUE;
         }
-        return (int) Math.max(0, (TeamUse.milli(most) - used) / TeamUse.milli(each));
+        return (int) Math.max(0, (QuotaUsage.milli(most) - used) / QuotaUsage.milli(each));
     }
 
     /** True if the job's tasks may be launched at all now. */
--- a/src/main/java/io/sillreel/cluster/MessageOrder.java
+++ b/src/main/java/io/sillreel/cluster/HeartbeatOrder.java
@@ -1,12 +1,12 @@
 package io.sillreel.cluster;
 
-import io.sillreel.agent.Report;
+import io.sillreel.agent.Heartbeat;
 
 /**
  * The order of a worker's messages, by session and sequence. What is not newer than what was seen says nothing; reports
  * that count anew hint at a machine that has started again.
  */
-public final class MessageOrder {
+public final class HeartbeatOrder {
     private static final int STALE_BEFORE_ASKING = 3;
 
     private long session;
@@ -26,17 +26,17 @@
     }
 
     /** True if the message is newer than all that were seen, and its session is not known to be over. */
-    boolean isNew(Report report) {
+    boolean isNew(Heartbeat report) {
         return report.newerThan(session, sequence) && report.session() > endedSession;
     }
 
     /** True if the worker's session before this message has ended. */
-    boolean startsSession(Report report) {
+    boolean startsSession(Heartbeat report) {
         return session > 0 && report.session() > session;
     }
 
     /** The message is the newest one from now on. */
-    void advance(Report report, boolean direct, long nowMicros) {
+    void advance(Heartbeat report, boolean direct, long nowMicros) {
         session = report.session();
         sequence = report.sequence();
         directMicros = direct ? nowMicros : Long.MIN_VALUE;
@@ -52,7 +52,7 @@
      * True if this is the report that the answer to a direct command has just overtaken: the worker waits for its
      * answer.
      */
-    public boolean overtaken(Report report, long withinMicros, long nowMicros) {
+    public boolean overtaken(Heartbeat report, long withinMicros, long nowMicros) {
         return report.session() == session
                 && report.sequence() == sequence - 1
                 && session > endedSession
@@ -64,7 +64,7 @@
      * Counts reports that are older than what was seen; true once several have come whose numbers rise: copies of old
      * ones do that too, but so does a machine that is back and counts anew.
      */
-    public boolean countsAnew(Report report) {
+    public boolean countsAnew(Heartbeat report) {
         if (staleCount == 0 || report.newerThan(staleSession, staleSequence)) {
             staleSession = report.session();
             staleSequence = report.sequence();
--- a/src/main/java/io/sillreel/cluster/Machine.java
+++ b/src/main/java/io/sillreel/cluster/Machine.java
@@ -1,6 +1,6 @@
 package io.sillreel.cluster;
 
-import io.sillreel.agent.Report;
+import io.sillreel.agent.Heartbeat;
 import io.sillreel.cloud.MachineType;
 import io.sillreel.cluster.ImageCache.Image;
 import io.sillreel.pipeline.JobSpec;
@@ -31,15 +31,15 @@
     private final MachineType type;
     private final String zone;
     private final boolean spot;
-    private final Rental rental;
+    private final ScaleOutRequest rental;
     private final long rentedMicros;
     private final AllocationIndex book;
     private final Map<String, Allocation> allocations = new LinkedHashMap<>();
     private final ImageCache images;
-    private final MessageOrder messages = new MessageOrder();
+    private final HeartbeatOrder messages = new HeartbeatOrder();
     private final Responsiveness responsiveness = new Responsiveness();
-    private final MachineFaults faults = new MachineFaults();
-    private final ResourceUse use;
+    private final MachineHealth faults = new MachineHealth();
+    private final ResourceUsage use;
 
     private State state = State.RENTED;
     private String address;
@@ -63,7 +63,7 @@
             MachineType type,
             String zone,
             boolean spot,
-            Rental rental,
+            ScaleOutRequest rental,
             long rentedMicros,
             AllocationIndex book) {
         this.name = name;
@@ -75,7 +75,7 @@
         this.idleSinceMicros = rentedMicros;
         this.book = book;
         this.images = new ImageCache(type.cacheGb());
-        this.use = new ResourceUse(allocations.values());
+        this.use = new ResourceUsage(allocations.values());
     }
 
     AllocationIndex book() {
@@ -98,7 +98,7 @@
         return spot;
     }
 
-    public Rental rental() {
+    public ScaleOutRequest rental() {
         return rental;
     }
 
@@ -140,7 +140,7 @@
     }
 
     /** The order of its messages, and which of them is the newest. */
-    public MessageOrder messages() {
+    public HeartbeatOrder messages() {
         return messages;
     }
 
@@ -150,7 +150,7 @@
     }
 
     /** Whether it fails what it starts, or takes longer than others. */
-    public MachineFaults faults() {
+    public MachineHealth faults() {
         return faults;
     }
 
@@ -158,7 +158,7 @@
      * Takes the report's numbers; false if a newer message was seen already, or if the session that it tells of is
      * over: a report held back by the network, or a copy of one, shows tasks that have died since.
      */
-    public boolean advance(Report report, boolean direct, long nowMicros) {
+    public boolean advance(Heartbeat report, boolean direct, long nowMicros) {
         if (!messages.isNew(report)) {
             return false;
         }
--- a/src/main/java/io/sillreel/cluster/MachineFaults.java
+++ b/src/main/java/io/sillreel/cluster/MachineHealth.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 
 /** What speaks against a machine: jobs whose tasks it failed, and jobs whose tasks took much longer than elsewhere. */
-public final class MachineFaults {
+public final class MachineHealth {
     /** A task that takes so many times what is expected of it hints at a slow machine, or at a wrong estimate. */
     public static final double SLOW_RATIO = 2.5;
 
--- a/src/main/java/io/sillreel/cluster/TeamUse.java
+++ b/src/main/java/io/sillreel/cluster/QuotaUsage.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** What each team's live tasks take, in thousandths; kept as tasks come and go, so that nobody has to add it up. */
-public final class TeamUse {
+public final class QuotaUsage {
     private static final long MILLI = 1_000;
 
     /** Processors and cards. */
@@ -50,14 +50,14 @@
     }
 
     /** Returns an independent copy. */
-    public TeamUse copy() {
-        TeamUse copy = new TeamUse();
+    public QuotaUsage copy() {
+        QuotaUsage copy = new QuotaUsage();
         teams.forEach((team, amount) -> copy.teams.put(team, new Amount(amount)));
         return copy;
     }
 
     /** Adds what the hidden tasks of each team may take, as far as it fits into the given room. */
-    public void addHidden(TeamUse hidden, double mostCpus, double mostCards) {
+    public void addHidden(QuotaUsage hidden, double mostCpus, double mostCards) {
         hidden.teams.forEach((team, most) ->
                 teams.computeIfAbsent(team, name -> new Amount()).addUpTo(most, mostCpus, mostCards));
     }
--- a/src/main/java/io/sillreel/cluster/ResourceUse.java
+++ b/src/main/java/io/sillreel/cluster/ResourceUsage.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 
 /** What the live tasks of a machine take, counted when it is asked for after something has changed. */
-final class ResourceUse {
+final class ResourceUsage {
     private final Collection<Allocation> allocations;
     private boolean counted;
     private double cpus;
@@ -11,7 +11,7 @@
     private double cards;
     private int tasks;
 
-    ResourceUse(Collection<Allocation> allocations) {
+    ResourceUsage(Collection<Allocation> allocations) {
         this.allocations = allocations;
     }
 
--- a/src/main/java/io/sillreel/cluster/Rental.java
+++ b/src/main/java/io/sillreel/cluster/ScaleOutRequest.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.http.Json;
-import io.sillreel.statestore.KeyWriter;
+import io.sillreel.statestore.WriteQueue;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -17,7 +17,7 @@
  * A rental under its unique name: stored before the cloud is asked, and again with its machines before any of them gets
  * a task. The stored rentals bound where tasks can be.
  */
-public final class Rental implements KeyWriter.Item {
+public final class ScaleOutRequest implements WriteQueue.PendingWrite {
     public static final String PREFIX = "hire/";
     private static final int MACHINE_BYTES = 40;
     private static final int REST_BYTES = 300;
@@ -31,7 +31,7 @@
     private final Set<String> storedMachines = new LinkedHashSet<>();
     private final Set<String> sentMachines = new LinkedHashSet<>();
     private final Set<String> up = new LinkedHashSet<>();
-    private final List<Rental> splitOff = new ArrayList<>();
+    private final List<ScaleOutRequest> splitOff = new ArrayList<>();
     private Runnable onStored = () -> {};
     private long stamp;
     private boolean answered;
@@ -40,7 +40,7 @@
     private long askedMicros;
 
     /** Creates a rental that the cloud has not been asked for yet. */
-    public Rental(String name, String build, String zone, boolean spot, int count) {
+    public ScaleOutRequest(String name, String build, String zone, boolean spot, int count) {
         this.name = name;
         this.build = build;
         this.zone = zone;
@@ -49,8 +49,8 @@
     }
 
     /** Reads a stored rental. */
-    public static Rental of(String key, JsonNode value, long stamp) {
-        Rental rental = new Rental(
+    public static ScaleOutRequest of(String key, JsonNode value, long stamp) {
+        ScaleOutRequest rental = new ScaleOutRequest(
                 key.substring(PREFIX.length()),
                 value.path("build").asText(),
                 value.path("yard").asText(),
@@ -78,11 +78,11 @@
      * Cuts off what is beyond so many machines, into rentals of their own that are stored before this one is written
      * again: it may have been stored when values could be larger.
      */
-    public List<Rental> split(int most, Consumer<Rental> enqueue) {
+    public List<ScaleOutRequest> split(int most, Consumer<ScaleOutRequest> enqueue) {
         List<String> all = new ArrayList<>(machines);
         for (int from = most; from < all.size(); from += most) {
             List<String> part = all.subList(from, Math.min(all.size(), from + most));
-            Rental rental = new Rental(name + "." + from / most, build, zone, spot, part.size());
+            ScaleOutRequest rental = new ScaleOutRequest(name + "." + from / most, build, zone, spot, part.size());
             rental.answered(part);
             part.stream().filter(up::remove).forEach(rental.up::add);
             part.stream().filter(storedMachines::remove).forEach(rental.storedMachines::add);
@@ -94,7 +94,7 @@
     }
 
     @Override
-    public List<KeyWriter.Item> first() {
+    public List<WriteQueue.PendingWrite> first() {
         splitOff.removeIf(rental -> rental.stamp > 0 || rental.dropped);
         return List.copyOf(splitOff);
     }
--- a/src/main/java/io/sillreel/cluster/UnheardMachines.java
+++ b/src/main/java/io/sillreel/cluster/UnreconciledMachines.java
@@ -13,7 +13,7 @@
  * Machines on which an earlier leader's tasks may be that no report has shown yet. A takeover begins with the whole
  * fleet in here and asks for every job whether it may be hidden, so they are counted by what they could hold.
  */
-final class UnheardMachines {
+final class UnreconciledMachines {
     private record Kind(MachineType type, String zone, boolean spot) {
         static Kind of(Machine machine) {
             return new Kind(machine.type(), machine.zone(), machine.spot());
--- a/src/main/java/io/sillreel/fleet/CloudListReconciler.java
+++ b/src/main/java/io/sillreel/fleet/CloudListReconciler.java
@@ -5,7 +5,7 @@
 import io.sillreel.cloud.CloudClient.Outcome;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
-import io.sillreel.http.Loop;
+import io.sillreel.http.EventLoop;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -25,7 +25,7 @@
     private static final long PENDING_RENTAL_MICROS = 30_000_000;
     private static final String FAILED = "failed";
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Cluster cluster;
     private final CloudClient cloud;
     private final FleetRegistry registry;
@@ -43,7 +43,7 @@
      * @param clear told of a machine whose tasks are certainly gone
      */
     CloudListReconciler(
-            Loop loop,
+            EventLoop loop,
             Cluster cluster,
             CloudClient cloud,
             FleetRegistry registry,
--- a/src/main/java/io/sillreel/fleet/FleetKeeper.java
+++ b/src/main/java/io/sillreel/fleet/FleetManager.java
@@ -5,13 +5,13 @@
 import io.sillreel.cloud.MachineType;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
-import io.sillreel.cluster.Rental;
-import io.sillreel.http.Loop;
+import io.sillreel.cluster.ScaleOutRequest;
+import io.sillreel.http.EventLoop;
 import io.sillreel.limits.FleetCapacity;
 import io.sillreel.placement.CapacityPlanner;
 import io.sillreel.settings.OperatorProperties;
 import io.sillreel.settings.Settings;
-import io.sillreel.statestore.KeyWriter;
+import io.sillreel.statestore.WriteQueue;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -24,31 +24,31 @@
 import org.slf4j.LoggerFactory;
 
 /** Rents, follows and returns machines while this controller holds the lease. */
-public final class FleetKeeper {
-    private static final Logger LOG = LoggerFactory.getLogger(FleetKeeper.class);
+public final class FleetManager {
+    private static final Logger LOG = LoggerFactory.getLogger(FleetManager.class);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Cluster cluster;
     private final CloudClient cloud;
-    private final KeyWriter writer;
+    private final WriteQueue writer;
     private final BooleanSupplier mayAct;
     private final FleetRegistry registry;
-    private final RetirementPolicy retirement;
+    private final ScaleInPolicy retirement;
     private final CloudListReconciler reconciler;
-    private final RentalRequester requester;
-    private final Set<Rental> wentDown = new LinkedHashSet<>();
+    private final ScaleOut requester;
+    private final Set<ScaleOutRequest> wentDown = new LinkedHashSet<>();
     private boolean returning;
 
     /**
      * @param mayAct true while rentals and returns are allowed
      * @param undisturbed true if no worker has had to look for another controller lately
      */
-    public FleetKeeper(
-            Loop loop,
+    public FleetManager(
+            EventLoop loop,
             long term,
             Cluster cluster,
             CloudClient cloud,
-            KeyWriter writer,
+            WriteQueue writer,
             Settings settings,
             OperatorProperties operator,
             FleetCapacity fleetCapacity,
@@ -64,11 +64,11 @@
         this.mayAct = mayAct;
         this.registry =
                 new FleetRegistry(loop, term, cluster, writer, settings.state().values(), types, clear);
-        this.retirement = new RetirementPolicy(
+        this.retirement = new ScaleInPolicy(
                 loop, cluster, settings.workers(), operator, capacity, FleetThresholds.of(settings), undisturbed);
         this.reconciler = new CloudListReconciler(
                 loop, cluster, cloud, registry, settings.cloud().listLagMicros(), clear);
-        this.requester = new RentalRequester(
+        this.requester = new ScaleOut(
                 loop,
                 cluster,
                 cloud,
@@ -82,7 +82,7 @@
     }
 
     /** Takes over a stored rental; its machines may run tasks of an earlier leader until the bound. */
-    public void inherit(Rental rental, long aliveUntilMicros) {
+    public void inherit(ScaleOutRequest rental, long aliveUntilMicros) {
         registry.inherit(rental, aliveUntilMicros);
     }
 
--- a/src/main/java/io/sillreel/fleet/FleetRegistry.java
+++ b/src/main/java/io/sillreel/fleet/FleetRegistry.java
@@ -3,10 +3,10 @@
 import io.sillreel.cloud.MachineType;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
-import io.sillreel.cluster.Rental;
-import io.sillreel.http.Loop;
+import io.sillreel.cluster.ScaleOutRequest;
+import io.sillreel.http.EventLoop;
 import io.sillreel.settings.ValueLimits;
-import io.sillreel.statestore.KeyWriter;
+import io.sillreel.statestore.WriteQueue;
 import java.util.Collection;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
@@ -24,14 +24,14 @@
     /** Messages may be minutes late; lists of the cloud lag less. */
     private static final long GONE_REMEMBERED_MICROS = 3_600_000_000L;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final long term;
     private final Cluster cluster;
-    private final KeyWriter writer;
+    private final WriteQueue writer;
     private final ValueLimits limits;
     private final Supplier<Map<String, MachineType>> types;
     private final Consumer<Machine> clear;
-    private final Map<String, Rental> rentals = new LinkedHashMap<>();
+    private final Map<String, ScaleOutRequest> rentals = new LinkedHashMap<>();
     /** Machines that were given back, the earliest first, and when. */
     private final Map<String, Long> goneMicros = new LinkedHashMap<>();
 
@@ -39,10 +39,10 @@
 
     /** @param clear told of a machine whose tasks are certainly gone */
     FleetRegistry(
-            Loop loop,
+            EventLoop loop,
             long term,
             Cluster cluster,
-            KeyWriter writer,
+            WriteQueue writer,
             ValueLimits limits,
             Supplier<Map<String, MachineType>> types,
             Consumer<Machine> clear) {
@@ -55,13 +55,13 @@
         this.clear = clear;
     }
 
-    Collection<Rental> rentals() {
+    Collection<ScaleOutRequest> rentals() {
         return rentals.values();
     }
 
     /** How many machines one stored rental may name. */
     int maxMachinesOfARental() {
-        return Rental.mostMachines(limits.announcedBytes());
+        return ScaleOutRequest.mostMachines(limits.announcedBytes());
     }
 
     boolean isGone(String machine) {
@@ -73,18 +73,18 @@
         return "r-" + term + "-" + ++names;
     }
 
-    void add(Rental rental) {
+    void add(ScaleOutRequest rental) {
         rentals.put(rental.name(), rental);
     }
 
     /** The cloud rents nothing under this name. */
-    void forget(Rental rental) {
+    void forget(ScaleOutRequest rental) {
         rental.drop();
         rentals.remove(rental.name());
     }
 
     /** Takes over a stored rental; its machines may run tasks of an earlier leader until the bound. */
-    void inherit(Rental rental, long aliveUntilMicros) {
+    void inherit(ScaleOutRequest rental, long aliveUntilMicros) {
         int most = maxMachinesOfARental();
         if (rental.machines().size() > most) {
             rental.split(most, writer::enqueue).forEach(part -> {
@@ -113,7 +113,7 @@
         if (type == null) {
             return null;
         }
-        Rental rental = new Rental("adopted-" + term + "-" + ++names, build, zone, spot, 1);
+        ScaleOutRequest rental = new ScaleOutRequest("adopted-" + term + "-" + ++names, build, zone, spot, 1);
         rental.answered(List.of(name));
         add(rental);
         LOG.info("machine {} ({}, {}) was not expected, it is taken into the fleet", name, build, zone);
@@ -123,7 +123,7 @@
     }
 
     /** A machine of a rental joins the fleet, unless it has done so already. */
-    Machine enter(String name, Rental rental, long rentedMicros) {
+    Machine enter(String name, ScaleOutRequest rental, long rentedMicros) {
         MachineType type = types.get().get(rental.build());
         if (type == null || cluster.machine(name) != null) {
             return cluster.machine(name);
@@ -133,7 +133,7 @@
         return machine;
     }
 
-    private Machine machine(String name, MachineType type, Rental rental, long rentedMicros) {
+    private Machine machine(String name, MachineType type, ScaleOutRequest rental, long rentedMicros) {
         return new Machine(name, type, rental.zone(), rental.spot(), rental, rentedMicros, cluster.book());
     }
 
--- a/src/main/java/io/sillreel/fleet/RetirementPolicy.java
+++ b/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
@@ -2,7 +2,7 @@
 
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
-import io.sillreel.http.Loop;
+import io.sillreel.http.EventLoop;
 import io.sillreel.placement.CapacityPlanner;
 import io.sillreel.settings.OperatorProperties;
 import io.sillreel.settings.Settings.WorkerTimes;
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Decides which machines are to be given back to the cloud, and why. All access is under the lock of the cluster. */
-final class RetirementPolicy {
-    private static final Logger LOG = LoggerFactory.getLogger(RetirementPolicy.class);
+final class ScaleInPolicy {
+    private static final Logger LOG = LoggerFactory.getLogger(ScaleInPolicy.class);
     private static final long MIN_BOOT_PATIENCE_MICROS = 75_000_000;
     private static final int BOOT_PATIENCE_FACTOR = 3;
     private static final long MIN_UNHEARD_MICROS = 8_000_000;
@@ -29,7 +29,7 @@
 
     private static final double SILENT_LEASES = 2.5;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Cluster cluster;
     private final WorkerTimes times;
     private final OperatorProperties operator;
@@ -41,8 +41,8 @@
     private long manySilentMicros = Long.MIN_VALUE / 2;
 
     /** @param undisturbed true if no worker has had to look for another controller lately */
-    RetirementPolicy(
-            Loop loop,
+    ScaleInPolicy(
+            EventLoop loop,
             Cluster cluster,
             WorkerTimes times,
             OperatorProperties operator,
--- a/src/main/java/io/sillreel/fleet/RentalRequester.java
+++ b/src/main/java/io/sillreel/fleet/ScaleOut.java
@@ -4,12 +4,12 @@
 import io.sillreel.cloud.MachineType;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
-import io.sillreel.cluster.Rental;
-import io.sillreel.http.Loop;
+import io.sillreel.cluster.ScaleOutRequest;
+import io.sillreel.http.EventLoop;
 import io.sillreel.limits.FleetCapacity;
 import io.sillreel.placement.CapacityPlanner;
-import io.sillreel.placement.RentalRequest;
-import io.sillreel.statestore.KeyWriter;
+import io.sillreel.placement.ScaleOutProposal;
+import io.sillreel.statestore.WriteQueue;
 import java.util.List;
 import java.util.Map;
 import java.util.function.BooleanSupplier;
@@ -18,17 +18,17 @@
 import org.slf4j.LoggerFactory;
 
 /** Rents machines: each rental is stored under its name before the cloud is asked, and asked again under that name. */
-final class RentalRequester {
-    private static final Logger LOG = LoggerFactory.getLogger(RentalRequester.class);
+final class ScaleOut {
+    private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
     private static final long FULL_PAUSE_MICROS = 20_000_000;
     private static final long RENTAL_RETRY_MICROS = 2_000_000;
     private static final int MAX_OPEN_RENTALS = 6;
     private static final long TELL_FULL_MICROS = 60_000_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Cluster cluster;
     private final CloudClient cloud;
-    private final KeyWriter writer;
+    private final WriteQueue writer;
     private final FleetRegistry registry;
     private final CapacityPlanner capacity;
     private final FleetCapacity fleetCapacity;
@@ -41,11 +41,11 @@
      * @param mayAct true while rentals are allowed
      * @param txnOps changes that fit into one transaction of the state service
      */
-    RentalRequester(
-            Loop loop,
+    ScaleOut(
+            EventLoop loop,
             Cluster cluster,
             CloudClient cloud,
-            KeyWriter writer,
+            WriteQueue writer,
             FleetRegistry registry,
             CapacityPlanner capacity,
             FleetCapacity fleetCapacity,
@@ -70,7 +70,7 @@
         if (!mayAct.getAsBoolean() || writer.pressing() > txnOps) {
             return;
         }
-        List<RentalRequest> rentalRequests;
+        List<ScaleOutProposal> rentalRequests;
         int room;
         synchronized (cluster) {
             OpenRentals open = openRentals();
@@ -81,7 +81,7 @@
                     types.get().values(), open.cpus(), open.ordinaryCpus(), now, loop.wallMicros());
             room = rentalRequests.isEmpty() ? 0 : room(open, now);
         }
-        for (RentalRequest rentalRequest : rentalRequests) {
+        for (ScaleOutProposal rentalRequest : rentalRequests) {
             int count = Math.min(room, Math.min(rentalRequest.count(), registry.maxMachinesOfARental()));
             if (count > 0) {
                 room -= count;
@@ -90,8 +90,9 @@
         }
     }
 
-    private void store(RentalRequest request, int count) {
-        Rental rental = new Rental(registry.newName(), request.type().name(), request.zone(), request.spot(), count);
+    private void store(ScaleOutProposal request, int count) {
+        ScaleOutRequest rental =
+                new ScaleOutRequest(registry.newName(), request.type().name(), request.zone(), request.spot(), count);
         registry.add(rental);
         rental.onStored(() -> ask(rental));
         writer.enqueue(rental);
@@ -105,7 +106,7 @@
         int machines = 0;
         long cpus = 0;
         long ordinaryCpus = 0;
-        for (Rental rental : registry.rentals()) {
+        for (ScaleOutRequest rental : registry.rentals()) {
             if (!rental.answered()) {
                 MachineType type = types.get().get(rental.build());
                 long each = type == null ? 0 : Math.round(type.cpus() * rental.count());
@@ -139,7 +140,7 @@
 
     /** Asks once more for what got no answer. */
     void askAgain(long now) {
-        for (Rental rental : List.copyOf(registry.rentals())) {
+        for (ScaleOutRequest rental : List.copyOf(registry.rentals())) {
             if (!rental.answered()
                     && !rental.dropped()
                     && rental.stamp() > 0
@@ -149,7 +150,7 @@
         }
     }
 
-    private void ask(Rental rental) {
+    private void ask(ScaleOutRequest rental) {
         if (!mayAct.getAsBoolean() || rental.answered() || rental.dropped()) {
             return;
         }
@@ -162,7 +163,7 @@
                 });
     }
 
-    private void rented(Rental rental, CloudClient.Rented rented) {
+    private void rented(ScaleOutRequest rental, CloudClient.Rented rented) {
         long now = loop.nowMicros();
         if (rental.answered() || rental.dropped()) {
             // Asked twice, since an answer seemed lost: the first one counts, and what it brought may be at work.
--- a/src/main/java/io/sillreel/fleet/RecallDrain.java
+++ b/src/main/java/io/sillreel/fleet/SpotInterruptionDrain.java
@@ -4,12 +4,12 @@
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
 import io.sillreel.pipeline.JobSpec;
-import io.sillreel.placement.Estimates;
+import io.sillreel.placement.RuntimeEstimator;
 import java.util.LinkedHashSet;
 import java.util.Set;
 
 /** Stops tasks on machines that the cloud has announced to take back. */
-public final class RecallDrain {
+public final class SpotInterruptionDrain {
     /** A task that needs so many times what its machine has left is not worth waiting for. */
     private static final double UNFINISHABLE_FACTOR = 1.5;
     /** What stopping takes besides saving: the way of the command, and of the report of the end. */
@@ -18,9 +18,9 @@
     private static final long SAVE_MARGIN_MICROS = 1_000_000;
 
     private final Cluster cluster;
-    private final Estimates estimates;
+    private final RuntimeEstimator estimates;
 
-    public RecallDrain(Cluster cluster, Estimates estimates) {
+    public SpotInterruptionDrain(Cluster cluster, RuntimeEstimator estimates) {
         this.cluster = cluster;
         this.estimates = estimates;
     }
--- a/src/main/java/io/sillreel/fleet/SlowMachines.java
+++ b/src/main/java/io/sillreel/fleet/StragglerDetector.java
@@ -3,21 +3,21 @@
 import io.sillreel.cluster.Allocation;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
-import io.sillreel.cluster.MachineFaults;
-import io.sillreel.placement.Estimates;
+import io.sillreel.cluster.MachineHealth;
+import io.sillreel.placement.RuntimeEstimator;
 import java.util.HashSet;
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Finds machines that are slower than others. All access is under the lock of the cluster. */
-public final class SlowMachines {
-    private static final Logger LOG = LoggerFactory.getLogger(SlowMachines.class);
+public final class StragglerDetector {
+    private static final Logger LOG = LoggerFactory.getLogger(StragglerDetector.class);
 
     private final Cluster cluster;
-    private final Estimates estimates;
+    private final RuntimeEstimator estimates;
 
-    public SlowMachines(Cluster cluster, Estimates estimates) {
+    public StragglerDetector(Cluster cluster, RuntimeEstimator estimates) {
         this.cluster = cluster;
         this.estimates = estimates;
     }
@@ -32,7 +32,7 @@
                         && !allocation.ended()
                         && allocation.runningSinceMicros() >= 0
                         && now - allocation.runningSinceMicros()
-                                > MachineFaults.SLOW_RATIO
+                                > MachineHealth.SLOW_RATIO
                                         * estimates.expectedMicros(
                                                 allocation.job().spec())) {
                     late++;
--- a/src/main/java/io/sillreel/heartbeat/CommandWriter.java
+++ b/src/main/java/io/sillreel/heartbeat/CommandWriter.java
@@ -1,12 +1,12 @@
 package io.sillreel.heartbeat;
 
-import io.sillreel.agent.Commands;
-import io.sillreel.agent.Report;
+import io.sillreel.agent.AgentCommands;
+import io.sillreel.agent.Heartbeat;
 import io.sillreel.cluster.Allocation;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
-import io.sillreel.cluster.TeamUse;
-import io.sillreel.http.Loop;
+import io.sillreel.cluster.QuotaUsage;
+import io.sillreel.http.EventLoop;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.placement.Planner;
 import io.sillreel.placement.Planner.Assignment;
@@ -14,13 +14,13 @@
 
 /** Tells a machine what to do: what to reap, what to stop and, in answer to a report alone, what to launch. */
 final class CommandWriter {
-    private final Loop loop;
+    private final EventLoop loop;
     private final AttemptIds attemptIds;
     private final Cluster cluster;
     private final Planner planner;
     private Planner.Plan plan = Planner.Plan.EMPTY;
 
-    CommandWriter(Loop loop, AttemptIds attemptIds, Cluster cluster, Planner planner) {
+    CommandWriter(EventLoop loop, AttemptIds attemptIds, Cluster cluster, Planner planner) {
         this.loop = loop;
         this.attemptIds = attemptIds;
         this.cluster = cluster;
@@ -33,7 +33,7 @@
     }
 
     /** Reaps what is settled and stops what must not run; both are repeated until the reports show them done. */
-    void command(Machine machine, Commands commands) {
+    void command(Machine machine, AgentCommands commands) {
         for (Allocation allocation : machine.allocations()) {
             if (commands.full()) {
                 return;
@@ -62,7 +62,7 @@
     /**
      * Gives the machine what the plan has for it, and what it had no room for elsewhere as far as there is room here.
      */
-    void launch(Machine machine, Report report, Commands commands, long now) {
+    void launch(Machine machine, Heartbeat report, AgentCommands commands, long now) {
         List<Assignment> planned = plan.launches().remove(machine.name());
         if (!planner.usable(machine, now)) {
             return;
@@ -78,8 +78,9 @@
         }
     }
 
-    private void launch(Machine machine, List<Assignment> assignments, Report report, Commands commands, long now) {
-        TeamUse usage = cluster.usage();
+    private void launch(
+            Machine machine, List<Assignment> assignments, Heartbeat report, AgentCommands commands, long now) {
+        QuotaUsage usage = cluster.usage();
         // A machine that has not heeded its last answer is tried with one task, not with all that it has room for.
         int most = Math.min(
                 machine.responsiveness().unheededCount() > 0 ? 1 : Integer.MAX_VALUE,
--- a/src/main/java/io/sillreel/heartbeat/FaultAttribution.java
+++ b/src/main/java/io/sillreel/heartbeat/FaultAttribution.java
@@ -9,7 +9,7 @@
  */
 public final class FaultAttribution {
     /** Who is at fault for a failed task. */
-    public enum Verdict {
+    public enum Fault {
         UNKNOWN,
         MACHINE,
         JOB
@@ -21,15 +21,15 @@
     private FaultAttribution() {}
 
     /** Judges a task of the job that failed on the machine. */
-    public static Verdict failed(ActiveJob job, Machine machine) {
+    public static Fault failed(ActiveJob job, Machine machine) {
         if (job.succeededOnce()) {
-            return Verdict.MACHINE;
+            return Fault.MACHINE;
         }
         machine.faults().suspect(job.uid());
         job.failedOn().add(machine.name());
         if (machine.faults().suspectedBy().size() > 1) {
-            return Verdict.MACHINE;
+            return Fault.MACHINE;
         }
-        return job.failedOn().size() >= MACHINES_THAT_FAIL_A_JOB ? Verdict.JOB : Verdict.UNKNOWN;
+        return job.failedOn().size() >= MACHINES_THAT_FAIL_A_JOB ? Fault.JOB : Fault.UNKNOWN;
     }
 }
--- /dev/null
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatObserver.java
@@ -0,0 +1,23 @@
+package io.sillreel.heartbeat;
+
+import io.sillreel.agent.Heartbeat;
+
+/** Sees workers' reports before they are decided. */
+public interface HeartbeatObserver {
+    /** Sees nothing. */
+    HeartbeatObserver NONE = new HeartbeatObserver() {
+        @Override
+        public void received(Heartbeat report) {}
+
+        @Override
+        public boolean answerable(Heartbeat report, long term) {
+            return true;
+        }
+    };
+
+    /** A report has come from its worker itself. */
+    void received(Heartbeat report);
+
+    /** False if the leader of the term must not answer the report. */
+    boolean answerable(Heartbeat report, long term);
+}
--- a/src/main/java/io/sillreel/heartbeat/ReportProcessor.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
@@ -1,17 +1,17 @@
 package io.sillreel.heartbeat;
 
-import io.sillreel.agent.Commands;
-import io.sillreel.agent.Report;
+import io.sillreel.agent.AgentCommands;
+import io.sillreel.agent.Heartbeat;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
 import io.sillreel.fleet.FleetThresholds;
-import io.sillreel.http.Loop;
-import io.sillreel.http.Reply;
+import io.sillreel.http.EventLoop;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.pipeline.RetrySchedule;
-import io.sillreel.placement.Estimates;
 import io.sillreel.placement.Planner;
+import io.sillreel.placement.RuntimeEstimator;
 import io.sillreel.settings.Settings.WorkerTimes;
-import io.sillreel.statestore.KeyWriter;
+import io.sillreel.statestore.WriteQueue;
 import java.util.function.BooleanSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -21,11 +21,11 @@
  * are given in no other way: a worker drops a response that comes late, so a launch that the next report does not show
  * has not happened and never will.
  */
-public final class ReportProcessor {
+public final class HeartbeatProcessor {
     /** What the processing of reports needs from the rest of the term. */
     public interface Callbacks {
         /** A machine that nobody rented under a known name has reported. */
-        Machine adopt(Report report);
+        Machine adopt(Heartbeat report);
 
         /** True if the machine was returned or taken; it can't be there any more. */
         boolean isGone(String machine);
@@ -42,32 +42,32 @@
         void ask(Machine machine);
     }
 
-    private static final Logger LOG = LoggerFactory.getLogger(ReportProcessor.class);
+    private static final Logger LOG = LoggerFactory.getLogger(HeartbeatProcessor.class);
     private static final long DRIFT_DIVISOR = 1_000;
     private static final long BOUND_MARGIN_MICROS = 500_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final long term;
     private final Cluster cluster;
     private final WorkerTimes times;
     private final FleetThresholds thresholds;
     private final Callbacks callbacks;
     private final BooleanSupplier mayAct;
-    private final Reply nothing;
+    private final HttpResponse nothing;
     private final TaskReconciler reconciler;
     private final CommandWriter commandWriter;
     private final AttemptIds attemptIds;
 
     /** @param mayAct true while the lease and the cancellations are known well enough to launch tasks */
-    public ReportProcessor(
-            Loop loop,
+    public HeartbeatProcessor(
+            EventLoop loop,
             long term,
             Cluster cluster,
-            KeyWriter writer,
+            WriteQueue writer,
             WorkerTimes times,
             FleetThresholds thresholds,
             RetrySchedule retries,
-            Estimates estimates,
+            RuntimeEstimator estimates,
             Planner planner,
             Callbacks callbacks,
             BooleanSupplier mayAct) {
@@ -78,7 +78,7 @@
         this.thresholds = thresholds;
         this.callbacks = callbacks;
         this.mayAct = mayAct;
-        this.nothing = new Commands().reply(term);
+        this.nothing = new AgentCommands().reply(term);
         this.reconciler = new TaskReconciler(loop, cluster, writer, retries, estimates, callbacks::progressed);
         this.attemptIds = new AttemptIds(term);
         this.commandWriter = new CommandWriter(loop, attemptIds, cluster, planner);
@@ -100,7 +100,7 @@
     }
 
     /** A report that came by itself, here or through another controller. */
-    public Reply report(Report report) {
+    public HttpResponse report(Heartbeat report) {
         synchronized (cluster) {
             long now = loop.nowMicros();
             Machine machine = cluster.machine(report.machine());
@@ -127,7 +127,7 @@
                 return giveUp(machine);
             }
             machine.answered(aliveUntil(now));
-            Commands commands = new Commands();
+            AgentCommands commands = new AgentCommands();
             commandWriter.command(machine, commands);
             if (mayAct.getAsBoolean()) {
                 commandWriter.launch(machine, report, commands, now);
@@ -140,12 +140,12 @@
      * A machine that no stored rental names holds nothing of ours. It is used once it shows the current token: a copy
      * of an old report, of a machine that was returned since, never does.
      */
-    private Reply stranger(Report report) {
+    private HttpResponse stranger(Heartbeat report) {
         if (callbacks.isGone(report.machine())) {
-            return Reply.later(503, "the machine was returned", 1);
+            return HttpResponse.later(503, "the machine was returned", 1);
         }
         if (report.token() == term && callbacks.adopt(report) == null) {
-            return Reply.later(503, "machine type " + report.build() + " is not known", 1);
+            return HttpResponse.later(503, "machine type " + report.build() + " is not known", 1);
         }
         return nothing;
     }
@@ -154,21 +154,21 @@
      * An older message, or a copy, says nothing new and must extend no bound, so it is not answered 200. The exception
      * is a report that the answer to a direct command has just overtaken: its worker still waits.
      */
-    private Reply notNewer(Machine machine, Report report, long now) {
-        if (machine.messages().overtaken(report, Report.ANSWER_WAIT_MICROS, now)) {
+    private HttpResponse notNewer(Machine machine, Heartbeat report, long now) {
+        if (machine.messages().overtaken(report, Heartbeat.ANSWER_WAIT_MICROS, now)) {
             machine.answered(aliveUntil(now));
             return nothing;
         }
         if (machine.messages().countsAnew(report)) {
             callbacks.ask(machine);
         }
-        return Reply.later(503, "a newer report was seen", 1);
+        return HttpResponse.later(503, "a newer report was seen", 1);
     }
 
     /**
      * The machine does not know this term yet: it may still obey an earlier leader. It is told, but not without end.
      */
-    private Reply unheard(Machine machine, long now) {
+    private HttpResponse unheard(Machine machine, long now) {
         if (unresponsive(machine)) {
             return giveUp(machine);
         }
@@ -191,7 +191,7 @@
     }
 
     /** It hears nothing: not answering lets its lease, and with it its tasks, run out; then it goes back. */
-    private Reply giveUp(Machine machine) {
+    private HttpResponse giveUp(Machine machine) {
         if (machine.state() == Machine.State.UP) {
             LOG.info(
                     "machine {} ({}) does not react to its commands",
@@ -204,11 +204,11 @@
                 machine.scheduleReturn("it hears nothing");
             }
         }
-        return Reply.later(503, "earlier answers did not arrive", 1);
+        return HttpResponse.later(503, "earlier answers did not arrive", 1);
     }
 
     /** The report in the answer to a direct command. It can't show that a launch did not happen. */
-    public void answered(Report report) {
+    public void answered(Heartbeat report) {
         synchronized (cluster) {
             Machine machine = cluster.machine(report.machine());
             if (machine != null && report.token() == term && machine.advance(report, true, loop.nowMicros())) {
@@ -221,7 +221,7 @@
      * What the machine said when it was asked how far it counts: less than it had counted when it was asked means that
      * it is a new life of it. If reports have been taken since, the answer is older than they are and says nothing.
      */
-    public void asked(Report report, long sessionBefore, long sequenceBefore) {
+    public void asked(Heartbeat report, long sessionBefore, long sequenceBefore) {
         synchronized (cluster) {
             Machine machine = cluster.machine(report.machine());
             if (machine != null
@@ -238,16 +238,16 @@
      * could not be told from later ones of the new. What it was given stays counted until the cloud has taken it, or
      * its lease has run out, since the new life may have been given some of it.
      */
-    private Reply newLife(Machine machine) {
+    private HttpResponse newLife(Machine machine) {
         if (!machine.toBeReturned()) {
             LOG.info("machine {} has restarted under its old name", machine.name());
             machine.scheduleReturn("it has restarted");
         }
-        return Reply.later(503, "the machine is taken for one that has started again", 1);
+        return HttpResponse.later(503, "the machine is taken for one that has started again", 1);
     }
 
     /** Adds what the machine is to reap and to stop; both are repeated until its reports show them done. */
-    public void command(Machine machine, Commands commands) {
+    public void command(Machine machine, AgentCommands commands) {
         commandWriter.command(machine, commands);
     }
 
--- a/src/main/java/io/sillreel/heartbeat/ReportRelay.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatRelay.java
@@ -1,10 +1,10 @@
 package io.sillreel.heartbeat;
 
-import io.sillreel.agent.Report;
-import io.sillreel.http.Call;
-import io.sillreel.http.Caller;
-import io.sillreel.http.Loop;
-import io.sillreel.http.Reply;
+import io.sillreel.agent.Heartbeat;
+import io.sillreel.http.EventLoop;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.peer.PeerMessages;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -18,7 +18,7 @@
  * there. A batch that gets no answer is refused to its workers as 503: what it carried was then decided for nobody, and
  * the workers' next reports show that.
  */
-public final class ReportRelay {
+public final class HeartbeatRelay {
     /**
      * Each batch costs both sides a request, whatever is in it. With a few workers that is little, and their answers
      * are not held up for it; with hundreds of them batches of one or two reports were most of the work of a
@@ -46,12 +46,12 @@
      */
     private static final int MAX_LATE_BATCHES = 1;
 
-    private static final Reply LOST = Reply.later(503, "the leader can't be reached", 1);
+    private static final HttpResponse LOST = HttpResponse.later(503, "the leader can't be reached", 1);
 
-    private record Waiting(Report report, long sinceMicros, CompletableFuture<Reply> answer) {}
+    private record Waiting(Heartbeat report, long sinceMicros, CompletableFuture<HttpResponse> answer) {}
 
-    private final Loop loop;
-    private final Caller caller;
+    private final EventLoop loop;
+    private final HttpClient caller;
     private final IntSupplier workers;
     private final Deque<Waiting> waiting = new ArrayDeque<>();
     private String leader = "";
@@ -64,7 +64,7 @@
     private long batchesSent;
 
     /** @param workers how many workers report here */
-    public ReportRelay(Loop loop, Caller caller, IntSupplier workers) {
+    public HeartbeatRelay(EventLoop loop, HttpClient caller, IntSupplier workers) {
         this.loop = loop;
         this.caller = caller;
         this.workers = workers;
@@ -88,8 +88,8 @@
     }
 
     /** Passes the report to the leader with the next batch and completes with the leader's answer to it. */
-    public CompletableFuture<Reply> pass(Report report, String leaderAddress) {
-        CompletableFuture<Reply> answer = new CompletableFuture<>();
+    public CompletableFuture<HttpResponse> pass(Heartbeat report, String leaderAddress) {
+        CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
         synchronized (this) {
             if (!leader.equals(leaderAddress)) {
                 leader = leaderAddress;
@@ -117,7 +117,7 @@
         int bytes = 0;
         while (!waiting.isEmpty() && batch.size() < maxReports) {
             Waiting next = waiting.peek();
-            if (loop.nowMicros() - next.sinceMicros() > Report.ANSWER_WAIT_MICROS) {
+            if (loop.nowMicros() - next.sinceMicros() > Heartbeat.ANSWER_WAIT_MICROS) {
                 givenUp.add(waiting.poll());
                 continue;
             }
@@ -145,15 +145,16 @@
         if (batch.isEmpty()) {
             return;
         }
-        Call call = PeerMessages.heartbeats(batch.stream().map(Waiting::report).toList());
+        HttpRequest call =
+                PeerMessages.heartbeats(batch.stream().map(Waiting::report).toList());
         caller.call(to, call, TIMEOUT_MICROS).thenAccept(reply -> {
-            List<Reply> replies = reply.ok() ? PeerMessages.replies(reply.body()) : List.of();
+            List<HttpResponse> replies = reply.ok() ? PeerMessages.replies(reply.body()) : List.of();
             boolean more;
             synchronized (this) {
                 batches--;
                 if (replies.size() != batch.size()) {
                     lost += batch.size();
-                    boolean broken = reply.status() != Reply.NO_ANSWER || ++unansweredInARow > MAX_LATE_BATCHES;
+                    boolean broken = reply.status() != HttpResponse.NO_ANSWER || ++unansweredInARow > MAX_LATE_BATCHES;
                     if (broken && to.equals(leader)) {
                         brokenUntilMicros = loop.nowMicros() + BROKEN_MICROS;
                     }
--- a/src/main/java/io/sillreel/heartbeat/ReportRouter.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatRouter.java
@@ -1,12 +1,12 @@
 package io.sillreel.heartbeat;
 
-import io.sillreel.agent.Report;
-import io.sillreel.http.Call;
+import io.sillreel.agent.Heartbeat;
+import io.sillreel.http.EventLoop;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Loop;
-import io.sillreel.http.Reply;
+import io.sillreel.leadership.LeaderElection;
 import io.sillreel.leadership.LeaderTerm;
-import io.sillreel.leadership.Leadership;
 import io.sillreel.peer.PeerMessages;
 import io.sillreel.settings.Settings;
 import io.sillreel.settings.Settings.Member;
@@ -16,16 +16,16 @@
 import java.util.function.Supplier;
 
 /** Brings workers' reports to where they can be decided: here, at the lease leader, or at another controller. */
-public final class ReportRouter {
-    private static final Reply NOBODY_LEADS = Reply.later(503, "nobody holds the lease", 1);
+public final class HeartbeatRouter {
+    private static final HttpResponse NOBODY_LEADS = HttpResponse.later(503, "nobody holds the lease", 1);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Settings settings;
-    private final Leadership leadership;
-    private final ReportRelay relay;
-    private final WorkerSpread spread;
+    private final LeaderElection leadership;
+    private final HeartbeatRelay relay;
+    private final WorkerLoadBalancer spread;
     private final Supplier<LeaderTerm> leaderTerm;
-    private final ReportWatcher watcher;
+    private final HeartbeatObserver watcher;
     private long reports;
     private long handed;
     private long moved;
@@ -33,14 +33,14 @@
     private int unansweredBefore;
 
     /** @param leaderTerm the term that this controller leads, or null */
-    public ReportRouter(
-            Loop loop,
+    public HeartbeatRouter(
+            EventLoop loop,
             Settings settings,
-            Leadership leadership,
-            ReportRelay relay,
-            WorkerSpread spread,
+            LeaderElection leadership,
+            HeartbeatRelay relay,
+            WorkerLoadBalancer spread,
             Supplier<LeaderTerm> leaderTerm,
-            ReportWatcher watcher) {
+            HeartbeatObserver watcher) {
         this.loop = loop;
         this.settings = settings;
         this.leadership = leadership;
@@ -51,7 +51,7 @@
     }
 
     /** A worker's report: decided here, handed on to the lease leader, or sent to where it can be. */
-    public CompletableFuture<Reply> heartbeat(Call call) {
+    public CompletableFuture<HttpResponse> heartbeat(HttpRequest call) {
         reports++;
         LeaderTerm current = leaderTerm.get();
         Optional<Member> leader = current != null ? Optional.empty() : leader();
@@ -60,9 +60,9 @@
             unanswered++;
             return answer(NOBODY_LEADS);
         }
-        Report report = Report.read(call.body());
+        Heartbeat report = Heartbeat.read(call.body());
         if (report == null) {
-            return answer(Reply.refusal(400, "hopper: is missing"));
+            return answer(HttpResponse.refusal(400, "hopper: is missing"));
         }
         watcher.received(report);
         spread.seen(report.machine());
@@ -96,22 +96,22 @@
     }
 
     /** Reports that another controller hands on. */
-    public CompletableFuture<Reply> handedOn(Call call) {
+    public CompletableFuture<HttpResponse> handedOn(HttpRequest call) {
         LeaderTerm current = leaderTerm.get();
         if (current == null) {
-            return answer(Reply.later(503, "not the leader", 1));
+            return answer(HttpResponse.later(503, "not the leader", 1));
         }
-        List<Report> reports = PeerMessages.reports(call.body());
+        List<Heartbeat> reports = PeerMessages.reports(call.body());
         handed += reports.size();
-        return new ReportBatch(loop, reports, report -> decide(current, report)).start();
+        return new HeartbeatBatch(loop, reports, report -> decide(current, report)).start();
     }
 
-    private Reply decide(LeaderTerm current, Report report) {
+    private HttpResponse decide(LeaderTerm current, Heartbeat report) {
         return watcher.answerable(report, current.term()) ? current.answer(report) : NOBODY_LEADS;
     }
 
-    private static Reply elsewhere(String node) {
-        return Reply.of(421, Json.object().put("foreman", node));
+    private static HttpResponse elsewhere(String node) {
+        return HttpResponse.of(421, Json.object().put("foreman", node));
     }
 
     /** True if workers that report here have their reports answered. */
@@ -146,7 +146,7 @@
         return moved;
     }
 
-    private static CompletableFuture<Reply> answer(Reply reply) {
+    private static CompletableFuture<HttpResponse> answer(HttpResponse reply) {
         return CompletableFuture.completedFuture(reply);
     }
 }
--- a/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
+++ b/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
@@ -1,15 +1,15 @@
 package io.sillreel.heartbeat;
 
-import io.sillreel.agent.Report;
-import io.sillreel.agent.Report.TaskState;
+import io.sillreel.agent.Heartbeat;
+import io.sillreel.agent.Heartbeat.TaskStatus;
 import io.sillreel.cluster.Allocation;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
-import io.sillreel.http.Loop;
+import io.sillreel.http.EventLoop;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.RetrySchedule;
-import io.sillreel.placement.Estimates;
-import io.sillreel.statestore.KeyWriter;
+import io.sillreel.placement.RuntimeEstimator;
+import io.sillreel.statestore.WriteQueue;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -20,20 +20,20 @@
 final class TaskReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(TaskReconciler.class);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Cluster cluster;
-    private final KeyWriter writer;
+    private final WriteQueue writer;
     private final RetrySchedule retries;
-    private final Estimates estimates;
+    private final RuntimeEstimator estimates;
     private final Runnable progressed;
 
     /** @param progressed called when there may be something new to plan */
     TaskReconciler(
-            Loop loop,
+            EventLoop loop,
             Cluster cluster,
-            KeyWriter writer,
+            WriteQueue writer,
             RetrySchedule retries,
-            Estimates estimates,
+            RuntimeEstimator estimates,
             Runnable progressed) {
         this.loop = loop;
         this.cluster = cluster;
@@ -48,7 +48,7 @@
      *
      * @param ownReport it came by itself: only such a one shows that a launch has not happened
      */
-    void take(Machine machine, Report report, boolean ownReport, long now) {
+    void take(Machine machine, Heartbeat report, boolean ownReport, long now) {
         if (!machine.trusted()) {
             machine.trust();
             machine.responsiveness().heeded();
@@ -64,7 +64,7 @@
         Set<Allocation> shown = new HashSet<>();
         boolean heeded = false;
         boolean unheeded = false;
-        for (TaskState task : report.tasks()) {
+        for (TaskStatus task : report.tasks()) {
             Allocation allocation = machine.allocation(task.uid(), task.index(), task.attempt());
             if (allocation == null) {
                 allocation = found(machine, task, now);
@@ -97,7 +97,7 @@
         }
     }
 
-    private Allocation found(Machine machine, TaskState task, long now) {
+    private Allocation found(Machine machine, TaskStatus task, long now) {
         ActiveJob job = cluster.job(task.uid());
         if (job != null && (task.index() < 0 || task.index() >= job.spec().tasks())) {
             job = null;
--- a/src/main/java/io/sillreel/heartbeat/WorkerSpread.java
+++ b/src/main/java/io/sillreel/heartbeat/WorkerLoadBalancer.java
@@ -1,6 +1,6 @@
 package io.sillreel.heartbeat;
 
-import io.sillreel.http.Loop;
+import io.sillreel.http.EventLoop;
 import io.sillreel.peer.PeerMessages.Hello;
 import io.sillreel.peer.Peers;
 import java.util.HashMap;
@@ -10,7 +10,7 @@
  * Spreads the workers over the controllers that can serve them: whoever has more than its part sends some on. The lease
  * leader keeps a smaller part, since it decides every answer already.
  */
-public final class WorkerSpread {
+public final class WorkerLoadBalancer {
     private static final double LEADER_PART = 0.25;
     /** So many beyond its part are no reason to move anybody. */
     private static final int SLACK = 3;
@@ -19,7 +19,7 @@
     /** A worker that came back this soon was sent away in vain. */
     private static final long SETTLE_MICROS = 30_000_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Peers peers;
     private final String node;
     private final long freshMicros;
@@ -29,7 +29,7 @@
     private String moveTo;
 
     /** @param reportMicros the interval between two reports of a worker */
-    public WorkerSpread(Loop loop, Peers peers, String node, long reportMicros) {
+    public WorkerLoadBalancer(EventLoop loop, Peers peers, String node, long reportMicros) {
         this.loop = loop;
         this.peers = peers;
         this.node = node;
--- a/src/main/java/io/sillreel/http/Caller.java
+++ /dev/null
@@ -1,8 +0,0 @@
-package io.sillreel.http;
-
-import java.util.concurrent.CompletableFuture;
-
-/** The client side of HTTP. The future always completes with a reply, never with an exception. */
-public interface Caller {
-    CompletableFuture<Reply> call(String address, Call call, long timeoutMicros);
-}
--- a/src/main/java/io/sillreel/http/Loop.java
+++ b/src/main/java/io/sillreel/http/EventLoop.java
@@ -1,7 +1,7 @@
 package io.sillreel.http;
 
 /** Time and turns: the injected clock and timer of everything that decides. Tasks of one loop never overlap. */
-public interface Loop {
+public interface EventLoop {
     /** Steady time, whole microseconds since an arbitrary start. */
     long nowMicros();
 
--- a/src/main/java/io/sillreel/http/Call.java
+++ b/src/main/java/io/sillreel/http/HttpRequest.java
@@ -5,15 +5,15 @@
 import java.util.List;
 
 /** One HTTP request, as sent or as received. */
-public record Call(String method, String path, byte[] body) {
+public record HttpRequest(String method, String path, byte[] body) {
     public static final byte[] NO_BODY = new byte[0];
 
-    public static Call get(String path) {
-        return new Call("GET", path, NO_BODY);
+    public static HttpRequest get(String path) {
+        return new HttpRequest("GET", path, NO_BODY);
     }
 
-    public static Call post(String path, JsonNode body) {
-        return new Call("POST", path, Json.bytes(body));
+    public static HttpRequest post(String path, JsonNode body) {
+        return new HttpRequest("POST", path, Json.bytes(body));
     }
 
     /** A parameter of the query, or an empty text. */
--- a/src/main/java/io/sillreel/http/Reply.java
+++ b/src/main/java/io/sillreel/http/HttpResponse.java
@@ -7,37 +7,37 @@
  * One HTTP response. Status {@link #NOT_SENT} means that the request never left, {@link #NO_ANSWER} that it may have
  * been executed, or may yet be.
  */
-public record Reply(int status, byte[] body, int retryAfterSeconds) {
+public record HttpResponse(int status, byte[] body, int retryAfterSeconds) {
     public static final int NO_ANSWER = 0;
     public static final int NOT_SENT = -1;
     /** An answer came, and it was larger than what is taken in. */
     public static final int ANSWER_TOO_LARGE = -2;
 
-    public static Reply of(int status, JsonNode body) {
-        return new Reply(status, Json.bytes(body), 0);
+    public static HttpResponse of(int status, JsonNode body) {
+        return new HttpResponse(status, Json.bytes(body), 0);
     }
 
-    public static Reply noAnswer() {
-        return new Reply(NO_ANSWER, Call.NO_BODY, 0);
+    public static HttpResponse noAnswer() {
+        return new HttpResponse(NO_ANSWER, HttpRequest.NO_BODY, 0);
     }
 
-    public static Reply answerTooLarge() {
-        return new Reply(ANSWER_TOO_LARGE, Call.NO_BODY, 0);
+    public static HttpResponse answerTooLarge() {
+        return new HttpResponse(ANSWER_TOO_LARGE, HttpRequest.NO_BODY, 0);
     }
 
-    public static Reply notSent() {
-        return new Reply(NOT_SENT, Call.NO_BODY, 0);
+    public static HttpResponse notSent() {
+        return new HttpResponse(NOT_SENT, HttpRequest.NO_BODY, 0);
     }
 
     /** An answer in plain words. */
-    public static Reply refusal(int status, String reason) {
+    public static HttpResponse refusal(int status, String reason) {
         return of(status, Json.object().put("error", reason));
     }
 
     /** What can't be served now is answered at once, with the time to come back. */
-    public static Reply later(int status, String reason, int retryAfterSeconds) {
+    public static HttpResponse later(int status, String reason, int retryAfterSeconds) {
         ObjectNode body = Json.object().put("error", reason);
-        return new Reply(status, Json.bytes(body), retryAfterSeconds);
+        return new HttpResponse(status, Json.bytes(body), retryAfterSeconds);
     }
 
     public JsonNode json() {
--- a/src/main/java/io/sillreel/http/NettyLoop.java
+++ b/src/main/java/io/sillreel/http/NettyEventLoop.java
@@ -1,6 +1,5 @@
 package io.sillreel.http;
 
-import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 import org.agrona.concurrent.EpochMicroClock;
@@ -9,13 +8,13 @@
 import org.slf4j.LoggerFactory;
 
 /** The loop of a running daemon: Netty's event loop and the system's clocks. */
-public final class NettyLoop implements Loop {
-    private static final Logger LOG = LoggerFactory.getLogger(NettyLoop.class);
+public final class NettyEventLoop implements EventLoop {
+    private static final Logger LOG = LoggerFactory.getLogger(NettyEventLoop.class);
 
-    private final EventLoop eventLoop;
+    private final io.netty.channel.EventLoop eventLoop;
     private final EpochMicroClock wall = new SystemEpochMicroClock();
 
-    public NettyLoop(EventLoop eventLoop) {
+    public NettyEventLoop(io.netty.channel.EventLoop eventLoop) {
         this.eventLoop = eventLoop;
     }
 
--- a/src/main/java/io/sillreel/http/HttpServer.java
+++ b/src/main/java/io/sillreel/http/NettyHttpServer.java
@@ -24,7 +24,7 @@
 import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
-import io.sillreel.http.RequestQueue.Line;
+import io.sillreel.http.RequestQueue.RequestClass;
 import java.net.InetSocketAddress;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
@@ -37,37 +37,37 @@
  * route may be given a part of the connections: hundreds of workers that turn to the last controller that is up must
  * not take the place of users and health checks.
  */
-public final class HttpServer {
+public final class NettyHttpServer {
     public static final int MAX_BODY_BYTES = 64 * 1024;
     /** Connections that may wait to be accepted: all workers turn up at once when the last of the others has ended. */
     private static final int MIN_BACKLOG = 1_024;
 
     private static final int DRAIN_MILLIS = 1_000;
-    private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
+    private static final Logger LOG = LoggerFactory.getLogger(NettyHttpServer.class);
 
     private final EventLoopGroup group;
     private final int maxBodyBytes;
     private final int maxConnections;
-    private final Function<Call, Line> lines;
+    private final Function<HttpRequest, RequestClass> lines;
     private final RequestQueue requestQueue;
     private final int maxCrowd;
     private int connections;
     private int crowded;
 
     /** A listener whose requests are all taken up as they come. */
-    public HttpServer(EventLoopGroup group, int maxBodyBytes, int maxConnections) {
-        this(group, maxBodyBytes, maxConnections, call -> Line.AT_ONCE, null, 0);
+    public NettyHttpServer(EventLoopGroup group, int maxBodyBytes, int maxConnections) {
+        this(group, maxBodyBytes, maxConnections, call -> RequestClass.AT_ONCE, null, 0);
     }
 
     /**
      * @param lines which line a request waits in
      * @param maxCrowd how many of the connections may ask what waits in the crowd's line
      */
-    public HttpServer(
+    public NettyHttpServer(
             EventLoopGroup group,
             int maxBodyBytes,
             int maxConnections,
-            Function<Call, Line> lines,
+            Function<HttpRequest, RequestClass> lines,
             RequestQueue requestQueue,
             int maxCrowd) {
         this.group = group;
@@ -79,12 +79,12 @@
     }
 
     /** Listens on the address, or fails with a plain message. */
-    public Channel listen(InetSocketAddress address, Handler handler) {
+    public Channel listen(InetSocketAddress address, HttpHandler handler) {
         return bind(address, handler).syncUninterruptibly().channel();
     }
 
     /** Begins to listen on the address; may be called in the loop. */
-    public ChannelFuture bind(InetSocketAddress address, Handler handler) {
+    public ChannelFuture bind(InetSocketAddress address, HttpHandler handler) {
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
@@ -109,7 +109,7 @@
         return bootstrap.bind(address);
     }
 
-    private static FullHttpResponse response(Reply reply) {
+    private static FullHttpResponse response(HttpResponse reply) {
         FullHttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(reply.body()));
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
@@ -128,7 +128,7 @@
 
         @Override
         protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-            FullHttpResponse refusal = response(Reply.refusal(400, "the body is larger than 64 KiB"));
+            FullHttpResponse refusal = response(HttpResponse.refusal(400, "the body is larger than 64 KiB"));
             refusal.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             ctx.writeAndFlush(refusal);
             // Closing on what is still being sent would reset the connection and take the answer along.
@@ -137,16 +137,16 @@
     }
 
     private final class Dispatch extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final Handler handler;
+        private final HttpHandler handler;
         private boolean counted;
 
-        Dispatch(Handler handler) {
+        Dispatch(HttpHandler handler) {
             this.handler = handler;
         }
 
         /** True if the connection belongs to the crowd and there is no place left for it. */
-        private boolean turnsAway(Line line) {
-            if (counted || line != Line.CROWD) {
+        private boolean turnsAway(RequestClass line) {
+            if (counted || line != RequestClass.CROWD) {
                 return false;
             }
             if (crowded >= maxCrowd) {
@@ -172,26 +172,26 @@
             byte[] body = new byte[request.content().readableBytes()];
             request.content().readBytes(body);
             if (!request.decoderResult().isSuccess()) {
-                write(ctx, Reply.refusal(400, "not HTTP"), false);
+                write(ctx, HttpResponse.refusal(400, "not HTTP"), false);
                 return;
             }
-            Call call = new Call(request.method().name(), request.uri(), body);
-            Line line = lines.apply(call);
+            HttpRequest call = new HttpRequest(request.method().name(), request.uri(), body);
+            RequestClass line = lines.apply(call);
             if (turnsAway(line)) {
-                write(ctx, Reply.later(503, "too many connections", 1), false);
-            } else if (line == Line.AT_ONCE) {
+                write(ctx, HttpResponse.later(503, "too many connections", 1), false);
+            } else if (line == RequestClass.AT_ONCE) {
                 answer(ctx, call, keepAlive);
             } else if (!requestQueue.await(
                     line, body.length, ctx.channel()::isActive, () -> answer(ctx, call, keepAlive))) {
-                write(ctx, Reply.later(503, "too much waits already", 1), keepAlive);
+                write(ctx, HttpResponse.later(503, "too much waits already", 1), keepAlive);
             }
         }
 
-        private void answer(ChannelHandlerContext ctx, Call call, boolean keepAlive) {
+        private void answer(ChannelHandlerContext ctx, HttpRequest call, boolean keepAlive) {
             handle(call).whenComplete((reply, failure) -> {
                 if (failure != null) {
                     LOG.error("a request could not be handled: {} {}", call.method(), call.path(), failure);
-                    write(ctx, Reply.later(503, "internal error", 1), keepAlive);
+                    write(ctx, HttpResponse.later(503, "internal error", 1), keepAlive);
                 } else {
                     write(ctx, reply, keepAlive);
                 }
@@ -199,7 +199,7 @@
         }
 
         /** A handler that fails at once is no different from one that fails later. */
-        private CompletableFuture<Reply> handle(Call call) {
+        private CompletableFuture<HttpResponse> handle(HttpRequest call) {
             try {
                 return handler.handle(call);
             } catch (RuntimeException e) {
@@ -207,7 +207,7 @@
             }
         }
 
-        private void write(ChannelHandlerContext ctx, Reply reply, boolean keepAlive) {
+        private void write(ChannelHandlerContext ctx, HttpResponse reply, boolean keepAlive) {
             FullHttpResponse response = response(reply);
             if (keepAlive) {
                 ctx.writeAndFlush(response, ctx.voidPromise());
--- a/src/main/java/io/sillreel/http/RequestQueue.java
+++ b/src/main/java/io/sillreel/http/RequestQueue.java
@@ -14,7 +14,7 @@
  */
 public final class RequestQueue {
     /** Where a request waits; what is asked to see whether this process is alive does not wait. */
-    public enum Line {
+    public enum RequestClass {
         AT_ONCE,
         USERS,
         CROWD
@@ -27,7 +27,7 @@
 
     private record WaitingRequest(long sinceMicros, int bytes, BooleanSupplier wanted, Runnable work) {}
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final long maxBytes;
     private final Deque<WaitingRequest> users = new ArrayDeque<>();
     private final Deque<WaitingRequest> crowd = new ArrayDeque<>();
@@ -40,7 +40,7 @@
      * @param maxBytes what the waiting requests may hold in all; beyond that they are refused, or hundreds of large
      *     ones would fill the heap
      */
-    public RequestQueue(Loop loop, long maxBytes) {
+    public RequestQueue(EventLoop loop, long maxBytes) {
         this.loop = loop;
         this.maxBytes = maxBytes;
     }
@@ -51,8 +51,8 @@
      * @param bytes what the request holds until then
      * @return false if too much waits already: the work is not done
      */
-    public boolean await(Line line, int bytes, BooleanSupplier wanted, Runnable work) {
-        if (line == Line.AT_ONCE) {
+    public boolean await(RequestClass line, int bytes, BooleanSupplier wanted, Runnable work) {
+        if (line == RequestClass.AT_ONCE) {
             work.run();
             return true;
         }
@@ -61,7 +61,7 @@
                 return false;
             }
             bytesWaiting += bytes;
-            (line == Line.USERS ? users : crowd).add(new WaitingRequest(loop.nowMicros(), bytes, wanted, work));
+            (line == RequestClass.USERS ? users : crowd).add(new WaitingRequest(loop.nowMicros(), bytes, wanted, work));
             if (due) {
                 return true;
             }
--- a/src/main/java/io/sillreel/leadership/Leadership.java
+++ b/src/main/java/io/sillreel/leadership/LeaderElection.java
@@ -1,14 +1,14 @@
 package io.sillreel.leadership;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.sillreel.http.EventLoop;
 import io.sillreel.http.Json;
-import io.sillreel.http.Loop;
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.StateStore.Change;
 import io.sillreel.statestore.StateStore.Entry;
 import io.sillreel.statestore.StateStore.Outcome;
 import io.sillreel.statestore.StateStore.Read;
-import io.sillreel.statestore.StateStore.Txn;
+import io.sillreel.statestore.StateStore.Transaction;
 import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -17,7 +17,7 @@
  * The one lease that lets a controller drive the pipelines. The {@code leader} key sits on a lease of the state
  * service, the {@code term} key counts how often it was taken; both are written in one transaction.
  */
-public final class Leadership {
+public final class LeaderElection {
     public static final String LEADER_KEY = "leader";
     public static final String TERM_KEY = "term";
 
@@ -31,7 +31,7 @@
         void lost(String reason);
     }
 
-    private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
+    private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
     private static final long WATCH_MICROS = 2_000_000;
     private static final int LOOK_EVERY_WATCHES = 10;
     private static final long RETRY_MICROS = 300_000;
@@ -41,7 +41,7 @@
     private static final long TIMER_MARGIN_MICROS = 50_000;
 
     private final StateStore store;
-    private final Loop loop;
+    private final EventLoop loop;
     private final String node;
     private final long leaseMicros;
     private final Listener listener;
@@ -61,8 +61,13 @@
      * @param listener told when this controller gains or loses the lease
      * @param termFloor a term that the next one has to lie above, whatever is stored
      */
-    public Leadership(
-            StateStore store, Loop loop, String node, long leaseMicros, Listener listener, LongSupplier termFloor) {
+    public LeaderElection(
+            StateStore store,
+            EventLoop loop,
+            String node,
+            long leaseMicros,
+            Listener listener,
+            LongSupplier termFloor) {
         this.store = store;
         this.loop = loop;
         this.node = node;
@@ -236,7 +241,7 @@
 
     private void take(long granted, long sent, long leaderStamp, long termStamp, long term, long ledger) {
         ObjectNode leader = Json.object().put("node", node).put("term", term);
-        Txn txn = new Txn()
+        Transaction txn = new Transaction()
                 .require(LEADER_KEY, leaderStamp)
                 .require(TERM_KEY, termStamp)
                 .set(LEADER_KEY, leader, granted)
--- a/src/main/java/io/sillreel/leadership/TermJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -1,7 +1,7 @@
 package io.sillreel.leadership;
 
 import io.sillreel.cluster.Cluster;
-import io.sillreel.http.Loop;
+import io.sillreel.http.EventLoop;
 import io.sillreel.leadership.StoredState.StoredJob;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.CancellationRecord;
@@ -11,13 +11,13 @@
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.placement.CapacityPlanner;
-import io.sillreel.placement.Estimates;
 import io.sillreel.placement.PriorityInheritance;
+import io.sillreel.placement.RuntimeEstimator;
 import io.sillreel.settings.ValueLimits;
-import io.sillreel.statestore.KeyWriter;
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.StateStore.Change;
 import io.sillreel.statestore.StateStore.Outcome;
+import io.sillreel.statestore.WriteQueue;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.LinkedHashMap;
@@ -33,18 +33,18 @@
  * cancellations in the state service, and releases or cancels what awaits a job once its end or cancellation is stored.
  * All state is behind the lock of the cluster.
  */
-final class TermJobs implements ActiveJob.Watcher, DependencyGraph.Callbacks {
-    private static final Logger LOG = LoggerFactory.getLogger(TermJobs.class);
+final class LeaderJobs implements ActiveJob.Listener, DependencyGraph.Callbacks {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaderJobs.class);
     private static final long RETRY_MICROS = 300_000;
     private static final long PLAN_WATCH_MICROS = 10_000_000;
     private static final long CANCELLATIONS_WATCH_MICROS = 1_000_000;
     private static final int MAX_DONE_REMEMBERED = 4_000;
     private static final long LOOK_AGAIN_MICROS = 1_000_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final StateStore store;
     private final Cluster cluster;
-    private final KeyWriter writer;
+    private final WriteQueue writer;
     private final CapacityPlanner capacity;
     private final ValueLimits limits;
     private final Runnable changed;
@@ -71,13 +71,13 @@
      * @param onCancelled told of each job that turns out to be cancelled, once
      * @param missedChanges told of a prefix whose changes can't be followed any more
      */
-    TermJobs(
-            Loop loop,
+    LeaderJobs(
+            EventLoop loop,
             StateStore store,
             Cluster cluster,
-            KeyWriter writer,
+            WriteQueue writer,
             CapacityPlanner capacity,
-            Estimates estimates,
+            RuntimeEstimator estimates,
             ValueLimits limits,
             Runnable changed,
             Consumer<ActiveJob> onCancelled,
@@ -138,7 +138,7 @@
     }
 
     @Override
-    public void toWrite(List<? extends KeyWriter.Item> items) {
+    public void toWrite(List<? extends WriteQueue.PendingWrite> items) {
         items.forEach(writer::enqueue);
     }
 
--- a/src/main/java/io/sillreel/leadership/LeaderReachability.java
+++ b/src/main/java/io/sillreel/leadership/LeaderReachability.java
@@ -1,7 +1,7 @@
 package io.sillreel.leadership;
 
 import io.sillreel.cluster.Cluster;
-import io.sillreel.http.Loop;
+import io.sillreel.http.EventLoop;
 import io.sillreel.peer.Peers;
 import io.sillreel.settings.Settings;
 import java.util.HashSet;
@@ -22,9 +22,9 @@
     /** A worker finds another controller within two time-outs and a report. */
     private static final long DETOURS_OVER_MICROS = 15_000_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Settings settings;
-    private final Leadership leadership;
+    private final LeaderElection leadership;
     private final Peers peers;
     private final Cluster cluster;
     private final Set<String> sentToLook = new HashSet<>();
@@ -33,7 +33,7 @@
     private long reportMicros;
     private long disturbedMicros;
 
-    LeaderReachability(Loop loop, Settings settings, Leadership leadership, Peers peers, Cluster cluster) {
+    LeaderReachability(EventLoop loop, Settings settings, LeaderElection leadership, Peers peers, Cluster cluster) {
         this.loop = loop;
         this.settings = settings;
         this.leadership = leadership;
--- a/src/main/java/io/sillreel/leadership/TermStatus.java
+++ b/src/main/java/io/sillreel/leadership/LeaderStatus.java
@@ -2,28 +2,28 @@
 
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
-import io.sillreel.http.Loop;
+import io.sillreel.http.EventLoop;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.placement.CapacityPlanner;
-import io.sillreel.statestore.KeyWriter;
+import io.sillreel.statestore.WriteQueue;
 import java.util.HashMap;
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** The state of a term in figures, for the log and for metrics. */
-final class TermStatus {
-    private static final Logger LOG = LoggerFactory.getLogger(TermStatus.class);
+final class LeaderStatus {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaderStatus.class);
     private static final long STATUS_MICROS = 10_000_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final long term;
     private final Cluster cluster;
     private final CapacityPlanner capacity;
-    private final KeyWriter writer;
+    private final WriteQueue writer;
     private long statusMicros;
 
-    TermStatus(Loop loop, long term, Cluster cluster, CapacityPlanner capacity, KeyWriter writer) {
+    LeaderStatus(EventLoop loop, long term, Cluster cluster, CapacityPlanner capacity, WriteQueue writer) {
         this.loop = loop;
         this.term = term;
         this.cluster = cluster;
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -1,33 +1,33 @@
 package io.sillreel.leadership;
 
-import io.sillreel.agent.Report;
+import io.sillreel.agent.Heartbeat;
 import io.sillreel.cloud.CloudClient;
 import io.sillreel.cloud.MachineType;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
-import io.sillreel.fleet.FleetKeeper;
+import io.sillreel.fleet.FleetManager;
 import io.sillreel.fleet.FleetThresholds;
-import io.sillreel.fleet.RecallDrain;
-import io.sillreel.fleet.SlowMachines;
-import io.sillreel.heartbeat.ReportProcessor;
-import io.sillreel.http.Call;
-import io.sillreel.http.Caller;
-import io.sillreel.http.Loop;
-import io.sillreel.http.Reply;
+import io.sillreel.fleet.SpotInterruptionDrain;
+import io.sillreel.fleet.StragglerDetector;
+import io.sillreel.heartbeat.HeartbeatProcessor;
+import io.sillreel.http.EventLoop;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.limits.FleetCapacity;
 import io.sillreel.peer.Peers;
 import io.sillreel.pipeline.ActiveJob;
-import io.sillreel.pipeline.LiveCounts;
+import io.sillreel.pipeline.LiveTaskCounts;
 import io.sillreel.pipeline.RetrySchedule;
 import io.sillreel.placement.CapacityPlanner;
-import io.sillreel.placement.Deadlines;
-import io.sillreel.placement.Demand;
-import io.sillreel.placement.Estimates;
+import io.sillreel.placement.DemandEstimator;
 import io.sillreel.placement.Planner;
+import io.sillreel.placement.RuntimeEstimator;
+import io.sillreel.placement.ServiceLevelObjectives;
 import io.sillreel.settings.OperatorProperties;
 import io.sillreel.settings.Settings;
-import io.sillreel.statestore.KeyWriter;
 import io.sillreel.statestore.StateStore;
+import io.sillreel.statestore.WriteQueue;
 import java.util.Map;
 import java.util.function.LongPredicate;
 import java.util.function.Supplier;
@@ -38,7 +38,7 @@
  * Everything a controller holds while it leads one term: built from the stored plans, records and fleet and from the
  * machines' reports, thrown away with the term. A deposed leader has nothing left to act on.
  */
-public final class LeaderTerm implements ReportProcessor.Callbacks, LiveCounts {
+public final class LeaderTerm implements HeartbeatProcessor.Callbacks, LiveTaskCounts {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
     private static final long TICK_MICROS = 100_000;
     private static final long FLEET_MICROS = 1_000_000;
@@ -48,24 +48,24 @@
 
     private static final long GRACE_MARGIN_MICROS = 1_500_000;
     private static final long ASK_TIMEOUT_MICROS = 3_000_000;
-    private final Loop loop;
+    private final EventLoop loop;
     private final StateStore store;
-    private final Caller caller;
+    private final HttpClient caller;
     private final Settings settings;
-    private final Leadership leadership;
+    private final LeaderElection leadership;
     private final long term;
     private final Supplier<Map<String, MachineType>> types;
     private final Cluster cluster;
-    private final KeyWriter writer;
-    private final Estimates estimates = new Estimates();
+    private final WriteQueue writer;
+    private final RuntimeEstimator estimates = new RuntimeEstimator();
     private final CapacityPlanner capacity;
-    private final ReportProcessor reportProcessor;
-    private final FleetKeeper fleet;
-    private final TermJobs jobs;
-    private final TermStatus status;
+    private final HeartbeatProcessor reportProcessor;
+    private final FleetManager fleet;
+    private final LeaderJobs jobs;
+    private final LeaderStatus status;
     private final LeaderReachability reachability;
-    private final PlanningCycle planning;
-    private final SlowMachines slowMachines;
+    private final SchedulingCycle planning;
+    private final StragglerDetector slowMachines;
 
     private boolean loaded;
     private boolean closed;
@@ -73,14 +73,14 @@
 
     /** Creates the state of one term; {@link #start} begins to read what is stored. */
     public LeaderTerm(
-            Loop loop,
+            EventLoop loop,
             StateStore store,
             CloudClient cloud,
-            Caller caller,
+            HttpClient caller,
             Settings settings,
             OperatorProperties operator,
             FleetCapacity fleetCapacity,
-            Leadership leadership,
+            LeaderElection leadership,
             long term,
             long leaderStamp,
             Supplier<Map<String, MachineType>> types,
@@ -93,17 +93,17 @@
         this.term = term;
         this.types = types;
         this.cluster = new Cluster(settings.teams());
-        this.writer = new KeyWriter(
+        this.writer = new WriteQueue(
                 store,
                 loop,
-                Leadership.LEADER_KEY,
+                LeaderElection.LEADER_KEY,
                 leaderStamp,
                 settings.state().txnOps(),
                 () -> leadership.resign("the leader key has changed"));
-        Deadlines deadlines = new Deadlines(settings.objectives(), estimates);
+        ServiceLevelObjectives deadlines = new ServiceLevelObjectives(settings.objectives(), estimates);
         Planner planner = new Planner(cluster, settings.workers().reportMicros(), deadlines);
         this.capacity = new CapacityPlanner(cluster, deadlines, estimates);
-        this.jobs = new TermJobs(
+        this.jobs = new LeaderJobs(
                 loop,
                 store,
                 cluster,
@@ -114,24 +114,24 @@
                 this::progressed,
                 this::haltTasks,
                 prefix -> leadership.resign("the changes under " + prefix + " were missed"));
-        this.status = new TermStatus(loop, term, cluster, capacity, writer);
+        this.status = new LeaderStatus(loop, term, cluster, capacity, writer);
         this.reportProcessor = newReportProcessor(operator, planner);
-        this.slowMachines = new SlowMachines(cluster, estimates);
+        this.slowMachines = new StragglerDetector(cluster, estimates);
         this.reachability = new LeaderReachability(loop, settings, leadership, peers, cluster);
-        this.planning = new PlanningCycle(
+        this.planning = new SchedulingCycle(
                 loop,
                 term,
                 cluster,
                 caller,
                 planner,
                 reportProcessor,
-                new RecallDrain(cluster, estimates),
+                new SpotInterruptionDrain(cluster, estimates),
                 this::mayAct);
         this.fleet = newFleet(cloud, operator, fleetCapacity);
     }
 
-    private ReportProcessor newReportProcessor(OperatorProperties operator, Planner planner) {
-        return new ReportProcessor(
+    private HeartbeatProcessor newReportProcessor(OperatorProperties operator, Planner planner) {
+        return new HeartbeatProcessor(
                 loop,
                 term,
                 cluster,
@@ -145,8 +145,8 @@
                 this::mayAct);
     }
 
-    private FleetKeeper newFleet(CloudClient cloud, OperatorProperties operator, FleetCapacity fleetCapacity) {
-        return new FleetKeeper(
+    private FleetManager newFleet(CloudClient cloud, OperatorProperties operator, FleetCapacity fleetCapacity) {
+        return new FleetManager(
                 loop,
                 term,
                 cluster,
@@ -221,7 +221,7 @@
             return;
         }
         long asked = loop.nowMicros();
-        LongPredicate countsAsDemand = admitted -> Demand.remembers(admitted, loop.wallMicros());
+        LongPredicate countsAsDemand = admitted -> DemandEstimator.remembers(admitted, loop.wallMicros());
         new StoredStateReader(store, settings.state().values().presentBytes(), countsAsDemand, () -> !closed)
                 .read()
                 .thenAccept(state -> {
@@ -262,20 +262,20 @@
     // --- Reports ---------------------------------------------------------------------------------------------------
 
     /** Answers a worker's report, or says that this controller may not. */
-    public Reply answer(Report report) {
+    public HttpResponse answer(Heartbeat report) {
         if (report.token() > term) {
             leadership.heard(null, report.token());
-            return Reply.later(503, "a later term has begun", 1);
+            return HttpResponse.later(503, "a later term has begun", 1);
         }
         if (closed || !loaded) {
-            return Reply.later(503, "the term is only beginning", 1);
+            return HttpResponse.later(503, "the term is only beginning", 1);
         }
         reachability.reported();
         if (!mayKeepAlive()) {
-            return Reply.later(503, "the state service has not confirmed the lease for too long", 1);
+            return HttpResponse.later(503, "the state service has not confirmed the lease for too long", 1);
         }
         if (!leadership.proven() && reachability.betterElsewhere(report.machine())) {
-            return Reply.later(503, "another controller may hold the lease by now", 1);
+            return HttpResponse.later(503, "another controller may hold the lease by now", 1);
         }
         return reportProcessor.report(report);
     }
@@ -290,7 +290,7 @@
     }
 
     @Override
-    public Machine adopt(Report report) {
+    public Machine adopt(Heartbeat report) {
         return fleet.adopt(report.machine(), report.build(), report.zone(), report.spot());
     }
 
@@ -321,12 +321,13 @@
         }
         long session = machine.messages().session();
         long sequence = machine.messages().sequence();
-        caller.call(machine.address(), Call.get("/status"), ASK_TIMEOUT_MICROS).thenAccept(reply -> {
-            Report report = !closed && reply.ok() ? Report.read(reply.body()) : null;
-            if (report != null && report.machine().equals(machine.name())) {
-                reportProcessor.asked(report, session, sequence);
-            }
-        });
+        caller.call(machine.address(), HttpRequest.get("/status"), ASK_TIMEOUT_MICROS)
+                .thenAccept(reply -> {
+                    Heartbeat report = !closed && reply.ok() ? Heartbeat.read(reply.body()) : null;
+                    if (report != null && report.machine().equals(machine.name())) {
+                        reportProcessor.asked(report, session, sequence);
+                    }
+                });
     }
 
     // --- Ticking ---------------------------------------------------------------------------------------------------
--- a/src/main/java/io/sillreel/leadership/PlanningCycle.java
+++ b/src/main/java/io/sillreel/leadership/SchedulingCycle.java
@@ -1,15 +1,15 @@
 package io.sillreel.leadership;
 
-import io.sillreel.agent.Commands;
-import io.sillreel.agent.Report;
+import io.sillreel.agent.AgentCommands;
+import io.sillreel.agent.Heartbeat;
 import io.sillreel.cluster.Allocation;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
-import io.sillreel.fleet.RecallDrain;
-import io.sillreel.heartbeat.ReportProcessor;
-import io.sillreel.http.Call;
-import io.sillreel.http.Caller;
-import io.sillreel.http.Loop;
+import io.sillreel.fleet.SpotInterruptionDrain;
+import io.sillreel.heartbeat.HeartbeatProcessor;
+import io.sillreel.http.EventLoop;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.HttpRequest;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.placement.Planner;
 import java.util.ArrayList;
@@ -21,8 +21,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Makes plans as often as their cost allows, and sends machines directly what can't wait for their next report. */
-final class PlanningCycle {
-    private static final Logger LOG = LoggerFactory.getLogger(PlanningCycle.class);
+final class SchedulingCycle {
+    private static final Logger LOG = LoggerFactory.getLogger(SchedulingCycle.class);
     private static final long MIN_PLAN_INTERVAL_MICROS = 200_000;
     private static final long MAX_PLAN_INTERVAL_MICROS = 2_000_000;
     private static final long PLAN_REST_FACTOR = 8;
@@ -30,13 +30,13 @@
     private static final long DO_TIMEOUT_MICROS = 3_000_000;
     private static final long COMMAND_MICROS = 1_000_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final long term;
     private final Cluster cluster;
-    private final Caller caller;
+    private final HttpClient caller;
     private final Planner planner;
-    private final ReportProcessor reportProcessor;
-    private final RecallDrain recallDrain;
+    private final HeartbeatProcessor reportProcessor;
+    private final SpotInterruptionDrain recallDrain;
     private final BooleanSupplier mayAct;
     private final Set<Machine> haltsDue = new LinkedHashSet<>();
     private boolean closed;
@@ -47,14 +47,14 @@
     private long plans;
 
     /** @param mayAct true while launches are allowed */
-    PlanningCycle(
-            Loop loop,
+    SchedulingCycle(
+            EventLoop loop,
             long term,
             Cluster cluster,
-            Caller caller,
+            HttpClient caller,
             Planner planner,
-            ReportProcessor reportProcessor,
-            RecallDrain recallDrain,
+            HeartbeatProcessor reportProcessor,
+            SpotInterruptionDrain recallDrain,
             BooleanSupplier mayAct) {
         this.loop = loop;
         this.term = term;
@@ -139,16 +139,16 @@
         if (machine.address() == null || !machine.trusted()) {
             return;
         }
-        Commands commands = new Commands();
+        AgentCommands commands = new AgentCommands();
         reportProcessor.command(machine, commands);
         if (commands.isEmpty()) {
             return;
         }
-        Call call = Call.post(
+        HttpRequest call = HttpRequest.post(
                 "/do", commands.body(term).put("shift", machine.messages().session()));
         caller.call(machine.address(), call, DO_TIMEOUT_MICROS).thenAccept(reply -> {
             if (!closed && (reply.status() == 200 || reply.status() == 409)) {
-                Report report = Report.read(reply.body());
+                Heartbeat report = Heartbeat.read(reply.body());
                 if (report != null) {
                     reportProcessor.answered(report);
                 }
--- a/src/main/java/io/sillreel/leadership/StoredJobsReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredJobsReader.java
@@ -2,13 +2,13 @@
 
 import static io.sillreel.leadership.StoredStateReader.after;
 
-import io.sillreel.cluster.Rental;
+import io.sillreel.cluster.ScaleOutRequest;
 import io.sillreel.leadership.StoredState.StoredJob;
 import io.sillreel.pipeline.JobIdSet;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
-import io.sillreel.statestore.KeyWriter;
 import io.sillreel.statestore.StateStore.Entry;
+import io.sillreel.statestore.WriteQueue;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -31,7 +31,7 @@
     private final LongPredicate countsAsDemand;
     private final JobIdSet done = new JobIdSet();
     private final Map<String, Head> heads = new HashMap<>();
-    private final Map<String, RunRecord.StoredParts> parts = new HashMap<>();
+    private final Map<String, RunRecord.StoredChunks> parts = new HashMap<>();
     private final List<StoredJob> unfinished = new ArrayList<>();
     private final List<PlanRecord> recentlyDone = new ArrayList<>();
     private final Deque<Entry> plansToJudge = new ArrayDeque<>();
@@ -98,7 +98,7 @@
     private void addPart(String uid, Entry entry) {
         parts.computeIfAbsent(
                         uid,
-                        each -> new RunRecord.StoredParts(new HashMap<>(), new HashMap<>(), previousVersionChunkTasks))
+                        each -> new RunRecord.StoredChunks(new HashMap<>(), new HashMap<>(), previousVersionChunkTasks))
                 .add(entry);
     }
 
@@ -121,20 +121,21 @@
                     plan.stamp(),
                     head == null ? null : head.head(),
                     head == null ? 0 : head.stamp(),
-                    RunRecord.StoredParts.NONE));
+                    RunRecord.StoredChunks.NONE));
         } else if (countsAsDemand.test(PlanRecord.admittedWallMicros(plan.value()))) {
             recentlyDone.add(PlanRecord.of(plan.value()));
         }
     }
 
     /** Everything that was read, once all lists have come to their ends. */
-    StoredState state(JobIdSet cancelled, List<Rental> rentals, long plansRevision, long cancellationsRevision) {
+    StoredState state(
+            JobIdSet cancelled, List<ScaleOutRequest> rentals, long plansRevision, long cancellationsRevision) {
         unfinished.sort(Comparator.comparingLong(StoredJob::planStamp));
         // Demand forgets the oldest first, so it is told of them first.
         recentlyDone.sort(Comparator.comparingLong(PlanRecord::admittedWallMicros));
         unfinished.replaceAll(
-                job -> job.with(parts.getOrDefault(job.plan().spec().uid(), RunRecord.StoredParts.NONE)));
-        List<KeyWriter.Item> leftovers = new ArrayList<>();
+                job -> job.with(parts.getOrDefault(job.plan().spec().uid(), RunRecord.StoredChunks.NONE)));
+        List<WriteQueue.PendingWrite> leftovers = new ArrayList<>();
         parts.forEach((uid, stored) -> {
             if (done.contains(uid)) {
                 leftovers.addAll(stored.removals());
--- a/src/main/java/io/sillreel/leadership/StoredState.java
+++ b/src/main/java/io/sillreel/leadership/StoredState.java
@@ -1,10 +1,10 @@
 package io.sillreel.leadership;
 
-import io.sillreel.cluster.Rental;
+import io.sillreel.cluster.ScaleOutRequest;
 import io.sillreel.pipeline.JobIdSet;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
-import io.sillreel.statestore.KeyWriter;
+import io.sillreel.statestore.WriteQueue;
 import java.util.List;
 
 /**
@@ -23,9 +23,9 @@
         List<StoredJob> unfinished,
         JobIdSet done,
         List<PlanRecord> recentlyDone,
-        List<KeyWriter.Item> leftovers,
+        List<WriteQueue.PendingWrite> leftovers,
         JobIdSet cancelled,
-        List<Rental> rentals,
+        List<ScaleOutRequest> rentals,
         long plansRevision,
         long cancellationsRevision) {
 
@@ -35,8 +35,8 @@
      * @param head what is stored of its progress, or null if it has not been released
      */
     record StoredJob(
-            PlanRecord plan, long planStamp, RunRecord.Head head, long headStamp, RunRecord.StoredParts parts) {
-        StoredJob with(RunRecord.StoredParts newParts) {
+            PlanRecord plan, long planStamp, RunRecord.Head head, long headStamp, RunRecord.StoredChunks parts) {
+        StoredJob with(RunRecord.StoredChunks newParts) {
             return new StoredJob(plan, planStamp, head, headStamp, newParts);
         }
 
--- a/src/main/java/io/sillreel/leadership/StoredStateReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredStateReader.java
@@ -1,6 +1,6 @@
 package io.sillreel.leadership;
 
-import io.sillreel.cluster.Rental;
+import io.sillreel.cluster.ScaleOutRequest;
 import io.sillreel.pipeline.CancellationRecord;
 import io.sillreel.pipeline.JobIdSet;
 import io.sillreel.pipeline.PlanRecord;
@@ -44,7 +44,7 @@
     CompletableFuture<Optional<StoredState>> read() {
         StoredJobsReader jobs = new StoredJobsReader(previousVersionChunkTasks, countsAsDemand);
         JobIdSet cancelled = new JobIdSet();
-        List<Rental> rentals = new ArrayList<>();
+        List<ScaleOutRequest> rentals = new ArrayList<>();
         CompletableFuture<Scan> runs = store.scan(RunRecord.PREFIX, page -> {
             jobs.addRuns(page);
             return next();
@@ -59,8 +59,8 @@
             page.forEach(entry -> cancelled.add(after(CancellationRecord.PREFIX, entry)));
             return next();
         });
-        CompletableFuture<Scan> hired = store.scan(Rental.PREFIX, page -> {
-            page.forEach(entry -> rentals.add(Rental.of(entry.key(), entry.value(), entry.stamp())));
+        CompletableFuture<Scan> hired = store.scan(ScaleOutRequest.PREFIX, page -> {
+            page.forEach(entry -> rentals.add(ScaleOutRequest.of(entry.key(), entry.value(), entry.stamp())));
             return next();
         });
         runs.thenAccept(scan -> jobs.runsRead(scan.outcome() == Outcome.OK));
--- a/src/main/java/io/sillreel/overload/AdaptiveLimit.java
+++ b/src/main/java/io/sillreel/overload/AdaptiveLimit.java
@@ -3,9 +3,9 @@
 import com.netflix.concurrency.limits.Limiter;
 import com.netflix.concurrency.limits.limit.Gradient2Limit;
 import com.netflix.concurrency.limits.limiter.SimpleLimiter;
-import io.sillreel.http.Call;
-import io.sillreel.http.Handler;
-import io.sillreel.http.Reply;
+import io.sillreel.http.HttpHandler;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Optional;
@@ -18,13 +18,13 @@
  * not the same question for ever: one that has been refused for a while is owed an answer, and a few of those pass
  * beside the limit. Else a job could stay without an answer for as long as others are asked about.
  */
-public final class AdaptiveLimit implements Handler {
+public final class AdaptiveLimit implements HttpHandler {
     private static final double POLL_SHARE = 0.7;
     private static final int MIN_LIMIT = 8;
     private static final long OWED_AFTER_MICROS = 10_000_000;
     private static final int OWED_AT_ONCE = 4;
 
-    private final Handler inner;
+    private final HttpHandler inner;
     private final LongSupplier nowMicros;
     private final SimpleLimiter<Void> limiter;
     private int inProgress;
@@ -37,7 +37,7 @@
      * @param most the upper bound of the limit, however fast requests are answered
      * @param maxRefused how many questions that were refused are remembered
      */
-    public AdaptiveLimit(Handler inner, int most, int maxRefused, LongSupplier nowMicros) {
+    public AdaptiveLimit(HttpHandler inner, int most, int maxRefused, LongSupplier nowMicros) {
         this.refusedSince = new LinkedHashMap<>() {
             private static final long serialVersionUID = 1L;
 
@@ -58,19 +58,19 @@
     }
 
     @Override
-    public CompletableFuture<Reply> handle(Call call) {
+    public CompletableFuture<HttpResponse> handle(HttpRequest call) {
         boolean poll = call.method().equals("GET");
         Optional<Limiter.Listener> admitted;
         synchronized (this) {
             admitted = poll && inProgress >= POLL_SHARE * limiter.getLimit() ? Optional.empty() : limiter.acquire(null);
             if (admitted.isEmpty() && !(poll && isOwed(call.path()))) {
                 refused++;
-                return CompletableFuture.completedFuture(Reply.later(429, "too much is asked at once", 1));
+                return CompletableFuture.completedFuture(HttpResponse.later(429, "too much is asked at once", 1));
             }
             inProgress += admitted.isPresent() ? 1 : 0;
             owedInProgress += admitted.isPresent() ? 0 : 1;
         }
-        CompletableFuture<Reply> answer = inner.handle(call);
+        CompletableFuture<HttpResponse> answer = inner.handle(call);
         answer.whenComplete((reply, failure) -> {
             boolean served = failure == null && reply.status() != 503;
             synchronized (this) {
--- a/src/main/java/io/sillreel/overload/Lateness.java
+++ b/src/main/java/io/sillreel/overload/EventLoopLag.java
@@ -1,21 +1,21 @@
 package io.sillreel.overload;
 
-import io.sillreel.http.Loop;
+import io.sillreel.http.EventLoop;
 
 /**
  * How late this process does what is due: a share of the processor that is too small shows here before anything else.
  */
-public final class Lateness {
+public final class EventLoopLag {
     private static final long EVERY_MICROS = 500_000;
     /** What was late fades by half in two to three looks, or seconds would pass before a calm process counts as one. */
     private static final int FADING = 4;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private long dueMicros;
     private long micros;
     private long mostMicros;
 
-    public Lateness(Loop loop) {
+    public EventLoopLag(EventLoop loop) {
         this.loop = loop;
     }
 
--- a/src/main/java/io/sillreel/overload/Pacer.java
+++ b/src/main/java/io/sillreel/overload/RateLimiter.java
@@ -1,20 +1,20 @@
 package io.sillreel.overload;
 
-import io.sillreel.http.Loop;
+import io.sillreel.http.EventLoop;
 
 /**
  * A token bucket with one second's worth of burst: this controller's part of a rate that several share. What is refused
  * all the same shows that the rate has been lowered, or that others use more of it; then the part shrinks, and grows
  * back slowly.
  */
-public final class Pacer {
+public final class RateLimiter {
     private static final double SHRINK = 0.6;
     private static final double MIN_PART = 0.05;
     private static final double REGAINED_PER_SECOND = 0.02;
     /** What is refused within so long is refused for the same reason. */
     private static final long SAME_MICROS = 300_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final double mostPerSecond;
     private final double mostBurst;
     private double part = 1;
@@ -23,7 +23,7 @@
     private long refusedMicros = Long.MIN_VALUE / 2;
 
     /** @param burst how many tokens gather during a pause */
-    public Pacer(Loop loop, double perSecond, double burst) {
+    public RateLimiter(EventLoop loop, double perSecond, double burst) {
         this.loop = loop;
         this.mostPerSecond = perSecond;
         this.mostBurst = burst;
--- a/src/main/java/io/sillreel/peer/PeerMessages.java
+++ b/src/main/java/io/sillreel/peer/PeerMessages.java
@@ -5,10 +5,10 @@
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import com.fasterxml.jackson.dataformat.cbor.CBORGenerator;
 import com.fasterxml.jackson.dataformat.cbor.CBORParser;
-import io.sillreel.agent.Report;
-import io.sillreel.agent.Report.TaskState;
-import io.sillreel.http.Call;
-import io.sillreel.http.Reply;
+import io.sillreel.agent.Heartbeat;
+import io.sillreel.agent.Heartbeat.TaskStatus;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -21,7 +21,7 @@
     public static final String HELLO = "/peer/hello";
     public static final String CANCELLED = "/peer/withdrawn";
     private static final CBORFactory STREAM = new CBORFactory();
-    private static final Report.Stage[] STAGES = Report.Stage.values();
+    private static final Heartbeat.TaskStage[] STAGES = Heartbeat.TaskStage.values();
     private static final int REPORT_BYTES = 120;
     private static final int TASK_BYTES = 48;
 
@@ -75,7 +75,7 @@
     private PeerMessages() {}
 
     /** A job whose cancellation has been stored. */
-    public static Call cancelled(String uid) {
+    public static HttpRequest cancelled(String uid) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(32);
         try (CBORGenerator out = STREAM.createGenerator(bytes)) {
             out.writeStartArray(null, 1);
@@ -84,7 +84,7 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return new Call("POST", CANCELLED, bytes.toByteArray());
+        return new HttpRequest("POST", CANCELLED, bytes.toByteArray());
     }
 
     /** @throws UncheckedIOException if that is not what {@link #cancelled} wrote */
@@ -102,26 +102,26 @@
     }
 
     /** Workers' reports, handed on together. */
-    public static Call heartbeats(List<Report> reports) {
+    public static HttpRequest heartbeats(List<Heartbeat> reports) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(512 * reports.size());
         try (CBORGenerator out = STREAM.createGenerator(bytes)) {
             out.writeStartArray(null, reports.size());
-            for (Report report : reports) {
+            for (Heartbeat report : reports) {
                 write(out, report);
             }
             out.writeEndArray();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return new Call("POST", HEARTBEATS, bytes.toByteArray());
+        return new HttpRequest("POST", HEARTBEATS, bytes.toByteArray());
     }
 
     /** About what a report takes in a batch. */
-    public static int approximateBytes(Report report) {
+    public static int approximateBytes(Heartbeat report) {
         return REPORT_BYTES + TASK_BYTES * report.tasks().size();
     }
 
-    private static void write(CBORGenerator out, Report report) throws IOException {
+    private static void write(CBORGenerator out, Heartbeat report) throws IOException {
         out.writeStartArray(null, 10);
         out.writeString(report.machine());
         out.writeString(report.address());
@@ -133,7 +133,7 @@
         out.writeNumber(report.token());
         out.writeNumber(report.recallMicros());
         out.writeStartArray(null, report.tasks().size());
-        for (TaskState task : report.tasks()) {
+        for (TaskStatus task : report.tasks()) {
             out.writeStartArray(null, 5);
             out.writeString(task.uid());
             out.writeNumber(task.index());
@@ -147,8 +147,8 @@
     }
 
     /** @throws UncheckedIOException if that is not what {@link #heartbeats} wrote */
-    public static List<Report> reports(byte[] body) {
-        List<Report> reports = new ArrayList<>();
+    public static List<Heartbeat> reports(byte[] body) {
+        List<Heartbeat> reports = new ArrayList<>();
         try (CBORParser in = STREAM.createParser(body)) {
             in.nextToken();
             while (in.nextToken() == JsonToken.START_ARRAY) {
@@ -160,7 +160,7 @@
         return reports;
     }
 
-    private static Report report(CBORParser in) throws IOException {
+    private static Heartbeat report(CBORParser in) throws IOException {
         String machine = in.nextTextValue();
         String address = in.nextTextValue();
         String build = in.nextTextValue();
@@ -170,10 +170,10 @@
         long sequence = in.nextLongValue(0);
         long token = in.nextLongValue(0);
         long recallMicros = in.nextLongValue(-1);
-        List<TaskState> tasks = new ArrayList<>();
+        List<TaskStatus> tasks = new ArrayList<>();
         in.nextToken();
         while (in.nextToken() == JsonToken.START_ARRAY) {
-            tasks.add(new TaskState(
+            tasks.add(new TaskStatus(
                     in.nextTextValue(),
                     in.nextIntValue(0),
                     in.nextLongValue(0),
@@ -182,15 +182,15 @@
             in.nextToken();
         }
         in.nextToken();
-        return new Report(machine, address, build, zone, spot, session, sequence, token, recallMicros, tasks);
+        return new Heartbeat(machine, address, build, zone, spot, session, sequence, token, recallMicros, tasks);
     }
 
     /** The lease leader's answers to reports, in their order. */
-    public static byte[] answers(List<Reply> replies) {
+    public static byte[] answers(List<HttpResponse> replies) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64 * replies.size());
         try (CBORGenerator out = STREAM.createGenerator(bytes)) {
             out.writeStartArray(null, replies.size());
-            for (Reply reply : replies) {
+            for (HttpResponse reply : replies) {
                 out.writeStartArray(null, 3);
                 out.writeNumber(reply.status());
                 out.writeBinary(reply.body());
@@ -205,14 +205,14 @@
     }
 
     /** The answers, or none if they can't be read. */
-    public static List<Reply> replies(byte[] body) {
-        List<Reply> replies = new ArrayList<>();
+    public static List<HttpResponse> replies(byte[] body) {
+        List<HttpResponse> replies = new ArrayList<>();
         try (CBORParser in = STREAM.createParser(body)) {
             in.nextToken();
             while (in.nextToken() == JsonToken.START_ARRAY) {
                 int status = in.nextIntValue(0);
                 in.nextToken();
-                replies.add(new Reply(status, in.getBinaryValue(), in.nextIntValue(0)));
+                replies.add(new HttpResponse(status, in.getBinaryValue(), in.nextIntValue(0)));
                 in.nextToken();
             }
         } catch (IOException e) {
--- a/src/main/java/io/sillreel/peer/Peers.java
+++ b/src/main/java/io/sillreel/peer/Peers.java
@@ -1,6 +1,6 @@
 package io.sillreel.peer;
 
-import io.sillreel.http.Loop;
+import io.sillreel.http.EventLoop;
 import io.sillreel.peer.PeerMessages.Hello;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -12,11 +12,11 @@
 public final class Peers {
     private static final long FRESH_MICROS = 3_000_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Map<String, Hello> hellos = new HashMap<>();
     private final Map<String, Long> heardMicros = new HashMap<>();
 
-    public Peers(Loop loop) {
+    public Peers(EventLoop loop) {
         this.loop = loop;
     }
 
--- a/src/main/java/io/sillreel/pipeline/ActiveJob.java
+++ b/src/main/java/io/sillreel/pipeline/ActiveJob.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.sillreel.settings.ValueLimits;
-import io.sillreel.statestore.KeyWriter;
+import io.sillreel.statestore.WriteQueue;
 import java.util.BitSet;
 import java.util.HashSet;
 import java.util.List;
@@ -14,22 +14,22 @@
  * A pipeline as its lease leader drives it: which tasks are done, which have an allocation on a machine, and what of
  * that is stored. Nothing is launched before the release is stored, nothing is reaped before the settlement is.
  */
-public final class ActiveJob implements KeyWriter.Item {
+public final class ActiveJob implements WriteQueue.PendingWrite {
     /** Told in the loop about what happened to the record. */
-    public interface Watcher {
+    public interface Listener {
         void recordStored(ActiveJob job);
 
         void foundCancelled(ActiveJob job);
 
         /** These are to be written as well, or the job again if it is among them. */
-        void toWrite(List<? extends KeyWriter.Item> items);
+        void toWrite(List<? extends WriteQueue.PendingWrite> items);
     }
 
     private final JobSpec spec;
     private final long planStamp;
     private final long admittedWallMicros;
-    private final Watcher watcher;
-    private final StoredDoneSet done;
+    private final Listener watcher;
+    private final StoredCompletionBitmap done;
     private final BitSet allocated = new BitSet();
     /** Tasks that are done or have an allocation; kept with the counts, since reports ask for them all the time. */
     private final BitSet taken = new BitSet();
@@ -43,7 +43,7 @@
     private long ranMicros;
     private long longestMicros;
     private long runStamp;
-    private Rank rank;
+    private PriorityClass rank;
     private long neededByMicros;
     private boolean ready;
     private long readyWallMicros;
@@ -63,19 +63,19 @@
      *
      * @param limits decides in which form the done set is stored
      */
-    public ActiveJob(JobSpec spec, long planStamp, long admittedWallMicros, ValueLimits limits, Watcher watcher) {
+    public ActiveJob(JobSpec spec, long planStamp, long admittedWallMicros, ValueLimits limits, Listener watcher) {
         this.spec = spec;
         this.planStamp = planStamp;
         this.admittedWallMicros = admittedWallMicros;
         this.watcher = watcher;
-        this.done = new StoredDoneSet(spec.uid(), spec.tasks(), limits, () -> watcher.toWrite(List.of(this)));
+        this.done = new StoredCompletionBitmap(spec.uid(), spec.tasks(), limits, () -> watcher.toWrite(List.of(this)));
         neededByNobody();
         this.ready = spec.awaits().isEmpty();
         this.readyWallMicros = admittedWallMicros;
     }
 
     /** Takes over what an earlier leader stored: the job may have tasks anywhere in the stored fleet. */
-    public void inherit(long stamp, RunRecord.Head head, RunRecord.StoredParts storedParts) {
+    public void inherit(long stamp, RunRecord.Head head, RunRecord.StoredChunks storedParts) {
         runStamp = stamp;
         released = true;
         inherited = true;
@@ -116,7 +116,7 @@
     }
 
     /** The highest rank of the job and of all that need it: it decides the order, and who may be stopped for whom. */
-    public Rank rank() {
+    public PriorityClass rank() {
         return rank;
     }
 
@@ -131,7 +131,7 @@
     }
 
     /** A job of that rank needs this one by then; true if that is more urgent than all before. */
-    public boolean neededBy(Rank byRank, long byMicros) {
+    public boolean neededBy(PriorityClass byRank, long byMicros) {
         boolean more = byRank.above(rank) || byMicros < neededByMicros;
         rank = byRank.above(rank) ? byRank : rank;
         neededByMicros = Math.min(neededByMicros, byMicros);
@@ -309,7 +309,7 @@
     }
 
     /** What is stored beside the head, once nobody needs it any more. */
-    public List<KeyWriter.Item> leftovers() {
+    public List<WriteQueue.PendingWrite> leftovers() {
         return done.leftovers();
     }
 
@@ -324,11 +324,11 @@
     }
 
     @Override
-    public KeyWriter.Urgency urgency() {
+    public WriteQueue.WriteUrgency urgency() {
         if (complete()) {
-            return KeyWriter.Urgency.END;
+            return WriteQueue.WriteUrgency.END;
         }
-        return released && attempts == attemptsSent ? KeyWriter.Urgency.PROGRESS : KeyWriter.Urgency.START;
+        return released && attempts == attemptsSent ? WriteQueue.WriteUrgency.PROGRESS : WriteQueue.WriteUrgency.START;
     }
 
     @Override
@@ -337,7 +337,7 @@
     }
 
     @Override
-    public List<KeyWriter.Item> first() {
+    public List<WriteQueue.PendingWrite> first() {
         return done.first();
     }
 
@@ -345,7 +345,7 @@
     public Map<String, JsonNode> changes() {
         attemptsSent = attempts;
         doneSent = complete();
-        StoredDoneSet.InHead inHead = done.write();
+        StoredCompletionBitmap.InHead inHead = done.write();
         int running = allocatedCount;
         String stage = doneSent ? RunRecord.DONE : running > 0 ? "running" : "queued";
         return Map.of(
@@ -370,7 +370,7 @@
         runStamp = stamp;
         released = true;
         doneStored |= doneSent;
-        List<KeyWriter.Item> unneeded = done.headStored(doneStored);
+        List<WriteQueue.PendingWrite> unneeded = done.headStored(doneStored);
         if (!unneeded.isEmpty()) {
             watcher.toWrite(unneeded);
         }
--- a/src/main/java/io/sillreel/pipeline/CascadingCancellation.java
+++ b/src/main/java/io/sillreel/pipeline/CascadingCancellation.java
@@ -2,11 +2,11 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.sillreel.http.Json;
-import io.sillreel.statestore.KeyWriter;
+import io.sillreel.statestore.WriteQueue;
 import java.util.Map;
 
 /** The cancellation of a job that follows a cancelled one, to be written down unless its user was faster. */
-public final class CascadingCancellation extends KeyWriter.OneKey {
+public final class CascadingCancellation extends WriteQueue.SingleKeyWrite {
     private final String because;
     private final long wallMicros;
 
