--- a/src/main/java/io/sillreel/pipeline/DoneParts.java
+++ b/src/main/java/io/sillreel/pipeline/CompletionBitmapChunks.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.sillreel.http.Json;
-import io.sillreel.statestore.KeyWriter;
+import io.sillreel.statestore.WriteQueue;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -18,22 +18,22 @@
  * generations that count: so parts may be written one after the other, and readers see either all of a new set or all
  * of the old one. What no head names any more is removed.
  */
-final class DoneParts {
+final class CompletionBitmapChunks {
     static final String PREFIX = "bits/";
 
     private final String uid;
     private final int per;
     private final long[] named;
     private final Set<Integer> dirty = new HashSet<>();
-    private final Map<Integer, Part> pending = new LinkedHashMap<>();
+    private final Map<Integer, Chunk> pending = new LinkedHashMap<>();
     /** Stamps of what is stored, by key; what is not named by the next head is removed after it. */
     private final Map<String, Long> stored = new HashMap<>();
 
-    private final Consumer<DoneParts> onStored;
+    private final Consumer<CompletionBitmapChunks> onStored;
     private long lastGeneration;
 
     /** @param onStored told when all parts that the next head is to name are stored */
-    DoneParts(String uid, int tasks, int per, Consumer<DoneParts> onStored) {
+    CompletionBitmapChunks(String uid, int tasks, int per, Consumer<CompletionBitmapChunks> onStored) {
         this.uid = uid;
         this.per = per;
         this.named = new long[(tasks + per - 1) / per];
@@ -75,9 +75,9 @@
     }
 
     /** Parts to be written before the next head; none once all that it is to name are stored. */
-    List<KeyWriter.Item> toWrite(BitSet done) {
+    List<WriteQueue.PendingWrite> toWrite(BitSet done) {
         dirty.removeIf(index -> {
-            Part older = pending.get(index);
+            Chunk older = pending.get(index);
             if (older != null && !older.isStored()) {
                 // One generation at a time: what has come since goes with the next.
                 return false;
@@ -85,25 +85,25 @@
             if (older != null) {
                 stored.put(older.key(), older.stamp());
             }
-            pending.put(index, new Part(index, ++lastGeneration, done.get(index * per, (index + 1) * per)));
+            pending.put(index, new Chunk(index, ++lastGeneration, done.get(index * per, (index + 1) * per)));
             return true;
         });
         return pending.values().stream()
                 .filter(part -> !part.isStored())
-                .map(KeyWriter.Item.class::cast)
+                .map(WriteQueue.PendingWrite.class::cast)
                 .toList();
     }
 
     /** The generations that the head is to name now. */
     long[] generations() {
         long[] next = named.clone();
-        pending.values().stream().filter(Part::isStored).forEach(part -> next[part.index] = part.generation);
+        pending.values().stream().filter(Chunk::isStored).forEach(part -> next[part.index] = part.generation);
         return next;
     }
 
     /** Marks in the set what the named parts hold besides what was named before. */
     void addTo(BitSet set) {
-        for (Part part : pending.values()) {
+        for (Chunk part : pending.values()) {
             if (part.isStored()) {
                 part.bits.stream().forEach(bit -> set.set(part.index * per + bit));
             }
@@ -111,7 +111,7 @@
     }
 
     /** The head with those generations is stored: what it does not name is to be removed. */
-    List<KeyWriter.Item> headStored(long[] generations) {
+    List<WriteQueue.PendingWrite> headStored(long[] generations) {
         System.arraycopy(generations, 0, named, 0, named.length);
         pending.values().removeIf(part -> {
             if (part.isStored() && named[part.index] == part.generation) {
@@ -129,14 +129,14 @@
     }
 
     /** The job is over: nothing of it is needed any more. */
-    List<KeyWriter.Item> removeAll() {
+    List<WriteQueue.PendingWrite> removeAll() {
         pending.values().forEach(part -> stored.put(part.key(), part.stamp()));
         pending.clear();
         return remove(Set.of());
     }
 
-    private List<KeyWriter.Item> remove(Set<String> kept) {
-        List<KeyWriter.Item> removals = new ArrayList<>();
+    private List<WriteQueue.PendingWrite> remove(Set<String> kept) {
+        List<WriteQueue.PendingWrite> removals = new ArrayList<>();
         stored.entrySet().removeIf(entry -> {
             if (kept.contains(entry.getKey())) {
                 return false;
@@ -148,14 +148,14 @@
     }
 
     /** One part of the set as it was when it was cut. */
-    private final class Part extends KeyWriter.OneKey {
+    private final class Chunk extends WriteQueue.SingleKeyWrite {
         final int index;
         final long generation;
         final BitSet bits;
         private boolean confirmed;
 
-        Part(int index, long generation, BitSet bits) {
-            super(DoneParts.key(uid, index, generation), 0);
+        Chunk(int index, long generation, BitSet bits) {
+            super(CompletionBitmapChunks.key(uid, index, generation), 0);
             this.index = index;
             this.generation = generation;
             this.bits = bits;
@@ -166,8 +166,8 @@
         }
 
         @Override
-        public KeyWriter.Urgency urgency() {
-            return KeyWriter.Urgency.PROGRESS;
+        public WriteQueue.WriteUrgency urgency() {
+            return WriteQueue.WriteUrgency.PROGRESS;
         }
 
         @Override
@@ -181,21 +181,21 @@
         public void stored(long newStamp) {
             super.stored(newStamp);
             confirmed = true;
-            if (pending.values().stream().allMatch(Part::isStored)) {
-                onStored.accept(DoneParts.this);
+            if (pending.values().stream().allMatch(Chunk::isStored)) {
+                onStored.accept(CompletionBitmapChunks.this);
             }
         }
     }
 
     /** The end of a key that nobody needs any more. */
-    static final class Removal extends KeyWriter.OneKey {
+    static final class Removal extends WriteQueue.SingleKeyWrite {
         Removal(String key, long stamp) {
             super(key, stamp);
         }
 
         @Override
-        public KeyWriter.Urgency urgency() {
-            return KeyWriter.Urgency.PROGRESS;
+        public WriteQueue.WriteUrgency urgency() {
+            return WriteQueue.WriteUrgency.PROGRESS;
         }
 
         @Override
--- a/src/main/java/io/sillreel/pipeline/LiveCounts.java
+++ b/src/main/java/io/sillreel/pipeline/LiveTaskCounts.java
@@ -1,7 +1,7 @@
 package io.sillreel.pipeline;
 
 /** Counts for display, known on the controller that drives the pipelines. */
-public interface LiveCounts {
+public interface LiveTaskCounts {
     /** @param reason why the job waits, in plain words, or null */
     record Counts(int done, int running, String reason) {}
 
--- a/src/main/java/io/sillreel/pipeline/Rank.java
+++ b/src/main/java/io/sillreel/pipeline/PriorityClass.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /** Ranks of jobs, most urgent first. */
-public enum Rank {
+public enum PriorityClass {
     PRODUCTION("production"),
     HIGH("high"),
     NORMAL("normal"),
@@ -11,7 +11,7 @@
 
     private final String wire;
 
-    Rank(String wire) {
+    PriorityClass(String wire) {
         this.wire = wire;
     }
 
@@ -19,13 +19,13 @@
         return wire;
     }
 
-    public boolean above(Rank other) {
+    public boolean above(PriorityClass other) {
         return ordinal() < other.ordinal();
     }
 
     /** Returns the rank of that name in the users' interface. */
-    public static Optional<Rank> of(String wire) {
-        for (Rank rank : values()) {
+    public static Optional<PriorityClass> of(String wire) {
+        for (PriorityClass rank : values()) {
             if (rank.wire.equals(wire)) {
                 return Optional.of(rank);
             }
--- a/src/main/java/io/sillreel/pipeline/RunRecord.java
+++ b/src/main/java/io/sillreel/pipeline/RunRecord.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.http.Json;
-import io.sillreel.statestore.KeyWriter;
 import io.sillreel.statestore.StateStore;
+import io.sillreel.statestore.WriteQueue;
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.BitSet;
@@ -14,8 +14,8 @@
 
 /**
  * The stored form of a pipeline: {@code run/UID} is its head; done sets too large for one value lie in parts that the
- * head names ({@link DoneParts}). The first version cut them into {@code run/UID/N}, written together with the head, by
- * the largest value that it knew of; what it stored is still read.
+ * head names ({@link CompletionBitmapChunks}). The first version cut them into {@code run/UID/N}, written together with
+ * the head, by the largest value that it knew of; what it stored is still read.
  */
 public final class RunRecord {
     public static final String PREFIX = "run/";
@@ -31,8 +31,8 @@
      * @param values what the keys hold, by key; {@code stamps} are theirs
      * @param firstVersionPer how many tasks the first version put into one value
      */
-    public record StoredParts(Map<String, String> values, Map<String, Long> stamps, int firstVersionPer) {
-        public static final StoredParts NONE = new StoredParts(Map.of(), Map.of(), 0);
+    public record StoredChunks(Map<String, String> values, Map<String, Long> stamps, int firstVersionPer) {
+        public static final StoredChunks NONE = new StoredChunks(Map.of(), Map.of(), 0);
 
         /** The done set of the head and of the parts that it names. */
         BitSet read(String uid, Head head) {
@@ -40,7 +40,7 @@
             if (head.per() > 0) {
                 for (int index = 0; index < head.generations().length; index++) {
                     int from = index * head.per();
-                    decode(values.get(DoneParts.key(uid, index, head.generations()[index]))).stream()
+                    decode(values.get(CompletionBitmapChunks.key(uid, index, head.generations()[index]))).stream()
                             .forEach(bit -> done.set(from + bit));
                 }
                 return done;
@@ -63,9 +63,9 @@
         }
 
         /** What takes all of them away. */
-        public List<KeyWriter.Item> removals() {
-            List<KeyWriter.Item> removals = new ArrayList<>();
-            stamps.forEach((key, stamp) -> removals.add(new DoneParts.Removal(key, stamp)));
+        public List<WriteQueue.PendingWrite> removals() {
+            List<WriteQueue.PendingWrite> removals = new ArrayList<>();
+            stamps.forEach((key, stamp) -> removals.add(new CompletionBitmapChunks.Removal(key, stamp)));
             return removals;
         }
     }
@@ -86,12 +86,12 @@
 
     /** The prefix of the parts that heads name. */
     public static String partsPrefix() {
-        return DoneParts.PREFIX;
+        return CompletionBitmapChunks.PREFIX;
     }
 
     /** The job that a part belongs to. */
     public static String uidOfPart(String key) {
-        return DoneParts.uidOf(key);
+        return CompletionBitmapChunks.uidOf(key);
     }
 
     /**
--- a/src/main/java/io/sillreel/pipeline/StoredDoneSet.java
+++ b/src/main/java/io/sillreel/pipeline/StoredCompletionBitmap.java
@@ -1,23 +1,23 @@
 package io.sillreel.pipeline;
 
 import io.sillreel.settings.ValueLimits;
-import io.sillreel.statestore.KeyWriter;
+import io.sillreel.statestore.WriteQueue;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
 
 /**
  * Which tasks of a job are done, and which of those the state service knows of. A set that is small enough lies in the
- * job's head; a larger one lies in parts ({@link DoneParts}), and the head names the parts that count.
+ * job's head; a larger one lies in parts ({@link CompletionBitmapChunks}), and the head names the parts that count.
  */
-final class StoredDoneSet {
+final class StoredCompletionBitmap {
     /** What the head says of the set; {@code bits} is null if the head's stage or its parts say it. */
     record InHead(String bits, int per, long[] generations) {}
 
     private final String uid;
     private final int tasks;
     /** Null if the set fits into the head under all limits. */
-    private final DoneParts parts;
+    private final CompletionBitmapChunks parts;
     /**
      * False while the set is written into the head though it will not fit there under the announced limits. The
      * previous version reads no parts; it would start tasks again that are done. Once the state service refuses the
@@ -31,19 +31,19 @@
     private int count;
     private long[] generationsSent = {};
     /** What another version stored beside the head and this one does not: removed once the head says all. */
-    private final List<KeyWriter.Item> oldParts = new ArrayList<>();
+    private final List<WriteQueue.PendingWrite> oldParts = new ArrayList<>();
 
     /** @param partsStored run when all parts that the next head is to name are stored */
-    StoredDoneSet(String uid, int tasks, ValueLimits limits, Runnable partsStored) {
+    StoredCompletionBitmap(String uid, int tasks, ValueLimits limits, Runnable partsStored) {
         this.uid = uid;
         this.tasks = tasks;
         int per = RunRecord.chunkTasks(limits.announcedBytes());
-        this.parts = tasks <= per ? null : new DoneParts(uid, tasks, per, all -> partsStored.run());
+        this.parts = tasks <= per ? null : new CompletionBitmapChunks(uid, tasks, per, all -> partsStored.run());
         this.inParts = tasks > RunRecord.chunkTasks(limits.presentBytes());
     }
 
     /** Takes over what is stored. */
-    void inherit(RunRecord.Head head, RunRecord.StoredParts storedParts) {
+    void inherit(RunRecord.Head head, RunRecord.StoredChunks storedParts) {
         done.or(storedParts.read(uid, head));
         stored.or(done);
         count = done.cardinality();
@@ -90,7 +90,7 @@
     }
 
     /** What has to be stored before the head. */
-    List<KeyWriter.Item> first() {
+    List<WriteQueue.PendingWrite> first() {
         return writesParts() ? parts.toWrite(done) : List.of();
     }
 
@@ -113,9 +113,9 @@
      * @param doneStored true if a head is stored that says that the whole job is done
      * @return removals of what no head needs any more
      */
-    List<KeyWriter.Item> headStored(boolean doneStored) {
+    List<WriteQueue.PendingWrite> headStored(boolean doneStored) {
         stored.or(sent);
-        List<KeyWriter.Item> unneeded = new ArrayList<>(oldParts);
+        List<WriteQueue.PendingWrite> unneeded = new ArrayList<>(oldParts);
         oldParts.clear();
         if (doneStored && parts != null) {
             unneeded.addAll(parts.removeAll());
@@ -133,7 +133,7 @@
     }
 
     /** Removals of everything that is stored beside the head. */
-    List<KeyWriter.Item> leftovers() {
+    List<WriteQueue.PendingWrite> leftovers() {
         return parts == null ? List.copyOf(oldParts) : parts.removeAll();
     }
 
--- a/src/main/java/io/sillreel/placement/CapacityPlanner.java
+++ b/src/main/java/io/sillreel/placement/CapacityPlanner.java
@@ -1,13 +1,13 @@
 package io.sillreel.placement;
 
-import io.sillreel.agent.Report;
+import io.sillreel.agent.Heartbeat;
 import io.sillreel.cloud.MachineType;
 import io.sillreel.cluster.Allocation;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.JobSpec;
-import io.sillreel.pipeline.Rank;
+import io.sillreel.pipeline.PriorityClass;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -29,21 +29,21 @@
     private static final long SETTLED_MICROS = 30_000_000;
 
     private final Cluster cluster;
-    private final Deadlines deadlines;
-    private final Estimates estimates;
-    private final OfferSelector offers;
-    private final Map<Rank, Demand> demand = new EnumMap<>(Rank.class);
+    private final ServiceLevelObjectives deadlines;
+    private final RuntimeEstimator estimates;
+    private final MachineOfferSelector offers;
+    private final Map<PriorityClass, DemandEstimator> demand = new EnumMap<>(PriorityClass.class);
     /** What arrives for ordinary machines alone; it is part of the demand of its rank as well. */
-    private final Demand ordinaryDemand = new Demand();
+    private final DemandEstimator ordinaryDemand = new DemandEstimator();
 
     private long shortSinceMicros = -1;
 
     /** Creates a planner that has seen no demand yet. */
-    public CapacityPlanner(Cluster cluster, Deadlines deadlines, Estimates estimates) {
+    public CapacityPlanner(Cluster cluster, ServiceLevelObjectives deadlines, RuntimeEstimator estimates) {
         this.cluster = cluster;
         this.deadlines = deadlines;
         this.estimates = estimates;
-        this.offers = new OfferSelector(cluster);
+        this.offers = new MachineOfferSelector(cluster);
     }
 
     /** The cloud had none, or too few, of the kind; it isn't asked for more until then. */
@@ -57,20 +57,20 @@
      */
     public void arrived(JobSpec spec, long readyWallMicros) {
         double cpuMicros = spec.tasks() * spec.cpus() * estimates.occupiedMicros(spec);
-        demand.computeIfAbsent(spec.rank(), rank -> new Demand()).arrived(readyWallMicros, cpuMicros);
+        demand.computeIfAbsent(spec.rank(), rank -> new DemandEstimator()).arrived(readyWallMicros, cpuMicros);
         if (!spec.spot()) {
             ordinaryDemand.arrived(readyWallMicros, cpuMicros);
         }
     }
 
     /** Work of a rank that is to be done within a time, and the processors that arriving work of higher ranks takes. */
-    private record Load(Rank rank, double cpuMicros, long leftMicros, double yieldedCpus) {}
+    private record Load(PriorityClass rank, double cpuMicros, long leftMicros, double yieldedCpus) {}
 
     /** Unfinished work in the order of its service, as machines see it that are there after the boot time. */
     private List<Load> loads(long wallMicros, long bootMicros) {
-        Map<Rank, Double> yielded = new EnumMap<>(Rank.class);
+        Map<PriorityClass, Double> yielded = new EnumMap<>(PriorityClass.class);
         double above = 0;
-        for (Rank rank : Rank.values()) {
+        for (PriorityClass rank : PriorityClass.values()) {
             yielded.put(rank, above);
             above += demand.containsKey(rank) ? demand.get(rank).cpus(wallMicros) : 0;
         }
@@ -147,7 +147,7 @@
      *
      * @param rentingCpus processors that the cloud has been asked for, and of those the ones of ordinary machines
      */
-    public List<RentalRequest> rentalRequests(
+    public List<ScaleOutProposal> rentalRequests(
             Collection<MachineType> types,
             long rentingCpus,
             long rentingOrdinaryCpus,
@@ -163,13 +163,13 @@
         long boot = types.stream().mapToLong(MachineType::bootMicros).min().orElse(0);
         double urgent = urgentCpus(have, boot, nowMicros, wallMicros);
         double standing = standingCpus(wallMicros) - have;
-        List<RentalRequest> rentalRequests = new ArrayList<>();
+        List<ScaleOutProposal> rentalRequests = new ArrayList<>();
         double ordinary = confined(types, rentingOrdinaryCpus, nowMicros, wallMicros, rentalRequests);
         urgent -= ordinary;
         double missing = Math.max(urgent, standing - ordinary);
         while (missing > SMALLEST_MISSING && rentalRequests.size() < 3) {
             // Ordinary machines cost a multiple: they are for work that would be late, not for the standing demand.
-            RentalRequest rentalRequest =
+            ScaleOutProposal rentalRequest =
                     offers.cheapest(types, missing, null, urgent > SMALLEST_MISSING, true, rentalRequests, nowMicros);
             if (rentalRequest == null) {
                 break;
@@ -195,7 +195,7 @@
             long rentingOrdinaryCpus,
             long nowMicros,
             long wallMicros,
-            List<RentalRequest> rentalRequests) {
+            List<ScaleOutProposal> rentalRequests) {
         double free = rentingOrdinaryCpus;
         double have = rentingOrdinaryCpus;
         for (Machine machine : cluster.machines()) {
@@ -220,7 +220,8 @@
         if (missing <= SMALLEST_MISSING) {
             return 0;
         }
-        RentalRequest rentalRequest = offers.cheapest(types, missing, largest, true, false, rentalRequests, nowMicros);
+        ScaleOutProposal rentalRequest =
+                offers.cheapest(types, missing, largest, true, false, rentalRequests, nowMicros);
         if (rentalRequest == null) {
             return 0;
         }
@@ -230,7 +231,7 @@
 
     /** Waiting jobs that no machine of the fleet could ever take get one that can. */
     private void stranded(
-            Collection<MachineType> types, long nowMicros, long wallMicros, List<RentalRequest> rentalRequests) {
+            Collection<MachineType> types, long nowMicros, long wallMicros, List<ScaleOutProposal> rentalRequests) {
         for (ActiveJob job : cluster.jobs()) {
             if (!cluster.launchable(job, wallMicros) || job.waitingCount() == 0 || job.allocatedCount() > 0) {
                 continue;
@@ -241,7 +242,7 @@
                             && !job.failedOn().contains(machine.name())
                             && Machine.fitsEmpty(job.spec(), machine.type()));
             if (!hosted) {
-                RentalRequest rentalRequest =
+                ScaleOutProposal rentalRequest =
                         offers.cheapest(types, job.spec().cpus(), job.spec(), true, true, rentalRequests, nowMicros);
                 if (rentalRequest != null) {
                     rentalRequests.add(rentalRequest);
@@ -317,7 +318,7 @@
 
     /** Processors taken by tasks that wait for their images, or whose launch no report has shown yet. */
     public double startingCpus() {
-        return cpusOf(allocation -> allocation.unconfirmed() || allocation.stage() == Report.Stage.PULLING);
+        return cpusOf(allocation -> allocation.unconfirmed() || allocation.stage() == Heartbeat.TaskStage.PULLING);
     }
 
     private double cpusOf(Predicate<Allocation> counted) {
--- a/src/main/java/io/sillreel/placement/Demand.java
+++ b/src/main/java/io/sillreel/placement/DemandEstimator.java
@@ -4,7 +4,7 @@
 import java.util.Deque;
 
 /** How much work users have brought lately: processors that would be busy for good if it went on like this. */
-public final class Demand {
+public final class DemandEstimator {
     private static final long WINDOW_MICROS = 150_000_000;
     private static final long MIN_WINDOW_MICROS = 100_000_000;
 
--- a/src/main/java/io/sillreel/placement/MachineSpace.java
+++ b/src/main/java/io/sillreel/placement/FreeCapacity.java
@@ -7,14 +7,14 @@
 import java.util.Set;
 
 /** What is free on a machine while a plan is made. */
-final class MachineSpace {
+final class FreeCapacity {
     final Machine machine;
     final Set<String> images = new HashSet<>();
     double cpus;
     double ramGb;
     double cards;
 
-    MachineSpace(Machine machine) {
+    FreeCapacity(Machine machine) {
         this.machine = machine;
         cpus = machine.freeCpus();
         ramGb = machine.freeRamGb();
--- a/src/main/java/io/sillreel/placement/OfferSelector.java
+++ b/src/main/java/io/sillreel/placement/MachineOfferSelector.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 
 /** Chooses which kind of machine to rent, and where: the cheapest that the cloud is not known to lack. */
-final class OfferSelector {
+final class MachineOfferSelector {
     /** What the cloud may have or lack: a kind of machine in a zone. */
     private record Offer(String type, String zone, boolean spot) {
         // Written out: the compiler would leave it to be linked at run time, which costs a takeover milliseconds.
@@ -38,7 +38,7 @@
 
     private double allSpotCpus;
 
-    OfferSelector(Cluster cluster) {
+    MachineOfferSelector(Cluster cluster) {
         this.cluster = cluster;
     }
 
@@ -65,16 +65,16 @@
      * @param only a job that has to fit, or null
      * @param already what is asked for anyway, and not to be asked for twice
      */
-    RentalRequest cheapest(
+    ScaleOutProposal cheapest(
             Collection<MachineType> types,
             double missing,
             JobSpec only,
             boolean ordinaryToo,
             boolean spotToo,
-            List<RentalRequest> already,
+            List<ScaleOutProposal> already,
             long nowMicros) {
         boolean anySpot = spotToo && (only == null || only.spot());
-        RentalRequest best = null;
+        ScaleOutProposal best = null;
         double bestCost = Double.MAX_VALUE;
         for (MachineType type : types) {
             if (only != null && (!only.allowsBuild(type.name()) || !Machine.fitsEmpty(only, type))) {
@@ -95,7 +95,7 @@
                     if (cost < bestCost) {
                         bestCost = cost;
                         int count = (int) Math.max(1, Math.floor(missing / type.cpus()));
-                        best = new RentalRequest(type, zone, spot, Math.min(count, CloudClient.MAX_RENTED));
+                        best = new ScaleOutProposal(type, zone, spot, Math.min(count, CloudClient.MAX_RENTED));
                     }
                 }
             }
@@ -103,7 +103,7 @@
         return best;
     }
 
-    private static boolean asked(List<RentalRequest> already, MachineType type, String zone, boolean spot) {
+    private static boolean asked(List<ScaleOutProposal> already, MachineType type, String zone, boolean spot) {
         return already.stream()
                 .anyMatch(rentalRequest -> rentalRequest.type() == type
                         && rentalRequest.zone().equals(zone)
--- a/src/main/java/io/sillreel/placement/PlacementIndex.java
+++ b/src/main/java/io/sillreel/placement/PlacementIndex.java
@@ -25,7 +25,7 @@
 
     /** What machines offer that are interchangeable but for their names and images. */
     private record Offer(String type, String zone, boolean spot, double cpus, double ramGb, double cards) {
-        static Offer of(MachineSpace space) {
+        static Offer of(FreeCapacity space) {
             Machine machine = space.machine;
             return new Offer(
                     machine.type().name(), machine.zone(), machine.spot(), space.cpus, space.ramGb, space.cards);
@@ -54,33 +54,33 @@
     private static final class Group {
         final Offer offer;
         final MachineType type;
-        final TreeMap<String, MachineSpace> spaces = new TreeMap<>();
-        final Map<Image, TreeMap<String, MachineSpace>> holders = new HashMap<>();
+        final TreeMap<String, FreeCapacity> spaces = new TreeMap<>();
+        final Map<Image, TreeMap<String, FreeCapacity>> holders = new HashMap<>();
 
         Group(Offer offer, MachineType type) {
             this.offer = offer;
             this.type = type;
         }
 
-        void add(MachineSpace space) {
+        void add(FreeCapacity space) {
             spaces.put(space.machine.name(), space);
             holders.forEach((image, having) -> addHolder(image, having, space));
         }
 
-        void remove(MachineSpace space) {
+        void remove(FreeCapacity space) {
             spaces.remove(space.machine.name());
             holders.values().forEach(having -> having.remove(space.machine.name()));
         }
 
-        TreeMap<String, MachineSpace> having(Image image) {
+        TreeMap<String, FreeCapacity> having(Image image) {
             return holders.computeIfAbsent(image, asked -> {
-                TreeMap<String, MachineSpace> having = new TreeMap<>();
+                TreeMap<String, FreeCapacity> having = new TreeMap<>();
                 spaces.values().forEach(space -> addHolder(asked, having, space));
                 return having;
             });
         }
 
-        private static void addHolder(Image image, Map<String, MachineSpace> having, MachineSpace space) {
+        private static void addHolder(Image image, Map<String, FreeCapacity> having, FreeCapacity space) {
             if (space.hasImage(image)) {
                 having.put(space.machine.name(), space);
             }
@@ -93,17 +93,17 @@
         final long fetch;
         final int wrongKind;
         final double packing;
-        final Iterator<MachineSpace> machines;
-        final Map<String, MachineSpace> excluded;
-        MachineSpace next;
+        final Iterator<FreeCapacity> machines;
+        final Map<String, FreeCapacity> excluded;
+        FreeCapacity next;
 
         Run(
                 Group group,
                 long fetch,
                 int wrongKind,
                 double packing,
-                Map<String, MachineSpace> machines,
-                Map<String, MachineSpace> excluded) {
+                Map<String, FreeCapacity> machines,
+                Map<String, FreeCapacity> excluded) {
             this.group = group;
             this.fetch = fetch;
             this.wrongKind = wrongKind;
@@ -137,7 +137,7 @@
         boolean zoneClosed(String zone);
 
         /** Takes what is to be taken of the place; true if it took anything. */
-        boolean take(MachineSpace space);
+        boolean take(FreeCapacity space);
     }
 
     private final double leastCpus;
@@ -149,7 +149,7 @@
         this.leastCpus = leastCpus;
     }
 
-    void add(MachineSpace space) {
+    void add(FreeCapacity space) {
         if (space.cpus >= leastCpus - EPSILON) {
             Offer offer = Offer.of(space);
             groups.computeIfAbsent(offer, each -> new Group(each, space.machine.type()))
@@ -170,7 +170,7 @@
      */
     void offer(JobSpec spec, int wanted, boolean onlyWithImage, Taker taker) {
         PriorityQueue<Run> runs = runs(spec, wanted, onlyWithImage);
-        Map<MachineSpace, Group> taken = new LinkedHashMap<>();
+        Map<FreeCapacity, Group> taken = new LinkedHashMap<>();
         while (!runs.isEmpty() && !taker.satisfied()) {
             Run best = runs.poll();
             if (taker.zoneClosed(best.group.offer.zone())) {
@@ -188,7 +188,7 @@
     }
 
     /** What was taken of a machine has changed what it offers. */
-    private void move(MachineSpace space, Group from) {
+    private void move(FreeCapacity space, Group from) {
         from.remove(space);
         if (from.spaces.isEmpty()) {
             groups.remove(from.offer);
@@ -208,7 +208,7 @@
             }
             // What saves its progress loses little when a spot machine is taken, so the others get the ordinary ones.
             int wrongKind = offer.spot() == spec.saves() ? 0 : 1;
-            TreeMap<String, MachineSpace> having = group.having(image);
+            TreeMap<String, FreeCapacity> having = group.having(image);
             if (!having.isEmpty()) {
                 // Where the image is, the fullest place first, so that others empty.
                 addRun(runs, new Run(group, 0, wrongKind, offer.cpus(), having, Map.of()));
--- a/src/main/java/io/sillreel/placement/Planner.java
+++ b/src/main/java/io/sillreel/placement/Planner.java
@@ -3,7 +3,7 @@
 import io.sillreel.cluster.Allocation;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
-import io.sillreel.cluster.TeamUse;
+import io.sillreel.cluster.QuotaUsage;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.JobSpec;
 import java.util.ArrayList;
@@ -46,15 +46,15 @@
 
     private final Cluster cluster;
     private final long reportMicros;
-    private final Deadlines deadlines;
-    private final ServiceOrder order;
+    private final ServiceLevelObjectives deadlines;
+    private final QueueOrder order;
 
     /** @param reportMicros the interval between two reports of a worker */
-    public Planner(Cluster cluster, long reportMicros, Deadlines deadlines) {
+    public Planner(Cluster cluster, long reportMicros, ServiceLevelObjectives deadlines) {
         this.cluster = cluster;
         this.reportMicros = reportMicros;
         this.deadlines = deadlines;
-        this.order = new ServiceOrder(cluster, deadlines);
+        this.order = new QueueOrder(cluster, deadlines);
     }
 
     /** True if the machine takes launches now. */
@@ -77,7 +77,7 @@
         PlacementIndex places = freePlaces(queue, nowMicros);
         cluster.worked(queue.size() + cluster.machines().size());
         Plan plan = new Plan(new HashMap<>(), new ArrayList<>(), new ArrayList<>(), new HashMap<>());
-        TeamUse usage = cluster.usage();
+        QuotaUsage usage = cluster.usage();
         Preemption preemption = new Preemption(this, cluster, deadlines, plan, guaranteed, nowMicros);
         Reservations reservations = new Reservations(plan, nowMicros);
         int preempting = 0;
@@ -119,7 +119,7 @@
             if (usable(machine, nowMicros)
                     && machine.responsiveness().unheededCount() == 0
                     && !machine.faults().isSuspect()) {
-                places.add(new MachineSpace(machine));
+                places.add(new FreeCapacity(machine));
             }
         }
         return places;
@@ -133,8 +133,8 @@
                 || machine.faults().isSuspect()) {
             return assignments;
         }
-        MachineSpace space = new MachineSpace(machine);
-        TeamUse usage = null;
+        FreeCapacity space = new FreeCapacity(machine);
+        QuotaUsage usage = null;
         List<QueuedJob> left = plan.left();
         QueuedJob owner = plan.reserved().get(machine.name());
         int looked = 0;
@@ -174,7 +174,7 @@
     }
 
     /** How many tasks of the job the rules let start on the machine now, its room aside. */
-    private int startable(ActiveJob job, Machine machine, TeamUse usage, long wallMicros) {
+    private int startable(ActiveJob job, Machine machine, QuotaUsage usage, long wallMicros) {
         if (!cluster.launchable(job, wallMicros) || job.failedOn().contains(machine.name()) || probing(job)) {
             return 0;
         }
@@ -189,7 +189,7 @@
     }
 
     /** Assigns what fits and returns how many tasks are left over for lack of room. */
-    private int assign(QueuedJob queued, PlacementIndex places, TeamUse usage, Plan plan, boolean onlyWithImage) {
+    private int assign(QueuedJob queued, PlacementIndex places, QuotaUsage usage, Plan plan, boolean onlyWithImage) {
         int wanted = Math.min(queued.left, cluster.headroom(queued.job.spec(), usage));
         if (probing(queued.job)) {
             wanted = Math.min(wanted, queued.job.allocatedCount() == 0 ? 1 : 0);
@@ -206,13 +206,13 @@
     private final class PlaceTaker implements PlacementIndex.Taker {
         private final QueuedJob queued;
         private final JobSpec spec;
-        private final TeamUse usage;
+        private final QuotaUsage usage;
         private final Plan plan;
         private final Map<String, Integer> zoneRoom = new HashMap<>();
         private int wanted;
         private String onlyZone;
 
-        PlaceTaker(QueuedJob queued, int wanted, TeamUse usage, Plan plan) {
+        PlaceTaker(QueuedJob queued, int wanted, QuotaUsage usage, Plan plan) {
             this.queued = queued;
             this.spec = queued.job.spec();
             this.wanted = wanted;
@@ -235,7 +235,7 @@
         }
 
         @Override
-        public boolean take(MachineSpace space) {
+        public boolean take(FreeCapacity space) {
             String machine = space.machine.name();
             QueuedJob owner = plan.reserved().get(machine);
             if (owner != null && owner != queued || queued.job.failedOn().contains(machine)) {
--- a/src/main/java/io/sillreel/placement/Preemption.java
+++ b/src/main/java/io/sillreel/placement/Preemption.java
@@ -4,10 +4,10 @@
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.ImageCache.Image;
 import io.sillreel.cluster.Machine;
-import io.sillreel.cluster.TeamUse;
+import io.sillreel.cluster.QuotaUsage;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.JobSpec;
-import io.sillreel.pipeline.Rank;
+import io.sillreel.pipeline.PriorityClass;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.EnumSet;
@@ -27,13 +27,13 @@
 
     private final Planner planner;
     private final Cluster cluster;
-    private final Deadlines deadlines;
+    private final ServiceLevelObjectives deadlines;
     private final Planner.Plan plan;
     private final Set<ActiveJob> guaranteed;
     private final long nowMicros;
     private final Set<Allocation> halting = new HashSet<>();
     /** Machines that take launches, by their names, and the ranks of the work on them that could be stopped. */
-    private final Map<Machine, Set<Rank>> machines = new LinkedHashMap<>();
+    private final Map<Machine, Set<PriorityClass>> machines = new LinkedHashMap<>();
 
     private final List<Machine> freeing = new ArrayList<>();
     /** How much each team runs beyond its guarantee, in thousandths of processors. */
@@ -44,7 +44,7 @@
     Preemption(
             Planner planner,
             Cluster cluster,
-            Deadlines deadlines,
+            ServiceLevelObjectives deadlines,
             Planner.Plan plan,
             Set<ActiveJob> guaranteed,
             long nowMicros) {
@@ -79,8 +79,8 @@
         }
     }
 
-    private static Set<Rank> stoppableRanks(Machine machine) {
-        Set<Rank> ranks = EnumSet.noneOf(Rank.class);
+    private static Set<PriorityClass> stoppableRanks(Machine machine) {
+        Set<PriorityClass> ranks = EnumSet.noneOf(PriorityClass.class);
         for (Allocation allocation : machine.allocations()) {
             if (isStoppable(allocation)) {
                 ranks.add(allocation.job().rank());
@@ -101,12 +101,12 @@
         long waited = wallMicros - queued.job.readyWallMicros();
         boolean owed = guaranteed.contains(queued.job)
                 && waited > deadlines.guaranteeMicros() / 2
-                && ServiceOrder.isOwedLevel(queued);
+                && QueueOrder.isOwedLevel(queued);
         boolean missed = waited > deadlines.guaranteeMicros();
-        Rank own = queued.job.rank();
-        boolean urgent = own.above(Rank.NORMAL);
+        PriorityClass own = queued.job.rank();
+        boolean urgent = own.above(PriorityClass.NORMAL);
         long slack = deadlines.slackMicros(queued.job, wallMicros);
-        boolean lastChance = own != Rank.BEST_EFFORT && slack >= 0 && slack <= LAST_CHANCE_MICROS;
+        boolean lastChance = own != PriorityClass.BEST_EFFORT && slack >= 0 && slack <= LAST_CHANCE_MICROS;
         if (!owed && !urgent && !lastChance) {
             return false;
         }
@@ -115,9 +115,9 @@
         List<Machine> allowed = needed > 0 ? allowed(spec) : List.of();
         if (urgent || lastChance) {
             // The lowest rank everywhere before the next one anywhere: what only fetches loses its place, no work.
-            Rank[] ranks = Rank.values();
+            PriorityClass[] ranks = PriorityClass.values();
             for (int each = ranks.length - 1; each > own.ordinal() && needed > 0; each--) {
-                Rank rank = ranks[each];
+                PriorityClass rank = ranks[each];
                 needed -= stop(
                         spec,
                         needed,
@@ -155,7 +155,7 @@
         return allowed;
     }
 
-    private List<Machine> having(Rank rank, List<Machine> allowed) {
+    private List<Machine> having(PriorityClass rank, List<Machine> allowed) {
         return allowed.stream()
                 .filter(machine -> machines.get(machine).contains(rank))
                 .toList();
@@ -169,17 +169,18 @@
         JobSpec spec = allocation.job().spec();
         if (spec.team().equals(forWhom.spec().team())
                 || guaranteed.contains(allocation.job())
-                || allocation.job().rank().above(Rank.NORMAL) && !forWhom.rank().above(Rank.NORMAL)) {
+                || allocation.job().rank().above(PriorityClass.NORMAL)
+                        && !forWhom.rank().above(PriorityClass.NORMAL)) {
             return false;
         }
-        return left(spec.team()) >= TeamUse.milli(spec.cpus());
+        return left(spec.team()) >= QuotaUsage.milli(spec.cpus());
     }
 
     private long left(String team) {
         return beyond.computeIfAbsent(
                 team,
                 name -> cluster.book().use().of(name).cpus()
-                        - TeamUse.milli(
+                        - QuotaUsage.milli(
                                 cluster.team(name) == null
                                         ? 0
                                         : cluster.team(name).cpus()));
@@ -247,7 +248,7 @@
         JobSpec spec = allocation.job().spec();
         halting.add(allocation);
         plan.halts().add(allocation);
-        beyond.put(spec.team(), left(spec.team()) - TeamUse.milli(spec.cpus()));
+        beyond.put(spec.team(), left(spec.team()) - QuotaUsage.milli(spec.cpus()));
     }
 
     /** Tasks of the job that will fit where others are being stopped already. */
--- a/src/main/java/io/sillreel/placement/PriorityInheritance.java
+++ b/src/main/java/io/sillreel/placement/PriorityInheritance.java
@@ -12,9 +12,9 @@
  */
 public final class PriorityInheritance {
     private final DependencyGraph dependencies;
-    private final Estimates estimates;
+    private final RuntimeEstimator estimates;
 
-    public PriorityInheritance(DependencyGraph dependencies, Estimates estimates) {
+    public PriorityInheritance(DependencyGraph dependencies, RuntimeEstimator estimates) {
         this.dependencies = dependencies;
         this.estimates = estimates;
     }
--- a/src/main/java/io/sillreel/placement/ServiceOrder.java
+++ b/src/main/java/io/sillreel/placement/QueueOrder.java
@@ -1,9 +1,9 @@
 package io.sillreel.placement;
 
 import io.sillreel.cluster.Cluster;
-import io.sillreel.cluster.TeamUse;
+import io.sillreel.cluster.QuotaUsage;
 import io.sillreel.pipeline.ActiveJob;
-import io.sillreel.pipeline.Rank;
+import io.sillreel.pipeline.PriorityClass;
 import io.sillreel.settings.Settings.Team;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -15,7 +15,7 @@
  * The order in which waiting jobs are served: the compiled one, earlier-admitted pipelines first, with ranks,
  * guarantees and age as the exceptions.
  */
-final class ServiceOrder {
+final class QueueOrder {
     /** How long guaranteed work waits on others before it goes ahead of them. */
     private static final long GUARANTEE_PATIENCE_MICROS = 2_000_000;
 
@@ -35,12 +35,12 @@
     private static final long YIELD_UNTIL_MICROS = 150_000_000;
 
     private static final long END_BY_MICROS = 300_000_000;
-    private static final int OWED_LEVEL = levelOf(Rank.HIGH, LATE);
+    private static final int OWED_LEVEL = levelOf(PriorityClass.HIGH, LATE);
 
     private final Cluster cluster;
-    private final Deadlines deadlines;
+    private final ServiceLevelObjectives deadlines;
 
-    ServiceOrder(Cluster cluster, Deadlines deadlines) {
+    QueueOrder(Cluster cluster, ServiceLevelObjectives deadlines) {
         this.cluster = cluster;
         this.deadlines = deadlines;
     }
@@ -80,16 +80,18 @@
      * would miss its time if it yielded any longer. Level 0 is for what has waited too long.
      */
     private int level(ActiveJob job, long slack, boolean guaranteed, long wallMicros) {
-        Rank rank = job.rank();
+        PriorityClass rank = job.rank();
         long age = wallMicros - job.readyWallMicros();
         int level = levelOf(rank, slack < 0 ? LATE : slack < PRESSING_MICROS ? PRESSING : IN_TIME);
         if (guaranteed && age > GUARANTEE_PATIENCE_MICROS && (unbegun(job) || age < 2 * deadlines.guaranteeMicros())) {
             return Math.min(level, OWED_LEVEL);
         }
         if (age > YIELD_UNTIL_MICROS) {
-            return Math.min(level, levelOf(Rank.NORMAL, PRESSING));
+            return Math.min(level, levelOf(PriorityClass.NORMAL, PRESSING));
         }
-        return rank == Rank.BEST_EFFORT && slack >= 0 && slack < URGENT_MICROS ? levelOf(Rank.NORMAL, LATE) : level;
+        return rank == PriorityClass.BEST_EFFORT && slack >= 0 && slack < URGENT_MICROS
+                ? levelOf(PriorityClass.NORMAL, LATE)
+                : level;
     }
 
     /**
@@ -100,13 +102,13 @@
         return queued.level <= OWED_LEVEL;
     }
 
-    private static int levelOf(Rank rank, int time) {
+    private static int levelOf(PriorityClass rank, int time) {
         return 1 + LEVELS_PER_RANK * rank.ordinal() + time;
     }
 
     /** Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs. */
     Set<ActiveJob> guaranteed() {
-        TeamUse claimed = new TeamUse();
+        QuotaUsage claimed = new QuotaUsage();
         Set<ActiveJob> within = new HashSet<>();
         List<ActiveJob> jobs = new ArrayList<>(cluster.jobs());
         jobs.sort(Comparator.comparingLong(ActiveJob::planStamp));
@@ -116,8 +118,8 @@
                 continue;
             }
             claimed.take(job.spec(), job.spec().tasks());
-            TeamUse.Amount sum = claimed.of(job.spec().team());
-            if (sum.cpus() <= TeamUse.milli(team.cpus()) && sum.cards() <= TeamUse.milli(team.gpus())) {
+            QuotaUsage.Amount sum = claimed.of(job.spec().team());
+            if (sum.cpus() <= QuotaUsage.milli(team.cpus()) && sum.cards() <= QuotaUsage.milli(team.gpus())) {
                 within.add(job);
             }
         }
--- a/src/main/java/io/sillreel/placement/Estimates.java
+++ b/src/main/java/io/sillreel/placement/RuntimeEstimator.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** Owners' estimates, corrected by what tasks of the same class, and of the job itself, have measured. */
-public final class Estimates {
+public final class RuntimeEstimator {
     private static final double WEIGHT = 0.1;
     private static final double MIN_RATIO = 0.3;
     private static final double MAX_RATIO = 4;
--- a/src/main/java/io/sillreel/placement/Deadlines.java
+++ b/src/main/java/io/sillreel/placement/ServiceLevelObjectives.java
@@ -6,14 +6,14 @@
 import java.util.List;
 
 /** When jobs should be complete: their own deadlines, or the users' aims for their class. */
-public final class Deadlines {
+public final class ServiceLevelObjectives {
     private static final long DEFAULT_WITHIN_MICROS = 300_000_000;
     private static final long DEFAULT_GUARANTEE_MICROS = 10_000_000;
 
     private final List<Objective> objectives;
-    private final Estimates estimates;
+    private final RuntimeEstimator estimates;
 
-    public Deadlines(List<Objective> objectives, Estimates estimates) {
+    public ServiceLevelObjectives(List<Objective> objectives, RuntimeEstimator estimates) {
         this.objectives = objectives;
         this.estimates = estimates;
     }
--- a/src/main/java/io/sillreel/recovery/ChangeFollower.java
+++ b/src/main/java/io/sillreel/recovery/ChangeFollower.java
@@ -1,7 +1,7 @@
 package io.sillreel.recovery;
 
-import io.sillreel.http.Loop;
-import io.sillreel.leadership.Leadership;
+import io.sillreel.http.EventLoop;
+import io.sillreel.leadership.LeaderElection;
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.StateStore.Change;
 import io.sillreel.statestore.StateStore.Entry;
@@ -26,7 +26,7 @@
     private static final long BEHIND_MICROS = 3_500_000;
 
     private final StateStore store;
-    private final Loop loop;
+    private final EventLoop loop;
     private final ChangeLog log;
     private final long pauseMicros;
     private final BooleanSupplier paused;
@@ -45,7 +45,7 @@
      */
     ChangeFollower(
             StateStore store,
-            Loop loop,
+            EventLoop loop,
             ChangeLog log,
             long pauseMicros,
             BooleanSupplier paused,
@@ -89,7 +89,7 @@
      *     after a loss, then all that was lost is remembered
      */
     private void begin(long thisRun, boolean fromLandmark) {
-        store.list(RecoveryRecord.KEY).thenAcceptBoth(store.get(Leadership.TERM_KEY), (verdict, term) -> {
+        store.list(RecoveryRecord.KEY).thenAcceptBoth(store.get(LeaderElection.TERM_KEY), (verdict, term) -> {
             if (thisRun != run) {
                 return;
             }
--- a/src/main/java/io/sillreel/recovery/ChangeLog.java
+++ b/src/main/java/io/sillreel/recovery/ChangeLog.java
@@ -1,6 +1,6 @@
 package io.sillreel.recovery;
 
-import io.sillreel.leadership.Leadership;
+import io.sillreel.leadership.LeaderElection;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashSet;
@@ -124,7 +124,7 @@
         RecentChange older = changes.get(change.key());
         boolean known = older != null && older.stamp() >= change.stamp();
         // The leader's key ends with its lease.
-        if (known || change.key().equals(Leadership.LEADER_KEY)) {
+        if (known || change.key().equals(LeaderElection.LEADER_KEY)) {
             return;
         }
         // Taken out first, so that the change comes last in the order.
--- a/src/main/java/io/sillreel/recovery/ChangeRestorer.java
+++ b/src/main/java/io/sillreel/recovery/ChangeRestorer.java
@@ -4,7 +4,7 @@
 import io.sillreel.statestore.StateStore.Commit;
 import io.sillreel.statestore.StateStore.Outcome;
 import io.sillreel.statestore.StateStore.Read;
-import io.sillreel.statestore.StateStore.Txn;
+import io.sillreel.statestore.StateStore.Transaction;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -26,7 +26,7 @@
     /** The protocol allows so many conditions for each change that a transaction may hold. */
     private static final int CONDITIONS_PER_CHANGE = 4;
 
-    private final RebuildTerm term;
+    private final RebuildLease term;
     private final StoreHistory history;
     private final int txnOps;
     private Predicate<RecentChange> isWitnessed = change -> false;
@@ -38,7 +38,7 @@
     private String tooLarge;
 
     /** @param txnOps how many changes a transaction may hold */
-    ChangeRestorer(RebuildTerm term, StoreHistory history, int txnOps) {
+    ChangeRestorer(RebuildLease term, StoreHistory history, int txnOps) {
         this.term = term;
         this.history = history;
         this.txnOps = txnOps;
@@ -95,7 +95,7 @@
             Deque<RecentChange> toCompare,
             Deque<RecentChange> missing,
             Runnable then) {
-        Txn txn = new Txn();
+        Transaction txn = new Transaction();
         batch.forEach(change -> txn.require(change.key(), change.removed() ? 0 : change.stamp()));
         term.store().commit(txn).thenAccept(commit -> {
             if (term.isOver()) {
@@ -176,7 +176,7 @@
                 term.later(() -> write(batch, rest, then));
                 return;
             }
-            Txn txn = term.txn();
+            Transaction txn = term.txn();
             for (int index = 0; index < batch.size(); index++) {
                 add(txn, batch.get(index), reads.get(index).join());
             }
@@ -188,7 +188,7 @@
         });
     }
 
-    private void add(Txn txn, RecentChange change, Read read) {
+    private void add(Transaction txn, RecentChange change, Read read) {
         var current =
                 read.entry() == null ? MissingNode.getInstance() : read.entry().value();
         if (!RestorePolicy.restores(change, current, read.stamp(), history.returnedAt())) {
--- a/src/main/java/io/sillreel/recovery/Survivors.java
+++ b/src/main/java/io/sillreel/recovery/CollectedMemories.java
@@ -12,7 +12,7 @@
 import java.util.TreeSet;
 
 /** What the controllers that are left remember together, and whether that is everything that was lost. */
-final class Survivors {
+final class CollectedMemories {
     private final Map<String, Memory> memories = new LinkedHashMap<>();
     private final Map<String, RecentChange> newest = new HashMap<>();
     /** The stamps that controllers know which have certainly seen the state service before the loss. */
@@ -56,7 +56,7 @@
      * @param peaks what was reached before the loss
      * @param skewMicros how far two controllers' times of day may lie apart
      */
-    Optional<String> incomplete(Collection<String> members, long kept, Peaks peaks, long skewMicros) {
+    Optional<String> incomplete(Collection<String> members, long kept, HighWatermarks peaks, long skewMicros) {
         long beforeLoss =
                 memories.values().stream().mapToLong(Memory::seenMicros).max().orElse(0);
         if (beforeLoss == 0) {
--- a/src/main/java/io/sillreel/recovery/Greeter.java
+++ b/src/main/java/io/sillreel/recovery/PeerExchange.java
@@ -1,7 +1,7 @@
 package io.sillreel.recovery;
 
-import io.sillreel.http.Call;
-import io.sillreel.http.Caller;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.HttpRequest;
 import io.sillreel.recovery.RecoveryMessages.Greeting;
 import io.sillreel.settings.Settings.Member;
 import java.util.ArrayList;
@@ -11,15 +11,15 @@
 import java.util.function.Supplier;
 
 /** Tells the other controllers how this one sees the state service, and hears how they do. */
-final class Greeter {
+final class PeerExchange {
     private static final long TIMEOUT_MICROS = 900_000;
 
-    private final Caller caller;
+    private final HttpClient caller;
     private final List<Member> members;
     private final Supplier<Greeting> own;
     private final Consumer<Greeting> heard;
 
-    Greeter(Caller caller, List<Member> members, Supplier<Greeting> own, Consumer<Greeting> heard) {
+    PeerExchange(HttpClient caller, List<Member> members, Supplier<Greeting> own, Consumer<Greeting> heard) {
         this.caller = caller;
         this.members = members;
         this.own = own;
@@ -30,7 +30,8 @@
     CompletableFuture<Void> greetAll() {
         List<CompletableFuture<Void>> answers = new ArrayList<>();
         for (Member member : members) {
-            Call call = new Call("POST", RecoveryMessages.GREETING, own.get().bytes());
+            HttpRequest call =
+                    new HttpRequest("POST", RecoveryMessages.GREETING, own.get().bytes());
             answers.add(caller.call(member.address(), call, TIMEOUT_MICROS).thenAccept(reply -> {
                 if (reply.ok()) {
                     heard.accept(Greeting.of(reply.body()));
--- a/src/main/java/io/sillreel/recovery/MemoryCollector.java
+++ b/src/main/java/io/sillreel/recovery/PeerMemoryCollector.java
@@ -1,7 +1,7 @@
 package io.sillreel.recovery;
 
-import io.sillreel.http.Call;
-import io.sillreel.http.Caller;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.HttpRequest;
 import io.sillreel.recovery.RecoveryMessages.Page;
 import io.sillreel.settings.Settings.Member;
 import java.util.ArrayList;
@@ -10,14 +10,14 @@
 import java.util.concurrent.CompletableFuture;
 
 /** Asks the other controllers for what they remember; who answers stores nothing more until the loss is made good. */
-final class MemoryCollector {
+final class PeerMemoryCollector {
     private static final long TIMEOUT_MICROS = 3_000_000;
 
-    private final Caller caller;
+    private final HttpClient caller;
     private final StoreHistory history;
-    private final Survivors survivors;
+    private final CollectedMemories survivors;
 
-    MemoryCollector(Caller caller, StoreHistory history, Survivors survivors) {
+    PeerMemoryCollector(HttpClient caller, StoreHistory history, CollectedMemories survivors) {
         this.caller = caller;
         this.history = history;
         this.survivors = survivors;
@@ -38,10 +38,10 @@
     }
 
     private void ask(Member member, long generation, List<RecentChange> changes, CompletableFuture<Void> done) {
-        Call call = new Call(
+        HttpRequest call = new HttpRequest(
                 "POST",
                 RecoveryMessages.CHANGES + "?from=" + changes.size() + "&generation=" + generation,
-                Call.NO_BODY);
+                HttpRequest.NO_BODY);
         caller.call(member.address(), call, TIMEOUT_MICROS).thenAccept(reply -> {
             if (!reply.ok()) {
                 done.complete(null);
--- a/src/main/java/io/sillreel/recovery/PermanentKeys.java
+++ b/src/main/java/io/sillreel/recovery/PermanentKeys.java
@@ -1,6 +1,6 @@
 package io.sillreel.recovery;
 
-import io.sillreel.leadership.Leadership;
+import io.sillreel.leadership.LeaderElection;
 import io.sillreel.pipeline.CancellationRecord;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
@@ -16,6 +16,6 @@
     static boolean contains(String key) {
         // Version 5806758 keeps parts of done sets behind a further slash, and removes them.
         boolean part = key.indexOf('/') != key.lastIndexOf('/');
-        return key.equals(Leadership.TERM_KEY) || !part && PREFIXES.stream().anyMatch(key::startsWith);
+        return key.equals(LeaderElection.TERM_KEY) || !part && PREFIXES.stream().anyMatch(key::startsWith);
     }
 }
--- a/src/main/java/io/sillreel/recovery/RebuildTerm.java
+++ b/src/main/java/io/sillreel/recovery/RebuildLease.java
@@ -1,25 +1,25 @@
 package io.sillreel.recovery;
 
-import io.sillreel.http.Loop;
-import io.sillreel.leadership.Leadership;
+import io.sillreel.http.EventLoop;
+import io.sillreel.leadership.LeaderElection;
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.StateStore.Commit;
 import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Txn;
+import io.sillreel.statestore.StateStore.Transaction;
 
 /** The term of the lease under which writes are put back: every write is conditional on it. */
-final class RebuildTerm {
+final class RebuildLease {
     private static final long RETRY_MICROS = 50_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final StateStore store;
-    private final Leadership leadership;
+    private final LeaderElection leadership;
     private final long term;
     private final long leaderStamp;
     private boolean ended;
 
     /** @param leaderStamp the stamp under which this controller became the leader */
-    RebuildTerm(Loop loop, StateStore store, Leadership leadership, long term, long leaderStamp) {
+    RebuildLease(EventLoop loop, StateStore store, LeaderElection leadership, long term, long leaderStamp) {
         this.loop = loop;
         this.store = store;
         this.leadership = leadership;
@@ -65,13 +65,13 @@
     }
 
     /** A transaction that fails once another controller leads. */
-    Txn txn() {
-        return new Txn().require(Leadership.LEADER_KEY, leaderStamp);
+    Transaction txn() {
+        return new Transaction().require(LeaderElection.LEADER_KEY, leaderStamp);
     }
 
     /** True if there is nothing left to do; a commit that shows another leader ends the term. */
     boolean isOverAfter(Commit commit) {
-        if (commit.outcome() == Outcome.CONFLICT && commit.failed().contains(Leadership.LEADER_KEY)) {
+        if (commit.outcome() == Outcome.CONFLICT && commit.failed().contains(LeaderElection.LEADER_KEY)) {
             resign("the leader key has changed");
         }
         return isOver();
--- a/src/main/java/io/sillreel/recovery/Recovery.java
+++ b/src/main/java/io/sillreel/recovery/Recovery.java
@@ -1,12 +1,12 @@
 package io.sillreel.recovery;
 
-import io.sillreel.agent.Report;
-import io.sillreel.heartbeat.ReportWatcher;
-import io.sillreel.http.Call;
-import io.sillreel.http.Caller;
-import io.sillreel.http.Loop;
-import io.sillreel.http.Reply;
-import io.sillreel.leadership.Leadership;
+import io.sillreel.agent.Heartbeat;
+import io.sillreel.heartbeat.HeartbeatObserver;
+import io.sillreel.http.EventLoop;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
+import io.sillreel.leadership.LeaderElection;
 import io.sillreel.recovery.ChangeLog.Memory;
 import io.sillreel.recovery.RecoveryMessages.Greeting;
 import io.sillreel.settings.Settings;
@@ -23,7 +23,7 @@
  * One controller's part in noticing that the state service has lost writes and in making that good. While a loss is
  * known and not made good the controller is suspended: it launches, rents and returns nothing and answers no user.
  */
-public final class Recovery implements ReportWatcher {
+public final class Recovery implements HeartbeatObserver {
     private static final Logger LOG = LoggerFactory.getLogger(Recovery.class);
     /**
      * So much higher than every term that was shown begins the first one after a loss: some may have been taken that
@@ -38,19 +38,19 @@
 
     private static final int RETRY_SECONDS = 5;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Settings settings;
-    private final Caller caller;
+    private final HttpClient caller;
     private final StoreHistory history = new StoreHistory();
     private final ChangeLog log;
     private final long followPauseMicros;
-    private final Greeter greeter;
+    private final PeerExchange greeter;
     private final RecoveryApi api;
     private StateStore store;
-    private Leadership leadership;
+    private LeaderElection leadership;
     private ChangeFollower follower;
     private TermEvidence terms;
-    private VerdictKeeper verdicts;
+    private RecoveryGenerationStore verdicts;
 
     private long generation;
     private boolean suspended;
@@ -64,7 +64,7 @@
     private boolean acquainted;
 
     private String evidence = "";
-    private Rebuild rebuild;
+    private StoreRebuild rebuild;
     /** Counts the losses that this controller has noticed; what began before one ends without effect. */
     private long suspensions;
 
@@ -73,28 +73,29 @@
      * @param rememberedBytes what recent changes may take of the memory
      * @param followPauseMicros how long changes gather before they are asked for
      */
-    public Recovery(Loop loop, Settings settings, Caller caller, long rememberedBytes, long followPauseMicros) {
+    public Recovery(
+            EventLoop loop, Settings settings, HttpClient caller, long rememberedBytes, long followPauseMicros) {
         this.loop = loop;
         this.settings = settings;
         this.caller = caller;
         this.log = new ChangeLog(rememberedBytes);
         this.followPauseMicros = followPauseMicros;
         this.api = new RecoveryApi(this, settings);
-        this.greeter = new Greeter(caller, settings.members(), this::greeting, this::heard);
+        this.greeter = new PeerExchange(caller, settings.members(), this::greeting, this::heard);
     }
 
     /** What asks the state service through this is watched for signs of a loss. */
-    public Caller monitored(Caller inner) {
+    public HttpClient monitored(HttpClient inner) {
         return new StoreMonitor(inner, loop, history, log, () -> suspended, this::lost);
     }
 
     /** Begins; both have to ask through {@link #monitored}. */
-    public void start(StateStore monitoredStore, Leadership itsLeadership) {
+    public void start(StateStore monitoredStore, LeaderElection itsLeadership) {
         store = monitoredStore;
         leadership = itsLeadership;
         follower = new ChangeFollower(store, loop, log, followPauseMicros, () -> suspended, this::noticed, this::lost);
         terms = new TermEvidence(store, history, this::lost);
-        verdicts = new VerdictKeeper(
+        verdicts = new RecoveryGenerationStore(
                 store, loop, () -> suspended && !verdictStored ? verdict() : null, this::madeGood, this::verdictRead);
         follower.restart();
         greet();
@@ -104,7 +105,7 @@
      * Answers a user's question unless a loss is known, or is noticed before the answer is there: what it rests on may
      * have been read from the older state.
      */
-    public CompletableFuture<Reply> guarded(Supplier<CompletableFuture<Reply>> question) {
+    public CompletableFuture<HttpResponse> guarded(Supplier<CompletableFuture<HttpResponse>> question) {
         if (suspended || !acquainted || follower.isBehind()) {
             return CompletableFuture.completedFuture(refusal());
         }
@@ -112,10 +113,10 @@
         return question.get().thenApply(reply -> suspensions == before ? reply : refusal());
     }
 
-    private Reply refusal() {
+    private HttpResponse refusal() {
         return suspended
-                ? Reply.later(503, "the state service has lost writes, which are being put back", RETRY_SECONDS)
-                : Reply.later(503, "it is not known yet whether the state service has lost writes", 1);
+                ? HttpResponse.later(503, "the state service has lost writes, which are being put back", RETRY_SECONDS)
+                : HttpResponse.later(503, "it is not known yet whether the state service has lost writes", 1);
     }
 
     /** The next term has to lie above this one. */
@@ -153,7 +154,7 @@
     }
 
     @Override
-    public void received(Report report) {
+    public void received(Heartbeat report) {
         long shown = TermEvidence.shownBy(report);
         if (!suspended && shown > shownTerm()) {
             terms.shown(shown, report.machine());
@@ -161,7 +162,7 @@
     }
 
     @Override
-    public boolean answerable(Report report, long term) {
+    public boolean answerable(Heartbeat report, long term) {
         return terms.answerable(report, term);
     }
 
@@ -249,14 +250,14 @@
         if (leadership.heldTerm() != term) {
             return;
         }
-        Survivors survivors = new Survivors();
+        CollectedMemories survivors = new CollectedMemories();
         survivors.add(settings.nodeName(), memory());
-        Rebuild current = new Rebuild(
-                new RebuildTerm(loop, store, leadership, term, leaderStamp),
+        StoreRebuild current = new StoreRebuild(
+                new RebuildLease(loop, store, leadership, term, leaderStamp),
                 settings,
                 history,
                 survivors,
-                new MemoryCollector(caller, history, survivors),
+                new PeerMemoryCollector(caller, history, survivors),
                 verdict(),
                 () -> {
                     resume(rebuild.record());
@@ -292,7 +293,7 @@
     }
 
     /** What was reached before the loss, as far as it is known here. */
-    Peaks peaks() {
+    HighWatermarks peaks() {
         return history.peaks().withTerm(leadership.known().term());
     }
 
@@ -307,7 +308,7 @@
             lookAtRecord();
         } else if (!greeting.suspended() && greeting.generation() < generation && suspended) {
             // It has not noticed the loss yet.
-            history.learn(Peaks.NONE.withStamps(greeting.ledger()));
+            history.learn(HighWatermarks.NONE.withStamps(greeting.ledger()));
         } else if (!greeting.suspended() && greeting.generation() == generation && !suspended) {
             history.learn(greeting.ledger());
             if (greeting.peaks().term() > shownBefore) {
@@ -336,7 +337,7 @@
     }
 
     /** What another controller or an operator asks. */
-    public Reply answer(Call call) {
+    public HttpResponse answer(HttpRequest call) {
         return api.answer(call);
     }
 
@@ -377,7 +378,7 @@
     }
 
     /** The putting back that is under way here, or null. */
-    Rebuild rebuild() {
+    StoreRebuild rebuild() {
         return suspended && leadership.heldTerm() > 0 ? rebuild : null;
     }
 
--- a/src/main/java/io/sillreel/recovery/RecoveryApi.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryApi.java
@@ -1,9 +1,9 @@
 package io.sillreel.recovery;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Call;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Reply;
 import io.sillreel.recovery.ChangeLog.Memory;
 import io.sillreel.recovery.RecoveryMessages.Greeting;
 import io.sillreel.recovery.RecoveryMessages.Page;
@@ -30,25 +30,25 @@
         return route.startsWith(RecoveryMessages.GREETING) || route.startsWith(OPERATORS);
     }
 
-    Reply answer(Call call) {
+    HttpResponse answer(HttpRequest call) {
         return switch (call.route()) {
             case RecoveryMessages.GREETING -> {
                 recovery.heard(Greeting.of(call.body()));
-                yield new Reply(200, recovery.greeting().bytes(), 0);
+                yield new HttpResponse(200, recovery.greeting().bytes(), 0);
             }
             case RecoveryMessages.CHANGES -> page(call);
-            case STATUS -> Reply.of(200, status());
-            case ACCEPT_LOSS -> call.method().equals("POST") ? acceptLoss() : Reply.refusal(405, "use POST");
-            default -> Reply.refusal(404, "no such path");
+            case STATUS -> HttpResponse.of(200, status());
+            case ACCEPT_LOSS -> call.method().equals("POST") ? acceptLoss() : HttpResponse.refusal(405, "use POST");
+            default -> HttpResponse.refusal(404, "no such path");
         };
     }
 
     /** A page of what is remembered here. */
-    private Reply page(Call call) {
+    private HttpResponse page(HttpRequest call) {
         long asked = number(call, "generation");
         recovery.rebuilding(asked);
         if (!recovery.suspended() || asked < recovery.generation()) {
-            return Reply.later(503, "generation " + asked + " is over here", 1);
+            return HttpResponse.later(503, "generation " + asked + " is over here", 1);
         }
         Memory memory = recovery.memory();
         int from = (int) Math.min(number(call, "from"), memory.changes().size());
@@ -58,10 +58,10 @@
         }
         boolean last = to == memory.changes().size();
         Memory part = memory.with(memory.changes().subList(from, to));
-        return new Reply(200, new Page(part, recovery.peaks(), last).bytes(), 0);
+        return new HttpResponse(200, new Page(part, recovery.peaks(), last).bytes(), 0);
     }
 
-    private static long number(Call call, String name) {
+    private static long number(HttpRequest call, String name) {
         String text = call.query(name);
         return text.matches("[0-9]{1,18}") ? Long.parseLong(text) : 0;
     }
@@ -78,7 +78,7 @@
         if (recovery.log().knownFrom() < Long.MAX_VALUE) {
             status.put("remembered_from", recovery.log().knownFrom());
         }
-        Rebuild rebuild = recovery.rebuild();
+        StoreRebuild rebuild = recovery.rebuild();
         if (rebuild != null) {
             status.put("step", rebuild.step().name().toLowerCase(Locale.ROOT))
                     .put("restored", rebuild.restored())
@@ -88,18 +88,18 @@
         return status;
     }
 
-    private Reply acceptLoss() {
+    private HttpResponse acceptLoss() {
         if (!recovery.suspended()) {
-            return Reply.refusal(409, "no loss is known that has not been made good");
+            return HttpResponse.refusal(409, "no loss is known that has not been made good");
         }
-        Rebuild rebuild = recovery.rebuild();
+        StoreRebuild rebuild = recovery.rebuild();
         if (rebuild == null) {
-            return Reply.refusal(409, "ask the controller that leads: " + recovery.leader());
+            return HttpResponse.refusal(409, "ask the controller that leads: " + recovery.leader());
         }
         if (rebuild.incomplete().isEmpty()) {
-            return Reply.later(503, "what is remembered is still being put back", RETRY_SECONDS);
+            return HttpResponse.later(503, "what is remembered is still being put back", RETRY_SECONDS);
         }
         rebuild.acceptLoss();
-        return Reply.of(200, status());
+        return HttpResponse.of(200, status());
     }
 }
--- a/src/main/java/io/sillreel/recovery/VerdictKeeper.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryGenerationStore.java
@@ -1,19 +1,19 @@
 package io.sillreel.recovery;
 
-import io.sillreel.http.Loop;
+import io.sillreel.http.EventLoop;
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Txn;
+import io.sillreel.statestore.StateStore.Transaction;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 
 /** Stores that a loss is known, so that every controller and every later leader knows of it. */
-final class VerdictKeeper {
+final class RecoveryGenerationStore {
     private static final long RETRY_MICROS = 300_000;
 
     private final StateStore store;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Supplier<RecoveryRecord> wanted;
     private final Predicate<RecoveryRecord> madeGood;
     private final Consumer<RecoveryRecord> onStored;
@@ -24,9 +24,9 @@
      * @param madeGood true if a closed verdict covers the wanted one: then nothing has to be stored
      * @param onStored told the verdict that is stored
      */
-    VerdictKeeper(
+    RecoveryGenerationStore(
             StateStore store,
-            Loop loop,
+            EventLoop loop,
             Supplier<RecoveryRecord> wanted,
             Predicate<RecoveryRecord> madeGood,
             Consumer<RecoveryRecord> onStored) {
@@ -65,7 +65,7 @@
     }
 
     private void write(RecoveryRecord verdict, long stamp) {
-        Txn txn = new Txn().require(RecoveryRecord.KEY, stamp).set(RecoveryRecord.KEY, verdict.json());
+        Transaction txn = new Transaction().require(RecoveryRecord.KEY, stamp).set(RecoveryRecord.KEY, verdict.json());
         store.commit(txn).thenAccept(commit -> {
             if (commit.outcome() == Outcome.OK) {
                 storing = false;
--- a/src/main/java/io/sillreel/recovery/RecoveryMessages.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryMessages.java
@@ -30,7 +30,8 @@
      * @param ledger the highest revision that it knows of since then
      * @param peaks what was reached before
      */
-    record Greeting(String node, long generation, boolean suspended, String evidence, long ledger, Peaks peaks) {
+    record Greeting(
+            String node, long generation, boolean suspended, String evidence, long ledger, HighWatermarks peaks) {
         byte[] bytes() {
             return write(out -> {
                 out.writeStartArray(null, 8);
@@ -66,7 +67,7 @@
     }
 
     /** What one controller remembers, cut into pages of a bounded size: each is answered by itself. */
-    record Page(Memory memory, Peaks peaks, boolean last) {
+    record Page(Memory memory, HighWatermarks peaks, boolean last) {
         byte[] bytes() {
             return write(out -> {
                 out.writeStartArray(null, 10);
@@ -95,7 +96,7 @@
             try (CBORParser in = STREAM.createParser(body)) {
                 in.nextToken();
                 boolean last = in.nextToken() == JsonToken.VALUE_TRUE;
-                Peaks peaks = readPeaks(in);
+                HighWatermarks peaks = readPeaks(in);
                 long sinceMicros = in.nextLongValue(0);
                 long seenMicros = in.nextLongValue(0);
                 long knownFrom = in.nextLongValue(0);
@@ -118,14 +119,14 @@
         }
     }
 
-    private static void write(CBORGenerator out, Peaks peaks) throws IOException {
+    private static void write(CBORGenerator out, HighWatermarks peaks) throws IOException {
         out.writeNumber(peaks.ledger());
         out.writeNumber(peaks.stampedLedger());
         out.writeNumber(peaks.term());
     }
 
-    private static Peaks readPeaks(CBORParser in) throws IOException {
-        return new Peaks(in.nextLongValue(0), in.nextLongValue(0), in.nextLongValue(0));
+    private static HighWatermarks readPeaks(CBORParser in) throws IOException {
+        return new HighWatermarks(in.nextLongValue(0), in.nextLongValue(0), in.nextLongValue(0));
     }
 
     private static void write(CBORGenerator out, RecentChange change) throws IOException {
--- a/src/main/java/io/sillreel/recovery/RestorePolicy.java
+++ b/src/main/java/io/sillreel/recovery/RestorePolicy.java
@@ -1,7 +1,7 @@
 package io.sillreel.recovery;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.sillreel.leadership.Leadership;
+import io.sillreel.leadership.LeaderElection;
 import io.sillreel.pipeline.CancellationRecord;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
@@ -15,7 +15,7 @@
             List.of(PlanRecord.PREFIX, PlanRecord.OVERFLOW_PREFIX, CancellationRecord.PREFIX);
 
     /** They belong to the term that puts writes back. */
-    private static final Set<String> NEVER = Set.of(Leadership.TERM_KEY, RecoveryRecord.KEY);
+    private static final Set<String> NEVER = Set.of(LeaderElection.TERM_KEY, RecoveryRecord.KEY);
 
     private RestorePolicy() {}
 
--- a/src/main/java/io/sillreel/recovery/StoreHistory.java
+++ b/src/main/java/io/sillreel/recovery/StoreHistory.java
@@ -10,7 +10,7 @@
     record Mark(long era, long ledger, long wallMicros) {}
 
     /** What an answer says of the state service. */
-    enum Verdict {
+    enum Consistency {
         CONSISTENT,
         /** The request was sent before a loss that has been noticed since. */
         OUTDATED,
@@ -37,7 +37,7 @@
     /** True if an earlier loss was seen here that has not been made good yet. */
     private boolean witnessed;
 
-    private Peaks peaks = Peaks.NONE;
+    private HighWatermarks peaks = HighWatermarks.NONE;
 
     /** @param wallMicros the time of day at which the request is sent */
     synchronized Mark mark(long wallMicros) {
@@ -45,13 +45,13 @@
     }
 
     /** Judges an answer by the revision that it carries, and remembers the revision unless it shows a loss. */
-    synchronized Verdict answered(Mark mark, long answerLedger) {
+    synchronized Consistency answered(Mark mark, long answerLedger) {
         if (mark.era() != era) {
-            return Verdict.OUTDATED;
+            return Consistency.OUTDATED;
         }
         if (answerLedger < mark.ledger()) {
             lostLedger = answerLedger;
-            return Verdict.LOST;
+            return Consistency.LOST;
         }
         if (returnedAt == UNKNOWN) {
             returnedAt = answerLedger;
@@ -60,21 +60,21 @@
             seenMicros = Math.max(seenMicros, mark.wallMicros());
         }
         learn(answerLedger);
-        return Verdict.CONSISTENT;
+        return Consistency.CONSISTENT;
     }
 
     /** Judges the answer to a write, whose revision lies above every one that was reached before it was sent. */
-    synchronized Verdict committed(Mark mark, long answerLedger) {
+    synchronized Consistency committed(Mark mark, long answerLedger) {
         return answered(mark, answerLedger > mark.ledger() ? answerLedger : answerLedger - 1);
     }
 
     /** Judges an answer that carries the stamp of a key, which is a revision that the service has reached. */
-    synchronized Verdict answeredWithStamp(Mark mark, long stamp) {
+    synchronized Consistency answeredWithStamp(Mark mark, long stamp) {
         if (mark.era() != era) {
-            return Verdict.OUTDATED;
+            return Consistency.OUTDATED;
         }
         learn(stamp);
-        return Verdict.CONSISTENT;
+        return Consistency.CONSISTENT;
     }
 
     /** The state service has counted at least so far since the last loss. */
@@ -129,12 +129,12 @@
      * What was reached before the loss. What this controller knew last counts only if it certainly was: whoever did not
      * notice a loss may have followed the service beyond it.
      */
-    synchronized Peaks peaks() {
+    synchronized HighWatermarks peaks() {
         return seenBeforeLossMicros() > 0 ? peaks.withLedger(lostKnown) : peaks;
     }
 
     /** Another controller knows of these. */
-    synchronized void learn(Peaks others) {
+    synchronized void learn(HighWatermarks others) {
         peaks = peaks.with(others);
     }
 }
--- a/src/main/java/io/sillreel/recovery/StoreMonitor.java
+++ b/src/main/java/io/sillreel/recovery/StoreMonitor.java
@@ -1,13 +1,13 @@
 package io.sillreel.recovery;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.sillreel.http.Call;
-import io.sillreel.http.Caller;
+import io.sillreel.http.EventLoop;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Loop;
-import io.sillreel.http.Reply;
+import io.sillreel.recovery.StoreHistory.Consistency;
 import io.sillreel.recovery.StoreHistory.Mark;
-import io.sillreel.recovery.StoreHistory.Verdict;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -18,7 +18,7 @@
  * Looks at each answer of the state service before anybody believes it. An answer that shows a loss, or that belongs to
  * the time before one, counts as none: what was asked may have been carried out, and has to be read again.
  */
-final class StoreMonitor implements Caller {
+final class StoreMonitor implements HttpClient {
     private static final String KEYS = "/kv/";
     private static final String TRANSACTIONS = "/txn";
 
@@ -27,10 +27,10 @@
      * @param knownStamp its stamp as far as it is known
      * @param changes what is written
      */
-    private record Request(Mark mark, String key, long knownStamp, List<JsonNode> changes) {}
+    private record ObservedRequest(Mark mark, String key, long knownStamp, List<JsonNode> changes) {}
 
-    private final Caller caller;
-    private final Loop loop;
+    private final HttpClient caller;
+    private final EventLoop loop;
     private final StoreHistory history;
     private final ChangeLog log;
     private final BooleanSupplier suspended;
@@ -41,8 +41,8 @@
      * @param onLoss told what shows that writes have been lost
      */
     StoreMonitor(
-            Caller caller,
-            Loop loop,
+            HttpClient caller,
+            EventLoop loop,
             StoreHistory history,
             ChangeLog log,
             BooleanSupplier suspended,
@@ -56,7 +56,7 @@
     }
 
     @Override
-    public CompletableFuture<Reply> call(String address, Call call, long timeoutMicros) {
+    public CompletableFuture<HttpResponse> call(String address, HttpRequest call, long timeoutMicros) {
         String route = call.route();
         String key = route.startsWith(KEYS) ? route.substring(KEYS.length()) : null;
         long knownStamp = key == null || suspended.getAsBoolean() ? 0 : log.stampOf(key);
@@ -64,14 +64,14 @@
         if (route.equals(TRANSACTIONS)) {
             Json.parse(call.body()).path("then").forEach(changes::add);
         }
-        Request request = new Request(history.mark(loop.wallMicros()), key, knownStamp, changes);
+        ObservedRequest request = new ObservedRequest(history.mark(loop.wallMicros()), key, knownStamp, changes);
         return caller.call(address, call, timeoutMicros).thenApply(reply -> {
             if (reply.status() != 200 && reply.status() != 404 && reply.status() != 409) {
                 return reply;
             }
             JsonNode body = reply.json();
             if (!believed(request, reply, body)) {
-                return Reply.noAnswer();
+                return HttpResponse.noAnswer();
             }
             if (reply.ok() && !changes.isEmpty()) {
                 remember(changes, body.path("ledger").asLong());
@@ -80,12 +80,12 @@
         });
     }
 
-    private boolean believed(Request request, Reply reply, JsonNode body) {
-        Verdict verdict;
+    private boolean believed(ObservedRequest request, HttpResponse reply, JsonNode body) {
+        Consistency verdict;
         if (request.key() != null && reply.ok()) {
             long stamp = body.path("stamp").asLong();
             verdict = history.answeredWithStamp(request.mark(), stamp);
-            if (verdict == Verdict.CONSISTENT && stamp < request.knownStamp()) {
+            if (verdict == Consistency.CONSISTENT && stamp < request.knownStamp()) {
                 onLoss.accept(request.key() + " has stamp " + stamp + ", and had " + request.knownStamp());
                 return false;
             }
@@ -96,17 +96,17 @@
         } else {
             return true;
         }
-        if (verdict == Verdict.LOST) {
+        if (verdict == Consistency.LOST) {
             onLoss.accept("ledger is " + body.path("ledger").asLong() + ", and was "
                     + request.mark().ledger());
-        } else if (verdict == Verdict.CONSISTENT && hasVanished(request, reply)) {
+        } else if (verdict == Consistency.CONSISTENT && hasVanished(request, reply)) {
             onLoss.accept(request.key() + " is gone, and nobody removes it");
             return false;
         }
-        return verdict == Verdict.CONSISTENT;
+        return verdict == Consistency.CONSISTENT;
     }
 
-    private static boolean hasVanished(Request request, Reply reply) {
+    private static boolean hasVanished(ObservedRequest request, HttpResponse reply) {
         return reply.status() == 404 && request.knownStamp() > 0 && PermanentKeys.contains(request.key());
     }
 
--- a/src/main/java/io/sillreel/recovery/Rebuild.java
+++ b/src/main/java/io/sillreel/recovery/StoreRebuild.java
@@ -2,7 +2,7 @@
 
 import io.sillreel.settings.Settings;
 import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Txn;
+import io.sillreel.statestore.StateStore.Transaction;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -15,7 +15,7 @@
  * controllers remember, raises the revision above every one that was ever reached, so that no stamp means two things,
  * and writes what is missing. It may be begun anew by any later leader, at any point.
  */
-final class Rebuild {
+final class StoreRebuild {
     /** How far it has come. */
     enum Step {
         OPENING,
@@ -28,14 +28,14 @@
         CLOSED
     }
 
-    private static final Logger LOG = LoggerFactory.getLogger(Rebuild.class);
+    private static final Logger LOG = LoggerFactory.getLogger(StoreRebuild.class);
     private static final long ASK_AGAIN_MICROS = 2_000_000;
 
-    private final RebuildTerm term;
+    private final RebuildLease term;
     private final Settings settings;
     private final StoreHistory history;
-    private final Survivors survivors;
-    private final MemoryCollector collector;
+    private final CollectedMemories survivors;
+    private final PeerMemoryCollector collector;
     private final ChangeRestorer restorer;
     private final Runnable onClosed;
 
@@ -51,12 +51,12 @@
      * @param record the verdict to store
      * @param onClosed run once everything has been put back, or its loss has been accepted
      */
-    Rebuild(
-            RebuildTerm term,
+    StoreRebuild(
+            RebuildLease term,
             Settings settings,
             StoreHistory history,
-            Survivors survivors,
-            MemoryCollector collector,
+            CollectedMemories survivors,
+            PeerMemoryCollector collector,
             RecoveryRecord record,
             Runnable onClosed) {
         this.term = term;
@@ -135,7 +135,7 @@
 
     /** Writes the verdict, which also raises the revision by one. */
     private void writeRecord(RecoveryRecord next, Runnable written) {
-        Txn txn = term.txn().require(RecoveryRecord.KEY, recordStamp).set(RecoveryRecord.KEY, next.json());
+        Transaction txn = term.txn().require(RecoveryRecord.KEY, recordStamp).set(RecoveryRecord.KEY, next.json());
         term.store().commit(txn).thenAccept(commit -> {
             if (term.isOverAfter(commit)) {
                 return;
--- a/src/main/java/io/sillreel/recovery/TermEvidence.java
+++ b/src/main/java/io/sillreel/recovery/TermEvidence.java
@@ -1,9 +1,9 @@
 package io.sillreel.recovery;
 
-import io.sillreel.agent.Report;
-import io.sillreel.agent.Report.TaskState;
+import io.sillreel.agent.Heartbeat;
+import io.sillreel.agent.Heartbeat.TaskStatus;
 import io.sillreel.heartbeat.AttemptIds;
-import io.sillreel.leadership.Leadership;
+import io.sillreel.leadership.LeaderElection;
 import io.sillreel.statestore.StateStore;
 import java.util.HashSet;
 import java.util.Set;
@@ -30,9 +30,9 @@
     }
 
     /** The highest term that a report shows. */
-    static long shownBy(Report report) {
+    static long shownBy(Heartbeat report) {
         long shown = report.token();
-        for (TaskState task : report.tasks()) {
+        for (TaskStatus task : report.tasks()) {
             shown = Math.max(shown, AttemptIds.termOf(task.attempt()));
         }
         return shown;
@@ -40,14 +40,14 @@
 
     /** Somebody has shown a term that is higher than any known here: read after that, the store has it too. */
     void shown(long term, String by) {
-        history.learn(Peaks.NONE.withTerm(term));
+        history.learn(HighWatermarks.NONE.withTerm(term));
         if (reading) {
             return;
         }
         reading = true;
-        store.get(Leadership.TERM_KEY).thenAccept(read -> {
+        store.get(LeaderElection.TERM_KEY).thenAccept(read -> {
             reading = false;
-            long stored = Leadership.storedTerm(read);
+            long stored = LeaderElection.storedTerm(read);
             if (read.decided() && stored < term) {
                 onLoss.accept(by + " has seen term " + term + ", and " + stored + " is stored");
             }
@@ -58,13 +58,13 @@
      * A report that this controller is to answer under its own term; false if its worker knows the term from somebody
      * else, who must have taken it before a loss.
      */
-    boolean answerable(Report report, long term) {
+    boolean answerable(Heartbeat report, long term) {
         if (toldTerm != term) {
             toldTerm = term;
             told.clear();
         }
         if (report.token() == term && !told.contains(report.machine())) {
-            history.learn(Peaks.NONE.withTerm(term));
+            history.learn(HighWatermarks.NONE.withTerm(term));
             onLoss.accept(report.machine() + " has seen term " + term + " before it was told of it");
             return false;
         }
--- a/src/main/java/io/sillreel/statestore/StateStore.java
+++ b/src/main/java/io/sillreel/statestore/StateStore.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Call;
-import io.sillreel.http.Caller;
+import io.sillreel.http.EventLoop;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Loop;
-import io.sillreel.http.Reply;
-import io.sillreel.overload.Pacer;
+import io.sillreel.overload.RateLimiter;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -65,7 +65,7 @@
     public record Commit(Outcome outcome, long ledger, List<String> failed) {}
 
     /** A lease of the state service. */
-    public record Grant(Outcome outcome, long permit) {}
+    public record LeaseGrant(Outcome outcome, long permit) {}
 
     /** A change; the value is null if the key was removed. */
     public record Change(String key, JsonNode value, long stamp) {}
@@ -92,12 +92,12 @@
     private static final int SILENT_AFTER = 2;
     private static final int TOO_MANY_REQUESTS = 429;
 
-    private final Caller caller;
-    private final Caller leaseCaller;
-    private final Loop loop;
+    private final HttpClient caller;
+    private final HttpClient leaseCaller;
+    private final EventLoop loop;
     private final String address;
-    private final Pacer requests;
-    private final Pacer writes;
+    private final RateLimiter requests;
+    private final RateLimiter writes;
     private long lastAnswerMicros = Long.MIN_VALUE;
     private int unanswered;
 
@@ -105,7 +105,13 @@
      * @param leaseCaller asks for leases and their renewal, on connections of its own: one that had to be opened first,
      *     or waited behind users' questions, took longer than the lease in a crowd
      */
-    public StateStore(Caller caller, Caller leaseCaller, Loop loop, String address, Pacer requests, Pacer writes) {
+    public StateStore(
+            HttpClient caller,
+            HttpClient leaseCaller,
+            EventLoop loop,
+            String address,
+            RateLimiter requests,
+            RateLimiter writes) {
         this.caller = caller;
         this.leaseCaller = leaseCaller;
         this.loop = loop;
@@ -138,7 +144,7 @@
 
     /** Reads one key. */
     public CompletableFuture<Read> get(String key) {
-        return send(Call.get("/kv/" + key), TIMEOUT_MICROS).thenApply(reply -> {
+        return send(HttpRequest.get("/kv/" + key), TIMEOUT_MICROS).thenApply(reply -> {
             Outcome outcome = outcome(reply);
             return new Read(outcome, outcome == Outcome.OK ? entry(reply.json()) : null);
         });
@@ -184,9 +190,9 @@
             boolean patient,
             PageConsumer consumer,
             CompletableFuture<Scan> result) {
-        Call call() {
+        HttpRequest call() {
             String after = since.isEmpty() ? "" : "&since=" + since;
-            return Call.get("/kv?prefix=" + prefix + after + "&limit=" + PAGE);
+            return HttpRequest.get("/kv?prefix=" + prefix + after + "&limit=" + PAGE);
         }
 
         PageRequest again() {
@@ -248,45 +254,47 @@
     }
 
     /** Sends a transaction, unless this controller's part of the shared rates is used up. */
-    public CompletableFuture<Commit> commit(Txn txn) {
+    public CompletableFuture<Commit> commit(Transaction txn) {
         if (!requests.tryTake(1) || txn.size() > 0 && !writes.tryTake(txn.size())) {
             return CompletableFuture.completedFuture(new Commit(Outcome.REFUSED, 0, List.of()));
         }
         long timeout = txn.size() > 0 ? TIMEOUT_MICROS : COMPARE_TIMEOUT_MICROS;
-        return caller.call(address, Call.post("/txn", txn.json()), timeout).thenApply(reply -> {
-            if (reply.status() == TOO_MANY_REQUESTS) {
-                (txn.size() > 0 ? writes : requests).refused();
-            }
-            JsonNode body = reply.json();
-            List<String> failed = new ArrayList<>();
-            body.path("failed").forEach(key -> failed.add(key.asText()));
-            return new Commit(outcome(reply), body.path("ledger").asLong(), failed);
-        });
+        return caller.call(address, HttpRequest.post("/txn", txn.json()), timeout)
+                .thenApply(reply -> {
+                    if (reply.status() == TOO_MANY_REQUESTS) {
+                        (txn.size() > 0 ? writes : requests).refused();
+                    }
+                    JsonNode body = reply.json();
+                    List<String> failed = new ArrayList<>();
+                    body.path("failed").forEach(key -> failed.add(key.asText()));
+                    return new Commit(outcome(reply), body.path("ledger").asLong(), failed);
+                });
     }
 
     /** Requests a lease. */
-    public CompletableFuture<Grant> grant(long lifeMicros) {
+    public CompletableFuture<LeaseGrant> grant(long lifeMicros) {
         ObjectNode body = Json.object().put("life_ms", lifeMicros / 1_000);
-        return sendNow(Call.post("/grants", body))
-                .thenApply(reply ->
-                        new Grant(outcome(reply), reply.json().path("permit").asLong()));
+        return sendNow(HttpRequest.post("/grants", body))
+                .thenApply(reply -> new LeaseGrant(
+                        outcome(reply), reply.json().path("permit").asLong()));
     }
 
     public CompletableFuture<Outcome> touch(long permit) {
-        return sendNow(Call.post("/grants/" + permit + "/touch", Json.object())).thenApply(this::outcome);
+        return sendNow(HttpRequest.post("/grants/" + permit + "/touch", Json.object()))
+                .thenApply(this::outcome);
     }
 
     public CompletableFuture<Outcome> revoke(long permit) {
-        return send(new Call("DELETE", "/grants/" + permit, Call.NO_BODY), TIMEOUT_MICROS)
+        return send(new HttpRequest("DELETE", "/grants/" + permit, HttpRequest.NO_BODY), TIMEOUT_MICROS)
                 .thenApply(this::outcome);
     }
 
     /** Waits until a key under the prefix has changed after the revision, or until the time is over. */
     public CompletableFuture<WatchResult> watch(String prefix, long since, long blockMicros) {
         String path = "/watch?prefix=" + prefix + "&since=" + since + "&block_ms=" + blockMicros / 1_000;
-        return send(Call.get(path), blockMicros + WATCH_SLACK_MICROS).thenApply(reply -> {
+        return send(HttpRequest.get(path), blockMicros + WATCH_SLACK_MICROS).thenApply(reply -> {
             // What is too much to be taken in at once can still be read in pages.
-            Outcome outcome = reply.status() == Reply.ANSWER_TOO_LARGE ? Outcome.COMPACTED : outcome(reply);
+            Outcome outcome = reply.status() == HttpResponse.ANSWER_TOO_LARGE ? Outcome.COMPACTED : outcome(reply);
             List<Change> changes = new ArrayList<>();
             JsonNode body = reply.json();
             for (JsonNode change : body.path("news")) {
@@ -300,9 +308,9 @@
         });
     }
 
-    private CompletableFuture<Reply> send(Call call, long timeoutMicros) {
+    private CompletableFuture<HttpResponse> send(HttpRequest call, long timeoutMicros) {
         if (!requests.tryTake(1)) {
-            return CompletableFuture.completedFuture(Reply.later(TOO_MANY_REQUESTS, "paced", 1));
+            return CompletableFuture.completedFuture(HttpResponse.later(TOO_MANY_REQUESTS, "paced", 1));
         }
         return caller.call(address, call, timeoutMicros).thenApply(reply -> {
             noteRefusal(reply);
@@ -310,18 +318,18 @@
         });
     }
 
-    private void noteRefusal(Reply reply) {
+    private void noteRefusal(HttpResponse reply) {
         if (reply.status() == TOO_MANY_REQUESTS) {
             requests.refused();
         }
     }
 
-    private CompletableFuture<Reply> sendNow(Call call) {
+    private CompletableFuture<HttpResponse> sendNow(HttpRequest call) {
         requests.take(1);
         return leaseCaller.call(address, call, TIMEOUT_MICROS);
     }
 
-    private Outcome outcome(Reply reply) {
+    private Outcome outcome(HttpResponse reply) {
         synchronized (this) {
             unanswered = reply.status() > 0 ? 0 : unanswered + 1;
         }
@@ -337,7 +345,7 @@
             case 410 -> Outcome.COMPACTED;
             case 400 ->
                 reply.json().path("error").asText().equals("no such lease") ? Outcome.NO_SUCH_LEASE : Outcome.TOO_LARGE;
-            case TOO_MANY_REQUESTS, 503, Reply.NOT_SENT -> Outcome.REFUSED;
+            case TOO_MANY_REQUESTS, 503, HttpResponse.NOT_SENT -> Outcome.REFUSED;
             default -> Outcome.UNKNOWN;
         };
     }
@@ -348,29 +356,29 @@
     }
 
     /** A transaction in the making. */
-    public static final class Txn {
+    public static final class Transaction {
         private final ArrayNode conditions = Json.array();
         private final ArrayNode changes = Json.array();
 
-        public Txn require(String key, long stamp) {
+        public Transaction require(String key, long stamp) {
             conditions.add(Json.object().put("k", key).put("stamp", stamp));
             return this;
         }
 
-        public Txn set(String key, JsonNode value) {
+        public Transaction set(String key, JsonNode value) {
             changes.add(Json.object().put("set", key).set("v", value));
             return this;
         }
 
         /** Sets a key that is removed together with the lease. */
-        public Txn set(String key, JsonNode value, long permit) {
+        public Transaction set(String key, JsonNode value, long permit) {
             ObjectNode change = Json.object().put("set", key);
             change.set("v", value);
             changes.add(change.put("permit", permit));
             return this;
         }
 
-        public Txn remove(String key) {
+        public Transaction remove(String key) {
             changes.add(Json.object().put("remove", key));
             return this;
         }
--- a/src/main/java/io/sillreel/statestore/WriteBatch.java
+++ b/src/main/java/io/sillreel/statestore/WriteBatch.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.sillreel.http.Json;
-import io.sillreel.statestore.KeyWriter.Item;
-import io.sillreel.statestore.StateStore.Txn;
+import io.sillreel.statestore.StateStore.Transaction;
+import io.sillreel.statestore.WriteQueue.PendingWrite;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -15,22 +15,22 @@
     /** What a change takes beside its value: its key, its conditions and their names. */
     private static final int CHANGE_BYTES = 300;
 
-    private final Predicate<Item> writtenAlone;
-    private final List<Item> items = new ArrayList<>();
-    private final Txn txn = new Txn();
+    private final Predicate<PendingWrite> writtenAlone;
+    private final List<PendingWrite> items = new ArrayList<>();
+    private final Transaction txn = new Transaction();
     private int bytes;
 
     /** @param writtenAlone true for an item that shares its transaction with no other */
-    WriteBatch(String leaderKey, long leaderStamp, Predicate<Item> writtenAlone) {
+    WriteBatch(String leaderKey, long leaderStamp, Predicate<PendingWrite> writtenAlone) {
         this.writtenAlone = writtenAlone;
         txn.require(leaderKey, leaderStamp);
     }
 
-    List<Item> items() {
+    List<PendingWrite> items() {
         return items;
     }
 
-    Txn txn() {
+    Transaction txn() {
         return txn;
     }
 
@@ -40,7 +40,7 @@
      * @param room how many changes the transaction may hold with it
      * @return whether the item was added
      */
-    boolean add(Item item, Map<String, JsonNode> changes, double room) {
+    boolean add(PendingWrite item, Map<String, JsonNode> changes, double room) {
         int size = 0;
         for (JsonNode value : changes.values()) {
             size += value == null ? 0 : Json.bytes(value).length + CHANGE_BYTES;
@@ -58,7 +58,7 @@
         return true;
     }
 
-    private boolean isFull(Item item, int size) {
+    private boolean isFull(PendingWrite item, int size) {
         return bytes + size > MAX_BYTES || writtenAlone.test(item) || writtenAlone.test(items.get(0));
     }
 
--- a/src/main/java/io/sillreel/statestore/KeyWriter.java
+++ b/src/main/java/io/sillreel/statestore/WriteQueue.java
@@ -1,8 +1,8 @@
 package io.sillreel.statestore;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import io.sillreel.http.EventLoop;
 import io.sillreel.http.Json;
-import io.sillreel.http.Loop;
 import io.sillreel.statestore.StateStore.Commit;
 import io.sillreel.statestore.StateStore.Outcome;
 import io.sillreel.statestore.StateStore.Read;
@@ -23,16 +23,16 @@
  * key's stamp and on the changed key's own. So neither a former leader's late transaction nor an own one whose answer
  * was lost can undo what was written after it.
  */
-public final class KeyWriter {
+public final class WriteQueue {
     /** What goes first when the store takes less than there is to write. */
-    public enum Urgency {
+    public enum WriteUrgency {
         END,
         START,
         PROGRESS
     }
 
     /** Something to be stored under a guarding key. */
-    public interface Item {
+    public interface PendingWrite {
         /** The key whose stamp guards the change; it is among the changes. */
         String key();
 
@@ -45,13 +45,13 @@
         Map<String, JsonNode> changes();
 
         /** What has to be stored before this; it queues the item again once that is done. */
-        default List<Item> first() {
+        default List<PendingWrite> first() {
             return List.of();
         }
 
         /** How urgent the change is that would be written now. */
-        default Urgency urgency() {
-            return Urgency.START;
+        default WriteUrgency urgency() {
+            return WriteUrgency.START;
         }
 
         /** A key that must not exist, or null. */
@@ -73,12 +73,12 @@
     }
 
     /** Something under one key that nothing else is written with. */
-    public abstract static class OneKey implements Item {
+    public abstract static class SingleKeyWrite implements PendingWrite {
         private final String key;
         private long stamp;
 
         /** @param stamp as the key is thought to be stored, 0 if it is not */
-        protected OneKey(String key, long stamp) {
+        protected SingleKeyWrite(String key, long stamp) {
             this.key = key;
             this.stamp = stamp;
         }
@@ -104,7 +104,7 @@
         }
     }
 
-    private static final Logger LOG = LoggerFactory.getLogger(KeyWriter.class);
+    private static final Logger LOG = LoggerFactory.getLogger(WriteQueue.class);
     private static final long GATHER_MICROS = 5_000;
     private static final long RETRY_MICROS = 250_000;
     private static final long IDLE_MICROS = 50_000;
@@ -122,12 +122,12 @@
     private static final double PROGRESS_RESERVE_PART = 0.3;
 
     private final StateStore store;
-    private final Loop loop;
+    private final EventLoop loop;
     private final String leaderKey;
     private final long leaderStamp;
     private final int txnOps;
     private final Runnable deposed;
-    private final Map<String, Item> waiting = new LinkedHashMap<>();
+    private final Map<String, PendingWrite> waiting = new LinkedHashMap<>();
     private final Map<String, Long> sinceMicros = new HashMap<>();
     /** Written one by one, since together they were too large. */
     private final Set<String> alone = new HashSet<>();
@@ -140,7 +140,8 @@
      * @param leaderStamp the stamp under which this controller became the leader
      * @param deposed called once a write shows that another controller leads
      */
-    public KeyWriter(StateStore store, Loop loop, String leaderKey, long leaderStamp, int txnOps, Runnable deposed) {
+    public WriteQueue(
+            StateStore store, EventLoop loop, String leaderKey, long leaderStamp, int txnOps, Runnable deposed) {
         this.store = store;
         this.loop = loop;
         this.leaderKey = leaderKey;
@@ -150,18 +151,18 @@
     }
 
     /** Queues the item unless it waits already. */
-    public synchronized void enqueue(Item item) {
+    public synchronized void enqueue(PendingWrite item) {
         add(item);
         kick(GATHER_MICROS);
     }
 
-    private synchronized void add(Item item) {
+    private synchronized void add(PendingWrite item) {
         if (waiting.putIfAbsent(item.key(), item) == null) {
             sinceMicros.putIfAbsent(item.key(), loop.nowMicros());
         }
     }
 
-    private void remove(Item item) {
+    private void remove(PendingWrite item) {
         waiting.remove(item.key());
         sinceMicros.remove(item.key());
     }
@@ -183,7 +184,7 @@
      */
     public synchronized long pressing() {
         return waiting.values().stream()
-                .filter(item -> item.urgency() != Urgency.PROGRESS)
+                .filter(item -> item.urgency() != WriteUrgency.PROGRESS)
                 .count();
     }
 
@@ -221,11 +222,11 @@
         WriteBatch batch = new WriteBatch(leaderKey, leaderStamp, item -> alone.contains(item.key()));
         double burst = store.writeBurst();
         double available = store.writesAvailable() - Math.min(RESERVE, MAX_RESERVE_PART * burst);
-        for (Item item : inOrder()) {
+        for (PendingWrite item : inOrder()) {
             // Asked for before the changes, which count what is urgent about the item as sent.
-            boolean progress = item.urgency() == Urgency.PROGRESS;
+            boolean progress = item.urgency() == WriteUrgency.PROGRESS;
             double room = Math.min(txnOps, progress ? available - PROGRESS_RESERVE_PART * burst : available);
-            List<Item> first = item.first();
+            List<PendingWrite> first = item.first();
             if (!first.isEmpty()) {
                 remove(item);
                 first.forEach(this::add);
@@ -245,19 +246,19 @@
     }
 
     /** What is due, the most urgent first; among equals what has waited longest. */
-    private List<Item> inOrder() {
-        List<List<Item>> byUrgency = new ArrayList<>();
-        for (int i = 0; i < Urgency.values().length; i++) {
+    private List<PendingWrite> inOrder() {
+        List<List<PendingWrite>> byUrgency = new ArrayList<>();
+        for (int i = 0; i < WriteUrgency.values().length; i++) {
             byUrgency.add(new ArrayList<>());
         }
         long now = loop.nowMicros();
-        for (Item item : waiting.values()) {
-            Urgency urgency = item.urgency();
-            if (urgency != Urgency.PROGRESS || now - sinceMicros.get(item.key()) >= PROGRESS_GATHER_MICROS) {
+        for (PendingWrite item : waiting.values()) {
+            WriteUrgency urgency = item.urgency();
+            if (urgency != WriteUrgency.PROGRESS || now - sinceMicros.get(item.key()) >= PROGRESS_GATHER_MICROS) {
                 byUrgency.get(urgency.ordinal()).add(item);
             }
         }
-        List<Item> due = new ArrayList<>();
+        List<PendingWrite> due = new ArrayList<>();
         byUrgency.forEach(due::addAll);
         return due;
     }
@@ -276,7 +277,7 @@
         return closed;
     }
 
-    private void settle(List<Item> batch, Commit commit) {
+    private void settle(List<PendingWrite> batch, Commit commit) {
         if (isClosed()) {
             return;
         }
@@ -293,10 +294,10 @@
             return;
         }
         if (commit.outcome() == Outcome.CONFLICT) {
-            List<Item> moved = new ArrayList<>();
-            for (Item item : batch) {
+            List<PendingWrite> moved = new ArrayList<>();
+            for (PendingWrite item : batch) {
                 if (item.absent() != null && commit.failed().contains(item.absent())) {
-                    tell(item, Item::forbidden);
+                    tell(item, PendingWrite::forbidden);
                 } else if (commit.failed().contains(item.key())) {
                     moved.add(item);
                 } else {
@@ -321,7 +322,7 @@
     }
 
     /** The same is never sent again: what was refused together goes one by one, and what was refused alone waits. */
-    private void tooLarge(List<Item> batch) {
+    private void tooLarge(List<PendingWrite> batch) {
         if (batch.size() > 1) {
             batch.forEach(item -> {
                 synchronized (this) {
@@ -331,7 +332,7 @@
             });
             return;
         }
-        Item item = batch.get(0);
+        PendingWrite item = batch.get(0);
         int bytes = item.changes().values().stream()
                 .mapToInt(value -> value == null ? 0 : Json.bytes(value).length)
                 .sum();
@@ -339,11 +340,11 @@
                 "{} is refused by the state service with {} bytes, and is not written again as it is",
                 item.key(),
                 bytes);
-        tell(item, Item::tooLarge);
+        tell(item, PendingWrite::tooLarge);
     }
 
     /** One item that can't take what became of its write must not keep all others from being written. */
-    private static void tell(Item item, Consumer<Item> result) {
+    private static void tell(PendingWrite item, Consumer<PendingWrite> result) {
         try {
             result.accept(item);
         } catch (RuntimeException e) {
@@ -352,7 +353,7 @@
     }
 
     /** After an unknown outcome the stamps are read anew; a late success then fails the next write, not the data. */
-    private void reread(List<Item> items) {
+    private void reread(List<PendingWrite> items) {
         if (items.isEmpty()) {
             again(GATHER_MICROS);
             return;
--- a/src/test/java/io/sillreel/CancellationFailuresTest.java
+++ b/src/test/java/io/sillreel/CancellationFailuresTest.java
@@ -8,10 +8,10 @@
 import static io.sillreel.FailureScenario.running;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.sillreel.sim.FailureInjector;
+import io.sillreel.sim.SimCluster;
 import io.sillreel.sim.SimNetwork.Fate;
 import io.sillreel.sim.SimNetwork.Rule;
-import io.sillreel.sim.Troubles;
-import io.sillreel.sim.World;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Random;
@@ -32,12 +32,12 @@
     @Test
     void whatIsCancelledWhileTheLeaderAloneIsRefusedIsGoneInTimeThroughAnOutage() {
         for (int tenths : new int[] {2, 8, 15, 22, 29, 31, 33, 35, 38, 45}) {
-            World world = begun(100 + tenths);
-            world.submit(0, World.job("job-000001", 6));
-            world.submit(1, World.job("job-000002", 6));
+            SimCluster world = begun(100 + tenths);
+            world.submit(0, SimCluster.job("job-000001", 6));
+            world.submit(1, SimCluster.job("job-000002", 6));
             world.untilStarted(12, FOR_LONG);
             int leader = world.leader();
-            Rule refused = world.network().add(Troubles.refused(leader));
+            Rule refused = world.network().add(FailureInjector.refused(leader));
             // It must hold without the word of the controller that confirms, which may get lost as well.
             world.network().add((from, to, call) -> call.route().equals("/peer/withdrawn") ? Fate.LOSE : null);
             world.seconds(0.05);
@@ -64,11 +64,11 @@
      */
     @Test
     void aLeaderThatIsRefusedAloneIsToldOfCancellations() {
-        World world = begun(16);
-        world.submit(0, World.job("job-000001", 12));
+        SimCluster world = begun(16);
+        world.submit(0, SimCluster.job("job-000001", 12));
         world.untilStarted(12, FOR_LONG);
         int leader = world.leader();
-        world.network().add(Troubles.refused(leader));
+        world.network().add(FailureInjector.refused(leader));
         world.seconds(0.2);
         world.cancel(other(world, leader), "job-000001");
         world.state().outage(true);
@@ -81,8 +81,8 @@
     /** Guards launches against a watch that is not answered: what was not asked for lately may have been cancelled. */
     @Test
     void aLeaderThatCanNotFollowCancellationsLaunchesNothingAndLetsItsTasksGo() {
-        World world = begun(17);
-        world.submit(0, World.job("job-000001", 300).put("guess_s", 60.0));
+        SimCluster world = begun(17);
+        world.submit(0, SimCluster.job("job-000001", 300).put("guess_s", 60.0));
         world.untilStarted(1, FOR_LONG);
         // More machines come up only when what is known is too old; no task ends, so no write tells of the
         // cancellation.
@@ -107,12 +107,12 @@
      */
     @Test
     void aLeaderThatAloneCanNotFollowCancellationsIsSucceeded() {
-        World world = begun(19);
-        world.submit(0, World.job("job-000001", 60));
+        SimCluster world = begun(19);
+        world.submit(0, SimCluster.job("job-000001", 60));
         world.untilStarted(8, 5 * SECOND);
         int cancellationsUnknown = world.leader();
         world.network()
-                .add((from, to, call) -> from.equals(Troubles.host(cancellationsUnknown))
+                .add((from, to, call) -> from.equals(FailureInjector.host(cancellationsUnknown))
                                 && call.path().startsWith("/watch?prefix=withdraw/")
                         ? Fate.LOSE
                         : null);
@@ -128,11 +128,11 @@
      */
     @Test
     void aLeaderThatIsAnsweredAgainLaunchesNothingOfWhatWasCancelledMeanwhile() {
-        World world = begun(3);
+        SimCluster world = begun(3);
         int leader = world.leader();
-        world.submit(0, World.job("job-000001", 90));
+        world.submit(0, SimCluster.job("job-000001", 90));
         world.untilStarted(20, 6 * SECOND);
-        Rule refused = world.network().add(Troubles.refused(leader));
+        Rule refused = world.network().add(FailureInjector.refused(leader));
         world.seconds(1);
         world.cancel(other(world, leader), "job-000001");
         world.state().outage(true);
@@ -153,12 +153,13 @@
     @Test
     void theLimitHoldsWhileCancelledTasksCanNotBeReachedAndTheLeaderChanges() {
         for (int seed = 1; seed <= 6; seed++) {
-            World world = begun(seed, 10);
-            world.submit(0, World.job("job-000001", 10).put("guess_s", 60.0).put("due_s", 90.0));
+            SimCluster world = begun(seed, 10);
+            world.submit(
+                    0, SimCluster.job("job-000001", 10).put("guess_s", 60.0).put("due_s", 90.0));
             world.untilStarted(10, FOR_LONG);
             Random random = new Random(seed);
             Set<String> cut = new HashSet<>(machines(world).subList(0, 1 + seed % 2));
-            world.network().add(Troubles.away(cut, random.nextBoolean() ? Fate.HOLD : Fate.LOSE));
+            world.network().add(FailureInjector.away(cut, random.nextBoolean() ? Fate.HOLD : Fate.LOSE));
             world.cloud().machines().values().stream().skip(2).limit(1).forEach(worker -> worker.hang(10 * SECOND));
             int leader = world.leader();
             world.seconds(random.nextDouble() * 2);
@@ -167,7 +168,7 @@
                 world.cancel(other(world, leader), "job-000001");
             }
             world.kill(leader);
-            world.submit(other(world, leader), World.job("job-000002", 10));
+            world.submit(other(world, leader), SimCluster.job("job-000002", 10));
             if (!before) {
                 world.cancel(other(world, leader), "job-000001");
             }
@@ -188,11 +189,11 @@
      */
     @Test
     void aCancellationThatOvertakesTheAnswerToAReleaseStopsNoWrites() {
-        World world = begun(18);
-        Rule slow = world.network().add(Troubles.writes("\"run/", Fate.SLOW_ANSWER, 1, new Random(18)));
+        SimCluster world = begun(18);
+        Rule slow = world.network().add(FailureInjector.writes("\"run/", Fate.SLOW_ANSWER, 1, new Random(18)));
         for (int i = 1; i <= 12; i++) {
             String uid = "job-%06d".formatted(i);
-            world.submit(i % 3, World.job(uid, 2));
+            world.submit(i % 3, SimCluster.job(uid, 2));
             if (i % 2 == 0) {
                 world.until(() -> world.state().value("run/" + uid) != null);
                 world.cancel(i % 3, uid);
@@ -210,9 +211,9 @@
     @Test
     void whatIsCancelledWhileTheWorkChangesHandsStops() {
         for (int seed = 1; seed <= 3; seed++) {
-            World world = begun(seed);
+            SimCluster world = begun(seed);
             for (int i = 1; i <= 20; i++) {
-                world.submit(i % 3, World.job("job-%06d".formatted(i), 4));
+                world.submit(i % 3, SimCluster.job("job-%06d".formatted(i), 4));
             }
             world.untilStarted(60, FOR_LONG);
             int leader = world.leader();
@@ -240,12 +241,12 @@
     /** Guards the rate of small jobs: each is stored, run and ended, a quarter cancelled, and none is left behind. */
     @Test
     void manySmallJobsAreServedAndCancelledAtOnce() {
-        World world = begun(6);
+        SimCluster world = begun(6);
         Random random = new Random(6);
         Set<String> cancelled = new HashSet<>();
         for (int i = 1; i <= 480; i++) {
             String uid = "job-%06d".formatted(i);
-            world.submitMeanwhile(random.nextInt(3), World.job(uid, 1));
+            world.submitMeanwhile(random.nextInt(3), SimCluster.job(uid, 1));
             world.seconds(0.25);
             if (i > 4 && random.nextInt(4) == 0) {
                 String earlier = "job-%06d".formatted(i - random.nextInt(4));
@@ -269,12 +270,12 @@
      */
     @Test
     void whatIsCancelledThroughANewLeaderStopsThoughWorkersStillReachTheOldOne() {
-        World world = begun(7);
-        world.submit(0, World.job("job-000001", 8));
-        world.submit(0, World.job("job-000002", 8));
+        SimCluster world = begun(7);
+        world.submit(0, SimCluster.job("job-000001", 8));
+        world.submit(0, SimCluster.job("job-000002", 8));
         world.untilStarted(16, 40 * SECOND);
         int old = world.leader();
-        Rule isolated = world.network().add(Troubles.isolated(old));
+        Rule isolated = world.network().add(FailureInjector.isolated(old));
         world.until(() -> world.leader() >= 0 && world.leader() != old);
         world.cancel(world.leader(), "job-000001");
         for (int i = 0; i < 30; i++) {
--- a/src/test/java/io/sillreel/DoneSetVersionsTest.java
+++ b/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
@@ -8,19 +8,19 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.sillreel.http.Json;
 import io.sillreel.pipeline.ActiveJob;
+import io.sillreel.pipeline.IgnoringListener;
 import io.sillreel.pipeline.JobSpec;
-import io.sillreel.pipeline.QuietWatcher;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.pipeline.RunRecord.Head;
 import io.sillreel.settings.ValueLimits;
 import io.sillreel.sim.PreviousVersion;
 import io.sillreel.sim.SimNetwork;
-import io.sillreel.sim.SimState;
+import io.sillreel.sim.SimStateStore;
 import io.sillreel.sim.SimTime;
-import io.sillreel.statestore.KeyWriter;
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Txn;
+import io.sillreel.statestore.StateStore.Transaction;
+import io.sillreel.statestore.WriteQueue;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -28,16 +28,16 @@
 import org.junit.jupiter.api.Test;
 
 /** Done sets that the version in production (5806758) stored, or may have to read. */
-class DoneSetVersionsTest {
+class CompletionBitmapVersionsTest {
     private final SimTime time = new SimTime();
 
     /** Guards the done set of a job that both versions lead in turn: parts of it would be unknown to that version. */
     @Test
     void aDoneSetIsWrittenAsItWroteItUntilTheStateServiceRefusesItsSize() {
-        List<KeyWriter.Item> queued = new ArrayList<>();
-        ActiveJob.Watcher watcher = new QuietWatcher() {
+        List<WriteQueue.PendingWrite> queued = new ArrayList<>();
+        ActiveJob.Listener watcher = new IgnoringListener() {
             @Override
-            public void toWrite(List<? extends KeyWriter.Item> items) {
+            public void toWrite(List<? extends WriteQueue.PendingWrite> items) {
                 queued.addAll(items);
             }
         };
@@ -52,7 +52,7 @@
         job.tooLarge();
         assertThat(queued).hasSize(1).first().isSameAs(job);
         queued.clear();
-        List<KeyWriter.Item> parts = job.first();
+        List<WriteQueue.PendingWrite> parts = job.first();
         assertThat(parts).hasSize(2).allMatch(part -> part.key().startsWith("bits/job-000412/"));
         parts.forEach(part -> {
             assertThat(part.changes()).hasSize(1);
@@ -65,26 +65,26 @@
 
     /** A job of 400 tasks whose done set that version cut by larger values, and a writer under today's limits. */
     private final class ChunkedJob {
-        final SimState state = new SimState(time, 20, 8 * 1024, 1_000);
+        final SimStateStore state = new SimStateStore(time, 20, 8 * 1024, 1_000);
         final JobSpec spec = spec("job-000413", 400);
         final StateStore store;
-        final KeyWriter writer;
-        final ActiveJob.Watcher watcher;
+        final WriteQueue writer;
+        final ActiveJob.Listener watcher;
 
         ChunkedJob() {
             SimNetwork network = new SimNetwork(time, 1);
             network.listen("state:1", state);
             SimTime.Process process = time.new Process();
             store = network.stateStore(process, 1_000, 1_000);
-            Txn txn = new Txn().set("leader", Json.object());
+            Transaction txn = new Transaction().set("leader", Json.object());
             CHUNKED.forEach((key, value) -> txn.set(key, json(value)));
             store.commit(txn);
             time.runFor(100_000);
             state.limits(2, 160, 1_000);
-            writer = new KeyWriter(store, process, "leader", 101, 2, () -> {});
-            watcher = new QuietWatcher() {
+            writer = new WriteQueue(store, process, "leader", 101, 2, () -> {});
+            watcher = new IgnoringListener() {
                 @Override
-                public void toWrite(List<? extends KeyWriter.Item> items) {
+                public void toWrite(List<? extends WriteQueue.PendingWrite> items) {
                     items.forEach(writer::enqueue);
                 }
             };
@@ -100,7 +100,7 @@
                     stamps.put(key, 101L);
                 }
             });
-            RunRecord.StoredParts stored = new RunRecord.StoredParts(values, stamps, RunRecord.chunkTasks(64));
+            RunRecord.StoredChunks stored = new RunRecord.StoredChunks(values, stamps, RunRecord.chunkTasks(64));
             ActiveJob job = new ActiveJob(spec, 7, 0, ValueLimits.fixed(32), watcher);
             job.inherit(101, Head.of(json(CHUNKED.get("run/job-000413"))), stored);
             return job;
@@ -114,7 +114,9 @@
                             key -> values.put(key, state.value(key).path("bits").asText()));
             ActiveJob job = new ActiveJob(spec, 7, 0, ValueLimits.fixed(32), watcher);
             job.inherit(
-                    102, Head.of(state.value("run/job-000413")), new RunRecord.StoredParts(values, new HashMap<>(), 0));
+                    102,
+                    Head.of(state.value("run/job-000413")),
+                    new RunRecord.StoredChunks(values, new HashMap<>(), 0));
             return job;
         }
 
@@ -160,7 +162,7 @@
             job.settle(task);
         }
         chunked.write(job);
-        var late = chunked.store.commit(new Txn()
+        var late = chunked.store.commit(new Transaction()
                 .require("leader", 77)
                 .require("run/job-000413", 101)
                 .set("run/job-000413/0", json(CHUNKED.get("run/job-000413/0"))));
--- a/src/test/java/io/sillreel/TakeoverFailuresTest.java
+++ b/src/test/java/io/sillreel/FailoverFailuresTest.java
@@ -10,10 +10,10 @@
 import static io.sillreel.FailureScenario.succeed;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.sillreel.sim.FailureInjector;
+import io.sillreel.sim.SimCluster;
 import io.sillreel.sim.SimNetwork.Fate;
 import io.sillreel.sim.SimNetwork.Rule;
-import io.sillreel.sim.Troubles;
-import io.sillreel.sim.World;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Random;
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Changes of leader, cuts and silent machines that meet: what users were told and what workers ran. */
-class TakeoverFailuresTest {
+class FailoverFailuresTest {
     private static final long SECOND = 1_000_000;
 
     /**
@@ -31,9 +31,9 @@
     @Test
     void oldReportsThatReachEveryControllerAsATermBeginsChangeNothing() {
         for (int seed = 1; seed <= 3; seed++) {
-            World world = begun(seed);
-            world.network().add(Troubles.reports(Fate.KEEP, 0.7, new Random(seed)));
-            world.submit(0, World.job("job-000001", 30));
+            SimCluster world = begun(seed);
+            world.network().add(FailureInjector.reports(Fate.KEEP, 0.7, new Random(seed)));
+            world.submit(0, SimCluster.job("job-000001", 30));
             world.untilStarted(20, 15 * SECOND);
             Set<String> before = new HashSet<>(machines(world));
             succeed(world);
@@ -49,9 +49,9 @@
     @Test
     void tasksThatEndFarApartAcrossAChangeOfLeaderAreDoneOnce() {
         for (int after = 0; after < 6; after++) {
-            World world = begun(20 + after);
+            SimCluster world = begun(20 + after);
             // Each of them fills a machine.
-            world.submit(0, World.job("job-000001", 3).put("vcpus", 4.0));
+            world.submit(0, SimCluster.job("job-000001", 3).put("vcpus", 4.0));
             world.untilStarted(3, 30 * SECOND);
             fullest(world).prolong(30 * SECOND);
             world.until(() -> running(world) < 3);
@@ -70,18 +70,19 @@
     @Test
     void jobsOfOneZoneThatLoseMachinesStayInOneZone() {
         for (int seed = 1; seed <= 4; seed++) {
-            World world = begun(seed);
+            SimCluster world = begun(seed);
             Random random = new Random(seed);
             for (int i = 1; i <= 3; i++) {
-                world.submit(0, World.job("job-%06d".formatted(i), 8).put("one_zone", true));
+                world.submit(0, SimCluster.job("job-%06d".formatted(i), 8).put("one_zone", true));
             }
-            world.submit(0, World.job("job-000004", 1).put("one_zone", true).put("yard", "b"));
+            world.submit(
+                    0, SimCluster.job("job-000004", 1).put("one_zone", true).put("yard", "b"));
             world.untilStarted(20, 12 * SECOND);
             for (int i = 0; i < 3; i++) {
                 List<String> machines = machines(world);
                 String lost = machines.get(random.nextInt(machines.size()));
                 if (i == 1) {
-                    world.network().add(Troubles.away(Set.of(lost), Fate.HOLD));
+                    world.network().add(FailureInjector.away(Set.of(lost), Fate.HOLD));
                 } else {
                     world.cloud().take(lost);
                 }
@@ -105,15 +106,15 @@
      */
     @Test
     void commandsHeldUpUntilTheirMachineGoesOnHurtNobody() {
-        World world = begun(8);
-        world.submit(0, World.job("job-000001", 6));
-        world.submit(0, World.job("job-000002", 6));
+        SimCluster world = begun(8);
+        world.submit(0, SimCluster.job("job-000001", 6));
+        world.submit(0, SimCluster.job("job-000002", 6));
         world.untilStarted(12, 30 * SECOND);
-        Rule held = world.network().add(Troubles.commands(Fate.HOLD));
+        Rule held = world.network().add(FailureInjector.commands(Fate.HOLD));
         world.cloud().machines().values().stream().limit(3).forEach(worker -> worker.hang(9 * SECOND));
         world.cancel(0, "job-000001");
         world.seconds(5);
-        world.submit(1, World.job("job-000003", 6));
+        world.submit(1, SimCluster.job("job-000003", 6));
         succeed(world);
         world.seconds(6);
         world.network().remove(held);
@@ -128,8 +129,8 @@
     @Test
     void reportsHeldBackUntilTheNextLeaderHasActedFreeNothing() {
         for (int seed = 1; seed <= 4; seed++) {
-            World world = begun(seed);
-            world.submit(0, World.job("job-000001", 12));
+            SimCluster world = begun(seed);
+            world.submit(0, SimCluster.job("job-000001", 12));
             world.untilStarted(12, 25 * SECOND);
             Set<String> some = new HashSet<>(machines(world).subList(0, 2));
             Rule held = world.network().add((from, to, call) -> some.contains(from) ? Fate.HOLD : null);
@@ -149,10 +150,10 @@
     /** Guards terms that follow each other within seconds, and within an outage, in which nobody can take one. */
     @Test
     void tenLeadersInTwoMinutesRunEverythingOnce() {
-        World world = begun(9);
+        SimCluster world = begun(9);
         Random random = new Random(9);
-        world.submit(0, World.job("job-000001", 30));
-        world.submit(1, World.job("job-000002", 10));
+        world.submit(0, SimCluster.job("job-000001", 30));
+        world.submit(1, SimCluster.job("job-000002", 10));
         world.untilStarted(20, 15 * SECOND);
         for (int change = 0; change < 10; change++) {
             int old = Math.max(0, world.leader());
@@ -182,9 +183,9 @@
     /** Guards against waiting for ever, and against guessing, after all leases have ended with nobody there. */
     @Test
     void allControllersAreAwayForLongerThanALeaseAndOneComesBackFirst() {
-        World world = begun(10);
-        world.submit(0, World.job("job-000001", 12));
-        world.submit(1, World.job("job-000002", 2));
+        SimCluster world = begun(10);
+        world.submit(0, SimCluster.job("job-000001", 12));
+        world.submit(1, SimCluster.job("job-000002", 2));
         world.untilStarted(14, 20 * SECOND);
         world.cancel(0, "job-000002");
         for (int node = 0; node < 3; node++) {
@@ -209,19 +210,19 @@
     @Test
     void aZoneThatIsCutOffWithTheLeaderForLongerThanALeaseRunsNothingTwice() {
         for (Fate fate : List.of(Fate.LOSE, Fate.HOLD)) {
-            World world = begun(11);
-            world.submit(0, World.job("job-000001", 24));
+            SimCluster world = begun(11);
+            world.submit(0, SimCluster.job("job-000001", 24));
             world.untilStarted(24, 30 * SECOND);
             int inside = world.leader();
             Set<String> zone =
                     new HashSet<>(machines(world).subList(0, machines(world).size() / 2));
-            zone.add(Troubles.host(inside));
+            zone.add(FailureInjector.host(inside));
             Rule cut = world.network()
                     .add((from, to, call) ->
                             zone.contains(from) != zone.stream().anyMatch(to::startsWith) ? fate : null);
             world.seconds(10);
             world.cancelMeanwhile(other(world, inside), "job-000001");
-            world.submitMeanwhile(other(world, inside), World.job("job-000002", 12));
+            world.submitMeanwhile(other(world, inside), SimCluster.job("job-000002", 12));
             world.seconds(20);
             world.network().remove(cut);
             world.network().release();
@@ -237,12 +238,12 @@
      */
     @Test
     void machinesThatReachNoControllerKeepNoTasks() {
-        World world = begun(12);
-        world.submit(0, World.job("job-000001", 8));
-        world.submit(0, World.job("job-000002", 4));
+        SimCluster world = begun(12);
+        world.submit(0, SimCluster.job("job-000001", 8));
+        world.submit(0, SimCluster.job("job-000002", 4));
         world.untilStarted(12, 25 * SECOND);
         Set<String> mute = new HashSet<>(machines(world).subList(0, 3));
-        Rule rule = world.network().add(Troubles.mute(mute));
+        Rule rule = world.network().add(FailureInjector.mute(mute));
         world.seconds(1);
         world.cancel(1, "job-000002");
         world.seconds(1);
--- a/src/test/java/io/sillreel/LargeFleetTest.java
+++ b/src/test/java/io/sillreel/LargeFleetTest.java
@@ -3,12 +3,12 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.sillreel.sim.SimCluster;
+import io.sillreel.sim.SimCluster.Version;
+import io.sillreel.sim.SimClusterSettings;
 import io.sillreel.sim.SimNetwork.Fate;
 import io.sillreel.sim.SimNetwork.Rule;
 import io.sillreel.sim.SimWorker;
-import io.sillreel.sim.World;
-import io.sillreel.sim.World.Version;
-import io.sillreel.sim.WorldSettings;
 import java.util.Set;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
@@ -23,10 +23,10 @@
     private static final long SECOND = 1_000_000;
     private static final long RUN_MICROS = 200 * SECOND;
 
-    private World world = new World(1, WorldSettings.large(3, MACHINES, 0), Version.CURRENT);
+    private SimCluster world = new SimCluster(1, SimClusterSettings.large(3, MACHINES, 0), Version.CURRENT);
 
     private static ObjectNode longJob(String uid, int tasks) {
-        return World.job(uid, tasks).put("guess_s", 60.0).put("due_s", 30.0);
+        return SimCluster.job(uid, tasks).put("guess_s", 60.0).put("due_s", 30.0);
     }
 
     /** A job has a task on every processor that it may use, and each of them runs for long. */
@@ -61,7 +61,7 @@
     @Test
     void aChangeOfLeaderStartsNothingAgainAndWhatIsCancelledThenIsSoonGone() {
         int allowed = PROCESSORS / 2;
-        world = new World(1, WorldSettings.large(3, MACHINES, allowed), Version.CURRENT);
+        world = new SimCluster(1, SimClusterSettings.large(3, MACHINES, allowed), Version.CURRENT);
         untilBusy(allowed);
         int[] lists = new int[1];
         world.network().add((from, to, call) -> {
@@ -126,9 +126,9 @@
     /** Guards the controllers themselves: more machines than their sockets carry are not rented. */
     @Test
     void noMoreMachinesAreRentedThanTheControllersCarry() {
-        WorldSettings large = WorldSettings.large(3, MACHINES, 0);
+        SimClusterSettings large = SimClusterSettings.large(3, MACHINES, 0);
         int sockets = 500;
-        world = new World(1, large.withSockets(sockets), Version.CURRENT);
+        world = new SimCluster(1, large.withSockets(sockets), Version.CURRENT);
         world.seconds(2);
         world.submit(0, longJob("job-000001", TASKS));
         world.seconds(40);
--- a/src/test/java/io/sillreel/RandomTroubles.java
+++ b/src/test/java/io/sillreel/RandomFailures.java
@@ -1,11 +1,11 @@
 package io.sillreel;
 
+import io.sillreel.sim.FailureInjector;
+import io.sillreel.sim.SimCluster;
 import io.sillreel.sim.SimNetwork;
 import io.sillreel.sim.SimNetwork.Fate;
 import io.sillreel.sim.SimNetwork.Rule;
 import io.sillreel.sim.SimWorker;
-import io.sillreel.sim.Troubles;
-import io.sillreel.sim.World;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -13,13 +13,13 @@
 import java.util.Set;
 
 /** Troubles of a simulated cluster, drawn at random. */
-final class RandomTroubles {
-    private final World world;
+final class RandomFailures {
+    private final SimCluster world;
     private final Random random;
     /** Rules of the network that are in force. */
     private final List<Rule> cuts = new ArrayList<>();
 
-    RandomTroubles(World world, Random random) {
+    RandomFailures(SimCluster world, Random random) {
         this.world = world;
         this.random = random;
     }
@@ -41,16 +41,16 @@
         machines.stream().filter(machine -> random.nextInt(3) == 0).forEach(machine -> some.add(machine.name()));
         SimNetwork network = world.network();
         switch (random.nextInt(20)) {
-            case 18 -> cuts.add(network.add(Troubles.writes("\"set\"", Fate.SLOW_ANSWER, 0.7, random)));
-            case 0 -> cuts.add(network.add(Troubles.writes("\"set\"", Fate.LATE, 0.4, random)));
-            case 1 -> cuts.add(network.add(Troubles.writes("\"set\"", Fate.LOSE_ANSWER, 0.5, random)));
-            case 2 -> cuts.add(network.add(Troubles.reports(Fate.COPY, 0.5, random)));
-            case 3 -> cuts.add(network.add(Troubles.reports(Fate.KEEP, 0.7, random)));
-            case 4 -> cuts.add(network.add(Troubles.refused(leader)));
+            case 18 -> cuts.add(network.add(FailureInjector.writes("\"set\"", Fate.SLOW_ANSWER, 0.7, random)));
+            case 0 -> cuts.add(network.add(FailureInjector.writes("\"set\"", Fate.LATE, 0.4, random)));
+            case 1 -> cuts.add(network.add(FailureInjector.writes("\"set\"", Fate.LOSE_ANSWER, 0.5, random)));
+            case 2 -> cuts.add(network.add(FailureInjector.reports(Fate.COPY, 0.5, random)));
+            case 3 -> cuts.add(network.add(FailureInjector.reports(Fate.KEEP, 0.7, random)));
+            case 4 -> cuts.add(network.add(FailureInjector.refused(leader)));
             case 5 -> world.state().outage(true);
-            case 6 -> some.forEach(machine -> cuts.add(network.add(Troubles.unresponsive(machine))));
-            case 7 -> cuts.add(network.add(Troubles.mute(some)));
-            case 8 -> cuts.add(network.add(Troubles.isolated(leader)));
+            case 6 -> some.forEach(machine -> cuts.add(network.add(FailureInjector.unresponsive(machine))));
+            case 7 -> cuts.add(network.add(FailureInjector.mute(some)));
+            case 8 -> cuts.add(network.add(FailureInjector.isolated(leader)));
             case 9 -> {
                 cancelSome(jobs, cancelled, 4);
                 machines.stream()
@@ -64,8 +64,8 @@
                 world.seconds(random.nextDouble() * 0.3);
                 world.restart(random.nextInt(world.nodes()));
             }
-            case 14 -> cuts.add(network.add(Troubles.away(some, random.nextBoolean() ? Fate.HOLD : Fate.LOSE)));
-            case 15 -> cuts.add(network.add(Troubles.commands(Fate.HOLD)));
+            case 14 -> cuts.add(network.add(FailureInjector.away(some, random.nextBoolean() ? Fate.HOLD : Fate.LOSE)));
+            case 15 -> cuts.add(network.add(FailureInjector.commands(Fate.HOLD)));
             case 16 -> network.slowness(1 + random.nextInt(60));
             case 17 -> world.cloud().bootMicros(500_000 + random.nextInt(6_000_000));
             default -> repeatEverywhere(jobs);
@@ -84,7 +84,7 @@
     private void repeatEverywhere(List<String> jobs) {
         for (int node = 0; node < world.nodes() && !jobs.isEmpty(); node++) {
             world.repeatMeanwhile(node, jobs.get(jobs.size() - 1));
-            world.submitMeanwhile(node, World.job("job-999999", 1).put("vcpus", 64.0));
+            world.submitMeanwhile(node, SimCluster.job("job-999999", 1).put("vcpus", 64.0));
             world.pollMeanwhile(node, "job-999999");
         }
     }
@@ -117,7 +117,7 @@
                                         || call.route().equals("/peer/beats")
                                 ? Fate.COPY
                                 : null));
-            case 14 -> cuts.add(world.network().add(Troubles.isolated(node)));
+            case 14 -> cuts.add(world.network().add(FailureInjector.isolated(node)));
             case 15 -> {
                 // Killed and back at once, perhaps in the middle of an election, and perhaps once more.
                 world.restart(node);
@@ -142,7 +142,7 @@
         switch (kind) {
             case 10 -> cuts.add(world.network().add(between(first, "10.0.0.")));
             case 11 -> world.cloud().take(world.cloud().machines().lastKey());
-            case 13 -> cuts.add(world.network().add(Troubles.unresponsive(first)));
+            case 13 -> cuts.add(world.network().add(FailureInjector.unresponsive(first)));
             default -> world.cloud().machines().get(first).reboot();
         }
     }
--- a/src/test/java/io/sillreel/RandomScheduleTest.java
+++ b/src/test/java/io/sillreel/RandomScheduleTest.java
@@ -4,10 +4,10 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Reply;
+import io.sillreel.http.HttpResponse;
+import io.sillreel.sim.SimCluster;
+import io.sillreel.sim.SimCluster.Version;
 import io.sillreel.sim.SimWorker;
-import io.sillreel.sim.World;
-import io.sillreel.sim.World.Version;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashSet;
@@ -85,15 +85,15 @@
         return true;
     }
 
-    private static World world(long seed) {
-        return new World(seed, TEAM_CPUS, seed % 3 == 0 ? 5 : 3, Version.CURRENT);
+    private static SimCluster world(long seed) {
+        return new SimCluster(seed, TEAM_CPUS, seed % 3 == 0 ? 5 : 3, Version.CURRENT);
     }
 
     private static void play(long seed, boolean together) {
-        World world = world(seed);
+        SimCluster world = world(seed);
         int nodes = world.nodes();
         Random random = new Random(seed);
-        RandomTroubles troubles = new RandomTroubles(world, random);
+        RandomFailures troubles = new RandomFailures(world, random);
         List<String> jobs = new ArrayList<>();
         List<String> cancelled = new ArrayList<>();
         world.seconds(2);
@@ -106,7 +106,9 @@
             int node = random.nextInt(nodes);
             if (world.isUp(node) && random.nextInt(3) == 0) {
                 String uid = "job-%06d".formatted(step + 1);
-                if (world.submit(node, World.job(uid, 1 + random.nextInt(8))).status() == 201) {
+                if (world.submit(node, SimCluster.job(uid, 1 + random.nextInt(8)))
+                                .status()
+                        == 201) {
                     jobs.add(uid);
                 }
             }
@@ -114,7 +116,7 @@
                 String uid = jobs.get(random.nextInt(jobs.size()));
                 world.poll(node, uid);
                 if (random.nextInt(8) == 0) {
-                    Reply reply = world.cancel(node, uid);
+                    HttpResponse reply = world.cancel(node, uid);
                     // Without an answer it may be carried out later, by a controller that stood still.
                     if (reply.ok() || reply.status() <= 0) {
                         cancelled.add(uid);
@@ -128,7 +130,7 @@
     }
 
     private static void everythingEnds(
-            World world, Random random, Collection<String> jobs, Collection<String> cancelled, long seed) {
+            SimCluster world, Random random, Collection<String> jobs, Collection<String> cancelled, long seed) {
         world.seconds(240);
         assertThat(world.broken()).as("seed %d", seed).isEmpty();
         for (String uid : jobs) {
@@ -151,7 +153,7 @@
     }
 
     private static void playUpgrade(long seed) {
-        World world = new World(seed, TEAM_CPUS, seed % 3 == 0 ? 5 : 3, Version.PREVIOUS);
+        SimCluster world = new SimCluster(seed, TEAM_CPUS, seed % 3 == 0 ? 5 : 3, Version.PREVIOUS);
         playMeetings(world, seed, Play.UPGRADE);
     }
 
@@ -162,11 +164,11 @@
         UPGRADE
     }
 
-    private static void playMeetings(World world, long seed, Play play) {
+    private static void playMeetings(SimCluster world, long seed, Play play) {
         Random random = new Random(seed);
         Set<String> submitted = new LinkedHashSet<>();
         Set<String> cancelled = new HashSet<>();
-        RandomTroubles troubles = new RandomTroubles(world, random);
+        RandomFailures troubles = new RandomFailures(world, random);
         world.seconds(2);
         for (int step = 0; step < STEPS / 2; step++) {
             int meeting = 2 + random.nextInt(2);
@@ -215,11 +217,11 @@
 
     /** The same for the same name, since users repeat what they submit. */
     private static ObjectNode someJob(String uid) {
-        return World.job(uid, 1 + Integer.parseInt(uid.substring(4)) % 5);
+        return SimCluster.job(uid, 1 + Integer.parseInt(uid.substring(4)) % 5);
     }
 
     /** Names up to three jobs that were told to be accepted, most of them young, some long over. */
-    private static void await(World world, Random random, ObjectNode job) {
+    private static void await(SimCluster world, Random random, ObjectNode job) {
         int number = Integer.parseInt(job.path("uid").asText().substring(4));
         ArrayNode awaits = job.putArray("awaits");
         for (int each = random.nextInt(4); each > 0 && number > 1; each--) {
@@ -232,7 +234,7 @@
     }
 
     /** Some get the present version; a process that dies may find the previous one again. */
-    private static void changeVersions(World world, Random random) {
+    private static void changeVersions(SimCluster world, Random random) {
         for (int node = 0; node < world.nodes(); node++) {
             switch (random.nextInt(10)) {
                 case 0, 1 -> world.restart(node, Version.CURRENT);
@@ -243,7 +245,7 @@
     }
 
     /** Jobs that await what both versions accepted, done, cancelled or neither. */
-    private static void submitChains(World world, Random random, Set<String> submitted) {
+    private static void submitChains(SimCluster world, Random random, Set<String> submitted) {
         world.seconds(10);
         for (int each = 0; each < 8; each++) {
             ObjectNode job = someJob("job-%06d".formatted(submitted.size() + 1));
--- a/src/test/java/io/sillreel/StoreFailuresTest.java
+++ b/src/test/java/io/sillreel/StoreFailuresTest.java
@@ -8,10 +8,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.sillreel.sim.FailureInjector;
+import io.sillreel.sim.SimCluster;
 import io.sillreel.sim.SimNetwork.Fate;
 import io.sillreel.sim.SimNetwork.Rule;
-import io.sillreel.sim.Troubles;
-import io.sillreel.sim.World;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -28,12 +28,12 @@
     /** Guards what is told against everything remembered: no node says something older, however soon it is asked. */
     @Test
     void whoAsksEverywhereWithinMillisecondsHearsNothingOlder() {
-        World world = begun(4);
+        SimCluster world = begun(4);
         Random random = new Random(4);
         for (int i = 1; i <= 40; i++) {
             String uid = "job-%06d".formatted(i);
             int node = random.nextInt(3);
-            ObjectNode job = World.job(uid, 1 + i % 2);
+            ObjectNode job = SimCluster.job(uid, 1 + i % 2);
             world.submit(node, job);
             lookClosely(world, uid, job);
             if (i % 4 == 0) {
@@ -52,7 +52,7 @@
         nothingBroken(world);
     }
 
-    private static void lookClosely(World world, String uid, ObjectNode job) {
+    private static void lookClosely(SimCluster world, String uid, ObjectNode job) {
         for (int look = 0; look < 12; look++) {
             for (int node = 0; node < world.nodes(); node++) {
                 world.pollMeanwhile(node, uid);
@@ -68,11 +68,11 @@
     @Test
     void whatIsWrittenThoughItsAnswerIsLostIsToldAlikeEverywhere() {
         for (String of : List.of("\"plan/", "\"withdraw/", "\"run/", "\"set\"")) {
-            World world = begun(5);
-            Rule lost = world.network().add(Troubles.writes(of, Fate.LOSE_ANSWER, 0.7, new Random(5)));
+            SimCluster world = begun(5);
+            Rule lost = world.network().add(FailureInjector.writes(of, Fate.LOSE_ANSWER, 0.7, new Random(5)));
             for (int i = 1; i <= 8; i++) {
                 String uid = "job-%06d".formatted(i);
-                ObjectNode job = World.job(uid, 2);
+                ObjectNode job = SimCluster.job(uid, 2);
                 world.submitMeanwhile(i % 3, job);
                 lookClosely(world, uid, job);
                 if (i % 2 == 0) {
@@ -93,8 +93,8 @@
     /** Guards polls against transactions that go unanswered while everything else is answered. */
     @Test
     void questionsAreAnsweredThoughTransactionsAreNot() {
-        World world = begun(15);
-        world.submit(0, World.job("job-000001", 2));
+        SimCluster world = begun(15);
+        world.submit(0, SimCluster.job("job-000001", 2));
         world.untilStarted(2, 60 * SECOND);
         world.network().add((from, to, call) -> call.route().equals("/txn") ? Fate.LATE : null);
         for (int i = 0; i < 12; i++) {
@@ -108,13 +108,13 @@
     @Test
     void writesThatAreCarriedOutAfterNewerOnesUndoNothing() {
         for (int seed = 1; seed <= 4; seed++) {
-            World world = begun(seed);
-            Rule late = world.network().add(Troubles.writes("\"set\"", Fate.LATE, 0.3, new Random(seed)));
+            SimCluster world = begun(seed);
+            Rule late = world.network().add(FailureInjector.writes("\"set\"", Fate.LATE, 0.3, new Random(seed)));
             List<String> jobs = new ArrayList<>();
             for (int i = 1; i <= 10; i++) {
                 String uid = "job-%06d".formatted(i);
                 int node = i % 3;
-                ObjectNode job = World.job(uid, 3);
+                ObjectNode job = SimCluster.job(uid, 3);
                 for (int tries = 0; tries < 12 && world.submit(node, job).status() / 100 != 2; tries++) {
                     world.seconds(1);
                 }
@@ -144,14 +144,14 @@
     @Test
     void newMachinesAreStoredBeforeTheyWorkThoughWritesLagAndTheLeaderEnds() {
         for (int seed = 1; seed <= 5; seed++) {
-            World world = begun(seed);
+            SimCluster world = begun(seed);
             world.cloud().bootMicros(SECOND);
             Random random = new Random(seed);
-            Rule late = world.network().add(Troubles.writes("\"hire/", Fate.LATE, 0.6, random));
-            world.submit(0, World.job("job-000001", 40));
+            Rule late = world.network().add(FailureInjector.writes("\"hire/", Fate.LATE, 0.6, random));
+            world.submit(0, SimCluster.job("job-000001", 40));
             world.untilStarted(4, 12 * SECOND);
             Set<String> cut = new HashSet<>(machines(world).subList(0, 1));
-            Rule away = world.network().add(Troubles.away(cut, Fate.LOSE));
+            Rule away = world.network().add(FailureInjector.away(cut, Fate.LOSE));
             succeed(world);
             world.seconds(5 + random.nextInt(12));
             world.network().remove(away);
@@ -169,12 +169,12 @@
      */
     @Test
     void moreWorkThanRoomOverSlowLinksIsAllServed() {
-        World world = begun(13);
+        SimCluster world = begun(13);
         world.network().slowness(60);
         String[] ranks = {"best_effort", "high", "normal", "production"};
         for (int i = 1; i <= 24; i++) {
             String uid = "job-%06d".formatted(i);
-            ObjectNode job = World.job(uid, 12).put("rank", ranks[i % 4]);
+            ObjectNode job = SimCluster.job(uid, 12).put("rank", ranks[i % 4]);
             while (world.submit(i % 3, job).status() / 100 != 2) {
                 world.seconds(1);
             }
@@ -193,15 +193,16 @@
      */
     @Test
     void oddRequestsGetTheirStatusesAndChangeNothing() {
-        World world = begun(14);
-        world.submit(0, World.job("job-000001", 2));
-        world.submit(0, World.job("job-000002", 2));
-        ObjectNode lacking = World.job("job-000003", 2);
+        SimCluster world = begun(14);
+        world.submit(0, SimCluster.job("job-000001", 2));
+        world.submit(0, SimCluster.job("job-000002", 2));
+        ObjectNode lacking = SimCluster.job("job-000003", 2);
         lacking.remove("reel");
         for (int node = 0; node < 3; node++) {
-            assertThat(world.submit(node, World.job("job-000001", 2)).status()).isEqualTo(200);
+            assertThat(world.submit(node, SimCluster.job("job-000001", 2)).status())
+                    .isEqualTo(200);
             assertThat(world.submit(node, lacking).status()).isEqualTo(400);
-            assertThat(world.submit(node, World.job("job-000004", 1).put("vcpus", 64.0))
+            assertThat(world.submit(node, SimCluster.job("job-000004", 1).put("vcpus", 64.0))
                             .status())
                     .isEqualTo(422);
             assertThat(world.poll(node, "job-000003").status()).isEqualTo(404);
@@ -213,12 +214,12 @@
         for (int node = 0; node < 3; node++) {
             assertThat(world.cancel(node, "job-000001").json().path("stage").asText())
                     .isEqualTo("done");
-            assertThat(world.submit(node, World.job("job-000001", 2))
+            assertThat(world.submit(node, SimCluster.job("job-000001", 2))
                             .json()
                             .path("stage")
                             .asText())
                     .isEqualTo("done");
-            assertThat(world.submit(node, World.job("job-000002", 2))
+            assertThat(world.submit(node, SimCluster.job("job-000002", 2))
                             .json()
                             .path("stage")
                             .asText())
--- a/src/test/java/io/sillreel/UpgradeTest.java
+++ b/src/test/java/io/sillreel/UpgradeTest.java
@@ -15,13 +15,13 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Call;
-import io.sillreel.http.Reply;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
+import io.sillreel.sim.FailureInjector;
+import io.sillreel.sim.SimCluster;
+import io.sillreel.sim.SimCluster.Version;
 import io.sillreel.sim.SimNetwork.Fate;
 import io.sillreel.sim.SimNetwork.Rule;
-import io.sillreel.sim.Troubles;
-import io.sillreel.sim.World;
-import io.sillreel.sim.World.Version;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -41,11 +41,12 @@
     @ParameterizedTest
     @EnumSource
     void allJobsAreServedWhileOneVersionLeadsAndTheOthersFollow(Version leading) {
-        World world = previousVersion(51);
+        SimCluster world = previousVersion(51);
         int leader = leadAlone(world, leading);
         int follower = (leader + 1) % NODES;
         for (int number = 1; number <= 9; number++) {
-            assertThat(world.submit(number % NODES, World.job(uid(number), 4)).status())
+            assertThat(world.submit(number % NODES, SimCluster.job(uid(number), 4))
+                            .status())
                     .isEqualTo(201);
             world.seconds(0.5);
         }
@@ -57,7 +58,7 @@
 
     @Test
     void jobsSurviveTenChangesOfLeaderBetweenVersionsInTwoMinutes() {
-        World world = previousVersion(52);
+        SimCluster world = previousVersion(52);
         leadAlone(world, Version.PREVIOUS);
         world.restart((world.leader() + 1) % NODES, Version.PREVIOUS);
         Random random = new Random(52);
@@ -82,7 +83,7 @@
     @ParameterizedTest
     @ValueSource(doubles = {0.01, 0.05, 0.3, 1, 2, 3, 3.5, 4, 5, 7})
     void aControllerThatDiesInAnElectionComesBackAsThePreviousVersion(double seconds) {
-        World world = previousVersion(53);
+        SimCluster world = previousVersion(53);
         for (int number = 1; number <= 6; number++) {
             submitMeanwhile(world, number, 5);
         }
@@ -103,7 +104,7 @@
     /** Guards everything that is stored against writes and reports that were held up until their sender was gone. */
     @Test
     void lateMessagesOfThePreviousVersionChangeNothingAfterTheUpgrade() {
-        World world = previousVersion(54);
+        SimCluster world = previousVersion(54);
         for (int number = 1; number <= 8; number++) {
             submitMeanwhile(world, number, 4);
         }
@@ -135,14 +136,14 @@
     @ParameterizedTest
     @EnumSource
     void writesWhoseAnswersAreLostAtTheChangeOfLeaderCountForTheOtherVersion(Version leading) {
-        World world = previousVersion(55);
+        SimCluster world = previousVersion(55);
         int leader = leadAlone(world, leading);
         for (int number = 1; number <= 6; number++) {
             submitMeanwhile(world, number, 4);
         }
         world.untilStarted(5, 3 * SECOND);
         Random random = new Random(55);
-        Rule unanswered = world.network().add(Troubles.writes("\"set\"", Fate.LOSE_ANSWER, 0.7, random));
+        Rule unanswered = world.network().add(FailureInjector.writes("\"set\"", Fate.LOSE_ANSWER, 0.7, random));
         world.seconds(4);
         submitMeanwhile(world, 7, 2);
         world.cancelMeanwhile((leader + 1) % NODES, uid(6));
@@ -161,7 +162,7 @@
     @ParameterizedTest
     @EnumSource
     void tasksOfAJobThatTheOtherVersionCancelledEndInTime(Version leading) {
-        World world = previousVersion(56);
+        SimCluster world = previousVersion(56);
         int leader = leadAlone(world, leading);
         int follower = (leader + 1) % NODES;
         for (int number = 1; number <= 3; number++) {
@@ -171,7 +172,7 @@
         assertThat(world.cancel(follower, uid(1)).json().path("stage").asText()).isEqualTo("withdrawn");
         everyNodeSays(world, uid(1), "withdrawn");
         world.seconds(3);
-        Rule refused = world.network().add(Troubles.refused(leader));
+        Rule refused = world.network().add(FailureInjector.refused(leader));
         world.seconds(1);
         assertThat(world.cancel(follower, uid(2)).json().path("stage").asText()).isEqualTo("withdrawn");
         world.state().outage(true);
@@ -192,12 +193,12 @@
     @ParameterizedTest
     @EnumSource
     void tasksEndInTimeUnderALeaderThatCanNotHearOfTheirCancellation(Version leading) {
-        World world = previousVersion(62);
+        SimCluster world = previousVersion(62);
         int leader = leadAlone(world, leading);
         int follower = (leader + 1) % NODES;
         submitMeanwhile(world, 1, 4);
         world.untilStarted(4, 200 * SECOND);
-        Rule alone = world.network().add(Troubles.isolated(leader));
+        Rule alone = world.network().add(FailureInjector.isolated(leader));
         world.seconds(1);
         assertThat(world.cancel(follower, uid(1)).json().path("stage").asText()).isEqualTo("withdrawn");
         world.state().outage(true);
@@ -212,7 +213,7 @@
     @ParameterizedTest
     @EnumSource
     void aCancellationThatOvertakesTheWriteOfTheEndHoldsForBothVersions(Version leading) {
-        World world = previousVersion(63);
+        SimCluster world = previousVersion(63);
         int follower = (leadAlone(world, leading) + 1) % NODES;
         for (int round = 1; round <= 4; round++) {
             boolean[] held = {false};
@@ -223,7 +224,7 @@
             });
             submitMeanwhile(world, round, 1);
             world.until(() -> held[0]);
-            Reply reply = world.cancel(follower, uid(round));
+            HttpResponse reply = world.cancel(follower, uid(round));
             assertThat(reply.json().path("stage").asText()).isEqualTo("withdrawn");
             world.network().remove(endHeld);
             world.network().release();
@@ -236,7 +237,7 @@
         assertThat(world.broken()).isEmpty();
     }
 
-    private static String text(Call call) {
+    private static String text(HttpRequest call) {
         return new String(call.body(), StandardCharsets.UTF_8);
     }
 
@@ -244,7 +245,7 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3})
     void nothingIsLostWhenTheLimitsFallDuringTheUpgrade(int upgradedBefore) {
-        World world = previousVersion(57 + upgradedBefore);
+        SimCluster world = previousVersion(57 + upgradedBefore);
         int jobs = 0;
         for (int node = 0; node < NODES; node++) {
             if (node == upgradedBefore) {
@@ -265,7 +266,7 @@
     /** A description with long names that was always accepted stays acceptable, whichever limits hold. */
     @Test
     void aDescriptionThatFitsOnlyThePresentLimitIsAcceptedBeforeAndAfterTheLimitsFall() {
-        World world = previousVersion(64);
+        SimCluster world = previousVersion(64);
         leadAlone(world, Version.PREVIOUS);
         for (int node = 0; node < NODES; node++) {
             assertThat(world.submit(node, withLongNames(uid(1 + node))).status())
@@ -288,7 +289,7 @@
     }
 
     private static ObjectNode withLongNames(String uid) {
-        ObjectNode job = World.job(uid, 2);
+        ObjectNode job = SimCluster.job(uid, 2);
         ArrayNode builds = job.putArray("builds").add("c4");
         for (int number = 0; number < 100; number++) {
             builds.add("a-machine-type-with-a-long-name-that-is-not-there-yet-%03d".formatted(number));
@@ -298,38 +299,38 @@
 
     @Test
     void afterTheUpgradeJobsMayAwaitWhatThePreviousVersionAccepted() {
-        World world = previousVersion(61);
+        SimCluster world = previousVersion(61);
         int done = 1;
         int running = 2;
         int cancelled = 3;
-        world.submit(0, World.job(uid(done), 2));
+        world.submit(0, SimCluster.job(uid(done), 2));
         world.untilStarted(2, SECOND);
         world.until(() -> world.stage(1, uid(done)).equals("done"));
-        world.submit(1, World.job(uid(running), 2));
-        world.submit(2, World.job(uid(cancelled), 2));
+        world.submit(1, SimCluster.job(uid(running), 2));
+        world.submit(2, SimCluster.job(uid(cancelled), 2));
         world.untilStarted(5, 30 * SECOND);
         world.cancel(1, uid(cancelled));
         upgradeAll(world);
         for (int node = 0; node < NODES; node++) {
             int number = 10 + 10 * node;
-            ObjectNode awaitsNothing = World.job(uid(number), 1).putNull("awaits");
+            ObjectNode awaitsNothing = SimCluster.job(uid(number), 1).putNull("awaits");
             assertThat(world.submit(node, awaitsNothing).status()).isEqualTo(201);
-            assertThat(world.submit(node, World.job(uid(number + 1), 1, uid(done)))
+            assertThat(world.submit(node, SimCluster.job(uid(number + 1), 1, uid(done)))
                             .status())
                     .isEqualTo(201);
-            assertThat(world.submit(node, World.job(uid(number + 2), 1, uid(running), uid(done)))
+            assertThat(world.submit(node, SimCluster.job(uid(number + 2), 1, uid(running), uid(done)))
                             .status())
                     .isEqualTo(201);
-            Reply closed = world.submit(node, World.job(uid(number + 3), 1, uid(running), uid(cancelled)));
+            HttpResponse closed = world.submit(node, SimCluster.job(uid(number + 3), 1, uid(running), uid(cancelled)));
             assertThat(closed.status()).isEqualTo(201);
             assertThat(closed.json().path("stage").asText()).isEqualTo("withdrawn");
-            assertThat(world.submit(node, World.job(uid(number + 4), 1, uid(99)))
+            assertThat(world.submit(node, SimCluster.job(uid(number + 4), 1, uid(99)))
                             .status())
                     .isEqualTo(422);
-            ObjectNode malformed = World.job(uid(number + 5), 1).put("awaits", uid(done));
+            ObjectNode malformed = SimCluster.job(uid(number + 5), 1).put("awaits", uid(done));
             assertThat(world.submit(node, malformed).status()).isEqualTo(400);
             // A job that the previous version accepted stays as it was, whatever a repeat names.
-            assertThat(world.submit(node, World.job(uid(done), 2, uid(99)))
+            assertThat(world.submit(node, SimCluster.job(uid(done), 2, uid(99)))
                             .json()
                             .path("stage")
                             .asText())
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -4,23 +4,23 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.agent.Commands;
-import io.sillreel.agent.Report;
-import io.sillreel.cluster.Rental;
+import io.sillreel.agent.AgentCommands;
+import io.sillreel.agent.Heartbeat;
+import io.sillreel.cluster.ScaleOutRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Reply;
 import io.sillreel.peer.PeerMessages;
 import io.sillreel.peer.PeerMessages.Hello;
 import io.sillreel.pipeline.ActiveJob;
+import io.sillreel.pipeline.IgnoringListener;
 import io.sillreel.pipeline.JobSpec;
-import io.sillreel.pipeline.QuietWatcher;
-import io.sillreel.pipeline.Rank;
+import io.sillreel.pipeline.PriorityClass;
 import io.sillreel.pipeline.RetrySchedule;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.pipeline.RunRecord.Head;
 import io.sillreel.settings.ValueLimits;
 import io.sillreel.sim.PreviousVersion;
-import io.sillreel.sim.World;
+import io.sillreel.sim.SimCluster;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.HexFormat;
@@ -75,7 +75,7 @@
                 uid,
                 "train",
                 "vision",
-                Rank.HIGH,
+                PriorityClass.HIGH,
                 pieces,
                 8.0,
                 1.0,
@@ -103,20 +103,20 @@
     }
 
     private static ActiveJob job(int pieces) {
-        return new ActiveJob(spec("job-000412", pieces), 7, 0, ValueLimits.fixed(2_048), new QuietWatcher());
+        return new ActiveJob(spec("job-000412", pieces), 7, 0, ValueLimits.fixed(2_048), new IgnoringListener());
     }
 
     @Test
     void whatItStoredIsRead() {
         assertThat(JobSpec.ofPlan(json(PLAN).path("job"))).isEqualTo(spec("job-000412", 16));
         ActiveJob job = job(16);
-        job.inherit(9, Head.of(json(RUNNING)), RunRecord.StoredParts.NONE);
+        job.inherit(9, Head.of(json(RUNNING)), RunRecord.StoredChunks.NONE);
         assertThat(job.doneCount()).isEqualTo(3);
         assertThat(job.isStored(15)).isTrue();
         assertThat(job.awaitsOthers()).isFalse();
         assertThat(Head.of(json(DONE)).isDone()).isTrue();
         assertThat(Head.of(json(FAILED)).reason()).startsWith("attempt 1 failed");
-        Rental rental = Rental.of("hire/r-5-12", json(RENTAL), 9);
+        ScaleOutRequest rental = ScaleOutRequest.of("hire/r-5-12", json(RENTAL), 9);
         assertThat(rental.machines()).containsExactly("host-000231", "host-000232");
         assertThat(rental.mayHold("host-000231")).isTrue();
         assertThat(rental.mayHold("host-000232")).isFalse();
@@ -169,7 +169,7 @@
                 1_700_000_123_456_789L,
                 "its tasks failed on host-000001 and host-000002");
         assertThat(failed.changes().get("run/job-000412").toString()).isEqualTo(FAILED);
-        Rental rental = new Rental("r-5-12", "g8", "a", true, 12);
+        ScaleOutRequest rental = new ScaleOutRequest("r-5-12", "g8", "a", true, 12);
         rental.answered(List.of("host-000231", "host-000232"));
         rental.cameUp("host-000231");
         assertThat(rental.changes().get("hire/r-5-12").toString()).isEqualTo(RENTAL);
@@ -181,7 +181,7 @@
         assertThat(Hello.of(bytes(HELLO))).isEqualTo(hello);
         assertThat(hello.bytes()).isEqualTo(bytes(HELLO));
         assertThat(Hello.of(bytes(HELLO_WITHOUT_LEADER)).leader()).isNull();
-        Report report = new Report(
+        Heartbeat report = new Heartbeat(
                 "host-000231",
                 "10.1.0.232:9000",
                 "g8",
@@ -192,13 +192,13 @@
                 41,
                 -1,
                 List.of(
-                        new Report.TaskState("job-000412", 3, 2L + (41L << 32), Report.Stage.RUNNING, ""),
-                        new Report.TaskState("job-000398", 0, 1, Report.Stage.ENDED, "done")));
+                        new Heartbeat.TaskStatus("job-000412", 3, 2L + (41L << 32), Heartbeat.TaskStage.RUNNING, ""),
+                        new Heartbeat.TaskStatus("job-000398", 0, 1, Heartbeat.TaskStage.ENDED, "done")));
         assertThat(PeerMessages.reports(bytes(HEARTBEATS))).containsExactly(report);
         assertThat(PeerMessages.heartbeats(List.of(report)).body()).isEqualTo(bytes(HEARTBEATS));
-        Commands commands = new Commands();
+        AgentCommands commands = new AgentCommands();
         commands.launch("job-000412", 4, 7);
-        List<Reply> replies = List.of(commands.reply(41), Reply.later(503, "a newer report was seen", 1));
+        List<HttpResponse> replies = List.of(commands.reply(41), HttpResponse.later(503, "a newer report was seen", 1));
         assertThat(PeerMessages.answers(replies)).isEqualTo(bytes(ANSWERS));
         assertThat(PeerMessages.replies(bytes(ANSWERS))).hasSize(2);
         assertThat(PeerMessages.cancelled("job-000412").body()).isEqualTo(bytes(CANCELLED));
@@ -208,10 +208,10 @@
     /** Guards its takeover: it takes whatever follows a slash under run/ for a number, and lists no other prefix. */
     @Test
     void itsListsHoldOnlyWhatItKnows() {
-        World world = new World(41);
+        SimCluster world = new SimCluster(41);
         world.seconds(2);
         for (int job = 1; job <= 6; job++) {
-            world.submit(job % 3, World.job("job-%06d".formatted(job), 5));
+            world.submit(job % 3, SimCluster.job("job-%06d".formatted(job), 5));
         }
         world.cancel(0, "job-000003");
         world.seconds(20);
@@ -236,12 +236,12 @@
         }
         JsonNode stored = json("{\"build\":\"c4\",\"yard\":\"a\",\"spot\":true,\"count\":50,\"machines\":[" + names
                 + "],\"up\":[" + names + "]}");
-        Rental rental = Rental.of("hire/r-5-12", stored, 9);
-        int most = Rental.mostMachines(1_024);
-        List<Rental> parts = rental.split(most, again -> {});
+        ScaleOutRequest rental = ScaleOutRequest.of("hire/r-5-12", stored, 9);
+        int most = ScaleOutRequest.mostMachines(1_024);
+        List<ScaleOutRequest> parts = rental.split(most, again -> {});
         assertThat(rental.first()).hasSameSizeAs(parts);
         int machines = rental.machines().size();
-        for (Rental part : parts) {
+        for (ScaleOutRequest part : parts) {
             assertThat(part.machines()).allMatch(part::mayHold);
             assertThat(part.changes().get(part.key()).toString().length()).isLessThan(1_024);
             machines += part.machines().size();
--- a/src/test/java/io/sillreel/admission/AdmissionTest.java
+++ b/src/test/java/io/sillreel/admission/AdmissionTest.java
@@ -3,11 +3,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Call;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Reply;
+import io.sillreel.sim.SimCluster;
 import io.sillreel.sim.SimNetwork;
-import io.sillreel.sim.World;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.function.Consumer;
@@ -15,15 +15,15 @@
 import org.junit.jupiter.api.Test;
 
 class AdmissionTest {
-    private final World world = new World(5);
+    private final SimCluster world = new SimCluster(5);
 
     @BeforeEach
     void begin() {
         world.seconds(2);
     }
 
-    private Reply submit(String body) {
-        return world.ask(0, new Call("POST", "/v2/runs", body.getBytes(StandardCharsets.UTF_8)));
+    private HttpResponse submit(String body) {
+        return world.ask(0, new HttpRequest("POST", "/v2/runs", body.getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
@@ -45,9 +45,9 @@
                 job -> job.put("due_s", -5),
                 job -> job.put("yard", 7));
         for (Consumer<ObjectNode> mistake : mistakes) {
-            ObjectNode job = World.job("job-000001", 1);
+            ObjectNode job = SimCluster.job("job-000001", 1);
             mistake.accept(job);
-            Reply reply = world.submit(0, job);
+            HttpResponse reply = world.submit(0, job);
             assertThat(reply.status()).as(job.toString()).isEqualTo(400);
             assertThat(reply.json().path("error").asText()).isNotBlank();
         }
@@ -67,7 +67,7 @@
                 job -> job.put("yard", "z"),
                 job -> job.putArray("builds").add("x9"));
         for (Consumer<ObjectNode> mistake : mistakes) {
-            ObjectNode job = World.job("job-000001", 1);
+            ObjectNode job = SimCluster.job("job-000001", 1);
             mistake.accept(job);
             assertThat(world.submit(0, job).status()).as(job.toString()).isEqualTo(422);
         }
@@ -75,27 +75,28 @@
 
     @Test
     void pathsAndMethodsThatAreNotThere() {
-        assertThat(world.ask(0, Call.get("/v2/else")).status()).isEqualTo(404);
-        assertThat(world.ask(0, Call.get("/v2/runs")).status()).isEqualTo(405);
-        assertThat(world.ask(0, Call.post("/v2/runs/job-000001", Json.object())).status())
+        assertThat(world.ask(0, HttpRequest.get("/v2/else")).status()).isEqualTo(404);
+        assertThat(world.ask(0, HttpRequest.get("/v2/runs")).status()).isEqualTo(405);
+        assertThat(world.ask(0, HttpRequest.post("/v2/runs/job-000001", Json.object()))
+                        .status())
                 .isEqualTo(405);
-        assertThat(world.ask(0, Call.get("/v2/runs/job-000001/withdraw")).status())
+        assertThat(world.ask(0, HttpRequest.get("/v2/runs/job-000001/withdraw")).status())
                 .isEqualTo(405);
-        assertThat(world.ask(0, Call.get("/up")).status()).isEqualTo(200);
+        assertThat(world.ask(0, HttpRequest.get("/up")).status()).isEqualTo(200);
     }
 
     /** Guards the order of the checks: an accepted job is answered as such whatever its repeat now says. */
     @Test
     void aRepeatOfAFinishedJobIsAnsweredBeforeAnythingElse() {
-        world.submit(0, World.job("job-000001", 1));
+        world.submit(0, SimCluster.job("job-000001", 1));
         world.seconds(30);
         for (int node = 0; node < 3; node++) {
             world.restart(node);
         }
         world.seconds(3);
-        ObjectNode odd = World.job("job-000001", 1);
+        ObjectNode odd = SimCluster.job("job-000001", 1);
         odd.put("crew", "nobody").remove("rank");
-        Reply reply = world.submit(1, odd);
+        HttpResponse reply = world.submit(1, odd);
         assertThat(reply.status()).isEqualTo(200);
         assertThat(reply.json().path("stage").asText()).isEqualTo("done");
         assertThat(world.broken()).isEmpty();
@@ -103,17 +104,17 @@
 
     @Test
     void duringAnOutageOnlyWhatIsStoredAndFinalIsTold() {
-        world.submit(0, World.job("job-000001", 1));
+        world.submit(0, SimCluster.job("job-000001", 1));
         world.seconds(30);
         assertThat(world.stage(0, "job-000001")).isEqualTo("done");
-        world.submit(0, World.job("job-000002", 1));
+        world.submit(0, SimCluster.job("job-000002", 1));
         world.state().outage(true);
         assertThat(world.stage(0, "job-000001")).isEqualTo("done");
-        Reply unfinished = world.poll(0, "job-000002");
+        HttpResponse unfinished = world.poll(0, "job-000002");
         assertThat(unfinished.status()).isEqualTo(503);
         assertThat(unfinished.retryAfterSeconds()).isPositive();
         assertThat(world.poll(0, "job-000003").status()).isEqualTo(503);
-        assertThat(world.submit(0, World.job("job-000004", 1)).status()).isEqualTo(503);
+        assertThat(world.submit(0, SimCluster.job("job-000004", 1)).status()).isEqualTo(503);
     }
 
     /**
@@ -127,17 +128,17 @@
                         from.equals("10.0.0." + cut) && to.equals("state:1") ? SimNetwork.Fate.LOSE : null);
         world.seconds(15);
         long before = world.time().nowMicros();
-        assertThat(world.submit(cut, World.job("job-000001", 1)).status()).isEqualTo(503);
+        assertThat(world.submit(cut, SimCluster.job("job-000001", 1)).status()).isEqualTo(503);
         assertThat(world.poll(cut, "job-000002").status()).isEqualTo(503);
         assertThat(world.time().nowMicros() - before).isLessThan(100_000);
         world.network().remove(rule);
         world.seconds(5);
-        assertThat(world.submit(cut, World.job("job-000001", 1)).status()).isEqualTo(201);
+        assertThat(world.submit(cut, SimCluster.job("job-000001", 1)).status()).isEqualTo(201);
     }
 
     @Test
     void aCancelledJobStaysCancelledAndItsTasksEnd() {
-        world.submit(0, World.job("job-000001", 4));
+        world.submit(0, SimCluster.job("job-000001", 4));
         world.until(() -> {
             world.cloud().machines().values().forEach(worker -> worker.runMicros(500_000_000));
             return world.starts() >= 4;
@@ -153,7 +154,7 @@
     /** Guards the condition of the done write: the leader has not heard of the cancellation, the store has. */
     @Test
     void aJobCancelledBehindTheLeadersBackIsNotStoredAsDone() {
-        world.submit(0, World.job("job-000001", 1));
+        world.submit(0, SimCluster.job("job-000001", 1));
         world.until(() -> world.starts() >= 1);
         world.network()
                 .add((from, to, call) ->
@@ -171,7 +172,7 @@
     void cancellingRacesWithTheEnd() {
         for (int round = 0; round < 12; round++) {
             String uid = "job-00010" + round;
-            world.submit(0, World.job(uid, 1));
+            world.submit(0, SimCluster.job(uid, 1));
             int starts = world.starts();
             world.until(() -> world.starts() > starts);
             world.seconds(2.9 + 0.05 * round);
--- a/src/test/java/io/sillreel/admission/JobViewsTest.java
+++ b/src/test/java/io/sillreel/admission/JobStatusServiceTest.java
@@ -4,16 +4,16 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.pipeline.PlanRecord;
+import io.sillreel.sim.SimCluster;
 import io.sillreel.sim.SimNetwork;
-import io.sillreel.sim.SimState;
+import io.sillreel.sim.SimStateStore;
 import io.sillreel.sim.SimTime;
-import io.sillreel.sim.World;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Txn;
+import io.sillreel.statestore.StateStore.Transaction;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-class JobViewsTest {
+class JobStatusServiceTest {
     private static final int REMEMBERED = 10;
     private static final int CHAIN = 8;
     private static final int MAX_CHAIN_PLANS = 4 * REMEMBERED;
@@ -24,8 +24,8 @@
     private final StateStore store;
     private int jobs;
 
-    JobViewsTest() throws JobReader.Malformed {
-        network.listen("state:1", new SimState(time, 100, 8192, 10_000));
+    JobStatusServiceTest() throws SubmissionDecoder.Malformed {
+        network.listen("state:1", new SimStateStore(time, 100, 8192, 10_000));
         store = network.stateStore(process, 1_000, 10_000);
         for (int step = 0; step < CHAIN; step++) {
             addJob(step > 0);
@@ -33,27 +33,27 @@
     }
 
     /** Stores the plan of one more job, which awaits the one before or nothing. */
-    private void addJob(boolean awaits) throws JobReader.Malformed {
-        ObjectNode job = World.job("job-%06d".formatted(++jobs), 1);
+    private void addJob(boolean awaits) throws SubmissionDecoder.Malformed {
+        ObjectNode job = SimCluster.job("job-%06d".formatted(++jobs), 1);
         if (awaits) {
             job.putArray("awaits").add("job-%06d".formatted(jobs - 1));
         }
-        PlanRecord plan = new PlanRecord(1, JobReader.read(job));
-        store.commit(new Txn().set(PlanRecord.key(plan.spec().uid()), plan.json()));
+        PlanRecord plan = new PlanRecord(1, SubmissionDecoder.read(job));
+        store.commit(new Transaction().set(PlanRecord.key(plan.spec().uid()), plan.json()));
         time.runFor(10_000);
     }
 
-    private CompletableFuture<JobView> askForTheEndOfTheChain() {
-        CompletableFuture<JobView> answer =
-                new JobViews(store, process, 20, REMEMBERED).fresh("job-%06d".formatted(CHAIN));
+    private CompletableFuture<JobStatus> askForTheEndOfTheChain() {
+        CompletableFuture<JobStatus> answer =
+                new JobStatusService(store, process, 20, REMEMBERED).fresh("job-%06d".formatted(CHAIN));
         time.runFor(2_000_000);
         return answer;
     }
 
     /** Guards memory: plans are read all at once for a long chain, and no more of them are held than there is room. */
     @Test
-    void moreChainsThanCanBeHeldAreRefusedInTime() throws JobReader.Malformed {
-        assertThat(askForTheEndOfTheChain()).isCompletedWithValueMatching(JobView::accepted);
+    void moreChainsThanCanBeHeldAreRefusedInTime() throws SubmissionDecoder.Malformed {
+        assertThat(askForTheEndOfTheChain()).isCompletedWithValueMatching(JobStatus::accepted);
         for (int other = 0; other <= MAX_CHAIN_PLANS; other++) {
             addJob(true);
         }
--- a/src/test/java/io/sillreel/agent/ReportTest.java
+++ b/src/test/java/io/sillreel/agent/HeartbeatTest.java
@@ -2,17 +2,17 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.sillreel.http.Call;
+import io.sillreel.http.HttpRequest;
 import io.sillreel.http.Json;
+import io.sillreel.sim.SimCluster;
 import io.sillreel.sim.SimNetwork.Fate;
 import io.sillreel.sim.SimNetwork.Rule;
 import io.sillreel.sim.SimWorker;
 import io.sillreel.sim.TaskSteps;
-import io.sillreel.sim.World;
 import org.junit.jupiter.api.Test;
 
-class ReportTest {
-    private final World world = new World(2);
+class HeartbeatTest {
+    private final SimCluster world = new SimCluster(2);
 
     private SimWorker firstMachine() {
         world.until(() -> !world.cloud().machines().isEmpty());
@@ -29,7 +29,7 @@
                 .orElseThrow();
     }
 
-    private static boolean isHeartbeatOf(SimWorker worker, String from, Call call) {
+    private static boolean isHeartbeatOf(SimWorker worker, String from, HttpRequest call) {
         return from.equals(worker.name()) && call.route().equals("/agent/beat");
     }
 
@@ -37,7 +37,7 @@
     @Test
     void aLaunchWhoseResponseIsLostIsGivenAgain() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 1));
+        world.submit(0, SimCluster.job("job-000001", 1));
         SimWorker worker = firstMachine();
         boolean[] lost = {false};
         world.network().add((from, to, call) -> {
@@ -62,7 +62,7 @@
     @Test
     void aMachineSilentWithinItsLeaseKeepsItsTasks() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 2));
+        world.submit(0, SimCluster.job("job-000001", 2));
         SimWorker worker = firstBusyMachine();
         worker.prolong(12_000_000);
         Rule cut = world.network().add((from, to, call) -> isHeartbeatOf(worker, from, call) ? Fate.LOSE : null);
@@ -81,7 +81,7 @@
     @Test
     void aMachineSilentBeyondItsLeaseSendsAnOldReportLater() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 4));
+        world.submit(0, SimCluster.job("job-000001", 4));
         SimWorker worker = firstBusyMachine();
         worker.prolong(60_000_000);
         Rule hold = world.network().add((from, to, call) -> isHeartbeatOf(worker, from, call) ? Fate.HOLD : null);
@@ -98,7 +98,7 @@
     @Test
     void aDeadMachinesTasksRunElsewhere() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 2));
+        world.submit(0, SimCluster.job("job-000001", 2));
         SimWorker worker = firstBusyMachine();
         worker.prolong(60_000_000);
         world.cloud().take(worker.name());
@@ -111,12 +111,12 @@
     void aFaultyMachineIsToldFromAMistakenJob() {
         world.seconds(2);
         world.mistaken("job-000002");
-        world.submit(0, World.job("job-000001", 3));
+        world.submit(0, SimCluster.job("job-000001", 3));
         world.seconds(15);
         SimWorker worker = firstMachine();
         worker.faulty(true);
-        world.submit(0, World.job("job-000002", 2));
-        world.submit(0, World.job("job-000003", 6));
+        world.submit(0, SimCluster.job("job-000002", 2));
+        world.submit(0, SimCluster.job("job-000003", 6));
         world.seconds(90);
         assertThat(world.stage(0, "job-000003")).isEqualTo("done");
         assertThat(world.cloud().machines()).doesNotContainKey(worker.name());
@@ -128,10 +128,10 @@
     @Test
     void aMachineThatFailedAJobWhichThenSucceedsElsewhereIsReturned() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 2));
+        world.submit(0, SimCluster.job("job-000001", 2));
         SimWorker worker = firstMachine();
         worker.faulty(true);
-        world.submit(0, World.job("job-000002", 8));
+        world.submit(0, SimCluster.job("job-000002", 8));
         world.seconds(60);
         assertThat(world.stage(0, "job-000001")).isEqualTo("done");
         assertThat(world.stage(0, "job-000002")).isEqualTo("done");
@@ -143,17 +143,17 @@
     @Test
     void aSlowMachineIsReturnedAndAWrongEstimateIsNotHeldAgainstIt() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 4));
+        world.submit(0, SimCluster.job("job-000001", 4));
         SimWorker worker = firstBusyMachine();
         world.until(() -> world.stage(0, "job-000001").equals("done"));
-        world.submit(0, World.job("job-000002", 2));
+        world.submit(0, SimCluster.job("job-000002", 2));
         world.until(() -> !worker.running().isEmpty());
         worker.prolong(15_000_000);
         world.seconds(20);
         assertThat(world.cloud().machines()).containsKey(worker.name());
         worker.runMicros(30_000_000);
-        world.submit(0, World.job("job-000003", 1));
-        world.submit(0, World.job("job-000004", 1));
+        world.submit(0, SimCluster.job("job-000003", 1));
+        world.submit(0, SimCluster.job("job-000004", 1));
         // Returned when its tasks have ended, long before an idle machine would be.
         world.seconds(36);
         assertThat(world.cloud().machines()).doesNotContainKey(worker.name());
@@ -164,15 +164,15 @@
     /** Guards the worst case: a machine that a new leader has not heard of may run anything of the team's. */
     @Test
     void aMachineNotHeardOfCountsAgainstTheTeamsLimit() {
-        World limited = new World(6, 6);
+        SimCluster limited = new SimCluster(6, 6);
         limited.seconds(2);
-        limited.submit(0, World.job("job-000001", 6));
+        limited.submit(0, SimCluster.job("job-000001", 6));
         String machine = TaskSteps.leaveTasksOnOneMachine(limited, 6);
         int leader = limited.leader();
         int other = (leader + 1) % 3;
         limited.kill(leader);
         limited.network().add((from, to, call) -> from.equals(machine) || to.startsWith(machine) ? Fate.LOSE : null);
-        limited.submit(other, World.job("job-000002", 6));
+        limited.submit(other, SimCluster.job("job-000002", 6));
         limited.seconds(60);
         assertThat(limited.starts()).isGreaterThan(6);
         assertThat(limited.broken()).isEmpty();
@@ -180,10 +180,10 @@
 
     @Test
     void theTeamsLimitHoldsWhileTheLeaderChanges() {
-        World limited = new World(3, 6);
+        SimCluster limited = new SimCluster(3, 6);
         limited.seconds(2);
-        limited.submit(0, World.job("job-000001", 20));
-        limited.submit(1, World.job("job-000002", 20));
+        limited.submit(0, SimCluster.job("job-000001", 20));
+        limited.submit(1, SimCluster.job("job-000002", 20));
         limited.seconds(12);
         limited.kill(limited.leader());
         limited.seconds(120);
--- a/src/test/java/io/sillreel/agent/MessageSizeTest.java
+++ b/src/test/java/io/sillreel/agent/MessageSizeTest.java
@@ -5,8 +5,8 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.cluster.Machine;
-import io.sillreel.http.HttpServer;
 import io.sillreel.http.Json;
+import io.sillreel.http.NettyHttpServer;
 import org.junit.jupiter.api.Test;
 
 /** The protocol allows 64 KiB for a report and for a line of an answer: the largest ones stay below. */
@@ -16,11 +16,11 @@
 
     @Test
     void theLongestCommandsFitIntoALine() {
-        Commands commands = new Commands();
+        AgentCommands commands = new AgentCommands();
         while (!commands.full()) {
             commands.halt(LONGEST_UID, LAST_TASK, Long.MAX_VALUE, 3_600_500_000L);
         }
-        assertThat(Json.bytes(commands.body(Long.MAX_VALUE)).length).isLessThan(HttpServer.MAX_BODY_BYTES);
+        assertThat(Json.bytes(commands.body(Long.MAX_VALUE)).length).isLessThan(NettyHttpServer.MAX_BODY_BYTES);
     }
 
     /** Guards a machine with hundreds of tasks: a report that is refused for its size ends its lease. */
@@ -45,6 +45,6 @@
                     .put("cause", "stopped")
                     .put("kept", true);
         }
-        assertThat(Json.bytes(report).length).isLessThan(HttpServer.MAX_BODY_BYTES);
+        assertThat(Json.bytes(report).length).isLessThan(NettyHttpServer.MAX_BODY_BYTES);
     }
 }
--- a/src/test/java/io/sillreel/cli/CheckTest.java
+++ b/src/test/java/io/sillreel/cli/CheckTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.sillreel.sim.World;
+import io.sillreel.sim.SimCluster;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -16,7 +16,7 @@
     private String printed;
 
     private int check(String... more) throws IOException {
-        Path file = Files.writeString(folder.resolve("settings.toml"), new World(1).settingsFile(0));
+        Path file = Files.writeString(folder.resolve("settings.toml"), new SimCluster(1).settingsFile(0));
         String[] args = new String[more.length + 3];
         args[0] = "--config";
         args[1] = file.toString();
--- a/src/test/java/io/sillreel/cli/RecoveryCommandTest.java
+++ b/src/test/java/io/sillreel/cli/RecoveryCommandTest.java
@@ -6,9 +6,9 @@
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
-import io.sillreel.http.HttpServer;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Reply;
+import io.sillreel.http.NettyHttpServer;
 import java.net.InetSocketAddress;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
@@ -26,13 +26,13 @@
 
     /** A controller that tells its state, and lets nobody accept a loss. */
     private String controller() {
-        Channel channel = new HttpServer(group, HttpServer.MAX_BODY_BYTES, 10)
+        Channel channel = new NettyHttpServer(group, NettyHttpServer.MAX_BODY_BYTES, 10)
                 .listen(
                         new InetSocketAddress("127.0.0.1", 0),
                         call -> CompletableFuture.completedFuture(
                                 call.path().equals("/recovery/status")
-                                        ? Reply.of(200, Json.object().put("generation", 3))
-                                        : Reply.refusal(409, "ask the controller that leads: hopper-1")));
+                                        ? HttpResponse.of(200, Json.object().put("generation", 3))
+                                        : HttpResponse.refusal(409, "ask the controller that leads: hopper-1")));
         return "127.0.0.1:" + ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
--- a/src/test/java/io/sillreel/cli/RecoveryOffIT.java
+++ b/src/test/java/io/sillreel/cli/RecoveryOffIT.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.sillreel.sim.World;
+import io.sillreel.sim.SimCluster;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -23,7 +23,8 @@
 
     /** The classes that a start of the daemon loads; then it is ended. */
     private List<String> loaded(String... properties) throws IOException {
-        String settings = new World(1).settingsFile(0).replaceAll("(10\\.0\\.0\\.\\d|state|cloud):\\d+", "127.0.0.1:0");
+        String settings =
+                new SimCluster(1).settingsFile(0).replaceAll("(10\\.0\\.0\\.\\d|state|cloud):\\d+", "127.0.0.1:0");
         Path config = Files.writeString(folder.resolve("settings.toml"), settings);
         List<String> command = new ArrayList<>(
                 List.of("java", "-Xlog:class+load:stdout", "-cp", "target/sillreel.jar", "io.sillreel.cli.Main"));
--- a/src/test/java/io/sillreel/cloud/CloudClientTest.java
+++ b/src/test/java/io/sillreel/cloud/CloudClientTest.java
@@ -7,10 +7,10 @@
 import io.netty.handler.codec.http.QueryStringDecoder;
 import io.sillreel.cloud.CloudClient.Machines;
 import io.sillreel.cloud.CloudClient.Outcome;
-import io.sillreel.http.Call;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Reply;
-import io.sillreel.overload.Pacer;
+import io.sillreel.overload.RateLimiter;
 import io.sillreel.sim.SimNetwork;
 import io.sillreel.sim.SimNetwork.Fate;
 import io.sillreel.sim.SimTime;
@@ -28,7 +28,7 @@
     private final SimTime time = new SimTime();
     private final SimNetwork network = new SimNetwork(time, 1);
     private final SimTime.Process process = time.new Process();
-    private final Pacer pacer = new Pacer(process, RATE, RATE);
+    private final RateLimiter pacer = new RateLimiter(process, RATE, RATE);
     private final CloudClient cloud = new CloudClient(network.from("node", process), process, "cloud:1", pacer);
     private int requests;
 
@@ -36,10 +36,10 @@
         network.listen("cloud:1", call -> CompletableFuture.completedFuture(answer(call)));
     }
 
-    private Reply answer(Call call) {
+    private HttpResponse answer(HttpRequest call) {
         requests++;
         if (call.method().equals("POST")) {
-            return Reply.of(200, Json.object());
+            return HttpResponse.of(200, Json.object());
         }
         QueryStringDecoder query = new QueryStringDecoder(call.path());
         String since =
@@ -51,7 +51,7 @@
         for (int each = first; each < first + limit && each <= MACHINES; each++) {
             hoppers.addObject().put("uid", "host-%06d".formatted(each)).put("stage", "running");
         }
-        return Reply.of(200, body);
+        return HttpResponse.of(200, body);
     }
 
     /** Guards the list of a large fleet: a page beyond the rate ended it, so that beyond some 500 it never came. */
