--- a/src/test/java/io/sillreel/cluster/RentalTest.java
+++ b/src/test/java/io/sillreel/cluster/ScaleOutRequestTest.java
@@ -2,19 +2,19 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.sillreel.http.Call;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.sim.SimCluster;
 import io.sillreel.sim.SimNetwork.Fate;
 import io.sillreel.sim.SimNetwork.Rule;
 import io.sillreel.sim.SimWorker;
-import io.sillreel.sim.World;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class RentalTest {
-    private final World world = new World(4);
+class ScaleOutRequestTest {
+    private final SimCluster world = new SimCluster(4);
 
-    private static boolean isRental(Call call) {
+    private static boolean isRental(HttpRequest call) {
         return call.method().equals("POST") && call.route().equals("/machines");
     }
 
@@ -22,7 +22,7 @@
     void anUnansweredRentalIsAskedForAgainUnderItsName() {
         Rule lose = world.network().add((from, to, call) -> isRental(call) ? Fate.LOSE_ANSWER : null);
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 2));
+        world.submit(0, SimCluster.job("job-000001", 2));
         world.seconds(4);
         int rented = world.cloud().machines().size();
         world.network().remove(lose);
@@ -44,7 +44,7 @@
                         ? Fate.LOSE_ANSWER
                         : null);
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 4));
+        world.submit(0, SimCluster.job("job-000001", 4));
         world.seconds(25);
         world.network().remove(lose);
         world.untilStarted(4, 30_000_000);
@@ -60,7 +60,7 @@
     void aRentalCarriedOutLongAfterItsLeaderDiedIsUsedOrReturned() {
         Rule hold = world.network().add((from, to, call) -> isRental(call) ? Fate.HOLD : null);
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 2));
+        world.submit(0, SimCluster.job("job-000001", 2));
         world.seconds(3);
         int leader = world.leader();
         world.network().remove(hold);
@@ -78,7 +78,7 @@
     @Test
     void machinesWithoutWorkAreReturnedAndForgotten() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 6));
+        world.submit(0, SimCluster.job("job-000001", 6));
         world.seconds(20);
         assertThat(world.cloud().machines()).isNotEmpty();
         // Kept for a while for the demand there has been, then given back.
@@ -91,12 +91,12 @@
     void aCloudThatIsDownLosesNoJob() {
         world.seconds(2);
         world.cloud().outage(true);
-        assertThat(world.submit(0, World.job("job-000001", 2)).status()).isEqualTo(201);
+        assertThat(world.submit(0, SimCluster.job("job-000001", 2)).status()).isEqualTo(201);
         world.seconds(10);
         // Restarted during the outage, a controller judges by the stored machine types.
         world.restart(1);
         world.seconds(1);
-        assertThat(world.submit(1, World.job("job-000002", 2)).status()).isEqualTo(201);
+        assertThat(world.submit(1, SimCluster.job("job-000002", 2)).status()).isEqualTo(201);
         world.cloud().outage(false);
         world.seconds(40);
         assertThat(world.stage(0, "job-000001")).isEqualTo("done");
@@ -107,7 +107,7 @@
     @Test
     void machinesThatAreAwayForLongerThanTheirLeasesAreReplaced() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 20));
+        world.submit(0, SimCluster.job("job-000001", 20));
         world.untilStarted(20, 40_000_000);
         List<String> away = List.copyOf(world.cloud().machines().keySet()).subList(0, 3);
         int rented = world.cloud().machines().size();
@@ -126,13 +126,13 @@
     @Test
     void whatMayUseNoSpotMachineGetsAnOrdinaryOne() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 4).put("loaners", false));
+        world.submit(0, SimCluster.job("job-000001", 4).put("loaners", false));
         world.untilStarted(4, 200_000_000);
         world.cloud().machines().values().forEach(worker -> worker.runMicros(3_000_000));
         for (int job = 2; job <= 20; job++) {
-            world.submit(job % 3, World.job("job-%06d".formatted(job), 4));
+            world.submit(job % 3, SimCluster.job("job-%06d".formatted(job), 4));
         }
-        world.submit(0, World.job("job-000099", 2).put("loaners", false));
+        world.submit(0, SimCluster.job("job-000099", 2).put("loaners", false));
         world.seconds(30);
         assertThat(world.stage(0, "job-000099")).isEqualTo("done");
         assertThat(world.cloud().machines().values()).anyMatch(SimWorker::spot);
--- a/src/test/java/io/sillreel/fleet/FleetRegistryTest.java
+++ b/src/test/java/io/sillreel/fleet/FleetRegistryTest.java
@@ -8,8 +8,8 @@
 import io.sillreel.settings.ValueLimits;
 import io.sillreel.sim.SimNetwork;
 import io.sillreel.sim.SimTime;
-import io.sillreel.statestore.KeyWriter;
 import io.sillreel.statestore.StateStore;
+import io.sillreel.statestore.WriteQueue;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -26,7 +26,7 @@
             process,
             1,
             cluster,
-            new KeyWriter(store, process, "leader", 1, 4, () -> {}),
+            new WriteQueue(store, process, "leader", 1, 4, () -> {}),
             ValueLimits.fixed(2_048),
             () -> Map.of("c4", new MachineType("c4", 4, 0, 16, 50, 1, 1, 0.5, 1, List.of("a"))),
             Machine::clearAllocations);
--- a/src/test/java/io/sillreel/heartbeat/ReportRelayTest.java
+++ b/src/test/java/io/sillreel/heartbeat/HeartbeatRelayTest.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.sillreel.agent.Report;
-import io.sillreel.agent.Report.Stage;
-import io.sillreel.agent.Report.TaskState;
-import io.sillreel.http.Call;
-import io.sillreel.http.Reply;
+import io.sillreel.agent.Heartbeat;
+import io.sillreel.agent.Heartbeat.TaskStage;
+import io.sillreel.agent.Heartbeat.TaskStatus;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.peer.PeerMessages;
 import io.sillreel.sim.SimTime;
 import java.util.ArrayList;
@@ -15,28 +15,28 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-class ReportRelayTest {
+class HeartbeatRelayTest {
     private final SimTime time = new SimTime();
     private final List<Integer> batches = new ArrayList<>();
 
-    private CompletableFuture<Reply> answer(Call call) {
+    private CompletableFuture<HttpResponse> answer(HttpRequest call) {
         int reports = PeerMessages.reports(call.body()).size();
         batches.add(reports);
-        List<Reply> replies = new ArrayList<>();
+        List<HttpResponse> replies = new ArrayList<>();
         for (int i = 0; i < reports; i++) {
-            replies.add(new Reply(200, new byte[0], 0));
+            replies.add(new HttpResponse(200, new byte[0], 0));
         }
-        return CompletableFuture.completedFuture(new Reply(200, PeerMessages.answers(replies), 0));
+        return CompletableFuture.completedFuture(new HttpResponse(200, PeerMessages.answers(replies), 0));
     }
 
     /** Hands on a report every 10 ms for a second, and returns how many had been answered 15 ms after they came. */
     private int play(int workers) {
-        ReportRelay relay =
-                new ReportRelay(time.new Process(), (address, call, timeout) -> answer(call), () -> workers);
+        HeartbeatRelay relay =
+                new HeartbeatRelay(time.new Process(), (address, call, timeout) -> answer(call), () -> workers);
         int soon = 0;
         for (int i = 0; i < 100; i++) {
-            Report report = new Report("host-%06d".formatted(i), "", "c4", "a", true, 1, i, 1, -1, List.of());
-            CompletableFuture<Reply> reply = relay.pass(report, "leader:1");
+            Heartbeat report = new Heartbeat("host-%06d".formatted(i), "", "c4", "a", true, 1, i, 1, -1, List.of());
+            CompletableFuture<HttpResponse> reply = relay.pass(report, "leader:1");
             time.runFor(10_000);
             time.runFor(5_000);
             soon += reply.isDone() ? 1 : 0;
@@ -60,21 +60,22 @@
         assertThat(play(10)).isGreaterThan(90);
     }
 
-    private static Report report(int number, List<TaskState> tasks) {
-        return new Report("host-%06d".formatted(number), "", "c4", "a", true, 1, 1, 1, -1, tasks);
+    private static Heartbeat report(int number, List<TaskStatus> tasks) {
+        return new Heartbeat("host-%06d".formatted(number), "", "c4", "a", true, 1, 1, 1, -1, tasks);
     }
 
     /** Guards a follower of thousands: two batches of 64 a round trip were 1,300 reports a second at 100 ms. */
     @Test
     void batchesGrowWithTheWorkersAndNotBeyondWhatALeaderTakesIn() {
-        ReportRelay relay = new ReportRelay(time.new Process(), (address, call, timeout) -> answer(call), () -> 4_000);
+        HeartbeatRelay relay =
+                new HeartbeatRelay(time.new Process(), (address, call, timeout) -> answer(call), () -> 4_000);
         for (int number = 0; number < 600; number++) {
             relay.pass(report(number, List.of()), "leader:1");
         }
         time.runFor(500_000);
         assertThat(batches).containsExactly(250, 250, 100);
         batches.clear();
-        List<TaskState> many = Collections.nCopies(800, new TaskState("job-000001", 0, 1, Stage.RUNNING, ""));
+        List<TaskStatus> many = Collections.nCopies(800, new TaskStatus("job-000001", 0, 1, TaskStage.RUNNING, ""));
         for (int number = 0; number < 200; number++) {
             relay.pass(report(number, many), "leader:1");
         }
@@ -86,8 +87,8 @@
     /** Guards a leader that is behind against reports whose workers have long asked elsewhere. */
     @Test
     void reportsWhoseWorkersWaitNoLongerAreNotHandedOn() {
-        List<CompletableFuture<Reply>> held = new ArrayList<>();
-        ReportRelay relay = new ReportRelay(
+        List<CompletableFuture<HttpResponse>> held = new ArrayList<>();
+        HeartbeatRelay relay = new HeartbeatRelay(
                 time.new Process(),
                 (address, call, timeout) -> {
                     batches.add(PeerMessages.reports(call.body()).size());
@@ -99,20 +100,20 @@
         time.runFor(100_000);
         relay.pass(report(2, List.of()), "leader:1");
         time.runFor(100_000);
-        CompletableFuture<Reply> givenUp = relay.pass(report(3, List.of()), "leader:1");
+        CompletableFuture<HttpResponse> givenUp = relay.pass(report(3, List.of()), "leader:1");
         time.runFor(5_000_000);
         relay.pass(report(4, List.of()), "leader:1");
-        held.forEach(answer -> answer.complete(Reply.noAnswer()));
+        held.forEach(answer -> answer.complete(HttpResponse.noAnswer()));
         time.runFor(100_000);
         assertThat(givenUp.join().status()).isEqualTo(503);
         assertThat(batches).containsExactly(1, 1, 1);
     }
 
-    private ReportRelay handedOnTo(Reply reply, int batches) {
-        ReportRelay relay = new ReportRelay(
+    private HeartbeatRelay handedOnTo(HttpResponse reply, int batches) {
+        HeartbeatRelay relay = new HeartbeatRelay(
                 time.new Process(), (address, call, timeout) -> CompletableFuture.completedFuture(reply), () -> 1);
         for (int i = 0; i < batches; i++) {
-            relay.pass(new Report("host-000001", "", "c4", "a", true, 1, i, 1, -1, List.of()), "leader:1");
+            relay.pass(new Heartbeat("host-000001", "", "c4", "a", true, 1, i, 1, -1, List.of()), "leader:1");
             time.runFor(100_000);
         }
         return relay;
@@ -121,8 +122,8 @@
     /** Guards a leader that is only late against the workers themselves, who would be more work than their batches. */
     @Test
     void oneLateBatchSendsNobodyToTheLeader() {
-        assertThat(handedOnTo(Reply.noAnswer(), 1).works("leader:1")).isTrue();
-        assertThat(handedOnTo(Reply.noAnswer(), 2).works("leader:1")).isFalse();
-        assertThat(handedOnTo(Reply.notSent(), 1).works("leader:1")).isFalse();
+        assertThat(handedOnTo(HttpResponse.noAnswer(), 1).works("leader:1")).isTrue();
+        assertThat(handedOnTo(HttpResponse.noAnswer(), 2).works("leader:1")).isFalse();
+        assertThat(handedOnTo(HttpResponse.notSent(), 1).works("leader:1")).isFalse();
     }
 }
--- a/src/test/java/io/sillreel/heartbeat/FailureTest.java
+++ b/src/test/java/io/sillreel/heartbeat/TaskFailureTest.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.sillreel.sim.FailureInjector;
+import io.sillreel.sim.SimCluster;
 import io.sillreel.sim.SimNetwork.Fate;
 import io.sillreel.sim.SimNetwork.Rule;
 import io.sillreel.sim.SimWorker;
-import io.sillreel.sim.Troubles;
-import io.sillreel.sim.World;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -14,8 +14,8 @@
  * Troubles between machines and controllers that are no plain cut: unanswered machines, copies, restarts, isolated
  * controllers.
  */
-class FailureTest {
-    private final World world = new World(11);
+class TaskFailureTest {
+    private final SimCluster world = new SimCluster(11);
 
     private SimWorker busyMachine(int running) {
         world.until(() -> world.cloud().machines().values().stream()
@@ -30,10 +30,10 @@
     @Test
     void aMachineThatHearsNothingIsGivenNothingMoreAndReplaced() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 2));
+        world.submit(0, SimCluster.job("job-000001", 2));
         SimWorker worker = busyMachine(2);
-        world.network().add(Troubles.unresponsive(worker.name()));
-        world.submit(0, World.job("job-000002", 2));
+        world.network().add(FailureInjector.unresponsive(worker.name()));
+        world.submit(0, SimCluster.job("job-000002", 2));
         world.seconds(60);
         assertThat(world.cloud().machines()).doesNotContainKey(worker.name());
         assertThat(world.stage(0, "job-000001")).isEqualTo("done");
@@ -45,11 +45,11 @@
     @Test
     void aMachineThatHearsNothingDoesNotHoldUpATakeover() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 90));
+        world.submit(0, SimCluster.job("job-000001", 90));
         world.until(() -> world.cloud().machines().size() >= 5 && world.starts() >= 15);
         SimWorker worker = world.cloud().machines().firstEntry().getValue();
         worker.prolong(300_000_000);
-        world.network().add(Troubles.unresponsive(worker.name()));
+        world.network().add(FailureInjector.unresponsive(worker.name()));
         int leader = world.leader();
         world.kill(leader);
         world.seconds(30);
@@ -63,7 +63,7 @@
     @Test
     void theFewMachinesThatStaySilentAfterATakeoverAreReturnedAndHoldUpNobody() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 90));
+        world.submit(0, SimCluster.job("job-000001", 90));
         world.until(() -> world.cloud().machines().size() >= 5 && world.starts() >= 15);
         String silent = world.cloud().machines().firstKey();
         world.cloud().machines().get(silent).prolong(300_000_000);
@@ -88,7 +88,7 @@
                         call.route().equals("/agent/beat") || call.route().equals("/peer/beats") ? Fate.COPY : null);
         world.seconds(2);
         for (int i = 1; i <= 6; i++) {
-            world.submit(0, World.job("job-00000" + i, 6));
+            world.submit(0, SimCluster.job("job-00000" + i, 6));
             world.seconds(3);
         }
         String taken = world.cloud().machines().firstKey();
@@ -109,7 +109,7 @@
     @Test
     void aMachineThatStartsAgainAndCountsAnewIsNotIgnoredForEver() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 2));
+        world.submit(0, SimCluster.job("job-000001", 2));
         SimWorker worker = busyMachine(2);
         worker.prolong(60_000_000);
         world.seconds(10);
@@ -123,10 +123,10 @@
     @Test
     void aLoneLeaderLetsItsWorkersGoBeforeTheirTasksDie() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 4));
+        world.submit(0, SimCluster.job("job-000001", 4));
         world.untilStarted(4, 25_000_000);
         int isolated = world.leader();
-        world.network().add(Troubles.isolated(isolated));
+        world.network().add(FailureInjector.isolated(isolated));
         world.seconds(45);
         assertThat(world.leader()).isNotEqualTo(isolated);
         assertThat(world.stage((isolated + 1) % 3, "job-000001")).isEqualTo("done");
@@ -138,7 +138,7 @@
     @Test
     void aLeaderThatNoWorkerReachesResigns() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 4));
+        world.submit(0, SimCluster.job("job-000001", 4));
         world.until(() -> world.starts() >= 4);
         int unresponsive = world.leader();
         String host = "10.0.0." + unresponsive;
@@ -156,9 +156,9 @@
     /** Workers end up spread over the controllers, also after one of them was away. */
     @Test
     void workersAreSpreadAndEvenOutAgain() {
-        World many = new World(12, 0, 5, World.Version.CURRENT);
+        SimCluster many = new SimCluster(12, 0, 5, SimCluster.Version.CURRENT);
         many.seconds(2);
-        many.submit(0, World.job("job-000001", 400));
+        many.submit(0, SimCluster.job("job-000001", 400));
         many.until(() -> {
             many.cloud().machines().values().forEach(worker -> worker.runMicros(90_000_000));
             return many.cloud().machines().size() >= 18;
@@ -175,7 +175,7 @@
         assertThat(many.broken()).isEmpty();
     }
 
-    private static long most(World many) {
+    private static long most(SimCluster many) {
         long most = 0;
         for (int node = 0; node < many.nodes(); node++) {
             int at = node;
@@ -197,7 +197,7 @@
                         ? Fate.LOSE
                         : null);
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 20));
+        world.submit(0, SimCluster.job("job-000001", 20));
         world.untilStarted(20, 40_000_000);
         assertThat(world.cloud().machines().size()).isGreaterThan(3);
         return busyMachine(2);
@@ -222,7 +222,7 @@
     @Test
     void aTaskThatCanNotEndOnARecalledMachineIsStoppedAtOnce() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 20).put("guess_s", 60.0));
+        world.submit(0, SimCluster.job("job-000001", 20).put("guess_s", 60.0));
         world.untilStarted(20, 60_000_000);
         SimWorker worker = busyMachine(2);
         world.cloud().recall(worker.name(), 30_000_000);
@@ -281,9 +281,9 @@
      */
     @Test
     void machinesThatFallSilentOneAfterTheOtherAreNotAllGivenAway() {
-        World many = new World(13);
+        SimCluster many = new SimCluster(13);
         many.seconds(2);
-        many.submit(0, World.job("job-000001", 60));
+        many.submit(0, SimCluster.job("job-000001", 60));
         many.untilStarted(50, 60_000_000);
         List<String> silent = List.copyOf(many.cloud().machines().keySet()).subList(0, 6);
         for (String name : silent) {
--- a/src/test/java/io/sillreel/http/HttpTest.java
+++ b/src/test/java/io/sillreel/http/HttpTest.java
@@ -7,7 +7,7 @@
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
-import io.sillreel.http.RequestQueue.Line;
+import io.sillreel.http.RequestQueue.RequestClass;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -23,15 +23,15 @@
     private static final int MAX_ANSWER_BYTES = 100_000;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final HttpClient client = new HttpClient(group.next(), 2, MAX_ANSWER_BYTES);
+    private final NettyHttpClient client = new NettyHttpClient(group.next(), 2, MAX_ANSWER_BYTES);
 
     @AfterEach
     void end() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    private String listen(Handler handler) {
-        Channel channel = new HttpServer(group, HttpServer.MAX_BODY_BYTES, 10)
+    private String listen(HttpHandler handler) {
+        Channel channel = new NettyHttpServer(group, NettyHttpServer.MAX_BODY_BYTES, 10)
                 .listen(new InetSocketAddress("127.0.0.1", 0), handler);
         return "127.0.0.1:" + ((InetSocketAddress) channel.localAddress()).getPort();
     }
@@ -39,10 +39,10 @@
     @Test
     void requestsShareFewConnectionsAndKeepTheirAnswersApart() {
         String address = listen(call -> CompletableFuture.completedFuture(
-                new Reply(200, call.path().getBytes(java.nio.charset.StandardCharsets.US_ASCII), 7)));
-        List<CompletableFuture<Reply>> answers = new ArrayList<>();
+                new HttpResponse(200, call.path().getBytes(java.nio.charset.StandardCharsets.US_ASCII), 7)));
+        List<CompletableFuture<HttpResponse>> answers = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
-            answers.add(client.call(address, Call.get("/" + i), LONG_MICROS));
+            answers.add(client.call(address, HttpRequest.get("/" + i), LONG_MICROS));
         }
         for (int i = 0; i < 50; i++) {
             assertThat(new String(answers.get(i).join().body(), java.nio.charset.StandardCharsets.US_ASCII))
@@ -53,28 +53,32 @@
 
     @Test
     void aBodyOver64KiBIsRefused() {
-        String address = listen(call -> CompletableFuture.completedFuture(Reply.of(200, Json.object())));
-        Call large = new Call("POST", "/", new byte[HttpServer.MAX_BODY_BYTES + 1]);
+        String address = listen(call -> CompletableFuture.completedFuture(HttpResponse.of(200, Json.object())));
+        HttpRequest large = new HttpRequest("POST", "/", new byte[NettyHttpServer.MAX_BODY_BYTES + 1]);
         assertThat(client.call(address, large, LONG_MICROS).join().status()).isEqualTo(400);
-        Call fits = new Call("POST", "/", new byte[HttpServer.MAX_BODY_BYTES]);
+        HttpRequest fits = new HttpRequest("POST", "/", new byte[NettyHttpServer.MAX_BODY_BYTES]);
         assertThat(client.call(address, fits, LONG_MICROS).join().status()).isEqualTo(200);
     }
 
     /** Guards the heap: the answer to a watch has no limit, and what can't be held must not be asked for again. */
     @Test
     void anAnswerThatIsTooLargeIsToldAsSuchAndHoldsUpNothing() {
-        String address = listen(call -> CompletableFuture.completedFuture(
-                new Reply(200, new byte[call.route().equals("/large") ? MAX_ANSWER_BYTES + 1 : MAX_ANSWER_BYTES], 0)));
-        assertThat(client.call(address, Call.get("/large"), LONG_MICROS).join().status())
-                .isEqualTo(Reply.ANSWER_TOO_LARGE);
-        assertThat(client.call(address, Call.get("/"), LONG_MICROS).join().status())
+        String address = listen(call -> CompletableFuture.completedFuture(new HttpResponse(
+                200, new byte[call.route().equals("/large") ? MAX_ANSWER_BYTES + 1 : MAX_ANSWER_BYTES], 0)));
+        assertThat(client.call(address, HttpRequest.get("/large"), LONG_MICROS)
+                        .join()
+                        .status())
+                .isEqualTo(HttpResponse.ANSWER_TOO_LARGE);
+        assertThat(client.call(address, HttpRequest.get("/"), LONG_MICROS)
+                        .join()
+                        .status())
                 .isEqualTo(200);
     }
 
     /** Guards the workers that turn to the last controller all at once: they wait in the listener until accepted. */
     @Test
     void asManyConnectionsMayWaitAsMayBeOpen() {
-        HttpServer server = new HttpServer(group, HttpServer.MAX_BODY_BYTES, 3_000);
+        NettyHttpServer server = new NettyHttpServer(group, NettyHttpServer.MAX_BODY_BYTES, 3_000);
         NioServerSocketChannel channel =
                 (NioServerSocketChannel) server.listen(new InetSocketAddress("127.0.0.1", 0), call -> null);
         assertThat(channel.config().getBacklog()).isEqualTo(3_000);
@@ -82,30 +86,32 @@
 
     @Test
     void theCrowdLeavesConnectionsForTheOthers() {
-        HttpServer server = new HttpServer(
+        NettyHttpServer server = new NettyHttpServer(
                 group,
-                HttpServer.MAX_BODY_BYTES,
+                NettyHttpServer.MAX_BODY_BYTES,
                 10,
-                call -> call.route().equals("/beat") ? Line.CROWD : Line.AT_ONCE,
-                new RequestQueue(new NettyLoop(group.next()), MAX_ANSWER_BYTES),
+                call -> call.route().equals("/beat") ? RequestClass.CROWD : RequestClass.AT_ONCE,
+                new RequestQueue(new NettyEventLoop(group.next()), MAX_ANSWER_BYTES),
                 2);
         Channel listening = server.listen(
                 new InetSocketAddress("127.0.0.1", 0),
-                call -> CompletableFuture.completedFuture(Reply.of(200, Json.object())));
+                call -> CompletableFuture.completedFuture(HttpResponse.of(200, Json.object())));
         String address = "127.0.0.1:" + ((InetSocketAddress) listening.localAddress()).getPort();
-        List<HttpClient> workers = List.of(
-                new HttpClient(group.next(), 1, MAX_ANSWER_BYTES),
-                new HttpClient(group.next(), 1, MAX_ANSWER_BYTES),
-                new HttpClient(group.next(), 1, MAX_ANSWER_BYTES));
+        List<NettyHttpClient> workers = List.of(
+                new NettyHttpClient(group.next(), 1, MAX_ANSWER_BYTES),
+                new NettyHttpClient(group.next(), 1, MAX_ANSWER_BYTES),
+                new NettyHttpClient(group.next(), 1, MAX_ANSWER_BYTES));
         assertThat(workers.stream()
-                        .map(worker -> worker.call(address, Call.get("/beat"), LONG_MICROS)
+                        .map(worker -> worker.call(address, HttpRequest.get("/beat"), LONG_MICROS)
                                 .join()
                                 .status()))
                 .containsExactly(200, 200, 503);
-        assertThat(client.call(address, Call.get("/up"), LONG_MICROS).join().status())
+        assertThat(client.call(address, HttpRequest.get("/up"), LONG_MICROS)
+                        .join()
+                        .status())
                 .isEqualTo(200);
         assertThat(workers.get(0)
-                        .call(address, Call.get("/beat"), LONG_MICROS)
+                        .call(address, HttpRequest.get("/beat"), LONG_MICROS)
                         .join()
                         .status())
                 .isEqualTo(200);
@@ -113,15 +119,17 @@
 
     @Test
     void connectionsThatAreNotUsedAreClosed() {
-        String address = listen(call -> CompletableFuture.completedFuture(Reply.of(200, Json.object())));
-        client.call(address, Call.get("/"), LONG_MICROS).join();
+        String address = listen(call -> CompletableFuture.completedFuture(HttpResponse.of(200, Json.object())));
+        client.call(address, HttpRequest.get("/"), LONG_MICROS).join();
         assertThat(connectionsAfterSweep())
                 .as("it has been used since the sweep before")
                 .isEqualTo(1);
-        client.call(address, Call.get("/"), LONG_MICROS).join();
+        client.call(address, HttpRequest.get("/"), LONG_MICROS).join();
         assertThat(connectionsAfterSweep()).isEqualTo(1);
         assertThat(connectionsAfterSweep()).isZero();
-        assertThat(client.call(address, Call.get("/"), LONG_MICROS).join().status())
+        assertThat(client.call(address, HttpRequest.get("/"), LONG_MICROS)
+                        .join()
+                        .status())
                 .isEqualTo(200);
     }
 
@@ -138,14 +146,16 @@
     @Test
     void aHandlerThatFailsIsAnsweredForAndNobodyListeningIsKnownNotToHaveHeard() {
         String address = listen(call -> CompletableFuture.failedFuture(new IllegalStateException("on purpose")));
-        assertThat(client.call(address, Call.get("/"), LONG_MICROS).join().status())
+        assertThat(client.call(address, HttpRequest.get("/"), LONG_MICROS)
+                        .join()
+                        .status())
                 .isEqualTo(503);
-        Channel gone = new HttpServer(group, 10, 10).listen(new InetSocketAddress("127.0.0.1", 0), call -> null);
+        Channel gone = new NettyHttpServer(group, 10, 10).listen(new InetSocketAddress("127.0.0.1", 0), call -> null);
         int port = ((InetSocketAddress) gone.localAddress()).getPort();
         gone.close().syncUninterruptibly();
-        assertThat(client.call("127.0.0.1:" + port, Call.get("/"), LONG_MICROS)
+        assertThat(client.call("127.0.0.1:" + port, HttpRequest.get("/"), LONG_MICROS)
                         .join()
                         .status())
-                .isEqualTo(Reply.NOT_SENT);
+                .isEqualTo(HttpResponse.NOT_SENT);
     }
 }
--- a/src/test/java/io/sillreel/http/RequestQueueTest.java
+++ b/src/test/java/io/sillreel/http/RequestQueueTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.sillreel.http.RequestQueue.Line;
+import io.sillreel.http.RequestQueue.RequestClass;
 import io.sillreel.sim.SimTime;
 import java.util.ArrayList;
 import java.util.List;
@@ -16,7 +16,7 @@
     private final RequestQueue requestQueue = new RequestQueue(process, 4 * 1024 * 1024);
     private final List<String> served = new ArrayList<>();
 
-    private void ask(Line line, String who, long givesUpAfterMicros) {
+    private void ask(RequestClass line, String who, long givesUpAfterMicros) {
         long until = time.nowMicros() + givesUpAfterMicros;
         requestQueue.await(line, 1_000, () -> time.nowMicros() < until, () -> {
             process.works(WORK_MICROS);
@@ -26,7 +26,7 @@
 
     private void crowd(int size) {
         for (int i = 0; i < size; i++) {
-            ask(Line.CROWD, "worker", 4_000_000);
+            ask(RequestClass.CROWD, "worker", 4_000_000);
         }
     }
 
@@ -44,8 +44,8 @@
     @Test
     void usersAndTheCrowdTakeTurns() {
         crowd(20);
-        ask(Line.USERS, "user", 2_000_000);
-        ask(Line.USERS, "user", 2_000_000);
+        ask(RequestClass.USERS, "user", 2_000_000);
+        ask(RequestClass.USERS, "user", 2_000_000);
         time.runFor(300_000);
         assertThat(served.subList(0, 4)).containsExactlyInAnyOrder("worker", "user", "worker", "user");
     }
@@ -56,7 +56,7 @@
         process.freeze(5_000_000);
         crowd(50);
         time.runFor(5_000_000);
-        ask(Line.CROWD, "late", 4_000_000);
+        ask(RequestClass.CROWD, "late", 4_000_000);
         time.runFor(1_000_000);
         assertThat(served).containsExactly("late");
         assertThat(requestQueue.givenUp()).isEqualTo(50);
@@ -67,10 +67,10 @@
     @Test
     void theNewestGoFirstOnceTheLineIsLong() {
         process.freeze(2_000_000);
-        ask(Line.CROWD, "old", 4_000_000);
-        ask(Line.CROWD, "older than new", 4_000_000);
+        ask(RequestClass.CROWD, "old", 4_000_000);
+        ask(RequestClass.CROWD, "older than new", 4_000_000);
         time.runFor(1_900_000);
-        ask(Line.CROWD, "new", 4_000_000);
+        ask(RequestClass.CROWD, "new", 4_000_000);
         time.runFor(1_000_000);
         assertThat(served).containsExactly("new", "older than new", "old");
     }
@@ -79,20 +79,21 @@
     @Test
     void whatIsTooMuchToKeepIsRefused() {
         int taken = 0;
-        while (taken < 1_000 && requestQueue.await(Line.USERS, 64 * 1024, () -> true, () -> served.add("user"))) {
+        while (taken < 1_000
+                && requestQueue.await(RequestClass.USERS, 64 * 1024, () -> true, () -> served.add("user"))) {
             taken++;
         }
         assertThat(taken).isBetween(32, 64);
         time.runFor(100_000);
         assertThat(served).hasSize(taken);
-        assertThat(requestQueue.await(Line.USERS, 64 * 1024, () -> true, () -> {}))
+        assertThat(requestQueue.await(RequestClass.USERS, 64 * 1024, () -> true, () -> {}))
                 .isTrue();
     }
 
     @Test
     void healthChecksDoNotWait() {
         crowd(100);
-        ask(Line.AT_ONCE, "check", 1_000_000);
+        ask(RequestClass.AT_ONCE, "check", 1_000_000);
         assertThat(served).containsExactly("check");
     }
 }
--- a/src/test/java/io/sillreel/leadership/TakeoverTest.java
+++ b/src/test/java/io/sillreel/leadership/FailoverTest.java
@@ -2,22 +2,22 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.sillreel.http.Call;
+import io.sillreel.http.HttpRequest;
 import io.sillreel.http.Json;
+import io.sillreel.sim.SimCluster;
 import io.sillreel.sim.SimNetwork.Fate;
 import io.sillreel.sim.SimNetwork.Rule;
 import io.sillreel.sim.TaskSteps;
-import io.sillreel.sim.World;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class TakeoverTest {
-    private final World world = new World(1);
+class FailoverTest {
+    private final SimCluster world = new SimCluster(1);
 
     @Test
     void aJobRunsAndEveryControllerTellsItsEnd() {
         world.seconds(2);
-        assertThat(world.submit(0, World.job("job-000001", 6)).status()).isEqualTo(201);
+        assertThat(world.submit(0, SimCluster.job("job-000001", 6)).status()).isEqualTo(201);
         world.seconds(30);
         for (int node = 0; node < 3; node++) {
             assertThat(world.stage(node, "job-000001")).isEqualTo("done");
@@ -46,7 +46,7 @@
             world.slow(node, 30_000);
         }
         world.seconds(3);
-        world.submit(0, World.job("job-000001", 12));
+        world.submit(0, SimCluster.job("job-000001", 12));
         world.untilStarted(12, 20_000_000);
         for (int node = 0; node < 3; node++) {
             world.restart(node);
@@ -65,7 +65,7 @@
     void theLeaderDiesBetweenStoringTheReleaseAndLaunching() {
         world.seconds(2);
         int leader = world.leader();
-        world.submit((leader + 1) % 3, World.job("job-000001", 4));
+        world.submit((leader + 1) % 3, SimCluster.job("job-000001", 4));
         world.until(() -> world.state().value("run/job-000001") != null);
         world.kill(leader);
         assertThat(world.starts()).isZero();
@@ -78,7 +78,7 @@
     @Test
     void theLeaderDiesWhileTasksRunAndTheyAreNotStartedAgain() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 4));
+        world.submit(0, SimCluster.job("job-000001", 4));
         world.untilStarted(4, 10_000_000);
         int leader = world.leader();
         world.kill(leader);
@@ -92,7 +92,7 @@
     @Test
     void tasksOnAMachineThatTheNewLeaderCannotHearAreNotStartedElsewhere() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 8));
+        world.submit(0, SimCluster.job("job-000001", 8));
         String machine = TaskSteps.leaveTasksOnOneMachine(world, 8);
         int leader = world.leader();
         world.kill(leader);
@@ -106,7 +106,7 @@
     @Test
     void aLeaderThatIsRestartedAtOnceTakesItsOwnLeaseOver() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 8));
+        world.submit(0, SimCluster.job("job-000001", 8));
         world.until(() -> world.starts() >= 3);
         int leader = world.leader();
         long term = world.state().value("term").path("term").asLong();
@@ -122,8 +122,8 @@
     @Test
     void allControllersDieAndWhatWasAcceptedStillRuns() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 10));
-        world.submit(1, World.job("job-000002", 3));
+        world.submit(0, SimCluster.job("job-000001", 10));
+        world.submit(1, SimCluster.job("job-000002", 3));
         world.seconds(6);
         for (int node = 0; node < 3; node++) {
             world.kill(node);
@@ -151,7 +151,7 @@
                                         .contains("\"set\":\"run/")
                         ? Fate.HOLD
                         : null);
-        world.submit((old + 1) % 3, World.job("job-000001", 2));
+        world.submit((old + 1) % 3, SimCluster.job("job-000001", 2));
         world.seconds(1);
         world.kill(old);
         world.network().remove(hold);
@@ -166,7 +166,7 @@
     @Test
     void aLeaderCutFromTheStateServiceStopsLaunchingAndIsSucceeded() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 4));
+        world.submit(0, SimCluster.job("job-000001", 4));
         world.seconds(8);
         int old = world.leader();
         String host = "10.0.0." + old;
@@ -174,7 +174,8 @@
         world.seconds(5);
         assertThat(world.leader()).isNotEqualTo(old);
         int other = (old + 1) % 3;
-        assertThat(world.submit(other, World.job("job-000002", 4)).status()).isEqualTo(201);
+        assertThat(world.submit(other, SimCluster.job("job-000002", 4)).status())
+                .isEqualTo(201);
         world.seconds(40);
         assertThat(world.stage(other, "job-000001")).isEqualTo("done");
         assertThat(world.stage(other, "job-000002")).isEqualTo("done");
@@ -185,7 +186,7 @@
     @Test
     void tasksSurviveAnOutageOfTheStateService() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 2));
+        world.submit(0, SimCluster.job("job-000001", 2));
         world.untilStarted(2, 18_000_000);
         world.state().outage(true);
         world.seconds(14);
@@ -204,7 +205,7 @@
     @Test
     void aLeaderCutFromTheStateServiceDoesNotKeepCancelledTasksAlive() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 2));
+        world.submit(0, SimCluster.job("job-000001", 2));
         world.untilStarted(2, 600_000_000);
         int old = world.leader();
         String host = "10.0.0." + old;
@@ -234,7 +235,7 @@
         world.network()
                 .add((from, to, call) ->
                         from.startsWith("host-") && to.startsWith("10.0.0." + leader) ? Fate.LOSE : null);
-        world.submit(leader, World.job("job-000001", 3));
+        world.submit(leader, SimCluster.job("job-000001", 3));
         world.seconds(60);
         assertThat(world.leader()).isEqualTo(leader);
         assertThat(world.stage(leader, "job-000001")).isEqualTo("done");
@@ -248,7 +249,7 @@
         world.state().compact();
         world.seconds(12);
         assertThat(world.state().value("term").path("term").asLong()).isGreaterThan(term);
-        world.submit(0, World.job("job-000001", 1));
+        world.submit(0, SimCluster.job("job-000001", 1));
         world.seconds(30);
         assertThat(world.stage(1, "job-000001")).isEqualTo("done");
     }
@@ -267,7 +268,7 @@
                 .put("tally", 1)
                 .put("baton", 99);
         heartbeat.putArray("pieces");
-        assertThat(world.ask(leader, Call.post("/agent/beat", heartbeat)).status())
+        assertThat(world.ask(leader, HttpRequest.post("/agent/beat", heartbeat)).status())
                 .isEqualTo(503);
         world.seconds(10);
         assertThat(world.leader()).isNotNegative();
@@ -277,7 +278,7 @@
     @Test
     void machinesThatWereSilentBeyondTheirLeasesHoldUpNoTakeover() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 900));
+        world.submit(0, SimCluster.job("job-000001", 900));
         world.untilStarted(30, 6_000_000);
         List<String> names = List.copyOf(world.cloud().machines().keySet());
         List<String> silent = names.subList(0, names.size() / 2);
@@ -301,14 +302,14 @@
     @Test
     void aLeaderThatStandsStillYieldsWhenItGoesOn() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 8));
+        world.submit(0, SimCluster.job("job-000001", 8));
         world.untilStarted(8, 30_000_000);
         world.cloud().machines().values().forEach(worker -> worker.runMicros(3_000_000));
         int leader = world.leader();
         world.freeze(leader, 10_000_000);
         world.until(() -> world.leader() >= 0 && world.leader() != leader);
         int next = world.leader();
-        world.submit(next, World.job("job-000002", 4));
+        world.submit(next, SimCluster.job("job-000002", 4));
         world.seconds(20);
         assertThat(world.leader()).isEqualTo(next);
         assertThat(world.stage(leader, "job-000002")).isEqualTo("done");
@@ -322,7 +323,7 @@
     @Test
     void aFollowerThatStandsStillHandsOnNothingThatMatters() {
         world.seconds(2);
-        world.submit(0, World.job("job-000001", 40));
+        world.submit(0, SimCluster.job("job-000001", 40));
         world.untilStarted(16, 4_000_000);
         int leader = world.leader();
         int follower = (leader + 1) % 3;
@@ -341,9 +342,9 @@
     @Test
     void aCandidateThatStandsStillInMidElectionHoldsUpNobody() {
         for (int halfSeconds = 4; halfSeconds <= 8; halfSeconds++) {
-            World each = new World(30 + halfSeconds);
+            SimCluster each = new SimCluster(30 + halfSeconds);
             each.seconds(2);
-            each.submit(0, World.job("job-000001", 8));
+            each.submit(0, SimCluster.job("job-000001", 8));
             each.until(() -> each.starts() >= 8);
             int leader = each.leader();
             each.kill(leader);
--- a/src/test/java/io/sillreel/leadership/StoredStateReaderTest.java
+++ b/src/test/java/io/sillreel/leadership/StoredStateReaderTest.java
@@ -2,16 +2,16 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.sillreel.http.Call;
+import io.sillreel.http.HttpRequest;
 import io.sillreel.http.Json;
 import io.sillreel.pipeline.JobIdSet;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
+import io.sillreel.sim.SimCluster;
 import io.sillreel.sim.SimNetwork;
 import io.sillreel.sim.SimNetwork.Fate;
-import io.sillreel.sim.SimState;
+import io.sillreel.sim.SimStateStore;
 import io.sillreel.sim.SimTime;
-import io.sillreel.sim.World;
 import io.sillreel.statestore.StateStore;
 import java.util.ArrayList;
 import java.util.List;
@@ -27,7 +27,7 @@
     private static final int VALUE_BYTES = 8 * 1024;
 
     private final SimTime time = new SimTime();
-    private final SimState state = new SimState(time, 20, VALUE_BYTES, 1e9);
+    private final SimStateStore state = new SimStateStore(time, 20, VALUE_BYTES, 1e9);
     private final List<String> unfinished = new ArrayList<>();
     private final List<String> released = new ArrayList<>();
 
@@ -37,14 +37,14 @@
                 .addObject()
                 .put("set", key)
                 .set("v", Json.parse(value.toString().getBytes()));
-        state.handle(Call.post("/txn", body)).join();
+        state.handle(HttpRequest.post("/txn", body)).join();
     }
 
     /** Stores jobs under ids of many lengths in a random order: some done, some released, some only admitted. */
     private void store(Random random) {
         for (int job = 0; job < JOBS; job++) {
             String uid = "job-" + "0".repeat(random.nextInt(4)) + job;
-            put(PlanRecord.key(uid), Json.object().put("at_us", job).set("job", World.job(uid, 4)));
+            put(PlanRecord.key(uid), Json.object().put("at_us", job).set("job", SimCluster.job(uid, 4)));
             int kind = random.nextInt(3);
             if (kind == 0) {
                 put(RunRecord.key(uid), Json.object().put("stage", RunRecord.DONE));
--- a/src/test/java/io/sillreel/load/LoadDriver.java
+++ b/src/test/java/io/sillreel/load/LoadDriver.java
@@ -4,11 +4,11 @@
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
-import io.sillreel.http.Call;
-import io.sillreel.http.HttpClient;
-import io.sillreel.http.HttpServer;
-import io.sillreel.http.NettyLoop;
-import io.sillreel.sim.SimState;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.NettyEventLoop;
+import io.sillreel.http.NettyHttpClient;
+import io.sillreel.http.NettyHttpServer;
+import io.sillreel.sim.SimStateStore;
 import io.sillreel.sim.SimTime;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -82,17 +82,17 @@
     private int lostSeconds;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final NettyLoop loop = new NettyLoop(group.next());
-    private final HttpClient client = new HttpClient(group.next(), 4, MAX_ANSWER_BYTES);
+    private final NettyEventLoop loop = new NettyEventLoop(group.next());
+    private final NettyHttpClient client = new NettyHttpClient(group.next(), 4, MAX_ANSWER_BYTES);
     private final SimTime time = new SimTime();
     private final List<String> run = new ArrayList<>();
     private final List<String> publicAddresses = new ArrayList<>();
     private final List<String> internalAddresses = new ArrayList<>();
     private final List<Path> configs = new ArrayList<>();
     private Process[] processes = {};
-    private SimState state;
-    private StandIns standIns;
-    private StandIns.Users users;
+    private SimStateStore state;
+    private SimulatedServices standIns;
+    private SimulatedServices.Users users;
 
     private void setUp() throws IOException {
         for (String line : Files.readAllLines(Path.of("deploy/service.toml"))) {
@@ -108,16 +108,17 @@
         }
         int statePort = freePort();
         int cloudPort = freePort();
-        standIns = new StandIns(
+        standIns = new SimulatedServices(
                 group.next(), loop, publicAddresses, workers, Math.round(reportSeconds * SECOND), cloudRate);
-        users = new StandIns.Users(group.next(), loop, publicAddresses);
-        state = new SimState(time, 48, 32 * 1024, Double.MAX_VALUE);
+        users = new SimulatedServices.Users(group.next(), loop, publicAddresses);
+        state = new SimStateStore(time, 48, 32 * 1024, Double.MAX_VALUE);
         StoredJobs stored = new StoredJobs(state);
         stored.addDone(done);
         stored.addAwaiting(awaiting);
         state.limits(48, 32 * 1024, 100);
-        new HttpServer(group, 128 * 1024, 1_000).listen(new InetSocketAddress("127.0.0.1", statePort), state);
-        new HttpServer(group, 128 * 1024, 1_000).listen(new InetSocketAddress("127.0.0.1", cloudPort), standIns::cloud);
+        new NettyHttpServer(group, 128 * 1024, 1_000).listen(new InetSocketAddress("127.0.0.1", statePort), state);
+        new NettyHttpServer(group, 128 * 1024, 1_000)
+                .listen(new InetSocketAddress("127.0.0.1", cloudPort), standIns::cloud);
         Path folder = Files.createTempDirectory("sillreel-load");
         for (int node = 0; node < controllers; node++) {
             configs.add(Files.writeString(
@@ -215,7 +216,7 @@
     }
 
     private boolean isUp(int node) {
-        return client.call(publicAddresses.get(node), Call.get("/up"), SECOND)
+        return client.call(publicAddresses.get(node), HttpRequest.get("/up"), SECOND)
                 .join()
                 .ok();
     }
@@ -230,7 +231,7 @@
     }
 
     private JsonNode ask(int node, String path) {
-        return client.call(internalAddresses.get(node), Call.get(path), SECOND)
+        return client.call(internalAddresses.get(node), HttpRequest.get(path), SECOND)
                 .join()
                 .json();
     }
--- a/src/test/java/io/sillreel/load/LossMeasurement.java
+++ b/src/test/java/io/sillreel/load/LossMeasurement.java
@@ -1,9 +1,9 @@
 package io.sillreel.load;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.sillreel.http.Loop;
-import io.sillreel.sim.SimState;
-import io.sillreel.sim.SimState.Image;
+import io.sillreel.http.EventLoop;
+import io.sillreel.sim.SimStateStore;
+import io.sillreel.sim.SimStateStore.Image;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
@@ -13,13 +13,13 @@
 final class LossMeasurement {
     private static final long GIVE_UP_MICROS = 120_000_000;
 
-    private final Loop loop;
-    private final SimState state;
-    private final StandIns standIns;
+    private final EventLoop loop;
+    private final SimStateStore state;
+    private final SimulatedServices standIns;
     private final Supplier<JsonNode> status;
 
     /** @param status what the controller that leads says of the loss */
-    LossMeasurement(Loop loop, SimState state, StandIns standIns, Supplier<JsonNode> status) {
+    LossMeasurement(EventLoop loop, SimStateStore state, SimulatedServices standIns, Supplier<JsonNode> status) {
         this.loop = loop;
         this.state = state;
         this.standIns = standIns;
--- a/src/test/java/io/sillreel/load/StandIns.java
+++ b/src/test/java/io/sillreel/load/SimulatedServices.java
@@ -3,15 +3,14 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.netty.channel.EventLoop;
-import io.sillreel.http.Call;
-import io.sillreel.http.HttpClient;
+import io.sillreel.http.EventLoop;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Loop;
-import io.sillreel.http.Reply;
-import io.sillreel.overload.Pacer;
+import io.sillreel.http.NettyHttpClient;
+import io.sillreel.overload.RateLimiter;
 import io.sillreel.sim.MachinePages;
-import io.sillreel.sim.World;
+import io.sillreel.sim.SimCluster;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -26,19 +25,19 @@
  * A cloud and its machines on real sockets, as far as a load needs them: nothing fails, no rule is checked. Lists come
  * in pages, and what passes the cloud's rate is refused.
  */
-final class StandIns {
+final class SimulatedServices {
     private static final long SECOND = 1_000_000;
     private static final long ANSWER_MICROS = 4 * SECOND;
     private static final int CPUS = 4;
     private static final int MAX_ANSWER_BYTES = 1 << 20;
     private static final double BURST_SECONDS = 2;
 
-    private final EventLoop eventLoop;
-    private final Loop loop;
+    private final io.netty.channel.EventLoop eventLoop;
+    private final EventLoop loop;
     private final List<String> controllers;
     private final int capacity;
     private final long reportMicros;
-    private final Pacer cloudRate;
+    private final RateLimiter cloudRate;
     private final Random random = new Random(1);
     private final TreeMap<String, Worker> workers = new TreeMap<>();
     private final Map<String, ArrayNode> rentals = new LinkedHashMap<>();
@@ -50,9 +49,9 @@
     private final Map<String, Long> launchedMicros = new ConcurrentHashMap<>();
 
     /** @param cloudRate how many requests the cloud takes a second */
-    StandIns(
-            EventLoop eventLoop,
-            Loop loop,
+    SimulatedServices(
+            io.netty.channel.EventLoop eventLoop,
+            EventLoop loop,
             List<String> controllers,
             int capacity,
             long reportMicros,
@@ -62,7 +61,7 @@
         this.controllers = controllers;
         this.capacity = capacity;
         this.reportMicros = reportMicros;
-        this.cloudRate = new Pacer(loop, cloudRate, BURST_SECONDS * cloudRate);
+        this.cloudRate = new RateLimiter(loop, cloudRate, BURST_SECONDS * cloudRate);
     }
 
     /** Lists that were answered up to their last page. */
@@ -93,14 +92,14 @@
                 .anyMatch(entry -> entry.getValue() > micros && jobs.contains(entry.getKey()));
     }
 
-    CompletableFuture<Reply> cloud(Call call) {
+    CompletableFuture<HttpResponse> cloud(HttpRequest call) {
         if (!cloudRate.tryTake(1)) {
             refused++;
-            return CompletableFuture.completedFuture(Reply.refusal(429, "too many requests"));
+            return CompletableFuture.completedFuture(HttpResponse.refusal(429, "too many requests"));
         }
         return CompletableFuture.completedFuture(
                 switch (call.method() + " " + call.route()) {
-                    case "GET /flavors" -> Reply.of(200, machineTypes());
+                    case "GET /flavors" -> HttpResponse.of(200, machineTypes());
                     case "POST /machines" -> rental(Json.parse(call.body()));
                     case "POST /machines/return" -> {
                         Json.parse(call.body()).path("hoppers").forEach(name -> {
@@ -109,7 +108,7 @@
                                 gone.gone = true;
                             }
                         });
-                        yield Reply.of(200, Json.object());
+                        yield HttpResponse.of(200, Json.object());
                     }
                     default -> list(call);
                 });
@@ -133,7 +132,7 @@
         return body;
     }
 
-    private Reply rental(JsonNode body) {
+    private HttpResponse rental(JsonNode body) {
         ArrayNode names = rentals.computeIfAbsent(body.path("hire").asText(), request -> {
             ArrayNode fresh = Json.array();
             for (int i = 0; i < body.path("count").asInt() && workers.size() < capacity; i++) {
@@ -146,15 +145,15 @@
             return fresh;
         });
         if (names.isEmpty()) {
-            return Reply.refusal(503, "no capacity");
+            return HttpResponse.refusal(503, "no capacity");
         }
         ObjectNode answer = Json.object();
         answer.set("hoppers", names);
-        return Reply.of(200, answer);
+        return HttpResponse.of(200, answer);
     }
 
-    private Reply list(Call call) {
-        Reply page = MachinePages.page(
+    private HttpResponse list(HttpRequest call) {
+        HttpResponse page = MachinePages.page(
                 call,
                 workers,
                 (worker, entry) -> entry.put("addr", "127.0.0.1:1")
@@ -167,7 +166,7 @@
 
     private final class Worker {
         private final String name;
-        private final HttpClient client = new HttpClient(eventLoop, 1, MAX_ANSWER_BYTES);
+        private final NettyHttpClient client = new NettyHttpClient(eventLoop, 1, MAX_ANSWER_BYTES);
         private final Map<String, ObjectNode> tasks = new LinkedHashMap<>();
         private final Map<String, Long> ends = new LinkedHashMap<>();
         private int node;
@@ -201,11 +200,11 @@
                     .put("baton", token);
             ArrayNode pieces = body.putArray("pieces");
             tasks.values().forEach(pieces::add);
-            client.call(controllers.get(node), Call.post("/agent/beat", body), ANSWER_MICROS)
+            client.call(controllers.get(node), HttpRequest.post("/agent/beat", body), ANSWER_MICROS)
                     .thenAccept(this::answered);
         }
 
-        private void answered(Reply reply) {
+        private void answered(HttpResponse reply) {
             if (reply.status() == 421) {
                 node = Integer.parseInt(reply.json().path("foreman").asText().substring("hopper-".length()));
                 loop.after(SECOND / 4, this::report);
@@ -246,17 +245,17 @@
 
     /** Jobs that were submitted and are not known to be done. */
     static final class Users {
-        private final Loop loop;
-        private final HttpClient client;
+        private final EventLoop loop;
+        private final NettyHttpClient client;
         private final List<String> controllers;
         private final List<String> open = new CopyOnWriteArrayList<>();
         private final Random random = new Random(2);
         private int jobs;
         private long asked;
 
-        Users(EventLoop eventLoop, Loop loop, List<String> controllers) {
+        Users(io.netty.channel.EventLoop eventLoop, EventLoop loop, List<String> controllers) {
             this.loop = loop;
-            this.client = new HttpClient(eventLoop, 8, MAX_ANSWER_BYTES);
+            this.client = new NettyHttpClient(eventLoop, 8, MAX_ANSWER_BYTES);
             this.controllers = controllers;
         }
 
@@ -268,15 +267,15 @@
             return asked;
         }
 
-        private CompletableFuture<Reply> ask(Call call) {
+        private CompletableFuture<HttpResponse> ask(HttpRequest call) {
             asked++;
             return client.call(controllers.get(random.nextInt(controllers.size())), call, 2 * SECOND);
         }
 
         void submitEvery(long micros, int pieces) {
             String uid = "job-%06d".formatted(++jobs);
-            ObjectNode job = World.job(uid, pieces).put("guess_s", 20.0).put("due_s", 100.0);
-            ask(Call.post("/v2/runs", job)).thenAccept(reply -> {
+            ObjectNode job = SimCluster.job(uid, pieces).put("guess_s", 20.0).put("due_s", 100.0);
+            ask(HttpRequest.post("/v2/runs", job)).thenAccept(reply -> {
                 if (reply.status() == 201) {
                     open.add(uid);
                 }
@@ -286,7 +285,7 @@
 
         void pollEvery(long micros) {
             for (String uid : List.copyOf(open)) {
-                ask(Call.get("/v2/runs/" + uid)).thenAccept(reply -> {
+                ask(HttpRequest.get("/v2/runs/" + uid)).thenAccept(reply -> {
                     if (reply.json().path("stage").asText().equals("done")) {
                         open.remove(uid);
                     }
--- a/src/test/java/io/sillreel/load/StoredJobs.java
+++ b/src/test/java/io/sillreel/load/StoredJobs.java
@@ -3,13 +3,13 @@
 import static io.sillreel.sim.SimJobs.uid;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Call;
+import io.sillreel.http.HttpRequest;
 import io.sillreel.http.Json;
 import io.sillreel.pipeline.JobSpec;
 import io.sillreel.pipeline.PlanRecord;
-import io.sillreel.pipeline.Rank;
+import io.sillreel.pipeline.PriorityClass;
 import io.sillreel.pipeline.RunRecord;
-import io.sillreel.sim.SimState;
+import io.sillreel.sim.SimStateStore;
 import java.util.List;
 
 /** What earlier terms left in the state service: jobs that are done, and jobs that await one which never starts. */
@@ -20,10 +20,10 @@
     /** Half of the unfinished jobs await the one before them, half await the first. */
     private static final int FANS = 2;
 
-    private final SimState state;
+    private final SimStateStore state;
     private int next = FIRST_UID;
 
-    StoredJobs(SimState state) {
+    StoredJobs(SimStateStore state) {
         this.state = state;
     }
 
@@ -55,7 +55,7 @@
     private void store(String key, ObjectNode value) {
         ObjectNode body = Json.object();
         body.putArray("then").addObject().put("set", key).set("v", value);
-        state.handle(Call.post("/txn", body)).join();
+        state.handle(HttpRequest.post("/txn", body)).join();
     }
 
     private static JobSpec spec(String uid, List<String> builds, List<String> awaits) {
@@ -63,7 +63,7 @@
                 uid,
                 "a-class-of-jobs",
                 "t",
-                Rank.BEST_EFFORT,
+                PriorityClass.BEST_EFFORT,
                 60,
                 1.0,
                 0.0,
--- a/src/test/java/io/sillreel/overload/AdaptiveLimitTest.java
+++ b/src/test/java/io/sillreel/overload/AdaptiveLimitTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.sillreel.http.Call;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Reply;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -15,10 +15,10 @@
 
     @Test
     void pollsLeaveRoomForSubmissionsAndTheRestIsRefusedAtOnce() {
-        List<CompletableFuture<Reply>> held = new ArrayList<>();
+        List<CompletableFuture<HttpResponse>> held = new ArrayList<>();
         AdaptiveLimit limit = new AdaptiveLimit(
                 call -> {
-                    CompletableFuture<Reply> answer = new CompletableFuture<>();
+                    CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
                     held.add(answer);
                     return answer;
                 },
@@ -26,20 +26,20 @@
                 4_000,
                 () -> nowMicros);
         for (int i = 0; i < 30; i++) {
-            limit.handle(Call.get("/v2/runs/job-000001"));
+            limit.handle(HttpRequest.get("/v2/runs/job-000001"));
         }
         int polls = held.size();
         assertThat(polls).isEqualTo(14);
-        CompletableFuture<Reply> submission = limit.handle(Call.post("/v2/runs", Json.object()));
+        CompletableFuture<HttpResponse> submission = limit.handle(HttpRequest.post("/v2/runs", Json.object()));
         assertThat(submission).isNotDone();
         for (int i = 0; i < 10; i++) {
-            limit.handle(Call.post("/v2/runs", Json.object()));
+            limit.handle(HttpRequest.post("/v2/runs", Json.object()));
         }
-        CompletableFuture<Reply> tooMany = limit.handle(Call.post("/v2/runs", Json.object()));
+        CompletableFuture<HttpResponse> tooMany = limit.handle(HttpRequest.post("/v2/runs", Json.object()));
         assertThat(tooMany.join().status()).isEqualTo(429);
         assertThat(tooMany.join().retryAfterSeconds()).isPositive();
-        held.forEach(answer -> answer.complete(Reply.of(200, Json.object())));
-        assertThat(limit.handle(Call.get("/v2/runs/job-000001"))).isNotDone();
+        held.forEach(answer -> answer.complete(HttpResponse.of(200, Json.object())));
+        assertThat(limit.handle(HttpRequest.get("/v2/runs/job-000001"))).isNotDone();
     }
 
     /** Guards against a job that nobody ever gets an answer about while others are asked about without end. */
@@ -50,21 +50,25 @@
                 call -> {
                     asked.add(call.path());
                     return call.path().endsWith("owed")
-                            ? CompletableFuture.completedFuture(Reply.of(200, Json.object()))
+                            ? CompletableFuture.completedFuture(HttpResponse.of(200, Json.object()))
                             : new CompletableFuture<>();
                 },
                 20,
                 4_000,
                 () -> nowMicros);
         for (int i = 0; i < 30; i++) {
-            limit.handle(Call.get("/v2/runs/others"));
+            limit.handle(HttpRequest.get("/v2/runs/others"));
         }
-        assertThat(limit.handle(Call.get("/v2/runs/owed")).join().status()).isEqualTo(429);
+        assertThat(limit.handle(HttpRequest.get("/v2/runs/owed")).join().status())
+                .isEqualTo(429);
         nowMicros += 5_000_000;
-        assertThat(limit.handle(Call.get("/v2/runs/owed")).join().status()).isEqualTo(429);
+        assertThat(limit.handle(HttpRequest.get("/v2/runs/owed")).join().status())
+                .isEqualTo(429);
         nowMicros += 6_000_000;
-        assertThat(limit.handle(Call.get("/v2/runs/owed")).join().status()).isEqualTo(200);
-        assertThat(limit.handle(Call.get("/v2/runs/owed")).join().status()).isEqualTo(429);
+        assertThat(limit.handle(HttpRequest.get("/v2/runs/owed")).join().status())
+                .isEqualTo(200);
+        assertThat(limit.handle(HttpRequest.get("/v2/runs/owed")).join().status())
+                .isEqualTo(429);
         assertThat(asked).containsOnlyOnce("/v2/runs/owed");
     }
 }
--- a/src/test/java/io/sillreel/pipeline/QuietWatcher.java
+++ b/src/test/java/io/sillreel/pipeline/IgnoringListener.java
@@ -1,10 +1,10 @@
 package io.sillreel.pipeline;
 
-import io.sillreel.statestore.KeyWriter;
+import io.sillreel.statestore.WriteQueue;
 import java.util.List;
 
 /** Takes no notice of what becomes of a job's record. */
-public class QuietWatcher implements ActiveJob.Watcher {
+public class IgnoringListener implements ActiveJob.Listener {
     @Override
     public void recordStored(ActiveJob job) {}
 
@@ -12,5 +12,5 @@
     public void foundCancelled(ActiveJob job) {}
 
     @Override
-    public void toWrite(List<? extends KeyWriter.Item> items) {}
+    public void toWrite(List<? extends WriteQueue.PendingWrite> items) {}
 }
--- a/src/test/java/io/sillreel/pipeline/JobChainTest.java
+++ b/src/test/java/io/sillreel/pipeline/JobChainTest.java
@@ -4,11 +4,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Reply;
+import io.sillreel.http.HttpResponse;
+import io.sillreel.sim.FailureInjector;
+import io.sillreel.sim.SimCluster;
 import io.sillreel.sim.SimNetwork.Fate;
 import io.sillreel.sim.SimNetwork.Rule;
-import io.sillreel.sim.Troubles;
-import io.sillreel.sim.World;
 import java.util.List;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.BeforeEach;
@@ -17,7 +17,7 @@
 /** Jobs that await others, seen from outside; the world checks that none starts too early and that none is orphaned. */
 class JobChainTest {
     private static final long SECOND = 1_000_000;
-    private final World world = new World(31);
+    private final SimCluster world = new SimCluster(31);
 
     @BeforeEach
     void begin() {
@@ -25,7 +25,7 @@
     }
 
     private int accepted(int node, ObjectNode job) {
-        Reply reply = world.submit(node, job);
+        HttpResponse reply = world.submit(node, job);
         for (int tries = 0; tries < 20 && reply.status() / 100 != 2; tries++) {
             world.seconds(1);
             reply = world.submit(node, job);
@@ -48,10 +48,11 @@
     /** The chain of the users: one, then two beside each other, then one that needs the first as well. */
     @Test
     void eachStepStartsOnlyOnceAllThatItAwaitsIsDone() {
-        world.submit(0, World.job(uid(1), 3));
-        world.submit(1, World.job(uid(2), 4, uid(1)));
-        world.submit(2, World.job(uid(3), 2, uid(1)));
-        assertThat(world.submit(0, World.job(uid(4), 2, uid(2), uid(3), uid(1))).status())
+        world.submit(0, SimCluster.job(uid(1), 3));
+        world.submit(1, SimCluster.job(uid(2), 4, uid(1)));
+        world.submit(2, SimCluster.job(uid(3), 2, uid(1)));
+        assertThat(world.submit(0, SimCluster.job(uid(4), 2, uid(2), uid(3), uid(1)))
+                        .status())
                 .isEqualTo(201);
         everyNodeSays(uid(4), "queued");
         world.untilStarted(3, 3 * SECOND);
@@ -67,10 +68,10 @@
     /** Guards what a submission may name, and who says so: the state service, and nobody's memory. */
     @Test
     void whatASubmissionNamesIsChecked() {
-        world.submit(0, World.job(uid(1), 1));
-        assertThat(world.submit(1, World.job(uid(2), 1).putNull("awaits")).status())
+        world.submit(0, SimCluster.job(uid(1), 1));
+        assertThat(world.submit(1, SimCluster.job(uid(2), 1).putNull("awaits")).status())
                 .isEqualTo(201);
-        assertThat(world.submit(1, World.job(uid(3), 1, new String[0])).status())
+        assertThat(world.submit(1, SimCluster.job(uid(3), 1, new String[0])).status())
                 .isEqualTo(201);
         List<Consumer<ObjectNode>> mistakes = List.of(
                 job -> job.put("awaits", uid(1)),
@@ -81,32 +82,32 @@
                 job -> job.putArray("awaits").addNull(),
                 job -> job.putArray("awaits").add(uid(1)).add("job-"));
         for (Consumer<ObjectNode> mistake : mistakes) {
-            ObjectNode job = World.job(uid(4), 1);
+            ObjectNode job = SimCluster.job(uid(4), 1);
             mistake.accept(job);
             assertThat(world.submit(2, job).status()).as(job.toString()).isEqualTo(400);
         }
-        assertThat(world.submit(2, World.job(uid(4), 1, uid(1), uid(99))).status())
+        assertThat(world.submit(2, SimCluster.job(uid(4), 1, uid(1), uid(99))).status())
                 .isEqualTo(422);
-        assertThat(world.submit(2, World.job(uid(4), 1, uid(4))).status()).isEqualTo(422);
-        assertThat(world.submit(2, World.job(uid(4), 1, uid(1)).put("vcpus", 64.0))
+        assertThat(world.submit(2, SimCluster.job(uid(4), 1, uid(4))).status()).isEqualTo(422);
+        assertThat(world.submit(2, SimCluster.job(uid(4), 1, uid(1)).put("vcpus", 64.0))
                         .status())
                 .isEqualTo(422);
         assertThat(world.poll(0, uid(4)).status()).isEqualTo(404);
-        assertThat(world.submit(2, World.job(uid(4), 1, uid(1), uid(1))).status())
+        assertThat(world.submit(2, SimCluster.job(uid(4), 1, uid(1), uid(1))).status())
                 .isEqualTo(201);
         assertThat(world.state().value("plan/" + uid(4)).path("job").path("awaits"))
                 .hasSize(1);
         world.state().outage(true);
-        assertThat(world.submit(2, World.job(uid(5), 1, uid(99))).status()).isEqualTo(503);
+        assertThat(world.submit(2, SimCluster.job(uid(5), 1, uid(99))).status()).isEqualTo(503);
         world.state().outage(false);
         world.seconds(30);
         // A repeat is answered with the state, whatever became of what it names.
-        assertThat(world.submit(0, World.job(uid(4), 1, uid(1)))
+        assertThat(world.submit(0, SimCluster.job(uid(4), 1, uid(1)))
                         .json()
                         .path("stage")
                         .asText())
                 .isEqualTo("done");
-        assertThat(world.submit(0, World.job(uid(4), 1, uid(98))).status()).isEqualTo(200);
+        assertThat(world.submit(0, SimCluster.job(uid(4), 1, uid(98))).status()).isEqualTo(200);
         assertThat(world.broken()).isEmpty();
     }
 
@@ -115,9 +116,9 @@
     void whatAnotherControllerAcceptedThisVeryMomentIsFound() {
         for (int i = 1; i <= 20; i++) {
             String first = uid(2 * i);
-            world.submitMeanwhile(i % 3, World.job(first, 1));
+            world.submitMeanwhile(i % 3, SimCluster.job(first, 1));
             world.until(() -> world.state().value("plan/" + first) != null);
-            assertThat(world.submit((i + 1) % 3, World.job(uid(2 * i + 1), 1, first))
+            assertThat(world.submit((i + 1) % 3, SimCluster.job(uid(2 * i + 1), 1, first))
                             .status())
                     .isEqualTo(201);
         }
@@ -129,11 +130,11 @@
     /** Guards readers: what follows a cancelled job is cancelled at once, though nobody has written that down yet. */
     @Test
     void aCancellationClosesAllThatFollowsWhoeverIsAsked() {
-        world.submit(0, World.job(uid(1), 4).put("guess_s", 60.0));
-        world.submit(1, World.job(uid(2), 2, uid(1)));
-        world.submit(2, World.job(uid(3), 2, uid(2)));
-        world.submit(0, World.job(uid(4), 2, uid(3)));
-        world.submit(0, World.job(uid(5), 2).put("guess_s", 60.0));
+        world.submit(0, SimCluster.job(uid(1), 4).put("guess_s", 60.0));
+        world.submit(1, SimCluster.job(uid(2), 2, uid(1)));
+        world.submit(2, SimCluster.job(uid(3), 2, uid(2)));
+        world.submit(0, SimCluster.job(uid(4), 2, uid(3)));
+        world.submit(0, SimCluster.job(uid(5), 2).put("guess_s", 60.0));
         world.untilStarted(6, 600 * SECOND);
         int leader = world.leader();
         // Nobody leads for the next seconds, so nobody writes what follows.
@@ -147,7 +148,7 @@
                     .isEqualTo("withdrawn");
         }
         // Who names one of them now is accepted, and cancelled with them.
-        Reply late = world.submit(other, World.job(uid(6), 1, uid(4)));
+        HttpResponse late = world.submit(other, SimCluster.job(uid(6), 1, uid(4)));
         assertThat(late.status()).isEqualTo(201);
         assertThat(late.json().path("stage").asText()).isEqualTo("withdrawn");
         everyNodeSays(uid(6), "withdrawn");
@@ -163,11 +164,11 @@
     @Test
     void aCancellationInEachSecondOfAChainClosesWhatFollowsAndNothingElse() {
         for (int half = 0; half < 24; half++) {
-            World each = new World(200 + half);
+            SimCluster each = new SimCluster(200 + half);
             each.seconds(2);
-            each.submit(0, World.job(uid(1), 2));
-            each.submit(1, World.job(uid(2), 2, uid(1)));
-            each.submit(2, World.job(uid(3), 2, uid(2)));
+            each.submit(0, SimCluster.job(uid(1), 2));
+            each.submit(1, SimCluster.job(uid(2), 2, uid(1)));
+            each.submit(2, SimCluster.job(uid(3), 2, uid(2)));
             each.seconds(half * 0.9);
             int step = 1 + half % 3;
             String told = each.cancel(half % 3, uid(step)).json().path("stage").asText();
@@ -197,10 +198,10 @@
     @Test
     void aChainGoesOnThroughTakeoversLateReportsAndLostAnswers() {
         for (int seed = 1; seed <= 5; seed++) {
-            World each = new World(300 + seed);
+            SimCluster each = new SimCluster(300 + seed);
             each.seconds(2);
             for (int job = 1; job <= 8; job++) {
-                each.submit(job % 3, job == 1 ? World.job(uid(1), 3) : World.job(uid(job), 3, uid(job - 1)));
+                each.submit(job % 3, job == 1 ? SimCluster.job(uid(1), 3) : SimCluster.job(uid(job), 3, uid(job - 1)));
             }
             int lost = seed;
             Rule rule = each.network()
@@ -234,16 +235,16 @@
     /** Guards what is awaited and was done long ago, before this term and before this controller. */
     @Test
     void whatIsAwaitedMayBeDoneLongAgo() {
-        world.submit(0, World.job(uid(1), 1));
-        world.submit(0, World.job(uid(2), 1));
+        world.submit(0, SimCluster.job(uid(1), 1));
+        world.submit(0, SimCluster.job(uid(2), 1));
         world.seconds(25);
         everyNodeSays(uid(1), "done");
-        world.submit(1, World.job(uid(3), 1, uid(1), uid(2)));
+        world.submit(1, SimCluster.job(uid(3), 1, uid(1), uid(2)));
         for (int node = 0; node < 3; node++) {
             world.restart(node);
         }
         world.seconds(5);
-        assertThat(world.submit(2, World.job(uid(4), 1, uid(1), uid(3))).status())
+        assertThat(world.submit(2, SimCluster.job(uid(4), 1, uid(1), uid(3))).status())
                 .isEqualTo(201);
         world.seconds(40);
         everyNodeSays(uid(3), "done");
@@ -258,7 +259,7 @@
     void whatIsReadBeforeThePlanOfWhatItAwaitsIsNotReleased() {
         world.cloud().outage(true);
         for (int job = 1; job <= 220; job++) {
-            world.submitMeanwhile(job % 3, World.job(uid(job), 1));
+            world.submitMeanwhile(job % 3, SimCluster.job(uid(job), 1));
             world.seconds(0.05);
         }
         world.seconds(10);
@@ -278,8 +279,8 @@
         Rule unseen = world.network()
                 .add((from, to, call) -> call.path().startsWith("/watch?prefix=plan/") ? Fate.LOSE : null);
         int node = (leader + 1) % 3;
-        assertThat(accepted(node, World.job(uid(0), 1))).isEqualTo(201);
-        assertThat(accepted(node, World.job(uid(999), 1, uid(0)))).isEqualTo(201);
+        assertThat(accepted(node, SimCluster.job(uid(0), 1))).isEqualTo(201);
+        assertThat(accepted(node, SimCluster.job(uid(999), 1, uid(0)))).isEqualTo(201);
         world.seconds(8);
         world.network().remove(unseen);
         assertThat(world.state().value("run/" + uid(999))).isNull();
@@ -295,10 +296,11 @@
     /** Guards the way through a long chain: its links are settled one by one, and polls of its end stay answered. */
     @Test
     void aChainOfHundredsIsClosedFromItsBeginning() {
-        world.submit(0, World.job(uid(1), 1));
+        world.submit(0, SimCluster.job(uid(1), 1));
         world.untilStarted(1, 600 * SECOND);
         for (int job = 2; job <= 300; job++) {
-            assertThat(accepted(job % 3, World.job(uid(job), 1, uid(job - 1)))).isEqualTo(201);
+            assertThat(accepted(job % 3, SimCluster.job(uid(job), 1, uid(job - 1))))
+                    .isEqualTo(201);
         }
         world.seconds(2);
         assertThat(world.stage(1, uid(300))).isEqualTo("queued");
@@ -319,7 +321,7 @@
     void theFirstPollAtTheEndOfALongChainTakesFewRequests() {
         world.cloud().outage(true);
         for (int job = 1; job <= 500; job++) {
-            ObjectNode next = job == 1 ? World.job(uid(1), 1) : World.job(uid(job), 1, uid(job - 1));
+            ObjectNode next = job == 1 ? SimCluster.job(uid(1), 1) : SimCluster.job(uid(job), 1, uid(job - 1));
             assertThat(accepted(0, next)).isIn(200, 201);
         }
         int asked = world.leader() == 1 ? 2 : 1;
@@ -328,7 +330,7 @@
         world.seconds(3);
         int[] requests = {0};
         world.network().add((from, to, call) -> {
-            boolean counts = from.equals(Troubles.host(asked))
+            boolean counts = from.equals(FailureInjector.host(asked))
                     && to.startsWith("state")
                     && !call.path().contains("grants");
             requests[0] += counts ? 1 : 0;
@@ -342,10 +344,10 @@
     /** Guards a step that thousands await: each of them costs its own links and no more. */
     @Test
     void manyFollowersOfOneJobAreAllReleasedByItsEnd() {
-        world.submit(0, World.job(uid(1), 1));
+        world.submit(0, SimCluster.job(uid(1), 1));
         world.untilStarted(1, 90 * SECOND);
         for (int job = 2; job <= 400; job++) {
-            world.submitMeanwhile(job % 3, World.job(uid(job), 1, uid(1)));
+            world.submitMeanwhile(job % 3, SimCluster.job(uid(job), 1, uid(1)));
             world.seconds(0.06);
         }
         world.seconds(10);
@@ -370,7 +372,7 @@
     void limitsThatFallInTheMiddleLoseNothing() {
         for (int job = 1; job <= 30; job++) {
             world.submitMeanwhile(
-                    job % 3, job % 3 == 1 ? World.job(uid(job), 6) : World.job(uid(job), 6, uid(job - 1)));
+                    job % 3, job % 3 == 1 ? SimCluster.job(uid(job), 6) : SimCluster.job(uid(job), 6, uid(job - 1)));
             world.seconds(0.4);
             if (job == 14) {
                 world.state().limits(6, 2 * 1024, 15);
--- a/src/test/java/io/sillreel/pipeline/LongAwaitListTest.java
+++ b/src/test/java/io/sillreel/pipeline/LongAwaitListTest.java
@@ -4,14 +4,14 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Reply;
-import io.sillreel.sim.World;
+import io.sillreel.http.HttpResponse;
+import io.sillreel.sim.SimCluster;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /** Jobs that await more others than fit into one value of the state service. */
 class LongAwaitListTest {
-    private final World world = new World(31);
+    private final SimCluster world = new SimCluster(31);
 
     @BeforeEach
     void begin() {
@@ -19,7 +19,7 @@
     }
 
     private int accepted(int node, ObjectNode job) {
-        Reply reply = world.submit(node, job);
+        HttpResponse reply = world.submit(node, job);
         for (int tries = 0; tries < 20 && reply.status() / 100 != 2; tries++) {
             world.seconds(1);
             reply = world.submit(node, job);
@@ -41,11 +41,11 @@
         String[] names = new String[300];
         for (int i = 0; i < names.length; i++) {
             names[i] = uid(i + 1);
-            world.submitMeanwhile(i % 3, World.job(names[i], 1));
+            world.submitMeanwhile(i % 3, SimCluster.job(names[i], 1));
             world.seconds(0.05);
         }
         world.seconds(5);
-        ObjectNode large = World.job(uid(999), 1, names);
+        ObjectNode large = SimCluster.job(uid(999), 1, names);
         assertThat(accepted(0, large)).isIn(200, 201);
         assertThat(world.state().keysUnder("plan-overflow/" + uid(999))).isNotEmpty();
         everyNodeSays(uid(999), "queued");
@@ -67,11 +67,11 @@
         String[] names = new String[200];
         for (int i = 0; i < names.length; i++) {
             names[i] = uid(i + 1);
-            world.submitMeanwhile(i % 3, World.job(names[i], 1).put("guess_s", 60.0));
+            world.submitMeanwhile(i % 3, SimCluster.job(names[i], 1).put("guess_s", 60.0));
             world.seconds(0.05);
         }
         world.seconds(2);
-        assertThat(accepted(0, World.job(uid(999), 1, names))).isIn(200, 201);
+        assertThat(accepted(0, SimCluster.job(uid(999), 1, names))).isIn(200, 201);
         world.restart(1);
         world.seconds(4);
         assertThat(world.cancel(2, uid(200)).ok()).isTrue();
@@ -88,7 +88,7 @@
         for (int i = 0; i < names.length; i++) {
             names[i] = uid(i + 1);
         }
-        Reply reply = world.submit(0, World.job(uid(9_999), 1, names));
+        HttpResponse reply = world.submit(0, SimCluster.job(uid(9_999), 1, names));
         assertThat(reply.status()).isEqualTo(422);
         assertThat(reply.json().path("error").asText()).contains("too large", "awaits 1000 jobs");
         assertThat(world.poll(1, uid(9_999)).status()).isEqualTo(404);
--- a/src/test/java/io/sillreel/pipeline/PipelineTest.java
+++ b/src/test/java/io/sillreel/pipeline/PipelineTest.java
@@ -8,7 +8,7 @@
 import io.sillreel.pipeline.PipelineRun.JobState;
 import io.sillreel.pipeline.PipelineRun.LinkState;
 import io.sillreel.settings.ValueLimits;
-import io.sillreel.statestore.KeyWriter;
+import io.sillreel.statestore.WriteQueue;
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.List;
@@ -90,15 +90,15 @@
     void aVeryLargeDoneSetStaysWithinTheLargestValue() {
         int valueBytes = 8 * 1024;
         JobSpec spec = spec(100_000);
-        ActiveJob job = new ActiveJob(spec, 7, 0, ValueLimits.fixed(valueBytes), new QuietWatcher());
+        ActiveJob job = new ActiveJob(spec, 7, 0, ValueLimits.fixed(valueBytes), new IgnoringListener());
         for (int piece = 0; piece < 99_999; piece += 2) {
             job.settle(piece);
         }
         // The parts first, one after the other, then the head that names them: each a value and a change of its own.
-        List<KeyWriter.Item> parts = List.copyOf(job.first());
+        List<WriteQueue.PendingWrite> parts = List.copyOf(job.first());
         assertThat(parts).hasSize((100_000 + RunRecord.chunkTasks(valueBytes) - 1) / RunRecord.chunkTasks(valueBytes));
         Map<String, String> values = new HashMap<>();
-        for (KeyWriter.Item part : parts) {
+        for (WriteQueue.PendingWrite part : parts) {
             assertThat(part.changes()).hasSize(1);
             part.changes().forEach((key, value) -> {
                 assertThat(value.toString().length()).isLessThan(valueBytes);
@@ -113,22 +113,22 @@
         job.stored(9);
         assertThat(job.isStored(99_998)).isTrue();
 
-        ActiveJob again = new ActiveJob(spec, 7, 0, ValueLimits.fixed(valueBytes), new QuietWatcher());
+        ActiveJob again = new ActiveJob(spec, 7, 0, ValueLimits.fixed(valueBytes), new IgnoringListener());
         again.inherit(9, RunRecord.Head.of(head.get(job.key())), pieces(values));
         assertThat(again.doneCount()).isEqualTo(50_000);
         assertThat(again.nextWaiting()).isEqualTo(1);
     }
 
-    private static RunRecord.StoredParts pieces(Map<String, String> values) {
+    private static RunRecord.StoredChunks pieces(Map<String, String> values) {
         Map<String, Long> stamps = new HashMap<>();
         values.keySet().forEach(key -> stamps.put(key, 8L));
-        return new RunRecord.StoredParts(values, stamps, RunRecord.chunkTasks(8 * 1024));
+        return new RunRecord.StoredChunks(values, stamps, RunRecord.chunkTasks(8 * 1024));
     }
 
     /** Guards against freeing a piece that a second live task still holds. */
     @Test
     void aPieceWaitsOnlyOnceNoTaskOfItIsLeft() {
-        ActiveJob job = new ActiveJob(spec(1), 7, 0, ValueLimits.fixed(8192), new QuietWatcher());
+        ActiveJob job = new ActiveJob(spec(1), 7, 0, ValueLimits.fixed(8192), new IgnoringListener());
         job.allocate(0);
         job.allocate(0);
         job.deallocate(0);
@@ -151,7 +151,7 @@
                 "job-000001",
                 "l",
                 "t",
-                Rank.NORMAL,
+                PriorityClass.NORMAL,
                 pieces,
                 1,
                 0,
--- a/src/test/java/io/sillreel/pipeline/PlanRecordTest.java
+++ b/src/test/java/io/sillreel/pipeline/PlanRecordTest.java
@@ -26,7 +26,7 @@
                 "job-000412",
                 "train",
                 "vision",
-                Rank.HIGH,
+                PriorityClass.HIGH,
                 16,
                 8.0,
                 1.0,
--- a/src/test/java/io/sillreel/placement/PlacementIndexTest.java
+++ b/src/test/java/io/sillreel/placement/PlacementIndexTest.java
@@ -8,7 +8,7 @@
 import io.sillreel.cluster.Machine;
 import io.sillreel.http.Json;
 import io.sillreel.pipeline.JobSpec;
-import io.sillreel.sim.World;
+import io.sillreel.sim.SimCluster;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -22,7 +22,7 @@
             new MachineType("c8", 8, 0, 32, 50, 0.2, 1, 0.5, 1, List.of("a", "b")));
 
     private static JobSpec job(Random random, int number) {
-        return JobSpec.ofPlan(World.job("job-" + number, 1 + random.nextInt(12))
+        return JobSpec.ofPlan(SimCluster.job("job-" + number, 1 + random.nextInt(12))
                 .put("vcpus", 0.5 * (1 + random.nextInt(6)))
                 .put("reel", "img-" + random.nextInt(3))
                 .put("image_gb", random.nextInt(4))
@@ -52,7 +52,7 @@
         }
 
         @Override
-        public boolean take(MachineSpace space) {
+        public boolean take(FreeCapacity space) {
             int count = Math.min(wanted, space.room(spec));
             wanted -= count;
             space.take(spec, count);
@@ -61,17 +61,17 @@
         }
     }
 
-    private static long fetchStep(MachineSpace space, JobSpec spec) {
+    private static long fetchStep(FreeCapacity space, JobSpec spec) {
         return space.hasImage(spec)
                 ? 0
                 : (long) (spec.imageGb() / space.machine.type().pullGbPerSecond()) / 2;
     }
 
     /** What a look at every machine gives: the order that the index has to keep. */
-    private static List<String> bySorting(List<MachineSpace> spaces, JobSpec spec) {
-        List<MachineSpace> fitting = new ArrayList<>(spaces);
+    private static List<String> bySorting(List<FreeCapacity> spaces, JobSpec spec) {
+        List<FreeCapacity> fitting = new ArrayList<>(spaces);
         fitting.removeIf(space -> space.room(spec) <= 0 || !Cluster.allows(spec, space.machine));
-        fitting.sort(Comparator.<MachineSpace>comparingLong(space -> fetchStep(space, spec))
+        fitting.sort(Comparator.<FreeCapacity>comparingLong(space -> fetchStep(space, spec))
                 .thenComparingInt(space -> space.machine.spot() == spec.saves() ? 0 : 1)
                 .thenComparingDouble(
                         space -> space.hasImage(spec) ? space.cpus : -Math.min(space.room(spec), spec.tasks()))
@@ -85,7 +85,7 @@
     void placesComeInTheOrderOfASortOverAllMachines(RepetitionInfo repetition) {
         Random random = new Random(repetition.getCurrentRepetition());
         PlacementIndex index = new PlacementIndex(0.5);
-        List<MachineSpace> sorted = new ArrayList<>();
+        List<FreeCapacity> sorted = new ArrayList<>();
         for (int number = 0; number < 60; number++) {
             MachineType type = TYPES.get(random.nextInt(2));
             Machine machine = new Machine(
@@ -96,8 +96,8 @@
                     null,
                     0,
                     new AllocationIndex());
-            index.add(new MachineSpace(machine));
-            sorted.add(new MachineSpace(machine));
+            index.add(new FreeCapacity(machine));
+            sorted.add(new FreeCapacity(machine));
         }
         for (int number = 0; number < 60; number++) {
             JobSpec spec = job(random, number);
--- a/src/test/java/io/sillreel/placement/PlannerTest.java
+++ b/src/test/java/io/sillreel/placement/PlannerTest.java
@@ -2,18 +2,18 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.sillreel.agent.Report;
-import io.sillreel.agent.Report.Stage;
+import io.sillreel.agent.Heartbeat;
+import io.sillreel.agent.Heartbeat.TaskStage;
 import io.sillreel.cloud.MachineType;
 import io.sillreel.cluster.Allocation;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
-import io.sillreel.cluster.Rental;
+import io.sillreel.cluster.ScaleOutRequest;
 import io.sillreel.http.Json;
 import io.sillreel.pipeline.ActiveJob;
+import io.sillreel.pipeline.IgnoringListener;
 import io.sillreel.pipeline.JobSpec;
-import io.sillreel.pipeline.QuietWatcher;
-import io.sillreel.pipeline.Rank;
+import io.sillreel.pipeline.PriorityClass;
 import io.sillreel.placement.Planner.Assignment;
 import io.sillreel.placement.Planner.Plan;
 import io.sillreel.settings.Settings.Team;
@@ -28,7 +28,8 @@
 
     private final Cluster cluster = new Cluster(Map.of(
             "s", new Team("s", 8, 100, 0, 0), "t", new Team("t", 8, 100, 0, 0), "free", new Team("free", 0, 0, 0, 0)));
-    private final Planner planner = new Planner(cluster, SECOND, new Deadlines(List.of(), new Estimates()));
+    private final Planner planner =
+            new Planner(cluster, SECOND, new ServiceLevelObjectives(List.of(), new RuntimeEstimator()));
     private long nowMicros = 1_000 * SECOND;
     private long attempts;
     private int jobs;
@@ -45,15 +46,15 @@
                 .put("spot", spot)
                 .put("count", 1);
         value.putArray("machines").add(name);
-        Machine machine =
-                new Machine(name, TYPE, "a", spot, Rental.of("hire/" + name, value, 1), nowMicros, cluster.book());
+        Machine machine = new Machine(
+                name, TYPE, "a", spot, ScaleOutRequest.of("hire/" + name, value, 1), nowMicros, cluster.book());
         cluster.add(machine);
-        machine.advance(new Report(name, name + ":1", "c4", "a", spot, 1, 1, 1, -1, List.of()), false, nowMicros);
+        machine.advance(new Heartbeat(name, name + ":1", "c4", "a", spot, 1, 1, 1, -1, List.of()), false, nowMicros);
         machine.trust();
         return machine;
     }
 
-    private ActiveJob job(String team, Rank rank, int pieces, double cpus, long ageMicros, boolean saves) {
+    private ActiveJob job(String team, PriorityClass rank, int pieces, double cpus, long ageMicros, boolean saves) {
         JobSpec spec = new JobSpec(
                 "job-%06d".formatted(++jobs),
                 "l",
@@ -75,7 +76,8 @@
                 SECOND,
                 -1,
                 List.of());
-        ActiveJob job = new ActiveJob(spec, jobs, nowMicros - ageMicros, ValueLimits.fixed(8_192), new QuietWatcher());
+        ActiveJob job =
+                new ActiveJob(spec, jobs, nowMicros - ageMicros, ValueLimits.fixed(8_192), new IgnoringListener());
         job.stored(1);
         cluster.add(job);
         return job;
@@ -85,7 +87,7 @@
         for (int i = 0; i < tasks; i++) {
             Allocation allocation = Allocation.launched(job, job.nextWaiting(), ++attempts, 0);
             machine.add(allocation);
-            allocation.seen(Stage.RUNNING, nowMicros);
+            allocation.seen(TaskStage.RUNNING, nowMicros);
         }
     }
 
@@ -95,17 +97,17 @@
 
     /** Work that it takes to fill a machine that reports a free place, in a fleet of so many that are full. */
     private long workOfAReport(int machines, int waitingJobs) {
-        ActiveJob running = job("free", Rank.NORMAL, 4 * machines, 1, 0, false);
+        ActiveJob running = job("free", PriorityClass.NORMAL, 4 * machines, 1, 0, false);
         for (int i = 0; i < machines; i++) {
             run(running, machine(i), 4);
         }
         for (int i = 0; i < waitingJobs; i++) {
-            job("free", Rank.NORMAL, 10, 1, 0, false);
+            job("free", PriorityClass.NORMAL, 10, 1, 0, false);
         }
         Plan plan = plan();
         Machine reporting = cluster.machine("host-000001");
         Allocation ended = reporting.allocations().iterator().next();
-        ended.seen(Stage.ENDED, nowMicros);
+        ended.seen(TaskStage.ENDED, nowMicros);
         ended.release();
         long before = cluster.work();
         assertThat(planner.fill(plan, reporting, nowMicros, nowMicros)).hasSize(1);
@@ -126,7 +128,7 @@
             machine(i, i % 3 > 0);
         }
         for (int i = 0; i < waitingJobs; i++) {
-            job("free", Rank.values()[i % 4], 8, 1, 0, i % 2 == 0);
+            job("free", PriorityClass.values()[i % 4], 8, 1, 0, i % 2 == 0);
         }
         assertThat(plan().left()).isEmpty();
         return cluster.work() - machines;
@@ -142,15 +144,15 @@
 
     @Test
     void whatRunsBeyondAGuaranteeYieldsToWorkWithinOneAndSaversYieldFirst() {
-        ActiveJob plain = job("s", Rank.NORMAL, 8, 1, 60 * SECOND, false);
-        ActiveJob saving = job("s", Rank.NORMAL, 4, 1, 60 * SECOND, true);
+        ActiveJob plain = job("s", PriorityClass.NORMAL, 8, 1, 60 * SECOND, false);
+        ActiveJob saving = job("s", PriorityClass.NORMAL, 4, 1, 60 * SECOND, true);
         Machine one = machine(1);
         Machine two = machine(2);
         Machine three = machine(3);
         run(plain, one, 4);
         run(plain, two, 4);
         run(saving, three, 4);
-        job("t", Rank.BEST_EFFORT, 2, 1, 4 * SECOND, false);
+        job("t", PriorityClass.BEST_EFFORT, 2, 1, 4 * SECOND, false);
         assertThat(plan().halts()).as("the aim is not in danger yet").isEmpty();
         nowMicros += 2 * SECOND;
         assertThat(plan().halts()).hasSize(2).allMatch(allocation -> allocation.job() == saving);
@@ -159,13 +161,13 @@
     /** Guards against two that stop each other's tasks in turn: whoever stops must come before whoever was stopped. */
     @Test
     void whatWasStoppedDoesNotTakeThePlaceBack() {
-        ActiveJob owed = job("t", Rank.BEST_EFFORT, 4, 1, 30 * SECOND, false);
+        ActiveJob owed = job("t", PriorityClass.BEST_EFFORT, 4, 1, 30 * SECOND, false);
         Machine one = machine(1);
         run(owed, one, 4);
-        ActiveJob high = job("s", Rank.HIGH, 4, 1, 0, false);
+        ActiveJob high = job("s", PriorityClass.HIGH, 4, 1, 0, false);
         assertThat(plan().halts()).hasSize(4);
         List.copyOf(one.allocations()).forEach(allocation -> {
-            allocation.seen(Stage.ENDED, nowMicros);
+            allocation.seen(TaskStage.ENDED, nowMicros);
             allocation.release();
         });
         assertThat(plan().launches().get("host-000001")).containsExactly(new Assignment(high, 4));
@@ -174,28 +176,28 @@
     /** Guards the other teams' guarantees: what is within them stays, however long somebody waits. */
     @Test
     void whatRunsWithinAGuaranteeIsNotStoppedForAnother() {
-        ActiveJob within = job("s", Rank.NORMAL, 8, 1, 60 * SECOND, true);
+        ActiveJob within = job("s", PriorityClass.NORMAL, 8, 1, 60 * SECOND, true);
         run(within, machine(1), 4);
         run(within, machine(2), 4);
-        job("t", Rank.NORMAL, 2, 1, 60 * SECOND, false);
+        job("t", PriorityClass.NORMAL, 2, 1, 60 * SECOND, false);
         assertThat(plan().halts()).isEmpty();
     }
 
     /** Guards a large task against small ones that take every processor as it comes free. */
     @Test
     void aLargeTaskThatHasWaitedTooLongHasAMachineEmptiedForIt() {
-        ActiveJob large = job("free", Rank.BEST_EFFORT, 1, 4, 130 * SECOND, false);
-        ActiveJob small = job("free", Rank.NORMAL, 20, 1, 0, false);
+        ActiveJob large = job("free", PriorityClass.BEST_EFFORT, 1, 4, 130 * SECOND, false);
+        ActiveJob small = job("free", PriorityClass.NORMAL, 20, 1, 0, false);
         Machine one = machine(1);
         run(small, one, 4);
         Plan plan = plan();
         Allocation ended = one.allocations().iterator().next();
-        ended.seen(Stage.ENDED, nowMicros);
+        ended.seen(TaskStage.ENDED, nowMicros);
         ended.release();
         assertThat(planner.fill(plan, one, nowMicros, nowMicros)).isEmpty();
         assertThat(plan().launches()).isEmpty();
         List.copyOf(one.allocations()).forEach(allocation -> {
-            allocation.seen(Stage.ENDED, nowMicros);
+            allocation.seen(TaskStage.ENDED, nowMicros);
             allocation.release();
         });
         assertThat(planner.fill(plan, one, nowMicros, nowMicros)).containsExactly(new Assignment(large, 1));
@@ -203,13 +205,13 @@
 
     @Test
     void rankGoesBeforeAdmissionUntilAgeEndsThat() {
-        ActiveJob low = job("free", Rank.BEST_EFFORT, 1, 4, 60 * SECOND, false);
-        ActiveJob high = job("free", Rank.HIGH, 1, 4, 0, false);
+        ActiveJob low = job("free", PriorityClass.BEST_EFFORT, 1, 4, 60 * SECOND, false);
+        ActiveJob high = job("free", PriorityClass.HIGH, 1, 4, 0, false);
         machine(1);
         assertThat(plan().launches().get("host-000001")).containsExactly(new Assignment(high, 1));
         nowMicros += 61 * SECOND;
         cluster.machine("host-000001")
-                .advance(new Report("host-000001", "", "c4", "a", true, 1, 2, 1, -1, List.of()), false, nowMicros);
+                .advance(new Heartbeat("host-000001", "", "c4", "a", true, 1, 2, 1, -1, List.of()), false, nowMicros);
         assertThat(plan().launches().get("host-000001")).containsExactly(new Assignment(low, 1));
     }
 
@@ -220,8 +222,8 @@
     void whatSavesItsProgressGoesToSpotMachinesAndTheRestToOrdinaryOnes() {
         Machine spot = machine(1, true);
         Machine ordinary = machine(2, false);
-        ActiveJob other = job("free", Rank.NORMAL, 4, 1, 0, false);
-        ActiveJob saving = job("free", Rank.NORMAL, 4, 1, 0, true);
+        ActiveJob other = job("free", PriorityClass.NORMAL, 4, 1, 0, false);
+        ActiveJob saving = job("free", PriorityClass.NORMAL, 4, 1, 0, true);
         Map<String, List<Assignment>> launches = plan().launches();
         assertThat(launches.get(spot.name())).containsExactly(new Assignment(saving, 4));
         assertThat(launches.get(ordinary.name())).containsExactly(new Assignment(other, 4));
--- a/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
+++ b/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
@@ -5,9 +5,9 @@
 import io.sillreel.cluster.Cluster;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.DependencyGraph;
+import io.sillreel.pipeline.IgnoringListener;
 import io.sillreel.pipeline.JobSpec;
-import io.sillreel.pipeline.QuietWatcher;
-import io.sillreel.pipeline.Rank;
+import io.sillreel.pipeline.PriorityClass;
 import io.sillreel.settings.Settings.Team;
 import io.sillreel.settings.ValueLimits;
 import java.util.ArrayList;
@@ -25,7 +25,7 @@
     private final List<String> ready = new ArrayList<>();
     private final List<String> closed = new ArrayList<>();
     private final List<String> lookedUp = new ArrayList<>();
-    private final Estimates estimates = new Estimates();
+    private final RuntimeEstimator estimates = new RuntimeEstimator();
     private final Cluster cluster = new Cluster(Map.of("t", new Team("t", 10, 0, 0, 0)));
     private final DependencyGraph dependencies = new DependencyGraph(new DependencyGraph.Callbacks() {
         @Override
@@ -48,7 +48,7 @@
     });
     private final PriorityInheritance inheritance = new PriorityInheritance(dependencies, estimates);
 
-    private ActiveJob job(String uid, Rank rank, long dueMicros, String... awaits) {
+    private ActiveJob job(String uid, PriorityClass rank, long dueMicros, String... awaits) {
         JobSpec spec = new JobSpec(
                 uid,
                 "l",
@@ -70,10 +70,10 @@
                 0,
                 dueMicros,
                 List.of(awaits));
-        return new ActiveJob(spec, 1, NOW, ValueLimits.fixed(8_192), new QuietWatcher());
+        return new ActiveJob(spec, 1, NOW, ValueLimits.fixed(8_192), new IgnoringListener());
     }
 
-    private ActiveJob joined(String uid, Rank rank, long dueMicros, String... awaits) {
+    private ActiveJob joined(String uid, PriorityClass rank, long dueMicros, String... awaits) {
         ActiveJob job = job(uid, rank, dueMicros, awaits);
         cluster.add(job);
         dependencies.enter(job, cancelled::contains);
@@ -84,35 +84,35 @@
     /** The last job of a chain alone says how urgent it is; who joins later counts, and who leaves counts no more. */
     @Test
     void theFirstStepIsAsUrgentAsWhatNeedsIt() {
-        ActiveJob first = joined("job-000001", Rank.BEST_EFFORT, -1);
-        ActiveJob second = joined("job-000002", Rank.BEST_EFFORT, -1, "job-000001");
-        assertThat(first.rank()).isEqualTo(Rank.BEST_EFFORT);
+        ActiveJob first = joined("job-000001", PriorityClass.BEST_EFFORT, -1);
+        ActiveJob second = joined("job-000002", PriorityClass.BEST_EFFORT, -1, "job-000001");
+        assertThat(first.rank()).isEqualTo(PriorityClass.BEST_EFFORT);
         assertThat(first.endByMicros()).isEqualTo(Long.MAX_VALUE);
-        ActiveJob last = joined("job-000003", Rank.HIGH, 300 * SECOND, "job-000002");
-        assertThat(List.of(first.rank(), second.rank())).containsOnly(Rank.HIGH);
+        ActiveJob last = joined("job-000003", PriorityClass.HIGH, 300 * SECOND, "job-000002");
+        assertThat(List.of(first.rank(), second.rank())).containsOnly(PriorityClass.HIGH);
         assertThat(second.endByMicros()).isEqualTo(NOW + 300 * SECOND - estimates.spanMicros(last));
         assertThat(first.endByMicros()).isEqualTo(second.endByMicros() - estimates.spanMicros(second));
-        ActiveJob sooner = joined("job-000004", Rank.NORMAL, 60 * SECOND, "job-000001");
+        ActiveJob sooner = joined("job-000004", PriorityClass.NORMAL, 60 * SECOND, "job-000001");
         assertThat(first.endByMicros()).isEqualTo(NOW + 60 * SECOND - estimates.spanMicros(sooner));
-        assertThat(first.rank()).isEqualTo(Rank.HIGH);
+        assertThat(first.rank()).isEqualTo(PriorityClass.HIGH);
         last.cancel();
         inheritance.left(List.of(last));
-        assertThat(second.rank()).isEqualTo(Rank.BEST_EFFORT);
-        assertThat(first.rank()).isEqualTo(Rank.NORMAL);
+        assertThat(second.rank()).isEqualTo(PriorityClass.BEST_EFFORT);
+        assertThat(first.rank()).isEqualTo(PriorityClass.NORMAL);
         sooner.cancel();
         inheritance.left(List.of(sooner));
-        assertThat(first.rank()).isEqualTo(Rank.BEST_EFFORT);
+        assertThat(first.rank()).isEqualTo(PriorityClass.BEST_EFFORT);
         assertThat(first.endByMicros()).isEqualTo(Long.MAX_VALUE);
     }
 
     /** Guards the guarantee: what awaits others takes no part of it, and leaves it to those behind. */
     @Test
     void whatAwaitsOthersTakesNothingOfTheGuarantee() {
-        ActiveJob first = joined("job-000001", Rank.NORMAL, -1);
-        ActiveJob waiting = joined("job-000002", Rank.NORMAL, -1, "job-000001");
-        ActiveJob behind = joined("job-000003", Rank.NORMAL, -1);
-        ActiveJob beyond = joined("job-000004", Rank.NORMAL, -1);
-        ServiceOrder order = new ServiceOrder(cluster, new Deadlines(List.of(), estimates));
+        ActiveJob first = joined("job-000001", PriorityClass.NORMAL, -1);
+        ActiveJob waiting = joined("job-000002", PriorityClass.NORMAL, -1, "job-000001");
+        ActiveJob behind = joined("job-000003", PriorityClass.NORMAL, -1);
+        ActiveJob beyond = joined("job-000004", PriorityClass.NORMAL, -1);
+        QueueOrder order = new QueueOrder(cluster, new ServiceLevelObjectives(List.of(), estimates));
         assertThat(order.guaranteed()).contains(first, behind).doesNotContain(waiting, beyond);
     }
 
@@ -122,10 +122,10 @@
      */
     @Test
     void linksAreRebuiltWhateverTheOrderOfReading() {
-        ActiveJob third = job("job-000003", Rank.NORMAL, -1, "job-000002", "job-000009");
-        ActiveJob second = job("job-000002", Rank.NORMAL, -1, "job-000001");
-        ActiveJob fourth = job("job-000000", Rank.NORMAL, -1, "job-000003");
-        ActiveJob first = job("job-000001", Rank.NORMAL, -1, "job-000008");
+        ActiveJob third = job("job-000003", PriorityClass.NORMAL, -1, "job-000002", "job-000009");
+        ActiveJob second = job("job-000002", PriorityClass.NORMAL, -1, "job-000001");
+        ActiveJob fourth = job("job-000000", PriorityClass.NORMAL, -1, "job-000003");
+        ActiveJob first = job("job-000001", PriorityClass.NORMAL, -1, "job-000008");
         dependencies.begin(List.of(fourth, third, first, second), "job-000008"::equals, uid -> false);
         assertThat(ready).containsExactly("job-000001");
         assertThat(lookedUp).containsExactly("job-000009");
@@ -141,17 +141,17 @@
     /** Guards a plan that is seen before that of a job it awaits, and one whose awaited job ended long ago. */
     @Test
     void whatIsAwaitedMayBeSeenLaterOrHaveEndedLongAgo() {
-        joined("job-000002", Rank.NORMAL, -1, "job-000001", "job-000007");
+        joined("job-000002", PriorityClass.NORMAL, -1, "job-000001", "job-000007");
         assertThat(lookedUp).containsExactly("job-000001", "job-000007");
         dependencies.found("job-000007");
-        ActiveJob first = joined("job-000001", Rank.NORMAL, -1);
+        ActiveJob first = joined("job-000001", PriorityClass.NORMAL, -1);
         assertThat(dependencies.asks("job-000001")).isFalse();
         assertThat(ready).containsExactly("job-000001");
         dependencies.released(first);
         dependencies.done(first);
         assertThat(ready).containsExactly("job-000001", "job-000002");
         cancelled.add("job-000005");
-        joined("job-000003", Rank.NORMAL, -1, "job-000005");
+        joined("job-000003", PriorityClass.NORMAL, -1, "job-000005");
         assertThat(closed).containsExactly("job-000003");
     }
 }
--- a/src/test/java/io/sillreel/placement/ShortageTest.java
+++ b/src/test/java/io/sillreel/placement/ShortageTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.sim.World;
+import io.sillreel.sim.SimCluster;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -16,7 +16,7 @@
     private static final int STEPS = 120;
     private static final double STEP_SECONDS = 2.5;
 
-    private final World world = new World(21);
+    private final SimCluster world = new SimCluster(21);
     private final Random random = new Random(21);
     private final Map<String, Double> askedAt = new HashMap<>();
     private final Map<String, String> classes = new HashMap<>();
@@ -25,11 +25,11 @@
     private void submit(int number) {
         String uid = "job-%06d".formatted(number);
         ObjectNode job = switch (random.nextInt(4)) {
-            case 0 -> World.job(uid, 20).put("rank", "high").put("lot", "urgent");
-            case 1, 2 -> World.job(uid, 60).put("lot", "usual");
+            case 0 -> SimCluster.job(uid, 20).put("rank", "high").put("lot", "urgent");
+            case 1, 2 -> SimCluster.job(uid, 60).put("lot", "usual");
             // A whole machine for each task, while small tasks wait for every processor that comes free.
             default ->
-                World.job(uid, 8)
+                SimCluster.job(uid, 8)
                         .put("rank", "best_effort")
                         .put("lot", "large")
                         .put("vcpus", 4.0)
--- a/src/test/java/io/sillreel/recovery/SurvivorsTest.java
+++ b/src/test/java/io/sillreel/recovery/CollectedMemoriesTest.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class SurvivorsTest {
+class CollectedMemoriesTest {
     private static final List<String> MEMBERS = List.of("a", "b");
 
-    private final Survivors survivors = new Survivors();
+    private final CollectedMemories survivors = new CollectedMemories();
 
     private static RecentChange change(String key, long stamp) {
         return RecentChange.of(key, Json.object().put("at", stamp), stamp);
@@ -21,8 +21,8 @@
         return new Memory(List.of(changes), from, to, own, 1_000, 5_000);
     }
 
-    private static Peaks reached(long ledger) {
-        return Peaks.NONE.withLedger(ledger);
+    private static HighWatermarks reached(long ledger) {
+        return HighWatermarks.NONE.withLedger(ledger);
     }
 
     @Test
@@ -71,7 +71,7 @@
         survivors.add("b", new Memory(List.of(), 11, 20, List.of(), 4_999, 0));
         assertThat(survivors.incomplete(MEMBERS, 12, reached(20), 2))
                 .hasValueSatisfying(why -> assertThat(why).startsWith("b has begun"));
-        Survivors fresh = new Survivors();
+        CollectedMemories fresh = new CollectedMemories();
         fresh.add("a", new Memory(List.of(), 11, 20, List.of(), 4_000, 0));
         assertThat(fresh.incomplete(List.of("a"), 12, reached(20), 2))
                 .hasValueSatisfying(why -> assertThat(why).startsWith("nobody"));
@@ -107,13 +107,15 @@
     @Test
     void pagesArriveAsTheyWereSent() {
         Memory memory = memory(11, 18, List.of(20L, 22L), change("plan/1", 12));
-        Page page = Page.of(new Page(memory, new Peaks(7, 8, 9), false).bytes());
-        assertThat(page.peaks()).isEqualTo(new Peaks(7, 8, 9));
+        Page page = Page.of(new Page(memory, new HighWatermarks(7, 8, 9), false).bytes());
+        assertThat(page.peaks()).isEqualTo(new HighWatermarks(7, 8, 9));
         assertThat(page.last()).isFalse();
         assertThat(page.memory().ownRevisions()).containsExactly(20L, 22L);
         assertThat(page.memory().changes().get(0).json().path("at").asLong()).isEqualTo(12);
         Memory removal = memory(1, 2, List.of(), RecentChange.of("hire/r", null, 2), change("plan/9", 1));
-        assertThat(Page.of(new Page(removal, Peaks.NONE, true).bytes()).memory().changes())
+        assertThat(Page.of(new Page(removal, HighWatermarks.NONE, true).bytes())
+                        .memory()
+                        .changes())
                 .extracting(RecentChange::removed)
                 .containsExactly(true, false);
     }
--- a/src/test/java/io/sillreel/recovery/LostWritesTest.java
+++ b/src/test/java/io/sillreel/recovery/LostWritesTest.java
@@ -1,20 +1,20 @@
 package io.sillreel.recovery;
 
-import static io.sillreel.recovery.RecoveryWorlds.NODES;
-import static io.sillreel.recovery.RecoveryWorlds.open;
+import static io.sillreel.recovery.RecoveryClusters.NODES;
+import static io.sillreel.recovery.RecoveryClusters.open;
 import static io.sillreel.sim.SimJobs.uid;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.FailureScenario;
-import io.sillreel.http.Call;
+import io.sillreel.http.HttpRequest;
 import io.sillreel.http.Json;
+import io.sillreel.sim.FailureInjector;
+import io.sillreel.sim.SimCluster;
 import io.sillreel.sim.SimNetwork.Fate;
 import io.sillreel.sim.SimNetwork.Rule;
-import io.sillreel.sim.SimState.Image;
-import io.sillreel.sim.Troubles;
-import io.sillreel.sim.World;
+import io.sillreel.sim.SimStateStore.Image;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
@@ -22,54 +22,54 @@
 class LostWritesTest {
     private static final long SECOND = 1_000_000;
 
-    private static World begun(long seed) {
-        World world = RecoveryWorlds.start(seed);
+    private static SimCluster begun(long seed) {
+        SimCluster world = RecoveryClusters.start(seed);
         world.seconds(2);
         return world;
     }
 
-    private static long generation(World world) {
+    private static long generation(SimCluster world) {
         JsonNode record = world.state().value(RecoveryRecord.KEY);
         return record == null ? 0 : record.path("generation").asLong();
     }
 
-    private static void untilClosed(World world, long generation) {
+    private static void untilClosed(SimCluster world, long generation) {
         world.until(() -> generation(world) >= generation && !open(world));
     }
 
-    private static JsonNode status(World world, int node) {
-        return world.askAsOperator(node, Call.get("/recovery/status")).json();
+    private static JsonNode status(SimCluster world, int node) {
+        return world.askAsOperator(node, HttpRequest.get("/recovery/status")).json();
     }
 
-    private static void everyNodeSays(World world, int job, String stage) {
+    private static void everyNodeSays(SimCluster world, int job, String stage) {
         FailureScenario.everyNodeSays(world, uid(job), stage);
     }
 
     /** A user repeats what is not accepted. */
-    private static void submit(World world, int node, ObjectNode job) {
+    private static void submit(SimCluster world, int node, ObjectNode job) {
         world.until(() -> world.submit(node, job).status() / 100 == 2);
     }
 
     /** Jobs in every state, most of which they reach after the image was taken; returns the image. */
-    private static Image jobsInEveryState(World world) {
-        submit(world, 0, World.job(uid(1), 4));
-        submit(world, 1, World.job(uid(2), 6));
-        submit(world, 2, World.job(uid(3), 2));
+    private static Image jobsInEveryState(SimCluster world) {
+        submit(world, 0, SimCluster.job(uid(1), 4));
+        submit(world, 1, SimCluster.job(uid(2), 6));
+        submit(world, 2, SimCluster.job(uid(3), 2));
         world.untilStarted(6, 60 * SECOND);
         Image image = world.state().image();
         world.cloud().machines().values().forEach(worker -> worker.runMicros(2 * SECOND));
         world.until(() -> world.cancel(1, uid(3)).ok());
-        submit(world, 2, World.job(uid(4), 3));
-        submit(world, 0, World.job(uid(5), 2, uid(4)));
-        submit(world, 1, World.job(uid(6), 2));
+        submit(world, 2, SimCluster.job(uid(4), 3));
+        submit(world, 0, SimCluster.job(uid(5), 2, uid(4)));
+        submit(world, 1, SimCluster.job(uid(6), 2));
         world.until(() -> world.cancel(2, uid(6)).ok());
         world.until(() -> world.stage(0, uid(1)).equals("done"));
-        submit(world, 0, World.job(uid(7), 12));
+        submit(world, 0, SimCluster.job(uid(7), 12));
         world.untilStarted(world.starts() + 3, 8 * SECOND);
         return image;
     }
 
-    private static void everyJobEnds(World world) {
+    private static void everyJobEnds(SimCluster world) {
         world.cloud().machines().values().forEach(worker -> worker.runMicros(3 * SECOND));
         world.seconds(60);
         for (int job : new int[] {1, 2, 4, 5, 7}) {
@@ -85,7 +85,7 @@
     @Test
     void whatTheControllersRememberIsPutBackAndNothingRunsTwice() {
         for (long seed = 1; seed <= 4; seed++) {
-            World world = begun(seed);
+            SimCluster world = begun(seed);
             Image image = jobsInEveryState(world);
             int term = world.term();
             long ledger = world.state().ledger();
@@ -101,7 +101,7 @@
 
     @Test
     void usersAreToldNothingOlderMeanwhile() {
-        World world = begun(5);
+        SimCluster world = begun(5);
         Image image = jobsInEveryState(world);
         world.state().turnBack(image);
         for (int look = 0; look < 200; look++) {
@@ -118,16 +118,16 @@
     /** Guards against a false alarm: slow, refused, lost and late answers are no loss. */
     @Test
     void answersThatAreLateOrLostAreNoEvidence() {
-        World world = begun(6);
+        SimCluster world = begun(6);
         Random random = new Random(6);
         Rule[] rules = {
-            world.network().add(Troubles.writes("\"set\"", Fate.SLOW_ANSWER, 0.5, random)),
-            world.network().add(Troubles.writes("\"set\"", Fate.LOSE_ANSWER, 0.1, random)),
-            world.network().add(Troubles.reports(Fate.COPY, 0.5, random))
+            world.network().add(FailureInjector.writes("\"set\"", Fate.SLOW_ANSWER, 0.5, random)),
+            world.network().add(FailureInjector.writes("\"set\"", Fate.LOSE_ANSWER, 0.1, random)),
+            world.network().add(FailureInjector.reports(Fate.COPY, 0.5, random))
         };
         world.network().slowness(20);
         for (int job = 1; job <= 6; job++) {
-            world.submitMeanwhile(job % NODES, World.job(uid(job), 2));
+            world.submitMeanwhile(job % NODES, SimCluster.job(uid(job), 2));
             world.seconds(2);
         }
         world.restart(world.leader());
@@ -146,7 +146,7 @@
     /** Guards a verdict that rests on one wrong answer: it is closed again, and changes nothing. */
     @Test
     void aVerdictWithoutALossIsClosedAgain() {
-        World world = begun(7);
+        SimCluster world = begun(7);
         jobsInEveryState(world);
         world.state().misreport(world.state().ledger() - 3);
         untilClosed(world, 1);
@@ -160,7 +160,7 @@
     /** Guards writes that nobody who is left remembers: the service stops until an operator decides. */
     @Test
     void withoutTheControllerThatWroteLastTheServiceWaitsForAnOperator() {
-        World world = begun(8);
+        SimCluster world = begun(8);
         Image image = jobsInEveryState(world);
         int starts = world.starts();
         int ended = world.leader();
@@ -174,7 +174,7 @@
         assertThat(status(world, leader).path("incomplete").asText()).startsWith("hopper-" + ended);
         assertThat(world.poll(leader, uid(1)).status()).isEqualTo(503);
         assertThat(world.poll(leader, uid(1)).retryAfterSeconds()).isPositive();
-        Call accept = Call.post("/recovery/accept-loss", Json.object());
+        HttpRequest accept = HttpRequest.post("/recovery/accept-loss", Json.object());
         int other = 3 - leader - ended;
         assertThat(world.askAsOperator(other, accept).status()).isEqualTo(409);
         assertThat(world.askAsOperator(leader, accept).status()).isEqualTo(200);
@@ -185,10 +185,10 @@
     /** Guards a controller that comes back after the loss with the memory it had: it was only cut off. */
     @Test
     void aControllerThatWasCutOffBringsWhatItRemembersLater() {
-        World world = begun(9);
+        SimCluster world = begun(9);
         Image image = jobsInEveryState(world);
         int away = (world.leader() + 1) % NODES;
-        Rule cut = world.network().add(Troubles.isolated(away));
+        Rule cut = world.network().add(FailureInjector.isolated(away));
         world.seconds(1);
         world.state().turnBack(image);
         world.until(() -> world.leader() >= 0
@@ -200,17 +200,17 @@
 
     @Test
     void theStateServiceGoesBackTwiceAndAgainWhileWritesArePutBack() {
-        World world = begun(10);
+        SimCluster world = begun(10);
         Image image = jobsInEveryState(world);
         world.state().turnBack(image);
         world.until(() -> open(world));
         world.seconds(0.3);
         world.state().turnBack(image);
         untilClosed(world, 1);
-        submit(world, 0, World.job(uid(8), 2));
+        submit(world, 0, SimCluster.job(uid(8), 2));
         Image later = world.state().image();
         world.seconds(4);
-        submit(world, 1, World.job(uid(9), 2));
+        submit(world, 1, SimCluster.job(uid(9), 2));
         world.seconds(0.4);
         long before = generation(world);
         world.state().turnBack(later);
@@ -224,7 +224,7 @@
     @Test
     void theLeaderIsCutOffAtAnyMomentOfIt() {
         for (int moment = 1; moment <= 12; moment++) {
-            World world = begun(20 + moment);
+            SimCluster world = begun(20 + moment);
             Image image = jobsInEveryState(world);
             world.state().turnBack(image);
             world.until(() -> world.leader() >= 0 && generation(world) > 0);
@@ -239,8 +239,8 @@
     /** Guards stamps: a transaction from before the loss comes after it, and finds none that it waits for. */
     @Test
     void lateTransactionsFromBeforeTheLossChangeNothing() {
-        World world = begun(40);
-        Rule late = world.network().add(Troubles.writes("\"set\"", Fate.LATE, 0.5, new Random(40)));
+        SimCluster world = begun(40);
+        Rule late = world.network().add(FailureInjector.writes("\"set\"", Fate.LATE, 0.5, new Random(40)));
         Image image = jobsInEveryState(world);
         world.seconds(1);
         world.state().turnBack(image);
@@ -255,9 +255,9 @@
      */
     @Test
     void aControllerThatStartsAfterTheLossTellsNothingOlder() {
-        World world = begun(43);
+        SimCluster world = begun(43);
         Image image = world.state().image();
-        submit(world, 0, World.job(uid(1), 2));
+        submit(world, 0, SimCluster.job(uid(1), 2));
         world.seconds(1);
         int fresh = (world.leader() + 1) % NODES;
         for (int node = 0; node < NODES; node++) {
@@ -279,8 +279,8 @@
     /** Guards against starting everything again when nobody but the workers knows of the later terms. */
     @Test
     void afterAllControllersHaveEndedTheWorkersTokensShowTheLoss() {
-        World world = begun(41);
-        world.submit(0, World.job(uid(1), 4));
+        SimCluster world = begun(41);
+        world.submit(0, SimCluster.job(uid(1), 4));
         world.untilStarted(4, 60 * SECOND);
         Image image = world.state().image();
         int starts = world.starts();
@@ -306,9 +306,9 @@
 
     @Test
     void whatIsOffSaysNothing() {
-        World world = new World(42);
+        SimCluster world = new SimCluster(42);
         world.seconds(3);
-        assertThat(world.askAsOperator(0, Call.get("/recovery/status")).status())
+        assertThat(world.askAsOperator(0, HttpRequest.get("/recovery/status")).status())
                 .isEqualTo(404);
         assertThat(world.state().value(RecoveryRecord.KEY)).isNull();
     }
--- a/src/test/java/io/sillreel/recovery/RandomLossTest.java
+++ b/src/test/java/io/sillreel/recovery/RandomLossTest.java
@@ -1,15 +1,15 @@
 package io.sillreel.recovery;
 
-import static io.sillreel.recovery.RecoveryWorlds.NODES;
-import static io.sillreel.recovery.RecoveryWorlds.open;
+import static io.sillreel.recovery.RecoveryClusters.NODES;
+import static io.sillreel.recovery.RecoveryClusters.open;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.sillreel.sim.FailureInjector;
+import io.sillreel.sim.SimCluster;
 import io.sillreel.sim.SimNetwork.Fate;
 import io.sillreel.sim.SimNetwork.Rule;
-import io.sillreel.sim.SimState.Image;
+import io.sillreel.sim.SimStateStore.Image;
 import io.sillreel.sim.SimWorker;
-import io.sillreel.sim.Troubles;
-import io.sillreel.sim.World;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
@@ -30,12 +30,12 @@
     private final List<String> accepted = new ArrayList<>();
 
     /** Users submit, cancel and ask for a while. */
-    private void usersAct(World world, Random random, int steps) {
+    private void usersAct(SimCluster world, Random random, int steps) {
         for (int step = 0; step < steps; step++) {
             int node = random.nextInt(NODES);
             String uid = "job-%06d".formatted(accepted.size() + 1);
             if (world.isUp(node)
-                    && world.submit(node, World.job(uid, 1 + accepted.size() % 5))
+                    && world.submit(node, SimCluster.job(uid, 1 + accepted.size() % 5))
                                             .status()
                                     / 100
                             == 2) {
@@ -58,28 +58,28 @@
     }
 
     /** A trouble that ends no controller. */
-    private static void trouble(World world, Random random, List<Rule> rules) {
+    private static void trouble(SimCluster world, Random random, List<Rule> rules) {
         int node = random.nextInt(NODES);
         List<SimWorker> machines = List.copyOf(world.cloud().machines().values());
         switch (random.nextInt(8)) {
             case 0 -> world.freeze(node, random.nextInt(8_000_000));
-            case 1 -> rules.add(world.network().add(Troubles.isolated(node)));
-            case 2 -> rules.add(world.network().add(Troubles.writes("\"set\"", Fate.LATE, 0.4, random)));
-            case 3 -> rules.add(world.network().add(Troubles.writes("\"set\"", Fate.LOSE_ANSWER, 0.4, random)));
-            case 4 -> rules.add(world.network().add(Troubles.reports(Fate.COPY, 0.5, random)));
+            case 1 -> rules.add(world.network().add(FailureInjector.isolated(node)));
+            case 2 -> rules.add(world.network().add(FailureInjector.writes("\"set\"", Fate.LATE, 0.4, random)));
+            case 3 -> rules.add(world.network().add(FailureInjector.writes("\"set\"", Fate.LOSE_ANSWER, 0.4, random)));
+            case 4 -> rules.add(world.network().add(FailureInjector.reports(Fate.COPY, 0.5, random)));
             case 5 -> machines.forEach(machine -> machine.hang(random.nextInt(9_000_000)));
             case 6 -> {
                 if (!machines.isEmpty()) {
                     world.cloud().take(machines.get(0).name());
                 }
             }
-            default -> rules.add(world.network().add(Troubles.refused(node)));
+            default -> rules.add(world.network().add(FailureInjector.refused(node)));
         }
     }
 
-    private World play(long seed, boolean controllersEnd) {
+    private SimCluster play(long seed, boolean controllersEnd) {
         accepted.clear();
-        World world = RecoveryWorlds.start(seed);
+        SimCluster world = RecoveryClusters.start(seed);
         world.seconds(3);
         Random random = new Random(seed);
         List<Rule> rules = new ArrayList<>();
@@ -112,7 +112,7 @@
         return world;
     }
 
-    private void everyAcceptedJobHasEnded(World world, long seed) {
+    private void everyAcceptedJobHasEnded(SimCluster world, long seed) {
         for (String uid : accepted) {
             assertThat(world.stage(0, uid)).as("seed %d, %s", seed, uid).isIn("done", "withdrawn");
         }
@@ -123,7 +123,7 @@
      * The users' rules. That a machine is stored as up before it is given tasks is none of them: until a leader notices
      * the loss, it knows of machines whose rentals are gone from the store, and puts them back afterwards.
      */
-    private static List<String> brokenRules(World world) {
+    private static List<String> brokenRules(SimCluster world) {
         return world.broken().stream()
                 .filter(rule -> !rule.startsWith("unstored"))
                 .toList();
@@ -133,14 +133,14 @@
      * A loss of few writes that others have made up for before anybody asked shows only where a lost key is read; then
      * nobody can say what else came from before it, and it is held back for an operator.
      */
-    private static boolean seenByTheLedger(World world) {
+    private static boolean seenByTheLedger(SimCluster world) {
         return world.state().value(RecoveryRecord.KEY).path("evidence").asText().startsWith("ledger");
     }
 
     @Test
     void whileAllControllersLiveNothingIsLost() {
         for (long seed = Long.getLong("sillreel.seed", 1); seed <= SEEDS; seed++) {
-            World world = play(seed, false);
+            SimCluster world = play(seed, false);
             if (open(world)) {
                 assertThat(seenByTheLedger(world)).as("seed %d", seed).isFalse();
             } else {
@@ -153,7 +153,7 @@
     void whenControllersEndWithTheLossWritesAreHeldBackOrNothingIsLost() {
         int held = 0;
         for (long seed = 100 + Long.getLong("sillreel.seed", 1); seed <= 100 + SEEDS; seed++) {
-            World world = play(seed, true);
+            SimCluster world = play(seed, true);
             if (open(world)) {
                 held++;
             } else {
--- a/src/test/java/io/sillreel/recovery/RecoveryWorlds.java
+++ b/src/test/java/io/sillreel/recovery/RecoveryClusters.java
@@ -2,25 +2,26 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.sillreel.settings.OperatorProperties;
-import io.sillreel.sim.World;
-import io.sillreel.sim.World.Version;
-import io.sillreel.sim.WorldSettings;
+import io.sillreel.sim.SimCluster;
+import io.sillreel.sim.SimCluster.Version;
+import io.sillreel.sim.SimClusterSettings;
 import java.util.Properties;
 
 /** Small deployments with recovery on. */
-final class RecoveryWorlds {
+final class RecoveryClusters {
     static final int NODES = 3;
 
-    private RecoveryWorlds() {}
+    private RecoveryClusters() {}
 
-    static World start(long seed) {
+    static SimCluster start(long seed) {
         Properties properties = new Properties();
         properties.setProperty("recovery.enabled", "1");
-        return new World(seed, WorldSettings.usual(NODES, 0), Version.CURRENT, OperatorProperties.of(properties));
+        return new SimCluster(
+                seed, SimClusterSettings.usual(NODES, 0), Version.CURRENT, OperatorProperties.of(properties));
     }
 
     /** True while a loss is stored that has not been made good. */
-    static boolean open(World world) {
+    static boolean open(SimCluster world) {
         JsonNode record = world.state().value(RecoveryRecord.KEY);
         return record != null && record.path("open").asBoolean();
     }
--- a/src/test/java/io/sillreel/recovery/StoreHistoryTest.java
+++ b/src/test/java/io/sillreel/recovery/StoreHistoryTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.sillreel.recovery.StoreHistory.Consistency;
 import io.sillreel.recovery.StoreHistory.Mark;
-import io.sillreel.recovery.StoreHistory.Verdict;
 import org.junit.jupiter.api.Test;
 
 class StoreHistoryTest {
@@ -12,7 +12,7 @@
     @Test
     void anAnswerBelowWhatWasKnownWhenItWasAskedForShowsALoss() {
         history.answered(history.mark(7), 100);
-        assertThat(history.answered(history.mark(7), 99)).isEqualTo(Verdict.LOST);
+        assertThat(history.answered(history.mark(7), 99)).isEqualTo(Consistency.LOST);
     }
 
     /** Guards against a false alarm: answers overtake each other, and some take seconds. */
@@ -20,36 +20,36 @@
     void anAnswerThatIsOnlyLateShowsNothing() {
         Mark early = history.mark(7);
         history.answered(history.mark(7), 100);
-        assertThat(history.answered(early, 90)).isEqualTo(Verdict.CONSISTENT);
-        assertThat(history.answered(history.mark(7), 100)).isEqualTo(Verdict.CONSISTENT);
+        assertThat(history.answered(early, 90)).isEqualTo(Consistency.CONSISTENT);
+        assertThat(history.answered(history.mark(7), 100)).isEqualTo(Consistency.CONSISTENT);
     }
 
     /** Guards against a loss of few writes that others make up for at once: each write counts on. */
     @Test
     void aWriteThatDoesNotCountOnShowsALoss() {
         history.committed(history.mark(7), 100);
-        assertThat(history.answered(history.mark(7), 100)).isEqualTo(Verdict.CONSISTENT);
-        assertThat(history.committed(history.mark(7), 100)).isEqualTo(Verdict.LOST);
+        assertThat(history.answered(history.mark(7), 100)).isEqualTo(Consistency.CONSISTENT);
+        assertThat(history.committed(history.mark(7), 100)).isEqualTo(Consistency.LOST);
     }
 
     @Test
     void whatAnotherControllerKnowsCountsFromThenOn() {
         Mark before = history.mark(7);
         history.learn(200);
-        assertThat(history.answered(before, 150)).isEqualTo(Verdict.CONSISTENT);
-        assertThat(history.answered(history.mark(7), 150)).isEqualTo(Verdict.LOST);
+        assertThat(history.answered(before, 150)).isEqualTo(Consistency.CONSISTENT);
+        assertThat(history.answered(history.mark(7), 150)).isEqualTo(Consistency.LOST);
     }
 
     @Test
     void whatWasAskedForBeforeALossSaysNothingAfterIt() {
         history.answered(history.mark(7), 100);
         Mark before = history.mark(7);
-        assertThat(history.answered(history.mark(7), 40)).isEqualTo(Verdict.LOST);
+        assertThat(history.answered(history.mark(7), 40)).isEqualTo(Consistency.LOST);
         history.beginEra(false);
-        assertThat(history.answered(before, 120)).isEqualTo(Verdict.OUTDATED);
-        assertThat(history.answered(history.mark(7), 45)).isEqualTo(Verdict.CONSISTENT);
+        assertThat(history.answered(before, 120)).isEqualTo(Consistency.OUTDATED);
+        assertThat(history.answered(history.mark(7), 45)).isEqualTo(Consistency.CONSISTENT);
         assertThat(history.returnedAt()).isEqualTo(40);
-        assertThat(history.peaks()).isEqualTo(new Peaks(100, 100, 0));
+        assertThat(history.peaks()).isEqualTo(new HighWatermarks(100, 100, 0));
     }
 
     /** Guards against a memory that began after the loss: only who has seen a later revision was there before. */
@@ -76,6 +76,6 @@
         history.answered(history.mark(7), 130);
         history.beginEra(true);
         history.answered(history.mark(7), 50);
-        assertThat(history.peaks()).isEqualTo(new Peaks(100, 130, 0));
+        assertThat(history.peaks()).isEqualTo(new HighWatermarks(100, 130, 0));
     }
 }
--- a/src/test/java/io/sillreel/sim/Troubles.java
+++ b/src/test/java/io/sillreel/sim/FailureInjector.java
@@ -1,6 +1,6 @@
 package io.sillreel.sim;
 
-import io.sillreel.http.Call;
+import io.sillreel.http.HttpRequest;
 import io.sillreel.sim.SimNetwork.Fate;
 import io.sillreel.sim.SimNetwork.Rule;
 import java.nio.charset.StandardCharsets;
@@ -8,11 +8,11 @@
 import java.util.Random;
 
 /** Troubles of the network between hosts, as rules. */
-public final class Troubles {
+public final class FailureInjector {
     private static final String CONTROLLERS = "10.0.0.";
     private static final String STATE = "state";
 
-    private Troubles() {}
+    private FailureInjector() {}
 
     public static String host(int node) {
         return CONTROLLERS + node;
@@ -69,7 +69,7 @@
         return (from, to, call) -> call.route().equals("/do") ? fate : null;
     }
 
-    private static String text(Call call) {
+    private static String text(HttpRequest call) {
         return new String(call.body(), StandardCharsets.UTF_8);
     }
 }
--- a/src/test/java/io/sillreel/sim/RuleChecker.java
+++ b/src/test/java/io/sillreel/sim/InvariantChecker.java
@@ -1,7 +1,7 @@
 package io.sillreel.sim;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.sillreel.http.Reply;
+import io.sillreel.http.HttpResponse;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -15,10 +15,10 @@
 import java.util.stream.Stream;
 
 /** Watches from outside what users are told and where tasks run, and notes every rule that is broken. */
-final class RuleChecker {
+final class InvariantChecker {
     private static final long SECOND = 1_000_000;
 
-    private final World world;
+    private final SimCluster world;
     private final Set<String> completed = new HashSet<>();
     private final Set<String> mistaken = new HashSet<>();
     private final Map<String, Integer> pieces = new HashMap<>();
@@ -37,7 +37,7 @@
     private long storedUpLedger = -1;
     private int starts;
 
-    RuleChecker(World world) {
+    InvariantChecker(SimCluster world) {
         this.world = world;
     }
 
@@ -54,7 +54,7 @@
     }
 
     /** A submission was answered. */
-    Reply submissionAnswered(String uid, Reply reply, long asked) {
+    HttpResponse submissionAnswered(String uid, HttpResponse reply, long asked) {
         if (reply.status() == 201 || reply.status() == 200) {
             told(uid, reply.json().path("stage").asText(), asked);
         } else if (isKnown(uid, asked) && (reply.status() == 400 || reply.status() == 422)) {
@@ -64,7 +64,7 @@
     }
 
     /** A poll was answered. */
-    Reply pollAnswered(String uid, Reply reply, long asked) {
+    HttpResponse pollAnswered(String uid, HttpResponse reply, long asked) {
         if (reply.ok()) {
             told(uid, reply.json().path("stage").asText(), asked);
         } else if (reply.status() == 404 && isKnown(uid, asked)) {
@@ -74,7 +74,7 @@
     }
 
     /** A request to cancel was answered. */
-    Reply cancellationAnswered(String uid, Reply reply, long asked) {
+    HttpResponse cancellationAnswered(String uid, HttpResponse reply, long asked) {
         if (reply.ok()) {
             told(uid, reply.json().path("stage").asText(), asked);
         }
--- a/src/test/java/io/sillreel/sim/MachinePages.java
+++ b/src/test/java/io/sillreel/sim/MachinePages.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Call;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Reply;
 import java.util.NavigableMap;
 import java.util.function.BiConsumer;
 
@@ -17,7 +17,8 @@
      *
      * @param describe adds what is to be told of a machine beside its name
      */
-    public static <M> Reply page(Call call, NavigableMap<String, M> machines, BiConsumer<M, ObjectNode> describe) {
+    public static <M> HttpResponse page(
+            HttpRequest call, NavigableMap<String, M> machines, BiConsumer<M, ObjectNode> describe) {
         String since = call.query("since");
         int limit = Integer.parseInt(call.query("limit"));
         NavigableMap<String, M> rest = machines.tailMap(since, false);
@@ -30,6 +31,6 @@
                     .put("age_s", 1.0);
             describe.accept(machine.getValue(), entry);
         });
-        return Reply.of(200, body);
+        return HttpResponse.of(200, body);
     }
 }
--- a/src/test/java/io/sillreel/sim/PreviousVersion.java
+++ b/src/test/java/io/sillreel/sim/PreviousVersion.java
@@ -2,10 +2,10 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Call;
-import io.sillreel.http.Caller;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Reply;
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
@@ -30,22 +30,22 @@
     private static final Set<String> RECORD_FIELDS_SINCE = Set.of("ready_us", "per", "gens");
     private static final String PARTS_PREFIX = "prefix=bits/";
 
-    private final Caller network;
+    private final HttpClient network;
     private final Consumer<String> violation;
 
     /** @param violation told what version 5806758 would not have done, or could not have read */
-    public PreviousVersion(Caller network, Consumer<String> violation) {
+    public PreviousVersion(HttpClient network, Consumer<String> violation) {
         this.network = network;
         this.violation = violation;
     }
 
     /** The network as the version uses it. */
-    public CompletableFuture<Reply> call(String address, Call call, long timeoutMicros) {
+    public CompletableFuture<HttpResponse> call(String address, HttpRequest call, long timeoutMicros) {
         if (call.path().contains(PARTS_PREFIX)) {
             // The version never lists these keys.
             ObjectNode nothing = Json.object().put("truncated", false).put("ledger", 0);
             nothing.putArray("entries");
-            return CompletableFuture.completedFuture(Reply.of(200, nothing));
+            return CompletableFuture.completedFuture(HttpResponse.of(200, nothing));
         }
         if (call.route().equals("/txn")) {
             Json.parse(call.body()).path("then").forEach(this::checkWritten);
@@ -56,11 +56,11 @@
     }
 
     /** A user's request as the version understands it. */
-    public static Call understood(Call call) {
+    public static HttpRequest understood(HttpRequest call) {
         if (!call.route().equals("/v2/runs") || !(Json.parse(call.body()) instanceof ObjectNode submission)) {
             return call;
         }
-        return new Call(call.method(), call.path(), Json.bytes(submission.without(PLAN_FIELDS_SINCE)));
+        return new HttpRequest(call.method(), call.path(), Json.bytes(submission.without(PLAN_FIELDS_SINCE)));
     }
 
     /** A stored value as the version understands it. */
@@ -87,7 +87,7 @@
         }
     }
 
-    private Reply asRead(Reply reply) {
+    private HttpResponse asRead(HttpResponse reply) {
         ObjectNode body = (ObjectNode) reply.json();
         if (body.has("k")) {
             understand(body, body.path("k").asText());
@@ -99,7 +99,7 @@
                         entry.path(entry.has("k") ? "k" : "set").asText());
             }
         }
-        return Reply.of(reply.status(), body);
+        return HttpResponse.of(reply.status(), body);
     }
 
     private void understand(ObjectNode entry, String key) {
--- a/src/test/java/io/sillreel/sim/SimCloud.java
+++ b/src/test/java/io/sillreel/sim/SimCloud.java
@@ -3,18 +3,18 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Call;
-import io.sillreel.http.Handler;
+import io.sillreel.http.HttpHandler;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Reply;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 
 /** A cloud in memory: one machine type in two zones, a list without lag. */
-public final class SimCloud implements Handler {
-    private final World world;
+public final class SimCloud implements HttpHandler {
+    private final SimCluster world;
     private final TreeMap<String, SimWorker> machines = new TreeMap<>();
     private final TreeMap<String, String> booting = new TreeMap<>();
     private final Map<String, ArrayNode> answers = new LinkedHashMap<>();
@@ -23,7 +23,7 @@
     private long bootMicros = 4_000_000;
     private final int capacity;
 
-    SimCloud(World world, int capacity) {
+    SimCloud(SimCluster world, int capacity) {
         this.world = world;
         this.capacity = capacity;
     }
@@ -56,13 +56,13 @@
     }
 
     @Override
-    public CompletableFuture<Reply> handle(Call call) {
+    public CompletableFuture<HttpResponse> handle(HttpRequest call) {
         if (outage) {
-            return CompletableFuture.completedFuture(Reply.refusal(503, "trouble"));
+            return CompletableFuture.completedFuture(HttpResponse.refusal(503, "trouble"));
         }
         return CompletableFuture.completedFuture(
                 switch (call.method() + " " + call.route()) {
-                    case "GET /flavors" -> Reply.of(200, machineTypes());
+                    case "GET /flavors" -> HttpResponse.of(200, machineTypes());
                     case "POST /machines" -> rental(Json.parse(call.body()));
                     case "POST /machines/return" -> giveBack(Json.parse(call.body()));
                     default -> list(call);
@@ -86,7 +86,7 @@
         return body;
     }
 
-    private Reply rental(JsonNode body) {
+    private HttpResponse rental(JsonNode body) {
         String request = body.path("hire").asText();
         ArrayNode names = answers.get(request);
         if (names == null) {
@@ -98,13 +98,13 @@
                         body.path("loaners").asBoolean()));
             }
             if (names.isEmpty()) {
-                return Reply.refusal(503, "no capacity");
+                return HttpResponse.refusal(503, "no capacity");
             }
             answers.put(request, names);
         }
         ObjectNode answer = Json.object();
         answer.set("hoppers", names);
-        return Reply.of(200, answer);
+        return HttpResponse.of(200, answer);
     }
 
     private String boot(String build, String zone, boolean spot) {
@@ -118,15 +118,15 @@
         return name;
     }
 
-    private Reply giveBack(JsonNode body) {
+    private HttpResponse giveBack(JsonNode body) {
         for (JsonNode name : body.path("hoppers")) {
             booting.remove(name.asText());
             take(name.asText());
         }
-        return Reply.of(200, Json.object());
+        return HttpResponse.of(200, Json.object());
     }
 
-    private Reply list(Call call) {
+    private HttpResponse list(HttpRequest call) {
         return MachinePages.page(
                 call,
                 machines,
--- a/src/test/java/io/sillreel/sim/World.java
+++ b/src/test/java/io/sillreel/sim/SimCluster.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.Controller;
-import io.sillreel.http.Call;
-import io.sillreel.http.Caller;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Reply;
 import io.sillreel.limits.ProcessLimits;
 import io.sillreel.settings.OperatorProperties;
 import io.sillreel.settings.Settings;
@@ -25,7 +25,7 @@
  * Some controllers, a state service, a cloud and its machines in virtual time, with the users' rules watched all along.
  * Everything random comes from the seed.
  */
-public final class World {
+public final class SimCluster {
     private static final long SECOND = 1_000_000;
     private static final int USUAL_NODES = 3;
     private static final long HEAP_BYTES = 50L << 20;
@@ -39,40 +39,40 @@
 
     private final SimTime time = new SimTime();
     private final SimNetwork network;
-    private final SimState state;
+    private final SimStateStore state;
     private final SimCloud cloud;
     private final Settings settings;
     private final int nodes;
     private final Controller[] controllers;
     private final SimTime.Process[] processes;
     private final Version[] versions;
-    private final WorldSettings worldSettings;
+    private final SimClusterSettings worldSettings;
     private final OperatorProperties operator;
-    private final Caller users;
+    private final HttpClient users;
     private final Map<String, ObjectNode> submitted = new HashMap<>();
-    private final RuleChecker rules;
+    private final InvariantChecker rules;
 
-    public World(long seed) {
+    public SimCluster(long seed) {
         this(seed, 0);
     }
 
     /** @param cpusMax the team's limit, 0 for none */
-    public World(long seed, double cpusMax) {
+    public SimCluster(long seed, double cpusMax) {
         this(seed, cpusMax, USUAL_NODES, Version.CURRENT);
     }
 
     /** @param version what all controllers run at first */
-    public World(long seed, double cpusMax, int nodes, Version version) {
-        this(seed, WorldSettings.usual(nodes, cpusMax), version);
+    public SimCluster(long seed, double cpusMax, int nodes, Version version) {
+        this(seed, SimClusterSettings.usual(nodes, cpusMax), version);
     }
 
     /** @param version what all controllers run at first */
-    public World(long seed, WorldSettings worldSettings, Version version) {
+    public SimCluster(long seed, SimClusterSettings worldSettings, Version version) {
         this(seed, worldSettings, version, OperatorProperties.defaults());
     }
 
     /** @param version what all controllers run at first */
-    public World(long seed, WorldSettings worldSettings, Version version, OperatorProperties operator) {
+    public SimCluster(long seed, SimClusterSettings worldSettings, Version version, OperatorProperties operator) {
         this.worldSettings = worldSettings;
         this.operator = operator;
         this.nodes = worldSettings.nodes();
@@ -82,11 +82,11 @@
         Arrays.fill(versions, version);
         settings = SettingsReader.parse(settingsFile(0));
         network = new SimNetwork(time, seed);
-        state = new SimState(time, 20, 8 * 1024, 100);
+        state = new SimStateStore(time, 20, 8 * 1024, 100);
         cloud = new SimCloud(this, worldSettings.machines());
         network.listen("state:1", state);
         network.listen("cloud:1", cloud);
-        rules = new RuleChecker(this);
+        rules = new InvariantChecker(this);
         users = network.from("users", time.new Process());
         state.onLeader(() -> network.letKeptGo(publicAddresses()));
         for (int node = 0; node < nodes; node++) {
@@ -104,8 +104,8 @@
         SimTime.Process process = time.new Process();
         String host = "10.0.0." + node;
         boolean previous = versions[node] == Version.PREVIOUS;
-        Caller direct = network.from(host, process);
-        Caller caller = previous ? new PreviousVersion(direct, rules::broke)::call : direct;
+        HttpClient direct = network.from(host, process);
+        HttpClient caller = previous ? new PreviousVersion(direct, rules::broke)::call : direct;
         Controller controller = new Controller(
                 process,
                 caller,
@@ -126,8 +126,8 @@
         });
     }
 
-    private CompletableFuture<Reply> inTurn(Controller controller, Call call) {
-        CompletableFuture<Reply> answer = new CompletableFuture<>();
+    private CompletableFuture<HttpResponse> inTurn(Controller controller, HttpRequest call) {
+        CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
         long givenUpMicros = time.nowMicros() + ASKER_WAITS_MICROS;
         controller
                 .requestQueue()
@@ -199,7 +199,7 @@
         return network;
     }
 
-    public SimState state() {
+    public SimStateStore state() {
         return state;
     }
 
@@ -207,7 +207,7 @@
         return cloud;
     }
 
-    WorldSettings worldSettings() {
+    SimClusterSettings worldSettings() {
         return worldSettings;
     }
 
@@ -265,17 +265,17 @@
     }
 
     /** Sends a request and lets time pass until it is answered or its user gives up. */
-    public Reply ask(int node, Call call) {
+    public HttpResponse ask(int node, HttpRequest call) {
         return ask(publicAddress(node), call);
     }
 
     /** Sends an operator's request to the controller's internal address. */
-    public Reply askAsOperator(int node, Call call) {
+    public HttpResponse askAsOperator(int node, HttpRequest call) {
         return ask("10.0.0." + node + ":8081", call);
     }
 
-    private Reply ask(String address, Call call) {
-        Reply[] answer = new Reply[1];
+    private HttpResponse ask(String address, HttpRequest call) {
+        HttpResponse[] answer = new HttpResponse[1];
         users.call(address, call, 2 * SECOND).thenAccept(reply -> answer[0] = reply);
         long end = time.nowMicros() + 2 * SECOND + 1;
         while (answer[0] == null && time.nowMicros() < end) {
@@ -284,33 +284,33 @@
         return answer[0];
     }
 
-    public Reply submit(int node, ObjectNode job) {
+    public HttpResponse submit(int node, ObjectNode job) {
         long asked = time.nowMicros();
         return rules.submissionAnswered(job.path("uid").asText(), ask(node, submission(job)), asked);
     }
 
-    private Call submission(ObjectNode job) {
+    private HttpRequest submission(ObjectNode job) {
         String uid = job.path("uid").asText();
         List<String> awaited = new ArrayList<>();
         job.path("awaits").forEach(name -> awaited.add(name.asText()));
         submitted.putIfAbsent(uid, job);
         rules.submitted(uid, job.path("pieces").asInt(), job.path("one_zone").asBoolean(), awaited);
-        return Call.post("/v2/runs", job);
+        return HttpRequest.post("/v2/runs", job);
     }
 
-    public Reply poll(int node, String uid) {
+    public HttpResponse poll(int node, String uid) {
         long asked = time.nowMicros();
-        return rules.pollAnswered(uid, ask(node, Call.get("/v2/runs/" + uid)), asked);
+        return rules.pollAnswered(uid, ask(node, HttpRequest.get("/v2/runs/" + uid)), asked);
     }
 
-    public Reply cancel(int node, String uid) {
+    public HttpResponse cancel(int node, String uid) {
         long asked = time.nowMicros();
         return rules.cancellationAnswered(uid, ask(node, cancellation(uid)), asked);
     }
 
-    private Call cancellation(String uid) {
+    private HttpRequest cancellation(String uid) {
         rules.cancellationAsked(uid);
-        return Call.post("/v2/runs/" + uid + "/withdraw", Json.object());
+        return HttpRequest.post("/v2/runs/" + uid + "/withdraw", Json.object());
     }
 
     /** Asks without waiting for the answer, which is noted when it comes. */
@@ -327,14 +327,14 @@
     }
 
     public void pollMeanwhile(int node, String uid) {
-        askMeanwhile(node, Call.get("/v2/runs/" + uid), (reply, asked) -> rules.pollAnswered(uid, reply, asked));
+        askMeanwhile(node, HttpRequest.get("/v2/runs/" + uid), (reply, asked) -> rules.pollAnswered(uid, reply, asked));
     }
 
     public void cancelMeanwhile(int node, String uid) {
         askMeanwhile(node, cancellation(uid), (reply, asked) -> rules.cancellationAnswered(uid, reply, asked));
     }
 
-    private void askMeanwhile(int node, Call call, BiConsumer<Reply, Long> then) {
+    private void askMeanwhile(int node, HttpRequest call, BiConsumer<HttpResponse, Long> then) {
         long asked = time.nowMicros();
         users.call(publicAddress(node), call, 2 * SECOND).thenAccept(reply -> then.accept(reply, asked));
     }
@@ -356,7 +356,7 @@
     // --- Rules -----------------------------------------------------------------------------------------------------
 
     /** Told by the workers what becomes of their tasks. */
-    RuleChecker rules() {
+    InvariantChecker rules() {
         return rules;
     }
 
--- a/src/test/java/io/sillreel/sim/WorldSettings.java
+++ b/src/test/java/io/sillreel/sim/SimClusterSettings.java
@@ -10,7 +10,7 @@
  * @param sockets of each controller
  * @param tickMicros how often a worker looks at its tasks
  */
-public record WorldSettings(
+public record SimClusterSettings(
         int nodes,
         double cpusMax,
         int machines,
@@ -58,18 +58,18 @@
             """;
 
     /** A small deployment that reports often. */
-    public static WorldSettings usual(int nodes, double cpusMax) {
-        return new WorldSettings(nodes, cpusMax, 20, 1, 12, 26, 10, 500, 50_000);
+    public static SimClusterSettings usual(int nodes, double cpusMax) {
+        return new SimClusterSettings(nodes, cpusMax, 20, 1, 12, 26, 10, 500, 50_000);
     }
 
     /** A fleet of thousands. */
-    public static WorldSettings large(int nodes, int machines, double cpusMax) {
-        return new WorldSettings(nodes, cpusMax, machines, 3, 18, 38, 20, 2 * machines, 500_000);
+    public static SimClusterSettings large(int nodes, int machines, double cpusMax) {
+        return new SimClusterSettings(nodes, cpusMax, machines, 3, 18, 38, 20, 2 * machines, 500_000);
     }
 
     /** The same with other controllers. */
-    public WorldSettings withSockets(int newSockets) {
-        return new WorldSettings(
+    public SimClusterSettings withSockets(int newSockets) {
+        return new SimClusterSettings(
                 nodes,
                 cpusMax,
                 machines,
--- a/src/test/java/io/sillreel/sim/SimNetwork.java
+++ b/src/test/java/io/sillreel/sim/SimNetwork.java
@@ -1,11 +1,11 @@
 package io.sillreel.sim;
 
-import io.sillreel.http.Call;
-import io.sillreel.http.Caller;
-import io.sillreel.http.Handler;
-import io.sillreel.http.Loop;
-import io.sillreel.http.Reply;
-import io.sillreel.overload.Pacer;
+import io.sillreel.http.EventLoop;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.HttpHandler;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
+import io.sillreel.overload.RateLimiter;
 import io.sillreel.statestore.StateStore;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -21,7 +21,7 @@
     /** Decides what becomes of one message; the first rule that says something counts. */
     public interface Rule {
         /** Null for nothing to say. */
-        Fate fate(String from, String to, Call call);
+        Fate fate(String from, String to, HttpRequest call);
     }
 
     /**
@@ -50,10 +50,10 @@
 
     private final SimTime time;
     private final Random random;
-    private final Map<String, Handler> handlers = new HashMap<>();
+    private final Map<String, HttpHandler> handlers = new HashMap<>();
     private final List<Rule> rules = new ArrayList<>();
     private final List<Runnable> held = new ArrayList<>();
-    private final Deque<Call> kept = new ArrayDeque<>();
+    private final Deque<HttpRequest> kept = new ArrayDeque<>();
     private long slowness = 1;
 
     public SimNetwork(SimTime time, long seed) {
@@ -68,11 +68,11 @@
                 from("node", process),
                 process,
                 "state:1",
-                new Pacer(process, requests, requests),
-                new Pacer(process, writes, writes));
+                new RateLimiter(process, requests, requests),
+                new RateLimiter(process, writes, writes));
     }
 
-    public void listen(String host, Handler handler) {
+    public void listen(String host, HttpHandler handler) {
         handlers.put(host, handler);
     }
 
@@ -113,7 +113,7 @@
         SimTime.Process nobody = time.new Process();
         for (long wave = 0; wave < WAVES; wave++) {
             long at = wave * 250_000;
-            for (Call call : kept) {
+            for (HttpRequest call : kept) {
                 for (String host : hosts) {
                     time.after(at++, () -> deliver(host, call, new CompletableFuture<>(), nobody));
                 }
@@ -123,10 +123,10 @@
     }
 
     /** Returns the network as that host and process see it. */
-    public Caller from(String host, SimTime.Process process) {
+    public HttpClient from(String host, SimTime.Process process) {
         return (to, call, timeoutMicros) -> {
-            CompletableFuture<Reply> answer = new CompletableFuture<>();
-            Loop.Timer timer = process.after(timeoutMicros, () -> answer.complete(Reply.noAnswer()));
+            CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
+            EventLoop.Timer timer = process.after(timeoutMicros, () -> answer.complete(HttpResponse.noAnswer()));
             answer.thenRun(timer::cancel);
             Fate fate = Fate.DELIVER;
             for (Rule rule : rules) {
@@ -139,14 +139,14 @@
             boolean answered =
                     fate == Fate.DELIVER || fate == Fate.COPY || fate == Fate.KEEP || fate == Fate.SLOW_ANSWER;
             if (fate == Fate.SLOW_ANSWER) {
-                CompletableFuture<Reply> slow = new CompletableFuture<>();
+                CompletableFuture<HttpResponse> slow = new CompletableFuture<>();
                 slow.thenAccept(reply -> process.after(random.nextInt(1_000_000), () -> answer.complete(reply)));
                 time.after(delay(), () -> deliver(to, call, slow, process));
                 return answer;
             }
             if (fate == Fate.REFUSE) {
                 if (!call.route().equals("/watch")) {
-                    process.after(delay(), () -> answer.complete(Reply.refusal(503, "trouble")));
+                    process.after(delay(), () -> answer.complete(HttpResponse.refusal(503, "trouble")));
                 }
                 return answer;
             }
@@ -172,8 +172,8 @@
         };
     }
 
-    private void deliver(String to, Call call, CompletableFuture<Reply> answer, SimTime.Process caller) {
-        Handler handler = handlers.get(to);
+    private void deliver(String to, HttpRequest call, CompletableFuture<HttpResponse> answer, SimTime.Process caller) {
+        HttpHandler handler = handlers.get(to);
         if (handler == null) {
             return;
         }
--- a/src/test/java/io/sillreel/sim/SimState.java
+++ b/src/test/java/io/sillreel/sim/SimStateStore.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Call;
-import io.sillreel.http.Handler;
+import io.sillreel.http.HttpHandler;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Reply;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashSet;
@@ -17,7 +17,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** A state service in memory, as far as the protocol describes it. */
-public final class SimState implements Handler {
+public final class SimStateStore implements HttpHandler {
     private static final int KEPT_CHANGES = 10_000;
 
     private record Value(JsonNode value, long stamp, long permit) {}
@@ -44,7 +44,7 @@
     private long misreported;
     private Runnable onLeader = () -> {};
 
-    public SimState(SimTime time, int txnOps, int valueBytes, double writesPerSecond) {
+    public SimStateStore(SimTime time, int txnOps, int valueBytes, double writesPerSecond) {
         this.time = time;
         limits(txnOps, valueBytes, writesPerSecond);
     }
@@ -147,7 +147,7 @@
     }
 
     @Override
-    public CompletableFuture<Reply> handle(Call call) {
+    public CompletableFuture<HttpResponse> handle(HttpRequest call) {
         String route = call.route();
         if (route.equals("/watch")) {
             return watch(call);
@@ -168,12 +168,12 @@
         return grants(call);
     }
 
-    private CompletableFuture<Reply> get(String key) {
+    private CompletableFuture<HttpResponse> get(String key) {
         Value value = keys.get(key);
         return value == null ? answer(404, Json.object().put("ledger", ledger)) : answer(200, entry(key, value));
     }
 
-    private CompletableFuture<Reply> list(Call call) {
+    private CompletableFuture<HttpResponse> list(HttpRequest call) {
         String prefix = call.query("prefix");
         String since = call.query("since");
         int limit = Integer.parseInt(call.query("limit"));
@@ -194,7 +194,7 @@
         return answer(200, body.put("truncated", truncated));
     }
 
-    private CompletableFuture<Reply> txn(JsonNode body) {
+    private CompletableFuture<HttpResponse> txn(JsonNode body) {
         JsonNode then = body.path("then");
         if (tooFast(then.size())) {
             refusedForRate++;
@@ -252,7 +252,7 @@
         }
     }
 
-    private CompletableFuture<Reply> grants(Call call) {
+    private CompletableFuture<HttpResponse> grants(HttpRequest call) {
         String route = call.route();
         if (route.equals("/grants")) {
             long life = Json.parse(call.body()).path("life_ms").asLong() * 1_000;
@@ -277,10 +277,10 @@
         return answer(200, Json.object());
     }
 
-    private CompletableFuture<Reply> watch(Call call) {
+    private CompletableFuture<HttpResponse> watch(HttpRequest call) {
         String prefix = call.query("prefix");
         long since = Long.parseLong(call.query("since"));
-        CompletableFuture<Reply> answer = new CompletableFuture<>();
+        CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
         long end = time.nowMicros() + Long.parseLong(call.query("block_ms")) * 1_000;
         if (outage) {
             return answer(503, Json.object().put("error", "trouble"));
@@ -291,7 +291,7 @@
                 return;
             }
             if (since < forgotten) {
-                answer.complete(Reply.of(410, Json.object()));
+                answer.complete(HttpResponse.of(410, Json.object()));
                 watchers.remove(look[0]);
                 return;
             }
@@ -308,7 +308,7 @@
             }
             if (!result.isEmpty() || time.nowMicros() >= end) {
                 watchers.remove(look[0]);
-                answer.complete(Reply.of(200, body));
+                answer.complete(HttpResponse.of(200, body));
             }
         };
         watchers.add(look[0]);
@@ -361,11 +361,11 @@
         return node;
     }
 
-    private CompletableFuture<Reply> answer(int status, ObjectNode body) {
+    private CompletableFuture<HttpResponse> answer(int status, ObjectNode body) {
         if (misreported > 0 && body.has("ledger")) {
             body.put("ledger", misreported);
             misreported = 0;
         }
-        return CompletableFuture.completedFuture(Reply.of(status, body));
+        return CompletableFuture.completedFuture(HttpResponse.of(status, body));
     }
 }
--- a/src/test/java/io/sillreel/sim/SimTime.java
+++ b/src/test/java/io/sillreel/sim/SimTime.java
@@ -1,6 +1,6 @@
 package io.sillreel.sim;
 
-import io.sillreel.http.Loop;
+import io.sillreel.http.EventLoop;
 import java.util.Comparator;
 import java.util.PriorityQueue;
 import java.util.concurrent.CompletableFuture;
@@ -35,7 +35,7 @@
     }
 
     /** The loop of one process; once it is killed, none of its tasks runs any more. */
-    public final class Process implements Loop {
+    public final class Process implements EventLoop {
         private boolean killed;
         private long frozenUntilMicros;
         private long taskMicros;
--- a/src/test/java/io/sillreel/sim/SimWorker.java
+++ b/src/test/java/io/sillreel/sim/SimWorker.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Call;
-import io.sillreel.http.Caller;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Reply;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -36,13 +36,13 @@
     private static final long ANSWER_MICROS = 4_000_000;
     private static final long MIN_GAP_MICROS = 500_000;
 
-    private final World world;
+    private final SimCluster world;
     private final String name;
     private final String build;
     private final String zone;
     private final boolean spot;
     private final SimTime.Process process;
-    private final Caller caller;
+    private final HttpClient caller;
     private final Map<String, Task> tasks = new LinkedHashMap<>();
     private int node;
     private long session = 1;
@@ -56,7 +56,7 @@
     private long runMicros = 3_000_000;
     private long recallAtMicros = -1;
 
-    SimWorker(World world, String name, String build, String zone, boolean spot, int firstNode) {
+    SimWorker(SimCluster world, String name, String build, String zone, boolean spot, int firstNode) {
         this.world = world;
         this.name = name;
         this.build = build;
@@ -209,7 +209,7 @@
         sequence++;
         long sentSession = session;
         int sentLife = life;
-        Call call = Call.post("/agent/beat", body());
+        HttpRequest call = HttpRequest.post("/agent/beat", body());
         caller.call(world.publicAddress(node), call, ANSWER_MICROS).thenAccept(reply -> {
             if (sentLife == life) {
                 inFlight = false;
@@ -218,10 +218,10 @@
         });
     }
 
-    private void answered(Reply answer, long sentMicros, long sentSession) {
+    private void answered(HttpResponse answer, long sentMicros, long sentSession) {
         endLease();
         // A worker that hung has waited for too long by its own clock.
-        Reply reply = world.time().nowMicros() - sentMicros > ANSWER_MICROS ? Reply.noAnswer() : answer;
+        HttpResponse reply = world.time().nowMicros() - sentMicros > ANSWER_MICROS ? HttpResponse.noAnswer() : answer;
         if (reply.status() == 421
                 && world.nodeNamed(reply.json().path("foreman").asText()) >= 0) {
             node = world.nodeNamed(reply.json().path("foreman").asText());
@@ -242,7 +242,7 @@
         obey(body);
     }
 
-    private CompletableFuture<Reply> direct(Call call) {
+    private CompletableFuture<HttpResponse> direct(HttpRequest call) {
         endLease();
         sequence++;
         int status = 200;
@@ -254,7 +254,7 @@
                 obey(body);
             }
         }
-        return CompletableFuture.completedFuture(Reply.of(status, body()));
+        return CompletableFuture.completedFuture(HttpResponse.of(status, body()));
     }
 
     private void obey(JsonNode body) {
--- a/src/test/java/io/sillreel/sim/TaskSteps.java
+++ b/src/test/java/io/sillreel/sim/TaskSteps.java
@@ -9,7 +9,7 @@
     private TaskSteps() {}
 
     /** Waits until so many tasks have started and all but those of the fullest machine, which run on, have ended. */
-    public static String leaveTasksOnOneMachine(World world, int started) {
+    public static String leaveTasksOnOneMachine(SimCluster world, int started) {
         world.untilStarted(started, 8 * SECOND);
         SimWorker chosen = world.cloud().machines().values().stream()
                 .max(Comparator.comparingInt(worker -> worker.running().size()))
--- a/src/test/java/io/sillreel/sim/UpgradeSteps.java
+++ b/src/test/java/io/sillreel/sim/UpgradeSteps.java
@@ -3,7 +3,7 @@
 import static io.sillreel.sim.SimJobs.uid;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.sillreel.sim.World.Version;
+import io.sillreel.sim.SimCluster.Version;
 import java.util.List;
 
 /** What happens during an upgrade: steps for tests, and what has to hold after them. */
@@ -18,8 +18,8 @@
     private UpgradeSteps() {}
 
     /** Returns a cluster whose controllers all run the previous version. */
-    public static World previousVersion(long seed) {
-        World world = new World(seed, TEAM_CPUS, NODES, Version.PREVIOUS);
+    public static SimCluster previousVersion(long seed) {
+        SimCluster world = new SimCluster(seed, TEAM_CPUS, NODES, Version.PREVIOUS);
         world.seconds(2);
         return world;
     }
@@ -30,7 +30,7 @@
     }
 
     /** Brings about that a controller of that version leads and all the others run the other version. */
-    public static int leadAlone(World world, Version version) {
+    public static int leadAlone(SimCluster world, Version version) {
         world.until(() -> world.leader() >= 0);
         int leader = world.leader();
         for (int node = 0; node < NODES; node++) {
@@ -51,7 +51,7 @@
     }
 
     /** Ends leaders until a controller of that version leads; each comes back with the version that it had. */
-    public static void leadNext(World world, Version version) {
+    public static void leadNext(SimCluster world, Version version) {
         for (int node = 0; node < NODES; node++) {
             if (world.version(node) != version) {
                 world.kill(node);
@@ -67,7 +67,7 @@
     }
 
     /** Brings all controllers to the present version, one after the other. */
-    public static void upgradeAll(World world) {
+    public static void upgradeAll(SimCluster world) {
         for (int node = 0; node < NODES; node++) {
             if (world.version(node) == Version.PREVIOUS || !world.isUp(node)) {
                 world.restart(node, Version.CURRENT);
@@ -77,19 +77,19 @@
     }
 
     /** Submits a numbered job without waiting for the answer. */
-    public static void submitMeanwhile(World world, int number, int pieces) {
-        world.submitMeanwhile(number % NODES, World.job(uid(number), pieces));
+    public static void submitMeanwhile(SimCluster world, int number, int pieces) {
+        world.submitMeanwhile(number % NODES, SimCluster.job(uid(number), pieces));
     }
 
     /** Asks every controller. */
-    public static void everyNodeSays(World world, String uid, String stage) {
+    public static void everyNodeSays(SimCluster world, String uid, String stage) {
         for (int node = 0; node < NODES; node++) {
             assertThat(world.stage(node, uid)).as("%s at %d", uid, node).isEqualTo(stage);
         }
     }
 
     /** All that was accepted is done or, if its user asked for that, cancelled, whichever controller is asked. */
-    public static void everythingEnds(World world, int jobs, List<String> cancelled) {
+    public static void everythingEnds(SimCluster world, int jobs, List<String> cancelled) {
         world.seconds(90);
         for (int number = 1; number <= jobs; number++) {
             String uid = uid(number);
--- a/src/test/java/io/sillreel/statestore/ScanTest.java
+++ b/src/test/java/io/sillreel/statestore/ScanTest.java
@@ -2,17 +2,17 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Reply;
-import io.sillreel.overload.Pacer;
+import io.sillreel.overload.RateLimiter;
 import io.sillreel.sim.SimNetwork;
 import io.sillreel.sim.SimNetwork.Fate;
-import io.sillreel.sim.SimState;
+import io.sillreel.sim.SimStateStore;
 import io.sillreel.sim.SimTime;
 import io.sillreel.statestore.StateStore.Entry;
 import io.sillreel.statestore.StateStore.Outcome;
 import io.sillreel.statestore.StateStore.Scan;
-import io.sillreel.statestore.StateStore.Txn;
+import io.sillreel.statestore.StateStore.Transaction;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -23,7 +23,7 @@
 
     private final SimTime time = new SimTime();
     private final SimNetwork network = new SimNetwork(time, 1);
-    private final SimState state = new SimState(time, 100, 8192, 10_000);
+    private final SimStateStore state = new SimStateStore(time, 100, 8192, 10_000);
     private final SimTime.Process process = time.new Process();
     private final List<String> read = new ArrayList<>();
     private final StateStore store;
@@ -32,7 +32,7 @@
         network.listen("state:1", state);
         store = network.stateStore(process, 4, 10_000);
         for (int from = 0; from < ENTRIES; from += 100) {
-            Txn txn = new Txn();
+            Transaction txn = new Transaction();
             for (int entry = from; entry < from + 100; entry++) {
                 txn.set("k/%04d".formatted(entry), Json.object());
             }
@@ -99,12 +99,12 @@
     @Test
     void aWatchWhoseAnswerIsTooLargeCanNotGoOn() {
         StateStore small = new StateStore(
-                (to, call, timeout) -> CompletableFuture.completedFuture(Reply.answerTooLarge()),
+                (to, call, timeout) -> CompletableFuture.completedFuture(HttpResponse.answerTooLarge()),
                 network.from("node", process),
                 process,
                 "state:1",
-                new Pacer(process, 4, 4),
-                new Pacer(process, 4, 4));
+                new RateLimiter(process, 4, 4),
+                new RateLimiter(process, 4, 4));
         assertThat(small.watch("k/", 0, 1_000).join().outcome()).isEqualTo(Outcome.COMPACTED);
     }
 
--- a/src/test/java/io/sillreel/statestore/KeyWriterTest.java
+++ b/src/test/java/io/sillreel/statestore/WriteQueueTest.java
@@ -4,34 +4,34 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.sillreel.http.Json;
-import io.sillreel.overload.Pacer;
+import io.sillreel.overload.RateLimiter;
 import io.sillreel.sim.SimNetwork;
 import io.sillreel.sim.SimNetwork.Fate;
 import io.sillreel.sim.SimNetwork.Rule;
-import io.sillreel.sim.SimState;
+import io.sillreel.sim.SimStateStore;
 import io.sillreel.sim.SimTime;
 import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Txn;
+import io.sillreel.statestore.StateStore.Transaction;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class KeyWriterTest {
+class WriteQueueTest {
     private final SimTime time = new SimTime();
     private final SimNetwork network = new SimNetwork(time, 1);
-    private final SimState state = new SimState(time, 4, 8192, 1_000);
+    private final SimStateStore state = new SimStateStore(time, 4, 8192, 1_000);
     private final SimTime.Process process = time.new Process();
     private final StateStore store;
-    private final KeyWriter writer;
+    private final WriteQueue writer;
     private boolean deposed;
 
-    KeyWriterTest() {
+    WriteQueueTest() {
         network.listen("state:1", state);
         store = network.stateStore(process, 1_000, 1_000);
-        store.commit(new Txn().set("leader", Json.object()));
+        store.commit(new Transaction().set("leader", Json.object()));
         time.runFor(100_000);
-        writer = new KeyWriter(store, process, "leader", 101, 4, () -> deposed = true);
+        writer = new WriteQueue(store, process, "leader", 101, 4, () -> deposed = true);
     }
 
     /**
@@ -67,7 +67,7 @@
     void refusalsForTheRateSlowWritingAndLoseNothing() {
         // A quarter of what this controller takes for its part.
         StateStore paced = network.stateStore(process, 1_000, 40);
-        KeyWriter writer = new KeyWriter(paced, process, "leader", 101, 4, () -> deposed = true);
+        WriteQueue writer = new WriteQueue(paced, process, "leader", 101, 4, () -> deposed = true);
         state.limits(4, 8192, 10);
         List<Count> counts = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
@@ -83,21 +83,21 @@
                 .isLessThan(25);
     }
 
-    private static final class Count implements KeyWriter.Item {
+    private static final class Count implements WriteQueue.PendingWrite {
         private final String key;
         private String padding = "";
         private int value;
         private int sent;
         private int stored;
         private long stamp;
-        private KeyWriter.Urgency urgency = KeyWriter.Urgency.START;
+        private WriteQueue.WriteUrgency urgency = WriteQueue.WriteUrgency.START;
 
         Count(String key) {
             this.key = key;
         }
 
         @Override
-        public KeyWriter.Urgency urgency() {
+        public WriteQueue.WriteUrgency urgency() {
             return urgency;
         }
 
@@ -166,13 +166,13 @@
                 network.from("node", process),
                 process,
                 "state:1",
-                new Pacer(process, 1_000, 1_000),
-                new Pacer(process, 2, 6));
-        KeyWriter scarce = new KeyWriter(slow, process, "leader", 101, 4, () -> deposed = true);
+                new RateLimiter(process, 1_000, 1_000),
+                new RateLimiter(process, 2, 6));
+        WriteQueue scarce = new WriteQueue(slow, process, "leader", 101, 4, () -> deposed = true);
         Count[] progress = new Count[8];
         for (int i = 0; i < progress.length; i++) {
             progress[i] = new Count("p" + i);
-            progress[i].urgency = KeyWriter.Urgency.PROGRESS;
+            progress[i].urgency = WriteQueue.WriteUrgency.PROGRESS;
             scarce.enqueue(progress[i]);
         }
         time.runFor(1_900_000);
@@ -183,7 +183,7 @@
             scarce.enqueue(starts[i]);
         }
         Count end = new Count("e");
-        end.urgency = KeyWriter.Urgency.END;
+        end.urgency = WriteQueue.WriteUrgency.END;
         scarce.enqueue(end);
         time.runFor(8_000_000);
         assertThat(end.stamp).isPositive();
@@ -227,7 +227,7 @@
 
     @Test
     void aWriterWhoseLeaderKeyHasChangedStops() {
-        store.commit(new Txn().set("leader", Json.object().put("node", "other")));
+        store.commit(new Transaction().set("leader", Json.object().put("node", "other")));
         time.runFor(100_000);
         Count count = new Count("k");
         writer.enqueue(count);
@@ -239,7 +239,7 @@
     @Test
     void listsArePagedAndWatchesTellWhenTheyAreTooOld() {
         for (int i = 0; i < 1_200; i += 4) {
-            Txn txn = new Txn();
+            Transaction txn = new Transaction();
             for (int j = i; j < i + 4; j++) {
                 txn.set("many/%05d".formatted(j), Json.object());
             }
@@ -257,7 +257,7 @@
 
     @Test
     void aPacerStaysBelowItsRate() {
-        Pacer pacer = new Pacer(process, 10, 10);
+        RateLimiter pacer = new RateLimiter(process, 10, 10);
         int taken = 0;
         for (int i = 0; i < 200; i++) {
             taken += pacer.tryTake(1) ? 1 : 0;
@@ -273,7 +273,7 @@
     void progressThatGathersIsNoBacklogOfWhatPresses() {
         for (int i = 0; i < 30; i++) {
             Count progress = new Count("p/" + i);
-            progress.urgency = KeyWriter.Urgency.PROGRESS;
+            progress.urgency = WriteQueue.WriteUrgency.PROGRESS;
             writer.enqueue(progress);
         }
         writer.enqueue(new Count("hire/1"));
