--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -49,8 +49,8 @@
     private static final double WRITE_PART = 0.7;
     private static final double CLOUD_PART = 0.8;
 
-    private final EventLoop loop;
-    private final HttpClient caller;
+    private final EventLoop eventLoop;
+    private final HttpClient httpClient;
     private final Settings settings;
     private final OperatorProperties operator;
     private final FleetCapacity fleetCapacity;
@@ -64,7 +64,7 @@
     private final Peers peers;
     private final WorkerLoadBalancer spread;
     private final long startedMicros;
-    private final EventLoopLag lateness;
+    private final EventLoopLag eventLoopLag;
     private final RequestQueue requestQueue;
     /** Null unless operators have switched it on: then nothing of it is loaded. */
     private final Recovery recovery;
@@ -77,52 +77,52 @@
      * @param limits what the memory and the sockets of this process allow
      */
     public Controller(
-            EventLoop loop,
-            HttpClient caller,
-            HttpClient leaseCaller,
+            EventLoop eventLoop,
+            HttpClient httpClient,
+            HttpClient leaseHttpClient,
             Settings settings,
             OperatorProperties operator,
             ProcessLimits limits) {
-        this.loop = loop;
-        this.caller = caller;
+        this.eventLoop = eventLoop;
+        this.httpClient = httpClient;
         this.settings = settings;
         this.operator = operator;
         this.fleetCapacity = new FleetCapacity(limits);
-        this.startedMicros = loop.nowMicros();
-        this.lateness = new EventLoopLag(loop);
-        this.requestQueue = new RequestQueue(loop, limits.waitingRequestBytes());
+        this.startedMicros = eventLoop.nowMicros();
+        this.eventLoopLag = new EventLoopLag(eventLoop);
+        this.requestQueue = new RequestQueue(eventLoop, limits.waitingRequestBytes());
         double requests = settings.state().requestsPerSecond() * REQUEST_PART;
         double writes = settings.state().writesPerSecond() * WRITE_PART;
         double calls = settings.cloud().requestsPerSecond() * CLOUD_PART;
         this.recovery = operator.recovery().enabled() ? newRecovery(limits) : null;
         this.store = new StateStore(
-                recovery == null ? caller : recovery.monitored(caller),
-                recovery == null ? leaseCaller : recovery.monitored(leaseCaller),
-                loop,
+                recovery == null ? httpClient : recovery.monitored(httpClient),
+                recovery == null ? leaseHttpClient : recovery.monitored(leaseHttpClient),
+                eventLoop,
                 settings.stateAddress(),
-                new RateLimiter(loop, requests, requests),
-                new RateLimiter(loop, writes, writes));
+                new RateLimiter(eventLoop, requests, requests),
+                new RateLimiter(eventLoop, writes, writes));
         this.cloud = new CloudClient(
-                caller, loop, settings.cloudAddress(), new RateLimiter(loop, calls, Math.max(1, calls)));
+                httpClient, eventLoop, settings.cloudAddress(), new RateLimiter(eventLoop, calls, Math.max(1, calls)));
         this.leadership = new LeaderElection(
                 store,
-                loop,
+                eventLoop,
                 settings.nodeName(),
                 operator.stateLeaseMicros(),
                 this,
                 () -> recovery == null ? 0 : recovery.termFloor());
-        this.machineTypes = new MachineTypeCatalog(store, cloud, loop, () -> leadership.heldTerm() > 0);
+        this.machineTypes = new MachineTypeCatalog(store, cloud, eventLoop, () -> leadership.heldTerm() > 0);
         this.users = new AdaptiveLimit(
-                new Admission(store, loop, settings, limits, machineTypes::types, this, this::tellCancelled),
+                new Admission(store, eventLoop, settings, limits, machineTypes::types, this, this::tellCancelled),
                 operator.maxRequests(),
                 limits.rememberedJobs(),
-                loop::nowMicros);
-        this.peers = new Peers(loop);
+                eventLoop::nowMicros);
+        this.peers = new Peers(eventLoop);
         this.spread = new WorkerLoadBalancer(
-                loop, peers, settings.nodeName(), settings.workers().reportMicros());
-        this.relay = new HeartbeatRelay(loop, caller, spread::workers);
+                eventLoop, peers, settings.nodeName(), settings.workers().heartbeatIntervalMicros());
+        this.relay = new HeartbeatRelay(eventLoop, httpClient, spread::workers);
         this.reports = new HeartbeatRouter(
-                loop,
+                eventLoop,
                 settings,
                 leadership,
                 relay,
@@ -133,9 +133,9 @@
 
     private Recovery newRecovery(ProcessLimits limits) {
         return new Recovery(
-                loop,
+                eventLoop,
                 settings,
-                caller,
+                httpClient,
                 limits.recentChangeBytes(),
                 operator.recovery().followMicros());
     }
@@ -151,7 +151,7 @@
      *     from the very election that they wait for
      */
     public void start(Runnable open) {
-        lateness.start();
+        eventLoopLag.start();
         leadership.start(open);
         if (recovery != null) {
             recovery.start(store, leadership);
@@ -161,10 +161,10 @@
     }
 
     /** Where a public request waits for its turn: health checks nowhere, workers apart from users. */
-    public static RequestClass line(HttpRequest call) {
-        return switch (call.route()) {
-            case UP -> RequestClass.AT_ONCE;
-            case HEARTBEAT -> RequestClass.CROWD;
+    public static RequestClass line(HttpRequest request) {
+        return switch (request.route()) {
+            case UP -> RequestClass.IMMEDIATE;
+            case HEARTBEAT -> RequestClass.WORKERS;
             default -> RequestClass.USERS;
         };
     }
@@ -175,35 +175,35 @@
     }
 
     /** What users, workers and health checks ask. */
-    public CompletableFuture<HttpResponse> publicCall(HttpRequest call) {
-        String route = call.route();
+    public CompletableFuture<HttpResponse> publicCall(HttpRequest request) {
+        String route = request.route();
         if (route.equals("/v2/runs") || route.startsWith("/v2/runs/")) {
-            return recovery == null ? users.handle(call) : recovery.guarded(() -> users.handle(call));
+            return recovery == null ? users.handle(request) : recovery.guarded(() -> users.handle(request));
         }
         if (route.equals(HEARTBEAT)) {
-            return call.method().equals("POST")
-                    ? reports.heartbeat(call)
+            return request.method().equals("POST")
+                    ? reports.heartbeat(request)
                     : answer(HttpResponse.refusal(405, "use POST"));
         }
         if (route.equals(UP)) {
-            return answer(call.method().equals("GET") ? up() : HttpResponse.refusal(405, "use GET"));
+            return answer(request.method().equals("GET") ? up() : HttpResponse.refusal(405, "use GET"));
         }
         return answer(HttpResponse.refusal(404, "no such path"));
     }
 
     /** What the other controllers, and operators, ask. */
-    public CompletableFuture<HttpResponse> internalCall(HttpRequest call) {
-        switch (call.route()) {
+    public CompletableFuture<HttpResponse> internalCall(HttpRequest request) {
+        switch (request.route()) {
             case PeerMessages.HEARTBEATS -> {
-                return reports.handedOn(call);
+                return reports.handedOn(request);
             }
             case PeerMessages.HELLO -> {
-                heard(Hello.of(call.body()));
+                heard(Hello.of(request.body()));
                 return answer(new HttpResponse(200, ownHello().bytes(), 0));
             }
             case PeerMessages.CANCELLED -> {
                 if (leaderTerm != null) {
-                    PeerMessages.cancelled(call.body()).forEach(leaderTerm::cancelled);
+                    PeerMessages.cancelled(request.body()).forEach(leaderTerm::cancelled);
                 }
                 return answer(HttpResponse.of(200, Json.object()));
             }
@@ -211,14 +211,14 @@
                 return answer(HttpResponse.of(200, measured()));
             }
             default -> {
-                boolean known = recovery != null && Recovery.concerns(call.route());
-                return answer(known ? recovery.answer(call) : HttpResponse.refusal(404, "no such path"));
+                boolean known = recovery != null && Recovery.concerns(request.route());
+                return answer(known ? recovery.answer(request) : HttpResponse.refusal(404, "no such path"));
             }
         }
     }
 
-    private static CompletableFuture<HttpResponse> answer(HttpResponse reply) {
-        return CompletableFuture.completedFuture(reply);
+    private static CompletableFuture<HttpResponse> answer(HttpResponse response) {
+        return CompletableFuture.completedFuture(response);
     }
 
     /**
@@ -230,13 +230,13 @@
         boolean othersAnswered = peers.storeAnswersAnother();
         boolean undecided = machineTypes.types().isEmpty();
         if (silent && othersAnswered || undecided && othersAnswered) {
-            return HttpResponse.later(503, "the state service can't be asked from here", 1);
+            return HttpResponse.retryLater(503, "the state service can't be asked from here", 1);
         }
         return HttpResponse.of(200, Json.object().put("ok", true));
     }
 
     private boolean storeAnswers() {
-        return loop.nowMicros() - Math.max(store.lastAnswerMicros(), startedMicros) < STORE_SILENCE_MICROS;
+        return eventLoop.nowMicros() - Math.max(store.lastAnswerMicros(), startedMicros) < STORE_SILENCE_MICROS;
     }
 
     /** The lease leader follows the stored cancellations, but the state service may refuse it alone. */
@@ -246,12 +246,12 @@
         } else {
             reports.leader()
                     .ifPresent(leader ->
-                            caller.call(leader.address(), PeerMessages.cancelled(uid), CANCELLED_TIMEOUT_MICROS));
+                            httpClient.send(leader.address(), PeerMessages.cancelled(uid), CANCELLED_TIMEOUT_MICROS));
         }
     }
 
     private void hello() {
-        loop.after(HELLO_EVERY_MICROS, this::hello);
+        eventLoop.schedule(HELLO_EVERY_MICROS, this::hello);
         spread.review(leadership.known().node());
         reports.review();
         if (leaderTerm != null) {
@@ -262,11 +262,11 @@
                 // It has just asked; its question and our answer have told both sides all there is to tell.
                 continue;
             }
-            HttpRequest call =
+            HttpRequest request =
                     new HttpRequest("POST", PeerMessages.HELLO, ownHello().bytes());
-            caller.call(member.address(), call, HELLO_TIMEOUT_MICROS).thenAccept(reply -> {
-                if (reply.ok()) {
-                    heard(Hello.of(reply.body()));
+            httpClient.send(member.address(), request, HELLO_TIMEOUT_MICROS).thenAccept(response -> {
+                if (response.isOk()) {
+                    heard(Hello.of(response.body()));
                 }
             });
         }
@@ -302,10 +302,10 @@
 
     private void begin(long term, long leaderStamp) {
         leaderTerm = new LeaderTerm(
-                loop,
+                eventLoop,
                 store,
                 cloud,
-                caller,
+                httpClient,
                 settings,
                 operator,
                 fleetCapacity,
@@ -343,7 +343,7 @@
     /** Most controllers are never asked for metrics, and a start has better things to do. */
     private ControllerMetrics metrics() {
         if (metrics == null) {
-            metrics = new ControllerMetrics(reports, leadership, users, relay, spread, lateness, requestQueue);
+            metrics = new ControllerMetrics(reports, leadership, users, relay, spread, eventLoopLag, requestQueue);
         }
         return metrics;
     }
--- a/src/main/java/io/sillreel/ControllerMetrics.java
+++ b/src/main/java/io/sillreel/ControllerMetrics.java
@@ -25,7 +25,7 @@
     private final AdaptiveLimit users;
     private final HeartbeatRelay relay;
     private final WorkerLoadBalancer spread;
-    private final EventLoopLag lateness;
+    private final EventLoopLag eventLoopLag;
     private final RequestQueue requestQueue;
     private MeterRegistry ownRegistry;
 
@@ -35,14 +35,14 @@
             AdaptiveLimit users,
             HeartbeatRelay relay,
             WorkerLoadBalancer spread,
-            EventLoopLag lateness,
+            EventLoopLag eventLoopLag,
             RequestQueue requestQueue) {
         this.reports = reports;
         this.leadership = leadership;
         this.users = users;
         this.relay = relay;
         this.spread = spread;
-        this.lateness = lateness;
+        this.eventLoopLag = eventLoopLag;
         this.requestQueue = requestQueue;
     }
 
@@ -68,13 +68,13 @@
                 .tag("version", Controller.version())
                 .register(to);
         Gauge.builder("sillreel.leads", leadership, LeaderElection::heldTerm).register(to);
-        Gauge.builder("sillreel.late.ms", lateness, each -> each.micros() / 1_000.0)
+        Gauge.builder("sillreel.late.ms", eventLoopLag, each -> each.currentMicros() / 1_000.0)
                 .register(to);
-        Gauge.builder("sillreel.late.most.ms", lateness, each -> each.mostMicros() / 1_000.0)
+        Gauge.builder("sillreel.late.most.ms", eventLoopLag, each -> each.maxMicros() / 1_000.0)
                 .register(to);
-        Gauge.builder("sillreel.requests.waiting", requestQueue, RequestQueue::waiting)
+        Gauge.builder("sillreel.requests.waiting", requestQueue, RequestQueue::waitingCount)
                 .register(to);
-        FunctionCounter.builder("sillreel.requests.given.up", requestQueue, RequestQueue::givenUp)
+        FunctionCounter.builder("sillreel.requests.given.up", requestQueue, RequestQueue::abandonedCount)
                 .register(to);
         new JvmMemoryMetrics().bindTo(to);
     }
--- a/src/main/java/io/sillreel/admission/Admission.java
+++ b/src/main/java/io/sillreel/admission/Admission.java
@@ -45,7 +45,7 @@
     private static final int MAX_TRIES = 5;
 
     private final StateStore store;
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Settings settings;
     private final Supplier<Map<String, MachineType>> types;
     private final LiveTaskCounts live;
@@ -55,26 +55,27 @@
     /** @param onCancelled told of each cancellation that is stored here, before its user is */
     public Admission(
             StateStore store,
-            EventLoop loop,
+            EventLoop eventLoop,
             Settings settings,
             ProcessLimits limits,
             Supplier<Map<String, MachineType>> types,
             LiveTaskCounts live,
             Consumer<String> onCancelled) {
         this.store = store;
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.settings = settings;
         this.types = types;
         this.live = live;
         this.onCancelled = onCancelled;
-        this.views = new JobStatusService(store, loop, settings.state().txnOps(), limits.rememberedJobs());
+        this.views = new JobStatusService(
+                store, eventLoop, settings.state().maxTransactionChanges(), limits.rememberedJobs());
     }
 
     @Override
-    public CompletableFuture<HttpResponse> handle(HttpRequest call) {
-        String route = call.route();
+    public CompletableFuture<HttpResponse> handle(HttpRequest request) {
+        String route = request.route();
         if (route.equals(RUNS)) {
-            return call.method().equals("POST") ? submit(call) : done(HttpResponse.refusal(405, "use POST"));
+            return request.method().equals("POST") ? submit(request) : done(HttpResponse.refusal(405, "use POST"));
         }
         String rest = route.substring(RUNS.length() + 1);
         boolean cancel = rest.endsWith("/withdraw");
@@ -82,7 +83,7 @@
         if (uid.contains("/")) {
             return done(HttpResponse.refusal(404, "no such path"));
         }
-        if (!call.method().equals(cancel ? "POST" : "GET")) {
+        if (!request.method().equals(cancel ? "POST" : "GET")) {
             return done(HttpResponse.refusal(405, cancel ? "use POST" : "use GET"));
         }
         if (!SubmissionDecoder.isUid(uid)) {
@@ -100,8 +101,8 @@
         });
     }
 
-    private CompletableFuture<HttpResponse> submit(HttpRequest call) {
-        JsonNode body = Json.parse(call.body());
+    private CompletableFuture<HttpResponse> submit(HttpRequest request) {
+        JsonNode body = Json.parse(request.body());
         if (!body.isObject()) {
             return done(HttpResponse.refusal(400, "the body is not a JSON object"));
         }
@@ -118,7 +119,7 @@
         }
         Map<String, MachineType> known = types.get();
         if (known.isEmpty()) {
-            return unlessKnown(uid, HttpResponse.later(503, "the machine types are not known yet", 2));
+            return unlessKnown(uid, HttpResponse.retryLater(503, "the machine types are not known yet", 2));
         }
         Optional<String> never =
                 SubmissionDecoder.neverRuns(spec, settings.teams().get(spec.team()), known.values());
@@ -138,7 +139,7 @@
         if (spec.awaits().isEmpty()) {
             return store(spec, List.of(), tries);
         }
-        if (cut(new PlanRecord(loop.wallMicros(), spec)).isEmpty()) {
+        if (cut(new PlanRecord(eventLoop.wallMicros(), spec)).isEmpty()) {
             return unlessKnown(spec.uid(), tooLarge(spec));
         }
         // Once accepted a job stays so, and that may be remembered; that it never was, only the store can say.
@@ -162,7 +163,7 @@
      * force, and no such controller is left. Jobs that await others are submitted only after the upgrade.
      */
     private CompletableFuture<HttpResponse> store(JobSpec spec, List<JobStatus> awaited, int tries) {
-        PlanRecord plan = new PlanRecord(loop.wallMicros(), spec);
+        PlanRecord plan = new PlanRecord(eventLoop.wallMicros(), spec);
         ValueLimits limits = settings.state().values();
         boolean maybeCut = !spec.awaits().isEmpty();
         Optional<Map<String, JsonNode>> values = maybeCut ? cut(plan) : plan.cut(limits.presentBytes(), WHOLE);
@@ -183,7 +184,7 @@
     /** The plan as it can be stored under the announced limits; one change is left for the cancellation. */
     private Optional<Map<String, JsonNode>> cut(PlanRecord plan) {
         StateLimits limits = settings.state();
-        return plan.cut(limits.values().announcedBytes(), Math.max(WHOLE, limits.txnOps() - 1));
+        return plan.cut(limits.values().announcedBytes(), Math.max(WHOLE, limits.maxTransactionChanges() - 1));
     }
 
     /** Stores the values of a plan; a job which awaits a cancelled one is cancelled in the same transaction. */
@@ -201,7 +202,7 @@
             // As far as there is room: what is cancelled in this very moment closes the job all the same.
             awaited.stream()
                     .filter(each -> !each.done())
-                    .limit(4L * settings.state().txnOps() - 1)
+                    .limit(4L * settings.state().maxTransactionChanges() - 1)
                     .forEach(each -> txn.require(CancellationRecord.key(each.uid()), 0));
         }
         return store.commit(txn);
@@ -219,7 +220,7 @@
                         admitted(spec, commit.ledger(), firstCancelled(awaited).isPresent()));
             }
             case REFUSED -> {
-                return done(HttpResponse.later(503, "the state service does not take the job now", RETRY_SECONDS));
+                return done(HttpResponse.retryLater(503, "the state service does not take the job now", RETRY_SECONDS));
             }
             case TOO_LARGE -> {
                 return unlessKnown(uid, tooLarge(spec));
@@ -233,7 +234,7 @@
                 }
                 // Known already, or the answer got lost: only the store can say which.
                 return unlessKnown(
-                        uid, HttpResponse.later(503, "the job could not be stored for certain", RETRY_SECONDS));
+                        uid, HttpResponse.retryLater(503, "the job could not be stored for certain", RETRY_SECONDS));
             }
         }
     }
@@ -280,7 +281,7 @@
 
     private CompletableFuture<HttpResponse> cancel(String uid, int tries) {
         if (tries == 0) {
-            return done(HttpResponse.later(503, "the job is changing too fast", RETRY_SECONDS));
+            return done(HttpResponse.retryLater(503, "the job is changing too fast", RETRY_SECONDS));
         }
         return views.fresh(uid).thenCompose(view -> {
             if (view == null) {
@@ -297,7 +298,7 @@
             Transaction txn = new Transaction()
                     .require(key, 0)
                     .require(RunRecord.key(uid), view.runStamp())
-                    .set(key, Json.object().put("at_us", loop.wallMicros()));
+                    .set(key, Json.object().put("at_us", eventLoop.wallMicros()));
             return store.commit(txn).thenCompose(commit -> {
                 if (commit.outcome() == Outcome.OK) {
                     JobStatus cancelled = new JobStatus(
@@ -327,10 +328,10 @@
     }
 
     private static HttpResponse cannotRead() {
-        return HttpResponse.later(503, "the state service can't be asked now", RETRY_SECONDS);
+        return HttpResponse.retryLater(503, "the state service can't be asked now", RETRY_SECONDS);
     }
 
-    private static CompletableFuture<HttpResponse> done(HttpResponse reply) {
-        return CompletableFuture.completedFuture(reply);
+    private static CompletableFuture<HttpResponse> done(HttpResponse response) {
+        return CompletableFuture.completedFuture(response);
     }
 }
--- a/src/main/java/io/sillreel/admission/JobStatusService.java
+++ b/src/main/java/io/sillreel/admission/JobStatusService.java
@@ -53,7 +53,7 @@
     private record Compared(Question question, JobStatus view, Set<String> keys) {}
 
     private final StateStore store;
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final int mostConditions;
     private final JobStatusReader reader;
     /**
@@ -67,9 +67,9 @@
     private long gatherMicros = GATHER_MICROS;
 
     /** @param maxRemembered how many views are kept */
-    JobStatusService(StateStore store, EventLoop loop, int txnOps, int maxRemembered) {
+    JobStatusService(StateStore store, EventLoop eventLoop, int txnOps, int maxRemembered) {
         this.store = store;
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.mostConditions = 4 * txnOps;
         this.reader = new JobStatusReader(store, this, MAX_CHAIN_PLANS_FACTOR * maxRemembered);
         this.views = new LinkedHashMap<>(64, 0.75f, true) {
@@ -107,7 +107,7 @@
             }
         }
         CompletableFuture<JobStatus> answer = new CompletableFuture<>();
-        ask(new Question(uid, loop.nowMicros(), 0, answer));
+        ask(new Question(uid, eventLoop.nowMicros(), 0, answer));
         return answer;
     }
 
@@ -127,12 +127,12 @@
             }
             gathering = true;
         }
-        loop.after(gatherMicros, this::ask);
+        eventLoop.schedule(gatherMicros, this::ask);
     }
 
     /** Once more, with what has been learnt since, unless whoever asked has given up. */
     private void askAgain(Question question) {
-        if (loop.nowMicros() - question.askedMicros() > GIVE_UP_MICROS) {
+        if (eventLoop.nowMicros() - question.askedMicros() > GIVE_UP_MICROS) {
             question.answer().complete(null);
         } else {
             ask(question.again());
@@ -193,7 +193,7 @@
             }
             gathering = true;
         }
-        loop.after(gatherMicros > GATHER_MICROS ? gatherMicros : 0, this::ask);
+        eventLoop.schedule(gatherMicros > GATHER_MICROS ? gatherMicros : 0, this::ask);
     }
 
     private static Map<String, Long> own(JobStatus view) {
@@ -312,8 +312,8 @@
             return reader.learn(uids);
         }
         // Reading all plans may take longer than users wait; what was learnt is there when they ask again.
-        long left = question.askedMicros() + GIVE_UP_MICROS - loop.nowMicros();
-        loop.after(Math.max(0, left), () -> question.answer().complete(null));
+        long left = question.askedMicros() + GIVE_UP_MICROS - eventLoop.nowMicros();
+        eventLoop.schedule(Math.max(0, left), () -> question.answer().complete(null));
         return reader.learnFromAllPlans(uids);
     }
 }
--- a/src/main/java/io/sillreel/cli/TrainingServices.java
+++ b/src/main/java/io/sillreel/cli/TrainingServices.java
@@ -23,19 +23,19 @@
     private final List<Watcher> watchers = new ArrayList<>();
     private long ledger = 1;
 
-    synchronized CompletableFuture<HttpResponse> handle(HttpRequest call) {
-        String route = call.route();
+    synchronized CompletableFuture<HttpResponse> handle(HttpRequest request) {
+        String route = request.route();
         if (route.equals("/watch")) {
-            Watcher watcher =
-                    new Watcher(call.query("prefix"), Long.parseLong(call.query("since")), new CompletableFuture<>());
+            Watcher watcher = new Watcher(
+                    request.query("prefix"), Long.parseLong(request.query("since")), new CompletableFuture<>());
             watchers.add(watcher);
             wake();
             return watcher.answer();
         }
         return CompletableFuture.completedFuture(
                 switch (route) {
-                    case "/txn" -> commit(Json.parse(call.body()));
-                    case "/kv" -> list(call.query("prefix"));
+                    case "/txn" -> commit(Json.parse(request.body()));
+                    case "/kv" -> list(request.query("prefix"));
                     case "/grants" -> HttpResponse.of(200, Json.object().put("permit", 1));
                     case "/flavors" -> HttpResponse.of(200, machineTypes());
                     case "/machines" -> HttpResponse.of(200, machines());
--- a/src/main/java/io/sillreel/cloud/CloudClient.java
+++ b/src/main/java/io/sillreel/cloud/CloudClient.java
@@ -55,21 +55,22 @@
     /** The most machines that one request may rent. */
     public static final int MAX_RENTED = 50;
 
-    private final HttpClient caller;
-    private final EventLoop loop;
+    private final HttpClient httpClient;
+    private final EventLoop eventLoop;
     private final String address;
     private final RateLimiter pacer;
 
     /** @param pacer keeps this controller below its part of the shared request rate */
-    public CloudClient(HttpClient caller, EventLoop loop, String address, RateLimiter pacer) {
-        this.caller = caller;
-        this.loop = loop;
+    public CloudClient(HttpClient httpClient, EventLoop eventLoop, String address, RateLimiter pacer) {
+        this.httpClient = httpClient;
+        this.eventLoop = eventLoop;
         this.address = address;
         this.pacer = pacer;
     }
 
     public CompletableFuture<MachineTypeList> machineTypes() {
-        return send(HttpRequest.get("/flavors")).thenApply(reply -> new MachineTypeList(outcome(reply), reply.json()));
+        return send(HttpRequest.get("/flavors"))
+                .thenApply(response -> new MachineTypeList(outcome(response), response.json()));
     }
 
     /** Rents up to {@code count} machines under a request name that is never used for anything else. */
@@ -80,12 +81,12 @@
                 .put("yard", zone)
                 .put("loaners", spot)
                 .put("count", count);
-        return send(HttpRequest.post("/machines", body)).thenApply(reply -> {
+        return send(HttpRequest.post("/machines", body)).thenApply(response -> {
             List<String> names = new ArrayList<>();
-            reply.json().path("hoppers").forEach(name -> names.add(name.asText()));
-            boolean full =
-                    reply.status() == 503 && reply.json().path("error").asText().equals("no capacity");
-            return new Rented(full ? Outcome.NO_CAPACITY : outcome(reply), names);
+            response.json().path("hoppers").forEach(name -> names.add(name.asText()));
+            boolean full = response.status() == 503
+                    && response.json().path("error").asText().equals("no capacity");
+            return new Rented(full ? Outcome.NO_CAPACITY : outcome(response), names);
         });
     }
 
@@ -104,7 +105,7 @@
      * long. A page that is refused or lost is asked for again by itself.
      */
     public CompletableFuture<Machines> machines() {
-        ListRequest list = new ListRequest(loop.nowMicros());
+        ListRequest list = new ListRequest(eventLoop.nowMicros());
         page(list);
         return list.result;
     }
@@ -133,18 +134,18 @@
     }
 
     private void page(ListRequest list) {
-        boolean patient = loop.nowMicros() - list.pageDueMicros < MAX_PAGE_WAIT_MICROS;
-        if (!pacer.tryTakeLeaving(1, patient ? RESERVED_PART * pacer.burst() : 0)) {
-            loop.after(PAGE_PAUSE_MICROS, () -> page(list));
+        boolean patient = eventLoop.nowMicros() - list.pageDueMicros < MAX_PAGE_WAIT_MICROS;
+        if (!pacer.tryAcquireLeaving(1, patient ? RESERVED_PART * pacer.burst() : 0)) {
+            eventLoop.schedule(PAGE_PAUSE_MICROS, () -> page(list));
             return;
         }
-        caller.call(address, list.call(), TIMEOUT_MICROS).thenAccept(reply -> {
-            if (reply.ok()) {
-                pageRead(list, reply.json());
+        httpClient.send(address, list.call(), TIMEOUT_MICROS).thenAccept(response -> {
+            if (response.isOk()) {
+                pageRead(list, response.json());
             } else if (++list.failures <= MAX_PAGE_FAILURES) {
-                loop.after(PAGE_RETRY_MICROS, () -> page(list));
+                eventLoop.schedule(PAGE_RETRY_MICROS, () -> page(list));
             } else {
-                list.finish(outcome(reply));
+                list.finish(outcome(response));
             }
         });
     }
@@ -155,7 +156,7 @@
         }
         if (body.path("truncated").asBoolean() && !list.machines.isEmpty()) {
             list.since = list.machines.get(list.machines.size() - 1).name();
-            list.pageDueMicros = loop.nowMicros();
+            list.pageDueMicros = eventLoop.nowMicros();
             list.failures = 0;
             page(list);
         } else {
@@ -174,17 +175,17 @@
                 Math.round(node.path("age_s").asDouble() * 1_000_000));
     }
 
-    private CompletableFuture<HttpResponse> send(HttpRequest call) {
-        if (!pacer.tryTake(1)) {
-            return CompletableFuture.completedFuture(HttpResponse.later(429, "paced", 1));
+    private CompletableFuture<HttpResponse> send(HttpRequest request) {
+        if (!pacer.tryAcquire(1)) {
+            return CompletableFuture.completedFuture(HttpResponse.retryLater(429, "paced", 1));
         }
-        return caller.call(address, call, TIMEOUT_MICROS);
+        return httpClient.send(address, request, TIMEOUT_MICROS);
     }
 
-    private Outcome outcome(HttpResponse reply) {
-        if (reply.ok()) {
+    private Outcome outcome(HttpResponse response) {
+        if (response.isOk()) {
             return Outcome.OK;
         }
-        return reply.surelyNotExecuted() ? Outcome.REFUSED : Outcome.UNKNOWN;
+        return response.surelyNotExecuted() ? Outcome.REFUSED : Outcome.UNKNOWN;
     }
 }
--- a/src/main/java/io/sillreel/cloud/MachineTypeCatalog.java
+++ b/src/main/java/io/sillreel/cloud/MachineTypeCatalog.java
@@ -23,15 +23,15 @@
 
     private final StateStore store;
     private final CloudClient cloud;
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final BooleanSupplier holdsLease;
     private volatile Map<String, MachineType> types = Map.of();
 
     /** @param holdsLease true while this controller may update the stored machine types */
-    public MachineTypeCatalog(StateStore store, CloudClient cloud, EventLoop loop, BooleanSupplier holdsLease) {
+    public MachineTypeCatalog(StateStore store, CloudClient cloud, EventLoop eventLoop, BooleanSupplier holdsLease) {
         this.store = store;
         this.cloud = cloud;
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.holdsLease = holdsLease;
     }
 
@@ -48,7 +48,7 @@
             if (types.isEmpty() || holdsLease.getAsBoolean()) {
                 ask(read.stamp(), read.decided());
             }
-            loop.after(types.isEmpty() ? RETRY_MICROS : REFRESH_MICROS, this::start);
+            eventLoop.schedule(types.isEmpty() ? RETRY_MICROS : REFRESH_MICROS, this::start);
         });
     }
 
--- a/src/main/java/io/sillreel/fleet/CloudListReconciler.java
+++ b/src/main/java/io/sillreel/fleet/CloudListReconciler.java
@@ -25,7 +25,7 @@
     private static final long PENDING_RENTAL_MICROS = 30_000_000;
     private static final String FAILED = "failed";
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Cluster cluster;
     private final CloudClient cloud;
     private final FleetRegistry registry;
@@ -43,13 +43,13 @@
      * @param clear told of a machine whose tasks are certainly gone
      */
     CloudListReconciler(
-            EventLoop loop,
+            EventLoop eventLoop,
             Cluster cluster,
             CloudClient cloud,
             FleetRegistry registry,
             long listLagMicros,
             Consumer<Machine> clear) {
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.cluster = cluster;
         this.cloud = cloud;
         this.registry = registry;
@@ -66,10 +66,10 @@
 
     private void list() {
         listing = true;
-        long asked = loop.nowMicros();
+        long asked = eventLoop.nowMicros();
         cloud.machines().thenAccept(answer -> {
             listing = false;
-            listedMicros = loop.nowMicros();
+            listedMicros = eventLoop.nowMicros();
             listPauseMicros = Math.max(MIN_LIST_PAUSE_MICROS, LIST_PAUSE_FACTOR * (listedMicros - asked));
             if (answer.outcome() == Outcome.OK) {
                 synchronized (cluster) {
@@ -89,7 +89,7 @@
                 continue;
             }
             strangers.remove(entry.name());
-            machine.listed(loop.nowMicros());
+            machine.listed(eventLoop.nowMicros());
             machine.address(entry.address());
             if (entry.stage().equals(FAILED)) {
                 LOG.info("machine {} has failed", machine.name());
--- a/src/main/java/io/sillreel/fleet/FleetManager.java
+++ b/src/main/java/io/sillreel/fleet/FleetManager.java
@@ -27,7 +27,7 @@
 public final class FleetManager {
     private static final Logger LOG = LoggerFactory.getLogger(FleetManager.class);
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Cluster cluster;
     private final CloudClient cloud;
     private final WriteQueue writer;
@@ -44,7 +44,7 @@
      * @param undisturbed true if no worker has had to look for another controller lately
      */
     public FleetManager(
-            EventLoop loop,
+            EventLoop eventLoop,
             long term,
             Cluster cluster,
             CloudClient cloud,
@@ -57,19 +57,19 @@
             BooleanSupplier mayAct,
             BooleanSupplier undisturbed,
             Consumer<Machine> clear) {
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.cluster = cluster;
         this.cloud = cloud;
         this.writer = writer;
         this.mayAct = mayAct;
-        this.registry =
-                new FleetRegistry(loop, term, cluster, writer, settings.state().values(), types, clear);
+        this.registry = new FleetRegistry(
+                eventLoop, term, cluster, writer, settings.state().values(), types, clear);
         this.retirement = new ScaleInPolicy(
-                loop, cluster, settings.workers(), operator, capacity, FleetThresholds.of(settings), undisturbed);
+                eventLoop, cluster, settings.workers(), operator, capacity, FleetThresholds.of(settings), undisturbed);
         this.reconciler = new CloudListReconciler(
-                loop, cluster, cloud, registry, settings.cloud().listLagMicros(), clear);
+                eventLoop, cluster, cloud, registry, settings.cloud().listLagMicros(), clear);
         this.requester = new ScaleOut(
-                loop,
+                eventLoop,
                 cluster,
                 cloud,
                 writer,
@@ -78,7 +78,7 @@
                 fleetCapacity,
                 types,
                 mayAct,
-                settings.state().txnOps());
+                settings.state().maxTransactionChanges());
     }
 
     /** Takes over a stored rental; its machines may run tasks of an earlier leader until the bound. */
@@ -111,7 +111,7 @@
 
     /** Rents, lists and returns machines as needed; called about once a second. */
     public void tick() {
-        long now = loop.nowMicros();
+        long now = eventLoop.nowMicros();
         synchronized (cluster) {
             retirement.retire(now);
             wentDown.stream().filter(rental -> !rental.dropped()).forEach(writer::enqueue);
--- a/src/main/java/io/sillreel/fleet/FleetRegistry.java
+++ b/src/main/java/io/sillreel/fleet/FleetRegistry.java
@@ -24,7 +24,7 @@
     /** Messages may be minutes late; lists of the cloud lag less. */
     private static final long GONE_REMEMBERED_MICROS = 3_600_000_000L;
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final long term;
     private final Cluster cluster;
     private final WriteQueue writer;
@@ -39,14 +39,14 @@
 
     /** @param clear told of a machine whose tasks are certainly gone */
     FleetRegistry(
-            EventLoop loop,
+            EventLoop eventLoop,
             long term,
             Cluster cluster,
             WriteQueue writer,
             ValueLimits limits,
             Supplier<Map<String, MachineType>> types,
             Consumer<Machine> clear) {
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.term = term;
         this.cluster = cluster;
         this.writer = writer;
@@ -100,7 +100,7 @@
                 rental.gone(name);
                 writer.enqueue(rental);
             } else if (type != null) {
-                Machine machine = machine(name, type, rental, loop.nowMicros());
+                Machine machine = machine(name, type, rental, eventLoop.nowMicros());
                 machine.aliveUntil(aliveUntilMicros);
                 cluster.addInherited(machine);
             }
@@ -117,7 +117,7 @@
         rental.answered(List.of(name));
         add(rental);
         LOG.info("machine {} ({}, {}) was not expected, it is taken into the fleet", name, build, zone);
-        Machine machine = enter(name, rental, loop.nowMicros());
+        Machine machine = enter(name, rental, eventLoop.nowMicros());
         writer.enqueue(rental);
         return machine;
     }
@@ -138,7 +138,7 @@
     }
 
     private void forgetGone() {
-        long since = loop.nowMicros() - GONE_REMEMBERED_MICROS;
+        long since = eventLoop.nowMicros() - GONE_REMEMBERED_MICROS;
         Iterator<Long> earliestFirst = goneMicros.values().iterator();
         while (earliestFirst.hasNext() && earliestFirst.next() < since) {
             earliestFirst.remove();
@@ -149,7 +149,7 @@
     void remove(Machine machine) {
         clear.accept(machine);
         cluster.remove(machine);
-        goneMicros.put(machine.name(), loop.nowMicros());
+        goneMicros.put(machine.name(), eventLoop.nowMicros());
         forgetGone();
         machine.rental().gone(machine.name());
         if (machine.rental().dropped()) {
--- a/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
@@ -29,7 +29,7 @@
 
     private static final double SILENT_LEASES = 2.5;
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Cluster cluster;
     private final WorkerTimes times;
     private final OperatorProperties operator;
@@ -42,21 +42,21 @@
 
     /** @param undisturbed true if no worker has had to look for another controller lately */
     ScaleInPolicy(
-            EventLoop loop,
+            EventLoop eventLoop,
             Cluster cluster,
             WorkerTimes times,
             OperatorProperties operator,
             CapacityPlanner capacity,
             FleetThresholds thresholds,
             BooleanSupplier undisturbed) {
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.cluster = cluster;
         this.times = times;
         this.operator = operator;
         this.capacity = capacity;
         this.thresholds = thresholds;
         this.undisturbed = undisturbed;
-        this.begunMicros = loop.nowMicros();
+        this.begunMicros = eventLoop.nowMicros();
     }
 
     /** Decides which machines are to go. */
@@ -82,7 +82,7 @@
         }
         retireLost(now);
         retireUnheard(now);
-        for (Machine machine : capacity.surplus(operator.idleMicros(), now, loop.wallMicros())) {
+        for (Machine machine : capacity.surplus(operator.idleMicros(), now, eventLoop.wallMicros())) {
             leave(machine, "it has no work");
         }
     }
@@ -107,8 +107,9 @@
      * or they hang, and they come back: then their leases are waited for.
      */
     private void retireLost(long now) {
-        long patience = times.reportMicros() * 3 / 2 + (undisturbed.getAsBoolean() ? ROUND_MICROS : DETOUR_MICROS);
-        long usual = times.reportMicros() * 5 / 4 + LATE_MICROS;
+        long patience =
+                times.heartbeatIntervalMicros() * 3 / 2 + (undisturbed.getAsBoolean() ? ROUND_MICROS : DETOUR_MICROS);
+        long usual = times.heartbeatIntervalMicros() * 5 / 4 + LATE_MICROS;
         List<Machine> lost = new ArrayList<>();
         int overdue = 0;
         int heard = 0;
@@ -132,7 +133,7 @@
             manySilentMicros = now;
         }
         // When those that were cut off together come back, the last of them is on its way like the others.
-        if (now - manySilentMicros < DETOUR_MICROS + times.reportMicros()) {
+        if (now - manySilentMicros < DETOUR_MICROS + times.heartbeatIntervalMicros()) {
             return;
         }
         for (Machine machine : lost) {
@@ -152,8 +153,8 @@
         // The last few are hardly on a detour, and each of them holds up every earlier job. In a small fleet the last
         // one mostly is: it waits for the answer of the controller that has ended.
         long patience = unheard <= thresholds.fewUnheard(all)
-                ? times.reportMicros() * 5 / 4 + ROUND_MICROS
-                : Math.max(MIN_UNHEARD_MICROS, 2 * times.reportMicros() + 4_000_000);
+                ? times.heartbeatIntervalMicros() * 5 / 4 + ROUND_MICROS
+                : Math.max(MIN_UNHEARD_MICROS, 2 * times.heartbeatIntervalMicros() + 4_000_000);
         if (now - begunMicros < patience || unheard == 0 || unheard > thresholds.maxUnheard(all)) {
             return;
         }
--- a/src/main/java/io/sillreel/fleet/ScaleOut.java
+++ b/src/main/java/io/sillreel/fleet/ScaleOut.java
@@ -25,7 +25,7 @@
     private static final int MAX_OPEN_RENTALS = 6;
     private static final long TELL_FULL_MICROS = 60_000_000;
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Cluster cluster;
     private final CloudClient cloud;
     private final WriteQueue writer;
@@ -42,7 +42,7 @@
      * @param txnOps changes that fit into one transaction of the state service
      */
     ScaleOut(
-            EventLoop loop,
+            EventLoop eventLoop,
             Cluster cluster,
             CloudClient cloud,
             WriteQueue writer,
@@ -52,7 +52,7 @@
             Supplier<Map<String, MachineType>> types,
             BooleanSupplier mayAct,
             int txnOps) {
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.cluster = cluster;
         this.cloud = cloud;
         this.writer = writer;
@@ -78,7 +78,7 @@
                 return;
             }
             rentalRequests = capacity.rentalRequests(
-                    types.get().values(), open.cpus(), open.ordinaryCpus(), now, loop.wallMicros());
+                    types.get().values(), open.cpus(), open.ordinaryCpus(), now, eventLoop.wallMicros());
             room = rentalRequests.isEmpty() ? 0 : room(open, now);
         }
         for (ScaleOutProposal rentalRequest : rentalRequests) {
@@ -154,7 +154,7 @@
         if (!mayAct.getAsBoolean() || rental.answered() || rental.dropped()) {
             return;
         }
-        rental.askedMicros(loop.nowMicros());
+        rental.askedMicros(eventLoop.nowMicros());
         cloud.rent(rental.name(), rental.build(), rental.zone(), rental.spot(), rental.count())
                 .thenAccept(rented -> {
                     synchronized (cluster) {
@@ -164,7 +164,7 @@
     }
 
     private void rented(ScaleOutRequest rental, CloudClient.Rented rented) {
-        long now = loop.nowMicros();
+        long now = eventLoop.nowMicros();
         if (rental.answered() || rental.dropped()) {
             // Asked twice, since an answer seemed lost: the first one counts, and what it brought may be at work.
             return;
--- a/src/main/java/io/sillreel/heartbeat/CommandWriter.java
+++ b/src/main/java/io/sillreel/heartbeat/CommandWriter.java
@@ -14,14 +14,14 @@
 
 /** Tells a machine what to do: what to reap, what to stop and, in answer to a report alone, what to launch. */
 final class CommandWriter {
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final AttemptIds attemptIds;
     private final Cluster cluster;
     private final Planner planner;
     private Planner.Plan plan = Planner.Plan.EMPTY;
 
-    CommandWriter(EventLoop loop, AttemptIds attemptIds, Cluster cluster, Planner planner) {
-        this.loop = loop;
+    CommandWriter(EventLoop eventLoop, AttemptIds attemptIds, Cluster cluster, Planner planner) {
+        this.eventLoop = eventLoop;
         this.attemptIds = attemptIds;
         this.cluster = cluster;
         this.planner = planner;
@@ -71,7 +71,7 @@
             launch(machine, planned, report, commands, now);
         }
         if (machine.freeCpus() > 0) {
-            List<Assignment> left = planner.fill(plan, machine, now, loop.wallMicros());
+            List<Assignment> left = planner.fill(plan, machine, now, eventLoop.wallMicros());
             if (!left.isEmpty()) {
                 launch(machine, left, report, commands, now);
             }
@@ -87,7 +87,7 @@
                 Machine.MAX_TASKS - machine.allocations().size());
         for (Assignment assignment : assignments) {
             ActiveJob job = assignment.job();
-            if (!cluster.launchable(job, loop.wallMicros()) || !Cluster.allows(job.spec(), machine)) {
+            if (!cluster.launchable(job, eventLoop.wallMicros()) || !Cluster.allows(job.spec(), machine)) {
                 continue;
             }
             int count = Math.min(
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatBatch.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatBatch.java
@@ -18,9 +18,9 @@
     /** What the answers to one batch may take; those that find no room are to be asked for again. */
     static final int MAX_ANSWER_BYTES = 1 << 20;
 
-    private static final HttpResponse FULL = HttpResponse.later(503, "too much is to be told at once", 1);
+    private static final HttpResponse FULL = HttpResponse.retryLater(503, "too much is to be told at once", 1);
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final List<Heartbeat> reports;
     private final Function<Heartbeat, HttpResponse> decide;
     private final List<HttpResponse> replies = new ArrayList<>();
@@ -28,8 +28,8 @@
     private int bytes;
 
     /** @param decide decides about one report */
-    HeartbeatBatch(EventLoop loop, List<Heartbeat> reports, Function<Heartbeat, HttpResponse> decide) {
-        this.loop = loop;
+    HeartbeatBatch(EventLoop eventLoop, List<Heartbeat> reports, Function<Heartbeat, HttpResponse> decide) {
+        this.eventLoop = eventLoop;
         this.reports = reports;
         this.decide = decide;
     }
@@ -43,14 +43,14 @@
     private void decideSome() {
         int upTo = Math.min(reports.size(), replies.size() + MAX_DECIDED_AT_ONCE);
         while (replies.size() < upTo) {
-            HttpResponse reply = bytes > MAX_ANSWER_BYTES ? FULL : decide.apply(reports.get(replies.size()));
-            bytes += reply.body().length;
-            replies.add(reply);
+            HttpResponse response = bytes > MAX_ANSWER_BYTES ? FULL : decide.apply(reports.get(replies.size()));
+            bytes += response.body().length;
+            replies.add(response);
         }
         if (replies.size() == reports.size()) {
             answer.complete(new HttpResponse(200, PeerMessages.answers(replies), 0));
         } else {
-            loop.after(1, this::decideSome);
+            eventLoop.schedule(1, this::decideSome);
         }
     }
 }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
@@ -46,7 +46,7 @@
     private static final long DRIFT_DIVISOR = 1_000;
     private static final long BOUND_MARGIN_MICROS = 500_000;
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final long term;
     private final Cluster cluster;
     private final WorkerTimes times;
@@ -60,7 +60,7 @@
 
     /** @param mayAct true while the lease and the cancellations are known well enough to launch tasks */
     public HeartbeatProcessor(
-            EventLoop loop,
+            EventLoop eventLoop,
             long term,
             Cluster cluster,
             WriteQueue writer,
@@ -71,7 +71,7 @@
             Planner planner,
             Callbacks callbacks,
             BooleanSupplier mayAct) {
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.term = term;
         this.cluster = cluster;
         this.times = times;
@@ -79,9 +79,9 @@
         this.callbacks = callbacks;
         this.mayAct = mayAct;
         this.nothing = new AgentCommands().reply(term);
-        this.reconciler = new TaskReconciler(loop, cluster, writer, retries, estimates, callbacks::progressed);
+        this.reconciler = new TaskReconciler(eventLoop, cluster, writer, retries, estimates, callbacks::progressed);
         this.attemptIds = new AttemptIds(term);
-        this.commandWriter = new CommandWriter(loop, attemptIds, cluster, planner);
+        this.commandWriter = new CommandWriter(eventLoop, attemptIds, cluster, planner);
     }
 
     /** The proposal from which the next responses are filled. */
@@ -102,7 +102,7 @@
     /** A report that came by itself, here or through another controller. */
     public HttpResponse report(Heartbeat report) {
         synchronized (cluster) {
-            long now = loop.nowMicros();
+            long now = eventLoop.nowMicros();
             Machine machine = cluster.machine(report.machine());
             if (machine == null) {
                 return stranger(report);
@@ -142,10 +142,10 @@
      */
     private HttpResponse stranger(Heartbeat report) {
         if (callbacks.isGone(report.machine())) {
-            return HttpResponse.later(503, "the machine was returned", 1);
+            return HttpResponse.retryLater(503, "the machine was returned", 1);
         }
         if (report.token() == term && callbacks.adopt(report) == null) {
-            return HttpResponse.later(503, "machine type " + report.build() + " is not known", 1);
+            return HttpResponse.retryLater(503, "machine type " + report.build() + " is not known", 1);
         }
         return nothing;
     }
@@ -162,7 +162,7 @@
         if (machine.messages().countsAnew(report)) {
             callbacks.ask(machine);
         }
-        return HttpResponse.later(503, "a newer report was seen", 1);
+        return HttpResponse.retryLater(503, "a newer report was seen", 1);
     }
 
     /**
@@ -204,15 +204,15 @@
                 machine.scheduleReturn("it hears nothing");
             }
         }
-        return HttpResponse.later(503, "earlier answers did not arrive", 1);
+        return HttpResponse.retryLater(503, "earlier answers did not arrive", 1);
     }
 
     /** The report in the answer to a direct command. It can't show that a launch did not happen. */
     public void answered(Heartbeat report) {
         synchronized (cluster) {
             Machine machine = cluster.machine(report.machine());
-            if (machine != null && report.token() == term && machine.advance(report, true, loop.nowMicros())) {
-                reconciler.take(machine, report, false, loop.nowMicros());
+            if (machine != null && report.token() == term && machine.advance(report, true, eventLoop.nowMicros())) {
+                reconciler.take(machine, report, false, eventLoop.nowMicros());
             }
         }
     }
@@ -243,7 +243,7 @@
             LOG.info("machine {} has restarted under its old name", machine.name());
             machine.scheduleReturn("it has restarted");
         }
-        return HttpResponse.later(503, "the machine is taken for one that has started again", 1);
+        return HttpResponse.retryLater(503, "the machine is taken for one that has started again", 1);
     }
 
     /** Adds what the machine is to reap and to stop; both are repeated until its reports show them done. */
@@ -253,7 +253,7 @@
 
     /** Clears what can't be alive any more on machines that were not heard for longer than their lease. */
     public void expire() {
-        long now = loop.nowMicros();
+        long now = eventLoop.nowMicros();
         for (Machine machine : cluster.machines()) {
             if (machine.leaseBoundMicros() <= now) {
                 machine.messages().endSession();
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatRelay.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatRelay.java
@@ -46,12 +46,12 @@
      */
     private static final int MAX_LATE_BATCHES = 1;
 
-    private static final HttpResponse LOST = HttpResponse.later(503, "the leader can't be reached", 1);
+    private static final HttpResponse LOST = HttpResponse.retryLater(503, "the leader can't be reached", 1);
 
     private record Waiting(Heartbeat report, long sinceMicros, CompletableFuture<HttpResponse> answer) {}
 
-    private final EventLoop loop;
-    private final HttpClient caller;
+    private final EventLoop eventLoop;
+    private final HttpClient httpClient;
     private final IntSupplier workers;
     private final Deque<Waiting> waiting = new ArrayDeque<>();
     private String leader = "";
@@ -64,15 +64,15 @@
     private long batchesSent;
 
     /** @param workers how many workers report here */
-    public HeartbeatRelay(EventLoop loop, HttpClient caller, IntSupplier workers) {
-        this.loop = loop;
-        this.caller = caller;
+    public HeartbeatRelay(EventLoop eventLoop, HttpClient httpClient, IntSupplier workers) {
+        this.eventLoop = eventLoop;
+        this.httpClient = httpClient;
         this.workers = workers;
     }
 
     /** True unless the last batch to this lease leader was lost a moment ago. */
     public synchronized boolean works(String leaderAddress) {
-        return !leader.equals(leaderAddress) || loop.nowMicros() >= brokenUntilMicros;
+        return !leader.equals(leaderAddress) || eventLoop.nowMicros() >= brokenUntilMicros;
     }
 
     public synchronized long passed() {
@@ -96,13 +96,13 @@
                 brokenUntilMicros = Long.MIN_VALUE;
                 unansweredInARow = 0;
             }
-            waiting.add(new Waiting(report, loop.nowMicros(), answer));
+            waiting.add(new Waiting(report, eventLoop.nowMicros(), answer));
             if (gathering || batches >= BATCHES_AT_ONCE) {
                 return answer;
             }
             gathering = true;
         }
-        loop.after(gatherMicros(), this::send);
+        eventLoop.schedule(gatherMicros(), this::send);
         return answer;
     }
 
@@ -117,7 +117,7 @@
         int bytes = 0;
         while (!waiting.isEmpty() && batch.size() < maxReports) {
             Waiting next = waiting.peek();
-            if (loop.nowMicros() - next.sinceMicros() > Heartbeat.ANSWER_WAIT_MICROS) {
+            if (eventLoop.nowMicros() - next.sinceMicros() > Heartbeat.ANSWER_WAIT_MICROS) {
                 givenUp.add(waiting.poll());
                 continue;
             }
@@ -145,18 +145,19 @@
         if (batch.isEmpty()) {
             return;
         }
-        HttpRequest call =
+        HttpRequest request =
                 PeerMessages.heartbeats(batch.stream().map(Waiting::report).toList());
-        caller.call(to, call, TIMEOUT_MICROS).thenAccept(reply -> {
-            List<HttpResponse> replies = reply.ok() ? PeerMessages.replies(reply.body()) : List.of();
+        httpClient.send(to, request, TIMEOUT_MICROS).thenAccept(response -> {
+            List<HttpResponse> replies = response.isOk() ? PeerMessages.replies(response.body()) : List.of();
             boolean more;
             synchronized (this) {
                 batches--;
                 if (replies.size() != batch.size()) {
                     lost += batch.size();
-                    boolean broken = reply.status() != HttpResponse.NO_ANSWER || ++unansweredInARow > MAX_LATE_BATCHES;
+                    boolean broken =
+                            response.status() != HttpResponse.NO_ANSWER || ++unansweredInARow > MAX_LATE_BATCHES;
                     if (broken && to.equals(leader)) {
-                        brokenUntilMicros = loop.nowMicros() + BROKEN_MICROS;
+                        brokenUntilMicros = eventLoop.nowMicros() + BROKEN_MICROS;
                     }
                 } else {
                     passed += batch.size();
@@ -169,7 +170,7 @@
                 batch.get(i).answer().complete(replies.size() == batch.size() ? replies.get(i) : LOST);
             }
             if (more) {
-                loop.after(0, this::send);
+                eventLoop.schedule(0, this::send);
             }
         });
     }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatRouter.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatRouter.java
@@ -17,9 +17,9 @@
 
 /** Brings workers' reports to where they can be decided: here, at the lease leader, or at another controller. */
 public final class HeartbeatRouter {
-    private static final HttpResponse NOBODY_LEADS = HttpResponse.later(503, "nobody holds the lease", 1);
+    private static final HttpResponse NOBODY_LEADS = HttpResponse.retryLater(503, "nobody holds the lease", 1);
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Settings settings;
     private final LeaderElection leadership;
     private final HeartbeatRelay relay;
@@ -34,14 +34,14 @@
 
     /** @param leaderTerm the term that this controller leads, or null */
     public HeartbeatRouter(
-            EventLoop loop,
+            EventLoop eventLoop,
             Settings settings,
             LeaderElection leadership,
             HeartbeatRelay relay,
             WorkerLoadBalancer spread,
             Supplier<LeaderTerm> leaderTerm,
             HeartbeatObserver watcher) {
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.settings = settings;
         this.leadership = leadership;
         this.relay = relay;
@@ -51,7 +51,7 @@
     }
 
     /** A worker's report: decided here, handed on to the lease leader, or sent to where it can be. */
-    public CompletableFuture<HttpResponse> heartbeat(HttpRequest call) {
+    public CompletableFuture<HttpResponse> heartbeat(HttpRequest request) {
         reports++;
         LeaderTerm current = leaderTerm.get();
         Optional<Member> leader = current != null ? Optional.empty() : leader();
@@ -60,7 +60,7 @@
             unanswered++;
             return answer(NOBODY_LEADS);
         }
-        Heartbeat report = Heartbeat.read(call.body());
+        Heartbeat report = Heartbeat.read(request.body());
         if (report == null) {
             return answer(HttpResponse.refusal(400, "hopper: is missing"));
         }
@@ -81,11 +81,11 @@
         if (current != null) {
             return answer(decide(current, report));
         }
-        return relay.pass(report, leader.get().address()).thenApply(reply -> {
-            if (!reply.ok()) {
+        return relay.pass(report, leader.get().address()).thenApply(response -> {
+            if (!response.isOk()) {
                 unanswered++;
             }
-            return reply;
+            return response;
         });
     }
 
@@ -96,14 +96,14 @@
     }
 
     /** Reports that another controller hands on. */
-    public CompletableFuture<HttpResponse> handedOn(HttpRequest call) {
+    public CompletableFuture<HttpResponse> handedOn(HttpRequest request) {
         LeaderTerm current = leaderTerm.get();
         if (current == null) {
-            return answer(HttpResponse.later(503, "not the leader", 1));
+            return answer(HttpResponse.retryLater(503, "not the leader", 1));
         }
-        List<Heartbeat> reports = PeerMessages.reports(call.body());
+        List<Heartbeat> reports = PeerMessages.reports(request.body());
         handed += reports.size();
-        return new HeartbeatBatch(loop, reports, report -> decide(current, report)).start();
+        return new HeartbeatBatch(eventLoop, reports, report -> decide(current, report)).start();
     }
 
     private HttpResponse decide(LeaderTerm current, Heartbeat report) {
@@ -146,7 +146,7 @@
         return moved;
     }
 
-    private static CompletableFuture<HttpResponse> answer(HttpResponse reply) {
-        return CompletableFuture.completedFuture(reply);
+    private static CompletableFuture<HttpResponse> answer(HttpResponse response) {
+        return CompletableFuture.completedFuture(response);
     }
 }
--- a/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
+++ b/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
@@ -20,7 +20,7 @@
 final class TaskReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(TaskReconciler.class);
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Cluster cluster;
     private final WriteQueue writer;
     private final RetrySchedule retries;
@@ -29,13 +29,13 @@
 
     /** @param progressed called when there may be something new to plan */
     TaskReconciler(
-            EventLoop loop,
+            EventLoop eventLoop,
             Cluster cluster,
             WriteQueue writer,
             RetrySchedule retries,
             RuntimeEstimator estimates,
             Runnable progressed) {
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.cluster = cluster;
         this.writer = writer;
         this.retries = retries;
@@ -172,7 +172,7 @@
                     suspectedMachine.faults().clearSuspicion(job.uid());
                 }
                 job.failAttempt(
-                        retries, loop.wallMicros(), "its tasks failed on " + String.join(" and ", job.failedOn()));
+                        retries, eventLoop.wallMicros(), "its tasks failed on " + String.join(" and ", job.failedOn()));
                 job.failedOn().clear();
                 LOG.info("job {}: {}", job.uid(), job.reason());
                 writer.enqueue(job);
--- a/src/main/java/io/sillreel/heartbeat/WorkerLoadBalancer.java
+++ b/src/main/java/io/sillreel/heartbeat/WorkerLoadBalancer.java
@@ -19,7 +19,7 @@
     /** A worker that came back this soon was sent away in vain. */
     private static final long SETTLE_MICROS = 30_000_000;
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Peers peers;
     private final String node;
     private final long freshMicros;
@@ -29,8 +29,8 @@
     private String moveTo;
 
     /** @param reportMicros the interval between two reports of a worker */
-    public WorkerLoadBalancer(EventLoop loop, Peers peers, String node, long reportMicros) {
-        this.loop = loop;
+    public WorkerLoadBalancer(EventLoop eventLoop, Peers peers, String node, long reportMicros) {
+        this.eventLoop = eventLoop;
         this.peers = peers;
         this.node = node;
         this.freshMicros = 2 * reportMicros + 1_000_000;
@@ -38,18 +38,18 @@
 
     /** The worker has reported here. */
     public synchronized void seen(String machine) {
-        seenMicros.put(machine, loop.nowMicros());
+        seenMicros.put(machine, eventLoop.nowMicros());
     }
 
     /** The worker is served elsewhere from now on. */
     public synchronized void sentOn(String machine) {
-        movedMicros.put(machine, loop.nowMicros());
+        movedMicros.put(machine, eventLoop.nowMicros());
         seenMicros.remove(machine);
     }
 
     public synchronized boolean sentOnLately(String machine) {
         Long at = movedMicros.get(machine);
-        return at != null && loop.nowMicros() - at < SETTLE_MICROS;
+        return at != null && eventLoop.nowMicros() - at < SETTLE_MICROS;
     }
 
     public synchronized int workers() {
@@ -58,7 +58,7 @@
 
     /** Looks how the workers are spread; done once a second or so. */
     public synchronized void review(String leader) {
-        long now = loop.nowMicros();
+        long now = eventLoop.nowMicros();
         seenMicros.values().removeIf(at -> now - at > freshMicros);
         movedMicros.values().removeIf(at -> now - at > SETTLE_MICROS);
         toMove = 0;
--- a/src/main/java/io/sillreel/http/EventLoop.java
+++ b/src/main/java/io/sillreel/http/EventLoop.java
@@ -8,10 +8,10 @@
     /** Time of day, whole microseconds since 1970; off by at most the skew given in the settings. */
     long wallMicros();
 
-    Timer after(long delayMicros, Runnable task);
+    Timer schedule(long delayMicros, Runnable task);
 
     default void execute(Runnable task) {
-        after(0, task);
+        schedule(0, task);
     }
 
     /** A task that has been scheduled and may still be taken back. */
--- a/src/main/java/io/sillreel/http/HttpHandler.java
+++ b/src/main/java/io/sillreel/http/HttpHandler.java
@@ -4,5 +4,5 @@
 
 /** The server side of HTTP. */
 public interface HttpHandler {
-    CompletableFuture<HttpResponse> handle(HttpRequest call);
+    CompletableFuture<HttpResponse> handle(HttpRequest request);
 }
--- a/src/main/java/io/sillreel/http/HttpResponse.java
+++ b/src/main/java/io/sillreel/http/HttpResponse.java
@@ -35,7 +35,7 @@
     }
 
     /** What can't be served now is answered at once, with the time to come back. */
-    public static HttpResponse later(int status, String reason, int retryAfterSeconds) {
+    public static HttpResponse retryLater(int status, String reason, int retryAfterSeconds) {
         ObjectNode body = Json.object().put("error", reason);
         return new HttpResponse(status, Json.bytes(body), retryAfterSeconds);
     }
@@ -44,7 +44,7 @@
         return Json.parse(body);
     }
 
-    public boolean ok() {
+    public boolean isOk() {
         return status == 200;
     }
 
--- a/src/main/java/io/sillreel/http/NettyEventLoop.java
+++ b/src/main/java/io/sillreel/http/NettyEventLoop.java
@@ -11,11 +11,11 @@
 public final class NettyEventLoop implements EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(NettyEventLoop.class);
 
-    private final io.netty.channel.EventLoop eventLoop;
+    private final io.netty.channel.EventLoop nettyLoop;
     private final EpochMicroClock wall = new SystemEpochMicroClock();
 
-    public NettyEventLoop(io.netty.channel.EventLoop eventLoop) {
-        this.eventLoop = eventLoop;
+    public NettyEventLoop(io.netty.channel.EventLoop nettyLoop) {
+        this.nettyLoop = nettyLoop;
     }
 
     @Override
@@ -29,15 +29,15 @@
     }
 
     @Override
-    public Timer after(long delayMicros, Runnable task) {
+    public Timer schedule(long delayMicros, Runnable task) {
         ScheduledFuture<?> scheduled =
-                eventLoop.schedule(() -> guarded(task), Math.max(0, delayMicros), TimeUnit.MICROSECONDS);
+                nettyLoop.schedule(() -> guarded(task), Math.max(0, delayMicros), TimeUnit.MICROSECONDS);
         return () -> scheduled.cancel(false);
     }
 
     @Override
     public void execute(Runnable task) {
-        eventLoop.execute(() -> guarded(task));
+        nettyLoop.execute(() -> guarded(task));
     }
 
     /** A defect in one task is logged and must not take the others' timers along. */
--- a/src/main/java/io/sillreel/http/NettyHttpClient.java
+++ b/src/main/java/io/sillreel/http/NettyHttpClient.java
@@ -45,38 +45,38 @@
      */
     private static final long IDLE_MICROS = 2_000_000;
 
-    private final EventLoop eventLoop;
+    private final EventLoop nettyLoop;
     private final int connectionsPerAddress;
     private final int maxAnswerBytes;
     private final Map<String, Pool> pools = new HashMap<>();
     private boolean sweeping;
 
     /** @param maxAnswerBytes the largest answer that is taken in; what is larger is told as such */
-    public NettyHttpClient(EventLoop eventLoop, int connectionsPerAddress, int maxAnswerBytes) {
-        this.eventLoop = eventLoop;
+    public NettyHttpClient(EventLoop nettyLoop, int connectionsPerAddress, int maxAnswerBytes) {
+        this.nettyLoop = nettyLoop;
         this.connectionsPerAddress = connectionsPerAddress;
         this.maxAnswerBytes = maxAnswerBytes;
     }
 
     @Override
-    public CompletableFuture<HttpResponse> call(String address, HttpRequest call, long timeoutMicros) {
-        Pending pending = new Pending(call);
-        if (eventLoop.inEventLoop()) {
+    public CompletableFuture<HttpResponse> send(String address, HttpRequest request, long timeoutMicros) {
+        Pending pending = new Pending(request);
+        if (nettyLoop.inEventLoop()) {
             submit(address, pending, timeoutMicros);
         } else {
-            eventLoop.execute(() -> submit(address, pending, timeoutMicros));
+            nettyLoop.execute(() -> submit(address, pending, timeoutMicros));
         }
         return pending.future;
     }
 
     private void submit(String address, Pending pending, long timeoutMicros) {
         Pool pool = pools.computeIfAbsent(address, Pool::new);
-        pending.timer = eventLoop.schedule(() -> pool.expire(pending), timeoutMicros, TimeUnit.MICROSECONDS);
+        pending.timer = nettyLoop.schedule(() -> pool.expire(pending), timeoutMicros, TimeUnit.MICROSECONDS);
         pool.waiting.add(pending);
         pool.drain();
         if (!sweeping) {
             sweeping = true;
-            eventLoop.schedule(this::sweep, IDLE_MICROS, TimeUnit.MICROSECONDS);
+            nettyLoop.schedule(this::sweep, IDLE_MICROS, TimeUnit.MICROSECONDS);
         }
     }
 
@@ -84,7 +84,7 @@
         closeUnused();
         sweeping = !pools.isEmpty();
         if (sweeping) {
-            eventLoop.schedule(this::sweep, IDLE_MICROS, TimeUnit.MICROSECONDS);
+            nettyLoop.schedule(this::sweep, IDLE_MICROS, TimeUnit.MICROSECONDS);
         }
     }
 
@@ -103,20 +103,20 @@
     }
 
     private static final class Pending {
-        final HttpRequest call;
+        final HttpRequest request;
         final CompletableFuture<HttpResponse> future = new CompletableFuture<>();
         ScheduledFuture<?> timer;
         Channel channel;
 
-        Pending(HttpRequest call) {
-            this.call = call;
+        Pending(HttpRequest request) {
+            this.request = request;
         }
 
-        void finish(HttpResponse reply) {
+        void finish(HttpResponse response) {
             if (timer != null) {
                 timer.cancel(false);
             }
-            future.complete(reply);
+            future.complete(response);
         }
     }
 
@@ -166,7 +166,7 @@
             open++;
             connecting++;
             new Bootstrap()
-                    .group(eventLoop)
+                    .group(nettyLoop)
                     .channel(NioSocketChannel.class)
                     .option(ChannelOption.ALLOCATOR, UnpooledByteBufAllocator.DEFAULT)
                     .option(ChannelOption.TCP_NODELAY, true)
@@ -200,20 +200,20 @@
         }
 
         private void send(Channel channel, Pending pending) {
-            HttpRequest call = pending.call;
-            ByteBuf body = Unpooled.wrappedBuffer(call.body());
-            DefaultFullHttpRequest request = new DefaultFullHttpRequest(
-                    HttpVersion.HTTP_1_1, HttpMethod.valueOf(call.method()), call.path(), body);
-            request.headers().set(HttpHeaderNames.HOST, address);
-            if (call.body().length > 0) {
-                request.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
+            HttpRequest request = pending.request;
+            ByteBuf body = Unpooled.wrappedBuffer(request.body());
+            DefaultFullHttpRequest nettyRequest = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1, HttpMethod.valueOf(request.method()), request.path(), body);
+            nettyRequest.headers().set(HttpHeaderNames.HOST, address);
+            if (request.body().length > 0) {
+                nettyRequest.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
             }
-            request.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, call.body().length);
+            nettyRequest.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, request.body().length);
             pending.channel = channel;
             Answers answers = channel.pipeline().get(Answers.class);
             answers.current = pending;
             answers.unused = false;
-            channel.writeAndFlush(request, channel.voidPromise());
+            channel.writeAndFlush(nettyRequest, channel.voidPromise());
         }
 
         void expire(Pending pending) {
@@ -232,13 +232,13 @@
             drain();
         }
 
-        void answered(Channel channel, Pending pending, HttpResponse reply, boolean keepAlive) {
+        void answered(Channel channel, Pending pending, HttpResponse response, boolean keepAlive) {
             if (keepAlive) {
                 idle.addLast(channel);
             } else {
                 channel.close();
             }
-            pending.finish(reply);
+            pending.finish(response);
             drain();
         }
     }
@@ -267,21 +267,21 @@
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse nettyResponse) {
             Pending pending = current;
             current = null;
             if (pending == null) {
                 ctx.close();
                 return;
             }
-            byte[] body = new byte[response.content().readableBytes()];
-            response.content().readBytes(body);
-            int retryAfter = response.headers().getInt(HttpHeaderNames.RETRY_AFTER, 0);
+            byte[] body = new byte[nettyResponse.content().readableBytes()];
+            nettyResponse.content().readBytes(body);
+            int retryAfter = nettyResponse.headers().getInt(HttpHeaderNames.RETRY_AFTER, 0);
             pool.answered(
                     ctx.channel(),
                     pending,
-                    new HttpResponse(response.status().code(), body, retryAfter),
-                    HttpUtil.isKeepAlive(response));
+                    new HttpResponse(nettyResponse.status().code(), body, retryAfter),
+                    HttpUtil.isKeepAlive(nettyResponse));
         }
 
         @Override
@@ -293,11 +293,11 @@
             finish(HttpResponse.answerTooLarge());
         }
 
-        private void finish(HttpResponse reply) {
+        private void finish(HttpResponse response) {
             if (current != null) {
                 Pending ended = current;
                 current = null;
-                ended.finish(reply);
+                ended.finish(response);
             }
         }
 
--- a/src/main/java/io/sillreel/http/NettyHttpServer.java
+++ b/src/main/java/io/sillreel/http/NettyHttpServer.java
@@ -56,7 +56,7 @@
 
     /** A listener whose requests are all taken up as they come. */
     public NettyHttpServer(EventLoopGroup group, int maxBodyBytes, int maxConnections) {
-        this(group, maxBodyBytes, maxConnections, call -> RequestClass.AT_ONCE, null, 0);
+        this(group, maxBodyBytes, maxConnections, request -> RequestClass.IMMEDIATE, null, 0);
     }
 
     /**
@@ -109,15 +109,17 @@
         return bootstrap.bind(address);
     }
 
-    private static FullHttpResponse response(HttpResponse reply) {
-        FullHttpResponse response = new DefaultFullHttpResponse(
-                HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(reply.body()));
-        response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
-        response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, reply.body().length);
-        if (reply.retryAfterSeconds() > 0) {
-            response.headers().setInt(HttpHeaderNames.RETRY_AFTER, reply.retryAfterSeconds());
+    private static FullHttpResponse response(HttpResponse response) {
+        FullHttpResponse nettyResponse = new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1,
+                HttpResponseStatus.valueOf(response.status()),
+                Unpooled.wrappedBuffer(response.body()));
+        nettyResponse.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
+        nettyResponse.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, response.body().length);
+        if (response.retryAfterSeconds() > 0) {
+            nettyResponse.headers().setInt(HttpHeaderNames.RETRY_AFTER, response.retryAfterSeconds());
         }
-        return response;
+        return nettyResponse;
     }
 
     /** Netty's aggregator would say 413; the protocol knows only 400 for what is too large. */
@@ -146,7 +148,7 @@
 
         /** True if the connection belongs to the crowd and there is no place left for it. */
         private boolean turnsAway(RequestClass line) {
-            if (counted || line != RequestClass.CROWD) {
+            if (counted || line != RequestClass.WORKERS) {
                 return false;
             }
             if (crowded >= maxCrowd) {
@@ -167,53 +169,53 @@
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            boolean keepAlive = HttpUtil.isKeepAlive(request);
-            byte[] body = new byte[request.content().readableBytes()];
-            request.content().readBytes(body);
-            if (!request.decoderResult().isSuccess()) {
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest nettyRequest) {
+            boolean keepAlive = HttpUtil.isKeepAlive(nettyRequest);
+            byte[] body = new byte[nettyRequest.content().readableBytes()];
+            nettyRequest.content().readBytes(body);
+            if (!nettyRequest.decoderResult().isSuccess()) {
                 write(ctx, HttpResponse.refusal(400, "not HTTP"), false);
                 return;
             }
-            HttpRequest call = new HttpRequest(request.method().name(), request.uri(), body);
-            RequestClass line = lines.apply(call);
+            HttpRequest request = new HttpRequest(nettyRequest.method().name(), nettyRequest.uri(), body);
+            RequestClass line = lines.apply(request);
             if (turnsAway(line)) {
-                write(ctx, HttpResponse.later(503, "too many connections", 1), false);
-            } else if (line == RequestClass.AT_ONCE) {
-                answer(ctx, call, keepAlive);
-            } else if (!requestQueue.await(
-                    line, body.length, ctx.channel()::isActive, () -> answer(ctx, call, keepAlive))) {
-                write(ctx, HttpResponse.later(503, "too much waits already", 1), keepAlive);
+                write(ctx, HttpResponse.retryLater(503, "too many connections", 1), false);
+            } else if (line == RequestClass.IMMEDIATE) {
+                answer(ctx, request, keepAlive);
+            } else if (!requestQueue.enqueue(
+                    line, body.length, ctx.channel()::isActive, () -> answer(ctx, request, keepAlive))) {
+                write(ctx, HttpResponse.retryLater(503, "too much waits already", 1), keepAlive);
             }
         }
 
-        private void answer(ChannelHandlerContext ctx, HttpRequest call, boolean keepAlive) {
-            handle(call).whenComplete((reply, failure) -> {
+        private void answer(ChannelHandlerContext ctx, HttpRequest request, boolean keepAlive) {
+            handle(request).whenComplete((response, failure) -> {
                 if (failure != null) {
-                    LOG.error("a request could not be handled: {} {}", call.method(), call.path(), failure);
-                    write(ctx, HttpResponse.later(503, "internal error", 1), keepAlive);
+                    LOG.error("a request could not be handled: {} {}", request.method(), request.path(), failure);
+                    write(ctx, HttpResponse.retryLater(503, "internal error", 1), keepAlive);
                 } else {
-                    write(ctx, reply, keepAlive);
+                    write(ctx, response, keepAlive);
                 }
             });
         }
 
         /** A handler that fails at once is no different from one that fails later. */
-        private CompletableFuture<HttpResponse> handle(HttpRequest call) {
+        private CompletableFuture<HttpResponse> handle(HttpRequest request) {
             try {
-                return handler.handle(call);
+                return handler.handle(request);
             } catch (RuntimeException e) {
                 return CompletableFuture.failedFuture(e);
             }
         }
 
-        private void write(ChannelHandlerContext ctx, HttpResponse reply, boolean keepAlive) {
-            FullHttpResponse response = response(reply);
+        private void write(ChannelHandlerContext ctx, HttpResponse response, boolean keepAlive) {
+            FullHttpResponse nettyResponse = response(response);
             if (keepAlive) {
-                ctx.writeAndFlush(response, ctx.voidPromise());
+                ctx.writeAndFlush(nettyResponse, ctx.voidPromise());
             } else {
-                response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-                ctx.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
+                nettyResponse.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+                ctx.writeAndFlush(nettyResponse).addListener(ChannelFutureListener.CLOSE);
             }
         }
 
--- a/src/main/java/io/sillreel/http/RequestQueue.java
+++ b/src/main/java/io/sillreel/http/RequestQueue.java
@@ -15,9 +15,9 @@
 public final class RequestQueue {
     /** Where a request waits; what is asked to see whether this process is alive does not wait. */
     public enum RequestClass {
-        AT_ONCE,
+        IMMEDIATE,
         USERS,
-        CROWD
+        WORKERS
     }
 
     private static final int MAX_IN_A_SLICE = 16;
@@ -27,21 +27,21 @@
 
     private record WaitingRequest(long sinceMicros, int bytes, BooleanSupplier wanted, Runnable work) {}
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final long maxBytes;
     private final Deque<WaitingRequest> users = new ArrayDeque<>();
     private final Deque<WaitingRequest> crowd = new ArrayDeque<>();
     private boolean crowdNext;
     private boolean due;
-    private long givenUp;
+    private long abandonedCount;
     private long bytesWaiting;
 
     /**
      * @param maxBytes what the waiting requests may hold in all; beyond that they are refused, or hundreds of large
      *     ones would fill the heap
      */
-    public RequestQueue(EventLoop loop, long maxBytes) {
-        this.loop = loop;
+    public RequestQueue(EventLoop eventLoop, long maxBytes) {
+        this.eventLoop = eventLoop;
         this.maxBytes = maxBytes;
     }
 
@@ -51,8 +51,8 @@
      * @param bytes what the request holds until then
      * @return false if too much waits already: the work is not done
      */
-    public boolean await(RequestClass line, int bytes, BooleanSupplier wanted, Runnable work) {
-        if (line == RequestClass.AT_ONCE) {
+    public boolean enqueue(RequestClass line, int bytes, BooleanSupplier wanted, Runnable work) {
+        if (line == RequestClass.IMMEDIATE) {
             work.run();
             return true;
         }
@@ -61,19 +61,20 @@
                 return false;
             }
             bytesWaiting += bytes;
-            (line == RequestClass.USERS ? users : crowd).add(new WaitingRequest(loop.nowMicros(), bytes, wanted, work));
+            (line == RequestClass.USERS ? users : crowd)
+                    .add(new WaitingRequest(eventLoop.nowMicros(), bytes, wanted, work));
             if (due) {
                 return true;
             }
             due = true;
         }
-        loop.after(0, this::slice);
+        eventLoop.schedule(0, this::slice);
         return true;
     }
 
     private void slice() {
-        long begun = loop.nowMicros();
-        for (int done = 0; done < MAX_IN_A_SLICE && loop.nowMicros() - begun < SLICE_MICROS; done++) {
+        long begun = eventLoop.nowMicros();
+        for (int done = 0; done < MAX_IN_A_SLICE && eventLoop.nowMicros() - begun < SLICE_MICROS; done++) {
             WaitingRequest request = next();
             if (request == null) {
                 return;
@@ -81,7 +82,7 @@
             request.work().run();
         }
         // Not at once: a timer, however short, lets the network be looked at first.
-        loop.after(1, this::slice);
+        eventLoop.schedule(1, this::slice);
     }
 
     private synchronized WaitingRequest next() {
@@ -96,24 +97,24 @@
 
     private WaitingRequest next(Deque<WaitingRequest> line) {
         while (!line.isEmpty()) {
-            boolean behind = loop.nowMicros() - line.peekFirst().sinceMicros() > BEHIND_MICROS;
+            boolean behind = eventLoop.nowMicros() - line.peekFirst().sinceMicros() > BEHIND_MICROS;
             boolean gone = !line.peekFirst().wanted().getAsBoolean();
             WaitingRequest request = behind && !gone ? line.pollLast() : line.pollFirst();
             bytesWaiting -= request.bytes();
             if (!gone && request.wanted().getAsBoolean()) {
                 return request;
             }
-            givenUp++;
+            abandonedCount++;
         }
         return null;
     }
 
     /** Requests whose askers gave up before their turn came. */
-    public synchronized long givenUp() {
-        return givenUp;
+    public synchronized long abandonedCount() {
+        return abandonedCount;
     }
 
-    public synchronized int waiting() {
+    public synchronized int waitingCount() {
         return users.size() + crowd.size();
     }
 }
--- a/src/main/java/io/sillreel/leadership/LeaderElection.java
+++ b/src/main/java/io/sillreel/leadership/LeaderElection.java
@@ -41,7 +41,7 @@
     private static final long TIMER_MARGIN_MICROS = 50_000;
 
     private final StateStore store;
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final String node;
     private final long leaseMicros;
     private final Listener listener;
@@ -63,13 +63,13 @@
      */
     public LeaderElection(
             StateStore store,
-            EventLoop loop,
+            EventLoop eventLoop,
             String node,
             long leaseMicros,
             Listener listener,
             LongSupplier termFloor) {
         this.store = store;
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.node = node;
         this.leaseMicros = leaseMicros;
         this.listener = listener;
@@ -105,7 +105,8 @@
     /** True while nobody else can have taken the lease. */
     public synchronized boolean proven() {
         return heldTerm > 0
-                && loop.nowMicros() < proofMicros + leaseMicros - leaseMicros / DRIFT_DIVISOR - TIMER_MARGIN_MICROS;
+                && eventLoop.nowMicros()
+                        < proofMicros + leaseMicros - leaseMicros / DRIFT_DIVISOR - TIMER_MARGIN_MICROS;
     }
 
     /** Another controller or a worker has shown a term; a higher one than ours ends our holding. */
@@ -132,14 +133,14 @@
 
     /** Does not try to take the lease for so long, so that another controller can. */
     public synchronized void pauseCandidacy(long forMicros) {
-        notBeforeMicros = loop.nowMicros() + forMicros;
+        notBeforeMicros = eventLoop.nowMicros() + forMicros;
     }
 
     private void look() {
         store.list(LEADER_KEY).thenAccept(listing -> {
             if (listing.outcome() != Outcome.OK) {
                 settled();
-                loop.after(RETRY_MICROS, this::look);
+                eventLoop.schedule(RETRY_MICROS, this::look);
                 return;
             }
             Entry entry = listing.entries().stream()
@@ -167,7 +168,7 @@
     private void watch(long since) {
         store.watch(LEADER_KEY, since, WATCH_MICROS).thenAccept(result -> {
             if (result.outcome() != Outcome.OK) {
-                loop.after(RETRY_MICROS, this::look);
+                eventLoop.schedule(RETRY_MICROS, this::look);
                 return;
             }
             boolean vacant = false;
@@ -210,7 +211,7 @@
     }
 
     private void acquire(long leaderStamp, long ledger) {
-        long sent = loop.nowMicros();
+        long sent = eventLoop.nowMicros();
         if (sent < notBeforeMicros) {
             watch(ledger);
             return;
@@ -218,14 +219,14 @@
         store.grant(leaseMicros).thenAccept(grant -> {
             if (grant.outcome() != Outcome.OK) {
                 settled();
-                loop.after(RETRY_MICROS, this::look);
+                eventLoop.schedule(RETRY_MICROS, this::look);
                 return;
             }
             store.get(TERM_KEY).thenAccept(read -> {
                 if (!read.decided()) {
                     settled();
                     store.revoke(grant.permit());
-                    loop.after(RETRY_MICROS, this::look);
+                    eventLoop.schedule(RETRY_MICROS, this::look);
                     return;
                 }
                 long term = 1 + Math.max(storedTerm(read), termFloor.getAsLong());
@@ -250,7 +251,7 @@
             if (commit.outcome() != Outcome.OK) {
                 // Lost the race, or can't know: the lease is ended so that a late success does not linger.
                 store.revoke(granted);
-                loop.after(commit.outcome() == Outcome.CONFLICT ? 0 : RETRY_MICROS, this::look);
+                eventLoop.schedule(commit.outcome() == Outcome.CONFLICT ? 0 : RETRY_MICROS, this::look);
                 return;
             }
             synchronized (this) {
@@ -262,7 +263,7 @@
             LOG.info("took the lease: term {}", term);
             listener.took(term, commit.ledger());
             settled();
-            loop.after(leaseMicros / 3, this::renew);
+            eventLoop.schedule(leaseMicros / 3, this::renew);
             watch(commit.ledger());
         });
     }
@@ -276,7 +277,7 @@
             renewing = true;
             granted = permit;
         }
-        long sent = loop.nowMicros();
+        long sent = eventLoop.nowMicros();
         store.touch(granted).thenAccept(outcome -> {
             boolean ours;
             synchronized (this) {
@@ -294,8 +295,8 @@
                 note(null, 0);
                 return;
             }
-            long wait = outcome == Outcome.OK ? leaseMicros / 3 - (loop.nowMicros() - sent) : RETRY_MICROS;
-            loop.after(Math.max(wait, RETRY_MICROS / 3), this::renew);
+            long wait = outcome == Outcome.OK ? leaseMicros / 3 - (eventLoop.nowMicros() - sent) : RETRY_MICROS;
+            eventLoop.schedule(Math.max(wait, RETRY_MICROS / 3), this::renew);
         });
     }
 
--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -41,7 +41,7 @@
     private static final int MAX_DONE_REMEMBERED = 4_000;
     private static final long LOOK_AGAIN_MICROS = 1_000_000;
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final StateStore store;
     private final Cluster cluster;
     private final WriteQueue writer;
@@ -72,7 +72,7 @@
      * @param missedChanges told of a prefix whose changes can't be followed any more
      */
     LeaderJobs(
-            EventLoop loop,
+            EventLoop eventLoop,
             StateStore store,
             Cluster cluster,
             WriteQueue writer,
@@ -82,7 +82,7 @@
             Runnable changed,
             Consumer<ActiveJob> onCancelled,
             Consumer<String> missedChanges) {
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.store = store;
         this.cluster = cluster;
         this.writer = writer;
@@ -164,7 +164,7 @@
                 return;
             }
             if (complete.isEmpty()) {
-                loop.after(RETRY_MICROS, () -> enter(plan, stamp));
+                eventLoop.schedule(RETRY_MICROS, () -> enter(plan, stamp));
                 return;
             }
             synchronized (cluster) {
@@ -184,7 +184,7 @@
             return;
         }
         if (job.awaitsOthers()) {
-            job.ready(loop.wallMicros());
+            job.ready(eventLoop.wallMicros());
             capacity.arrived(job.spec(), job.readyWallMicros());
         }
         if (!job.released()) {
@@ -199,7 +199,7 @@
     public void closed(ActiveJob job, String because) {
         if (cancelledUids.add(job.uid())) {
             LOG.info("cancelled {}, which needs {}", job.uid(), because);
-            writer.enqueue(new CascadingCancellation(job.uid(), because, loop.wallMicros()));
+            writer.enqueue(new CascadingCancellation(job.uid(), because, eventLoop.wallMicros()));
         }
         foundCancelled(job);
     }
@@ -223,7 +223,7 @@
                 }
             }
             // Not read, or not done though nobody drives it: its plan may yet be seen.
-            loop.after(LOOK_AGAIN_MICROS, () -> {
+            eventLoop.schedule(LOOK_AGAIN_MICROS, () -> {
                 synchronized (cluster) {
                     lookUp(uid);
                 }
@@ -270,7 +270,7 @@
         if (closed) {
             return;
         }
-        long sent = loop.nowMicros();
+        long sent = eventLoop.nowMicros();
         store.watch(prefix, since, blockMicros).thenAccept(result -> {
             if (closed) {
                 return;
@@ -284,7 +284,7 @@
                     follow(prefix, result.ledger(), blockMicros, each, proven);
                 }
                 case COMPACTED -> missedChanges.accept(prefix);
-                default -> loop.after(RETRY_MICROS, () -> follow(prefix, since, blockMicros, each, proven));
+                default -> eventLoop.schedule(RETRY_MICROS, () -> follow(prefix, since, blockMicros, each, proven));
             }
         });
     }
--- a/src/main/java/io/sillreel/leadership/LeaderReachability.java
+++ b/src/main/java/io/sillreel/leadership/LeaderReachability.java
@@ -22,7 +22,7 @@
     /** A worker finds another controller within two time-outs and a report. */
     private static final long DETOURS_OVER_MICROS = 15_000_000;
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Settings settings;
     private final LeaderElection leadership;
     private final Peers peers;
@@ -33,8 +33,9 @@
     private long reportMicros;
     private long disturbedMicros;
 
-    LeaderReachability(EventLoop loop, Settings settings, LeaderElection leadership, Peers peers, Cluster cluster) {
-        this.loop = loop;
+    LeaderReachability(
+            EventLoop eventLoop, Settings settings, LeaderElection leadership, Peers peers, Cluster cluster) {
+        this.eventLoop = eventLoop;
         this.settings = settings;
         this.leadership = leadership;
         this.peers = peers;
@@ -44,12 +45,12 @@
     /** What is stored has been read: from now on reports are answered. */
     void loaded() {
         loaded = true;
-        loadedMicros = loop.nowMicros();
+        loadedMicros = eventLoop.nowMicros();
     }
 
     /** A worker's report has reached this leader. */
     void reported() {
-        reportMicros = loop.nowMicros();
+        reportMicros = eventLoop.nowMicros();
     }
 
     /**
@@ -74,7 +75,7 @@
      * @param writesStuck true if writes do not come to an end
      */
     void review(long cancellationProofMicros, boolean writesStuck) {
-        long now = loop.nowMicros();
+        long now = eventLoop.nowMicros();
         boolean expected;
         synchronized (cluster) {
             expected = loaded
@@ -111,6 +112,6 @@
 
     /** True if no worker has had to look for another controller lately: then a silent one is not on its way to one. */
     boolean undisturbed() {
-        return loop.nowMicros() - Math.max(disturbedMicros, loadedMicros) > DETOURS_OVER_MICROS;
+        return eventLoop.nowMicros() - Math.max(disturbedMicros, loadedMicros) > DETOURS_OVER_MICROS;
     }
 }
--- a/src/main/java/io/sillreel/leadership/LeaderStatus.java
+++ b/src/main/java/io/sillreel/leadership/LeaderStatus.java
@@ -16,15 +16,15 @@
     private static final Logger LOG = LoggerFactory.getLogger(LeaderStatus.class);
     private static final long STATUS_MICROS = 10_000_000;
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final long term;
     private final Cluster cluster;
     private final CapacityPlanner capacity;
     private final WriteQueue writer;
     private long statusMicros;
 
-    LeaderStatus(EventLoop loop, long term, Cluster cluster, CapacityPlanner capacity, WriteQueue writer) {
-        this.loop = loop;
+    LeaderStatus(EventLoop eventLoop, long term, Cluster cluster, CapacityPlanner capacity, WriteQueue writer) {
+        this.eventLoop = eventLoop;
         this.term = term;
         this.cluster = cluster;
         this.capacity = capacity;
@@ -33,7 +33,7 @@
 
     /** Every so often one line that tells an on-call reader how things stand. */
     void tell() {
-        long now = loop.nowMicros();
+        long now = eventLoop.nowMicros();
         if (now - statusMicros < STATUS_MICROS
                 || cluster.jobs().isEmpty() && cluster.machines().isEmpty()) {
             return;
@@ -80,8 +80,8 @@
             gauges.put("sillreel.cpus.up", cpus);
             gauges.put("sillreel.cpus.busy", capacity.busyCpus());
             gauges.put("sillreel.cpus.starting", capacity.startingCpus());
-            gauges.put("sillreel.cpus.wanted", capacity.wantedCpus(loop.wallMicros()));
-            gauges.put("sillreel.cpus.standing", capacity.standingCpus(loop.wallMicros()));
+            gauges.put("sillreel.cpus.wanted", capacity.wantedCpus(eventLoop.wallMicros()));
+            gauges.put("sillreel.cpus.standing", capacity.standingCpus(eventLoop.wallMicros()));
             gauges.put("sillreel.writes.waiting", (double) writer.backlog());
             gauges.put("sillreel.machines.unheard", (double) cluster.unheard().size());
             gauges.put("sillreel.work", (double) cluster.work());
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -48,9 +48,9 @@
 
     private static final long GRACE_MARGIN_MICROS = 1_500_000;
     private static final long ASK_TIMEOUT_MICROS = 3_000_000;
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final StateStore store;
-    private final HttpClient caller;
+    private final HttpClient httpClient;
     private final Settings settings;
     private final LeaderElection leadership;
     private final long term;
@@ -73,10 +73,10 @@
 
     /** Creates the state of one term; {@link #start} begins to read what is stored. */
     public LeaderTerm(
-            EventLoop loop,
+            EventLoop eventLoop,
             StateStore store,
             CloudClient cloud,
-            HttpClient caller,
+            HttpClient httpClient,
             Settings settings,
             OperatorProperties operator,
             FleetCapacity fleetCapacity,
@@ -85,9 +85,9 @@
             long leaderStamp,
             Supplier<Map<String, MachineType>> types,
             Peers peers) {
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.store = store;
-        this.caller = caller;
+        this.httpClient = httpClient;
         this.settings = settings;
         this.leadership = leadership;
         this.term = term;
@@ -95,16 +95,16 @@
         this.cluster = new Cluster(settings.teams());
         this.writer = new WriteQueue(
                 store,
-                loop,
+                eventLoop,
                 LeaderElection.LEADER_KEY,
                 leaderStamp,
-                settings.state().txnOps(),
+                settings.state().maxTransactionChanges(),
                 () -> leadership.resign("the leader key has changed"));
         ServiceLevelObjectives deadlines = new ServiceLevelObjectives(settings.objectives(), estimates);
-        Planner planner = new Planner(cluster, settings.workers().reportMicros(), deadlines);
+        Planner planner = new Planner(cluster, settings.workers().heartbeatIntervalMicros(), deadlines);
         this.capacity = new CapacityPlanner(cluster, deadlines, estimates);
         this.jobs = new LeaderJobs(
-                loop,
+                eventLoop,
                 store,
                 cluster,
                 writer,
@@ -114,15 +114,15 @@
                 this::progressed,
                 this::haltTasks,
                 prefix -> leadership.resign("the changes under " + prefix + " were missed"));
-        this.status = new LeaderStatus(loop, term, cluster, capacity, writer);
+        this.status = new LeaderStatus(eventLoop, term, cluster, capacity, writer);
         this.reportProcessor = newReportProcessor(operator, planner);
         this.slowMachines = new StragglerDetector(cluster, estimates);
-        this.reachability = new LeaderReachability(loop, settings, leadership, peers, cluster);
+        this.reachability = new LeaderReachability(eventLoop, settings, leadership, peers, cluster);
         this.planning = new SchedulingCycle(
-                loop,
+                eventLoop,
                 term,
                 cluster,
-                caller,
+                httpClient,
                 planner,
                 reportProcessor,
                 new SpotInterruptionDrain(cluster, estimates),
@@ -132,7 +132,7 @@
 
     private HeartbeatProcessor newReportProcessor(OperatorProperties operator, Planner planner) {
         return new HeartbeatProcessor(
-                loop,
+                eventLoop,
                 term,
                 cluster,
                 writer,
@@ -147,7 +147,7 @@
 
     private FleetManager newFleet(CloudClient cloud, OperatorProperties operator, FleetCapacity fleetCapacity) {
         return new FleetManager(
-                loop,
+                eventLoop,
                 term,
                 cluster,
                 cloud,
@@ -193,7 +193,7 @@
                 && loaded
                 && leadership.proven()
                 && leadership.heldTerm() == term
-                && loop.nowMicros() - jobs.cancellationProofMicros() < CANCELLATIONS_STALE_MICROS;
+                && eventLoop.nowMicros() - jobs.cancellationProofMicros() < CANCELLATIONS_STALE_MICROS;
     }
 
     /**
@@ -207,7 +207,7 @@
 
     private boolean mayKeepAlive() {
         long proof = Math.min(leadership.proofMicros(), jobs.cancellationProofMicros());
-        return loop.nowMicros() < proof + gracePeriodMicros();
+        return eventLoop.nowMicros() < proof + gracePeriodMicros();
     }
 
     // --- Taking over -----------------------------------------------------------------------------------------------
@@ -217,11 +217,11 @@
             return;
         }
         if (types.get().isEmpty()) {
-            loop.after(RETRY_MICROS, this::load);
+            eventLoop.schedule(RETRY_MICROS, this::load);
             return;
         }
-        long asked = loop.nowMicros();
-        LongPredicate countsAsDemand = admitted -> DemandEstimator.remembers(admitted, loop.wallMicros());
+        long asked = eventLoop.nowMicros();
+        LongPredicate countsAsDemand = admitted -> DemandEstimator.remembers(admitted, eventLoop.wallMicros());
         new StoredStateReader(store, settings.state().values().presentBytes(), countsAsDemand, () -> !closed)
                 .read()
                 .thenAccept(state -> {
@@ -229,7 +229,7 @@
                         return;
                     }
                     if (state.isEmpty()) {
-                        loop.after(RETRY_MICROS, this::load);
+                        eventLoop.schedule(RETRY_MICROS, this::load);
                         return;
                     }
                     begin(state.get(), asked);
@@ -239,7 +239,8 @@
     private void begin(StoredState state, long askedMicros) {
         synchronized (cluster) {
             jobs.begin(state, askedMicros);
-            long bound = reportProcessor.aliveUntil(loop.nowMicros()) + gracePeriodMicros() + GRACE_MARGIN_MICROS / 3;
+            long bound =
+                    reportProcessor.aliveUntil(eventLoop.nowMicros()) + gracePeriodMicros() + GRACE_MARGIN_MICROS / 3;
             state.rentals().forEach(rental -> fleet.inherit(rental, bound));
             loaded = true;
             reachability.loaded();
@@ -251,7 +252,7 @@
                 cluster.jobs().size(),
                 cluster.machines().size());
         jobs.follow(state);
-        loop.after(0, this::tick);
+        eventLoop.schedule(0, this::tick);
     }
 
     /** A cancellation has been stored: heard of from the controller that stored it. */
@@ -265,17 +266,17 @@
     public HttpResponse answer(Heartbeat report) {
         if (report.token() > term) {
             leadership.heard(null, report.token());
-            return HttpResponse.later(503, "a later term has begun", 1);
+            return HttpResponse.retryLater(503, "a later term has begun", 1);
         }
         if (closed || !loaded) {
-            return HttpResponse.later(503, "the term is only beginning", 1);
+            return HttpResponse.retryLater(503, "the term is only beginning", 1);
         }
         reachability.reported();
         if (!mayKeepAlive()) {
-            return HttpResponse.later(503, "the state service has not confirmed the lease for too long", 1);
+            return HttpResponse.retryLater(503, "the state service has not confirmed the lease for too long", 1);
         }
         if (!leadership.proven() && reachability.betterElsewhere(report.machine())) {
-            return HttpResponse.later(503, "another controller may hold the lease by now", 1);
+            return HttpResponse.retryLater(503, "another controller may hold the lease by now", 1);
         }
         return reportProcessor.report(report);
     }
@@ -321,9 +322,10 @@
         }
         long session = machine.messages().session();
         long sequence = machine.messages().sequence();
-        caller.call(machine.address(), HttpRequest.get("/status"), ASK_TIMEOUT_MICROS)
-                .thenAccept(reply -> {
-                    Heartbeat report = !closed && reply.ok() ? Heartbeat.read(reply.body()) : null;
+        httpClient
+                .send(machine.address(), HttpRequest.get("/status"), ASK_TIMEOUT_MICROS)
+                .thenAccept(response -> {
+                    Heartbeat report = !closed && response.isOk() ? Heartbeat.read(response.body()) : null;
                     if (report != null && report.machine().equals(machine.name())) {
                         reportProcessor.asked(report, session, sequence);
                     }
@@ -336,8 +338,8 @@
         if (closed) {
             return;
         }
-        loop.after(TICK_MICROS, this::tick);
-        long now = loop.nowMicros();
+        eventLoop.schedule(TICK_MICROS, this::tick);
+        long now = eventLoop.nowMicros();
         planning.tick(now);
         if (mayAct() && now - fleetMicros > FLEET_MICROS) {
             fleetMicros = now;
--- a/src/main/java/io/sillreel/leadership/SchedulingCycle.java
+++ b/src/main/java/io/sillreel/leadership/SchedulingCycle.java
@@ -30,10 +30,10 @@
     private static final long DO_TIMEOUT_MICROS = 3_000_000;
     private static final long COMMAND_MICROS = 1_000_000;
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final long term;
     private final Cluster cluster;
-    private final HttpClient caller;
+    private final HttpClient httpClient;
     private final Planner planner;
     private final HeartbeatProcessor reportProcessor;
     private final SpotInterruptionDrain recallDrain;
@@ -48,18 +48,18 @@
 
     /** @param mayAct true while launches are allowed */
     SchedulingCycle(
-            EventLoop loop,
+            EventLoop eventLoop,
             long term,
             Cluster cluster,
-            HttpClient caller,
+            HttpClient httpClient,
             Planner planner,
             HeartbeatProcessor reportProcessor,
             SpotInterruptionDrain recallDrain,
             BooleanSupplier mayAct) {
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.term = term;
         this.cluster = cluster;
-        this.caller = caller;
+        this.httpClient = httpClient;
         this.planner = planner;
         this.reportProcessor = reportProcessor;
         this.recallDrain = recallDrain;
@@ -107,7 +107,7 @@
      * processor to reports: at a fraction of a core one plan for hundreds of machines takes many milliseconds.
      */
     private void plan() {
-        long now = loop.nowMicros();
+        long now = eventLoop.nowMicros();
         if (!dirty
                 || !mayAct.getAsBoolean()
                 || now - plannedMicros < Math.max(MIN_PLAN_INTERVAL_MICROS, PLAN_REST_FACTOR * planCostMicros)) {
@@ -115,14 +115,14 @@
         }
         dirty = false;
         plannedMicros = now;
-        Planner.Plan plan = planner.plan(now, loop.wallMicros());
+        Planner.Plan plan = planner.plan(now, eventLoop.wallMicros());
         reportProcessor.plan(plan);
         for (Allocation allocation : plan.halts()) {
             LOG.debug("stopping {}/{} to make room", allocation.uid(), allocation.index());
             allocation.halt(allocation.job().spec().saveMicros() + COMMAND_MICROS);
             haltsDue.add(allocation.machine());
         }
-        planCostMicros = loop.nowMicros() - now;
+        planCostMicros = eventLoop.nowMicros() - now;
         plans++;
         planMicros += planCostMicros;
     }
@@ -144,11 +144,11 @@
         if (commands.isEmpty()) {
             return;
         }
-        HttpRequest call = HttpRequest.post(
+        HttpRequest request = HttpRequest.post(
                 "/do", commands.body(term).put("shift", machine.messages().session()));
-        caller.call(machine.address(), call, DO_TIMEOUT_MICROS).thenAccept(reply -> {
-            if (!closed && (reply.status() == 200 || reply.status() == 409)) {
-                Heartbeat report = Heartbeat.read(reply.body());
+        httpClient.send(machine.address(), request, DO_TIMEOUT_MICROS).thenAccept(response -> {
+            if (!closed && (response.status() == 200 || response.status() == 409)) {
+                Heartbeat report = Heartbeat.read(response.body());
                 if (report != null) {
                     reportProcessor.answered(report);
                 }
--- a/src/main/java/io/sillreel/overload/AdaptiveLimit.java
+++ b/src/main/java/io/sillreel/overload/AdaptiveLimit.java
@@ -58,26 +58,26 @@
     }
 
     @Override
-    public CompletableFuture<HttpResponse> handle(HttpRequest call) {
-        boolean poll = call.method().equals("GET");
+    public CompletableFuture<HttpResponse> handle(HttpRequest request) {
+        boolean poll = request.method().equals("GET");
         Optional<Limiter.Listener> admitted;
         synchronized (this) {
             admitted = poll && inProgress >= POLL_SHARE * limiter.getLimit() ? Optional.empty() : limiter.acquire(null);
-            if (admitted.isEmpty() && !(poll && isOwed(call.path()))) {
+            if (admitted.isEmpty() && !(poll && isOwed(request.path()))) {
                 refused++;
-                return CompletableFuture.completedFuture(HttpResponse.later(429, "too much is asked at once", 1));
+                return CompletableFuture.completedFuture(HttpResponse.retryLater(429, "too much is asked at once", 1));
             }
             inProgress += admitted.isPresent() ? 1 : 0;
             owedInProgress += admitted.isPresent() ? 0 : 1;
         }
-        CompletableFuture<HttpResponse> answer = inner.handle(call);
-        answer.whenComplete((reply, failure) -> {
-            boolean served = failure == null && reply.status() != 503;
+        CompletableFuture<HttpResponse> answer = inner.handle(request);
+        answer.whenComplete((response, failure) -> {
+            boolean served = failure == null && response.status() != 503;
             synchronized (this) {
                 inProgress -= admitted.isPresent() ? 1 : 0;
                 owedInProgress -= admitted.isPresent() ? 0 : 1;
                 if (served && poll) {
-                    refusedSince.remove(call.path());
+                    refusedSince.remove(request.path());
                 }
             }
             // An outage elsewhere says nothing about how much can be asked here.
--- a/src/main/java/io/sillreel/overload/EventLoopLag.java
+++ b/src/main/java/io/sillreel/overload/EventLoopLag.java
@@ -10,36 +10,36 @@
     /** What was late fades by half in two to three looks, or seconds would pass before a calm process counts as one. */
     private static final int FADING = 4;
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private long dueMicros;
-    private long micros;
-    private long mostMicros;
+    private long currentMicros;
+    private long maxMicros;
 
-    public EventLoopLag(EventLoop loop) {
-        this.loop = loop;
+    public EventLoopLag(EventLoop eventLoop) {
+        this.eventLoop = eventLoop;
     }
 
     public void start() {
-        dueMicros = loop.nowMicros() + EVERY_MICROS;
-        loop.after(EVERY_MICROS, this::look);
+        dueMicros = eventLoop.nowMicros() + EVERY_MICROS;
+        eventLoop.schedule(EVERY_MICROS, this::look);
     }
 
     private void look() {
         synchronized (this) {
-            long late = Math.max(0, loop.nowMicros() - dueMicros);
-            micros = Math.max(late, micros - micros / FADING);
-            mostMicros = Math.max(mostMicros, late);
+            long late = Math.max(0, eventLoop.nowMicros() - dueMicros);
+            currentMicros = Math.max(late, currentMicros - currentMicros / FADING);
+            maxMicros = Math.max(maxMicros, late);
         }
         start();
     }
 
     /** How late timers are now, or were a moment ago. */
-    public synchronized long micros() {
-        return micros;
+    public synchronized long currentMicros() {
+        return currentMicros;
     }
 
     /** The latest that any was since the start. */
-    public synchronized long mostMicros() {
-        return mostMicros;
+    public synchronized long maxMicros() {
+        return maxMicros;
     }
 }
--- a/src/main/java/io/sillreel/overload/RateLimiter.java
+++ b/src/main/java/io/sillreel/overload/RateLimiter.java
@@ -8,36 +8,36 @@
  * back slowly.
  */
 public final class RateLimiter {
-    private static final double SHRINK = 0.6;
-    private static final double MIN_PART = 0.05;
+    private static final double SHRINK_FACTOR = 0.6;
+    private static final double MIN_SHARE = 0.05;
     private static final double REGAINED_PER_SECOND = 0.02;
     /** What is refused within so long is refused for the same reason. */
     private static final long SAME_MICROS = 300_000;
 
-    private final EventLoop loop;
-    private final double mostPerSecond;
-    private final double mostBurst;
-    private double part = 1;
+    private final EventLoop eventLoop;
+    private final double maxPerSecond;
+    private final double maxBurst;
+    private double share = 1;
     private double tokens;
     private long atMicros;
     private long refusedMicros = Long.MIN_VALUE / 2;
 
     /** @param burst how many tokens gather during a pause */
-    public RateLimiter(EventLoop loop, double perSecond, double burst) {
-        this.loop = loop;
-        this.mostPerSecond = perSecond;
-        this.mostBurst = burst;
+    public RateLimiter(EventLoop eventLoop, double perSecond, double burst) {
+        this.eventLoop = eventLoop;
+        this.maxPerSecond = perSecond;
+        this.maxBurst = burst;
         this.tokens = burst;
-        this.atMicros = loop.nowMicros();
+        this.atMicros = eventLoop.nowMicros();
     }
 
     /** Takes the tokens if they are there; a request larger than the bucket may overdraw a full one. */
-    public boolean tryTake(double amount) {
-        return tryTakeLeaving(amount, 0);
+    public boolean tryAcquire(double amount) {
+        return tryAcquireLeaving(amount, 0);
     }
 
     /** Takes the tokens if so many would be left for others, or if the bucket is full. */
-    public synchronized boolean tryTakeLeaving(double amount, double left) {
+    public synchronized boolean tryAcquireLeaving(double amount, double left) {
         refill();
         if (tokens >= Math.min(amount + left, burst())) {
             tokens -= amount;
@@ -47,18 +47,18 @@
     }
 
     /** Takes the tokens even if they have to be earned first: for the little that can't wait. */
-    public synchronized void take(double amount) {
+    public synchronized void acquireInAdvance(double amount) {
         refill();
         tokens -= amount;
     }
 
     /** Something was refused for the rate: from now on less is asked for. */
-    public synchronized void refused() {
+    public synchronized void onRejected() {
         refill();
         tokens = Math.min(tokens, 0);
-        if (loop.nowMicros() - refusedMicros > SAME_MICROS) {
-            refusedMicros = loop.nowMicros();
-            part = Math.max(MIN_PART, part * SHRINK);
+        if (eventLoop.nowMicros() - refusedMicros > SAME_MICROS) {
+            refusedMicros = eventLoop.nowMicros();
+            share = Math.max(MIN_SHARE, share * SHRINK_FACTOR);
         }
     }
 
@@ -68,14 +68,14 @@
     }
 
     public synchronized double burst() {
-        return part * mostBurst;
+        return share * maxBurst;
     }
 
     private void refill() {
-        long now = loop.nowMicros();
+        long now = eventLoop.nowMicros();
         double seconds = (now - atMicros) / 1_000_000.0;
-        part = Math.min(1, part + REGAINED_PER_SECOND * seconds);
-        tokens = Math.min(burst(), tokens + part * mostPerSecond * seconds);
+        share = Math.min(1, share + REGAINED_PER_SECOND * seconds);
+        tokens = Math.min(burst(), tokens + share * maxPerSecond * seconds);
         atMicros = now;
     }
 }
--- a/src/main/java/io/sillreel/peer/PeerMessages.java
+++ b/src/main/java/io/sillreel/peer/PeerMessages.java
@@ -190,11 +190,11 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64 * replies.size());
         try (CBORGenerator out = STREAM.createGenerator(bytes)) {
             out.writeStartArray(null, replies.size());
-            for (HttpResponse reply : replies) {
+            for (HttpResponse response : replies) {
                 out.writeStartArray(null, 3);
-                out.writeNumber(reply.status());
-                out.writeBinary(reply.body());
-                out.writeNumber(reply.retryAfterSeconds());
+                out.writeNumber(response.status());
+                out.writeBinary(response.body());
+                out.writeNumber(response.retryAfterSeconds());
                 out.writeEndArray();
             }
             out.writeEndArray();
--- a/src/main/java/io/sillreel/peer/Peers.java
+++ b/src/main/java/io/sillreel/peer/Peers.java
@@ -12,30 +12,30 @@
 public final class Peers {
     private static final long FRESH_MICROS = 3_000_000;
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Map<String, Hello> hellos = new HashMap<>();
     private final Map<String, Long> heardMicros = new HashMap<>();
 
-    public Peers(EventLoop loop) {
-        this.loop = loop;
+    public Peers(EventLoop eventLoop) {
+        this.eventLoop = eventLoop;
     }
 
     public synchronized void heard(Hello hello) {
         hellos.put(hello.node(), hello);
-        heardMicros.put(hello.node(), loop.nowMicros());
+        heardMicros.put(hello.node(), eventLoop.nowMicros());
     }
 
     /** True if the controller was heard within the time that has just passed. */
     public synchronized boolean heardWithin(String node, long micros) {
         Long at = heardMicros.get(node);
-        return at != null && loop.nowMicros() - at < micros;
+        return at != null && eventLoop.nowMicros() - at < micros;
     }
 
     /** Those that were heard lately. */
     public synchronized Collection<Hello> fresh() {
         List<Hello> fresh = new ArrayList<>();
         hellos.forEach((node, hello) -> {
-            if (loop.nowMicros() - heardMicros.get(node) < FRESH_MICROS) {
+            if (eventLoop.nowMicros() - heardMicros.get(node) < FRESH_MICROS) {
                 fresh.add(hello);
             }
         });
--- a/src/main/java/io/sillreel/recovery/ChangeFollower.java
+++ b/src/main/java/io/sillreel/recovery/ChangeFollower.java
@@ -26,7 +26,7 @@
     private static final long BEHIND_MICROS = 3_500_000;
 
     private final StateStore store;
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final ChangeLog log;
     private final long pauseMicros;
     private final BooleanSupplier paused;
@@ -45,14 +45,14 @@
      */
     ChangeFollower(
             StateStore store,
-            EventLoop loop,
+            EventLoop eventLoop,
             ChangeLog log,
             long pauseMicros,
             BooleanSupplier paused,
             Consumer<RecoveryRecord> onRecord,
             Consumer<String> onLoss) {
         this.store = store;
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.log = log;
         this.pauseMicros = pauseMicros;
         this.paused = paused;
@@ -76,7 +76,7 @@
 
     /** True if changes have not been heard of for so long that a loss may have been noticed elsewhere meanwhile. */
     boolean isBehind() {
-        return loop.nowMicros() - followedMicros > BEHIND_MICROS;
+        return eventLoop.nowMicros() - followedMicros > BEHIND_MICROS;
     }
 
     /** Ends the following until it is begun anew. */
@@ -96,7 +96,7 @@
             if (verdict.outcome() == Outcome.OK && term.decided()) {
                 begin(thisRun, fromLandmark, verdict, term);
             } else {
-                loop.after(RETRY_MICROS, () -> begin(thisRun, fromLandmark));
+                eventLoop.schedule(RETRY_MICROS, () -> begin(thisRun, fromLandmark));
             }
         });
     }
@@ -112,9 +112,9 @@
         Stream<Entry> landmarks = Stream.concat(stored.stream(), Stream.ofNullable(term.entry()));
         Optional<Entry> latest = landmarks.max(Comparator.comparingLong(Entry::stamp));
         long since = fromLandmark ? latest.map(Entry::stamp).orElse(verdict.ledger()) : verdict.ledger();
-        log.restart(since, loop.wallMicros());
+        log.restart(since, eventLoop.wallMicros());
         latest.ifPresent(entry -> log.landmark(RecentChange.of(entry.key(), entry.value(), entry.stamp())));
-        followedMicros = loop.nowMicros();
+        followedMicros = eventLoop.nowMicros();
         follow(thisRun, since);
     }
 
@@ -127,14 +127,14 @@
                 return;
             }
             if (result.outcome() == Outcome.OK) {
-                followedMicros = loop.nowMicros();
+                followedMicros = eventLoop.nowMicros();
                 long reached = Math.max(since, result.ledger());
                 take(result, reached);
-                loop.after(pauseMicros, () -> follow(thisRun, reached));
+                eventLoop.schedule(pauseMicros, () -> follow(thisRun, reached));
             } else if (result.outcome() == Outcome.COMPACTED) {
                 begin(thisRun, false);
             } else {
-                loop.after(RETRY_MICROS, () -> follow(thisRun, since));
+                eventLoop.schedule(RETRY_MICROS, () -> follow(thisRun, since));
             }
         });
     }
--- a/src/main/java/io/sillreel/recovery/PeerExchange.java
+++ b/src/main/java/io/sillreel/recovery/PeerExchange.java
@@ -14,13 +14,13 @@
 final class PeerExchange {
     private static final long TIMEOUT_MICROS = 900_000;
 
-    private final HttpClient caller;
+    private final HttpClient httpClient;
     private final List<Member> members;
     private final Supplier<Greeting> own;
     private final Consumer<Greeting> heard;
 
-    PeerExchange(HttpClient caller, List<Member> members, Supplier<Greeting> own, Consumer<Greeting> heard) {
-        this.caller = caller;
+    PeerExchange(HttpClient httpClient, List<Member> members, Supplier<Greeting> own, Consumer<Greeting> heard) {
+        this.httpClient = httpClient;
         this.members = members;
         this.own = own;
         this.heard = heard;
@@ -30,13 +30,15 @@
     CompletableFuture<Void> greetAll() {
         List<CompletableFuture<Void>> answers = new ArrayList<>();
         for (Member member : members) {
-            HttpRequest call =
+            HttpRequest request =
                     new HttpRequest("POST", RecoveryMessages.GREETING, own.get().bytes());
-            answers.add(caller.call(member.address(), call, TIMEOUT_MICROS).thenAccept(reply -> {
-                if (reply.ok()) {
-                    heard.accept(Greeting.of(reply.body()));
-                }
-            }));
+            answers.add(httpClient
+                    .send(member.address(), request, TIMEOUT_MICROS)
+                    .thenAccept(response -> {
+                        if (response.isOk()) {
+                            heard.accept(Greeting.of(response.body()));
+                        }
+                    }));
         }
         return CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new));
     }
--- a/src/main/java/io/sillreel/recovery/PeerMemoryCollector.java
+++ b/src/main/java/io/sillreel/recovery/PeerMemoryCollector.java
@@ -13,12 +13,12 @@
 final class PeerMemoryCollector {
     private static final long TIMEOUT_MICROS = 3_000_000;
 
-    private final HttpClient caller;
+    private final HttpClient httpClient;
     private final StoreHistory history;
     private final CollectedMemories survivors;
 
-    PeerMemoryCollector(HttpClient caller, StoreHistory history, CollectedMemories survivors) {
-        this.caller = caller;
+    PeerMemoryCollector(HttpClient httpClient, StoreHistory history, CollectedMemories survivors) {
+        this.httpClient = httpClient;
         this.history = history;
         this.survivors = survivors;
     }
@@ -38,16 +38,16 @@
     }
 
     private void ask(Member member, long generation, List<RecentChange> changes, CompletableFuture<Void> done) {
-        HttpRequest call = new HttpRequest(
+        HttpRequest request = new HttpRequest(
                 "POST",
                 RecoveryMessages.CHANGES + "?from=" + changes.size() + "&generation=" + generation,
                 HttpRequest.NO_BODY);
-        caller.call(member.address(), call, TIMEOUT_MICROS).thenAccept(reply -> {
-            if (!reply.ok()) {
+        httpClient.send(member.address(), request, TIMEOUT_MICROS).thenAccept(response -> {
+            if (!response.isOk()) {
                 done.complete(null);
                 return;
             }
-            Page page = Page.of(reply.body());
+            Page page = Page.of(response.body());
             history.learn(page.peaks());
             changes.addAll(page.memory().changes());
             if (!page.last()) {
--- a/src/main/java/io/sillreel/recovery/RebuildLease.java
+++ b/src/main/java/io/sillreel/recovery/RebuildLease.java
@@ -11,7 +11,7 @@
 final class RebuildLease {
     private static final long RETRY_MICROS = 50_000;
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final StateStore store;
     private final LeaderElection leadership;
     private final long term;
@@ -19,8 +19,8 @@
     private boolean ended;
 
     /** @param leaderStamp the stamp under which this controller became the leader */
-    RebuildLease(EventLoop loop, StateStore store, LeaderElection leadership, long term, long leaderStamp) {
-        this.loop = loop;
+    RebuildLease(EventLoop eventLoop, StateStore store, LeaderElection leadership, long term, long leaderStamp) {
+        this.eventLoop = eventLoop;
         this.store = store;
         this.leadership = leadership;
         this.term = term;
@@ -57,7 +57,7 @@
 
     /** Does it after so long, unless the term is over by then. */
     void after(long micros, Runnable next) {
-        loop.after(micros, () -> {
+        eventLoop.schedule(micros, () -> {
             if (!isOver()) {
                 next.run();
             }
--- a/src/main/java/io/sillreel/recovery/Recovery.java
+++ b/src/main/java/io/sillreel/recovery/Recovery.java
@@ -38,9 +38,9 @@
 
     private static final int RETRY_SECONDS = 5;
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Settings settings;
-    private final HttpClient caller;
+    private final HttpClient httpClient;
     private final StoreHistory history = new StoreHistory();
     private final ChangeLog log;
     private final long followPauseMicros;
@@ -74,29 +74,38 @@
      * @param followPauseMicros how long changes gather before they are asked for
      */
     public Recovery(
-            EventLoop loop, Settings settings, HttpClient caller, long rememberedBytes, long followPauseMicros) {
-        this.loop = loop;
+            EventLoop eventLoop,
+            Settings settings,
+            HttpClient httpClient,
+            long rememberedBytes,
+            long followPauseMicros) {
+        this.eventLoop = eventLoop;
         this.settings = settings;
-        this.caller = caller;
+        this.httpClient = httpClient;
         this.log = new ChangeLog(rememberedBytes);
         this.followPauseMicros = followPauseMicros;
         this.api = new RecoveryApi(this, settings);
-        this.greeter = new PeerExchange(caller, settings.members(), this::greeting, this::heard);
+        this.greeter = new PeerExchange(httpClient, settings.members(), this::greeting, this::heard);
     }
 
     /** What asks the state service through this is watched for signs of a loss. */
     public HttpClient monitored(HttpClient inner) {
-        return new StoreMonitor(inner, loop, history, log, () -> suspended, this::lost);
+        return new StoreMonitor(inner, eventLoop, history, log, () -> suspended, this::lost);
     }
 
     /** Begins; both have to ask through {@link #monitored}. */
     public void start(StateStore monitoredStore, LeaderElection itsLeadership) {
         store = monitoredStore;
         leadership = itsLeadership;
-        follower = new ChangeFollower(store, loop, log, followPauseMicros, () -> suspended, this::noticed, this::lost);
+        follower = new ChangeFollower(
+                store, eventLoop, log, followPauseMicros, () -> suspended, this::noticed, this::lost);
         terms = new TermEvidence(store, history, this::lost);
         verdicts = new RecoveryGenerationStore(
-                store, loop, () -> suspended && !verdictStored ? verdict() : null, this::madeGood, this::verdictRead);
+                store,
+                eventLoop,
+                () -> suspended && !verdictStored ? verdict() : null,
+                this::madeGood,
+                this::verdictRead);
         follower.restart();
         greet();
     }
@@ -110,13 +119,14 @@
             return CompletableFuture.completedFuture(refusal());
         }
         long before = suspensions;
-        return question.get().thenApply(reply -> suspensions == before ? reply : refusal());
+        return question.get().thenApply(response -> suspensions == before ? response : refusal());
     }
 
     private HttpResponse refusal() {
         return suspended
-                ? HttpResponse.later(503, "the state service has lost writes, which are being put back", RETRY_SECONDS)
-                : HttpResponse.later(503, "it is not known yet whether the state service has lost writes", 1);
+                ? HttpResponse.retryLater(
+                        503, "the state service has lost writes, which are being put back", RETRY_SECONDS)
+                : HttpResponse.retryLater(503, "it is not known yet whether the state service has lost writes", 1);
     }
 
     /** The next term has to lie above this one. */
@@ -136,7 +146,7 @@
         ownEvidence = true;
         // The verdict is a write, and few writes make up for a small loss: the others would no longer notice it.
         greeter.greetAll().thenRun(verdicts::keep);
-        loop.after(TELL_FIRST_MICROS, verdicts::keep);
+        eventLoop.schedule(TELL_FIRST_MICROS, verdicts::keep);
     }
 
     private void suspend(long newGeneration, String shown, boolean stored) {
@@ -228,7 +238,7 @@
                 return;
             }
             if (!read.decided()) {
-                loop.after(RETRY_MICROS, () -> beforeTerm(term, leaderStamp, begin));
+                eventLoop.schedule(RETRY_MICROS, () -> beforeTerm(term, leaderStamp, begin));
                 return;
             }
             boolean suspendedBefore = suspended;
@@ -253,11 +263,11 @@
         CollectedMemories survivors = new CollectedMemories();
         survivors.add(settings.nodeName(), memory());
         StoreRebuild current = new StoreRebuild(
-                new RebuildLease(loop, store, leadership, term, leaderStamp),
+                new RebuildLease(eventLoop, store, leadership, term, leaderStamp),
                 settings,
                 history,
                 survivors,
-                new PeerMemoryCollector(caller, history, survivors),
+                new PeerMemoryCollector(httpClient, history, survivors),
                 verdict(),
                 () -> {
                     resume(rebuild.record());
@@ -278,7 +288,7 @@
     // --- Other controllers -------------------------------------------------------------------------------------------
 
     private void greet() {
-        loop.after(GREET_MICROS, this::greet);
+        eventLoop.schedule(GREET_MICROS, this::greet);
         greeter.greetAll();
         if (suspended) {
             lookAtRecord();
@@ -337,8 +347,8 @@
     }
 
     /** What another controller or an operator asks. */
-    public HttpResponse answer(HttpRequest call) {
-        return api.answer(call);
+    public HttpResponse answer(HttpRequest request) {
+        return api.answer(request);
     }
 
     /** True if a request is for this package. */
--- a/src/main/java/io/sillreel/recovery/RecoveryApi.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryApi.java
@@ -30,28 +30,28 @@
         return route.startsWith(RecoveryMessages.GREETING) || route.startsWith(OPERATORS);
     }
 
-    HttpResponse answer(HttpRequest call) {
-        return switch (call.route()) {
+    HttpResponse answer(HttpRequest request) {
+        return switch (request.route()) {
             case RecoveryMessages.GREETING -> {
-                recovery.heard(Greeting.of(call.body()));
+                recovery.heard(Greeting.of(request.body()));
                 yield new HttpResponse(200, recovery.greeting().bytes(), 0);
             }
-            case RecoveryMessages.CHANGES -> page(call);
+            case RecoveryMessages.CHANGES -> page(request);
             case STATUS -> HttpResponse.of(200, status());
-            case ACCEPT_LOSS -> call.method().equals("POST") ? acceptLoss() : HttpResponse.refusal(405, "use POST");
+            case ACCEPT_LOSS -> request.method().equals("POST") ? acceptLoss() : HttpResponse.refusal(405, "use POST");
             default -> HttpResponse.refusal(404, "no such path");
         };
     }
 
     /** A page of what is remembered here. */
-    private HttpResponse page(HttpRequest call) {
-        long asked = number(call, "generation");
+    private HttpResponse page(HttpRequest request) {
+        long asked = number(request, "generation");
         recovery.rebuilding(asked);
         if (!recovery.suspended() || asked < recovery.generation()) {
-            return HttpResponse.later(503, "generation " + asked + " is over here", 1);
+            return HttpResponse.retryLater(503, "generation " + asked + " is over here", 1);
         }
         Memory memory = recovery.memory();
-        int from = (int) Math.min(number(call, "from"), memory.changes().size());
+        int from = (int) Math.min(number(request, "from"), memory.changes().size());
         int to = from;
         for (int bytes = 0; to < memory.changes().size() && bytes < PAGE_BYTES; to++) {
             bytes += memory.changes().get(to).bytes();
@@ -61,8 +61,8 @@
         return new HttpResponse(200, new Page(part, recovery.peaks(), last).bytes(), 0);
     }
 
-    private static long number(HttpRequest call, String name) {
-        String text = call.query(name);
+    private static long number(HttpRequest request, String name) {
+        String text = request.query(name);
         return text.matches("[0-9]{1,18}") ? Long.parseLong(text) : 0;
     }
 
@@ -97,7 +97,7 @@
             return HttpResponse.refusal(409, "ask the controller that leads: " + recovery.leader());
         }
         if (rebuild.incomplete().isEmpty()) {
-            return HttpResponse.later(503, "what is remembered is still being put back", RETRY_SECONDS);
+            return HttpResponse.retryLater(503, "what is remembered is still being put back", RETRY_SECONDS);
         }
         rebuild.acceptLoss();
         return HttpResponse.of(200, status());
--- a/src/main/java/io/sillreel/recovery/RecoveryGenerationStore.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryGenerationStore.java
@@ -13,7 +13,7 @@
     private static final long RETRY_MICROS = 300_000;
 
     private final StateStore store;
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Supplier<RecoveryRecord> wanted;
     private final Predicate<RecoveryRecord> madeGood;
     private final Consumer<RecoveryRecord> onStored;
@@ -26,12 +26,12 @@
      */
     RecoveryGenerationStore(
             StateStore store,
-            EventLoop loop,
+            EventLoop eventLoop,
             Supplier<RecoveryRecord> wanted,
             Predicate<RecoveryRecord> madeGood,
             Consumer<RecoveryRecord> onStored) {
         this.store = store;
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.wanted = wanted;
         this.madeGood = madeGood;
         this.onStored = onStored;
@@ -51,7 +51,7 @@
             if (verdict == null) {
                 storing = false;
             } else if (!read.decided()) {
-                loop.after(RETRY_MICROS, this::read);
+                eventLoop.schedule(RETRY_MICROS, this::read);
             } else {
                 RecoveryRecord stored = RecoveryRecord.of(read);
                 if (stored.generation() >= verdict.generation() && (stored.open() || madeGood.test(stored))) {
@@ -72,7 +72,7 @@
                 onStored.accept(verdict);
                 keep();
             } else {
-                loop.after(RETRY_MICROS, this::read);
+                eventLoop.schedule(RETRY_MICROS, this::read);
             }
         });
     }
--- a/src/main/java/io/sillreel/recovery/StoreMonitor.java
+++ b/src/main/java/io/sillreel/recovery/StoreMonitor.java
@@ -29,8 +29,8 @@
      */
     private record ObservedRequest(Mark mark, String key, long knownStamp, List<JsonNode> changes) {}
 
-    private final HttpClient caller;
-    private final EventLoop loop;
+    private final HttpClient httpClient;
+    private final EventLoop eventLoop;
     private final StoreHistory history;
     private final ChangeLog log;
     private final BooleanSupplier suspended;
@@ -41,14 +41,14 @@
      * @param onLoss told what shows that writes have been lost
      */
     StoreMonitor(
-            HttpClient caller,
-            EventLoop loop,
+            HttpClient httpClient,
+            EventLoop eventLoop,
             StoreHistory history,
             ChangeLog log,
             BooleanSupplier suspended,
             Consumer<String> onLoss) {
-        this.caller = caller;
-        this.loop = loop;
+        this.httpClient = httpClient;
+        this.eventLoop = eventLoop;
         this.history = history;
         this.log = log;
         this.suspended = suspended;
@@ -56,58 +56,58 @@
     }
 
     @Override
-    public CompletableFuture<HttpResponse> call(String address, HttpRequest call, long timeoutMicros) {
-        String route = call.route();
+    public CompletableFuture<HttpResponse> send(String address, HttpRequest request, long timeoutMicros) {
+        String route = request.route();
         String key = route.startsWith(KEYS) ? route.substring(KEYS.length()) : null;
         long knownStamp = key == null || suspended.getAsBoolean() ? 0 : log.stampOf(key);
         List<JsonNode> changes = new ArrayList<>();
         if (route.equals(TRANSACTIONS)) {
-            Json.parse(call.body()).path("then").forEach(changes::add);
+            Json.parse(request.body()).path("then").forEach(changes::add);
         }
-        ObservedRequest request = new ObservedRequest(history.mark(loop.wallMicros()), key, knownStamp, changes);
-        return caller.call(address, call, timeoutMicros).thenApply(reply -> {
-            if (reply.status() != 200 && reply.status() != 404 && reply.status() != 409) {
-                return reply;
+        ObservedRequest observed = new ObservedRequest(history.mark(eventLoop.wallMicros()), key, knownStamp, changes);
+        return httpClient.send(address, request, timeoutMicros).thenApply(response -> {
+            if (response.status() != 200 && response.status() != 404 && response.status() != 409) {
+                return response;
             }
-            JsonNode body = reply.json();
-            if (!believed(request, reply, body)) {
+            JsonNode body = response.json();
+            if (!believed(observed, response, body)) {
                 return HttpResponse.noAnswer();
             }
-            if (reply.ok() && !changes.isEmpty()) {
+            if (response.isOk() && !changes.isEmpty()) {
                 remember(changes, body.path("ledger").asLong());
             }
-            return reply;
+            return response;
         });
     }
 
-    private boolean believed(ObservedRequest request, HttpResponse reply, JsonNode body) {
+    private boolean believed(ObservedRequest observed, HttpResponse response, JsonNode body) {
         Consistency verdict;
-        if (request.key() != null && reply.ok()) {
+        if (observed.key() != null && response.isOk()) {
             long stamp = body.path("stamp").asLong();
-            verdict = history.answeredWithStamp(request.mark(), stamp);
-            if (verdict == Consistency.CONSISTENT && stamp < request.knownStamp()) {
-                onLoss.accept(request.key() + " has stamp " + stamp + ", and had " + request.knownStamp());
+            verdict = history.answeredWithStamp(observed.mark(), stamp);
+            if (verdict == Consistency.CONSISTENT && stamp < observed.knownStamp()) {
+                onLoss.accept(observed.key() + " has stamp " + stamp + ", and had " + observed.knownStamp());
                 return false;
             }
         } else if (body.has("ledger")) {
             long ledger = body.path("ledger").asLong();
-            boolean written = reply.ok() && !request.changes().isEmpty();
-            verdict = written ? history.committed(request.mark(), ledger) : history.answered(request.mark(), ledger);
+            boolean written = response.isOk() && !observed.changes().isEmpty();
+            verdict = written ? history.committed(observed.mark(), ledger) : history.answered(observed.mark(), ledger);
         } else {
             return true;
         }
         if (verdict == Consistency.LOST) {
             onLoss.accept("ledger is " + body.path("ledger").asLong() + ", and was "
-                    + request.mark().ledger());
-        } else if (verdict == Consistency.CONSISTENT && hasVanished(request, reply)) {
-            onLoss.accept(request.key() + " is gone, and nobody removes it");
+                    + observed.mark().ledger());
+        } else if (verdict == Consistency.CONSISTENT && hasVanished(observed, response)) {
+            onLoss.accept(observed.key() + " is gone, and nobody removes it");
             return false;
         }
         return verdict == Consistency.CONSISTENT;
     }
 
-    private static boolean hasVanished(ObservedRequest request, HttpResponse reply) {
-        return reply.status() == 404 && request.knownStamp() > 0 && PermanentKeys.contains(request.key());
+    private static boolean hasVanished(ObservedRequest observed, HttpResponse response) {
+        return response.status() == 404 && observed.knownStamp() > 0 && PermanentKeys.contains(observed.key());
     }
 
     private void remember(List<JsonNode> written, long ledger) {
--- a/src/main/java/io/sillreel/recovery/StoreRebuild.java
+++ b/src/main/java/io/sillreel/recovery/StoreRebuild.java
@@ -64,7 +64,7 @@
         this.history = history;
         this.survivors = survivors;
         this.collector = collector;
-        this.restorer = new ChangeRestorer(term, history, settings.state().txnOps());
+        this.restorer = new ChangeRestorer(term, history, settings.state().maxTransactionChanges());
         this.record = record;
         this.onClosed = onClosed;
     }
--- a/src/main/java/io/sillreel/settings/Settings.java
+++ b/src/main/java/io/sillreel/settings/Settings.java
@@ -33,7 +33,7 @@
     public record Objective(String kind, String jobClass, long withinMicros, double share) {}
 
     /** How often workers report, how long their leases last, and how soon the tasks of a cancelled job must be gone. */
-    public record WorkerTimes(long reportMicros, long leaseMicros, long cancelMicros) {}
+    public record WorkerTimes(long heartbeatIntervalMicros, long leaseMicros, long cancelMicros) {}
 
     /**
      * What the state service takes. It may lower its limits at any moment to what was announced, so what is written is
@@ -41,7 +41,8 @@
      *
      * @param txnOps the smaller of the present limit and the announced one
      */
-    public record StateLimits(double requestsPerSecond, double writesPerSecond, ValueLimits values, int txnOps) {}
+    public record StateLimits(
+            double requestsPerSecond, double writesPerSecond, ValueLimits values, int maxTransactionChanges) {}
 
     /** The rate of requests that the cloud takes, and how far its machine list lags. */
     public record CloudLimits(double requestsPerSecond, long listLagMicros) {}
--- a/src/main/java/io/sillreel/settings/SettingsReader.java
+++ b/src/main/java/io/sillreel/settings/SettingsReader.java
@@ -145,7 +145,7 @@
     private static WorkerTimes workerTimes(Section workers) {
         WorkerTimes times =
                 new WorkerTimes(workers.micros("report_s"), workers.micros("lease_s"), workers.micros("cancel_s"));
-        if (times.leaseMicros() <= 2 * times.reportMicros()) {
+        if (times.leaseMicros() <= 2 * times.heartbeatIntervalMicros()) {
             throw new SettingsException(workers.name("lease_s"), "must be more than two reports long");
         }
         if (times.cancelMicros() <= times.leaseMicros()) {
--- a/src/main/java/io/sillreel/statestore/StateStore.java
+++ b/src/main/java/io/sillreel/statestore/StateStore.java
@@ -92,9 +92,9 @@
     private static final int SILENT_AFTER = 2;
     private static final int TOO_MANY_REQUESTS = 429;
 
-    private final HttpClient caller;
-    private final HttpClient leaseCaller;
-    private final EventLoop loop;
+    private final HttpClient httpClient;
+    private final HttpClient leaseHttpClient;
+    private final EventLoop eventLoop;
     private final String address;
     private final RateLimiter requests;
     private final RateLimiter writes;
@@ -106,15 +106,15 @@
      *     or waited behind users' questions, took longer than the lease in a crowd
      */
     public StateStore(
-            HttpClient caller,
-            HttpClient leaseCaller,
-            EventLoop loop,
+            HttpClient httpClient,
+            HttpClient leaseHttpClient,
+            EventLoop eventLoop,
             String address,
             RateLimiter requests,
             RateLimiter writes) {
-        this.caller = caller;
-        this.leaseCaller = leaseCaller;
-        this.loop = loop;
+        this.httpClient = httpClient;
+        this.leaseHttpClient = leaseHttpClient;
+        this.eventLoop = eventLoop;
         this.address = address;
         this.requests = requests;
         this.writes = writes;
@@ -144,9 +144,9 @@
 
     /** Reads one key. */
     public CompletableFuture<Read> get(String key) {
-        return send(HttpRequest.get("/kv/" + key), TIMEOUT_MICROS).thenApply(reply -> {
-            Outcome outcome = outcome(reply);
-            return new Read(outcome, outcome == Outcome.OK ? entry(reply.json()) : null);
+        return send(HttpRequest.get("/kv/" + key), TIMEOUT_MICROS).thenApply(response -> {
+            Outcome outcome = outcome(response);
+            return new Read(outcome, outcome == Outcome.OK ? entry(response.json()) : null);
         });
     }
 
@@ -204,70 +204,72 @@
         }
     }
 
-    private void page(PageRequest request) {
-        if (!requests.tryTake(1)) {
-            if (request.patient()) {
-                loop.after(PAGE_PAUSE_MICROS, () -> page(request));
+    private void page(PageRequest pageRequest) {
+        if (!requests.tryAcquire(1)) {
+            if (pageRequest.patient()) {
+                eventLoop.schedule(PAGE_PAUSE_MICROS, () -> page(pageRequest));
             } else {
-                request.result().complete(new Scan(Outcome.REFUSED, 0));
+                pageRequest.result().complete(new Scan(Outcome.REFUSED, 0));
             }
             return;
         }
-        caller.call(address, request.call(), TIMEOUT_MICROS).thenAccept(reply -> {
-            noteRefusal(reply);
-            Outcome outcome = outcome(reply);
+        httpClient.send(address, pageRequest.call(), TIMEOUT_MICROS).thenAccept(response -> {
+            noteRefusal(response);
+            Outcome outcome = outcome(response);
             if (outcome == Outcome.OK) {
-                pageRead(request, reply.json());
-            } else if (request.patient() && request.failures() < MAX_PAGE_FAILURES) {
-                loop.after(PAGE_RETRY_MICROS, () -> page(request.again()));
+                pageRead(pageRequest, response.json());
+            } else if (pageRequest.patient() && pageRequest.failures() < MAX_PAGE_FAILURES) {
+                eventLoop.schedule(PAGE_RETRY_MICROS, () -> page(pageRequest.again()));
             } else {
-                request.result().complete(new Scan(outcome, 0));
+                pageRequest.result().complete(new Scan(outcome, 0));
             }
         });
     }
 
-    private void pageRead(PageRequest request, JsonNode body) {
+    private void pageRead(PageRequest pageRequest, JsonNode body) {
         List<Entry> entries = new ArrayList<>();
         body.path("entries").forEach(entry -> entries.add(entry(entry)));
         // The first page's ledger: a watch from there misses nothing that later pages may have left out.
-        long ledger = request.firstLedger() == NO_LEDGER ? body.path("ledger").asLong() : request.firstLedger();
+        long ledger =
+                pageRequest.firstLedger() == NO_LEDGER ? body.path("ledger").asLong() : pageRequest.firstLedger();
         boolean more = body.path("truncated").asBoolean() && !entries.isEmpty();
-        hand(request, entries).thenAccept(wanted -> {
+        hand(pageRequest, entries).thenAccept(wanted -> {
             if (!wanted) {
-                request.result().complete(new Scan(Outcome.REFUSED, 0));
+                pageRequest.result().complete(new Scan(Outcome.REFUSED, 0));
             } else if (more) {
-                page(request.after(entries.get(entries.size() - 1).key(), ledger));
+                page(pageRequest.after(entries.get(entries.size() - 1).key(), ledger));
             } else {
-                request.result().complete(new Scan(Outcome.OK, ledger));
+                pageRequest.result().complete(new Scan(Outcome.OK, ledger));
             }
         });
     }
 
     /** An entry that can't be understood ends the scan, so that whoever waits for it is told. */
-    private static CompletableFuture<Boolean> hand(PageRequest request, List<Entry> entries) {
+    private static CompletableFuture<Boolean> hand(PageRequest pageRequest, List<Entry> entries) {
         try {
-            return request.consumer().accept(entries);
+            return pageRequest.consumer().accept(entries);
         } catch (RuntimeException e) {
-            LOG.error("a page of the keys under {} could not be taken in", request.prefix(), e);
+            LOG.error("a page of the keys under {} could not be taken in", pageRequest.prefix(), e);
             return CompletableFuture.completedFuture(false);
         }
     }
 
     /** Sends a transaction, unless this controller's part of the shared rates is used up. */
     public CompletableFuture<Commit> commit(Transaction txn) {
-        if (!requests.tryTake(1) || txn.size() > 0 && !writes.tryTake(txn.size())) {
+        if (!requests.tryAcquire(1) || txn.size() > 0 && !writes.tryAcquire(txn.size())) {
             return CompletableFuture.completedFuture(new Commit(Outcome.REFUSED, 0, List.of()));
         }
         long timeout = txn.size() > 0 ? TIMEOUT_MICROS : COMPARE_TIMEOUT_MICROS;
-        return caller.call(address, HttpRequest.post("/txn", txn.json()), timeout)
-                .thenApply(reply -> {
-                    if (reply.status() == TOO_MANY_REQUESTS) {
-                        (txn.size() > 0 ? writes : requests).refused();
+        return httpClient
+                .send(address, HttpRequest.post("/txn", txn.json()), timeout)
+                .thenApply(response -> {
+                    if (response.status() == TOO_MANY_REQUESTS) {
+                        (txn.size() > 0 ? writes : requests).onRejected();
                     }
-                    JsonNode body = reply.json();
+                    JsonNode body = response.json();
                     List<String> failed = new ArrayList<>();
                     body.path("failed").forEach(key -> failed.add(key.asText()));
-                    return new Commit(outcome(reply), body.path("ledger").asLong(), failed);
+                    return new Commit(outcome(response), body.path("ledger").asLong(), failed);
                 });
     }
 
@@ -275,8 +277,8 @@
     public CompletableFuture<LeaseGrant> grant(long lifeMicros) {
         ObjectNode body = Json.object().put("life_ms", lifeMicros / 1_000);
         return sendNow(HttpRequest.post("/grants", body))
-                .thenApply(reply -> new LeaseGrant(
-                        outcome(reply), reply.json().path("permit").asLong()));
+                .thenApply(response -> new LeaseGrant(
+                        outcome(response), response.json().path("permit").asLong()));
     }
 
     public CompletableFuture<Outcome> touch(long permit) {
@@ -292,11 +294,12 @@
     /** Waits until a key under the prefix has changed after the revision, or until the time is over. */
     public CompletableFuture<WatchResult> watch(String prefix, long since, long blockMicros) {
         String path = "/watch?prefix=" + prefix + "&since=" + since + "&block_ms=" + blockMicros / 1_000;
-        return send(HttpRequest.get(path), blockMicros + WATCH_SLACK_MICROS).thenApply(reply -> {
+        return send(HttpRequest.get(path), blockMicros + WATCH_SLACK_MICROS).thenApply(response -> {
             // What is too much to be taken in at once can still be read in pages.
-            Outcome outcome = reply.status() == HttpResponse.ANSWER_TOO_LARGE ? Outcome.COMPACTED : outcome(reply);
+            Outcome outcome =
+                    response.status() == HttpResponse.ANSWER_TOO_LARGE ? Outcome.COMPACTED : outcome(response);
             List<Change> changes = new ArrayList<>();
-            JsonNode body = reply.json();
+            JsonNode body = response.json();
             for (JsonNode change : body.path("news")) {
                 boolean removed = change.has("remove");
                 changes.add(new Change(
@@ -308,43 +311,48 @@
         });
     }
 
-    private CompletableFuture<HttpResponse> send(HttpRequest call, long timeoutMicros) {
-        if (!requests.tryTake(1)) {
-            return CompletableFuture.completedFuture(HttpResponse.later(TOO_MANY_REQUESTS, "paced", 1));
+    private CompletableFuture<HttpResponse> send(HttpRequest request, long timeoutMicros) {
+        if (!requests.tryAcquire(1)) {
+            return CompletableFuture.completedFuture(HttpResponse.retryLater(TOO_MANY_REQUESTS, "paced", 1));
         }
-        return caller.call(address, call, timeoutMicros).thenApply(reply -> {
-            noteRefusal(reply);
-            return reply;
+        return httpClient.send(address, request, timeoutMicros).thenApply(response -> {
+            noteRefusal(response);
+            return response;
         });
     }
 
-    private void noteRefusal(HttpResponse reply) {
-        if (reply.status() == TOO_MANY_REQUESTS) {
-            requests.refused();
+    private void noteRefusal(HttpResponse response) {
+        if (response.status() == TOO_MANY_REQUESTS) {
+            requests.onRejected();
         }
     }
 
-    private CompletableFuture<HttpResponse> sendNow(HttpRequest call) {
-        requests.take(1);
-        return leaseCaller.call(address, call, TIMEOUT_MICROS);
+    private CompletableFuture<HttpResponse> sendNow(HttpRequest request) {
+        requests.acquireInAdvance(1);
+        return leaseHttpClient.send(address, request, TIMEOUT_MICROS);
     }
 
-    private Outcome outcome(HttpResponse reply) {
+    private Outcome outcome(HttpResponse response) {
         synchronized (this) {
-            unanswered = reply.status() > 0 ? 0 : unanswered + 1;
+            unanswered = response.status() > 0 ? 0 : unanswered + 1;
         }
-        if (reply.status() == 200 || reply.status() == 404 || reply.status() == 409 || reply.status() == 410) {
+        if (response.status() == 200
+                || response.status() == 404
+                || response.status() == 409
+                || response.status() == 410) {
             synchronized (this) {
-                lastAnswerMicros = loop.nowMicros();
+                lastAnswerMicros = eventLoop.nowMicros();
             }
         }
-        return switch (reply.status()) {
+        return switch (response.status()) {
             case 200 -> Outcome.OK;
             case 404 -> Outcome.NOT_FOUND;
             case 409 -> Outcome.CONFLICT;
             case 410 -> Outcome.COMPACTED;
             case 400 ->
-                reply.json().path("error").asText().equals("no such lease") ? Outcome.NO_SUCH_LEASE : Outcome.TOO_LARGE;
+                response.json().path("error").asText().equals("no such lease")
+                        ? Outcome.NO_SUCH_LEASE
+                        : Outcome.TOO_LARGE;
             case TOO_MANY_REQUESTS, 503, HttpResponse.NOT_SENT -> Outcome.REFUSED;
             default -> Outcome.UNKNOWN;
         };
--- a/src/main/java/io/sillreel/statestore/WriteQueue.java
+++ b/src/main/java/io/sillreel/statestore/WriteQueue.java
@@ -122,7 +122,7 @@
     private static final double PROGRESS_RESERVE_PART = 0.3;
 
     private final StateStore store;
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final String leaderKey;
     private final long leaderStamp;
     private final int txnOps;
@@ -141,9 +141,9 @@
      * @param deposed called once a write shows that another controller leads
      */
     public WriteQueue(
-            StateStore store, EventLoop loop, String leaderKey, long leaderStamp, int txnOps, Runnable deposed) {
+            StateStore store, EventLoop eventLoop, String leaderKey, long leaderStamp, int txnOps, Runnable deposed) {
         this.store = store;
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.leaderKey = leaderKey;
         this.leaderStamp = leaderStamp;
         this.txnOps = txnOps;
@@ -158,7 +158,7 @@
 
     private synchronized void add(PendingWrite item) {
         if (waiting.putIfAbsent(item.key(), item) == null) {
-            sinceMicros.putIfAbsent(item.key(), loop.nowMicros());
+            sinceMicros.putIfAbsent(item.key(), eventLoop.nowMicros());
         }
     }
 
@@ -190,14 +190,14 @@
 
     /** True if one write has been under way for longer than any takes: something here has gone wrong. */
     public synchronized boolean stuck() {
-        return busy && loop.nowMicros() - busySinceMicros > STUCK_MICROS;
+        return busy && eventLoop.nowMicros() - busySinceMicros > STUCK_MICROS;
     }
 
     private synchronized void kick(long delayMicros) {
         if (!busy && !closed) {
             busy = true;
-            busySinceMicros = loop.nowMicros();
-            loop.after(delayMicros, this::write);
+            busySinceMicros = eventLoop.nowMicros();
+            eventLoop.schedule(delayMicros, this::write);
         }
     }
 
@@ -251,7 +251,7 @@
         for (int i = 0; i < WriteUrgency.values().length; i++) {
             byUrgency.add(new ArrayList<>());
         }
-        long now = loop.nowMicros();
+        long now = eventLoop.nowMicros();
         for (PendingWrite item : waiting.values()) {
             WriteUrgency urgency = item.urgency();
             if (urgency != WriteUrgency.PROGRESS || now - sinceMicros.get(item.key()) >= PROGRESS_GATHER_MICROS) {
--- a/src/test/java/io/sillreel/CancellationFailuresTest.java
+++ b/src/test/java/io/sillreel/CancellationFailuresTest.java
@@ -39,7 +39,7 @@
             int leader = world.leader();
             Rule refused = world.network().add(FailureInjector.refused(leader));
             // It must hold without the word of the controller that confirms, which may get lost as well.
-            world.network().add((from, to, call) -> call.route().equals("/peer/withdrawn") ? Fate.LOSE : null);
+            world.network().add((from, to, request) -> request.route().equals("/peer/withdrawn") ? Fate.LOSE : null);
             world.seconds(0.05);
             world.cancelMeanwhile(other(world, leader), "job-000001");
             world.seconds(0.05);
@@ -88,10 +88,10 @@
         // cancellation.
         world.cloud().bootMicros(8 * SECOND);
         world.network()
-                .add((from, to, call) ->
-                        call.route().equals("/peer/withdrawn") || call.path().startsWith("/watch?prefix=withdraw/")
-                                ? Fate.LOSE
-                                : null);
+                .add((from, to, request) -> request.route().equals("/peer/withdrawn")
+                                || request.path().startsWith("/watch?prefix=withdraw/")
+                        ? Fate.LOSE
+                        : null);
         world.cancel(other(world, world.leader()), "job-000001");
         world.seconds(5.5);
         int starts = world.starts();
@@ -112,8 +112,8 @@
         world.untilStarted(8, 5 * SECOND);
         int cancellationsUnknown = world.leader();
         world.network()
-                .add((from, to, call) -> from.equals(FailureInjector.host(cancellationsUnknown))
-                                && call.path().startsWith("/watch?prefix=withdraw/")
+                .add((from, to, request) -> from.equals(FailureInjector.host(cancellationsUnknown))
+                                && request.path().startsWith("/watch?prefix=withdraw/")
                         ? Fate.LOSE
                         : null);
         world.until(() -> world.leader() >= 0 && world.leader() != cancellationsUnknown);
--- a/src/test/java/io/sillreel/FailoverFailuresTest.java
+++ b/src/test/java/io/sillreel/FailoverFailuresTest.java
@@ -133,7 +133,7 @@
             world.submit(0, SimCluster.job("job-000001", 12));
             world.untilStarted(12, 25 * SECOND);
             Set<String> some = new HashSet<>(machines(world).subList(0, 2));
-            Rule held = world.network().add((from, to, call) -> some.contains(from) ? Fate.HOLD : null);
+            Rule held = world.network().add((from, to, request) -> some.contains(from) ? Fate.HOLD : null);
             world.seconds(1.5);
             succeed(world);
             world.seconds(3 + 4 * seed);
@@ -218,7 +218,7 @@
                     new HashSet<>(machines(world).subList(0, machines(world).size() / 2));
             zone.add(FailureInjector.host(inside));
             Rule cut = world.network()
-                    .add((from, to, call) ->
+                    .add((from, to, request) ->
                             zone.contains(from) != zone.stream().anyMatch(to::startsWith) ? fate : null);
             world.seconds(10);
             world.cancelMeanwhile(other(world, inside), "job-000001");
--- a/src/test/java/io/sillreel/LargeFleetTest.java
+++ b/src/test/java/io/sillreel/LargeFleetTest.java
@@ -64,8 +64,8 @@
         world = new SimCluster(1, SimClusterSettings.large(3, MACHINES, allowed), Version.CURRENT);
         untilBusy(allowed);
         int[] lists = new int[1];
-        world.network().add((from, to, call) -> {
-            lists[0] += call.route().equals("/kv") ? 1 : 0;
+        world.network().add((from, to, request) -> {
+            lists[0] += request.route().equals("/kv") ? 1 : 0;
             return null;
         });
         int leader = world.leader();
@@ -94,7 +94,7 @@
                 .collect(Collectors.toSet());
         assertThat(cut).hasSizeBetween(MACHINES / 4, 3 * MACHINES / 4);
         Rule silence = world.network()
-                .add((from, to, call) -> cut.contains(from) || cut.contains(to.split(":")[0]) ? Fate.LOSE : null);
+                .add((from, to, request) -> cut.contains(from) || cut.contains(to.split(":")[0]) ? Fate.LOSE : null);
         world.seconds(30);
         world.network().remove(silence);
         world.seconds(15);
--- a/src/test/java/io/sillreel/RandomFailures.java
+++ b/src/test/java/io/sillreel/RandomFailures.java
@@ -113,8 +113,8 @@
             case 10, 11, 13, 16 -> machineTrouble(kind);
             case 12 ->
                 cuts.add(world.network()
-                        .add((from, to, call) -> call.route().equals("/agent/beat")
-                                        || call.route().equals("/peer/beats")
+                        .add((from, to, request) -> request.route().equals("/agent/beat")
+                                        || request.route().equals("/peer/beats")
                                 ? Fate.COPY
                                 : null));
             case 14 -> cuts.add(world.network().add(FailureInjector.isolated(node)));
@@ -196,7 +196,7 @@
         machines.stream().filter(machine -> random.nextBoolean()).forEach(machine -> away.add(machine.name()));
         Fate fate = random.nextBoolean() ? Fate.HOLD : Fate.LOSE;
         cuts.add(world.network()
-                .add((from, to, call) ->
+                .add((from, to, request) ->
                         away.contains(from) || to.endsWith(":9000") && away.contains(to.substring(0, to.length() - 5))
                                 ? fate
                                 : null));
@@ -218,7 +218,7 @@
     private Rule between(String one, String other) {
         Fate[] fates = {Fate.LOSE, Fate.HOLD, Fate.LOSE_ANSWER};
         Fate fate = fates[random.nextInt(fates.length)];
-        return (from, to, call) ->
+        return (from, to, request) ->
                 from.startsWith(one) && to.startsWith(other) || from.startsWith(other) && to.startsWith(one)
                         ? fate
                         : null;
--- a/src/test/java/io/sillreel/RandomScheduleTest.java
+++ b/src/test/java/io/sillreel/RandomScheduleTest.java
@@ -116,9 +116,9 @@
                 String uid = jobs.get(random.nextInt(jobs.size()));
                 world.poll(node, uid);
                 if (random.nextInt(8) == 0) {
-                    HttpResponse reply = world.cancel(node, uid);
+                    HttpResponse response = world.cancel(node, uid);
                     // Without an answer it may be carried out later, by a controller that stood still.
-                    if (reply.ok() || reply.status() <= 0) {
+                    if (response.isOk() || response.status() <= 0) {
                         cancelled.add(uid);
                     }
                 }
--- a/src/test/java/io/sillreel/StoreFailuresTest.java
+++ b/src/test/java/io/sillreel/StoreFailuresTest.java
@@ -96,7 +96,7 @@
         SimCluster world = begun(15);
         world.submit(0, SimCluster.job("job-000001", 2));
         world.untilStarted(2, 60 * SECOND);
-        world.network().add((from, to, call) -> call.route().equals("/txn") ? Fate.LATE : null);
+        world.network().add((from, to, request) -> request.route().equals("/txn") ? Fate.LATE : null);
         for (int i = 0; i < 12; i++) {
             assertThat(world.poll(i % 3, "job-000001").status()).isEqualTo(200);
             assertThat(world.poll(i % 3, "job-000009").status()).isEqualTo(404);
--- a/src/test/java/io/sillreel/UpgradeTest.java
+++ b/src/test/java/io/sillreel/UpgradeTest.java
@@ -50,8 +50,8 @@
                     .isEqualTo(201);
             world.seconds(0.5);
         }
-        assertThat(world.cancel(follower, uid(8)).ok()).isTrue();
-        assertThat(world.cancel(leader, uid(9)).ok()).isTrue();
+        assertThat(world.cancel(follower, uid(8)).isOk()).isTrue();
+        assertThat(world.cancel(leader, uid(9)).isOk()).isTrue();
         everythingEnds(world, 9, List.of(uid(8), uid(9)));
         assertThat(world.leader()).isEqualTo(leader);
     }
@@ -110,9 +110,10 @@
         }
         world.untilStarted(6, 4 * SECOND);
         Rule held = world.network()
-                .add((from, to, call) -> from.startsWith("10.0.0.")
-                                && (call.route().equals("/txn") && text(call).contains("\"set\"")
-                                        || call.route().equals("/peer/beats"))
+                .add((from, to, request) -> from.startsWith("10.0.0.")
+                                && (request.route().equals("/txn")
+                                                && text(request).contains("\"set\"")
+                                        || request.route().equals("/peer/beats"))
                         ? Fate.HOLD
                         : null);
         world.seconds(3);
@@ -217,15 +218,15 @@
         int follower = (leadAlone(world, leading) + 1) % NODES;
         for (int round = 1; round <= 4; round++) {
             boolean[] held = {false};
-            Rule endHeld = world.network().add((from, to, call) -> {
-                boolean end = call.route().equals("/txn") && text(call).contains("\"stage\":\"done\"");
+            Rule endHeld = world.network().add((from, to, request) -> {
+                boolean end = request.route().equals("/txn") && text(request).contains("\"stage\":\"done\"");
                 held[0] |= end;
                 return end ? Fate.HOLD : null;
             });
             submitMeanwhile(world, round, 1);
             world.until(() -> held[0]);
-            HttpResponse reply = world.cancel(follower, uid(round));
-            assertThat(reply.json().path("stage").asText()).isEqualTo("withdrawn");
+            HttpResponse response = world.cancel(follower, uid(round));
+            assertThat(response.json().path("stage").asText()).isEqualTo("withdrawn");
             world.network().remove(endHeld);
             world.network().release();
             world.seconds(3);
@@ -237,8 +238,8 @@
         assertThat(world.broken()).isEmpty();
     }
 
-    private static String text(HttpRequest call) {
-        return new String(call.body(), StandardCharsets.UTF_8);
+    private static String text(HttpRequest request) {
+        return new String(request.body(), StandardCharsets.UTF_8);
     }
 
     /** The announced limits may come while the last controllers of the previous version are still there. */
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -198,7 +198,8 @@
         assertThat(PeerMessages.heartbeats(List.of(report)).body()).isEqualTo(bytes(HEARTBEATS));
         AgentCommands commands = new AgentCommands();
         commands.launch("job-000412", 4, 7);
-        List<HttpResponse> replies = List.of(commands.reply(41), HttpResponse.later(503, "a newer report was seen", 1));
+        List<HttpResponse> replies =
+                List.of(commands.reply(41), HttpResponse.retryLater(503, "a newer report was seen", 1));
         assertThat(PeerMessages.answers(replies)).isEqualTo(bytes(ANSWERS));
         assertThat(PeerMessages.replies(bytes(ANSWERS))).hasSize(2);
         assertThat(PeerMessages.cancelled("job-000412").body()).isEqualTo(bytes(CANCELLED));
--- a/src/test/java/io/sillreel/admission/AdmissionTest.java
+++ b/src/test/java/io/sillreel/admission/AdmissionTest.java
@@ -47,9 +47,9 @@
         for (Consumer<ObjectNode> mistake : mistakes) {
             ObjectNode job = SimCluster.job("job-000001", 1);
             mistake.accept(job);
-            HttpResponse reply = world.submit(0, job);
-            assertThat(reply.status()).as(job.toString()).isEqualTo(400);
-            assertThat(reply.json().path("error").asText()).isNotBlank();
+            HttpResponse response = world.submit(0, job);
+            assertThat(response.status()).as(job.toString()).isEqualTo(400);
+            assertThat(response.json().path("error").asText()).isNotBlank();
         }
         assertThat(submit("not json").status()).isEqualTo(400);
         assertThat(submit("[1]").status()).isEqualTo(400);
@@ -96,9 +96,9 @@
         world.seconds(3);
         ObjectNode odd = SimCluster.job("job-000001", 1);
         odd.put("crew", "nobody").remove("rank");
-        HttpResponse reply = world.submit(1, odd);
-        assertThat(reply.status()).isEqualTo(200);
-        assertThat(reply.json().path("stage").asText()).isEqualTo("done");
+        HttpResponse response = world.submit(1, odd);
+        assertThat(response.status()).isEqualTo(200);
+        assertThat(response.json().path("stage").asText()).isEqualTo("done");
         assertThat(world.broken()).isEmpty();
     }
 
@@ -124,7 +124,7 @@
     void aControllerCutFromTheStateServiceRefusesAtOnceAndServesAgainLater() {
         int cut = (world.leader() + 1) % 3;
         SimNetwork.Rule rule = world.network()
-                .add((from, to, call) ->
+                .add((from, to, request) ->
                         from.equals("10.0.0." + cut) && to.equals("state:1") ? SimNetwork.Fate.LOSE : null);
         world.seconds(15);
         long before = world.time().nowMicros();
@@ -157,8 +157,8 @@
         world.submit(0, SimCluster.job("job-000001", 1));
         world.until(() -> world.starts() >= 1);
         world.network()
-                .add((from, to, call) ->
-                        call.path().startsWith("/watch?prefix=withdraw/") ? SimNetwork.Fate.LOSE : null);
+                .add((from, to, request) ->
+                        request.path().startsWith("/watch?prefix=withdraw/") ? SimNetwork.Fate.LOSE : null);
         world.seconds(1.2);
         assertThat(world.cancel(1, "job-000001").json().path("stage").asText()).isEqualTo("withdrawn");
         world.seconds(5);
--- a/src/test/java/io/sillreel/agent/HeartbeatTest.java
+++ b/src/test/java/io/sillreel/agent/HeartbeatTest.java
@@ -29,8 +29,8 @@
                 .orElseThrow();
     }
 
-    private static boolean isHeartbeatOf(SimWorker worker, String from, HttpRequest call) {
-        return from.equals(worker.name()) && call.route().equals("/agent/beat");
+    private static boolean isHeartbeatOf(SimWorker worker, String from, HttpRequest request) {
+        return from.equals(worker.name()) && request.route().equals("/agent/beat");
     }
 
     /** Guards the rule that a launch which the next report lacks did not happen. */
@@ -40,11 +40,11 @@
         world.submit(0, SimCluster.job("job-000001", 1));
         SimWorker worker = firstMachine();
         boolean[] lost = {false};
-        world.network().add((from, to, call) -> {
+        world.network().add((from, to, request) -> {
             // The first report that shows the current token is the one whose response launches.
             if (lost[0]
-                    || !isHeartbeatOf(worker, from, call)
-                    || !Json.parse(call.body()).path("baton").asText().equals("1")) {
+                    || !isHeartbeatOf(worker, from, request)
+                    || !Json.parse(request.body()).path("baton").asText().equals("1")) {
                 return null;
             }
             lost[0] = true;
@@ -65,7 +65,7 @@
         world.submit(0, SimCluster.job("job-000001", 2));
         SimWorker worker = firstBusyMachine();
         worker.prolong(12_000_000);
-        Rule cut = world.network().add((from, to, call) -> isHeartbeatOf(worker, from, call) ? Fate.LOSE : null);
+        Rule cut = world.network().add((from, to, request) -> isHeartbeatOf(worker, from, request) ? Fate.LOSE : null);
         world.seconds(3);
         world.network().remove(cut);
         world.seconds(40);
@@ -84,7 +84,7 @@
         world.submit(0, SimCluster.job("job-000001", 4));
         SimWorker worker = firstBusyMachine();
         worker.prolong(60_000_000);
-        Rule hold = world.network().add((from, to, call) -> isHeartbeatOf(worker, from, call) ? Fate.HOLD : null);
+        Rule hold = world.network().add((from, to, request) -> isHeartbeatOf(worker, from, request) ? Fate.HOLD : null);
         world.seconds(13.5);
         world.until(() -> world.starts() >= 5);
         world.cloud().machines().values().forEach(machine -> machine.runMicros(20_000_000));
@@ -171,7 +171,7 @@
         int leader = limited.leader();
         int other = (leader + 1) % 3;
         limited.kill(leader);
-        limited.network().add((from, to, call) -> from.equals(machine) || to.startsWith(machine) ? Fate.LOSE : null);
+        limited.network().add((from, to, request) -> from.equals(machine) || to.startsWith(machine) ? Fate.LOSE : null);
         limited.submit(other, SimCluster.job("job-000002", 6));
         limited.seconds(60);
         assertThat(limited.starts()).isGreaterThan(6);
--- a/src/test/java/io/sillreel/cli/RecoveryCommandTest.java
+++ b/src/test/java/io/sillreel/cli/RecoveryCommandTest.java
@@ -29,8 +29,8 @@
         Channel channel = new NettyHttpServer(group, NettyHttpServer.MAX_BODY_BYTES, 10)
                 .listen(
                         new InetSocketAddress("127.0.0.1", 0),
-                        call -> CompletableFuture.completedFuture(
-                                call.path().equals("/recovery/status")
+                        request -> CompletableFuture.completedFuture(
+                                request.path().equals("/recovery/status")
                                         ? HttpResponse.of(200, Json.object().put("generation", 3))
                                         : HttpResponse.refusal(409, "ask the controller that leads: hopper-1")));
         return "127.0.0.1:" + ((InetSocketAddress) channel.localAddress()).getPort();
--- a/src/test/java/io/sillreel/cloud/CloudClientTest.java
+++ b/src/test/java/io/sillreel/cloud/CloudClientTest.java
@@ -33,15 +33,15 @@
     private int requests;
 
     CloudClientTest() {
-        network.listen("cloud:1", call -> CompletableFuture.completedFuture(answer(call)));
+        network.listen("cloud:1", request -> CompletableFuture.completedFuture(answer(request)));
     }
 
-    private HttpResponse answer(HttpRequest call) {
+    private HttpResponse answer(HttpRequest request) {
         requests++;
-        if (call.method().equals("POST")) {
+        if (request.method().equals("POST")) {
             return HttpResponse.of(200, Json.object());
         }
-        QueryStringDecoder query = new QueryStringDecoder(call.path());
+        QueryStringDecoder query = new QueryStringDecoder(request.path());
         String since =
                 query.parameters().getOrDefault("since", List.of("host-000000")).get(0);
         int first = Integer.parseInt(since.substring("host-".length())) + 1;
@@ -82,8 +82,8 @@
         List<String> many =
                 IntStream.range(0, 250).mapToObj("host-%06d"::formatted).toList();
         int[] named = new int[1];
-        network.add((from, to, call) -> {
-            named[0] = Json.parse(call.body()).path("hoppers").size();
+        network.add((from, to, request) -> {
+            named[0] = Json.parse(request.body()).path("hoppers").size();
             return null;
         });
         cloud.giveBack(many);
@@ -93,11 +93,11 @@
 
     @Test
     void aRefusedPageIsAskedForAgainAndAnOutageEndsTheList() {
-        network.add((from, to, call) -> requests++ % 3 == 0 ? Fate.REFUSE : null);
+        network.add((from, to, request) -> requests++ % 3 == 0 ? Fate.REFUSE : null);
         CompletableFuture<Machines> list = cloud.machines();
         time.runFor(60 * SECOND);
         assertThat(list.join().machines()).hasSize(MACHINES);
-        network.add((from, to, call) -> Fate.REFUSE);
+        network.add((from, to, request) -> Fate.REFUSE);
         network.silence("cloud:1");
         CompletableFuture<Machines> refused = cloud.machines();
         time.runFor(60 * SECOND);
--- a/src/test/java/io/sillreel/cluster/ScaleOutRequestTest.java
+++ b/src/test/java/io/sillreel/cluster/ScaleOutRequestTest.java
@@ -14,13 +14,13 @@
 class ScaleOutRequestTest {
     private final SimCluster world = new SimCluster(4);
 
-    private static boolean isRental(HttpRequest call) {
-        return call.method().equals("POST") && call.route().equals("/machines");
+    private static boolean isRental(HttpRequest request) {
+        return request.method().equals("POST") && request.route().equals("/machines");
     }
 
     @Test
     void anUnansweredRentalIsAskedForAgainUnderItsName() {
-        Rule lose = world.network().add((from, to, call) -> isRental(call) ? Fate.LOSE_ANSWER : null);
+        Rule lose = world.network().add((from, to, request) -> isRental(request) ? Fate.LOSE_ANSWER : null);
         world.seconds(2);
         world.submit(0, SimCluster.job("job-000001", 2));
         world.seconds(4);
@@ -39,8 +39,8 @@
     @Test
     void aRentalThatIsAnsweredTwiceKeepsItsMachines() {
         Rule lose = world.network()
-                .add((from, to, call) -> call.route().equals("/txn")
-                                && new String(call.body(), StandardCharsets.UTF_8).contains("\"hire/")
+                .add((from, to, request) -> request.route().equals("/txn")
+                                && new String(request.body(), StandardCharsets.UTF_8).contains("\"hire/")
                         ? Fate.LOSE_ANSWER
                         : null);
         world.seconds(2);
@@ -58,7 +58,7 @@
 
     @Test
     void aRentalCarriedOutLongAfterItsLeaderDiedIsUsedOrReturned() {
-        Rule hold = world.network().add((from, to, call) -> isRental(call) ? Fate.HOLD : null);
+        Rule hold = world.network().add((from, to, request) -> isRental(request) ? Fate.HOLD : null);
         world.seconds(2);
         world.submit(0, SimCluster.job("job-000001", 2));
         world.seconds(3);
@@ -112,7 +112,7 @@
         List<String> away = List.copyOf(world.cloud().machines().keySet()).subList(0, 3);
         int rented = world.cloud().machines().size();
         assertThat(rented).isBetween(4, 10);
-        world.network().add((from, to, call) -> away.contains(from) ? Fate.LOSE : null);
+        world.network().add((from, to, request) -> away.contains(from) ? Fate.LOSE : null);
         world.seconds(28);
         assertThat(world.cloud().machines().keySet()).containsAll(away);
         assertThat(world.cloud().machines().size()).isGreaterThan(rented);
--- a/src/test/java/io/sillreel/heartbeat/HeartbeatBatchTest.java
+++ b/src/test/java/io/sillreel/heartbeat/HeartbeatBatchTest.java
@@ -36,7 +36,7 @@
         time.runFor(1_000);
         assertThat(PeerMessages.replies(answer.join().body()))
                 .hasSize(3 * HeartbeatBatch.MAX_DECIDED_AT_ONCE)
-                .allMatch(HttpResponse::ok);
+                .allMatch(HttpResponse::isOk);
     }
 
     /** Guards memory: what finds no room in the answer is not decided, so that no launch is lost with it. */
@@ -47,7 +47,7 @@
         time.runFor(1_000);
         List<HttpResponse> replies = PeerMessages.replies(answer.join().body());
         assertThat(replies).hasSize(40);
-        assertThat(replies.stream().filter(HttpResponse::ok))
+        assertThat(replies.stream().filter(HttpResponse::isOk))
                 .hasSameSizeAs(decided)
                 .hasSizeLessThan(13);
         assertThat(replies.get(39).status()).isEqualTo(503);
--- a/src/test/java/io/sillreel/heartbeat/HeartbeatRelayTest.java
+++ b/src/test/java/io/sillreel/heartbeat/HeartbeatRelayTest.java
@@ -19,8 +19,8 @@
     private final SimTime time = new SimTime();
     private final List<Integer> batches = new ArrayList<>();
 
-    private CompletableFuture<HttpResponse> answer(HttpRequest call) {
-        int reports = PeerMessages.reports(call.body()).size();
+    private CompletableFuture<HttpResponse> answer(HttpRequest request) {
+        int reports = PeerMessages.reports(request.body()).size();
         batches.add(reports);
         List<HttpResponse> replies = new ArrayList<>();
         for (int i = 0; i < reports; i++) {
@@ -32,7 +32,7 @@
     /** Hands on a report every 10 ms for a second, and returns how many had been answered 15 ms after they came. */
     private int play(int workers) {
         HeartbeatRelay relay =
-                new HeartbeatRelay(time.new Process(), (address, call, timeout) -> answer(call), () -> workers);
+                new HeartbeatRelay(time.new Process(), (address, request, timeout) -> answer(request), () -> workers);
         int soon = 0;
         for (int i = 0; i < 100; i++) {
             Heartbeat report = new Heartbeat("host-%06d".formatted(i), "", "c4", "a", true, 1, i, 1, -1, List.of());
@@ -68,7 +68,7 @@
     @Test
     void batchesGrowWithTheWorkersAndNotBeyondWhatALeaderTakesIn() {
         HeartbeatRelay relay =
-                new HeartbeatRelay(time.new Process(), (address, call, timeout) -> answer(call), () -> 4_000);
+                new HeartbeatRelay(time.new Process(), (address, request, timeout) -> answer(request), () -> 4_000);
         for (int number = 0; number < 600; number++) {
             relay.pass(report(number, List.of()), "leader:1");
         }
@@ -90,8 +90,8 @@
         List<CompletableFuture<HttpResponse>> held = new ArrayList<>();
         HeartbeatRelay relay = new HeartbeatRelay(
                 time.new Process(),
-                (address, call, timeout) -> {
-                    batches.add(PeerMessages.reports(call.body()).size());
+                (address, request, timeout) -> {
+                    batches.add(PeerMessages.reports(request.body()).size());
                     held.add(new CompletableFuture<>());
                     return held.get(held.size() - 1);
                 },
@@ -109,9 +109,11 @@
         assertThat(batches).containsExactly(1, 1, 1);
     }
 
-    private HeartbeatRelay handedOnTo(HttpResponse reply, int batches) {
+    private HeartbeatRelay handedOnTo(HttpResponse response, int batches) {
         HeartbeatRelay relay = new HeartbeatRelay(
-                time.new Process(), (address, call, timeout) -> CompletableFuture.completedFuture(reply), () -> 1);
+                time.new Process(),
+                (address, request, timeout) -> CompletableFuture.completedFuture(response),
+                () -> 1);
         for (int i = 0; i < batches; i++) {
             relay.pass(new Heartbeat("host-000001", "", "c4", "a", true, 1, i, 1, -1, List.of()), "leader:1");
             time.runFor(100_000);
--- a/src/test/java/io/sillreel/heartbeat/TaskFailureTest.java
+++ b/src/test/java/io/sillreel/heartbeat/TaskFailureTest.java
@@ -67,7 +67,7 @@
         world.until(() -> world.cloud().machines().size() >= 5 && world.starts() >= 15);
         String silent = world.cloud().machines().firstKey();
         world.cloud().machines().get(silent).prolong(300_000_000);
-        world.network().add((from, to, call) -> from.equals(silent) || to.startsWith(silent) ? Fate.LOSE : null);
+        world.network().add((from, to, request) -> from.equals(silent) || to.startsWith(silent) ? Fate.LOSE : null);
         int leader = world.leader();
         int starts = world.starts();
         world.kill(leader);
@@ -84,8 +84,10 @@
     @Test
     void lateCopiesOfReportsChangeNothing() {
         world.network()
-                .add((from, to, call) ->
-                        call.route().equals("/agent/beat") || call.route().equals("/peer/beats") ? Fate.COPY : null);
+                .add((from, to, request) ->
+                        request.route().equals("/agent/beat") || request.route().equals("/peer/beats")
+                                ? Fate.COPY
+                                : null);
         world.seconds(2);
         for (int i = 1; i <= 6; i++) {
             world.submit(0, SimCluster.job("job-00000" + i, 6));
@@ -143,8 +145,8 @@
         int unresponsive = world.leader();
         String host = "10.0.0." + unresponsive;
         world.network()
-                .add((from, to, call) -> to.startsWith(host)
-                                && (from.startsWith("host-") || call.route().equals("/peer/beats"))
+                .add((from, to, request) -> to.startsWith(host)
+                                && (from.startsWith("host-") || request.route().equals("/peer/beats"))
                         ? Fate.LOSE
                         : null);
         world.until(() -> world.leader() >= 0 && world.leader() != unresponsive);
@@ -191,9 +193,9 @@
     /** Some machines with tasks that run for long, on one of them at least two; the cloud's list tells nothing. */
     private SimWorker fleetWithLongTasks() {
         world.network()
-                .add((from, to, call) -> to.startsWith("cloud")
-                                && call.method().equals("GET")
-                                && call.route().equals("/machines")
+                .add((from, to, request) -> to.startsWith("cloud")
+                                && request.method().equals("GET")
+                                && request.route().equals("/machines")
                         ? Fate.LOSE
                         : null);
         world.seconds(2);
@@ -268,7 +270,7 @@
         fleetWithLongTasks();
         List<String> names = List.copyOf(world.cloud().machines().keySet());
         List<String> silent = names.subList(0, 3);
-        Rule cut = world.network().add((from, to, call) -> silent.contains(from) ? Fate.LOSE : null);
+        Rule cut = world.network().add((from, to, request) -> silent.contains(from) ? Fate.LOSE : null);
         world.seconds(10);
         world.network().remove(cut);
         world.seconds(25);
@@ -287,7 +289,7 @@
         many.untilStarted(50, 60_000_000);
         List<String> silent = List.copyOf(many.cloud().machines().keySet()).subList(0, 6);
         for (String name : silent) {
-            many.network().add((from, to, call) -> from.equals(name) ? Fate.LOSE : null);
+            many.network().add((from, to, request) -> from.equals(name) ? Fate.LOSE : null);
             many.seconds(1);
         }
         many.seconds(9);
