--- a/src/test/java/io/sillreel/http/HttpTest.java
+++ b/src/test/java/io/sillreel/http/HttpTest.java
@@ -38,11 +38,11 @@
 
     @Test
     void requestsShareFewConnectionsAndKeepTheirAnswersApart() {
-        String address = listen(call -> CompletableFuture.completedFuture(
-                new HttpResponse(200, call.path().getBytes(java.nio.charset.StandardCharsets.US_ASCII), 7)));
+        String address = listen(request -> CompletableFuture.completedFuture(
+                new HttpResponse(200, request.path().getBytes(java.nio.charset.StandardCharsets.US_ASCII), 7)));
         List<CompletableFuture<HttpResponse>> answers = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
-            answers.add(client.call(address, HttpRequest.get("/" + i), LONG_MICROS));
+            answers.add(client.send(address, HttpRequest.get("/" + i), LONG_MICROS));
         }
         for (int i = 0; i < 50; i++) {
             assertThat(new String(answers.get(i).join().body(), java.nio.charset.StandardCharsets.US_ASCII))
@@ -53,23 +53,23 @@
 
     @Test
     void aBodyOver64KiBIsRefused() {
-        String address = listen(call -> CompletableFuture.completedFuture(HttpResponse.of(200, Json.object())));
+        String address = listen(request -> CompletableFuture.completedFuture(HttpResponse.of(200, Json.object())));
         HttpRequest large = new HttpRequest("POST", "/", new byte[NettyHttpServer.MAX_BODY_BYTES + 1]);
-        assertThat(client.call(address, large, LONG_MICROS).join().status()).isEqualTo(400);
+        assertThat(client.send(address, large, LONG_MICROS).join().status()).isEqualTo(400);
         HttpRequest fits = new HttpRequest("POST", "/", new byte[NettyHttpServer.MAX_BODY_BYTES]);
-        assertThat(client.call(address, fits, LONG_MICROS).join().status()).isEqualTo(200);
+        assertThat(client.send(address, fits, LONG_MICROS).join().status()).isEqualTo(200);
     }
 
     /** Guards the heap: the answer to a watch has no limit, and what can't be held must not be asked for again. */
     @Test
     void anAnswerThatIsTooLargeIsToldAsSuchAndHoldsUpNothing() {
-        String address = listen(call -> CompletableFuture.completedFuture(new HttpResponse(
-                200, new byte[call.route().equals("/large") ? MAX_ANSWER_BYTES + 1 : MAX_ANSWER_BYTES], 0)));
-        assertThat(client.call(address, HttpRequest.get("/large"), LONG_MICROS)
+        String address = listen(request -> CompletableFuture.completedFuture(new HttpResponse(
+                200, new byte[request.route().equals("/large") ? MAX_ANSWER_BYTES + 1 : MAX_ANSWER_BYTES], 0)));
+        assertThat(client.send(address, HttpRequest.get("/large"), LONG_MICROS)
                         .join()
                         .status())
                 .isEqualTo(HttpResponse.ANSWER_TOO_LARGE);
-        assertThat(client.call(address, HttpRequest.get("/"), LONG_MICROS)
+        assertThat(client.send(address, HttpRequest.get("/"), LONG_MICROS)
                         .join()
                         .status())
                 .isEqualTo(200);
@@ -80,7 +80,7 @@
     void asManyConnectionsMayWaitAsMayBeOpen() {
         NettyHttpServer server = new NettyHttpServer(group, NettyHttpServer.MAX_BODY_BYTES, 3_000);
         NioServerSocketChannel channel =
-                (NioServerSocketChannel) server.listen(new InetSocketAddress("127.0.0.1", 0), call -> null);
+                (NioServerSocketChannel) server.listen(new InetSocketAddress("127.0.0.1", 0), request -> null);
         assertThat(channel.config().getBacklog()).isEqualTo(3_000);
     }
 
@@ -90,28 +90,28 @@
                 group,
                 NettyHttpServer.MAX_BODY_BYTES,
                 10,
-                call -> call.route().equals("/beat") ? RequestClass.CROWD : RequestClass.AT_ONCE,
+                request -> request.route().equals("/beat") ? RequestClass.WORKERS : RequestClass.IMMEDIATE,
                 new RequestQueue(new NettyEventLoop(group.next()), MAX_ANSWER_BYTES),
                 2);
         Channel listening = server.listen(
                 new InetSocketAddress("127.0.0.1", 0),
-                call -> CompletableFuture.completedFuture(HttpResponse.of(200, Json.object())));
+                request -> CompletableFuture.completedFuture(HttpResponse.of(200, Json.object())));
         String address = "127.0.0.1:" + ((InetSocketAddress) listening.localAddress()).getPort();
         List<NettyHttpClient> workers = List.of(
                 new NettyHttpClient(group.next(), 1, MAX_ANSWER_BYTES),
                 new NettyHttpClient(group.next(), 1, MAX_ANSWER_BYTES),
                 new NettyHttpClient(group.next(), 1, MAX_ANSWER_BYTES));
         assertThat(workers.stream()
-                        .map(worker -> worker.call(address, HttpRequest.get("/beat"), LONG_MICROS)
+                        .map(worker -> worker.send(address, HttpRequest.get("/beat"), LONG_MICROS)
                                 .join()
                                 .status()))
                 .containsExactly(200, 200, 503);
-        assertThat(client.call(address, HttpRequest.get("/up"), LONG_MICROS)
+        assertThat(client.send(address, HttpRequest.get("/up"), LONG_MICROS)
                         .join()
                         .status())
                 .isEqualTo(200);
         assertThat(workers.get(0)
-                        .call(address, HttpRequest.get("/beat"), LONG_MICROS)
+                        .send(address, HttpRequest.get("/beat"), LONG_MICROS)
                         .join()
                         .status())
                 .isEqualTo(200);
@@ -119,15 +119,15 @@
 
     @Test
     void connectionsThatAreNotUsedAreClosed() {
-        String address = listen(call -> CompletableFuture.completedFuture(HttpResponse.of(200, Json.object())));
-        client.call(address, HttpRequest.get("/"), LONG_MICROS).join();
+        String address = listen(request -> CompletableFuture.completedFuture(HttpResponse.of(200, Json.object())));
+        client.send(address, HttpRequest.get("/"), LONG_MICROS).join();
         assertThat(connectionsAfterSweep())
                 .as("it has been used since the sweep before")
                 .isEqualTo(1);
-        client.call(address, HttpRequest.get("/"), LONG_MICROS).join();
+        client.send(address, HttpRequest.get("/"), LONG_MICROS).join();
         assertThat(connectionsAfterSweep()).isEqualTo(1);
         assertThat(connectionsAfterSweep()).isZero();
-        assertThat(client.call(address, HttpRequest.get("/"), LONG_MICROS)
+        assertThat(client.send(address, HttpRequest.get("/"), LONG_MICROS)
                         .join()
                         .status())
                 .isEqualTo(200);
@@ -145,15 +145,16 @@
 
     @Test
     void aHandlerThatFailsIsAnsweredForAndNobodyListeningIsKnownNotToHaveHeard() {
-        String address = listen(call -> CompletableFuture.failedFuture(new IllegalStateException("on purpose")));
-        assertThat(client.call(address, HttpRequest.get("/"), LONG_MICROS)
+        String address = listen(request -> CompletableFuture.failedFuture(new IllegalStateException("on purpose")));
+        assertThat(client.send(address, HttpRequest.get("/"), LONG_MICROS)
                         .join()
                         .status())
                 .isEqualTo(503);
-        Channel gone = new NettyHttpServer(group, 10, 10).listen(new InetSocketAddress("127.0.0.1", 0), call -> null);
+        Channel gone =
+                new NettyHttpServer(group, 10, 10).listen(new InetSocketAddress("127.0.0.1", 0), request -> null);
         int port = ((InetSocketAddress) gone.localAddress()).getPort();
         gone.close().syncUninterruptibly();
-        assertThat(client.call("127.0.0.1:" + port, HttpRequest.get("/"), LONG_MICROS)
+        assertThat(client.send("127.0.0.1:" + port, HttpRequest.get("/"), LONG_MICROS)
                         .join()
                         .status())
                 .isEqualTo(HttpResponse.NOT_SENT);
--- a/src/test/java/io/sillreel/http/RequestQueueTest.java
+++ b/src/test/java/io/sillreel/http/RequestQueueTest.java
@@ -18,7 +18,7 @@
 
     private void ask(RequestClass line, String who, long givesUpAfterMicros) {
         long until = time.nowMicros() + givesUpAfterMicros;
-        requestQueue.await(line, 1_000, () -> time.nowMicros() < until, () -> {
+        requestQueue.enqueue(line, 1_000, () -> time.nowMicros() < until, () -> {
             process.works(WORK_MICROS);
             served.add(who);
         });
@@ -26,7 +26,7 @@
 
     private void crowd(int size) {
         for (int i = 0; i < size; i++) {
-            ask(RequestClass.CROWD, "worker", 4_000_000);
+            ask(RequestClass.WORKERS, "worker", 4_000_000);
         }
     }
 
@@ -36,7 +36,7 @@
         crowd(300);
         long due = time.nowMicros() + 100_000;
         long[] done = new long[1];
-        process.after(100_000, () -> done[0] = time.nowMicros());
+        process.schedule(100_000, () -> done[0] = time.nowMicros());
         time.runFor(10_000_000);
         assertThat(done[0] - due).isBetween(0L, 700_000L);
     }
@@ -56,21 +56,21 @@
         process.freeze(5_000_000);
         crowd(50);
         time.runFor(5_000_000);
-        ask(RequestClass.CROWD, "late", 4_000_000);
+        ask(RequestClass.WORKERS, "late", 4_000_000);
         time.runFor(1_000_000);
         assertThat(served).containsExactly("late");
-        assertThat(requestQueue.givenUp()).isEqualTo(50);
-        assertThat(requestQueue.waiting()).isZero();
+        assertThat(requestQueue.abandonedCount()).isEqualTo(50);
+        assertThat(requestQueue.waitingCount()).isZero();
     }
 
     /** Guards against serving everybody just too late: whoever has waited longest is the next to give up. */
     @Test
     void theNewestGoFirstOnceTheLineIsLong() {
         process.freeze(2_000_000);
-        ask(RequestClass.CROWD, "old", 4_000_000);
-        ask(RequestClass.CROWD, "older than new", 4_000_000);
+        ask(RequestClass.WORKERS, "old", 4_000_000);
+        ask(RequestClass.WORKERS, "older than new", 4_000_000);
         time.runFor(1_900_000);
-        ask(RequestClass.CROWD, "new", 4_000_000);
+        ask(RequestClass.WORKERS, "new", 4_000_000);
         time.runFor(1_000_000);
         assertThat(served).containsExactly("new", "older than new", "old");
     }
@@ -80,20 +80,20 @@
     void whatIsTooMuchToKeepIsRefused() {
         int taken = 0;
         while (taken < 1_000
-                && requestQueue.await(RequestClass.USERS, 64 * 1024, () -> true, () -> served.add("user"))) {
+                && requestQueue.enqueue(RequestClass.USERS, 64 * 1024, () -> true, () -> served.add("user"))) {
             taken++;
         }
         assertThat(taken).isBetween(32, 64);
         time.runFor(100_000);
         assertThat(served).hasSize(taken);
-        assertThat(requestQueue.await(RequestClass.USERS, 64 * 1024, () -> true, () -> {}))
+        assertThat(requestQueue.enqueue(RequestClass.USERS, 64 * 1024, () -> true, () -> {}))
                 .isTrue();
     }
 
     @Test
     void healthChecksDoNotWait() {
         crowd(100);
-        ask(RequestClass.AT_ONCE, "check", 1_000_000);
+        ask(RequestClass.IMMEDIATE, "check", 1_000_000);
         assertThat(served).containsExactly("check");
     }
 }
--- a/src/test/java/io/sillreel/leadership/FailoverTest.java
+++ b/src/test/java/io/sillreel/leadership/FailoverTest.java
@@ -96,7 +96,7 @@
         String machine = TaskSteps.leaveTasksOnOneMachine(world, 8);
         int leader = world.leader();
         world.kill(leader);
-        world.network().add((from, to, call) -> from.equals(machine) || to.startsWith(machine) ? Fate.LOSE : null);
+        world.network().add((from, to, request) -> from.equals(machine) || to.startsWith(machine) ? Fate.LOSE : null);
         world.seconds(80);
         assertThat(world.stage((leader + 1) % 3, "job-000001")).isEqualTo("done");
         assertThat(world.starts()).isGreaterThan(8);
@@ -145,9 +145,9 @@
         int old = world.leader();
         String host = "10.0.0." + old;
         Rule hold = world.network()
-                .add((from, to, call) -> from.equals(host)
-                                && call.route().equals("/txn")
-                                && new String(call.body(), java.nio.charset.StandardCharsets.UTF_8)
+                .add((from, to, request) -> from.equals(host)
+                                && request.route().equals("/txn")
+                                && new String(request.body(), java.nio.charset.StandardCharsets.UTF_8)
                                         .contains("\"set\":\"run/")
                         ? Fate.HOLD
                         : null);
@@ -170,7 +170,7 @@
         world.seconds(8);
         int old = world.leader();
         String host = "10.0.0." + old;
-        world.network().add((from, to, call) -> from.equals(host) && to.equals("state:1") ? Fate.LOSE : null);
+        world.network().add((from, to, request) -> from.equals(host) && to.equals("state:1") ? Fate.LOSE : null);
         world.seconds(5);
         assertThat(world.leader()).isNotEqualTo(old);
         int other = (old + 1) % 3;
@@ -211,7 +211,7 @@
         String host = "10.0.0." + old;
         // The old leader and its workers see nothing of the others.
         world.network()
-                .add((from, to, call) -> from.equals(host) && !to.startsWith("host-")
+                .add((from, to, request) -> from.equals(host) && !to.startsWith("host-")
                                 || to.startsWith(host) && !from.startsWith("host-")
                                 || from.startsWith("host-") && !to.startsWith(host)
                                 || to.startsWith("host-") && !from.equals(host)
@@ -221,7 +221,7 @@
         int other = (old + 1) % 3;
         assertThat(world.state().value("withdraw/job-000001")).isNull();
         world.seconds(1);
-        world.until(() -> world.cancel(other, "job-000001").ok());
+        world.until(() -> world.cancel(other, "job-000001").isOk());
         world.seconds(40);
         assertThat(world.broken()).isEmpty();
         assertThat(world.cloud().machines().values())
@@ -233,7 +233,7 @@
         world.seconds(2);
         int leader = world.leader();
         world.network()
-                .add((from, to, call) ->
+                .add((from, to, request) ->
                         from.startsWith("host-") && to.startsWith("10.0.0." + leader) ? Fate.LOSE : null);
         world.submit(leader, SimCluster.job("job-000001", 3));
         world.seconds(60);
@@ -284,7 +284,7 @@
         List<String> silent = names.subList(0, names.size() / 2);
         assertThat(silent.size()).isGreaterThan(2);
         world.network()
-                .add((from, to, call) ->
+                .add((from, to, request) ->
                         silent.contains(from) || silent.stream().anyMatch(to::startsWith) ? Fate.LOSE : null);
         world.seconds(16);
         int leader = world.leader();
--- a/src/test/java/io/sillreel/leadership/StoredStateReaderTest.java
+++ b/src/test/java/io/sillreel/leadership/StoredStateReaderTest.java
@@ -68,7 +68,7 @@
         store(random);
         SimNetwork network = new SimNetwork(time, repetition.getCurrentRepetition());
         network.listen("state:1", state);
-        network.add((from, to, call) -> switch (random.nextInt(6)) {
+        network.add((from, to, request) -> switch (random.nextInt(6)) {
             case 0 -> Fate.SLOW_ANSWER;
             case 1 -> Fate.REFUSE;
             default -> null;
@@ -95,11 +95,11 @@
         SimNetwork network = new SimNetwork(time, 1);
         network.listen("state:1", state);
         int[] plans = new int[1];
-        network.add((from, to, call) -> {
-            if (call.path().contains("prefix=run/")) {
+        network.add((from, to, request) -> {
+            if (request.path().contains("prefix=run/")) {
                 return Fate.REFUSE;
             }
-            return call.path().contains("prefix=plan/") && plans[0]++ == 0 ? Fate.LOSE : null;
+            return request.path().contains("prefix=plan/") && plans[0]++ == 0 ? Fate.LOSE : null;
         });
         SimTime.Process process = time.new Process();
         CompletableFuture<Optional<StoredState>> read = new StoredStateReader(
--- a/src/test/java/io/sillreel/load/LoadDriver.java
+++ b/src/test/java/io/sillreel/load/LoadDriver.java
@@ -129,7 +129,7 @@
 
     /** The state service's time is the real one. */
     private void passTime(long beforeMicros) {
-        loop.after(1_000, () -> {
+        loop.schedule(1_000, () -> {
             long now = loop.nowMicros();
             time.runFor(now - beforeMicros);
             passTime(now);
@@ -216,9 +216,9 @@
     }
 
     private boolean isUp(int node) {
-        return client.call(publicAddresses.get(node), HttpRequest.get("/up"), SECOND)
+        return client.send(publicAddresses.get(node), HttpRequest.get("/up"), SECOND)
                 .join()
-                .ok();
+                .isOk();
     }
 
     private JsonNode metrics(int node) {
@@ -231,7 +231,7 @@
     }
 
     private JsonNode ask(int node, String path) {
-        return client.call(internalAddresses.get(node), HttpRequest.get(path), SECOND)
+        return client.send(internalAddresses.get(node), HttpRequest.get(path), SECOND)
                 .join()
                 .json();
     }
--- a/src/test/java/io/sillreel/load/LossMeasurement.java
+++ b/src/test/java/io/sillreel/load/LossMeasurement.java
@@ -13,14 +13,14 @@
 final class LossMeasurement {
     private static final long GIVE_UP_MICROS = 120_000_000;
 
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final SimStateStore state;
     private final SimulatedServices standIns;
     private final Supplier<JsonNode> status;
 
     /** @param status what the controller that leads says of the loss */
-    LossMeasurement(EventLoop loop, SimStateStore state, SimulatedServices standIns, Supplier<JsonNode> status) {
-        this.loop = loop;
+    LossMeasurement(EventLoop eventLoop, SimStateStore state, SimulatedServices standIns, Supplier<JsonNode> status) {
+        this.eventLoop = eventLoop;
         this.state = state;
         this.standIns = standIns;
         this.status = status;
@@ -31,7 +31,7 @@
         Image image = inLoop(state::image);
         TimeUnit.SECONDS.sleep(lostSeconds);
         long ledger = inLoop(state::ledger);
-        long begun = loop.nowMicros();
+        long begun = eventLoop.nowMicros();
         inLoop(() -> {
             state.turnBack(image);
             return true;
@@ -50,15 +50,15 @@
     }
 
     private double untilSeconds(long begun, BooleanSupplier condition) throws InterruptedException {
-        while (!condition.getAsBoolean() && loop.nowMicros() - begun < GIVE_UP_MICROS) {
+        while (!condition.getAsBoolean() && eventLoop.nowMicros() - begun < GIVE_UP_MICROS) {
             TimeUnit.MILLISECONDS.sleep(20);
         }
-        return (loop.nowMicros() - begun) / 1e6;
+        return (eventLoop.nowMicros() - begun) / 1e6;
     }
 
     private <T> T inLoop(Supplier<T> work) {
         CompletableFuture<T> result = new CompletableFuture<>();
-        loop.execute(() -> result.complete(work.get()));
+        eventLoop.execute(() -> result.complete(work.get()));
         return result.join();
     }
 }
--- a/src/test/java/io/sillreel/load/SimulatedServices.java
+++ b/src/test/java/io/sillreel/load/SimulatedServices.java
@@ -32,8 +32,8 @@
     private static final int MAX_ANSWER_BYTES = 1 << 20;
     private static final double BURST_SECONDS = 2;
 
-    private final io.netty.channel.EventLoop eventLoop;
-    private final EventLoop loop;
+    private final io.netty.channel.EventLoop nettyLoop;
+    private final EventLoop eventLoop;
     private final List<String> controllers;
     private final int capacity;
     private final long reportMicros;
@@ -50,18 +50,18 @@
 
     /** @param cloudRate how many requests the cloud takes a second */
     SimulatedServices(
-            io.netty.channel.EventLoop eventLoop,
-            EventLoop loop,
+            io.netty.channel.EventLoop nettyLoop,
+            EventLoop eventLoop,
             List<String> controllers,
             int capacity,
             long reportMicros,
             double cloudRate) {
+        this.nettyLoop = nettyLoop;
         this.eventLoop = eventLoop;
-        this.loop = loop;
         this.controllers = controllers;
         this.capacity = capacity;
         this.reportMicros = reportMicros;
-        this.cloudRate = new RateLimiter(loop, cloudRate, BURST_SECONDS * cloudRate);
+        this.cloudRate = new RateLimiter(eventLoop, cloudRate, BURST_SECONDS * cloudRate);
     }
 
     /** Lists that were answered up to their last page. */
@@ -92,17 +92,17 @@
                 .anyMatch(entry -> entry.getValue() > micros && jobs.contains(entry.getKey()));
     }
 
-    CompletableFuture<HttpResponse> cloud(HttpRequest call) {
-        if (!cloudRate.tryTake(1)) {
+    CompletableFuture<HttpResponse> cloud(HttpRequest request) {
+        if (!cloudRate.tryAcquire(1)) {
             refused++;
             return CompletableFuture.completedFuture(HttpResponse.refusal(429, "too many requests"));
         }
         return CompletableFuture.completedFuture(
-                switch (call.method() + " " + call.route()) {
+                switch (request.method() + " " + request.route()) {
                     case "GET /flavors" -> HttpResponse.of(200, machineTypes());
-                    case "POST /machines" -> rental(Json.parse(call.body()));
+                    case "POST /machines" -> rental(Json.parse(request.body()));
                     case "POST /machines/return" -> {
-                        Json.parse(call.body()).path("hoppers").forEach(name -> {
+                        Json.parse(request.body()).path("hoppers").forEach(name -> {
                             Worker gone = workers.remove(name.asText());
                             if (gone != null) {
                                 gone.gone = true;
@@ -110,7 +110,7 @@
                         });
                         yield HttpResponse.of(200, Json.object());
                     }
-                    default -> list(call);
+                    default -> list(request);
                 });
     }
 
@@ -140,7 +140,7 @@
                         new Worker("host-%06d".formatted(rentals.size() * 100 + i), random.nextInt(controllers.size()));
                 workers.put(worker.name, worker);
                 fresh.add(worker.name);
-                loop.after(SECOND + random.nextInt((int) SECOND), worker::report);
+                eventLoop.schedule(SECOND + random.nextInt((int) SECOND), worker::report);
             }
             return fresh;
         });
@@ -152,9 +152,9 @@
         return HttpResponse.of(200, answer);
     }
 
-    private HttpResponse list(HttpRequest call) {
+    private HttpResponse list(HttpRequest request) {
         HttpResponse page = MachinePages.page(
-                call,
+                request,
                 workers,
                 (worker, entry) -> entry.put("addr", "127.0.0.1:1")
                         .put("build", "c4")
@@ -166,7 +166,7 @@
 
     private final class Worker {
         private final String name;
-        private final NettyHttpClient client = new NettyHttpClient(eventLoop, 1, MAX_ANSWER_BYTES);
+        private final NettyHttpClient client = new NettyHttpClient(nettyLoop, 1, MAX_ANSWER_BYTES);
         private final Map<String, ObjectNode> tasks = new LinkedHashMap<>();
         private final Map<String, Long> ends = new LinkedHashMap<>();
         private int node;
@@ -183,7 +183,7 @@
             if (gone) {
                 return;
             }
-            long now = loop.nowMicros();
+            long now = eventLoop.nowMicros();
             ends.forEach((key, at) -> {
                 if (at <= now && !tasks.get(key).has("cause")) {
                     tasks.get(key).put("stage", "ended").put("cause", "done");
@@ -200,23 +200,23 @@
                     .put("baton", token);
             ArrayNode pieces = body.putArray("pieces");
             tasks.values().forEach(pieces::add);
-            client.call(controllers.get(node), HttpRequest.post("/agent/beat", body), ANSWER_MICROS)
+            client.send(controllers.get(node), HttpRequest.post("/agent/beat", body), ANSWER_MICROS)
                     .thenAccept(this::answered);
         }
 
-        private void answered(HttpResponse reply) {
-            if (reply.status() == 421) {
-                node = Integer.parseInt(reply.json().path("foreman").asText().substring("hopper-".length()));
-                loop.after(SECOND / 4, this::report);
+        private void answered(HttpResponse response) {
+            if (response.status() == 421) {
+                node = Integer.parseInt(response.json().path("foreman").asText().substring("hopper-".length()));
+                eventLoop.schedule(SECOND / 4, this::report);
                 return;
             }
-            if (!reply.ok()) {
+            if (!response.isOk()) {
                 node = (node + 1) % controllers.size();
-                loop.after(SECOND, this::report);
+                eventLoop.schedule(SECOND, this::report);
                 return;
             }
             answered++;
-            JsonNode body = reply.json();
+            JsonNode body = response.json();
             boolean changed = body.path("baton").asLong() > token;
             token = Math.max(token, body.path("baton").asLong());
             for (JsonNode order : body.path("orders")) {
@@ -225,27 +225,27 @@
                 changed = true;
                 if (order.path("verb").asText().equals("launch")) {
                     launched++;
-                    launchedMicros.put(piece.substring(0, piece.indexOf('/')), loop.nowMicros());
+                    launchedMicros.put(piece.substring(0, piece.indexOf('/')), eventLoop.nowMicros());
                     tasks.putIfAbsent(
                             key,
                             Json.object()
                                     .put("piece", piece)
                                     .put("try", order.path("try").asLong())
                                     .put("stage", "running"));
-                    ends.putIfAbsent(key, loop.nowMicros() + 10 * SECOND + random.nextInt((int) (20 * SECOND)));
+                    ends.putIfAbsent(key, eventLoop.nowMicros() + 10 * SECOND + random.nextInt((int) (20 * SECOND)));
                 } else {
                     tasks.remove(key);
                     ends.remove(key);
                 }
             }
             long spread = reportMicros * 3 / 4 + random.nextInt((int) reportMicros / 2);
-            loop.after(changed ? SECOND / 2 : spread, this::report);
+            eventLoop.schedule(changed ? SECOND / 2 : spread, this::report);
         }
     }
 
     /** Jobs that were submitted and are not known to be done. */
     static final class Users {
-        private final EventLoop loop;
+        private final EventLoop eventLoop;
         private final NettyHttpClient client;
         private final List<String> controllers;
         private final List<String> open = new CopyOnWriteArrayList<>();
@@ -253,9 +253,9 @@
         private int jobs;
         private long asked;
 
-        Users(io.netty.channel.EventLoop eventLoop, EventLoop loop, List<String> controllers) {
-            this.loop = loop;
-            this.client = new NettyHttpClient(eventLoop, 8, MAX_ANSWER_BYTES);
+        Users(io.netty.channel.EventLoop nettyLoop, EventLoop eventLoop, List<String> controllers) {
+            this.eventLoop = eventLoop;
+            this.client = new NettyHttpClient(nettyLoop, 8, MAX_ANSWER_BYTES);
             this.controllers = controllers;
         }
 
@@ -267,31 +267,31 @@
             return asked;
         }
 
-        private CompletableFuture<HttpResponse> ask(HttpRequest call) {
+        private CompletableFuture<HttpResponse> ask(HttpRequest request) {
             asked++;
-            return client.call(controllers.get(random.nextInt(controllers.size())), call, 2 * SECOND);
+            return client.send(controllers.get(random.nextInt(controllers.size())), request, 2 * SECOND);
         }
 
         void submitEvery(long micros, int pieces) {
             String uid = "job-%06d".formatted(++jobs);
             ObjectNode job = SimCluster.job(uid, pieces).put("guess_s", 20.0).put("due_s", 100.0);
-            ask(HttpRequest.post("/v2/runs", job)).thenAccept(reply -> {
-                if (reply.status() == 201) {
+            ask(HttpRequest.post("/v2/runs", job)).thenAccept(response -> {
+                if (response.status() == 201) {
                     open.add(uid);
                 }
             });
-            loop.after(micros, () -> submitEvery(micros, pieces));
+            eventLoop.schedule(micros, () -> submitEvery(micros, pieces));
         }
 
         void pollEvery(long micros) {
             for (String uid : List.copyOf(open)) {
-                ask(HttpRequest.get("/v2/runs/" + uid)).thenAccept(reply -> {
-                    if (reply.json().path("stage").asText().equals("done")) {
+                ask(HttpRequest.get("/v2/runs/" + uid)).thenAccept(response -> {
+                    if (response.json().path("stage").asText().equals("done")) {
                         open.remove(uid);
                     }
                 });
             }
-            loop.after(micros, () -> pollEvery(micros));
+            eventLoop.schedule(micros, () -> pollEvery(micros));
         }
     }
 }
--- a/src/test/java/io/sillreel/overload/AdaptiveLimitTest.java
+++ b/src/test/java/io/sillreel/overload/AdaptiveLimitTest.java
@@ -17,7 +17,7 @@
     void pollsLeaveRoomForSubmissionsAndTheRestIsRefusedAtOnce() {
         List<CompletableFuture<HttpResponse>> held = new ArrayList<>();
         AdaptiveLimit limit = new AdaptiveLimit(
-                call -> {
+                request -> {
                     CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
                     held.add(answer);
                     return answer;
@@ -47,9 +47,9 @@
     void aQuestionThatWasRefusedForLongIsAnsweredWhateverElseIsAsked() {
         List<String> asked = new ArrayList<>();
         AdaptiveLimit limit = new AdaptiveLimit(
-                call -> {
-                    asked.add(call.path());
-                    return call.path().endsWith("owed")
+                request -> {
+                    asked.add(request.path());
+                    return request.path().endsWith("owed")
                             ? CompletableFuture.completedFuture(HttpResponse.of(200, Json.object()))
                             : new CompletableFuture<>();
                 },
--- a/src/test/java/io/sillreel/pipeline/JobChainTest.java
+++ b/src/test/java/io/sillreel/pipeline/JobChainTest.java
@@ -25,12 +25,12 @@
     }
 
     private int accepted(int node, ObjectNode job) {
-        HttpResponse reply = world.submit(node, job);
-        for (int tries = 0; tries < 20 && reply.status() / 100 != 2; tries++) {
+        HttpResponse response = world.submit(node, job);
+        for (int tries = 0; tries < 20 && response.status() / 100 != 2; tries++) {
             world.seconds(1);
-            reply = world.submit(node, job);
+            response = world.submit(node, job);
         }
-        return reply.status();
+        return response.status();
     }
 
     private void everyNodeSays(String uid, String stage) {
@@ -205,13 +205,13 @@
             }
             int lost = seed;
             Rule rule = each.network()
-                    .add((from, to, call) -> call.route().equals("/txn")
-                                    && new String(call.body(), java.nio.charset.StandardCharsets.UTF_8)
+                    .add((from, to, request) -> request.route().equals("/txn")
+                                    && new String(request.body(), java.nio.charset.StandardCharsets.UTF_8)
                                             .contains("\"run/")
-                                    && (from.hashCode() + call.body().length + lost) % 3 == 0
+                                    && (from.hashCode() + request.body().length + lost) % 3 == 0
                             ? Fate.LOSE_ANSWER
                             : null);
-            each.network().add((from, to, call) -> call.route().equals("/agent/beat") ? Fate.COPY : null);
+            each.network().add((from, to, request) -> request.route().equals("/agent/beat") ? Fate.COPY : null);
             for (int change = 0; change < 4; change++) {
                 each.seconds(7 + seed);
                 int leader = each.leader();
@@ -265,8 +265,8 @@
         world.seconds(10);
         int leader = world.leader();
         boolean[] reading = {false};
-        world.network().add((from, to, call) -> {
-            if (call.path().startsWith("/kv?prefix=plan/&since=") && !reading[0]) {
+        world.network().add((from, to, request) -> {
+            if (request.path().startsWith("/kv?prefix=plan/&since=") && !reading[0]) {
                 reading[0] = true;
                 world.network().slowness(250);
             }
@@ -277,7 +277,7 @@
         // Only the second page is on its way for so long, and what came meanwhile is not seen either for some seconds.
         world.network().slowness(1);
         Rule unseen = world.network()
-                .add((from, to, call) -> call.path().startsWith("/watch?prefix=plan/") ? Fate.LOSE : null);
+                .add((from, to, request) -> request.path().startsWith("/watch?prefix=plan/") ? Fate.LOSE : null);
         int node = (leader + 1) % 3;
         assertThat(accepted(node, SimCluster.job(uid(0), 1))).isEqualTo(201);
         assertThat(accepted(node, SimCluster.job(uid(999), 1, uid(0)))).isEqualTo(201);
@@ -329,10 +329,10 @@
         world.until(() -> world.isOpen(asked));
         world.seconds(3);
         int[] requests = {0};
-        world.network().add((from, to, call) -> {
+        world.network().add((from, to, request) -> {
             boolean counts = from.equals(FailureInjector.host(asked))
                     && to.startsWith("state")
-                    && !call.path().contains("grants");
+                    && !request.path().contains("grants");
             requests[0] += counts ? 1 : 0;
             return null;
         });
--- a/src/test/java/io/sillreel/pipeline/LongAwaitListTest.java
+++ b/src/test/java/io/sillreel/pipeline/LongAwaitListTest.java
@@ -19,12 +19,12 @@
     }
 
     private int accepted(int node, ObjectNode job) {
-        HttpResponse reply = world.submit(node, job);
-        for (int tries = 0; tries < 20 && reply.status() / 100 != 2; tries++) {
+        HttpResponse response = world.submit(node, job);
+        for (int tries = 0; tries < 20 && response.status() / 100 != 2; tries++) {
             world.seconds(1);
-            reply = world.submit(node, job);
+            response = world.submit(node, job);
         }
-        return reply.status();
+        return response.status();
     }
 
     private void everyNodeSays(String uid, String stage) {
@@ -74,7 +74,7 @@
         assertThat(accepted(0, SimCluster.job(uid(999), 1, names))).isIn(200, 201);
         world.restart(1);
         world.seconds(4);
-        assertThat(world.cancel(2, uid(200)).ok()).isTrue();
+        assertThat(world.cancel(2, uid(200)).isOk()).isTrue();
         everyNodeSays(uid(999), "withdrawn");
         world.seconds(5);
         assertThat(world.state().value("withdraw/" + uid(999))).isNotNull();
@@ -88,9 +88,9 @@
         for (int i = 0; i < names.length; i++) {
             names[i] = uid(i + 1);
         }
-        HttpResponse reply = world.submit(0, SimCluster.job(uid(9_999), 1, names));
-        assertThat(reply.status()).isEqualTo(422);
-        assertThat(reply.json().path("error").asText()).contains("too large", "awaits 1000 jobs");
+        HttpResponse response = world.submit(0, SimCluster.job(uid(9_999), 1, names));
+        assertThat(response.status()).isEqualTo(422);
+        assertThat(response.json().path("error").asText()).contains("too large", "awaits 1000 jobs");
         assertThat(world.poll(1, uid(9_999)).status()).isEqualTo(404);
         assertThat(world.state().keysUnder("plan")).isEmpty();
         assertThat(world.state().refusedForSize()).isZero();
--- a/src/test/java/io/sillreel/recovery/LostWritesTest.java
+++ b/src/test/java/io/sillreel/recovery/LostWritesTest.java
@@ -58,11 +58,11 @@
         world.untilStarted(6, 60 * SECOND);
         Image image = world.state().image();
         world.cloud().machines().values().forEach(worker -> worker.runMicros(2 * SECOND));
-        world.until(() -> world.cancel(1, uid(3)).ok());
+        world.until(() -> world.cancel(1, uid(3)).isOk());
         submit(world, 2, SimCluster.job(uid(4), 3));
         submit(world, 0, SimCluster.job(uid(5), 2, uid(4)));
         submit(world, 1, SimCluster.job(uid(6), 2));
-        world.until(() -> world.cancel(2, uid(6)).ok());
+        world.until(() -> world.cancel(2, uid(6)).isOk());
         world.until(() -> world.stage(0, uid(1)).equals("done"));
         submit(world, 0, SimCluster.job(uid(7), 12));
         world.untilStarted(world.starts() + 3, 8 * SECOND);
--- a/src/test/java/io/sillreel/settings/SettingsTest.java
+++ b/src/test/java/io/sillreel/settings/SettingsTest.java
@@ -44,7 +44,7 @@
     @Test
     void goodSettingsAreReadInMicroseconds() {
         Settings settings = SettingsReader.parse(GOOD);
-        assertThat(settings.workers().reportMicros()).isEqualTo(1_500_000);
+        assertThat(settings.workers().heartbeatIntervalMicros()).isEqualTo(1_500_000);
         assertThat(settings.state().values().announcedBytes()).isEqualTo(8192);
         assertThat(settings.teams().get("t").cpusMax()).isEqualTo(4.0);
         assertThat(settings.controllers()).isEqualTo(1);
@@ -82,13 +82,13 @@
     /** What is written fits the present limits and the announced ones; without a table only the present ones count. */
     @Test
     void theSmallerOfPresentAndAnnouncedLimitsCounts() {
-        assertThat(SettingsReader.parse(GOOD).state().txnOps()).isEqualTo(20);
+        assertThat(SettingsReader.parse(GOOD).state().maxTransactionChanges()).isEqualTo(20);
         String announced =
                 GOOD.replace("[params.cloud]", "[params.state.next]\nvalue_kb = 2.0\ntxn_ops = 30\n[params.cloud]");
         Settings.StateLimits limits = SettingsReader.parse(announced).state();
         assertThat(limits.values().announcedBytes()).isEqualTo(2_048);
         assertThat(limits.values().presentBytes()).isEqualTo(8_192);
-        assertThat(limits.txnOps()).isEqualTo(20);
+        assertThat(limits.maxTransactionChanges()).isEqualTo(20);
         assertThat(limits.writesPerSecond()).isEqualTo(25.0);
         assertThatThrownBy(() -> SettingsReader.parse(announced.replace("txn_ops = 30", "txn_ops = 1")))
                 .hasMessage("params.state.next.txn_ops: is 1.0, and at least 2.0 is needed");
--- a/src/test/java/io/sillreel/sim/FailureInjector.java
+++ b/src/test/java/io/sillreel/sim/FailureInjector.java
@@ -20,22 +20,24 @@
 
     /** The machine's reports arrive, but neither answers nor commands reach it. */
     public static Rule unresponsive(String machine) {
-        return (from, to, call) -> from.equals(machine) ? Fate.LOSE_ANSWER : to.startsWith(machine) ? Fate.LOSE : null;
+        return (from, to, request) ->
+                from.equals(machine) ? Fate.LOSE_ANSWER : to.startsWith(machine) ? Fate.LOSE : null;
     }
 
     /** The machines reach no controller, while direct commands reach them. */
     public static Rule mute(Collection<String> machines) {
-        return (from, to, call) -> machines.contains(from) ? Fate.LOSE : null;
+        return (from, to, request) -> machines.contains(from) ? Fate.LOSE : null;
     }
 
     /** Nothing gets to the machines or away from them. */
     public static Rule away(Collection<String> machines, Fate fate) {
-        return (from, to, call) -> machines.contains(from) || machines.stream().anyMatch(to::startsWith) ? fate : null;
+        return (from, to, request) ->
+                machines.contains(from) || machines.stream().anyMatch(to::startsWith) ? fate : null;
     }
 
     /** The state service refuses this controller alone. */
     public static Rule refused(int node) {
-        return (from, to, call) -> from.equals(host(node)) && to.startsWith(STATE) ? Fate.REFUSE : null;
+        return (from, to, request) -> from.equals(host(node)) && to.startsWith(STATE) ? Fate.REFUSE : null;
     }
 
     /**
@@ -43,7 +45,7 @@
      */
     public static Rule isolated(int node) {
         String host = host(node);
-        return (from, to, call) -> from.equals(host) && (to.startsWith(CONTROLLERS) || to.startsWith(STATE))
+        return (from, to, request) -> from.equals(host) && (to.startsWith(CONTROLLERS) || to.startsWith(STATE))
                         || to.startsWith(host) && from.startsWith(CONTROLLERS)
                 ? Fate.LOSE
                 : null;
@@ -51,9 +53,9 @@
 
     /** That part of the transactions that match gets no answer; they are carried out late, or at once. */
     public static Rule writes(String with, Fate fate, double share, Random random) {
-        return (from, to, call) -> to.startsWith(STATE)
-                        && call.route().equals("/txn")
-                        && text(call).contains(with)
+        return (from, to, request) -> to.startsWith(STATE)
+                        && request.route().equals("/txn")
+                        && text(request).contains(with)
                         && random.nextDouble() < share
                 ? fate
                 : null;
@@ -61,15 +63,16 @@
 
     /** That becomes of this part of the workers' reports. */
     public static Rule reports(Fate fate, double share, Random random) {
-        return (from, to, call) -> call.route().equals("/agent/beat") && random.nextDouble() < share ? fate : null;
+        return (from, to, request) ->
+                request.route().equals("/agent/beat") && random.nextDouble() < share ? fate : null;
     }
 
     /** That becomes of direct commands. */
     public static Rule commands(Fate fate) {
-        return (from, to, call) -> call.route().equals("/do") ? fate : null;
+        return (from, to, request) -> request.route().equals("/do") ? fate : null;
     }
 
-    private static String text(HttpRequest call) {
-        return new String(call.body(), StandardCharsets.UTF_8);
+    private static String text(HttpRequest request) {
+        return new String(request.body(), StandardCharsets.UTF_8);
     }
 }
--- a/src/test/java/io/sillreel/sim/InvariantChecker.java
+++ b/src/test/java/io/sillreel/sim/InvariantChecker.java
@@ -54,31 +54,31 @@
     }
 
     /** A submission was answered. */
-    HttpResponse submissionAnswered(String uid, HttpResponse reply, long asked) {
-        if (reply.status() == 201 || reply.status() == 200) {
-            told(uid, reply.json().path("stage").asText(), asked);
-        } else if (isKnown(uid, asked) && (reply.status() == 400 || reply.status() == 422)) {
+    HttpResponse submissionAnswered(String uid, HttpResponse response, long asked) {
+        if (response.status() == 201 || response.status() == 200) {
+            told(uid, response.json().path("stage").asText(), asked);
+        } else if (isKnown(uid, asked) && (response.status() == 400 || response.status() == 422)) {
             broke("forgotten " + uid);
         }
-        return reply;
+        return response;
     }
 
     /** A poll was answered. */
-    HttpResponse pollAnswered(String uid, HttpResponse reply, long asked) {
-        if (reply.ok()) {
-            told(uid, reply.json().path("stage").asText(), asked);
-        } else if (reply.status() == 404 && isKnown(uid, asked)) {
+    HttpResponse pollAnswered(String uid, HttpResponse response, long asked) {
+        if (response.isOk()) {
+            told(uid, response.json().path("stage").asText(), asked);
+        } else if (response.status() == 404 && isKnown(uid, asked)) {
             broke("forgotten " + uid);
         }
-        return reply;
+        return response;
     }
 
     /** A request to cancel was answered. */
-    HttpResponse cancellationAnswered(String uid, HttpResponse reply, long asked) {
-        if (reply.ok()) {
-            told(uid, reply.json().path("stage").asText(), asked);
+    HttpResponse cancellationAnswered(String uid, HttpResponse response, long asked) {
+        if (response.isOk()) {
+            told(uid, response.json().path("stage").asText(), asked);
         }
-        return reply;
+        return response;
     }
 
     /** What users were last told of the job, or null. */
--- a/src/test/java/io/sillreel/sim/MachinePages.java
+++ b/src/test/java/io/sillreel/sim/MachinePages.java
@@ -18,9 +18,9 @@
      * @param describe adds what is to be told of a machine beside its name
      */
     public static <M> HttpResponse page(
-            HttpRequest call, NavigableMap<String, M> machines, BiConsumer<M, ObjectNode> describe) {
-        String since = call.query("since");
-        int limit = Integer.parseInt(call.query("limit"));
+            HttpRequest request, NavigableMap<String, M> machines, BiConsumer<M, ObjectNode> describe) {
+        String since = request.query("since");
+        int limit = Integer.parseInt(request.query("limit"));
         NavigableMap<String, M> rest = machines.tailMap(since, false);
         ObjectNode body = Json.object().put("truncated", rest.size() > limit);
         ArrayNode hoppers = body.putArray("hoppers");
--- a/src/test/java/io/sillreel/sim/PreviousVersion.java
+++ b/src/test/java/io/sillreel/sim/PreviousVersion.java
@@ -40,27 +40,27 @@
     }
 
     /** The network as the version uses it. */
-    public CompletableFuture<HttpResponse> call(String address, HttpRequest call, long timeoutMicros) {
-        if (call.path().contains(PARTS_PREFIX)) {
+    public CompletableFuture<HttpResponse> call(String address, HttpRequest request, long timeoutMicros) {
+        if (request.path().contains(PARTS_PREFIX)) {
             // The version never lists these keys.
             ObjectNode nothing = Json.object().put("truncated", false).put("ledger", 0);
             nothing.putArray("entries");
             return CompletableFuture.completedFuture(HttpResponse.of(200, nothing));
         }
-        if (call.route().equals("/txn")) {
-            Json.parse(call.body()).path("then").forEach(this::checkWritten);
+        if (request.route().equals("/txn")) {
+            Json.parse(request.body()).path("then").forEach(this::checkWritten);
         }
-        boolean reads = call.route().equals("/watch") || call.route().startsWith("/kv");
-        return network.call(address, call, timeoutMicros)
-                .thenApply(reply -> reads && reply.ok() ? asRead(reply) : reply);
+        boolean reads = request.route().equals("/watch") || request.route().startsWith("/kv");
+        return network.send(address, request, timeoutMicros)
+                .thenApply(response -> reads && response.isOk() ? asRead(response) : response);
     }
 
     /** A user's request as the version understands it. */
-    public static HttpRequest understood(HttpRequest call) {
-        if (!call.route().equals("/v2/runs") || !(Json.parse(call.body()) instanceof ObjectNode submission)) {
-            return call;
+    public static HttpRequest understood(HttpRequest request) {
+        if (!request.route().equals("/v2/runs") || !(Json.parse(request.body()) instanceof ObjectNode submission)) {
+            return request;
         }
-        return new HttpRequest(call.method(), call.path(), Json.bytes(submission.without(PLAN_FIELDS_SINCE)));
+        return new HttpRequest(request.method(), request.path(), Json.bytes(submission.without(PLAN_FIELDS_SINCE)));
     }
 
     /** A stored value as the version understands it. */
@@ -87,8 +87,8 @@
         }
     }
 
-    private HttpResponse asRead(HttpResponse reply) {
-        ObjectNode body = (ObjectNode) reply.json();
+    private HttpResponse asRead(HttpResponse response) {
+        ObjectNode body = (ObjectNode) response.json();
         if (body.has("k")) {
             understand(body, body.path("k").asText());
         }
@@ -99,7 +99,7 @@
                         entry.path(entry.has("k") ? "k" : "set").asText());
             }
         }
-        return HttpResponse.of(reply.status(), body);
+        return HttpResponse.of(response.status(), body);
     }
 
     private void understand(ObjectNode entry, String key) {
--- a/src/test/java/io/sillreel/sim/SimCloud.java
+++ b/src/test/java/io/sillreel/sim/SimCloud.java
@@ -56,16 +56,16 @@
     }
 
     @Override
-    public CompletableFuture<HttpResponse> handle(HttpRequest call) {
+    public CompletableFuture<HttpResponse> handle(HttpRequest request) {
         if (outage) {
             return CompletableFuture.completedFuture(HttpResponse.refusal(503, "trouble"));
         }
         return CompletableFuture.completedFuture(
-                switch (call.method() + " " + call.route()) {
+                switch (request.method() + " " + request.route()) {
                     case "GET /flavors" -> HttpResponse.of(200, machineTypes());
-                    case "POST /machines" -> rental(Json.parse(call.body()));
-                    case "POST /machines/return" -> giveBack(Json.parse(call.body()));
-                    default -> list(call);
+                    case "POST /machines" -> rental(Json.parse(request.body()));
+                    case "POST /machines/return" -> giveBack(Json.parse(request.body()));
+                    default -> list(request);
                 });
     }
 
@@ -126,9 +126,9 @@
         return HttpResponse.of(200, Json.object());
     }
 
-    private HttpResponse list(HttpRequest call) {
+    private HttpResponse list(HttpRequest request) {
         return MachinePages.page(
-                call,
+                request,
                 machines,
                 (worker, entry) -> entry.put("addr", worker.address())
                         .put("build", worker.build())
--- a/src/test/java/io/sillreel/sim/SimCluster.java
+++ b/src/test/java/io/sillreel/sim/SimCluster.java
@@ -105,37 +105,37 @@
         String host = "10.0.0." + node;
         boolean previous = versions[node] == Version.PREVIOUS;
         HttpClient direct = network.from(host, process);
-        HttpClient caller = previous ? new PreviousVersion(direct, rules::broke)::call : direct;
+        HttpClient httpClient = previous ? new PreviousVersion(direct, rules::broke)::call : direct;
         Controller controller = new Controller(
                 process,
-                caller,
-                caller,
+                httpClient,
+                httpClient,
                 SettingsReader.parse(settingsFile(node)),
                 operator,
                 ProcessLimits.of(settings, HEAP_BYTES));
         processes[node] = process;
         controllers[node] = controller;
-        network.listen(host + ":8081", call -> process.awake(() -> controller.internalCall(call)));
+        network.listen(host + ":8081", request -> process.awake(() -> controller.internalCall(request)));
         controller.start(() -> {
             if (!process.killed()) {
                 network.listen(
                         host + ":8080",
-                        call -> process.awake(
-                                () -> inTurn(controller, previous ? PreviousVersion.understood(call) : call)));
+                        request -> process.awake(
+                                () -> inTurn(controller, previous ? PreviousVersion.understood(request) : request)));
             }
         });
     }
 
-    private CompletableFuture<HttpResponse> inTurn(Controller controller, HttpRequest call) {
+    private CompletableFuture<HttpResponse> inTurn(Controller controller, HttpRequest request) {
         CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
         long givenUpMicros = time.nowMicros() + ASKER_WAITS_MICROS;
         controller
                 .requestQueue()
-                .await(
-                        Controller.line(call),
-                        call.body().length,
+                .enqueue(
+                        Controller.line(request),
+                        request.body().length,
                         () -> time.nowMicros() < givenUpMicros,
-                        () -> controller.publicCall(call).thenAccept(answer::complete));
+                        () -> controller.publicCall(request).thenAccept(answer::complete));
         return answer;
     }
 
@@ -265,18 +265,18 @@
     }
 
     /** Sends a request and lets time pass until it is answered or its user gives up. */
-    public HttpResponse ask(int node, HttpRequest call) {
-        return ask(publicAddress(node), call);
+    public HttpResponse ask(int node, HttpRequest request) {
+        return ask(publicAddress(node), request);
     }
 
     /** Sends an operator's request to the controller's internal address. */
-    public HttpResponse askAsOperator(int node, HttpRequest call) {
-        return ask("10.0.0." + node + ":8081", call);
+    public HttpResponse askAsOperator(int node, HttpRequest request) {
+        return ask("10.0.0." + node + ":8081", request);
     }
 
-    private HttpResponse ask(String address, HttpRequest call) {
+    private HttpResponse ask(String address, HttpRequest request) {
         HttpResponse[] answer = new HttpResponse[1];
-        users.call(address, call, 2 * SECOND).thenAccept(reply -> answer[0] = reply);
+        users.send(address, request, 2 * SECOND).thenAccept(response -> answer[0] = response);
         long end = time.nowMicros() + 2 * SECOND + 1;
         while (answer[0] == null && time.nowMicros() < end) {
             time.runFor(1_000);
@@ -318,7 +318,7 @@
         askMeanwhile(
                 node,
                 submission(job),
-                (reply, asked) -> rules.submissionAnswered(job.path("uid").asText(), reply, asked));
+                (response, asked) -> rules.submissionAnswered(job.path("uid").asText(), response, asked));
     }
 
     /** Submits once more what was submitted under that name. */
@@ -327,16 +327,19 @@
     }
 
     public void pollMeanwhile(int node, String uid) {
-        askMeanwhile(node, HttpRequest.get("/v2/runs/" + uid), (reply, asked) -> rules.pollAnswered(uid, reply, asked));
+        askMeanwhile(
+                node,
+                HttpRequest.get("/v2/runs/" + uid),
+                (response, asked) -> rules.pollAnswered(uid, response, asked));
     }
 
     public void cancelMeanwhile(int node, String uid) {
-        askMeanwhile(node, cancellation(uid), (reply, asked) -> rules.cancellationAnswered(uid, reply, asked));
+        askMeanwhile(node, cancellation(uid), (response, asked) -> rules.cancellationAnswered(uid, response, asked));
     }
 
-    private void askMeanwhile(int node, HttpRequest call, BiConsumer<HttpResponse, Long> then) {
+    private void askMeanwhile(int node, HttpRequest request, BiConsumer<HttpResponse, Long> then) {
         long asked = time.nowMicros();
-        users.call(publicAddress(node), call, 2 * SECOND).thenAccept(reply -> then.accept(reply, asked));
+        users.send(publicAddress(node), request, 2 * SECOND).thenAccept(response -> then.accept(response, asked));
     }
 
     public String stage(int node, String uid) {
--- a/src/test/java/io/sillreel/sim/SimNetwork.java
+++ b/src/test/java/io/sillreel/sim/SimNetwork.java
@@ -21,7 +21,7 @@
     /** Decides what becomes of one message; the first rule that says something counts. */
     public interface Rule {
         /** Null for nothing to say. */
-        Fate fate(String from, String to, HttpRequest call);
+        Fate fate(String from, String to, HttpRequest request);
     }
 
     /**
@@ -113,9 +113,9 @@
         SimTime.Process nobody = time.new Process();
         for (long wave = 0; wave < WAVES; wave++) {
             long at = wave * 250_000;
-            for (HttpRequest call : kept) {
+            for (HttpRequest request : kept) {
                 for (String host : hosts) {
-                    time.after(at++, () -> deliver(host, call, new CompletableFuture<>(), nobody));
+                    time.after(at++, () -> deliver(host, request, new CompletableFuture<>(), nobody));
                 }
             }
         }
@@ -124,13 +124,13 @@
 
     /** Returns the network as that host and process see it. */
     public HttpClient from(String host, SimTime.Process process) {
-        return (to, call, timeoutMicros) -> {
+        return (to, request, timeoutMicros) -> {
             CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
-            EventLoop.Timer timer = process.after(timeoutMicros, () -> answer.complete(HttpResponse.noAnswer()));
+            EventLoop.Timer timer = process.schedule(timeoutMicros, () -> answer.complete(HttpResponse.noAnswer()));
             answer.thenRun(timer::cancel);
             Fate fate = Fate.DELIVER;
             for (Rule rule : rules) {
-                Fate said = rule.fate(host, to, call);
+                Fate said = rule.fate(host, to, request);
                 if (said != null) {
                     fate = said;
                     break;
@@ -140,27 +140,28 @@
                     fate == Fate.DELIVER || fate == Fate.COPY || fate == Fate.KEEP || fate == Fate.SLOW_ANSWER;
             if (fate == Fate.SLOW_ANSWER) {
                 CompletableFuture<HttpResponse> slow = new CompletableFuture<>();
-                slow.thenAccept(reply -> process.after(random.nextInt(1_000_000), () -> answer.complete(reply)));
-                time.after(delay(), () -> deliver(to, call, slow, process));
+                slow.thenAccept(
+                        response -> process.schedule(random.nextInt(1_000_000), () -> answer.complete(response)));
+                time.after(delay(), () -> deliver(to, request, slow, process));
                 return answer;
             }
             if (fate == Fate.REFUSE) {
-                if (!call.route().equals("/watch")) {
-                    process.after(delay(), () -> answer.complete(HttpResponse.refusal(503, "trouble")));
+                if (!request.route().equals("/watch")) {
+                    process.schedule(delay(), () -> answer.complete(HttpResponse.refusal(503, "trouble")));
                 }
                 return answer;
             }
             if (fate == Fate.COPY) {
                 time.after(
                         1_000_000 + random.nextInt(LATEST_COPY_MICROS),
-                        () -> deliver(to, call, new CompletableFuture<>(), process));
+                        () -> deliver(to, request, new CompletableFuture<>(), process));
             } else if (fate == Fate.KEEP) {
-                kept.add(call);
+                kept.add(request);
                 if (kept.size() > MAX_KEPT) {
                     kept.poll();
                 }
             }
-            Runnable delivery = () -> deliver(to, call, answered ? answer : new CompletableFuture<>(), process);
+            Runnable delivery = () -> deliver(to, request, answered ? answer : new CompletableFuture<>(), process);
             if (fate == Fate.HOLD) {
                 held.add(delivery);
             } else if (fate == Fate.LATE) {
@@ -172,12 +173,13 @@
         };
     }
 
-    private void deliver(String to, HttpRequest call, CompletableFuture<HttpResponse> answer, SimTime.Process caller) {
+    private void deliver(
+            String to, HttpRequest request, CompletableFuture<HttpResponse> answer, SimTime.Process caller) {
         HttpHandler handler = handlers.get(to);
         if (handler == null) {
             return;
         }
-        handler.handle(call).thenAccept(reply -> caller.after(delay(), () -> answer.complete(reply)));
+        handler.handle(request).thenAccept(response -> caller.schedule(delay(), () -> answer.complete(response)));
     }
 
     private long delay() {
--- a/src/test/java/io/sillreel/sim/SimStateStore.java
+++ b/src/test/java/io/sillreel/sim/SimStateStore.java
@@ -147,25 +147,25 @@
     }
 
     @Override
-    public CompletableFuture<HttpResponse> handle(HttpRequest call) {
-        String route = call.route();
+    public CompletableFuture<HttpResponse> handle(HttpRequest request) {
+        String route = request.route();
         if (route.equals("/watch")) {
-            return watch(call);
+            return watch(request);
         }
         if (outage) {
             return answer(503, Json.object().put("error", "trouble"));
         }
         expire();
         if (route.equals("/kv")) {
-            return list(call);
+            return list(request);
         }
         if (route.startsWith("/kv/")) {
             return get(route.substring(4));
         }
         if (route.equals("/txn")) {
-            return txn(Json.parse(call.body()));
+            return txn(Json.parse(request.body()));
         }
-        return grants(call);
+        return grants(request);
     }
 
     private CompletableFuture<HttpResponse> get(String key) {
@@ -173,10 +173,10 @@
         return value == null ? answer(404, Json.object().put("ledger", ledger)) : answer(200, entry(key, value));
     }
 
-    private CompletableFuture<HttpResponse> list(HttpRequest call) {
-        String prefix = call.query("prefix");
-        String since = call.query("since");
-        int limit = Integer.parseInt(call.query("limit"));
+    private CompletableFuture<HttpResponse> list(HttpRequest request) {
+        String prefix = request.query("prefix");
+        String since = request.query("since");
+        int limit = Integer.parseInt(request.query("limit"));
         ObjectNode body = Json.object().put("ledger", ledger);
         ArrayNode entries = body.putArray("entries");
         boolean truncated = false;
@@ -252,10 +252,10 @@
         }
     }
 
-    private CompletableFuture<HttpResponse> grants(HttpRequest call) {
-        String route = call.route();
+    private CompletableFuture<HttpResponse> grants(HttpRequest request) {
+        String route = request.route();
         if (route.equals("/grants")) {
-            long life = Json.parse(call.body()).path("life_ms").asLong() * 1_000;
+            long life = Json.parse(request.body()).path("life_ms").asLong() * 1_000;
             permits++;
             lives.put(permits, life);
             ends.put(permits, time.nowMicros() + life);
@@ -267,7 +267,7 @@
         if (!ends.containsKey(permit)) {
             return answer(404, Json.object().put("error", "no such lease"));
         }
-        if (call.method().equals("DELETE")) {
+        if (request.method().equals("DELETE")) {
             ends.put(permit, time.nowMicros() - 1);
             expire();
         } else {
@@ -277,11 +277,11 @@
         return answer(200, Json.object());
     }
 
-    private CompletableFuture<HttpResponse> watch(HttpRequest call) {
-        String prefix = call.query("prefix");
-        long since = Long.parseLong(call.query("since"));
+    private CompletableFuture<HttpResponse> watch(HttpRequest request) {
+        String prefix = request.query("prefix");
+        long since = Long.parseLong(request.query("since"));
         CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
-        long end = time.nowMicros() + Long.parseLong(call.query("block_ms")) * 1_000;
+        long end = time.nowMicros() + Long.parseLong(request.query("block_ms")) * 1_000;
         if (outage) {
             return answer(503, Json.object().put("error", "trouble"));
         }
--- a/src/test/java/io/sillreel/sim/SimTime.java
+++ b/src/test/java/io/sillreel/sim/SimTime.java
@@ -62,7 +62,7 @@
                 return work.get();
             }
             CompletableFuture<T> later = new CompletableFuture<>();
-            after(0, () -> work.get().thenAccept(later::complete));
+            schedule(0, () -> work.get().thenAccept(later::complete));
             return later;
         }
 
@@ -94,7 +94,7 @@
         }
 
         @Override
-        public Timer after(long delayMicros, Runnable task) {
+        public Timer schedule(long delayMicros, Runnable task) {
             boolean[] cancelled = {false};
             SimTime.this.after(delayMicros, () -> run(task, cancelled));
             return () -> cancelled[0] = true;
--- a/src/test/java/io/sillreel/sim/SimWorker.java
+++ b/src/test/java/io/sillreel/sim/SimWorker.java
@@ -42,7 +42,7 @@
     private final String zone;
     private final boolean spot;
     private final SimTime.Process process;
-    private final HttpClient caller;
+    private final HttpClient httpClient;
     private final Map<String, Task> tasks = new LinkedHashMap<>();
     private int node;
     private long session = 1;
@@ -64,11 +64,11 @@
         this.spot = spot;
         this.node = firstNode;
         this.process = world.time().new Process();
-        this.caller = world.network().from(name, process);
+        this.httpClient = world.network().from(name, process);
         this.leaseFromMicros = world.time().nowMicros();
-        world.network().listen(address(), call -> process.awake(() -> direct(call)));
-        process.after(1_000, this::report);
-        process.after(world.worldSettings().tickMicros(), this::tick);
+        world.network().listen(address(), request -> process.awake(() -> direct(request)));
+        process.schedule(1_000, this::report);
+        process.schedule(world.worldSettings().tickMicros(), this::tick);
     }
 
     public String name() {
@@ -119,7 +119,7 @@
         sequence = 0;
         token = 0;
         leaseFromMicros = world.time().nowMicros();
-        process.after(1_000, this::report);
+        process.schedule(1_000, this::report);
     }
 
     public int node() {
@@ -174,7 +174,7 @@
     }
 
     private void tick() {
-        process.after(world.worldSettings().tickMicros(), this::tick);
+        process.schedule(world.worldSettings().tickMicros(), this::tick);
         long now = world.time().nowMicros();
         endLease();
         for (Task task : tasks.values()) {
@@ -195,7 +195,7 @@
 
     private void changed() {
         long wait = lastReportMicros + MIN_GAP_MICROS - world.time().nowMicros();
-        process.after(Math.max(wait, 1_000), this::report);
+        process.schedule(Math.max(wait, 1_000), this::report);
     }
 
     private void report() {
@@ -209,11 +209,11 @@
         sequence++;
         long sentSession = session;
         int sentLife = life;
-        HttpRequest call = HttpRequest.post("/agent/beat", body());
-        caller.call(world.publicAddress(node), call, ANSWER_MICROS).thenAccept(reply -> {
+        HttpRequest request = HttpRequest.post("/agent/beat", body());
+        httpClient.send(world.publicAddress(node), request, ANSWER_MICROS).thenAccept(response -> {
             if (sentLife == life) {
                 inFlight = false;
-                answered(reply, now, sentSession);
+                answered(response, now, sentSession);
             }
         });
     }
@@ -221,20 +221,21 @@
     private void answered(HttpResponse answer, long sentMicros, long sentSession) {
         endLease();
         // A worker that hung has waited for too long by its own clock.
-        HttpResponse reply = world.time().nowMicros() - sentMicros > ANSWER_MICROS ? HttpResponse.noAnswer() : answer;
-        if (reply.status() == 421
-                && world.nodeNamed(reply.json().path("foreman").asText()) >= 0) {
-            node = world.nodeNamed(reply.json().path("foreman").asText());
-            process.after(MIN_GAP_MICROS, this::report);
+        HttpResponse response =
+                world.time().nowMicros() - sentMicros > ANSWER_MICROS ? HttpResponse.noAnswer() : answer;
+        if (response.status() == 421
+                && world.nodeNamed(response.json().path("foreman").asText()) >= 0) {
+            node = world.nodeNamed(response.json().path("foreman").asText());
+            process.schedule(MIN_GAP_MICROS, this::report);
             return;
         }
-        if (!reply.ok()) {
+        if (!response.isOk()) {
             node = (node + 1) % world.nodes();
-            process.after(1_000_000, this::report);
+            process.schedule(1_000_000, this::report);
             return;
         }
-        process.after(world.settings().workers().reportMicros(), this::report);
-        JsonNode body = reply.json();
+        process.schedule(world.settings().workers().heartbeatIntervalMicros(), this::report);
+        JsonNode body = response.json();
         if (body.path("baton").asLong() < token || sentSession != session) {
             return;
         }
@@ -242,12 +243,12 @@
         obey(body);
     }
 
-    private CompletableFuture<HttpResponse> direct(HttpRequest call) {
+    private CompletableFuture<HttpResponse> direct(HttpRequest request) {
         endLease();
         sequence++;
         int status = 200;
-        if (call.route().equals("/do")) {
-            JsonNode body = Json.parse(call.body());
+        if (request.route().equals("/do")) {
+            JsonNode body = Json.parse(request.body());
             if (body.path("baton").asLong() < token || body.path("shift").asLong() != session) {
                 status = 409;
             } else {
--- a/src/test/java/io/sillreel/statestore/ScanTest.java
+++ b/src/test/java/io/sillreel/statestore/ScanTest.java
@@ -68,12 +68,12 @@
     @Test
     void aPageThatIsLostOrRefusedIsReadAgainByItself() {
         int[] requests = new int[1];
-        network.add((from, to, call) -> {
-            if (!call.route().equals("/kv")) {
+        network.add((from, to, request) -> {
+            if (!request.route().equals("/kv")) {
                 return null;
             }
-            int request = requests[0]++;
-            return request % 3 == 0 ? Fate.LOSE : request % 3 == 1 ? Fate.REFUSE : null;
+            int requestNumber = requests[0]++;
+            return requestNumber % 3 == 0 ? Fate.LOSE : requestNumber % 3 == 1 ? Fate.REFUSE : null;
         });
         CompletableFuture<Scan> scan = store.scan("k/", this::take);
         time.runFor(60_000_000);
@@ -89,7 +89,7 @@
         time.runFor(200_000);
         assertThat(refused).isCompletedWithValueMatching(listing -> listing.outcome() == Outcome.REFUSED);
         state.outage(false);
-        network.add((from, to, call) -> Fate.LOSE);
+        network.add((from, to, request) -> Fate.LOSE);
         CompletableFuture<StateStore.Listing> unanswered = store.list("k/");
         time.runFor(1_600_000);
         assertThat(unanswered).isCompletedWithValueMatching(listing -> listing.outcome() == Outcome.UNKNOWN);
@@ -99,7 +99,7 @@
     @Test
     void aWatchWhoseAnswerIsTooLargeCanNotGoOn() {
         StateStore small = new StateStore(
-                (to, call, timeout) -> CompletableFuture.completedFuture(HttpResponse.answerTooLarge()),
+                (to, request, timeout) -> CompletableFuture.completedFuture(HttpResponse.answerTooLarge()),
                 network.from("node", process),
                 process,
                 "state:1",
--- a/src/test/java/io/sillreel/statestore/WriteQueueTest.java
+++ b/src/test/java/io/sillreel/statestore/WriteQueueTest.java
@@ -200,7 +200,7 @@
     void anOwnWriteThatArrivesLateDoesNotUndoWhatCameAfter() {
         Count count = new Count("k");
         count.value = 1;
-        Rule hold = network.add((from, to, call) -> call.route().equals("/txn") ? Fate.HOLD : null);
+        Rule hold = network.add((from, to, request) -> request.route().equals("/txn") ? Fate.HOLD : null);
         writer.enqueue(count);
         time.runFor(1_000_000);
         network.remove(hold);
@@ -216,7 +216,7 @@
     void anAnswerThatGetsLostIsFollowedByAReadingBeforeTheNextWrite() {
         Count count = new Count("k");
         count.value = 1;
-        Rule lose = network.add((from, to, call) -> call.route().equals("/txn") ? Fate.LOSE_ANSWER : null);
+        Rule lose = network.add((from, to, request) -> request.route().equals("/txn") ? Fate.LOSE_ANSWER : null);
         writer.enqueue(count);
         time.runFor(1_000_000);
         network.remove(lose);
@@ -260,7 +260,7 @@
         RateLimiter pacer = new RateLimiter(process, 10, 10);
         int taken = 0;
         for (int i = 0; i < 200; i++) {
-            taken += pacer.tryTake(1) ? 1 : 0;
+            taken += pacer.tryAcquire(1) ? 1 : 0;
             time.runFor(10_000);
         }
         assertThat(taken).isBetween(28, 30);
