--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -292,15 +292,15 @@
     }
 
     @Override
-    public void took(long term, long leaderStamp) {
+    public void took(long term, long leaderRevision) {
         if (recovery == null) {
-            begin(term, leaderStamp);
+            begin(term, leaderRevision);
         } else {
-            recovery.beforeTerm(term, leaderStamp, () -> begin(term, leaderStamp));
+            recovery.beforeTerm(term, leaderRevision, () -> begin(term, leaderRevision));
         }
     }
 
-    private void begin(long term, long leaderStamp) {
+    private void begin(long term, long leaderRevision) {
         leaderTerm = new LeaderTerm(
                 eventLoop,
                 store,
@@ -311,7 +311,7 @@
                 fleetCapacity,
                 leadership,
                 term,
-                leaderStamp,
+                leaderRevision,
                 machineTypes::types,
                 peers);
         leaderTerm.start();
--- a/src/main/java/io/sillreel/admission/Admission.java
+++ b/src/main/java/io/sillreel/admission/Admission.java
@@ -133,7 +133,7 @@
     }
 
     private CompletableFuture<HttpResponse> admit(JobSpec spec, int tries) {
-        if (store.silent()) {
+        if (store.isSilent()) {
             return done(cannotRead());
         }
         if (spec.awaits().isEmpty()) {
@@ -190,22 +190,22 @@
     /** Stores the values of a plan; a job which awaits a cancelled one is cancelled in the same transaction. */
     private CompletableFuture<Commit> commit(PlanRecord plan, Map<String, JsonNode> values, List<JobStatus> awaited) {
         String uid = plan.spec().uid();
-        Transaction txn = new Transaction().require(PlanRecord.key(uid), 0);
-        values.forEach(txn::set);
+        Transaction transaction = new Transaction().requireRevision(PlanRecord.key(uid), 0);
+        values.forEach(transaction::set);
         Optional<JobStatus> cancelled = firstCancelled(awaited);
         if (cancelled.isPresent()) {
             ObjectNode closed = Json.object()
                     .put("at_us", plan.admittedWallMicros())
                     .put("by", cancelled.get().uid());
-            txn.require(CancellationRecord.key(uid), 0).set(CancellationRecord.key(uid), closed);
+            transaction.requireRevision(CancellationRecord.key(uid), 0).set(CancellationRecord.key(uid), closed);
         } else {
             // As far as there is room: what is cancelled in this very moment closes the job all the same.
             awaited.stream()
                     .filter(each -> !each.done())
                     .limit(4L * settings.state().maxTransactionChanges() - 1)
-                    .forEach(each -> txn.require(CancellationRecord.key(each.uid()), 0));
+                    .forEach(each -> transaction.requireRevision(CancellationRecord.key(each.uid()), 0));
         }
-        return store.commit(txn);
+        return store.commit(transaction);
     }
 
     private static Optional<JobStatus> firstCancelled(List<JobStatus> awaited) {
@@ -216,8 +216,8 @@
         String uid = spec.uid();
         switch (commit.outcome()) {
             case OK -> {
-                return done(
-                        admitted(spec, commit.ledger(), firstCancelled(awaited).isPresent()));
+                return done(admitted(
+                        spec, commit.storeRevision(), firstCancelled(awaited).isPresent()));
             }
             case REFUSED -> {
                 return done(HttpResponse.retryLater(503, "the state service does not take the job now", RETRY_SECONDS));
@@ -295,11 +295,11 @@
             }
             String key = CancellationRecord.key(uid);
             // Conditional on the record as read: done and cancelled exclude each other.
-            Transaction txn = new Transaction()
-                    .require(key, 0)
-                    .require(RunRecord.key(uid), view.runStamp())
+            Transaction transaction = new Transaction()
+                    .requireRevision(key, 0)
+                    .requireRevision(RunRecord.key(uid), view.runStamp())
                     .set(key, Json.object().put("at_us", eventLoop.wallMicros()));
-            return store.commit(txn).thenCompose(commit -> {
+            return store.commit(transaction).thenCompose(commit -> {
                 if (commit.outcome() == Outcome.OK) {
                     JobStatus cancelled = new JobStatus(
                             uid,
@@ -308,7 +308,7 @@
                             view.awaits(),
                             view.runStamp(),
                             view.head(),
-                            commit.ledger(),
+                            commit.storeRevision(),
                             false);
                     views.remember(cancelled);
                     LOG.info("cancelled {}", uid);
--- a/src/main/java/io/sillreel/admission/JobStatusReader.java
+++ b/src/main/java/io/sillreel/admission/JobStatusReader.java
@@ -87,7 +87,7 @@
         PlanRecord plan = PlanRecord.of(entry.value());
         JobSpec spec = plan.spec();
         if (plan.complete() && !spec.awaits().isEmpty()) {
-            plans.put(spec.uid(), new ChainPlan(entry.stamp(), spec.tasks(), spec.awaits()));
+            plans.put(spec.uid(), new ChainPlan(entry.revision(), spec.tasks(), spec.awaits()));
         }
     }
 
@@ -104,7 +104,7 @@
         CompletableFuture<Read> run = store.get(RunRecord.key(uid));
         CompletableFuture<Read> cancel = store.get(CancellationRecord.key(uid));
         return CompletableFuture.allOf(planned, run, cancel).thenApply(ignored -> {
-            boolean decided = run.join().decided() && cancel.join().decided();
+            boolean decided = run.join().isDecided() && cancel.join().isDecided();
             if (planned.join().isEmpty() || !decided) {
                 return false;
             }
@@ -115,9 +115,9 @@
                     view.planStamp(),
                     view.tasks(),
                     view.awaits(),
-                    run.join().stamp(),
+                    run.join().revision(),
                     head == null ? null : RunRecord.Head.of(head.value()),
-                    cancel.join().stamp(),
+                    cancel.join().revision(),
                     false));
             return true;
         });
@@ -130,7 +130,7 @@
             return CompletableFuture.completedFuture(Optional.of(old));
         }
         return store.get(PlanRecord.key(uid)).thenCompose(read -> {
-            if (!read.decided()) {
+            if (!read.isDecided()) {
                 return CompletableFuture.completedFuture(Optional.empty());
             }
             if (read.entry() == null) {
@@ -138,7 +138,7 @@
             }
             return PlanRecord.of(read.entry().value())
                     .complete(store)
-                    .thenApply(plan -> plan.map(whole -> planned(uid, read.stamp(), whole.spec())));
+                    .thenApply(plan -> plan.map(whole -> planned(uid, read.revision(), whole.spec())));
         });
     }
 
--- a/src/main/java/io/sillreel/admission/JobStatusService.java
+++ b/src/main/java/io/sillreel/admission/JobStatusService.java
@@ -102,7 +102,7 @@
             if (view.terminal()) {
                 return CompletableFuture.completedFuture(view);
             }
-            if (store.silent()) {
+            if (store.isSilent()) {
                 return CompletableFuture.completedFuture(null);
             }
         }
@@ -232,18 +232,18 @@
     /** Compares in as many transactions as it takes: a cancellation is for ever, so they need not be one moment's. */
     private CompletableFuture<StateStore.Commit> compare(Map<String, Long> conditions) {
         List<CompletableFuture<StateStore.Commit>> parts = new ArrayList<>();
-        Transaction txn = new Transaction();
+        Transaction transaction = new Transaction();
         int size = 0;
         for (Map.Entry<String, Long> condition : conditions.entrySet()) {
             if (size == mostConditions) {
-                parts.add(store.commit(txn));
-                txn = new Transaction();
+                parts.add(store.commit(transaction));
+                transaction = new Transaction();
                 size = 0;
             }
-            txn.require(condition.getKey(), condition.getValue());
+            transaction.requireRevision(condition.getKey(), condition.getValue());
             size++;
         }
-        parts.add(store.commit(txn));
+        parts.add(store.commit(transaction));
         gatherMicros = Math.min(MAX_GATHER_MICROS, GATHER_MICROS + GATHER_PER_PART_MICROS * (parts.size() - 1));
         return CompletableFuture.allOf(parts.toArray(CompletableFuture[]::new)).thenApply(all -> {
             Outcome outcome = Outcome.OK;
@@ -279,7 +279,7 @@
                 }
                 case UNKNOWN -> {
                     // Transactions alone may go unanswered for a while; reading says the same.
-                    if (store.silent()) {
+                    if (store.isSilent()) {
                         question.answer().complete(null);
                     } else {
                         reader.learn(Set.of(question.uid())).thenAccept(learnt -> answerFrom(question, learnt, true));
--- a/src/main/java/io/sillreel/cli/TrainingServices.java
+++ b/src/main/java/io/sillreel/cli/TrainingServices.java
@@ -21,7 +21,7 @@
     private final TreeMap<String, ObjectNode> keys = new TreeMap<>();
     private final List<ObjectNode> changes = new ArrayList<>();
     private final List<Watcher> watchers = new ArrayList<>();
-    private long ledger = 1;
+    private long storeRevision = 1;
 
     synchronized CompletableFuture<HttpResponse> handle(HttpRequest request) {
         String route = request.route();
@@ -44,16 +44,21 @@
     }
 
     private HttpResponse commit(JsonNode body) {
-        ledger++;
+        storeRevision++;
         for (JsonNode change : body.path("then")) {
             if (change.has("set")) {
                 String key = change.path("set").asText();
-                keys.put(key, Json.object().put("k", key).put("stamp", ledger).set("v", change.path("v")));
-                changes.add(Json.object().put("set", key).put("stamp", ledger).set("v", change.path("v")));
+                keys.put(
+                        key,
+                        Json.object().put("k", key).put("stamp", storeRevision).set("v", change.path("v")));
+                changes.add(Json.object()
+                        .put("set", key)
+                        .put("stamp", storeRevision)
+                        .set("v", change.path("v")));
             }
         }
         wake();
-        return HttpResponse.of(200, Json.object().put("ledger", ledger));
+        return HttpResponse.of(200, Json.object().put("ledger", storeRevision));
     }
 
     private void wake() {
@@ -65,14 +70,14 @@
                     result.add(change);
                 }
             }
-            ObjectNode body = Json.object().put("ledger", ledger);
+            ObjectNode body = Json.object().put("ledger", storeRevision);
             body.set("news", result);
             return !result.isEmpty() && watcher.answer().complete(HttpResponse.of(200, body));
         });
     }
 
     private HttpResponse list(String prefix) {
-        ObjectNode body = Json.object().put("truncated", false).put("ledger", ledger);
+        ObjectNode body = Json.object().put("truncated", false).put("ledger", storeRevision);
         ArrayNode entries = body.putArray("entries");
         keys.subMap(prefix, prefix + Character.MAX_VALUE).values().forEach(entries::add);
         return HttpResponse.of(200, body);
@@ -80,7 +85,9 @@
 
     private HttpResponse get(String key) {
         ObjectNode entry = keys.get(key);
-        return entry == null ? HttpResponse.of(404, Json.object().put("ledger", ledger)) : HttpResponse.of(200, entry);
+        return entry == null
+                ? HttpResponse.of(404, Json.object().put("ledger", storeRevision))
+                : HttpResponse.of(200, entry);
     }
 
     private static ObjectNode machineTypes() {
--- a/src/main/java/io/sillreel/cloud/MachineTypeCatalog.java
+++ b/src/main/java/io/sillreel/cloud/MachineTypeCatalog.java
@@ -46,13 +46,13 @@
                 learn(read.entry().value());
             }
             if (types.isEmpty() || holdsLease.getAsBoolean()) {
-                ask(read.stamp(), read.decided());
+                ask(read.revision(), read.isDecided());
             }
             eventLoop.schedule(types.isEmpty() ? RETRY_MICROS : REFRESH_MICROS, this::start);
         });
     }
 
-    private void ask(long stamp, boolean storable) {
+    private void ask(long revision, boolean storable) {
         cloud.machineTypes().thenAccept(answer -> {
             if (answer.outcome() != CloudClient.Outcome.OK
                     || MachineType.read(answer.body()).isEmpty()) {
@@ -60,7 +60,7 @@
             }
             learn(answer.body());
             if (storable) {
-                store.commit(new Transaction().require(KEY, stamp).set(KEY, answer.body()))
+                store.commit(new Transaction().requireRevision(KEY, revision).set(KEY, answer.body()))
                         .thenAccept(commit -> {
                             if (commit.outcome() == Outcome.TOO_LARGE) {
                                 LOG.error(
--- a/src/main/java/io/sillreel/cluster/ScaleOutRequest.java
+++ b/src/main/java/io/sillreel/cluster/ScaleOutRequest.java
@@ -33,7 +33,7 @@
     private final Set<String> up = new LinkedHashSet<>();
     private final List<ScaleOutRequest> splitOff = new ArrayList<>();
     private Runnable onStored = () -> {};
-    private long stamp;
+    private long revision;
     private boolean answered;
     private boolean dropped;
     private boolean maybeExecuted;
@@ -49,14 +49,14 @@
     }
 
     /** Reads a stored rental. */
-    public static ScaleOutRequest of(String key, JsonNode value, long stamp) {
+    public static ScaleOutRequest of(String key, JsonNode value, long revision) {
         ScaleOutRequest rental = new ScaleOutRequest(
                 key.substring(PREFIX.length()),
                 value.path("build").asText(),
                 value.path("yard").asText(),
                 value.path("spot").asBoolean(),
                 value.path("count").asInt());
-        rental.stamp = stamp;
+        rental.revision = revision;
         rental.answered = value.has("machines");
         rental.maybeExecuted = true;
         value.path("machines").forEach(machine -> rental.machines.add(machine.asText()));
@@ -94,8 +94,8 @@
     }
 
     @Override
-    public List<WriteQueue.PendingWrite> first() {
-        splitOff.removeIf(rental -> rental.stamp > 0 || rental.dropped);
+    public List<WriteQueue.PendingWrite> prerequisites() {
+        splitOff.removeIf(rental -> rental.revision > 0 || rental.dropped);
         return List.copyOf(splitOff);
     }
 
@@ -198,8 +198,8 @@
     }
 
     @Override
-    public long stamp() {
-        return stamp;
+    public long revision() {
+        return revision;
     }
 
     @Override
@@ -231,8 +231,8 @@
     }
 
     @Override
-    public void stored(long newStamp) {
-        stamp = dropped ? 0 : newStamp;
+    public void onStored(long newRevision) {
+        revision = dropped ? 0 : newRevision;
         storedMachines.clear();
         storedMachines.addAll(sentMachines);
         Runnable then = onStored;
@@ -241,7 +241,7 @@
     }
 
     @Override
-    public void moved(long newStamp) {
-        stamp = newStamp;
+    public void onConflict(long newRevision) {
+        revision = newRevision;
     }
 }
--- a/src/main/java/io/sillreel/fleet/FleetManager.java
+++ b/src/main/java/io/sillreel/fleet/FleetManager.java
@@ -30,7 +30,7 @@
     private final EventLoop eventLoop;
     private final Cluster cluster;
     private final CloudClient cloud;
-    private final WriteQueue writer;
+    private final WriteQueue writeQueue;
     private final BooleanSupplier mayAct;
     private final FleetRegistry registry;
     private final ScaleInPolicy retirement;
@@ -48,7 +48,7 @@
             long term,
             Cluster cluster,
             CloudClient cloud,
-            WriteQueue writer,
+            WriteQueue writeQueue,
             Settings settings,
             OperatorProperties operator,
             FleetCapacity fleetCapacity,
@@ -60,10 +60,10 @@
         this.eventLoop = eventLoop;
         this.cluster = cluster;
         this.cloud = cloud;
-        this.writer = writer;
+        this.writeQueue = writeQueue;
         this.mayAct = mayAct;
         this.registry = new FleetRegistry(
-                eventLoop, term, cluster, writer, settings.state().values(), types, clear);
+                eventLoop, term, cluster, writeQueue, settings.state().values(), types, clear);
         this.retirement = new ScaleInPolicy(
                 eventLoop, cluster, settings.workers(), operator, capacity, FleetThresholds.of(settings), undisturbed);
         this.reconciler = new CloudListReconciler(
@@ -72,7 +72,7 @@
                 eventLoop,
                 cluster,
                 cloud,
-                writer,
+                writeQueue,
                 registry,
                 capacity,
                 fleetCapacity,
@@ -93,7 +93,7 @@
     /** A machine has reported: it is stored as up before it may be given tasks. */
     public void cameUp(Machine machine) {
         if (machine.rental().cameUp(machine.name())) {
-            writer.enqueue(machine.rental());
+            writeQueue.enqueue(machine.rental());
         }
     }
 
@@ -114,7 +114,7 @@
         long now = eventLoop.nowMicros();
         synchronized (cluster) {
             retirement.retire(now);
-            wentDown.stream().filter(rental -> !rental.dropped()).forEach(writer::enqueue);
+            wentDown.stream().filter(rental -> !rental.dropped()).forEach(writeQueue::enqueue);
             wentDown.clear();
         }
         reconciler.tick(now);
--- a/src/main/java/io/sillreel/fleet/FleetRegistry.java
+++ b/src/main/java/io/sillreel/fleet/FleetRegistry.java
@@ -27,7 +27,7 @@
     private final EventLoop eventLoop;
     private final long term;
     private final Cluster cluster;
-    private final WriteQueue writer;
+    private final WriteQueue writeQueue;
     private final ValueLimits limits;
     private final Supplier<Map<String, MachineType>> types;
     private final Consumer<Machine> clear;
@@ -42,14 +42,14 @@
             EventLoop eventLoop,
             long term,
             Cluster cluster,
-            WriteQueue writer,
+            WriteQueue writeQueue,
             ValueLimits limits,
             Supplier<Map<String, MachineType>> types,
             Consumer<Machine> clear) {
         this.eventLoop = eventLoop;
         this.term = term;
         this.cluster = cluster;
-        this.writer = writer;
+        this.writeQueue = writeQueue;
         this.limits = limits;
         this.types = types;
         this.clear = clear;
@@ -87,9 +87,9 @@
     void inherit(ScaleOutRequest rental, long aliveUntilMicros) {
         int most = maxMachinesOfARental();
         if (rental.machines().size() > most) {
-            rental.split(most, writer::enqueue).forEach(part -> {
+            rental.split(most, writeQueue::enqueue).forEach(part -> {
                 inherit(part, aliveUntilMicros);
-                writer.enqueue(part);
+                writeQueue.enqueue(part);
             });
         }
         add(rental);
@@ -98,7 +98,7 @@
             if (cluster.machine(name) != null) {
                 // Cut off from another rental that was not written again: one of them is enough.
                 rental.gone(name);
-                writer.enqueue(rental);
+                writeQueue.enqueue(rental);
             } else if (type != null) {
                 Machine machine = machine(name, type, rental, eventLoop.nowMicros());
                 machine.aliveUntil(aliveUntilMicros);
@@ -118,7 +118,7 @@
         add(rental);
         LOG.info("machine {} ({}, {}) was not expected, it is taken into the fleet", name, build, zone);
         Machine machine = enter(name, rental, eventLoop.nowMicros());
-        writer.enqueue(rental);
+        writeQueue.enqueue(rental);
         return machine;
     }
 
@@ -155,6 +155,6 @@
         if (machine.rental().dropped()) {
             rentals.remove(machine.rental().name());
         }
-        writer.enqueue(machine.rental());
+        writeQueue.enqueue(machine.rental());
     }
 }
--- a/src/main/java/io/sillreel/fleet/ScaleOut.java
+++ b/src/main/java/io/sillreel/fleet/ScaleOut.java
@@ -28,7 +28,7 @@
     private final EventLoop eventLoop;
     private final Cluster cluster;
     private final CloudClient cloud;
-    private final WriteQueue writer;
+    private final WriteQueue writeQueue;
     private final FleetRegistry registry;
     private final CapacityPlanner capacity;
     private final FleetCapacity fleetCapacity;
@@ -45,7 +45,7 @@
             EventLoop eventLoop,
             Cluster cluster,
             CloudClient cloud,
-            WriteQueue writer,
+            WriteQueue writeQueue,
             FleetRegistry registry,
             CapacityPlanner capacity,
             FleetCapacity fleetCapacity,
@@ -55,7 +55,7 @@
         this.eventLoop = eventLoop;
         this.cluster = cluster;
         this.cloud = cloud;
-        this.writer = writer;
+        this.writeQueue = writeQueue;
         this.registry = registry;
         this.capacity = capacity;
         this.fleetCapacity = fleetCapacity;
@@ -67,7 +67,7 @@
     /** Asks for what the capacity planner wants, unless more urgent writes wait. */
     void rent(long now) {
         // A rental is stored before the cloud is asked, so it waits while as urgent writes are behind.
-        if (!mayAct.getAsBoolean() || writer.pressing() > txnOps) {
+        if (!mayAct.getAsBoolean() || writeQueue.urgentCount() > txnOps) {
             return;
         }
         List<ScaleOutProposal> rentalRequests;
@@ -95,7 +95,7 @@
                 new ScaleOutRequest(registry.newName(), request.type().name(), request.zone(), request.spot(), count);
         registry.add(rental);
         rental.onStored(() -> ask(rental));
-        writer.enqueue(rental);
+        writeQueue.enqueue(rental);
     }
 
     /** Rentals that the cloud has yet to answer: how many, and what they may bring. */
@@ -143,7 +143,7 @@
         for (ScaleOutRequest rental : List.copyOf(registry.rentals())) {
             if (!rental.answered()
                     && !rental.dropped()
-                    && rental.stamp() > 0
+                    && rental.revision() > 0
                     && now - rental.askedMicros() > RENTAL_RETRY_MICROS + CloudClient.TIMEOUT_MICROS) {
                 ask(rental);
             }
@@ -190,12 +190,12 @@
                 if (fresh.isEmpty()) {
                     registry.forget(rental);
                 }
-                writer.enqueue(rental);
+                writeQueue.enqueue(rental);
             }
             case NO_CAPACITY -> {
                 capacity.full(rental.build(), rental.zone(), rental.spot(), now + FULL_PAUSE_MICROS);
                 registry.forget(rental);
-                writer.enqueue(rental);
+                writeQueue.enqueue(rental);
             }
             case REFUSED -> {
                 if (rental.maybeExecuted()) {
@@ -204,7 +204,7 @@
                     // Surely rented nothing; the request is formed anew when the cloud answers again.
                     capacity.full(rental.build(), rental.zone(), rental.spot(), now + RENTAL_RETRY_MICROS);
                     registry.forget(rental);
-                    writer.enqueue(rental);
+                    writeQueue.enqueue(rental);
                 }
             }
             default -> {
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
@@ -63,7 +63,7 @@
             EventLoop eventLoop,
             long term,
             Cluster cluster,
-            WriteQueue writer,
+            WriteQueue writeQueue,
             WorkerTimes times,
             FleetThresholds thresholds,
             RetrySchedule retries,
@@ -79,7 +79,7 @@
         this.callbacks = callbacks;
         this.mayAct = mayAct;
         this.nothing = new AgentCommands().reply(term);
-        this.reconciler = new TaskReconciler(eventLoop, cluster, writer, retries, estimates, callbacks::progressed);
+        this.reconciler = new TaskReconciler(eventLoop, cluster, writeQueue, retries, estimates, callbacks::progressed);
         this.attemptIds = new AttemptIds(term);
         this.commandWriter = new CommandWriter(eventLoop, attemptIds, cluster, planner);
     }
--- a/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
+++ b/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
@@ -22,7 +22,7 @@
 
     private final EventLoop eventLoop;
     private final Cluster cluster;
-    private final WriteQueue writer;
+    private final WriteQueue writeQueue;
     private final RetrySchedule retries;
     private final RuntimeEstimator estimates;
     private final Runnable progressed;
@@ -31,13 +31,13 @@
     TaskReconciler(
             EventLoop eventLoop,
             Cluster cluster,
-            WriteQueue writer,
+            WriteQueue writeQueue,
             RetrySchedule retries,
             RuntimeEstimator estimates,
             Runnable progressed) {
         this.eventLoop = eventLoop;
         this.cluster = cluster;
-        this.writer = writer;
+        this.writeQueue = writeQueue;
         this.retries = retries;
         this.estimates = estimates;
         this.progressed = progressed;
@@ -131,7 +131,7 @@
                 machine.faults().clearSuspicion(job.uid());
                 judge(job);
                 if (job.settle(allocation.index()) && !job.cancelled()) {
-                    writer.enqueue(job);
+                    writeQueue.enqueue(job);
                 }
             }
             case "error" -> failed(machine, job, allocation);
@@ -175,7 +175,7 @@
                         retries, eventLoop.wallMicros(), "its tasks failed on " + String.join(" and ", job.failedOn()));
                 job.failedOn().clear();
                 LOG.info("job {}: {}", job.uid(), job.reason());
-                writer.enqueue(job);
+                writeQueue.enqueue(job);
             }
             default ->
                 LOG.info(
--- a/src/main/java/io/sillreel/leadership/LeaderElection.java
+++ b/src/main/java/io/sillreel/leadership/LeaderElection.java
@@ -26,7 +26,7 @@
 
     /** Told in the loop when the lease is taken and when it is lost. */
     public interface Listener {
-        void took(long term, long leaderStamp);
+        void took(long term, long leaderRevision);
 
         void lost(String reason);
     }
@@ -48,7 +48,7 @@
     private final LongSupplier termFloor;
 
     private Leader known = new Leader(null, 0);
-    private long permit;
+    private long leaseId;
     private long heldTerm;
     private long proofMicros;
     private boolean renewing;
@@ -124,10 +124,10 @@
 
     /** Gives the lease up, so that another controller can take it at once. */
     public void resign(String reason) {
-        long granted = permit;
+        long granted = leaseId;
         if (heldTerm() > 0) {
             lose(reason);
-            store.revoke(granted);
+            store.revokeLease(granted);
         }
     }
 
@@ -149,17 +149,17 @@
                     .orElse(null);
             if (entry == null) {
                 note(null, 0);
-                acquire(0, listing.ledger());
+                acquire(0, listing.storeRevision());
             } else {
                 note(
                         entry.value().path("node").asText(),
                         entry.value().path("term").asLong());
                 if (heldTerm() == 0 && node.equals(known().node())) {
                     // Our own earlier life: it is dead, so there is nobody to wait for.
-                    acquire(entry.stamp(), listing.ledger());
+                    acquire(entry.revision(), listing.storeRevision());
                 } else {
                     settled();
-                    watch(listing.ledger());
+                    watch(listing.storeRevision());
                 }
             }
         });
@@ -186,12 +186,12 @@
                 }
             }
             if (vacant) {
-                acquire(0, result.ledger());
+                acquire(0, result.storeRevision());
             } else if (heldTerm() == 0 && (known().node() == null || ++watches % LOOK_EVERY_WATCHES == 0)) {
                 // A key that has vanished without a change would be watched for ever.
                 look();
             } else {
-                watch(result.ledger());
+                watch(result.storeRevision());
             }
         });
     }
@@ -210,27 +210,27 @@
         }
     }
 
-    private void acquire(long leaderStamp, long ledger) {
+    private void acquire(long leaderRevision, long storeRevision) {
         long sent = eventLoop.nowMicros();
         if (sent < notBeforeMicros) {
-            watch(ledger);
+            watch(storeRevision);
             return;
         }
-        store.grant(leaseMicros).thenAccept(grant -> {
+        store.grantLease(leaseMicros).thenAccept(grant -> {
             if (grant.outcome() != Outcome.OK) {
                 settled();
                 eventLoop.schedule(RETRY_MICROS, this::look);
                 return;
             }
             store.get(TERM_KEY).thenAccept(read -> {
-                if (!read.decided()) {
+                if (!read.isDecided()) {
                     settled();
-                    store.revoke(grant.permit());
+                    store.revokeLease(grant.leaseId());
                     eventLoop.schedule(RETRY_MICROS, this::look);
                     return;
                 }
                 long term = 1 + Math.max(storedTerm(read), termFloor.getAsLong());
-                take(grant.permit(), sent, leaderStamp, read.stamp(), term, ledger);
+                take(grant.leaseId(), sent, leaderRevision, read.revision(), term, storeRevision);
             });
         });
     }
@@ -240,31 +240,31 @@
         return read.entry() == null ? 0 : read.entry().value().path("term").asLong();
     }
 
-    private void take(long granted, long sent, long leaderStamp, long termStamp, long term, long ledger) {
+    private void take(long granted, long sent, long leaderRevision, long termRevision, long term, long storeRevision) {
         ObjectNode leader = Json.object().put("node", node).put("term", term);
-        Transaction txn = new Transaction()
-                .require(LEADER_KEY, leaderStamp)
-                .require(TERM_KEY, termStamp)
+        Transaction transaction = new Transaction()
+                .requireRevision(LEADER_KEY, leaderRevision)
+                .requireRevision(TERM_KEY, termRevision)
                 .set(LEADER_KEY, leader, granted)
                 .set(TERM_KEY, Json.object().put("term", term));
-        store.commit(txn).thenAccept(commit -> {
+        store.commit(transaction).thenAccept(commit -> {
             if (commit.outcome() != Outcome.OK) {
                 // Lost the race, or can't know: the lease is ended so that a late success does not linger.
-                store.revoke(granted);
+                store.revokeLease(granted);
                 eventLoop.schedule(commit.outcome() == Outcome.CONFLICT ? 0 : RETRY_MICROS, this::look);
                 return;
             }
             synchronized (this) {
-                permit = granted;
+                leaseId = granted;
                 heldTerm = term;
                 proofMicros = sent;
                 known = new Leader(node, term);
             }
             LOG.info("took the lease: term {}", term);
-            listener.took(term, commit.ledger());
+            listener.took(term, commit.storeRevision());
             settled();
             eventLoop.schedule(leaseMicros / 3, this::renew);
-            watch(commit.ledger());
+            watch(commit.storeRevision());
         });
     }
 
@@ -275,14 +275,14 @@
                 return;
             }
             renewing = true;
-            granted = permit;
+            granted = leaseId;
         }
         long sent = eventLoop.nowMicros();
-        store.touch(granted).thenAccept(outcome -> {
+        store.renewLease(granted).thenAccept(outcome -> {
             boolean ours;
             synchronized (this) {
                 renewing = false;
-                ours = heldTerm > 0 && permit == granted;
+                ours = heldTerm > 0 && leaseId == granted;
                 if (ours && outcome == Outcome.OK) {
                     proofMicros = Math.max(proofMicros, sent);
                 }
@@ -307,7 +307,7 @@
             }
             LOG.info("lost the lease of term {}: {}", heldTerm, reason);
             heldTerm = 0;
-            permit = 0;
+            leaseId = 0;
         }
         listener.lost(reason);
     }
--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -44,7 +44,7 @@
     private final EventLoop eventLoop;
     private final StateStore store;
     private final Cluster cluster;
-    private final WriteQueue writer;
+    private final WriteQueue writeQueue;
     private final CapacityPlanner capacity;
     private final ValueLimits limits;
     private final Runnable changed;
@@ -75,7 +75,7 @@
             EventLoop eventLoop,
             StateStore store,
             Cluster cluster,
-            WriteQueue writer,
+            WriteQueue writeQueue,
             CapacityPlanner capacity,
             RuntimeEstimator estimates,
             ValueLimits limits,
@@ -85,7 +85,7 @@
         this.eventLoop = eventLoop;
         this.store = store;
         this.cluster = cluster;
-        this.writer = writer;
+        this.writeQueue = writeQueue;
         this.capacity = capacity;
         this.limits = limits;
         this.changed = changed;
@@ -132,18 +132,18 @@
         }
         add(job);
         if (job.complete() && !job.cancelled()) {
-            writer.enqueue(job);
+            writeQueue.enqueue(job);
         }
         return job;
     }
 
     @Override
     public void toWrite(List<? extends WriteQueue.PendingWrite> items) {
-        items.forEach(writer::enqueue);
+        items.forEach(writeQueue::enqueue);
     }
 
-    private ActiveJob create(PlanRecord plan, long stamp) {
-        return new ActiveJob(plan.spec(), stamp, plan.admittedWallMicros(), limits, this);
+    private ActiveJob create(PlanRecord plan, long revision) {
+        return new ActiveJob(plan.spec(), revision, plan.admittedWallMicros(), limits, this);
     }
 
     private void add(ActiveJob job) {
@@ -158,18 +158,18 @@
     }
 
     /** A job that was admitted during the term; names in overflow values are read first. */
-    private void enter(PlanRecord plan, long stamp) {
+    private void enter(PlanRecord plan, long revision) {
         plan.complete(store).thenAccept(complete -> {
             if (closed) {
                 return;
             }
             if (complete.isEmpty()) {
-                eventLoop.schedule(RETRY_MICROS, () -> enter(plan, stamp));
+                eventLoop.schedule(RETRY_MICROS, () -> enter(plan, revision));
                 return;
             }
             synchronized (cluster) {
                 if (cluster.job(plan.spec().uid()) == null) {
-                    ActiveJob job = create(complete.get(), stamp);
+                    ActiveJob job = create(complete.get(), revision);
                     add(job);
                     dependencies.enter(job, cancelledUids::contains);
                     inheritance.joined(job);
@@ -188,7 +188,7 @@
             capacity.arrived(job.spec(), job.readyWallMicros());
         }
         if (!job.released()) {
-            writer.enqueue(job);
+            writeQueue.enqueue(job);
         }
     }
 
@@ -199,7 +199,7 @@
     public void closed(ActiveJob job, String because) {
         if (cancelledUids.add(job.uid())) {
             LOG.info("cancelled {}, which needs {}", job.uid(), because);
-            writer.enqueue(new CascadingCancellation(job.uid(), because, eventLoop.wallMicros()));
+            writeQueue.enqueue(new CascadingCancellation(job.uid(), because, eventLoop.wallMicros()));
         }
         foundCancelled(job);
     }
@@ -238,7 +238,7 @@
                 PLAN_WATCH_MICROS,
                 change -> {
                     if (change.value() != null) {
-                        enter(PlanRecord.of(change.value()), change.stamp());
+                        enter(PlanRecord.of(change.value()), change.revision());
                     }
                 },
                 sent -> {});
@@ -281,7 +281,7 @@
                         result.changes().forEach(each);
                     }
                     proven.accept(sent);
-                    follow(prefix, result.ledger(), blockMicros, each, proven);
+                    follow(prefix, result.storeRevision(), blockMicros, each, proven);
                 }
                 case COMPACTED -> missedChanges.accept(prefix);
                 default -> eventLoop.schedule(RETRY_MICROS, () -> follow(prefix, since, blockMicros, each, proven));
--- a/src/main/java/io/sillreel/leadership/LeaderStatus.java
+++ b/src/main/java/io/sillreel/leadership/LeaderStatus.java
@@ -20,15 +20,15 @@
     private final long term;
     private final Cluster cluster;
     private final CapacityPlanner capacity;
-    private final WriteQueue writer;
+    private final WriteQueue writeQueue;
     private long statusMicros;
 
-    LeaderStatus(EventLoop eventLoop, long term, Cluster cluster, CapacityPlanner capacity, WriteQueue writer) {
+    LeaderStatus(EventLoop eventLoop, long term, Cluster cluster, CapacityPlanner capacity, WriteQueue writeQueue) {
         this.eventLoop = eventLoop;
         this.term = term;
         this.cluster = cluster;
         this.capacity = capacity;
-        this.writer = writer;
+        this.writeQueue = writeQueue;
     }
 
     /** Every so often one line that tells an on-call reader how things stand. */
@@ -82,7 +82,7 @@
             gauges.put("sillreel.cpus.starting", capacity.startingCpus());
             gauges.put("sillreel.cpus.wanted", capacity.wantedCpus(eventLoop.wallMicros()));
             gauges.put("sillreel.cpus.standing", capacity.standingCpus(eventLoop.wallMicros()));
-            gauges.put("sillreel.writes.waiting", (double) writer.backlog());
+            gauges.put("sillreel.writes.waiting", (double) writeQueue.backlog());
             gauges.put("sillreel.machines.unheard", (double) cluster.unheard().size());
             gauges.put("sillreel.work", (double) cluster.work());
             return gauges;
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -56,7 +56,7 @@
     private final long term;
     private final Supplier<Map<String, MachineType>> types;
     private final Cluster cluster;
-    private final WriteQueue writer;
+    private final WriteQueue writeQueue;
     private final RuntimeEstimator estimates = new RuntimeEstimator();
     private final CapacityPlanner capacity;
     private final HeartbeatProcessor reportProcessor;
@@ -82,7 +82,7 @@
             FleetCapacity fleetCapacity,
             LeaderElection leadership,
             long term,
-            long leaderStamp,
+            long leaderRevision,
             Supplier<Map<String, MachineType>> types,
             Peers peers) {
         this.eventLoop = eventLoop;
@@ -93,11 +93,11 @@
         this.term = term;
         this.types = types;
         this.cluster = new Cluster(settings.teams());
-        this.writer = new WriteQueue(
+        this.writeQueue = new WriteQueue(
                 store,
                 eventLoop,
                 LeaderElection.LEADER_KEY,
-                leaderStamp,
+                leaderRevision,
                 settings.state().maxTransactionChanges(),
                 () -> leadership.resign("the leader key has changed"));
         ServiceLevelObjectives deadlines = new ServiceLevelObjectives(settings.objectives(), estimates);
@@ -107,14 +107,14 @@
                 eventLoop,
                 store,
                 cluster,
-                writer,
+                writeQueue,
                 capacity,
                 estimates,
                 settings.state().values(),
                 this::progressed,
                 this::haltTasks,
                 prefix -> leadership.resign("the changes under " + prefix + " were missed"));
-        this.status = new LeaderStatus(eventLoop, term, cluster, capacity, writer);
+        this.status = new LeaderStatus(eventLoop, term, cluster, capacity, writeQueue);
         this.reportProcessor = newReportProcessor(operator, planner);
         this.slowMachines = new StragglerDetector(cluster, estimates);
         this.reachability = new LeaderReachability(eventLoop, settings, leadership, peers, cluster);
@@ -135,7 +135,7 @@
                 eventLoop,
                 term,
                 cluster,
-                writer,
+                writeQueue,
                 settings.workers(),
                 FleetThresholds.of(settings),
                 retries(operator),
@@ -151,7 +151,7 @@
                 term,
                 cluster,
                 cloud,
-                writer,
+                writeQueue,
                 settings,
                 operator,
                 fleetCapacity,
@@ -180,7 +180,7 @@
         closed = true;
         planning.close();
         jobs.close();
-        writer.close();
+        writeQueue.close();
     }
 
     public long term() {
@@ -287,7 +287,7 @@
             leadership.resign("the term has no attempt ids left");
             return;
         }
-        reachability.review(jobs.cancellationProofMicros(), writer.stuck());
+        reachability.review(jobs.cancellationProofMicros(), writeQueue.isStuck());
     }
 
     @Override
--- a/src/main/java/io/sillreel/leadership/StoredJobsReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredJobsReader.java
@@ -59,7 +59,7 @@
             } else if (RunRecord.isDone(entry.value())) {
                 done.add(rest);
             } else {
-                heads.put(rest, new Head(RunRecord.Head.of(entry.value()), entry.stamp()));
+                heads.put(rest, new Head(RunRecord.Head.of(entry.value()), entry.revision()));
             }
             runsReadUpTo = rest;
         }
@@ -118,7 +118,7 @@
             Head head = heads.remove(uid);
             unfinished.add(new StoredJob(
                     PlanRecord.of(plan.value()),
-                    plan.stamp(),
+                    plan.revision(),
                     head == null ? null : head.head(),
                     head == null ? 0 : head.stamp(),
                     RunRecord.StoredChunks.NONE));
--- a/src/main/java/io/sillreel/leadership/StoredStateReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredStateReader.java
@@ -60,7 +60,7 @@
             return next();
         });
         CompletableFuture<Scan> hired = store.scan(ScaleOutRequest.PREFIX, page -> {
-            page.forEach(entry -> rentals.add(ScaleOutRequest.of(entry.key(), entry.value(), entry.stamp())));
+            page.forEach(entry -> rentals.add(ScaleOutRequest.of(entry.key(), entry.value(), entry.revision())));
             return next();
         });
         runs.thenAccept(scan -> jobs.runsRead(scan.outcome() == Outcome.OK));
@@ -72,8 +72,8 @@
             return complete(jobs.state(
                     cancelled,
                     rentals,
-                    plans.join().ledger(),
-                    cancellations.join().ledger()));
+                    plans.join().storeRevision(),
+                    cancellations.join().storeRevision()));
         });
     }
 
--- a/src/main/java/io/sillreel/pipeline/ActiveJob.java
+++ b/src/main/java/io/sillreel/pipeline/ActiveJob.java
@@ -75,8 +75,8 @@
     }
 
     /** Takes over what an earlier leader stored: the job may have tasks anywhere in the stored fleet. */
-    public void inherit(long stamp, RunRecord.Head head, RunRecord.StoredChunks storedParts) {
-        runStamp = stamp;
+    public void inherit(long revision, RunRecord.Head head, RunRecord.StoredChunks storedParts) {
+        runStamp = revision;
         released = true;
         inherited = true;
         ready = true;
@@ -319,25 +319,27 @@
     }
 
     @Override
-    public long stamp() {
+    public long revision() {
         return runStamp;
     }
 
     @Override
     public WriteQueue.WriteUrgency urgency() {
         if (complete()) {
-            return WriteQueue.WriteUrgency.END;
+            return WriteQueue.WriteUrgency.JOB_END;
         }
-        return released && attempts == attemptsSent ? WriteQueue.WriteUrgency.PROGRESS : WriteQueue.WriteUrgency.START;
+        return released && attempts == attemptsSent
+                ? WriteQueue.WriteUrgency.PROGRESS
+                : WriteQueue.WriteUrgency.JOB_START;
     }
 
     @Override
-    public String absent() {
+    public String requiredAbsentKey() {
         return CancellationRecord.key(spec.uid());
     }
 
     @Override
-    public List<WriteQueue.PendingWrite> first() {
+    public List<WriteQueue.PendingWrite> prerequisites() {
         return done.first();
     }
 
@@ -366,8 +368,8 @@
     }
 
     @Override
-    public void stored(long stamp) {
-        runStamp = stamp;
+    public void onStored(long revision) {
+        runStamp = revision;
         released = true;
         doneStored |= doneSent;
         List<WriteQueue.PendingWrite> unneeded = done.headStored(doneStored);
@@ -378,19 +380,19 @@
     }
 
     @Override
-    public void tooLarge() {
+    public void onTooLarge() {
         if (done.moveToParts()) {
             watcher.toWrite(List.of(this));
         }
     }
 
     @Override
-    public void moved(long stamp) {
-        runStamp = stamp;
+    public void onConflict(long revision) {
+        runStamp = revision;
     }
 
     @Override
-    public void forbidden() {
+    public void onPreconditionFailed() {
         watcher.foundCancelled(this);
     }
 }
--- a/src/main/java/io/sillreel/pipeline/CascadingCancellation.java
+++ b/src/main/java/io/sillreel/pipeline/CascadingCancellation.java
@@ -19,7 +19,7 @@
 
     @Override
     public Map<String, JsonNode> changes() {
-        return stamp() > 0
+        return revision() > 0
                 ? Map.of()
                 : Map.of(key(), Json.object().put("at_us", wallMicros).put("by", because));
     }
--- a/src/main/java/io/sillreel/pipeline/CompletionBitmapChunks.java
+++ b/src/main/java/io/sillreel/pipeline/CompletionBitmapChunks.java
@@ -83,7 +83,7 @@
                 return false;
             }
             if (older != null) {
-                stored.put(older.key(), older.stamp());
+                stored.put(older.key(), older.revision());
             }
             pending.put(index, new Chunk(index, ++lastGeneration, done.get(index * per, (index + 1) * per)));
             return true;
@@ -115,7 +115,7 @@
         System.arraycopy(generations, 0, named, 0, named.length);
         pending.values().removeIf(part -> {
             if (part.isStored() && named[part.index] == part.generation) {
-                stored.put(part.key(), part.stamp());
+                stored.put(part.key(), part.revision());
                 return true;
             }
             return false;
@@ -130,7 +130,7 @@
 
     /** The job is over: nothing of it is needed any more. */
     List<WriteQueue.PendingWrite> removeAll() {
-        pending.values().forEach(part -> stored.put(part.key(), part.stamp()));
+        pending.values().forEach(part -> stored.put(part.key(), part.revision()));
         pending.clear();
         return remove(Set.of());
     }
@@ -178,8 +178,8 @@
         }
 
         @Override
-        public void stored(long newStamp) {
-            super.stored(newStamp);
+        public void onStored(long newRevision) {
+            super.onStored(newRevision);
             confirmed = true;
             if (pending.values().stream().allMatch(Chunk::isStored)) {
                 onStored.accept(CompletionBitmapChunks.this);
@@ -189,8 +189,8 @@
 
     /** The end of a key that nobody needs any more. */
     static final class Removal extends WriteQueue.SingleKeyWrite {
-        Removal(String key, long stamp) {
-            super(key, stamp);
+        Removal(String key, long revision) {
+            super(key, revision);
         }
 
         @Override
@@ -201,15 +201,15 @@
         @Override
         public Map<String, JsonNode> changes() {
             Map<String, JsonNode> changes = new HashMap<>();
-            if (stamp() > 0) {
+            if (revision() > 0) {
                 changes.put(key(), null);
             }
             return changes;
         }
 
         @Override
-        public void stored(long newStamp) {
-            super.stored(0);
+        public void onStored(long newRevision) {
+            super.onStored(0);
         }
     }
 }
--- a/src/main/java/io/sillreel/pipeline/RunRecord.java
+++ b/src/main/java/io/sillreel/pipeline/RunRecord.java
@@ -59,7 +59,7 @@
         /** Adds a stored entry. */
         public void add(StateStore.Entry entry) {
             values.put(entry.key(), entry.value().path("bits").asText());
-            stamps.put(entry.key(), entry.stamp());
+            stamps.put(entry.key(), entry.revision());
         }
 
         /** What takes all of them away. */
--- a/src/main/java/io/sillreel/recovery/ChangeFollower.java
+++ b/src/main/java/io/sillreel/recovery/ChangeFollower.java
@@ -93,7 +93,7 @@
             if (thisRun != run) {
                 return;
             }
-            if (verdict.outcome() == Outcome.OK && term.decided()) {
+            if (verdict.outcome() == Outcome.OK && term.isDecided()) {
                 begin(thisRun, fromLandmark, verdict, term);
             } else {
                 eventLoop.schedule(RETRY_MICROS, () -> begin(thisRun, fromLandmark));
@@ -110,10 +110,11 @@
             return;
         }
         Stream<Entry> landmarks = Stream.concat(stored.stream(), Stream.ofNullable(term.entry()));
-        Optional<Entry> latest = landmarks.max(Comparator.comparingLong(Entry::stamp));
-        long since = fromLandmark ? latest.map(Entry::stamp).orElse(verdict.ledger()) : verdict.ledger();
+        Optional<Entry> latest = landmarks.max(Comparator.comparingLong(Entry::revision));
+        long since =
+                fromLandmark ? latest.map(Entry::revision).orElse(verdict.storeRevision()) : verdict.storeRevision();
         log.restart(since, eventLoop.wallMicros());
-        latest.ifPresent(entry -> log.landmark(RecentChange.of(entry.key(), entry.value(), entry.stamp())));
+        latest.ifPresent(entry -> log.landmark(RecentChange.of(entry.key(), entry.value(), entry.revision())));
         followedMicros = eventLoop.nowMicros();
         follow(thisRun, since);
     }
@@ -128,7 +129,7 @@
             }
             if (result.outcome() == Outcome.OK) {
                 followedMicros = eventLoop.nowMicros();
-                long reached = Math.max(since, result.ledger());
+                long reached = Math.max(since, result.storeRevision());
                 take(result, reached);
                 eventLoop.schedule(pauseMicros, () -> follow(thisRun, reached));
             } else if (result.outcome() == Outcome.COMPACTED) {
@@ -142,7 +143,7 @@
     private void take(WatchResult result, long reached) {
         List<RecentChange> changes = new ArrayList<>();
         for (Change change : result.changes()) {
-            changes.add(RecentChange.of(change.key(), change.value(), change.stamp()));
+            changes.add(RecentChange.of(change.key(), change.value(), change.revision()));
             if (change.key().equals(RecoveryRecord.KEY) && change.value() != null) {
                 onRecord.accept(RecoveryRecord.of(change.value()));
             }
--- a/src/main/java/io/sillreel/recovery/ChangeLog.java
+++ b/src/main/java/io/sillreel/recovery/ChangeLog.java
@@ -43,11 +43,11 @@
      *
      * @param wallMicros the time of day
      */
-    synchronized void restart(long ledger, long wallMicros) {
+    synchronized void restart(long storeRevision, long wallMicros) {
         sinceMicros = wallMicros;
         forget();
-        knownFrom = ledger + 1;
-        knownTo = ledger;
+        knownFrom = storeRevision + 1;
+        knownTo = storeRevision;
     }
 
     private void forget() {
@@ -83,23 +83,23 @@
      * @return a key that was changed by this controller, as it was told, and whose change is not among the news; empty
      *     unless the state service has lost it
      */
-    synchronized Optional<String> followed(Collection<RecentChange> news, long ledger) {
-        Optional<String> lost = missing(news, ledger);
+    synchronized Optional<String> followed(Collection<RecentChange> news, long storeRevision) {
+        Optional<String> lost = missing(news, storeRevision);
         if (lost.isPresent()) {
             return lost;
         }
         news.forEach(this::put);
-        knownTo = Math.max(knownTo, ledger);
+        knownTo = Math.max(knownTo, storeRevision);
         ownRevisions.headMap(knownTo, true).clear();
         shrink();
         return lost;
     }
 
-    private Optional<String> missing(Collection<RecentChange> news, long ledger) {
+    private Optional<String> missing(Collection<RecentChange> news, long storeRevision) {
         Set<String> shown = new HashSet<>();
         news.forEach(change -> shown.add(change.stamp() + change.key()));
         for (Map.Entry<Long, Set<String>> own :
-                ownRevisions.headMap(ledger, true).entrySet()) {
+                ownRevisions.headMap(storeRevision, true).entrySet()) {
             for (String key : own.getValue()) {
                 if (!shown.contains(own.getKey() + key)) {
                     return Optional.of(key);
@@ -110,11 +110,11 @@
     }
 
     /** One transaction of this controller has been stored. */
-    synchronized void stored(Collection<RecentChange> own, long ledger) {
+    synchronized void stored(Collection<RecentChange> own, long storeRevision) {
         own.forEach(this::put);
-        if (ledger > knownTo) {
+        if (storeRevision > knownTo) {
             own.forEach(change -> ownRevisions
-                    .computeIfAbsent(ledger, each -> new HashSet<>())
+                    .computeIfAbsent(storeRevision, each -> new HashSet<>())
                     .add(change.key()));
         }
         shrink();
--- a/src/main/java/io/sillreel/recovery/ChangeRestorer.java
+++ b/src/main/java/io/sillreel/recovery/ChangeRestorer.java
@@ -95,9 +95,9 @@
             Deque<RecentChange> toCompare,
             Deque<RecentChange> missing,
             Runnable then) {
-        Transaction txn = new Transaction();
-        batch.forEach(change -> txn.require(change.key(), change.removed() ? 0 : change.stamp()));
-        term.store().commit(txn).thenAccept(commit -> {
+        Transaction transaction = new Transaction();
+        batch.forEach(change -> transaction.requireRevision(change.key(), change.removed() ? 0 : change.stamp()));
+        term.store().commit(transaction).thenAccept(commit -> {
             if (term.isOver()) {
                 return;
             }
@@ -172,33 +172,35 @@
             if (term.isOver()) {
                 return;
             }
-            if (reads.stream().anyMatch(read -> !read.join().decided())) {
+            if (reads.stream().anyMatch(read -> !read.join().isDecided())) {
                 term.later(() -> write(batch, rest, then));
                 return;
             }
-            Transaction txn = term.txn();
+            Transaction transaction = term.txn();
             for (int index = 0; index < batch.size(); index++) {
-                add(txn, batch.get(index), reads.get(index).join());
+                add(transaction, batch.get(index), reads.get(index).join());
             }
-            if (txn.size() == 0) {
+            if (transaction.size() == 0) {
                 write(rest, then);
                 return;
             }
-            term.store().commit(txn).thenAccept(commit -> settle(commit, txn.size(), batch, rest, then));
+            term.store()
+                    .commit(transaction)
+                    .thenAccept(commit -> settle(commit, transaction.size(), batch, rest, then));
         });
     }
 
-    private void add(Transaction txn, RecentChange change, Read read) {
+    private void add(Transaction transaction, RecentChange change, Read read) {
         var current =
                 read.entry() == null ? MissingNode.getInstance() : read.entry().value();
-        if (!RestorePolicy.restores(change, current, read.stamp(), history.returnedAt())) {
+        if (!RestorePolicy.restores(change, current, read.revision(), history.returnedAt())) {
             return;
         }
-        txn.require(change.key(), read.stamp());
+        transaction.requireRevision(change.key(), read.revision());
         if (change.removed()) {
-            txn.remove(change.key());
+            transaction.remove(change.key());
         } else {
-            txn.set(change.key(), change.json());
+            transaction.set(change.key(), change.json());
         }
     }
 
--- a/src/main/java/io/sillreel/recovery/RebuildLease.java
+++ b/src/main/java/io/sillreel/recovery/RebuildLease.java
@@ -15,16 +15,16 @@
     private final StateStore store;
     private final LeaderElection leadership;
     private final long term;
-    private final long leaderStamp;
+    private final long leaderRevision;
     private boolean ended;
 
     /** @param leaderStamp the stamp under which this controller became the leader */
-    RebuildLease(EventLoop eventLoop, StateStore store, LeaderElection leadership, long term, long leaderStamp) {
+    RebuildLease(EventLoop eventLoop, StateStore store, LeaderElection leadership, long term, long leaderRevision) {
         this.eventLoop = eventLoop;
         this.store = store;
         this.leadership = leadership;
         this.term = term;
-        this.leaderStamp = leaderStamp;
+        this.leaderRevision = leaderRevision;
     }
 
     StateStore store() {
@@ -66,7 +66,7 @@
 
     /** A transaction that fails once another controller leads. */
     Transaction txn() {
-        return new Transaction().require(LeaderElection.LEADER_KEY, leaderStamp);
+        return new Transaction().requireRevision(LeaderElection.LEADER_KEY, leaderRevision);
     }
 
     /** True if there is nothing left to do; a commit that shows another leader ends the term. */
--- a/src/main/java/io/sillreel/recovery/RecentChange.java
+++ b/src/main/java/io/sillreel/recovery/RecentChange.java
@@ -14,8 +14,8 @@
     /** What an entry takes beside its key and its value. */
     private static final int ENTRY_BYTES = 160;
 
-    static RecentChange of(String key, JsonNode value, long stamp) {
-        return new RecentChange(key, value == null ? null : Json.bytes(value), stamp);
+    static RecentChange of(String key, JsonNode value, long revision) {
+        return new RecentChange(key, value == null ? null : Json.bytes(value), revision);
     }
 
     boolean removed() {
--- a/src/main/java/io/sillreel/recovery/Recovery.java
+++ b/src/main/java/io/sillreel/recovery/Recovery.java
@@ -232,13 +232,13 @@
     // --- Terms -------------------------------------------------------------------------------------------------------
 
     /** The lease has been taken: a loss that is known or stored is made good before the term begins. */
-    public void beforeTerm(long term, long leaderStamp, Runnable begin) {
+    public void beforeTerm(long term, long leaderRevision, Runnable begin) {
         store.get(RecoveryRecord.KEY).thenAccept(read -> {
             if (leadership.heldTerm() != term) {
                 return;
             }
-            if (!read.decided()) {
-                eventLoop.schedule(RETRY_MICROS, () -> beforeTerm(term, leaderStamp, begin));
+            if (!read.isDecided()) {
+                eventLoop.schedule(RETRY_MICROS, () -> beforeTerm(term, leaderRevision, begin));
                 return;
             }
             boolean suspendedBefore = suspended;
@@ -248,7 +248,7 @@
                 if (!stored.open()) {
                     generation = Math.max(generation, stored.generation() + 1);
                 }
-                rebuild(term, leaderStamp, begin);
+                rebuild(term, leaderRevision, begin);
             } else if (!suspended) {
                 begin.run();
             }
@@ -256,14 +256,14 @@
         });
     }
 
-    private void rebuild(long term, long leaderStamp, Runnable begin) {
+    private void rebuild(long term, long leaderRevision, Runnable begin) {
         if (leadership.heldTerm() != term) {
             return;
         }
         CollectedMemories survivors = new CollectedMemories();
         survivors.add(settings.nodeName(), memory());
         StoreRebuild current = new StoreRebuild(
-                new RebuildLease(eventLoop, store, leadership, term, leaderStamp),
+                new RebuildLease(eventLoop, store, leadership, term, leaderRevision),
                 settings,
                 history,
                 survivors,
--- a/src/main/java/io/sillreel/recovery/RecoveryGenerationStore.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryGenerationStore.java
@@ -50,7 +50,7 @@
             RecoveryRecord verdict = wanted.get();
             if (verdict == null) {
                 storing = false;
-            } else if (!read.decided()) {
+            } else if (!read.isDecided()) {
                 eventLoop.schedule(RETRY_MICROS, this::read);
             } else {
                 RecoveryRecord stored = RecoveryRecord.of(read);
@@ -58,15 +58,16 @@
                     storing = false;
                     onStored.accept(stored);
                 } else {
-                    write(verdict.above(stored.generation()), read.stamp());
+                    write(verdict.above(stored.generation()), read.revision());
                 }
             }
         });
     }
 
-    private void write(RecoveryRecord verdict, long stamp) {
-        Transaction txn = new Transaction().require(RecoveryRecord.KEY, stamp).set(RecoveryRecord.KEY, verdict.json());
-        store.commit(txn).thenAccept(commit -> {
+    private void write(RecoveryRecord verdict, long revision) {
+        Transaction transaction =
+                new Transaction().requireRevision(RecoveryRecord.KEY, revision).set(RecoveryRecord.KEY, verdict.json());
+        store.commit(transaction).thenAccept(commit -> {
             if (commit.outcome() == Outcome.OK) {
                 storing = false;
                 onStored.accept(verdict);
--- a/src/main/java/io/sillreel/recovery/RecoveryMessages.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryMessages.java
@@ -144,9 +144,9 @@
     private static RecentChange change(CBORParser in) throws IOException {
         String key = in.nextTextValue();
         byte[] value = in.nextToken() == JsonToken.VALUE_NULL ? null : in.getBinaryValue();
-        long stamp = in.nextLongValue(0);
+        long revision = in.nextLongValue(0);
         in.nextToken();
-        return new RecentChange(key, value, stamp);
+        return new RecentChange(key, value, revision);
     }
 
     /** Writes one message. */
--- a/src/main/java/io/sillreel/recovery/StoreHistory.java
+++ b/src/main/java/io/sillreel/recovery/StoreHistory.java
@@ -21,7 +21,7 @@
     private static final long UNKNOWN = -1;
 
     private long era;
-    private long ledger;
+    private long storeRevision;
     /** The first revision that was seen after the last loss, or {@link #UNKNOWN}. */
     private long returnedAt = UNKNOWN;
 
@@ -41,7 +41,7 @@
 
     /** @param wallMicros the time of day at which the request is sent */
     synchronized Mark mark(long wallMicros) {
-        return new Mark(era, ledger, wallMicros);
+        return new Mark(era, storeRevision, wallMicros);
     }
 
     /** Judges an answer by the revision that it carries, and remembers the revision unless it shows a loss. */
@@ -56,7 +56,7 @@
         if (returnedAt == UNKNOWN) {
             returnedAt = answerLedger;
         }
-        if (answerLedger >= ledger) {
+        if (answerLedger >= storeRevision) {
             seenMicros = Math.max(seenMicros, mark.wallMicros());
         }
         learn(answerLedger);
@@ -69,17 +69,17 @@
     }
 
     /** Judges an answer that carries the stamp of a key, which is a revision that the service has reached. */
-    synchronized Consistency answeredWithStamp(Mark mark, long stamp) {
+    synchronized Consistency answeredWithStamp(Mark mark, long revision) {
         if (mark.era() != era) {
             return Consistency.OUTDATED;
         }
-        learn(stamp);
+        learn(revision);
         return Consistency.CONSISTENT;
     }
 
     /** The state service has counted at least so far since the last loss. */
     synchronized void learn(long reachedLedger) {
-        ledger = Math.max(ledger, reachedLedger);
+        storeRevision = Math.max(storeRevision, reachedLedger);
     }
 
     /**
@@ -88,16 +88,16 @@
      * @param again true if an earlier loss has not been made good: what was written since then was known before
      */
     synchronized void beginEra(boolean again) {
-        peaks = peaks.withStamps(ledger);
+        peaks = peaks.withStamps(storeRevision);
         if (again) {
             witnessed |= isWitness();
         } else {
             witnessed = false;
             lostSeenMicros = seenMicros;
-            lostKnown = ledger;
+            lostKnown = storeRevision;
         }
         era++;
-        ledger = 0;
+        storeRevision = 0;
         seenMicros = 0;
         returnedAt = lostLedger;
         lostLedger = UNKNOWN;
@@ -122,7 +122,7 @@
 
     /** The highest revision that is known since the last loss. */
     synchronized long ledger() {
-        return ledger;
+        return storeRevision;
     }
 
     /**
--- a/src/main/java/io/sillreel/recovery/StoreMonitor.java
+++ b/src/main/java/io/sillreel/recovery/StoreMonitor.java
@@ -83,16 +83,18 @@
     private boolean believed(ObservedRequest observed, HttpResponse response, JsonNode body) {
         Consistency verdict;
         if (observed.key() != null && response.isOk()) {
-            long stamp = body.path("stamp").asLong();
-            verdict = history.answeredWithStamp(observed.mark(), stamp);
-            if (verdict == Consistency.CONSISTENT && stamp < observed.knownStamp()) {
-                onLoss.accept(observed.key() + " has stamp " + stamp + ", and had " + observed.knownStamp());
+            long revision = body.path("stamp").asLong();
+            verdict = history.answeredWithStamp(observed.mark(), revision);
+            if (verdict == Consistency.CONSISTENT && revision < observed.knownStamp()) {
+                onLoss.accept(observed.key() + " has stamp " + revision + ", and had " + observed.knownStamp());
                 return false;
             }
         } else if (body.has("ledger")) {
-            long ledger = body.path("ledger").asLong();
+            long storeRevision = body.path("ledger").asLong();
             boolean written = response.isOk() && !observed.changes().isEmpty();
-            verdict = written ? history.committed(observed.mark(), ledger) : history.answered(observed.mark(), ledger);
+            verdict = written
+                    ? history.committed(observed.mark(), storeRevision)
+                    : history.answered(observed.mark(), storeRevision);
         } else {
             return true;
         }
@@ -110,15 +112,15 @@
         return response.status() == 404 && observed.knownStamp() > 0 && PermanentKeys.contains(observed.key());
     }
 
-    private void remember(List<JsonNode> written, long ledger) {
+    private void remember(List<JsonNode> written, long storeRevision) {
         List<RecentChange> changes = new ArrayList<>();
         for (JsonNode change : written) {
             if (change.has("set")) {
-                changes.add(RecentChange.of(change.path("set").asText(), change.path("v"), ledger));
+                changes.add(RecentChange.of(change.path("set").asText(), change.path("v"), storeRevision));
             } else {
-                changes.add(RecentChange.of(change.path("remove").asText(), null, ledger));
+                changes.add(RecentChange.of(change.path("remove").asText(), null, storeRevision));
             }
         }
-        log.stored(changes, ledger);
+        log.stored(changes, storeRevision);
     }
 }
--- a/src/main/java/io/sillreel/recovery/StoreRebuild.java
+++ b/src/main/java/io/sillreel/recovery/StoreRebuild.java
@@ -117,11 +117,11 @@
             if (term.isOver()) {
                 return;
             }
-            if (!read.decided()) {
+            if (!read.isDecided()) {
                 term.later(this::open);
                 return;
             }
-            recordStamp = read.stamp();
+            recordStamp = read.revision();
             RecoveryRecord stored = RecoveryRecord.of(read);
             if (stored.generation() > record.generation()) {
                 record = stored;
@@ -135,13 +135,14 @@
 
     /** Writes the verdict, which also raises the revision by one. */
     private void writeRecord(RecoveryRecord next, Runnable written) {
-        Transaction txn = term.txn().require(RecoveryRecord.KEY, recordStamp).set(RecoveryRecord.KEY, next.json());
-        term.store().commit(txn).thenAccept(commit -> {
+        Transaction transaction =
+                term.txn().requireRevision(RecoveryRecord.KEY, recordStamp).set(RecoveryRecord.KEY, next.json());
+        term.store().commit(transaction).thenAccept(commit -> {
             if (term.isOverAfter(commit)) {
                 return;
             }
             if (commit.outcome() == Outcome.OK) {
-                recordStamp = commit.ledger();
+                recordStamp = commit.storeRevision();
                 record = next;
                 written.run();
             } else if (commit.outcome() == Outcome.REFUSED) {
@@ -157,8 +158,8 @@
             if (term.isOver()) {
                 return;
             }
-            if (read.decided()) {
-                recordStamp = read.stamp();
+            if (read.isDecided()) {
+                recordStamp = read.revision();
                 term.later(() -> writeRecord(next, written));
             } else {
                 term.later(() -> rereadRecord(next, written));
--- a/src/main/java/io/sillreel/statestore/StateStore.java
+++ b/src/main/java/io/sillreel/statestore/StateStore.java
@@ -33,26 +33,26 @@
     }
 
     /** A key with its value and the revision of its last change. */
-    public record Entry(String key, JsonNode value, long stamp) {}
+    public record Entry(String key, JsonNode value, long revision) {}
 
     /** The answer to a read; the entry is null unless the key exists. */
     public record Read(Outcome outcome, Entry entry) {
         /** Stamp of the key as read: 0 if it does not exist. */
-        public long stamp() {
-            return entry == null ? 0 : entry.stamp();
+        public long revision() {
+            return entry == null ? 0 : entry.revision();
         }
 
         /** True if the answer says what the key is, or that it is not. */
-        public boolean decided() {
+        public boolean isDecided() {
             return outcome == Outcome.OK || outcome == Outcome.NOT_FOUND;
         }
     }
 
     /** All entries under a prefix, and the revision from which changes have to be watched. */
-    public record Listing(Outcome outcome, List<Entry> entries, long ledger) {}
+    public record Listing(Outcome outcome, List<Entry> entries, long storeRevision) {}
 
     /** How reading all entries under a prefix ended, and the revision from which changes have to be watched. */
-    public record Scan(Outcome outcome, long ledger) {}
+    public record Scan(Outcome outcome, long storeRevision) {}
 
     /** Takes the entries of a scan, in the order of their keys. */
     @FunctionalInterface
@@ -62,16 +62,16 @@
     }
 
     /** What became of a transaction, its revision, and the keys whose conditions failed. */
-    public record Commit(Outcome outcome, long ledger, List<String> failed) {}
+    public record Commit(Outcome outcome, long storeRevision, List<String> failed) {}
 
     /** A lease of the state service. */
-    public record LeaseGrant(Outcome outcome, long permit) {}
+    public record LeaseGrant(Outcome outcome, long leaseId) {}
 
     /** A change; the value is null if the key was removed. */
-    public record Change(String key, JsonNode value, long stamp) {}
+    public record Change(String key, JsonNode value, long revision) {}
 
     /** The changes that a watch has seen, and the revision up to which it has seen them. */
-    public record WatchResult(Outcome outcome, long ledger, List<Change> changes) {}
+    public record WatchResult(Outcome outcome, long storeRevision, List<Change> changes) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(StateStore.class);
     private static final long TIMEOUT_MICROS = 1_500_000;
@@ -87,7 +87,7 @@
 
     private static final long PAGE_RETRY_MICROS = 300_000;
     private static final int MAX_PAGE_FAILURES = 3;
-    private static final long NO_LEDGER = -1;
+    private static final long NO_REVISION = -1;
 
     private static final int SILENT_AFTER = 2;
     private static final int TOO_MANY_REQUESTS = 429;
@@ -128,7 +128,7 @@
     /**
      * True while requests go unanswered one after the other: whoever asks is better refused at once than kept waiting.
      */
-    public synchronized boolean silent() {
+    public synchronized boolean isSilent() {
         return unanswered >= SILENT_AFTER;
     }
 
@@ -161,8 +161,8 @@
             return CompletableFuture.completedFuture(true);
         };
         return scan(prefix, collect, false)
-                .thenApply(scan ->
-                        new Listing(scan.outcome(), scan.outcome() == Outcome.OK ? entries : List.of(), scan.ledger()));
+                .thenApply(scan -> new Listing(
+                        scan.outcome(), scan.outcome() == Outcome.OK ? entries : List.of(), scan.storeRevision()));
     }
 
     /**
@@ -177,7 +177,7 @@
 
     private CompletableFuture<Scan> scan(String prefix, PageConsumer consumer, boolean patient) {
         CompletableFuture<Scan> result = new CompletableFuture<>();
-        page(new PageRequest(prefix, "", NO_LEDGER, 0, patient, consumer, result));
+        page(new PageRequest(prefix, "", NO_REVISION, 0, patient, consumer, result));
         return result;
     }
 
@@ -199,8 +199,8 @@
             return new PageRequest(prefix, since, firstLedger, failures + 1, patient, consumer, result);
         }
 
-        PageRequest after(String lastKey, long ledger) {
-            return new PageRequest(prefix, lastKey, ledger, 0, patient, consumer, result);
+        PageRequest after(String lastKey, long storeRevision) {
+            return new PageRequest(prefix, lastKey, storeRevision, 0, patient, consumer, result);
         }
     }
 
@@ -230,16 +230,16 @@
         List<Entry> entries = new ArrayList<>();
         body.path("entries").forEach(entry -> entries.add(entry(entry)));
         // The first page's ledger: a watch from there misses nothing that later pages may have left out.
-        long ledger =
-                pageRequest.firstLedger() == NO_LEDGER ? body.path("ledger").asLong() : pageRequest.firstLedger();
+        long storeRevision =
+                pageRequest.firstLedger() == NO_REVISION ? body.path("ledger").asLong() : pageRequest.firstLedger();
         boolean more = body.path("truncated").asBoolean() && !entries.isEmpty();
         hand(pageRequest, entries).thenAccept(wanted -> {
             if (!wanted) {
                 pageRequest.result().complete(new Scan(Outcome.REFUSED, 0));
             } else if (more) {
-                page(pageRequest.after(entries.get(entries.size() - 1).key(), ledger));
+                page(pageRequest.after(entries.get(entries.size() - 1).key(), storeRevision));
             } else {
-                pageRequest.result().complete(new Scan(Outcome.OK, ledger));
+                pageRequest.result().complete(new Scan(Outcome.OK, storeRevision));
             }
         });
     }
@@ -255,16 +255,16 @@
     }
 
     /** Sends a transaction, unless this controller's part of the shared rates is used up. */
-    public CompletableFuture<Commit> commit(Transaction txn) {
-        if (!requests.tryAcquire(1) || txn.size() > 0 && !writes.tryAcquire(txn.size())) {
+    public CompletableFuture<Commit> commit(Transaction transaction) {
+        if (!requests.tryAcquire(1) || transaction.size() > 0 && !writes.tryAcquire(transaction.size())) {
             return CompletableFuture.completedFuture(new Commit(Outcome.REFUSED, 0, List.of()));
         }
-        long timeout = txn.size() > 0 ? TIMEOUT_MICROS : COMPARE_TIMEOUT_MICROS;
+        long timeout = transaction.size() > 0 ? TIMEOUT_MICROS : COMPARE_TIMEOUT_MICROS;
         return httpClient
-                .send(address, HttpRequest.post("/txn", txn.json()), timeout)
+                .send(address, HttpRequest.post("/txn", transaction.toJson()), timeout)
                 .thenApply(response -> {
                     if (response.status() == TOO_MANY_REQUESTS) {
-                        (txn.size() > 0 ? writes : requests).onRejected();
+                        (transaction.size() > 0 ? writes : requests).onRejected();
                     }
                     JsonNode body = response.json();
                     List<String> failed = new ArrayList<>();
@@ -274,20 +274,20 @@
     }
 
     /** Requests a lease. */
-    public CompletableFuture<LeaseGrant> grant(long lifeMicros) {
+    public CompletableFuture<LeaseGrant> grantLease(long lifeMicros) {
         ObjectNode body = Json.object().put("life_ms", lifeMicros / 1_000);
         return sendNow(HttpRequest.post("/grants", body))
                 .thenApply(response -> new LeaseGrant(
                         outcome(response), response.json().path("permit").asLong()));
     }
 
-    public CompletableFuture<Outcome> touch(long permit) {
-        return sendNow(HttpRequest.post("/grants/" + permit + "/touch", Json.object()))
+    public CompletableFuture<Outcome> renewLease(long leaseId) {
+        return sendNow(HttpRequest.post("/grants/" + leaseId + "/touch", Json.object()))
                 .thenApply(this::outcome);
     }
 
-    public CompletableFuture<Outcome> revoke(long permit) {
-        return send(new HttpRequest("DELETE", "/grants/" + permit, HttpRequest.NO_BODY), TIMEOUT_MICROS)
+    public CompletableFuture<Outcome> revokeLease(long leaseId) {
+        return send(new HttpRequest("DELETE", "/grants/" + leaseId, HttpRequest.NO_BODY), TIMEOUT_MICROS)
                 .thenApply(this::outcome);
     }
 
@@ -368,8 +368,8 @@
         private final ArrayNode conditions = Json.array();
         private final ArrayNode changes = Json.array();
 
-        public Transaction require(String key, long stamp) {
-            conditions.add(Json.object().put("k", key).put("stamp", stamp));
+        public Transaction requireRevision(String key, long revision) {
+            conditions.add(Json.object().put("k", key).put("stamp", revision));
             return this;
         }
 
@@ -379,10 +379,10 @@
         }
 
         /** Sets a key that is removed together with the lease. */
-        public Transaction set(String key, JsonNode value, long permit) {
+        public Transaction set(String key, JsonNode value, long leaseId) {
             ObjectNode change = Json.object().put("set", key);
             change.set("v", value);
-            changes.add(change.put("permit", permit));
+            changes.add(change.put("permit", leaseId));
             return this;
         }
 
@@ -395,7 +395,7 @@
             return changes.size();
         }
 
-        JsonNode json() {
+        JsonNode toJson() {
             ObjectNode body = Json.object();
             body.set("if", conditions);
             if (!changes.isEmpty()) {
--- a/src/main/java/io/sillreel/statestore/WriteBatch.java
+++ b/src/main/java/io/sillreel/statestore/WriteBatch.java
@@ -17,21 +17,21 @@
 
     private final Predicate<PendingWrite> writtenAlone;
     private final List<PendingWrite> items = new ArrayList<>();
-    private final Transaction txn = new Transaction();
+    private final Transaction transaction = new Transaction();
     private int bytes;
 
     /** @param writtenAlone true for an item that shares its transaction with no other */
-    WriteBatch(String leaderKey, long leaderStamp, Predicate<PendingWrite> writtenAlone) {
+    WriteBatch(String leaderKey, long leaderRevision, Predicate<PendingWrite> writtenAlone) {
         this.writtenAlone = writtenAlone;
-        txn.require(leaderKey, leaderStamp);
+        transaction.requireRevision(leaderKey, leaderRevision);
     }
 
     List<PendingWrite> items() {
         return items;
     }
 
-    Transaction txn() {
-        return txn;
+    Transaction transaction() {
+        return transaction;
     }
 
     /**
@@ -45,14 +45,14 @@
         for (JsonNode value : changes.values()) {
             size += value == null ? 0 : Json.bytes(value).length + CHANGE_BYTES;
         }
-        if (txn.size() + changes.size() > room || !items.isEmpty() && isFull(item, size)) {
+        if (transaction.size() + changes.size() > room || !items.isEmpty() && isFull(item, size)) {
             return false;
         }
         bytes += size;
         items.add(item);
-        txn.require(item.key(), item.stamp());
-        if (item.absent() != null) {
-            txn.require(item.absent(), 0);
+        transaction.requireRevision(item.key(), item.revision());
+        if (item.requiredAbsentKey() != null) {
+            transaction.requireRevision(item.requiredAbsentKey(), 0);
         }
         changes.forEach(this::change);
         return true;
@@ -64,9 +64,9 @@
 
     private void change(String key, JsonNode value) {
         if (value == null) {
-            txn.remove(key);
+            transaction.remove(key);
         } else {
-            txn.set(key, value);
+            transaction.set(key, value);
         }
     }
 }
--- a/src/main/java/io/sillreel/statestore/WriteQueue.java
+++ b/src/main/java/io/sillreel/statestore/WriteQueue.java
@@ -26,8 +26,8 @@
 public final class WriteQueue {
     /** What goes first when the store takes less than there is to write. */
     public enum WriteUrgency {
-        END,
-        START,
+        JOB_END,
+        JOB_START,
         PROGRESS
     }
 
@@ -36,7 +36,7 @@
         /** The key whose stamp guards the change; it is among the changes. */
         String key();
 
-        long stamp();
+        long revision();
 
         /**
          * What to write now, the guarding key included; null as value removes, and nothing at all means that there is
@@ -45,42 +45,42 @@
         Map<String, JsonNode> changes();
 
         /** What has to be stored before this; it queues the item again once that is done. */
-        default List<PendingWrite> first() {
+        default List<PendingWrite> prerequisites() {
             return List.of();
         }
 
         /** How urgent the change is that would be written now. */
         default WriteUrgency urgency() {
-            return WriteUrgency.START;
+            return WriteUrgency.JOB_START;
         }
 
         /** A key that must not exist, or null. */
-        default String absent() {
+        default String requiredAbsentKey() {
             return null;
         }
 
         /** The changes last asked for are stored. */
-        void stored(long stamp);
+        void onStored(long revision);
 
         /** The guarding key has another stamp than thought; the item will be written again. */
-        void moved(long stamp);
+        void onConflict(long revision);
 
         /** Alone it is larger than the store takes; it is not written again unless it is queued again, smaller. */
-        default void tooLarge() {}
+        default void onTooLarge() {}
 
         /** The key that must not exist does. */
-        default void forbidden() {}
+        default void onPreconditionFailed() {}
     }
 
     /** Something under one key that nothing else is written with. */
     public abstract static class SingleKeyWrite implements PendingWrite {
         private final String key;
-        private long stamp;
+        private long revision;
 
         /** @param stamp as the key is thought to be stored, 0 if it is not */
-        protected SingleKeyWrite(String key, long stamp) {
+        protected SingleKeyWrite(String key, long revision) {
             this.key = key;
-            this.stamp = stamp;
+            this.revision = revision;
         }
 
         @Override
@@ -89,18 +89,18 @@
         }
 
         @Override
-        public final long stamp() {
-            return stamp;
+        public final long revision() {
+            return revision;
         }
 
         @Override
-        public void stored(long newStamp) {
-            stamp = newStamp;
+        public void onStored(long newRevision) {
+            revision = newRevision;
         }
 
         @Override
-        public final void moved(long newStamp) {
-            stamp = newStamp;
+        public final void onConflict(long newRevision) {
+            revision = newRevision;
         }
     }
 
@@ -124,13 +124,13 @@
     private final StateStore store;
     private final EventLoop eventLoop;
     private final String leaderKey;
-    private final long leaderStamp;
+    private final long leaderRevision;
     private final int txnOps;
-    private final Runnable deposed;
+    private final Runnable onDeposed;
     private final Map<String, PendingWrite> waiting = new LinkedHashMap<>();
     private final Map<String, Long> sinceMicros = new HashMap<>();
     /** Written one by one, since together they were too large. */
-    private final Set<String> alone = new HashSet<>();
+    private final Set<String> writtenAlone = new HashSet<>();
 
     private boolean busy;
     private long busySinceMicros;
@@ -141,19 +141,24 @@
      * @param deposed called once a write shows that another controller leads
      */
     public WriteQueue(
-            StateStore store, EventLoop eventLoop, String leaderKey, long leaderStamp, int txnOps, Runnable deposed) {
+            StateStore store,
+            EventLoop eventLoop,
+            String leaderKey,
+            long leaderRevision,
+            int txnOps,
+            Runnable deposed) {
         this.store = store;
         this.eventLoop = eventLoop;
         this.leaderKey = leaderKey;
-        this.leaderStamp = leaderStamp;
+        this.leaderRevision = leaderRevision;
         this.txnOps = txnOps;
-        this.deposed = deposed;
+        this.onDeposed = deposed;
     }
 
     /** Queues the item unless it waits already. */
     public synchronized void enqueue(PendingWrite item) {
         add(item);
-        kick(GATHER_MICROS);
+        scheduleWrite(GATHER_MICROS);
     }
 
     private synchronized void add(PendingWrite item) {
@@ -182,18 +187,18 @@
      * Changes that go before progress, which gathers on purpose and says nothing about how far the store has fallen
      * behind.
      */
-    public synchronized long pressing() {
+    public synchronized long urgentCount() {
         return waiting.values().stream()
                 .filter(item -> item.urgency() != WriteUrgency.PROGRESS)
                 .count();
     }
 
     /** True if one write has been under way for longer than any takes: something here has gone wrong. */
-    public synchronized boolean stuck() {
+    public synchronized boolean isStuck() {
         return busy && eventLoop.nowMicros() - busySinceMicros > STUCK_MICROS;
     }
 
-    private synchronized void kick(long delayMicros) {
+    private synchronized void scheduleWrite(long delayMicros) {
         if (!busy && !closed) {
             busy = true;
             busySinceMicros = eventLoop.nowMicros();
@@ -211,22 +216,22 @@
             batch = gather();
         }
         if (batch.items().isEmpty()) {
-            again(IDLE_MICROS);
+            scheduleNext(IDLE_MICROS);
             return;
         }
-        store.commit(batch.txn()).thenAccept(commit -> settle(batch.items(), commit));
+        store.commit(batch.transaction()).thenAccept(commit -> settle(batch.items(), commit));
     }
 
     /** Takes as much of what waits as may be written now, in the order of its urgency. */
     private WriteBatch gather() {
-        WriteBatch batch = new WriteBatch(leaderKey, leaderStamp, item -> alone.contains(item.key()));
+        WriteBatch batch = new WriteBatch(leaderKey, leaderRevision, item -> writtenAlone.contains(item.key()));
         double burst = store.writeBurst();
         double available = store.writesAvailable() - Math.min(RESERVE, MAX_RESERVE_PART * burst);
         for (PendingWrite item : inOrder()) {
             // Asked for before the changes, which count what is urgent about the item as sent.
             boolean progress = item.urgency() == WriteUrgency.PROGRESS;
             double room = Math.min(txnOps, progress ? available - PROGRESS_RESERVE_PART * burst : available);
-            List<PendingWrite> first = item.first();
+            List<PendingWrite> first = item.prerequisites();
             if (!first.isEmpty()) {
                 remove(item);
                 first.forEach(this::add);
@@ -263,14 +268,14 @@
         return due;
     }
 
-    private void again(long delayMicros) {
+    private void scheduleNext(long delayMicros) {
         synchronized (this) {
             busy = false;
             if (waiting.isEmpty()) {
                 return;
             }
         }
-        kick(delayMicros);
+        scheduleWrite(delayMicros);
     }
 
     private synchronized boolean isClosed() {
@@ -283,21 +288,21 @@
         }
         if (commit.outcome() == Outcome.OK) {
             synchronized (this) {
-                batch.forEach(item -> alone.remove(item.key()));
+                batch.forEach(item -> writtenAlone.remove(item.key()));
             }
-            batch.forEach(item -> tell(item, each -> each.stored(commit.ledger())));
-            again(GATHER_MICROS);
+            batch.forEach(item -> tell(item, each -> each.onStored(commit.storeRevision())));
+            scheduleNext(GATHER_MICROS);
             return;
         }
         if (commit.outcome() == Outcome.CONFLICT && commit.failed().contains(leaderKey)) {
-            deposed.run();
+            onDeposed.run();
             return;
         }
         if (commit.outcome() == Outcome.CONFLICT) {
             List<PendingWrite> moved = new ArrayList<>();
             for (PendingWrite item : batch) {
-                if (item.absent() != null && commit.failed().contains(item.absent())) {
-                    tell(item, PendingWrite::forbidden);
+                if (item.requiredAbsentKey() != null && commit.failed().contains(item.requiredAbsentKey())) {
+                    tell(item, PendingWrite::onPreconditionFailed);
                 } else if (commit.failed().contains(item.key())) {
                     moved.add(item);
                 } else {
@@ -309,7 +314,7 @@
         }
         if (commit.outcome() == Outcome.TOO_LARGE) {
             tooLarge(batch);
-            again(GATHER_MICROS);
+            scheduleNext(GATHER_MICROS);
             return;
         }
         if (commit.outcome() == Outcome.UNKNOWN) {
@@ -318,7 +323,7 @@
             return;
         }
         batch.forEach(this::add);
-        again(RETRY_MICROS);
+        scheduleNext(RETRY_MICROS);
     }
 
     /** The same is never sent again: what was refused together goes one by one, and what was refused alone waits. */
@@ -326,7 +331,7 @@
         if (batch.size() > 1) {
             batch.forEach(item -> {
                 synchronized (this) {
-                    alone.add(item.key());
+                    writtenAlone.add(item.key());
                 }
                 add(item);
             });
@@ -340,7 +345,7 @@
                 "{} is refused by the state service with {} bytes, and is not written again as it is",
                 item.key(),
                 bytes);
-        tell(item, PendingWrite::tooLarge);
+        tell(item, PendingWrite::onTooLarge);
     }
 
     /** One item that can't take what became of its write must not keep all others from being written. */
@@ -355,19 +360,19 @@
     /** After an unknown outcome the stamps are read anew; a late success then fails the next write, not the data. */
     private void reread(List<PendingWrite> items) {
         if (items.isEmpty()) {
-            again(GATHER_MICROS);
+            scheduleNext(GATHER_MICROS);
             return;
         }
         List<CompletableFuture<Read>> reads = new ArrayList<>();
         items.forEach(item -> reads.add(store.get(item.key())));
         CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new)).thenRun(() -> {
             for (int i = 0; i < items.size(); i++) {
-                if (reads.get(i).join().decided()) {
-                    items.get(i).moved(reads.get(i).join().stamp());
+                if (reads.get(i).join().isDecided()) {
+                    items.get(i).onConflict(reads.get(i).join().revision());
                 }
                 add(items.get(i));
             }
-            again(RETRY_MICROS);
+            scheduleNext(RETRY_MICROS);
         });
     }
 }
--- a/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
+++ b/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
@@ -43,23 +43,23 @@
         };
         ActiveJob job = new ActiveJob(spec("job-000412", 7_000), 7, 0, new ValueLimits(8_192, 2_048), watcher);
         List.of(0, 3, 6_999).forEach(job::settle);
-        assertThat(job.first()).isEmpty();
+        assertThat(job.prerequisites()).isEmpty();
         JsonNode head = job.changes().get("run/job-000412");
         assertThat(PreviousVersion.understood("run/job-000412", head)).isEqualTo(head);
         assertThat(RunRecord.decode(Head.of(head).bits()).stream()).containsExactly(0, 3, 6_999);
         assertThat(head.toString().length()).isGreaterThan(1_024);
 
-        job.tooLarge();
+        job.onTooLarge();
         assertThat(queued).hasSize(1).first().isSameAs(job);
         queued.clear();
-        List<WriteQueue.PendingWrite> parts = job.first();
+        List<WriteQueue.PendingWrite> parts = job.prerequisites();
         assertThat(parts).hasSize(2).allMatch(part -> part.key().startsWith("bits/job-000412/"));
         parts.forEach(part -> {
             assertThat(part.changes()).hasSize(1);
-            part.stored(9);
+            part.onStored(9);
         });
         assertThat(job.changes().get("run/job-000412").toString().length()).isLessThan(1_024);
-        job.stored(10);
+        job.onStored(10);
         assertThat(List.of(0, 3, 6_999)).allMatch(job::isStored);
     }
 
@@ -68,7 +68,7 @@
         final SimStateStore state = new SimStateStore(time, 20, 8 * 1024, 1_000);
         final JobSpec spec = spec("job-000413", 400);
         final StateStore store;
-        final WriteQueue writer;
+        final WriteQueue writeQueue;
         final ActiveJob.Listener watcher;
 
         ChunkedJob() {
@@ -76,16 +76,16 @@
             network.listen("state:1", state);
             SimTime.Process process = time.new Process();
             store = network.stateStore(process, 1_000, 1_000);
-            Transaction txn = new Transaction().set("leader", Json.object());
-            CHUNKED.forEach((key, value) -> txn.set(key, json(value)));
-            store.commit(txn);
+            Transaction transaction = new Transaction().set("leader", Json.object());
+            CHUNKED.forEach((key, value) -> transaction.set(key, json(value)));
+            store.commit(transaction);
             time.runFor(100_000);
             state.limits(2, 160, 1_000);
-            writer = new WriteQueue(store, process, "leader", 101, 2, () -> {});
+            writeQueue = new WriteQueue(store, process, "leader", 101, 2, () -> {});
             watcher = new IgnoringListener() {
                 @Override
                 public void toWrite(List<? extends WriteQueue.PendingWrite> items) {
-                    items.forEach(writer::enqueue);
+                    items.forEach(writeQueue::enqueue);
                 }
             };
         }
@@ -121,7 +121,7 @@
         }
 
         void write(ActiveJob job) {
-            writer.enqueue(job);
+            writeQueue.enqueue(job);
             time.runFor(30_000_000);
         }
     }
@@ -163,8 +163,8 @@
         }
         chunked.write(job);
         var late = chunked.store.commit(new Transaction()
-                .require("leader", 77)
-                .require("run/job-000413", 101)
+                .requireRevision("leader", 77)
+                .requireRevision("run/job-000413", 101)
                 .set("run/job-000413/0", json(CHUNKED.get("run/job-000413/0"))));
         time.runFor(100_000);
         assertThat(late.join().outcome()).isEqualTo(Outcome.CONFLICT);
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -240,16 +240,16 @@
         ScaleOutRequest rental = ScaleOutRequest.of("hire/r-5-12", stored, 9);
         int most = ScaleOutRequest.mostMachines(1_024);
         List<ScaleOutRequest> parts = rental.split(most, again -> {});
-        assertThat(rental.first()).hasSameSizeAs(parts);
+        assertThat(rental.prerequisites()).hasSameSizeAs(parts);
         int machines = rental.machines().size();
         for (ScaleOutRequest part : parts) {
             assertThat(part.machines()).allMatch(part::mayHold);
             assertThat(part.changes().get(part.key()).toString().length()).isLessThan(1_024);
             machines += part.machines().size();
-            part.stored(10);
+            part.onStored(10);
         }
         assertThat(machines).isEqualTo(50);
-        assertThat(rental.first()).isEmpty();
+        assertThat(rental.prerequisites()).isEmpty();
         assertThat(rental.changes().get(rental.key()).toString().length()).isLessThan(1_024);
     }
 }
--- a/src/test/java/io/sillreel/load/LossMeasurement.java
+++ b/src/test/java/io/sillreel/load/LossMeasurement.java
@@ -30,13 +30,13 @@
     void measure(int lostSeconds) throws InterruptedException {
         Image image = inLoop(state::image);
         TimeUnit.SECONDS.sleep(lostSeconds);
-        long ledger = inLoop(state::ledger);
+        long storeRevision = inLoop(state::ledger);
         long begun = eventLoop.nowMicros();
         inLoop(() -> {
             state.turnBack(image);
             return true;
         });
-        long lost = ledger - inLoop(state::ledger);
+        long lost = storeRevision - inLoop(state::ledger);
         double noticed =
                 untilSeconds(begun, () -> status.get().path("generation").asLong() > 0);
         double closed =
--- a/src/test/java/io/sillreel/pipeline/PipelineTest.java
+++ b/src/test/java/io/sillreel/pipeline/PipelineTest.java
@@ -95,7 +95,7 @@
             job.settle(piece);
         }
         // The parts first, one after the other, then the head that names them: each a value and a change of its own.
-        List<WriteQueue.PendingWrite> parts = List.copyOf(job.first());
+        List<WriteQueue.PendingWrite> parts = List.copyOf(job.prerequisites());
         assertThat(parts).hasSize((100_000 + RunRecord.chunkTasks(valueBytes) - 1) / RunRecord.chunkTasks(valueBytes));
         Map<String, String> values = new HashMap<>();
         for (WriteQueue.PendingWrite part : parts) {
@@ -104,13 +104,13 @@
                 assertThat(value.toString().length()).isLessThan(valueBytes);
                 values.put(key, value.path("bits").asText());
             });
-            part.stored(8);
+            part.onStored(8);
         }
-        assertThat(job.first()).isEmpty();
+        assertThat(job.prerequisites()).isEmpty();
         var head = job.changes();
         assertThat(head).hasSize(1);
         assertThat(head.get(job.key()).toString().length()).isLessThan(valueBytes);
-        job.stored(9);
+        job.onStored(9);
         assertThat(job.isStored(99_998)).isTrue();
 
         ActiveJob again = new ActiveJob(spec, 7, 0, ValueLimits.fixed(valueBytes), new IgnoringListener());
--- a/src/test/java/io/sillreel/recovery/CollectedMemoriesTest.java
+++ b/src/test/java/io/sillreel/recovery/CollectedMemoriesTest.java
@@ -13,16 +13,16 @@
 
     private final CollectedMemories survivors = new CollectedMemories();
 
-    private static RecentChange change(String key, long stamp) {
-        return RecentChange.of(key, Json.object().put("at", stamp), stamp);
+    private static RecentChange change(String key, long revision) {
+        return RecentChange.of(key, Json.object().put("at", revision), revision);
     }
 
     private static Memory memory(long from, long to, List<Long> own, RecentChange... changes) {
         return new Memory(List.of(changes), from, to, own, 1_000, 5_000);
     }
 
-    private static HighWatermarks reached(long ledger) {
-        return HighWatermarks.NONE.withLedger(ledger);
+    private static HighWatermarks reached(long storeRevision) {
+        return HighWatermarks.NONE.withLedger(storeRevision);
     }
 
     @Test
@@ -81,8 +81,8 @@
     void theOldestChangesAreForgottenFirstAndThatIsKnown() {
         ChangeLog log = new ChangeLog(1_000);
         log.restart(10, 1);
-        for (long stamp = 11; stamp <= 40; stamp++) {
-            log.followed(List.of(change("plan/" + stamp, stamp)), stamp);
+        for (long revision = 11; revision <= 40; revision++) {
+            log.followed(List.of(change("plan/" + revision, revision)), revision);
         }
         assertThat(log.bytes()).isLessThanOrEqualTo(1_000);
         assertThat(log.memory(0).changes().get(0).stamp()).isEqualTo(log.knownFrom());
--- a/src/test/java/io/sillreel/recovery/LostWritesTest.java
+++ b/src/test/java/io/sillreel/recovery/LostWritesTest.java
@@ -88,10 +88,10 @@
             SimCluster world = begun(seed);
             Image image = jobsInEveryState(world);
             int term = world.term();
-            long ledger = world.state().ledger();
+            long storeRevision = world.state().ledger();
             world.state().turnBack(image);
             untilClosed(world, 1);
-            assertThat(world.state().ledger()).isGreaterThan(ledger);
+            assertThat(world.state().ledger()).isGreaterThan(storeRevision);
             assertThat(world.term()).isGreaterThan(term + 1_000);
             everyJobEnds(world);
             int tasks = 4 + 6 + 2 + 3 + 2 + 2 + 12;
--- a/src/test/java/io/sillreel/sim/SimStateStore.java
+++ b/src/test/java/io/sillreel/sim/SimStateStore.java
@@ -37,7 +37,7 @@
     private final Map<Long, Long> ends = new TreeMap<>();
     private final List<Change> changes = new ArrayList<>();
     private final Set<Runnable> watchers = new LinkedHashSet<>();
-    private long ledger = 100;
+    private long storeRevision = 100;
     private long permits;
     private long forgotten;
     private boolean outage;
@@ -94,7 +94,7 @@
 
     /** The revision of the last change. */
     public long ledger() {
-        return ledger;
+        return storeRevision;
     }
 
     public JsonNode value(String key) {
@@ -110,11 +110,11 @@
     /** Everything that is stored, to come back with later. */
     public static final class Image {
         private final TreeMap<String, Value> keys;
-        private final long ledger;
+        private final long storeRevision;
 
-        private Image(TreeMap<String, Value> keys, long ledger) {
+        private Image(TreeMap<String, Value> keys, long storeRevision) {
             this.keys = keys;
-            this.ledger = ledger;
+            this.storeRevision = storeRevision;
         }
     }
 
@@ -125,7 +125,7 @@
 
     public Image image() {
         expire();
-        return new Image(new TreeMap<>(keys), ledger);
+        return new Image(new TreeMap<>(keys), storeRevision);
     }
 
     /** Comes back with an older image of itself: no lease is left, and what hung on one is gone. */
@@ -135,15 +135,15 @@
         keys.values().removeIf(value -> value.permit() > 0);
         lives.clear();
         ends.clear();
-        changes.removeIf(change -> change.stamp() > image.ledger);
-        ledger = image.ledger;
-        forgotten = Math.min(forgotten, ledger);
+        changes.removeIf(change -> change.stamp() > image.storeRevision);
+        storeRevision = image.storeRevision;
+        forgotten = Math.min(forgotten, storeRevision);
     }
 
     /** Forgets the record of changes, as if very many had come since. */
     public void compact() {
         changes.clear();
-        forgotten = ledger;
+        forgotten = storeRevision;
     }
 
     @Override
@@ -170,14 +170,14 @@
 
     private CompletableFuture<HttpResponse> get(String key) {
         Value value = keys.get(key);
-        return value == null ? answer(404, Json.object().put("ledger", ledger)) : answer(200, entry(key, value));
+        return value == null ? answer(404, Json.object().put("ledger", storeRevision)) : answer(200, entry(key, value));
     }
 
     private CompletableFuture<HttpResponse> list(HttpRequest request) {
         String prefix = request.query("prefix");
         String since = request.query("since");
         int limit = Integer.parseInt(request.query("limit"));
-        ObjectNode body = Json.object().put("ledger", ledger);
+        ObjectNode body = Json.object().put("ledger", storeRevision);
         ArrayNode entries = body.putArray("entries");
         boolean truncated = false;
         for (Map.Entry<String, Value> each :
@@ -215,24 +215,24 @@
         }
         ArrayNode failed = failedConditions(body.path("if"));
         if (!failed.isEmpty()) {
-            ObjectNode conflict = Json.object().put("ledger", ledger);
+            ObjectNode conflict = Json.object().put("ledger", storeRevision);
             conflict.set("failed", failed);
             return answer(409, conflict);
         }
         if (!then.isEmpty()) {
-            ledger++;
+            storeRevision++;
             then.forEach(this::apply);
             wake();
         }
-        return answer(200, Json.object().put("ledger", ledger));
+        return answer(200, Json.object().put("ledger", storeRevision));
     }
 
     private ArrayNode failedConditions(JsonNode conditions) {
         ArrayNode failed = Json.array();
         for (JsonNode condition : conditions) {
             String key = condition.path("k").asText();
-            long stamp = keys.containsKey(key) ? keys.get(key).stamp() : 0;
-            if (stamp != condition.path("stamp").asLong()) {
+            long revision = keys.containsKey(key) ? keys.get(key).stamp() : 0;
+            if (revision != condition.path("stamp").asLong()) {
                 failed.add(key);
             }
         }
@@ -245,8 +245,10 @@
             return;
         }
         String key = change.path("set").asText();
-        keys.put(key, new Value(change.path("v"), ledger, change.path("permit").asLong()));
-        changes.add(new Change(key, change.path("v"), ledger));
+        keys.put(
+                key,
+                new Value(change.path("v"), storeRevision, change.path("permit").asLong()));
+        changes.add(new Change(key, change.path("v"), storeRevision));
         if (key.equals("leader")) {
             onLeader.run();
         }
@@ -263,16 +265,16 @@
             return answer(200, Json.object().put("permit", permits));
         }
         String[] parts = route.split("/");
-        long permit = Long.parseLong(parts[2]);
-        if (!ends.containsKey(permit)) {
+        long leaseId = Long.parseLong(parts[2]);
+        if (!ends.containsKey(leaseId)) {
             return answer(404, Json.object().put("error", "no such lease"));
         }
         if (request.method().equals("DELETE")) {
-            ends.put(permit, time.nowMicros() - 1);
+            ends.put(leaseId, time.nowMicros() - 1);
             expire();
         } else {
-            ends.put(permit, time.nowMicros() + lives.get(permit));
-            time.after(lives.get(permit) + 1, this::expire);
+            ends.put(leaseId, time.nowMicros() + lives.get(leaseId));
+            time.after(lives.get(leaseId) + 1, this::expire);
         }
         return answer(200, Json.object());
     }
@@ -295,7 +297,7 @@
                 watchers.remove(look[0]);
                 return;
             }
-            ObjectNode body = Json.object().put("ledger", ledger);
+            ObjectNode body = Json.object().put("ledger", storeRevision);
             ArrayNode result = body.putArray("news");
             for (Change change : changes) {
                 if (change.stamp() > since && change.key().startsWith(prefix)) {
@@ -331,13 +333,13 @@
             return;
         }
         boolean ended = false;
-        for (long permit : List.copyOf(ends.keySet())) {
-            if (ends.get(permit) < time.nowMicros()) {
-                ends.remove(permit);
-                lives.remove(permit);
-                ledger++;
+        for (long leaseId : List.copyOf(ends.keySet())) {
+            if (ends.get(leaseId) < time.nowMicros()) {
+                ends.remove(leaseId);
+                lives.remove(leaseId);
+                storeRevision++;
                 for (String key : List.copyOf(keys.keySet())) {
-                    if (keys.get(key).permit() == permit) {
+                    if (keys.get(key).permit() == leaseId) {
                         delete(key);
                     }
                 }
@@ -351,7 +353,7 @@
 
     private void delete(String key) {
         if (keys.remove(key) != null) {
-            changes.add(new Change(key, null, ledger));
+            changes.add(new Change(key, null, storeRevision));
         }
     }
 
--- a/src/test/java/io/sillreel/statestore/ScanTest.java
+++ b/src/test/java/io/sillreel/statestore/ScanTest.java
@@ -32,11 +32,11 @@
         network.listen("state:1", state);
         store = network.stateStore(process, 4, 10_000);
         for (int from = 0; from < ENTRIES; from += 100) {
-            Transaction txn = new Transaction();
+            Transaction transaction = new Transaction();
             for (int entry = from; entry < from + 100; entry++) {
-                txn.set("k/%04d".formatted(entry), Json.object());
+                transaction.set("k/%04d".formatted(entry), Json.object());
             }
-            store.commit(txn);
+            store.commit(transaction);
             time.runFor(1_000_000);
         }
     }
--- a/src/test/java/io/sillreel/statestore/WriteQueueTest.java
+++ b/src/test/java/io/sillreel/statestore/WriteQueueTest.java
@@ -23,7 +23,7 @@
     private final SimStateStore state = new SimStateStore(time, 4, 8192, 1_000);
     private final SimTime.Process process = time.new Process();
     private final StateStore store;
-    private final WriteQueue writer;
+    private final WriteQueue writeQueue;
     private boolean deposed;
 
     WriteQueueTest() {
@@ -31,7 +31,7 @@
         store = network.stateStore(process, 1_000, 1_000);
         store.commit(new Transaction().set("leader", Json.object()));
         time.runFor(100_000);
-        writer = new WriteQueue(store, process, "leader", 101, 4, () -> deposed = true);
+        writeQueue = new WriteQueue(store, process, "leader", 101, 4, () -> deposed = true);
     }
 
     /**
@@ -45,18 +45,18 @@
         Count large = new Count("a-key-whose-value-is-not-small");
         large.padding = "x".repeat(100);
         Count last = new Count("b");
-        List.of(small, large, last).forEach(writer::enqueue);
+        List.of(small, large, last).forEach(writeQueue::enqueue);
         time.runFor(3_000_000);
-        assertThat(small.stamp).isPositive();
-        assertThat(last.stamp).isPositive();
-        assertThat(large.stamp).isZero();
+        assertThat(small.revision).isPositive();
+        assertThat(last.revision).isPositive();
+        assertThat(large.revision).isZero();
         int refused = state.refusedForSize();
         time.runFor(10_000_000);
         assertThat(state.refusedForSize()).isEqualTo(refused);
         large.padding = "";
-        writer.enqueue(large);
+        writeQueue.enqueue(large);
         time.runFor(1_000_000);
-        assertThat(large.stamp).isPositive();
+        assertThat(large.revision).isPositive();
     }
 
     /**
@@ -67,17 +67,17 @@
     void refusalsForTheRateSlowWritingAndLoseNothing() {
         // A quarter of what this controller takes for its part.
         StateStore paced = network.stateStore(process, 1_000, 40);
-        WriteQueue writer = new WriteQueue(paced, process, "leader", 101, 4, () -> deposed = true);
+        WriteQueue writeQueue = new WriteQueue(paced, process, "leader", 101, 4, () -> deposed = true);
         state.limits(4, 8192, 10);
         List<Count> counts = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             counts.add(new Count("k%02d".formatted(i)));
-            writer.enqueue(counts.get(i));
+            writeQueue.enqueue(counts.get(i));
         }
         time.runFor(1_500_000);
         int refusedSoon = state.refusedForRate();
         time.runFor(10_000_000);
-        assertThat(counts).allMatch(count -> count.stamp > 0);
+        assertThat(counts).allMatch(count -> count.revision > 0);
         assertThat(state.refusedForRate() - refusedSoon)
                 .as("refused once the writer had slowed")
                 .isLessThan(25);
@@ -89,8 +89,8 @@
         private int value;
         private int sent;
         private int stored;
-        private long stamp;
-        private WriteQueue.WriteUrgency urgency = WriteQueue.WriteUrgency.START;
+        private long revision;
+        private WriteQueue.WriteUrgency urgency = WriteQueue.WriteUrgency.JOB_START;
 
         Count(String key) {
             this.key = key;
@@ -107,8 +107,8 @@
         }
 
         @Override
-        public long stamp() {
-            return stamp;
+        public long revision() {
+            return revision;
         }
 
         @Override
@@ -118,14 +118,14 @@
         }
 
         @Override
-        public void stored(long newStamp) {
-            stamp = newStamp;
+        public void onStored(long newRevision) {
+            revision = newRevision;
             stored = sent;
         }
 
         @Override
-        public void moved(long newStamp) {
-            stamp = newStamp;
+        public void onConflict(long newRevision) {
+            revision = newRevision;
         }
     }
 
@@ -135,24 +135,25 @@
         for (int i = 0; i < counts.length; i++) {
             counts[i] = new Count("k" + i);
             counts[i].value = i + 1;
-            writer.enqueue(counts[i]);
+            writeQueue.enqueue(counts[i]);
         }
         time.runFor(1_000_000);
         for (int i = 0; i < counts.length; i++) {
             assertThat(counts[i].stored).isEqualTo(i + 1);
             assertThat(state.value("k" + i).path("n").asInt()).isEqualTo(i + 1);
         }
-        assertThat(counts[9].stamp).isEqualTo(104);
+        assertThat(counts[9].revision).isEqualTo(104);
     }
 
     /** Guards against a lease that runs out because too much else was asked. */
     @Test
     void aRenewalIsNotHeldBackByTheRate() {
         StateStore spent = network.stateStore(process, 1, 1);
-        long permit = store.grant(3_000_000).thenApply(grant -> grant.permit()).getNow(0L);
+        long leaseId =
+                store.grantLease(3_000_000).thenApply(grant -> grant.leaseId()).getNow(0L);
         spent.get("leader");
         var refused = spent.get("leader");
-        var renewed = spent.touch(permit);
+        var renewed = spent.renewLease(leaseId);
         time.runFor(100_000);
         assertThat(refused.join().outcome()).isEqualTo(StateStore.Outcome.REFUSED);
         assertThat(renewed.join()).isNotEqualTo(StateStore.Outcome.REFUSED);
@@ -176,21 +177,23 @@
             scarce.enqueue(progress[i]);
         }
         time.runFor(1_900_000);
-        assertThat(progress).allMatch(count -> count.stamp == 0);
+        assertThat(progress).allMatch(count -> count.revision == 0);
         Count[] starts = new Count[6];
         for (int i = 0; i < starts.length; i++) {
             starts[i] = new Count("s" + i);
             scarce.enqueue(starts[i]);
         }
         Count end = new Count("e");
-        end.urgency = WriteQueue.WriteUrgency.END;
+        end.urgency = WriteQueue.WriteUrgency.JOB_END;
         scarce.enqueue(end);
         time.runFor(8_000_000);
-        assertThat(end.stamp).isPositive();
-        assertThat(starts).allMatch(start -> start.stamp >= end.stamp);
-        assertThat(progress).filteredOn(count -> count.stamp > 0).allMatch(count -> count.stamp > starts[5].stamp);
+        assertThat(end.revision).isPositive();
+        assertThat(starts).allMatch(start -> start.revision >= end.revision);
+        assertThat(progress)
+                .filteredOn(count -> count.revision > 0)
+                .allMatch(count -> count.revision > starts[5].revision);
         time.runFor(20_000_000);
-        assertThat(progress).allMatch(count -> count.stamp > 0);
+        assertThat(progress).allMatch(count -> count.revision > 0);
     }
 
     /**
@@ -201,7 +204,7 @@
         Count count = new Count("k");
         count.value = 1;
         Rule hold = network.add((from, to, request) -> request.route().equals("/txn") ? Fate.HOLD : null);
-        writer.enqueue(count);
+        writeQueue.enqueue(count);
         time.runFor(1_000_000);
         network.remove(hold);
         count.value = 2;
@@ -217,12 +220,12 @@
         Count count = new Count("k");
         count.value = 1;
         Rule lose = network.add((from, to, request) -> request.route().equals("/txn") ? Fate.LOSE_ANSWER : null);
-        writer.enqueue(count);
+        writeQueue.enqueue(count);
         time.runFor(1_000_000);
         network.remove(lose);
         time.runFor(3_000_000);
         assertThat(count.stored).isEqualTo(1);
-        assertThat(count.stamp).isEqualTo(103);
+        assertThat(count.revision).isEqualTo(103);
     }
 
     @Test
@@ -230,7 +233,7 @@
         store.commit(new Transaction().set("leader", Json.object().put("node", "other")));
         time.runFor(100_000);
         Count count = new Count("k");
-        writer.enqueue(count);
+        writeQueue.enqueue(count);
         time.runFor(1_000_000);
         assertThat(deposed).isTrue();
         assertThat(state.value("k")).isNull();
@@ -239,11 +242,11 @@
     @Test
     void listsArePagedAndWatchesTellWhenTheyAreTooOld() {
         for (int i = 0; i < 1_200; i += 4) {
-            Transaction txn = new Transaction();
+            Transaction transaction = new Transaction();
             for (int j = i; j < i + 4; j++) {
-                txn.set("many/%05d".formatted(j), Json.object());
+                transaction.set("many/%05d".formatted(j), Json.object());
             }
-            store.commit(txn);
+            store.commit(transaction);
             time.runFor(20_000);
         }
         var listing = store.list("many/");
@@ -274,13 +277,13 @@
         for (int i = 0; i < 30; i++) {
             Count progress = new Count("p/" + i);
             progress.urgency = WriteQueue.WriteUrgency.PROGRESS;
-            writer.enqueue(progress);
+            writeQueue.enqueue(progress);
         }
-        writer.enqueue(new Count("hire/1"));
-        assertThat(writer.backlog()).isEqualTo(31);
-        assertThat(writer.pressing()).isEqualTo(1);
+        writeQueue.enqueue(new Count("hire/1"));
+        assertThat(writeQueue.backlog()).isEqualTo(31);
+        assertThat(writeQueue.urgentCount()).isEqualTo(1);
         time.runFor(1_000_000);
-        assertThat(writer.backlog()).isEqualTo(30);
-        assertThat(writer.pressing()).isZero();
+        assertThat(writeQueue.backlog()).isEqualTo(30);
+        assertThat(writeQueue.urgentCount()).isZero();
     }
 }
