--- a/src/main/java/io/sillreel/admission/Admission.java
+++ b/src/main/java/io/sillreel/admission/Admission.java
@@ -136,14 +136,14 @@
         if (store.isSilent()) {
             return done(cannotRead());
         }
-        if (spec.awaits().isEmpty()) {
+        if (spec.dependencies().isEmpty()) {
             return store(spec, List.of(), tries);
         }
         if (cut(new PlanRecord(eventLoop.wallMicros(), spec)).isEmpty()) {
             return unlessKnown(spec.uid(), tooLarge(spec));
         }
         // Once accepted a job stays so, and that may be remembered; that it never was, only the store can say.
-        return views.fresh(spec.awaits()).thenCompose(awaited -> {
+        return views.fresh(spec.dependencies()).thenCompose(awaited -> {
             if (awaited.contains(null)) {
                 return done(cannotRead());
             }
@@ -165,8 +165,9 @@
     private CompletableFuture<HttpResponse> store(JobSpec spec, List<JobStatus> awaited, int tries) {
         PlanRecord plan = new PlanRecord(eventLoop.wallMicros(), spec);
         ValueLimits limits = settings.state().values();
-        boolean maybeCut = !spec.awaits().isEmpty();
-        Optional<Map<String, JsonNode>> values = maybeCut ? cut(plan) : plan.cut(limits.presentBytes(), WHOLE);
+        boolean maybeCut = !spec.dependencies().isEmpty();
+        Optional<Map<String, JsonNode>> values =
+                maybeCut ? cut(plan) : plan.splitOverflow(limits.presentBytes(), WHOLE);
         if (values.isEmpty()) {
             return unlessKnown(spec.uid(), tooLarge(spec));
         }
@@ -184,7 +185,8 @@
     /** The plan as it can be stored under the announced limits; one change is left for the cancellation. */
     private Optional<Map<String, JsonNode>> cut(PlanRecord plan) {
         StateLimits limits = settings.state();
-        return plan.cut(limits.values().announcedBytes(), Math.max(WHOLE, limits.maxTransactionChanges() - 1));
+        return plan.splitOverflow(
+                limits.values().announcedBytes(), Math.max(WHOLE, limits.maxTransactionChanges() - 1));
     }
 
     /** Stores the values of a plan; a job which awaits a cancelled one is cancelled in the same transaction. */
@@ -239,8 +241,8 @@
         }
     }
 
-    private HttpResponse admitted(JobSpec spec, long planStamp, boolean cancelled) {
-        JobStatus planned = JobStatusReader.planned(spec.uid(), planStamp, spec);
+    private HttpResponse admitted(JobSpec spec, long planRevision, boolean cancelled) {
+        JobStatus planned = JobStatusReader.planned(spec.uid(), planRevision, spec);
         JobStatus view = cancelled ? planned.closedBy() : planned;
         views.remember(view);
         LOG.info(
@@ -250,8 +252,8 @@
                 spec.cpus(),
                 spec.jobClass(),
                 spec.team(),
-                spec.rank().wire(),
-                after(spec.awaits()));
+                spec.priorityClass().wireName(),
+                after(spec.dependencies()));
         String stage = view.cancelled() ? "withdrawn" : "queued";
         return HttpResponse.of(201, Json.object().put("uid", spec.uid()).put("stage", stage));
     }
@@ -264,7 +266,7 @@
     }
 
     private static HttpResponse tooLarge(JobSpec spec) {
-        int names = spec.awaits().size();
+        int names = spec.dependencies().size();
         String awaits = names == 0 ? "" : "; it awaits " + names + " jobs, split them over several jobs";
         return HttpResponse.refusal(422, "the job's description is too large to be stored" + awaits);
     }
--- a/src/main/java/io/sillreel/admission/JobStatusReader.java
+++ b/src/main/java/io/sillreel/admission/JobStatusReader.java
@@ -84,10 +84,10 @@
     }
 
     private static void addChainPlan(Map<String, ChainPlan> plans, Entry entry) {
-        PlanRecord plan = PlanRecord.of(entry.value());
+        PlanRecord plan = PlanRecord.fromJson(entry.value());
         JobSpec spec = plan.spec();
-        if (plan.complete() && !spec.awaits().isEmpty()) {
-            plans.put(spec.uid(), new ChainPlan(entry.revision(), spec.tasks(), spec.awaits()));
+        if (plan.complete() && !spec.dependencies().isEmpty()) {
+            plans.put(spec.uid(), new ChainPlan(entry.revision(), spec.tasks(), spec.dependencies()));
         }
     }
 
@@ -116,7 +116,7 @@
                     view.tasks(),
                     view.awaits(),
                     run.join().revision(),
-                    head == null ? null : RunRecord.Head.of(head.value()),
+                    head == null ? null : RunRecord.Head.fromJson(head.value()),
                     cancel.join().revision(),
                     false));
             return true;
@@ -136,7 +136,7 @@
             if (read.entry() == null) {
                 return CompletableFuture.completedFuture(Optional.of(old));
             }
-            return PlanRecord.of(read.entry().value())
+            return PlanRecord.fromJson(read.entry().value())
                     .complete(store)
                     .thenApply(plan -> plan.map(whole -> planned(uid, read.revision(), whole.spec())));
         });
@@ -147,7 +147,7 @@
     }
 
     /** What is known of a job by its plan alone. */
-    static JobStatus planned(String uid, long planStamp, JobSpec spec) {
-        return planned(uid, new ChainPlan(planStamp, spec.tasks(), spec.awaits()));
+    static JobStatus planned(String uid, long planRevision, JobSpec spec) {
+        return planned(uid, new ChainPlan(planRevision, spec.tasks(), spec.dependencies()));
     }
 }
--- a/src/main/java/io/sillreel/admission/SubmissionDecoder.java
+++ b/src/main/java/io/sillreel/admission/SubmissionDecoder.java
@@ -43,8 +43,8 @@
         if (!"sweep".equals(text(body, "form"))) {
             throw new Malformed("form: only sweep is known");
         }
-        PriorityClass rank =
-                PriorityClass.of(text(body, "rank")).orElseThrow(() -> new Malformed("rank: is not a known rank"));
+        PriorityClass rank = PriorityClass.fromWireName(text(body, "rank"))
+                .orElseThrow(() -> new Malformed("rank: is not a known rank"));
         JsonNode tasks = field(body, "pieces");
         if (!tasks.isIntegralNumber() || !tasks.canConvertToInt() || tasks.asInt() < 1 || tasks.asInt() > MAX_TASKS) {
             throw new Malformed("pieces: is not a whole number from 1 to " + MAX_TASKS);
@@ -91,17 +91,17 @@
         if (team == null) {
             return Optional.of("crew: there is no team " + spec.team());
         }
-        if (team.cpusMax() > 0 && spec.cpus() > team.cpusMax() || team.gpusMax() > 0 && spec.cards() > team.gpusMax()) {
+        if (team.cpusMax() > 0 && spec.cpus() > team.cpusMax() || team.gpusMax() > 0 && spec.gpus() > team.gpusMax()) {
             return Optional.of("one task needs more than the limit of team " + spec.team());
         }
-        if (spec.oneZone() && spec.mostInOneZone() < spec.tasks()) {
+        if (spec.zoneAffinity() && spec.maxTasksPerZone() < spec.tasks()) {
             return Optional.of("one_zone and spread exclude each other");
         }
         boolean fits = types.stream()
-                .anyMatch(type -> spec.allowsBuild(type.name())
+                .anyMatch(type -> spec.allowsMachineType(type.name())
                         && (spec.zone() == null || type.zones().contains(spec.zone()))
                         && spec.cpus() <= type.cpus()
-                        && spec.cards() <= type.cards()
+                        && spec.gpus() <= type.cards()
                         && spec.ramGb() <= type.ramGb());
         return fits ? Optional.empty() : Optional.of("a task fits no allowed machine type");
     }
--- a/src/main/java/io/sillreel/cluster/Cluster.java
+++ b/src/main/java/io/sillreel/cluster/Cluster.java
@@ -114,7 +114,7 @@
     private void addWorstCase(QuotaUsage usage) {
         QuotaUsage hidden = new QuotaUsage();
         for (ActiveJob job : jobs.values()) {
-            if (job.inherited()) {
+            if (job.isInherited()) {
                 hidden.take(job.spec(), job.waitingCount());
             }
         }
@@ -129,7 +129,7 @@
         }
         QuotaUsage.Amount used = usage.of(spec.team());
         return Math.min(
-                left(team.cpusMax(), used.cpus(), spec.cpus()), left(team.gpusMax(), used.cards(), spec.cards()));
+                left(team.cpusMax(), used.cpus(), spec.cpus()), left(team.gpusMax(), used.cards(), spec.gpus()));
     }
 
     private static int left(double most, long used, double each) {
@@ -141,11 +141,11 @@
 
     /** True if the job's tasks may be launched at all now. */
     public boolean launchable(ActiveJob job, long wallMicros) {
-        return job.released()
-                && !job.cancelled()
-                && !job.complete()
-                && wallMicros >= job.nextWallMicros()
-                && (!job.inherited() || !unheard.mayHold(job.spec()));
+        return job.isReleased()
+                && !job.isCancelled()
+                && !job.isComplete()
+                && wallMicros >= job.nextAttemptWallMicros()
+                && (!job.isInherited() || !unheard.mayHold(job.spec()));
     }
 
     /** True if the machine is one the job allows, its other tasks aside. */
@@ -155,13 +155,13 @@
 
     /** True if machines of the type, in the zone and of the kind are such as the job allows. */
     public static boolean allows(JobSpec spec, MachineType type, String zone, boolean spot) {
-        return spec.allowsBuild(type.name()) && spec.allowsZone(zone) && (spec.spot() || !spot);
+        return spec.allowsMachineType(type.name()) && spec.allowsZone(zone) && (spec.spotAllowed() || !spot);
     }
 
     /** How many tasks of the job may start in the machine's zone given where its other tasks are. */
     public int zoneRoom(ActiveJob job, String zone) {
         JobSpec spec = job.spec();
-        if (!spec.oneZone() && !spec.spread()) {
+        if (!spec.zoneAffinity() && !spec.zoneAntiAffinity()) {
             return Integer.MAX_VALUE;
         }
         int here = 0;
@@ -173,9 +173,9 @@
                 elsewhere++;
             }
         }
-        if (spec.oneZone() && elsewhere > 0) {
+        if (spec.zoneAffinity() && elsewhere > 0) {
             return 0;
         }
-        return spec.mostInOneZone() - here;
+        return spec.maxTasksPerZone() - here;
     }
 }
--- a/src/main/java/io/sillreel/cluster/Machine.java
+++ b/src/main/java/io/sillreel/cluster/Machine.java
@@ -236,9 +236,9 @@
         for (Allocation allocation : allocations.values()) {
             if (!allocation.ended()
                     || allocation.job() != null
-                            && !allocation.job().cancelled()
-                            && allocation.job().isDone(allocation.index())
-                            && !allocation.job().isStored(allocation.index())) {
+                            && !allocation.job().isCancelled()
+                            && allocation.job().isTaskDone(allocation.index())
+                            && !allocation.job().isTaskStored(allocation.index())) {
                 return false;
             }
         }
@@ -350,7 +350,7 @@
 
     /** Returns how many tasks of the job fit into the free resources. */
     public static int fits(JobSpec spec, double cpus, double ramGb, double cards) {
-        return Math.min(fits(cpus, spec.cpus()), Math.min(fits(ramGb, spec.ramGb()), fits(cards, spec.cards())));
+        return Math.min(fits(cpus, spec.cpus()), Math.min(fits(ramGb, spec.ramGb()), fits(cards, spec.gpus())));
     }
 
     private static int fits(double free, double each) {
--- a/src/main/java/io/sillreel/cluster/QuotaUsage.java
+++ b/src/main/java/io/sillreel/cluster/QuotaUsage.java
@@ -42,7 +42,7 @@
     public void take(JobSpec spec, int tasks) {
         Amount amount = teams.computeIfAbsent(spec.team(), team -> new Amount());
         amount.cpus += tasks * milli(spec.cpus());
-        amount.cards += tasks * milli(spec.cards());
+        amount.cards += tasks * milli(spec.gpus());
     }
 
     public Amount of(String team) {
--- a/src/main/java/io/sillreel/cluster/ResourceUsage.java
+++ b/src/main/java/io/sillreel/cluster/ResourceUsage.java
@@ -64,7 +64,7 @@
             }
             cpus += allocation.job().spec().cpus();
             ramGb += allocation.job().spec().ramGb();
-            cards += allocation.job().spec().cards();
+            cards += allocation.job().spec().gpus();
         }
     }
 }
--- a/src/main/java/io/sillreel/fleet/SpotInterruptionDrain.java
+++ b/src/main/java/io/sillreel/fleet/SpotInterruptionDrain.java
@@ -45,10 +45,11 @@
                     continue;
                 }
                 JobSpec spec = allocation.job().spec();
-                if (spec.saves()
-                        ? left < 2 * spec.saveMicros() + COMMAND_MICROS
+                if (spec.supportsCheckpoints()
+                        ? left < 2 * spec.checkpointDurationMicros() + COMMAND_MICROS
                         : remainingMicros(allocation, now) > UNFINISHABLE_FACTOR * left) {
-                    allocation.halt(spec.saves() ? spec.saveMicros() + SAVE_MARGIN_MICROS : 0);
+                    allocation.halt(
+                            spec.supportsCheckpoints() ? spec.checkpointDurationMicros() + SAVE_MARGIN_MICROS : 0);
                     touched.add(machine);
                 }
             }
--- a/src/main/java/io/sillreel/heartbeat/CommandWriter.java
+++ b/src/main/java/io/sillreel/heartbeat/CommandWriter.java
@@ -39,10 +39,10 @@
                 return;
             }
             ActiveJob job = allocation.job();
-            boolean idle = job == null || job.cancelled();
+            boolean idle = job == null || job.isCancelled();
             if (allocation.ended()) {
                 // The worker is the only one to know of a completion until the store does.
-                if (idle || !job.isDone(allocation.index()) || job.isStored(allocation.index())) {
+                if (idle || !job.isTaskDone(allocation.index()) || job.isTaskStored(allocation.index())) {
                     allocation.reapCommanded(machine.messages().sequence());
                     commands.reap(allocation.uid(), allocation.index(), allocation.attempt());
                 }
@@ -50,7 +50,7 @@
                 if (idle) {
                     commands.halt(allocation.uid(), allocation.index(), allocation.attempt(), 0);
                 }
-            } else if (idle || job.isDone(allocation.index())) {
+            } else if (idle || job.isTaskDone(allocation.index())) {
                 commands.halt(allocation.uid(), allocation.index(), allocation.attempt(), 0);
             } else if (allocation.halting()) {
                 commands.halt(
@@ -96,7 +96,7 @@
                             machine.room(job.spec()),
                             Math.min(cluster.headroom(job.spec(), usage), cluster.zoneRoom(job, machine.zone()))));
             for (int i = 0; i < count && most > 0 && !commands.full() && !attemptIds.exhausted(); i++) {
-                int task = job.nextWaiting();
+                int task = job.nextWaitingTask();
                 if (task < 0) {
                     break;
                 }
--- a/src/main/java/io/sillreel/heartbeat/FaultAttribution.java
+++ b/src/main/java/io/sillreel/heartbeat/FaultAttribution.java
@@ -22,7 +22,7 @@
 
     /** Judges a task of the job that failed on the machine. */
     public static Fault failed(ActiveJob job, Machine machine) {
-        if (job.succeededOnce()) {
+        if (job.hasSucceededOnce()) {
             return Fault.MACHINE;
         }
         machine.faults().suspect(job.uid());
--- a/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
+++ b/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
@@ -130,7 +130,7 @@
                 }
                 machine.faults().clearSuspicion(job.uid());
                 judge(job);
-                if (job.settle(allocation.index()) && !job.cancelled()) {
+                if (job.markTaskDone(allocation.index()) && !job.isCancelled()) {
                     writeQueue.enqueue(job);
                 }
             }
@@ -154,7 +154,7 @@
     }
 
     private void failed(Machine machine, ActiveJob job, Allocation allocation) {
-        if (job.cancelled() || machine.state() == Machine.State.LEAVING) {
+        if (job.isCancelled() || machine.state() == Machine.State.LEAVING) {
             return;
         }
         switch (FaultAttribution.failed(job, machine)) {
@@ -171,7 +171,7 @@
                 for (Machine suspectedMachine : cluster.machines()) {
                     suspectedMachine.faults().clearSuspicion(job.uid());
                 }
-                job.failAttempt(
+                job.recordFailedAttempt(
                         retries, eventLoop.wallMicros(), "its tasks failed on " + String.join(" and ", job.failedOn()));
                 job.failedOn().clear();
                 LOG.info("job {}: {}", job.uid(), job.reason());
--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -103,10 +103,10 @@
         cancellationProofMicros = askedMicros;
         cancelledUids = state.cancelled();
         state.recentlyDone().forEach(plan -> capacity.arrived(plan.spec(), plan.admittedWallMicros()));
-        toWrite(state.leftovers());
+        enqueueWrites(state.leftovers());
         List<ActiveJob> unfinished = new ArrayList<>();
         state.unfinished().forEach(stored -> unfinished.add(inherit(stored)));
-        dependencies.begin(unfinished, state.done()::contains, uid -> cancelledUids.contains(uid));
+        dependencies.restore(unfinished, state.done()::contains, uid -> cancelledUids.contains(uid));
         unfinished.forEach(inheritance::joined);
     }
 
@@ -131,14 +131,14 @@
             job.inherit(stored.headStamp(), stored.head(), stored.parts());
         }
         add(job);
-        if (job.complete() && !job.cancelled()) {
+        if (job.isComplete() && !job.isCancelled()) {
             writeQueue.enqueue(job);
         }
         return job;
     }
 
     @Override
-    public void toWrite(List<? extends WriteQueue.PendingWrite> items) {
+    public void enqueueWrites(List<? extends WriteQueue.PendingWrite> items) {
         items.forEach(writeQueue::enqueue);
     }
 
@@ -150,7 +150,7 @@
         if (cancelledUids.contains(job.uid())) {
             job.cancel();
         }
-        if (!job.awaitsOthers()) {
+        if (!job.hasUnmetDependencies()) {
             capacity.arrived(job.spec(), job.readyWallMicros());
         }
         cluster.add(job);
@@ -171,7 +171,7 @@
                 if (cluster.job(plan.spec().uid()) == null) {
                     ActiveJob job = create(complete.get(), revision);
                     add(job);
-                    dependencies.enter(job, cancelledUids::contains);
+                    dependencies.add(job, cancelledUids::contains);
                     inheritance.joined(job);
                 }
             }
@@ -179,15 +179,15 @@
     }
 
     @Override
-    public void ready(ActiveJob job) {
-        if (job.cancelled()) {
+    public void becameReady(ActiveJob job) {
+        if (job.isCancelled()) {
             return;
         }
-        if (job.awaitsOthers()) {
-            job.ready(eventLoop.wallMicros());
+        if (job.hasUnmetDependencies()) {
+            job.markReady(eventLoop.wallMicros());
             capacity.arrived(job.spec(), job.readyWallMicros());
         }
-        if (!job.released()) {
+        if (!job.isReleased()) {
             writeQueue.enqueue(job);
         }
     }
@@ -196,29 +196,29 @@
      * The cancellation of what follows is told from that of the first; writing it down spares readers to look for it.
      */
     @Override
-    public void closed(ActiveJob job, String because) {
+    public void skipped(ActiveJob job, String because) {
         if (cancelledUids.add(job.uid())) {
             LOG.info("cancelled {}, which needs {}", job.uid(), because);
             writeQueue.enqueue(new CascadingCancellation(job.uid(), because, eventLoop.wallMicros()));
         }
-        foundCancelled(job);
+        cancellationFound(job);
     }
 
     @Override
     public void lookUp(String uid) {
-        if (closed || !dependencies.asks(uid)) {
+        if (closed || !dependencies.isAwaitingLookup(uid)) {
             return;
         }
         if (doneUids.contains(uid)) {
-            dependencies.found(uid);
+            dependencies.lookupSucceeded(uid);
             return;
         }
         store.get(RunRecord.key(uid)).thenAccept(read -> {
             synchronized (cluster) {
                 if (read.outcome() == Outcome.OK
-                        && RunRecord.Head.of(read.entry().value()).isDone()) {
+                        && RunRecord.Head.fromJson(read.entry().value()).isDone()) {
                     doneUids.add(uid);
-                    dependencies.found(uid);
+                    dependencies.lookupSucceeded(uid);
                     return;
                 }
             }
@@ -238,7 +238,7 @@
                 PLAN_WATCH_MICROS,
                 change -> {
                     if (change.value() != null) {
-                        enter(PlanRecord.of(change.value()), change.revision());
+                        enter(PlanRecord.fromJson(change.value()), change.revision());
                     }
                 },
                 sent -> {});
@@ -259,9 +259,9 @@
             cancelledUids.add(uid);
             ActiveJob job = cluster.job(uid);
             if (job != null) {
-                foundCancelled(job);
+                cancellationFound(job);
             }
-            dependencies.cancelled(uid);
+            dependencies.markCancelled(uid);
         }
     }
 
@@ -293,20 +293,20 @@
     public void recordStored(ActiveJob job) {
         synchronized (cluster) {
             changed.run();
-            dependencies.released(job);
-            if (job.doneStored()) {
+            dependencies.markReleased(job);
+            if (job.isCompletionStored()) {
                 cluster.remove(job);
                 doneUids.add(job.uid());
                 LOG.info("done {}", job.uid());
-                dependencies.done(job);
+                dependencies.markDone(job);
             }
         }
     }
 
     @Override
-    public void foundCancelled(ActiveJob job) {
+    public void cancellationFound(ActiveJob job) {
         synchronized (cluster) {
-            if (!job.cancelled()) {
+            if (!job.isCancelled()) {
                 job.cancel();
                 changed.run();
                 onCancelled.accept(job);
@@ -322,10 +322,10 @@
                 return;
             }
             for (ActiveJob job : List.copyOf(cluster.jobs())) {
-                if (job.cancelled() && job.allocatedCount() == 0) {
+                if (job.isCancelled() && job.allocatedCount() == 0) {
                     cluster.remove(job);
                     dependencies.forget(job);
-                    toWrite(job.leftovers());
+                    enqueueWrites(job.leftovers());
                 }
             }
         }
--- a/src/main/java/io/sillreel/leadership/LeaderStatus.java
+++ b/src/main/java/io/sillreel/leadership/LeaderStatus.java
@@ -65,7 +65,7 @@
             Map<String, Double> gauges = new HashMap<>();
             int waiting = 0;
             for (ActiveJob job : cluster.jobs()) {
-                waiting += job.cancelled() || job.awaitsOthers() ? 0 : job.waitingCount();
+                waiting += job.isCancelled() || job.hasUnmetDependencies() ? 0 : job.waitingCount();
             }
             double cpus = cluster.machines().stream()
                     .filter(machine -> machine.state() == Machine.State.UP)
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -358,7 +358,7 @@
     public Counts of(String uid) {
         synchronized (cluster) {
             ActiveJob job = cluster.job(uid);
-            return job == null || job.complete()
+            return job == null || job.isComplete()
                     ? null
                     : new Counts(job.doneCount(), job.allocatedCount(), job.reason());
         }
--- a/src/main/java/io/sillreel/leadership/SchedulingCycle.java
+++ b/src/main/java/io/sillreel/leadership/SchedulingCycle.java
@@ -119,7 +119,7 @@
         reportProcessor.plan(plan);
         for (Allocation allocation : plan.halts()) {
             LOG.debug("stopping {}/{} to make room", allocation.uid(), allocation.index());
-            allocation.halt(allocation.job().spec().saveMicros() + COMMAND_MICROS);
+            allocation.halt(allocation.job().spec().checkpointDurationMicros() + COMMAND_MICROS);
             haltsDue.add(allocation.machine());
         }
         planCostMicros = eventLoop.nowMicros() - now;
--- a/src/main/java/io/sillreel/leadership/StoredJobsReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredJobsReader.java
@@ -59,7 +59,7 @@
             } else if (RunRecord.isDone(entry.value())) {
                 done.add(rest);
             } else {
-                heads.put(rest, new Head(RunRecord.Head.of(entry.value()), entry.revision()));
+                heads.put(rest, new Head(RunRecord.Head.fromJson(entry.value()), entry.revision()));
             }
             runsReadUpTo = rest;
         }
@@ -92,7 +92,7 @@
 
     /** Adds a page of parts of done sets. */
     void addParts(List<Entry> page) {
-        page.forEach(entry -> addPart(RunRecord.uidOfPart(entry.key()), entry));
+        page.forEach(entry -> addPart(RunRecord.uidOfChunk(entry.key()), entry));
     }
 
     private void addPart(String uid, Entry entry) {
@@ -117,13 +117,13 @@
         if (!done.contains(uid)) {
             Head head = heads.remove(uid);
             unfinished.add(new StoredJob(
-                    PlanRecord.of(plan.value()),
+                    PlanRecord.fromJson(plan.value()),
                     plan.revision(),
                     head == null ? null : head.head(),
                     head == null ? 0 : head.stamp(),
                     RunRecord.StoredChunks.NONE));
         } else if (countsAsDemand.test(PlanRecord.admittedWallMicros(plan.value()))) {
-            recentlyDone.add(PlanRecord.of(plan.value()));
+            recentlyDone.add(PlanRecord.fromJson(plan.value()));
         }
     }
 
--- a/src/main/java/io/sillreel/leadership/StoredStateReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredStateReader.java
@@ -51,7 +51,7 @@
         });
         CompletableFuture<Scan> plans = store.scan(
                 PlanRecord.PREFIX, page -> jobs.addPlans(page).thenApply(judged -> judged && wanted.getAsBoolean()));
-        CompletableFuture<Scan> parts = store.scan(RunRecord.partsPrefix(), page -> {
+        CompletableFuture<Scan> parts = store.scan(RunRecord.chunksPrefix(), page -> {
             jobs.addParts(page);
             return next();
         });
--- a/src/main/java/io/sillreel/pipeline/ActiveJob.java
+++ b/src/main/java/io/sillreel/pipeline/ActiveJob.java
@@ -19,78 +19,79 @@
     public interface Listener {
         void recordStored(ActiveJob job);
 
-        void foundCancelled(ActiveJob job);
+        void cancellationFound(ActiveJob job);
 
         /** These are to be written as well, or the job again if it is among them. */
-        void toWrite(List<? extends WriteQueue.PendingWrite> items);
+        void enqueueWrites(List<? extends WriteQueue.PendingWrite> items);
     }
 
     private final JobSpec spec;
-    private final long planStamp;
+    private final long planRevision;
     private final long admittedWallMicros;
     private final Listener watcher;
     private final StoredCompletionBitmap done;
     private final BitSet allocated = new BitSet();
     /** Tasks that are done or have an allocation; kept with the counts, since reports ask for them all the time. */
-    private final BitSet taken = new BitSet();
+    private final BitSet occupied = new BitSet();
 
     private final Int2IntCounterMap allocations = new Int2IntCounterMap(0);
     private final Set<String> failedOn = new HashSet<>();
 
     private int allocatedCount;
-    private int takenCount;
-    private int ranCount;
-    private long ranMicros;
-    private long longestMicros;
-    private long runStamp;
-    private PriorityClass rank;
-    private long neededByMicros;
-    private boolean ready;
+    private int occupiedCount;
+    private int measuredTaskCount;
+    private long measuredMicros;
+    private long longestTaskMicros;
+    private long runRevision;
+    private PriorityClass effectivePriority;
+    private long inheritedDeadlineMicros;
+    private boolean markReady;
     private long readyWallMicros;
-    private boolean released;
-    private boolean inherited;
+    private boolean isReleased;
+    private boolean isInherited;
     private boolean doneSent;
-    private boolean doneStored;
-    private boolean cancelled;
+    private boolean isCompletionStored;
+    private boolean isCancelled;
     private int attempts;
     private int attemptsSent;
-    private long nextWallMicros;
+    private long nextAttemptWallMicros;
     private String reason;
-    private boolean succeededOnce;
+    private boolean hasSucceededOnce;
 
     /**
      * Creates a job that has not been released; {@link #inherit} adds what is stored of it.
      *
      * @param limits decides in which form the done set is stored
      */
-    public ActiveJob(JobSpec spec, long planStamp, long admittedWallMicros, ValueLimits limits, Listener watcher) {
+    public ActiveJob(JobSpec spec, long planRevision, long admittedWallMicros, ValueLimits limits, Listener watcher) {
         this.spec = spec;
-        this.planStamp = planStamp;
+        this.planRevision = planRevision;
         this.admittedWallMicros = admittedWallMicros;
         this.watcher = watcher;
-        this.done = new StoredCompletionBitmap(spec.uid(), spec.tasks(), limits, () -> watcher.toWrite(List.of(this)));
-        neededByNobody();
-        this.ready = spec.awaits().isEmpty();
+        this.done = new StoredCompletionBitmap(
+                spec.uid(), spec.tasks(), limits, () -> watcher.enqueueWrites(List.of(this)));
+        resetInheritedUrgency();
+        this.markReady = spec.dependencies().isEmpty();
         this.readyWallMicros = admittedWallMicros;
     }
 
     /** Takes over what an earlier leader stored: the job may have tasks anywhere in the stored fleet. */
     public void inherit(long revision, RunRecord.Head head, RunRecord.StoredChunks storedParts) {
-        runStamp = revision;
-        released = true;
-        inherited = true;
-        ready = true;
+        runRevision = revision;
+        isReleased = true;
+        isInherited = true;
+        markReady = true;
         if (head.readyMicros() > 0) {
             readyWallMicros = head.readyMicros();
         }
         attempts = head.attempts();
         attemptsSent = attempts;
-        nextWallMicros = head.nextMicros();
+        nextAttemptWallMicros = head.nextAttemptMicros();
         reason = head.reason();
         done.inherit(head, storedParts);
-        done.addTo(taken);
-        takenCount = done.count();
-        succeededOnce = done.count() > 0;
+        done.copyInto(occupied);
+        occupiedCount = done.count();
+        hasSucceededOnce = done.count() > 0;
     }
 
     public JobSpec spec() {
@@ -102,8 +103,8 @@
     }
 
     /** Plans are served in the order of these stamps. */
-    public long planStamp() {
-        return planStamp;
+    public long planRevision() {
+        return planRevision;
     }
 
     public long admittedWallMicros() {
@@ -116,99 +117,101 @@
     }
 
     /** The highest rank of the job and of all that need it: it decides the order, and who may be stopped for whom. */
-    public PriorityClass rank() {
-        return rank;
+    public PriorityClass effectivePriority() {
+        return effectivePriority;
     }
 
     /** By when whoever needs the job needs it, or the largest value there is; time of day. */
-    public long neededByMicros() {
-        return neededByMicros;
+    public long inheritedDeadlineMicros() {
+        return inheritedDeadlineMicros;
     }
 
     /** When the job has to be done: by its own deadline, counted from its submission, and for those that need it. */
-    public long endByMicros() {
-        return Math.min(neededByMicros, spec.dueMicros() < 0 ? Long.MAX_VALUE : admittedWallMicros + spec.dueMicros());
+    public long effectiveDeadlineMicros() {
+        return Math.min(
+                inheritedDeadlineMicros,
+                spec.deadlineMicros() < 0 ? Long.MAX_VALUE : admittedWallMicros + spec.deadlineMicros());
     }
 
     /** A job of that rank needs this one by then; true if that is more urgent than all before. */
-    public boolean neededBy(PriorityClass byRank, long byMicros) {
-        boolean more = byRank.above(rank) || byMicros < neededByMicros;
-        rank = byRank.above(rank) ? byRank : rank;
-        neededByMicros = Math.min(neededByMicros, byMicros);
+    public boolean inheritUrgency(PriorityClass byRank, long byMicros) {
+        boolean more = byRank.isAbove(effectivePriority) || byMicros < inheritedDeadlineMicros;
+        effectivePriority = byRank.isAbove(effectivePriority) ? byRank : effectivePriority;
+        inheritedDeadlineMicros = Math.min(inheritedDeadlineMicros, byMicros);
         return more;
     }
 
     /** Forgets what others have made of its urgency. */
-    public void neededByNobody() {
-        rank = spec.rank();
-        neededByMicros = Long.MAX_VALUE;
+    public void resetInheritedUrgency() {
+        effectivePriority = spec.priorityClass();
+        inheritedDeadlineMicros = Long.MAX_VALUE;
     }
 
     /** All that it awaits is done. */
-    public void ready(long wallMicros) {
-        if (!ready) {
-            ready = true;
+    public void markReady(long wallMicros) {
+        if (!markReady) {
+            markReady = true;
             readyWallMicros = wallMicros;
         }
     }
 
     /** True while it awaits other jobs: it asks for nothing, and takes nothing of any limit or guarantee. */
-    public boolean awaitsOthers() {
-        return !ready;
+    public boolean hasUnmetDependencies() {
+        return !markReady;
     }
 
     /** True once the release is stored: only then may tasks be launched. */
-    public boolean released() {
-        return released;
+    public boolean isReleased() {
+        return isReleased;
     }
 
     /** True if an earlier leader may have launched tasks of this job. */
-    public boolean inherited() {
-        return inherited;
+    public boolean isInherited() {
+        return isInherited;
     }
 
-    public boolean cancelled() {
-        return cancelled;
+    public boolean isCancelled() {
+        return isCancelled;
     }
 
     public void cancel() {
-        cancelled = true;
+        isCancelled = true;
     }
 
-    public boolean complete() {
+    public boolean isComplete() {
         return done.complete();
     }
 
     /** True once every user may be told that the job is done. */
-    public boolean doneStored() {
-        return doneStored;
+    public boolean isCompletionStored() {
+        return isCompletionStored;
     }
 
     public int doneCount() {
         return done.count();
     }
 
-    public boolean isDone(int task) {
+    public boolean isTaskDone(int task) {
         return done.contains(task);
     }
 
-    public boolean isStored(int task) {
+    public boolean isTaskStored(int task) {
         return done.isStored(task);
     }
 
     /** Marks the task as completed; true if that is news. */
-    public boolean settle(int task) {
+    public boolean markTaskDone(int task) {
         if (!done.add(task)) {
             return false;
         }
-        if (!taken.get(task)) {
-            taken.set(task);
-            takenCount++;
+        if (!occupied.get(task)) {
+            occupied.set(task);
+            occupiedCount++;
         }
-        succeededOnce = true;
+        hasSucceededOnce = true;
         failedOn.clear();
         attempts = 0;
-        nextWallMicros = 0;
+        nextAttemptWallMicros = 0;
         reason = null;
         return true;
     }
@@ -219,9 +222,9 @@
         if (!allocated.get(task)) {
             allocated.set(task);
             allocatedCount++;
-            if (!taken.get(task)) {
-                taken.set(task);
-                takenCount++;
+            if (!occupied.get(task)) {
+                occupied.set(task);
+                occupiedCount++;
             }
         }
     }
@@ -236,8 +239,8 @@
                 allocated.clear(task);
                 allocatedCount--;
                 if (!done.contains(task)) {
-                    taken.clear(task);
-                    takenCount--;
+                    occupied.clear(task);
+                    occupiedCount--;
                 }
             }
         }
@@ -252,38 +255,38 @@
     }
 
     /** The next task that is neither done nor on a machine, or -1. */
-    public int nextWaiting() {
-        int task = taken.nextClearBit(0);
+    public int nextWaitingTask() {
+        int task = occupied.nextClearBit(0);
         return task < spec.tasks() ? task : -1;
     }
 
     public int waitingCount() {
-        return spec.tasks() - takenCount;
+        return spec.tasks() - occupiedCount;
     }
 
     /** One of the job's tasks has ended after it ran for so long. */
-    public void ran(long micros) {
-        ranCount++;
-        ranMicros += micros;
-        longestMicros = Math.max(longestMicros, micros);
+    public void recordTaskRuntime(long micros) {
+        measuredTaskCount++;
+        measuredMicros += micros;
+        longestTaskMicros = Math.max(longestTaskMicros, micros);
     }
 
     /** How many of its tasks have been seen to run and end in this term. */
-    public int ranCount() {
-        return ranCount;
+    public int measuredTaskCount() {
+        return measuredTaskCount;
     }
 
     /** How long they ran in all. */
-    public long ranMicros() {
-        return ranMicros;
+    public long measuredMicros() {
+        return measuredMicros;
     }
 
-    public long longestMicros() {
-        return longestMicros;
+    public long longestTaskMicros() {
+        return longestTaskMicros;
     }
 
-    public long nextWallMicros() {
-        return nextWallMicros;
+    public long nextAttemptWallMicros() {
+        return nextAttemptWallMicros;
     }
 
     public String reason() {
@@ -291,8 +294,8 @@
     }
 
     /** True once a task of it has completed: its description can't be the mistake. */
-    public boolean succeededOnce() {
-        return succeededOnce;
+    public boolean hasSucceededOnce() {
+        return hasSucceededOnce;
     }
 
     public Set<String> failedOn() {
@@ -300,9 +303,9 @@
     }
 
     /** An attempt that the job itself failed: the next one is scheduled, or the job is parked. */
-    public void failAttempt(RetrySchedule schedule, long wallMicros, String why) {
+    public void recordFailedAttempt(RetrySchedule schedule, long wallMicros, String why) {
         attempts++;
-        nextWallMicros = schedule.nextAttemptMicros(attempts, wallMicros);
+        nextAttemptWallMicros = schedule.nextAttemptMicros(attempts, wallMicros);
         reason = schedule.exhausted(attempts)
                 ? "parked after " + attempts + " failed attempts: " + why
                 : "attempt " + attempts + " failed: " + why;
@@ -320,15 +323,15 @@
 
     @Override
     public long revision() {
-        return runStamp;
+        return runRevision;
     }
 
     @Override
     public WriteQueue.WriteUrgency urgency() {
-        if (complete()) {
+        if (isComplete()) {
             return WriteQueue.WriteUrgency.JOB_END;
         }
-        return released && attempts == attemptsSent
+        return isReleased && attempts == attemptsSent
                 ? WriteQueue.WriteUrgency.PROGRESS
                 : WriteQueue.WriteUrgency.JOB_START;
     }
@@ -340,13 +343,13 @@
 
     @Override
     public List<WriteQueue.PendingWrite> prerequisites() {
-        return done.first();
+        return done.prerequisites();
     }
 
     @Override
     public Map<String, JsonNode> changes() {
         attemptsSent = attempts;
-        doneSent = complete();
+        doneSent = isComplete();
         StoredCompletionBitmap.InHead inHead = done.write();
         int running = allocatedCount;
         String stage = doneSent ? RunRecord.DONE : running > 0 ? "running" : "queued";
@@ -357,42 +360,42 @@
                                 done.count(),
                                 running,
                                 attempts,
-                                nextWallMicros,
+                                nextAttemptWallMicros,
                                 stage,
                                 reason,
                                 inHead.bits(),
-                                spec.awaits().isEmpty() ? 0 : readyWallMicros,
+                                spec.dependencies().isEmpty() ? 0 : readyWallMicros,
                                 inHead.per(),
                                 inHead.generations())
-                        .json());
+                        .toJson());
     }
 
     @Override
     public void onStored(long revision) {
-        runStamp = revision;
-        released = true;
-        doneStored |= doneSent;
-        List<WriteQueue.PendingWrite> unneeded = done.headStored(doneStored);
+        runRevision = revision;
+        isReleased = true;
+        isCompletionStored |= doneSent;
+        List<WriteQueue.PendingWrite> unneeded = done.headStored(isCompletionStored);
         if (!unneeded.isEmpty()) {
-            watcher.toWrite(unneeded);
+            watcher.enqueueWrites(unneeded);
         }
         watcher.recordStored(this);
     }
 
     @Override
     public void onTooLarge() {
-        if (done.moveToParts()) {
-            watcher.toWrite(List.of(this));
+        if (done.moveToChunks()) {
+            watcher.enqueueWrites(List.of(this));
         }
     }
 
     @Override
     public void onConflict(long revision) {
-        runStamp = revision;
+        runRevision = revision;
     }
 
     @Override
     public void onPreconditionFailed() {
-        watcher.foundCancelled(this);
+        watcher.cancellationFound(this);
     }
 }
--- a/src/main/java/io/sillreel/pipeline/CompletionBitmapChunks.java
+++ b/src/main/java/io/sillreel/pipeline/CompletionBitmapChunks.java
@@ -22,7 +22,7 @@
     static final String PREFIX = "bits/";
 
     private final String uid;
-    private final int per;
+    private final int tasksPerChunk;
     private final long[] named;
     private final Set<Integer> dirty = new HashSet<>();
     private final Map<Integer, Chunk> pending = new LinkedHashMap<>();
@@ -35,7 +35,7 @@
     /** @param onStored told when all parts that the next head is to name are stored */
     CompletionBitmapChunks(String uid, int tasks, int per, Consumer<CompletionBitmapChunks> onStored) {
         this.uid = uid;
-        this.per = per;
+        this.tasksPerChunk = per;
         this.named = new long[(tasks + per - 1) / per];
         this.onStored = onStored;
     }
@@ -57,25 +57,27 @@
                 lastGeneration = Math.max(lastGeneration, Long.parseLong(key.substring(key.lastIndexOf('/') + 1)));
             }
         }
-        if (head.per() == per && head.generations().length == named.length) {
-            System.arraycopy(head.generations(), 0, named, 0, named.length);
+        if (head.tasksPerChunk() == tasksPerChunk && head.chunkGenerations().length == named.length) {
+            System.arraycopy(head.chunkGenerations(), 0, named, 0, named.length);
         } else {
-            for (int task = done.nextSetBit(0); task >= 0; task = done.nextSetBit((task / per + 1) * per)) {
-                dirty.add(task / per);
+            for (int task = done.nextSetBit(0);
+                    task >= 0;
+                    task = done.nextSetBit((task / tasksPerChunk + 1) * tasksPerChunk)) {
+                dirty.add(task / tasksPerChunk);
             }
         }
     }
 
-    int per() {
-        return per;
+    int tasksPerChunk() {
+        return tasksPerChunk;
     }
 
-    void changed(int task) {
-        dirty.add(task / per);
+    void markChanged(int task) {
+        dirty.add(task / tasksPerChunk);
     }
 
     /** Parts to be written before the next head; none once all that it is to name are stored. */
-    List<WriteQueue.PendingWrite> toWrite(BitSet done) {
+    List<WriteQueue.PendingWrite> pendingWrites(BitSet done) {
         dirty.removeIf(index -> {
             Chunk older = pending.get(index);
             if (older != null && !older.isStored()) {
@@ -85,7 +87,9 @@
             if (older != null) {
                 stored.put(older.key(), older.revision());
             }
-            pending.put(index, new Chunk(index, ++lastGeneration, done.get(index * per, (index + 1) * per)));
+            pending.put(
+                    index,
+                    new Chunk(index, ++lastGeneration, done.get(index * tasksPerChunk, (index + 1) * tasksPerChunk)));
             return true;
         });
         return pending.values().stream()
@@ -102,10 +106,10 @@
     }
 
     /** Marks in the set what the named parts hold besides what was named before. */
-    void addTo(BitSet set) {
+    void copyInto(BitSet set) {
         for (Chunk part : pending.values()) {
             if (part.isStored()) {
-                part.bits.stream().forEach(bit -> set.set(part.index * per + bit));
+                part.bits.stream().forEach(bit -> set.set(part.index * tasksPerChunk + bit));
             }
         }
     }
--- a/src/main/java/io/sillreel/pipeline/DependencyGraph.java
+++ b/src/main/java/io/sillreel/pipeline/DependencyGraph.java
@@ -22,12 +22,12 @@
     /** What becomes of jobs when links settle. */
     public interface Callbacks {
         /** All that the job awaits is stored as done: it may be released. */
-        void ready(ActiveJob job);
+        void becameReady(ActiveJob job);
 
         /** Something that the job awaits was cancelled, and so it is. */
-        void closed(ActiveJob job, String because);
+        void skipped(ActiveJob job, String because);
 
-        /** Find out whether the job, which is not driven here, is done, and tell {@link #found}. */
+        /** Find out whether the job, which is not driven here, is done, and tell {@link #lookupSucceeded}. */
         void lookUp(String uid);
     }
 
@@ -46,7 +46,7 @@
      * @param done whose end is stored
      * @param cancelled whose cancellation is stored
      */
-    public void begin(Collection<ActiveJob> unfinished, Predicate<String> done, Predicate<String> cancelled) {
+    public void restore(Collection<ActiveJob> unfinished, Predicate<String> done, Predicate<String> cancelled) {
         Map<String, ActiveJob> byUid = new LinkedHashMap<>();
         unfinished.forEach(job -> byUid.put(job.uid(), job));
         Set<String> names = new LinkedHashSet<>(byUid.keySet());
@@ -73,17 +73,17 @@
         }
         for (String uid : plan.order()) {
             if (cancelled.test(uid)) {
-                cancelled(uid);
+                markCancelled(uid);
             }
         }
         for (String uid : run.ready()) {
-            callbacks.ready(jobs.get(uid));
+            callbacks.becameReady(jobs.get(uid));
         }
         unknown.forEach(callbacks::lookUp);
     }
 
     /** A job that was admitted during the term. */
-    public void enter(ActiveJob job, Predicate<String> cancelled) {
+    public void add(ActiveJob job, Predicate<String> cancelled) {
         List<Link> into = new ArrayList<>();
         List<String> unknown = new ArrayList<>();
         String closedBy = null;
@@ -106,9 +106,9 @@
         join(job, into);
         if (closedBy != null) {
             run.cancel(job.uid());
-            callbacks.closed(job, closedBy);
+            callbacks.skipped(job, closedBy);
         } else if (run.state(job.uid()) == JobState.READY) {
-            callbacks.ready(job);
+            callbacks.becameReady(job);
         }
         unknown.forEach(callbacks::lookUp);
     }
@@ -116,25 +116,25 @@
     private void join(ActiveJob job, Collection<Link> into) {
         jobs.put(job.uid(), job);
         run.add(job.uid(), into);
-        if (job.released()) {
+        if (job.isReleased()) {
             run.release(job.uid());
         }
     }
 
     private static List<String> awaitedBy(ActiveJob job) {
         // Whoever has been released had all that it awaits.
-        return job.released() ? List.of() : job.spec().awaits();
+        return job.isReleased() ? List.of() : job.spec().dependencies();
     }
 
     /** The release is stored. */
-    public void released(ActiveJob job) {
+    public void markReleased(ActiveJob job) {
         if (run.state(job.uid()) == JobState.READY) {
             run.release(job.uid());
         }
     }
 
     /** The end is stored: what awaited only this is ready. */
-    public void done(ActiveJob job) {
+    public void markDone(ActiveJob job) {
         if (run.state(job.uid()) == JobState.RELEASED) {
             tellReady(run.settle(job.uid(), true));
         }
@@ -142,28 +142,28 @@
     }
 
     /** What was asked for by {@link Callbacks#lookUp} is known: the job is done. */
-    public void found(String uid) {
-        tellReady(run.found(uid, true));
+    public void lookupSucceeded(String uid) {
+        tellReady(run.resolveObserved(uid, true));
         if (run.state(uid) == JobState.SUCCEEDED) {
             run.forget(uid);
         }
     }
 
     /** True if somebody still waits to know whether that job is done. */
-    public boolean asks(String uid) {
+    public boolean isAwaitingLookup(String uid) {
         return run.isObserved(uid) && run.state(uid) == JobState.WAITING;
     }
 
     private void tellReady(List<String> uids) {
-        uids.forEach(uid -> callbacks.ready(jobs.get(uid)));
+        uids.forEach(uid -> callbacks.becameReady(jobs.get(uid)));
     }
 
     /** The job's cancellation is stored: all that needs it is closed, in compiled order. */
-    public void cancelled(String uid) {
+    public void markCancelled(String uid) {
         for (String closed : run.cancel(uid)) {
             ActiveJob job = jobs.get(closed);
             if (job != null) {
-                callbacks.closed(job, uid);
+                callbacks.skipped(job, uid);
             }
         }
     }
@@ -182,12 +182,12 @@
     }
 
     /** Jobs that need the given one directly. */
-    public List<ActiveJob> following(ActiveJob job) {
+    public List<ActiveJob> dependents(ActiveJob job) {
         return present(run.downstream(job.uid()));
     }
 
     /** Jobs that the given one still awaits directly, as far as they are driven here. */
-    public List<ActiveJob> awaited(ActiveJob job) {
+    public List<ActiveJob> dependencies(ActiveJob job) {
         return present(run.upstream(job.uid()));
     }
 
--- a/src/main/java/io/sillreel/pipeline/JobSpec.java
+++ b/src/main/java/io/sillreel/pipeline/JobSpec.java
@@ -15,31 +15,31 @@
         String uid,
         String jobClass,
         String team,
-        PriorityClass rank,
+        PriorityClass priorityClass,
         int tasks,
         double cpus,
-        double cards,
+        double gpus,
         double ramGb,
         String image,
         double imageGb,
-        List<String> builds,
+        List<String> machineTypes,
         String zone,
-        boolean oneZone,
-        boolean spread,
-        boolean spot,
-        long guessMicros,
-        long checkpointMicros,
-        long saveMicros,
-        long dueMicros,
-        List<String> awaits) {
+        boolean zoneAffinity,
+        boolean zoneAntiAffinity,
+        boolean spotAllowed,
+        long estimatedMicros,
+        long checkpointIntervalMicros,
+        long checkpointDurationMicros,
+        long deadlineMicros,
+        List<String> dependencies) {
 
     /** True if a task saves its progress when it is stopped with enough time. */
-    public boolean saves() {
-        return checkpointMicros > 0;
+    public boolean supportsCheckpoints() {
+        return checkpointIntervalMicros > 0;
     }
 
-    public boolean allowsBuild(String build) {
-        return builds == null || builds.contains(build);
+    public boolean allowsMachineType(String build) {
+        return machineTypes == null || machineTypes.contains(build);
     }
 
     public boolean allowsZone(String where) {
@@ -47,8 +47,8 @@
     }
 
     /** The most tasks that may be in one zone. */
-    public int mostInOneZone() {
-        return spread ? (tasks + 1) / 2 : tasks;
+    public int maxTasksPerZone() {
+        return zoneAntiAffinity ? (tasks + 1) / 2 : tasks;
     }
 
     /** The same job with other lists of names; {@code builds} is null for any. */
@@ -57,67 +57,67 @@
                 uid,
                 jobClass,
                 team,
-                rank,
+                priorityClass,
                 tasks,
                 cpus,
-                cards,
+                gpus,
                 ramGb,
                 image,
                 imageGb,
                 otherBuilds,
                 zone,
-                oneZone,
-                spread,
-                spot,
-                guessMicros,
-                checkpointMicros,
-                saveMicros,
-                dueMicros,
+                zoneAffinity,
+                zoneAntiAffinity,
+                spotAllowed,
+                estimatedMicros,
+                checkpointIntervalMicros,
+                checkpointDurationMicros,
+                deadlineMicros,
                 otherAwaits);
     }
 
     /** The form kept in the plan. */
-    public ObjectNode json() {
+    public ObjectNode toJson() {
         ObjectNode node = Json.object();
         node.put("uid", uid)
                 .put("lot", jobClass)
                 .put("crew", team)
-                .put("rank", rank.wire())
+                .put("rank", priorityClass.wireName())
                 .put("pieces", tasks)
                 .put("vcpus", cpus)
-                .put("cards", cards)
+                .put("cards", gpus)
                 .put("ram_gb", ramGb)
                 .put("reel", image)
                 .put("image_gb", imageGb)
                 .put("yard", zone)
-                .put("one_zone", oneZone)
-                .put("spread", spread)
-                .put("loaners", spot)
-                .put("guess_us", guessMicros)
-                .put("mark_us", checkpointMicros)
-                .put("stash_us", saveMicros)
-                .put("due_us", dueMicros);
-        if (builds != null) {
+                .put("one_zone", zoneAffinity)
+                .put("spread", zoneAntiAffinity)
+                .put("loaners", spotAllowed)
+                .put("guess_us", estimatedMicros)
+                .put("mark_us", checkpointIntervalMicros)
+                .put("stash_us", checkpointDurationMicros)
+                .put("due_us", deadlineMicros);
+        if (machineTypes != null) {
             ArrayNode names = Json.array();
-            builds.forEach(names::add);
+            machineTypes.forEach(names::add);
             node.set("builds", names);
         }
-        if (!awaits.isEmpty()) {
+        if (!dependencies.isEmpty()) {
             ArrayNode names = node.putArray("awaits");
-            awaits.forEach(names::add);
+            dependencies.forEach(names::add);
         }
         return node;
     }
 
-    /** Reads what {@link #json()} wrote; it was checked when it was admitted. */
-    public static JobSpec ofPlan(JsonNode node) {
+    /** Reads what {@link #toJson()} wrote; it was checked when it was admitted. */
+    public static JobSpec fromPlan(JsonNode node) {
         List<String> builds = node.has("builds") ? texts(node.path("builds")) : null;
         JsonNode zone = node.path("yard");
         return new JobSpec(
                 node.path("uid").asText(),
                 node.path("lot").asText(),
                 node.path("crew").asText(),
-                PriorityClass.of(node.path("rank").asText()).orElse(PriorityClass.NORMAL),
+                PriorityClass.fromWireName(node.path("rank").asText()).orElse(PriorityClass.NORMAL),
                 node.path("pieces").asInt(),
                 node.path("vcpus").asDouble(),
                 node.path("cards").asDouble(),
--- a/src/main/java/io/sillreel/pipeline/PipelineRun.java
+++ b/src/main/java/io/sillreel/pipeline/PipelineRun.java
@@ -58,7 +58,7 @@
     private final Map<String, LinkState> links = new HashMap<>();
     private final Map<String, Node> nodes = new LinkedHashMap<>();
     private long places;
-    private boolean cancelled;
+    private boolean isCancelled;
 
     public PipelineRun(PipelinePlan plan) {
         plan.order().forEach(job -> add(job, plan.into(job)));
@@ -83,7 +83,7 @@
             links.put(link.id(), LinkState.OPEN);
         }
         if (node.notEmitted == 0 && node.state == JobState.WAITING) {
-            node.state = cancelled ? JobState.CANCELLED : JobState.READY;
+            node.state = isCancelled ? JobState.CANCELLED : JobState.READY;
         }
     }
 
@@ -126,17 +126,17 @@
     }
 
     /** The end of an observed job has been found. */
-    public List<String> found(String job, boolean succeeded) {
+    public List<String> resolveObserved(String job, boolean succeeded) {
         Node node = nodes.get(job);
         return node == null || !node.observed || node.state != JobState.WAITING ? List.of() : end(node, succeeded);
     }
 
     private List<String> end(Node node, boolean succeeded) {
-        node.state = cancelled ? JobState.CANCELLED : succeeded ? JobState.SUCCEEDED : JobState.FAILED;
+        node.state = isCancelled ? JobState.CANCELLED : succeeded ? JobState.SUCCEEDED : JobState.FAILED;
         Port taken = succeeded ? Port.SUCCESS : Port.FAILURE;
         List<Node> changed = settle(
                 node,
-                link -> cancelled ? LinkState.SKIPPED : link.port() == taken ? LinkState.EMITTED : LinkState.CLOSED);
+                link -> isCancelled ? LinkState.SKIPPED : link.port() == taken ? LinkState.EMITTED : LinkState.CLOSED);
         return inOrder(
                 changed.stream().filter(each -> each.state == JobState.READY).toList());
     }
@@ -162,7 +162,7 @@
 
     /** Releases nothing from now on; released jobs still settle. */
     public void cancel() {
-        cancelled = true;
+        isCancelled = true;
         for (Node node : List.copyOf(nodes.values())) {
             if (node.state == JobState.WAITING || node.state == JobState.READY) {
                 node.state = JobState.CANCELLED;
@@ -171,8 +171,8 @@
         }
     }
 
-    public boolean cancelled() {
-        return cancelled;
+    public boolean isCancelled() {
+        return isCancelled;
     }
 
     /** Drops a job that is over, and its links. */
@@ -217,7 +217,7 @@
     }
 
     /** True once nothing can happen any more. */
-    public boolean over() {
+    public boolean isOver() {
         return nodes.values().stream()
                 .noneMatch(node -> node.state == JobState.WAITING
                         || node.state == JobState.READY
@@ -225,7 +225,7 @@
     }
 
     /** True if a job failed whose failure no link took up. */
-    public boolean failed() {
+    public boolean hasFailed() {
         return nodes.values().stream()
                 .anyMatch(node -> node.state == JobState.FAILED
                         && node.outOf.values().stream().noneMatch(link -> link.port() == Port.FAILURE));
@@ -242,7 +242,7 @@
         settleLinks(first, settlement, open);
         while (!open.isEmpty()) {
             Node node = open.poll();
-            if (cancelled || node.state != JobState.WAITING) {
+            if (isCancelled || node.state != JobState.WAITING) {
                 continue;
             }
             boolean skipped = node.into.values().stream()
--- a/src/main/java/io/sillreel/pipeline/PlanRecord.java
+++ b/src/main/java/io/sillreel/pipeline/PlanRecord.java
@@ -48,17 +48,17 @@
     }
 
     /** The whole record as one value, the form that all versions read. */
-    public ObjectNode json() {
+    public ObjectNode toJson() {
         ObjectNode plan = Json.object().put(ADMITTED, admittedWallMicros);
-        plan.set(JOB, spec.json());
+        plan.set(JOB, spec.toJson());
         return plan;
     }
 
     /** Reads a stored plan; it is incomplete if it has overflow values. */
-    public static PlanRecord of(JsonNode plan) {
+    public static PlanRecord fromJson(JsonNode plan) {
         return new PlanRecord(
                 admittedWallMicros(plan),
-                JobSpec.ofPlan(plan.path(JOB)),
+                JobSpec.fromPlan(plan.path(JOB)),
                 plan.path(OVERFLOW).asInt());
     }
 
@@ -77,17 +77,17 @@
      *
      * @return values by key, or nothing if that takes more values than allowed
      */
-    public Optional<Map<String, JsonNode>> cut(int mostBytes, int mostValues) {
+    public Optional<Map<String, JsonNode>> splitOverflow(int mostBytes, int mostValues) {
         Map<String, JsonNode> values = new LinkedHashMap<>();
-        ObjectNode whole = json();
+        ObjectNode whole = toJson();
         if (Json.bytes(whole).length <= mostBytes) {
             values.put(key(spec.uid()), whole);
             return Optional.of(values);
         }
         List<ObjectNode> overflow = new ArrayList<>();
-        addNames(overflow, BUILDS, spec.builds() == null ? List.of() : spec.builds(), mostBytes);
-        addNames(overflow, AWAITS, spec.awaits(), mostBytes);
-        ObjectNode job = spec.json();
+        addNames(overflow, BUILDS, spec.machineTypes() == null ? List.of() : spec.machineTypes(), mostBytes);
+        addNames(overflow, AWAITS, spec.dependencies(), mostBytes);
+        ObjectNode job = spec.toJson();
         job.remove(List.of(BUILDS, AWAITS));
         ObjectNode plan = Json.object().put(ADMITTED, admittedWallMicros).put(OVERFLOW, overflow.size());
         plan.set(JOB, job);
--- a/src/main/java/io/sillreel/pipeline/PriorityClass.java
+++ b/src/main/java/io/sillreel/pipeline/PriorityClass.java
@@ -9,24 +9,24 @@
     NORMAL("normal"),
     BEST_EFFORT("best_effort");
 
-    private final String wire;
+    private final String wireName;
 
     PriorityClass(String wire) {
-        this.wire = wire;
+        this.wireName = wire;
     }
 
-    public String wire() {
-        return wire;
+    public String wireName() {
+        return wireName;
     }
 
-    public boolean above(PriorityClass other) {
+    public boolean isAbove(PriorityClass other) {
         return ordinal() < other.ordinal();
     }
 
     /** Returns the rank of that name in the users' interface. */
-    public static Optional<PriorityClass> of(String wire) {
+    public static Optional<PriorityClass> fromWireName(String wire) {
         for (PriorityClass rank : values()) {
-            if (rank.wire.equals(wire)) {
+            if (rank.wireName.equals(wire)) {
                 return Optional.of(rank);
             }
         }
--- a/src/main/java/io/sillreel/pipeline/RunRecord.java
+++ b/src/main/java/io/sillreel/pipeline/RunRecord.java
@@ -21,7 +21,7 @@
     public static final String PREFIX = "run/";
     public static final String DONE = "done";
 
-    static final long[] NO_PARTS = {};
+    static final long[] NO_CHUNKS = {};
 
     private RunRecord() {}
 
@@ -31,24 +31,25 @@
      * @param values what the keys hold, by key; {@code stamps} are theirs
      * @param firstVersionPer how many tasks the first version put into one value
      */
-    public record StoredChunks(Map<String, String> values, Map<String, Long> stamps, int firstVersionPer) {
+    public record StoredChunks(Map<String, String> values, Map<String, Long> revisions, int firstVersionTasksPerChunk) {
         public static final StoredChunks NONE = new StoredChunks(Map.of(), Map.of(), 0);
 
         /** The done set of the head and of the parts that it names. */
         BitSet read(String uid, Head head) {
-            BitSet done = decode(head.bits());
-            if (head.per() > 0) {
-                for (int index = 0; index < head.generations().length; index++) {
-                    int from = index * head.per();
-                    decode(values.get(CompletionBitmapChunks.key(uid, index, head.generations()[index]))).stream()
+            BitSet done = decode(head.bitmap());
+            if (head.tasksPerChunk() > 0) {
+                for (int index = 0; index < head.chunkGenerations().length; index++) {
+                    int from = index * head.tasksPerChunk();
+                    decode(values.get(CompletionBitmapChunks.key(uid, index, head.chunkGenerations()[index]))).stream()
                             .forEach(bit -> done.set(from + bit));
                 }
                 return done;
             }
-            if (head.bits() == null) {
+            if (head.bitmap() == null) {
                 values.forEach((key, bits) -> {
                     if (key.startsWith(PREFIX)) {
-                        int from = firstVersionPer * Integer.parseInt(key.substring(key.lastIndexOf('/') + 1));
+                        int from =
+                                firstVersionTasksPerChunk * Integer.parseInt(key.substring(key.lastIndexOf('/') + 1));
                         decode(bits).stream().forEach(bit -> done.set(from + bit));
                     }
                 });
@@ -59,13 +60,13 @@
         /** Adds a stored entry. */
         public void add(StateStore.Entry entry) {
             values.put(entry.key(), entry.value().path("bits").asText());
-            stamps.put(entry.key(), entry.revision());
+            revisions.put(entry.key(), entry.revision());
         }
 
         /** What takes all of them away. */
         public List<WriteQueue.PendingWrite> removals() {
             List<WriteQueue.PendingWrite> removals = new ArrayList<>();
-            stamps.forEach((key, stamp) -> removals.add(new CompletionBitmapChunks.Removal(key, stamp)));
+            revisions.forEach((key, stamp) -> removals.add(new CompletionBitmapChunks.Removal(key, stamp)));
             return removals;
         }
     }
@@ -85,12 +86,12 @@
     }
 
     /** The prefix of the parts that heads name. */
-    public static String partsPrefix() {
+    public static String chunksPrefix() {
         return CompletionBitmapChunks.PREFIX;
     }
 
     /** The job that a part belongs to. */
-    public static String uidOfPart(String key) {
+    public static String uidOfChunk(String key) {
         return CompletionBitmapChunks.uidOf(key);
     }
 
@@ -103,40 +104,40 @@
             int done,
             int running,
             int attempts,
-            long nextMicros,
+            long nextAttemptMicros,
             String stage,
             String reason,
-            String bits,
+            String bitmap,
             long readyMicros,
-            int per,
-            long[] generations) {
+            int tasksPerChunk,
+            long[] chunkGenerations) {
 
         public boolean isDone() {
             return DONE.equals(stage);
         }
 
         /** Returns the form that is stored; fields without meaning for this job are left out. */
-        public ObjectNode json() {
+        public ObjectNode toJson() {
             ObjectNode node = Json.object()
                     .put("pieces", tasks)
                     .put("done", done)
                     .put("running", running)
                     .put("stage", stage);
             if (attempts > 0) {
-                node.put("attempts", attempts).put("next_us", nextMicros);
+                node.put("attempts", attempts).put("next_us", nextAttemptMicros);
             }
             if (reason != null) {
                 node.put("reason", reason);
             }
-            if (bits != null) {
-                node.put("bits", bits);
+            if (bitmap != null) {
+                node.put("bits", bitmap);
             }
             if (readyMicros > 0) {
                 node.put("ready_us", readyMicros);
             }
-            if (per > 0) {
-                ArrayNode named = node.put("per", per).putArray("gens");
-                for (long generation : generations) {
+            if (tasksPerChunk > 0) {
+                ArrayNode named = node.put("per", tasksPerChunk).putArray("gens");
+                for (long generation : chunkGenerations) {
                     named.add(generation);
                 }
             }
@@ -144,7 +145,7 @@
         }
 
         /** Reads a stored head; absent fields have the meaning that they had before the field was introduced. */
-        public static Head of(JsonNode node) {
+        public static Head fromJson(JsonNode node) {
             return new Head(
                     node.path("pieces").asInt(),
                     node.path("done").asInt(),
@@ -156,11 +157,11 @@
                     node.hasNonNull("bits") ? node.path("bits").asText() : null,
                     node.path("ready_us").asLong(),
                     node.path("per").asInt(),
-                    generations(node.path("gens")));
+                    chunkGenerations(node.path("gens")));
         }
 
-        private static long[] generations(JsonNode named) {
-            long[] generations = named.isEmpty() ? NO_PARTS : new long[named.size()];
+        private static long[] chunkGenerations(JsonNode named) {
+            long[] generations = named.isEmpty() ? NO_CHUNKS : new long[named.size()];
             for (int index = 0; index < generations.length; index++) {
                 generations[index] = named.path(index).asLong();
             }
--- a/src/main/java/io/sillreel/pipeline/StoredCompletionBitmap.java
+++ b/src/main/java/io/sillreel/pipeline/StoredCompletionBitmap.java
@@ -47,10 +47,10 @@
         done.or(storedParts.read(uid, head));
         stored.or(done);
         count = done.cardinality();
-        inParts |= head.per() > 0;
+        inParts |= head.tasksPerChunk() > 0;
         if (parts != null) {
-            parts.inherit(head, storedParts.stamps(), done);
-        } else if (!storedParts.stamps().isEmpty()) {
+            parts.inherit(head, storedParts.revisions(), done);
+        } else if (!storedParts.revisions().isEmpty()) {
             oldParts.addAll(storedParts.removals());
         }
     }
@@ -63,7 +63,7 @@
         done.set(task);
         count++;
         if (parts != null) {
-            parts.changed(task);
+            parts.markChanged(task);
         }
         return true;
     }
@@ -85,13 +85,13 @@
     }
 
     /** Adds all tasks of the set to another one. */
-    void addTo(BitSet other) {
+    void copyInto(BitSet other) {
         other.or(done);
     }
 
     /** What has to be stored before the head. */
-    List<WriteQueue.PendingWrite> first() {
-        return writesParts() ? parts.toWrite(done) : List.of();
+    List<WriteQueue.PendingWrite> prerequisites() {
+        return writesParts() ? parts.pendingWrites(done) : List.of();
     }
 
     /** What the head that is written now says of the set. */
@@ -99,12 +99,12 @@
         sent.clear();
         if (writesParts()) {
             sent.or(stored);
-            parts.addTo(sent);
+            parts.copyInto(sent);
             generationsSent = parts.generations();
-            return new InHead(null, parts.per(), generationsSent);
+            return new InHead(null, parts.tasksPerChunk(), generationsSent);
         }
         sent.or(done);
-        return new InHead(complete() ? null : RunRecord.encode(done), 0, RunRecord.NO_PARTS);
+        return new InHead(complete() ? null : RunRecord.encode(done), 0, RunRecord.NO_CHUNKS);
     }
 
     /**
@@ -126,7 +126,7 @@
     }
 
     /** The head with the set in it was refused for its size; true if the set can be stored in parts instead. */
-    boolean moveToParts() {
+    boolean moveToChunks() {
         boolean movable = parts != null && !inParts;
         inParts |= movable;
         return movable;
--- a/src/main/java/io/sillreel/placement/CapacityPlanner.java
+++ b/src/main/java/io/sillreel/placement/CapacityPlanner.java
@@ -57,8 +57,9 @@
      */
     public void arrived(JobSpec spec, long readyWallMicros) {
         double cpuMicros = spec.tasks() * spec.cpus() * estimates.occupiedMicros(spec);
-        demand.computeIfAbsent(spec.rank(), rank -> new DemandEstimator()).arrived(readyWallMicros, cpuMicros);
-        if (!spec.spot()) {
+        demand.computeIfAbsent(spec.priorityClass(), rank -> new DemandEstimator())
+                .arrived(readyWallMicros, cpuMicros);
+        if (!spec.spotAllowed()) {
             ordinaryDemand.arrived(readyWallMicros, cpuMicros);
         }
     }
@@ -76,7 +77,7 @@
         }
         List<Load> loads = new ArrayList<>();
         for (ActiveJob job : cluster.jobs()) {
-            if (job.cancelled() || job.awaitsOthers() || wallMicros < job.nextWallMicros()) {
+            if (job.isCancelled() || job.hasUnmetDependencies() || wallMicros < job.nextAttemptWallMicros()) {
                 continue;
             }
             JobSpec spec = job.spec();
@@ -88,7 +89,7 @@
                 // It is late whatever is done; it still wants doing soon, but does not call for a crowd of machines.
                 left = bootMicros > 0 ? bootMicros + LATE_TASKS * each : each;
             }
-            loads.add(new Load(job.rank(), work, left, yielded.get(job.rank())));
+            loads.add(new Load(job.effectivePriority(), work, left, yielded.get(job.effectivePriority())));
         }
         loads.sort(Comparator.comparing(Load::rank).thenComparingLong(Load::leftMicros));
         return loads;
@@ -209,7 +210,7 @@
         double waiting = 0;
         JobSpec largest = null;
         for (ActiveJob job : cluster.jobs()) {
-            if (!job.spec().spot() && job.waitingCount() > 0 && cluster.launchable(job, wallMicros)) {
+            if (!job.spec().spotAllowed() && job.waitingCount() > 0 && cluster.launchable(job, wallMicros)) {
                 waiting += job.waitingCount() * job.spec().cpus();
                 if (largest == null || job.spec().cpus() > largest.cpus()) {
                     largest = job.spec();
--- a/src/main/java/io/sillreel/placement/FreeCapacity.java
+++ b/src/main/java/io/sillreel/placement/FreeCapacity.java
@@ -28,7 +28,7 @@
     void take(JobSpec spec, int tasks) {
         cpus -= tasks * spec.cpus();
         ramGb -= tasks * spec.ramGb();
-        cards -= tasks * spec.cards();
+        cards -= tasks * spec.gpus();
         images.add(spec.image());
     }
 
--- a/src/main/java/io/sillreel/placement/MachineOfferSelector.java
+++ b/src/main/java/io/sillreel/placement/MachineOfferSelector.java
@@ -73,11 +73,11 @@
             boolean spotToo,
             List<ScaleOutProposal> already,
             long nowMicros) {
-        boolean anySpot = spotToo && (only == null || only.spot());
+        boolean anySpot = spotToo && (only == null || only.spotAllowed());
         ScaleOutProposal best = null;
         double bestCost = Double.MAX_VALUE;
         for (MachineType type : types) {
-            if (only != null && (!only.allowsBuild(type.name()) || !Machine.fitsEmpty(only, type))) {
+            if (only != null && (!only.allowsMachineType(type.name()) || !Machine.fitsEmpty(only, type))) {
                 continue;
             }
             for (String zone : type.zones()) {
--- a/src/main/java/io/sillreel/placement/PlacementIndex.java
+++ b/src/main/java/io/sillreel/placement/PlacementIndex.java
@@ -207,7 +207,7 @@
                 continue;
             }
             // What saves its progress loses little when a spot machine is taken, so the others get the ordinary ones.
-            int wrongKind = offer.spot() == spec.saves() ? 0 : 1;
+            int wrongKind = offer.spot() == spec.supportsCheckpoints() ? 0 : 1;
             TreeMap<String, FreeCapacity> having = group.having(image);
             if (!having.isEmpty()) {
                 // Where the image is, the fullest place first, so that others empty.
--- a/src/main/java/io/sillreel/placement/Planner.java
+++ b/src/main/java/io/sillreel/placement/Planner.java
@@ -185,7 +185,7 @@
 
     /** True while it isn't known whether the job fails everywhere: then one task at a time is tried. */
     private static boolean probing(ActiveJob job) {
-        return !job.succeededOnce() && !job.failedOn().isEmpty();
+        return !job.hasSucceededOnce() && !job.failedOn().isEmpty();
     }
 
     /** Assigns what fits and returns how many tasks are left over for lack of room. */
@@ -227,7 +227,7 @@
 
         @Override
         public boolean zoneClosed(String zone) {
-            return spec.oneZone() && onlyZone != null && !onlyZone.equals(zone) || room(zone) <= 0;
+            return spec.zoneAffinity() && onlyZone != null && !onlyZone.equals(zone) || room(zone) <= 0;
         }
 
         private int room(String zone) {
--- a/src/main/java/io/sillreel/placement/Preemption.java
+++ b/src/main/java/io/sillreel/placement/Preemption.java
@@ -83,7 +83,7 @@
         Set<PriorityClass> ranks = EnumSet.noneOf(PriorityClass.class);
         for (Allocation allocation : machine.allocations()) {
             if (isStoppable(allocation)) {
-                ranks.add(allocation.job().rank());
+                ranks.add(allocation.job().effectivePriority());
             }
         }
         return ranks;
@@ -103,8 +103,8 @@
                 && waited > deadlines.guaranteeMicros() / 2
                 && QueueOrder.isOwedLevel(queued);
         boolean missed = waited > deadlines.guaranteeMicros();
-        PriorityClass own = queued.job.rank();
-        boolean urgent = own.above(PriorityClass.NORMAL);
+        PriorityClass own = queued.job.effectivePriority();
+        boolean urgent = own.isAbove(PriorityClass.NORMAL);
         long slack = deadlines.slackMicros(queued.job, wallMicros);
         boolean lastChance = own != PriorityClass.BEST_EFFORT && slack >= 0 && slack <= LAST_CHANCE_MICROS;
         if (!owed && !urgent && !lastChance) {
@@ -122,9 +122,10 @@
                         spec,
                         needed,
                         having(rank, allowed),
-                        allocation -> allocation.job().rank() == rank
+                        allocation -> allocation.job().effectivePriority() == rank
                                 && (urgent
-                                        || allocation.job().spec().saves() && !guaranteed.contains(allocation.job())));
+                                        || allocation.job().spec().supportsCheckpoints()
+                                                && !guaranteed.contains(allocation.job())));
             }
         }
         if (owed && needed > 0) {
@@ -132,7 +133,7 @@
                     spec,
                     needed,
                     allowed,
-                    allocation -> allocation.job().spec().saves() && isBeyond(allocation, queued.job));
+                    allocation -> allocation.job().spec().supportsCheckpoints() && isBeyond(allocation, queued.job));
             if (needed > 0 && !missed) {
                 stop(spec, needed, allowed, allocation -> isBeyond(allocation, queued.job));
             }
@@ -169,8 +170,8 @@
         JobSpec spec = allocation.job().spec();
         if (spec.team().equals(forWhom.spec().team())
                 || guaranteed.contains(allocation.job())
-                || allocation.job().rank().above(PriorityClass.NORMAL)
-                        && !forWhom.rank().above(PriorityClass.NORMAL)) {
+                || allocation.job().effectivePriority().isAbove(PriorityClass.NORMAL)
+                        && !forWhom.effectivePriority().isAbove(PriorityClass.NORMAL)) {
             return false;
         }
         return left(spec.team()) >= QuotaUsage.milli(spec.cpus());
@@ -211,7 +212,7 @@
             if (halting.contains(allocation)) {
                 cpus += running.cpus();
                 ram += running.ramGb();
-                cards += running.cards();
+                cards += running.gpus();
             } else if (isStoppable(allocation) && may.test(allocation)) {
                 victims.add(allocation);
             }
@@ -231,7 +232,7 @@
             JobSpec freed = victim.job().spec();
             cpus += freed.cpus();
             ram += freed.ramGb();
-            cards += freed.cards();
+            cards += freed.gpus();
             chosen.add(victim);
             int after = Machine.fits(spec, cpus, ram, cards);
             if (after > before) {
@@ -262,7 +263,7 @@
                 if (allocation.halting() && !allocation.ended() && allocation.job() != null) {
                     cpus += allocation.job().spec().cpus();
                     ram += allocation.job().spec().ramGb();
-                    cards += allocation.job().spec().cards();
+                    cards += allocation.job().spec().gpus();
                 }
             }
             count += Math.min(Machine.fits(spec, cpus, ram, cards), LIMITLESS);
@@ -274,6 +275,6 @@
     private static double lost(Allocation allocation, long nowMicros) {
         JobSpec spec = allocation.job().spec();
         long ran = allocation.runningSinceMicros() < 0 ? 0 : nowMicros - allocation.runningSinceMicros();
-        return spec.cpus() * (spec.saves() ? Math.min(ran, spec.saveMicros()) : ran);
+        return spec.cpus() * (spec.supportsCheckpoints() ? Math.min(ran, spec.checkpointDurationMicros()) : ran);
     }
 }
--- a/src/main/java/io/sillreel/placement/PriorityInheritance.java
+++ b/src/main/java/io/sillreel/placement/PriorityInheritance.java
@@ -25,11 +25,11 @@
         open.add(job);
         while (!open.isEmpty()) {
             ActiveJob needing = open.poll();
-            if (needing.cancelled()) {
+            if (needing.isCancelled()) {
                 continue;
             }
-            for (ActiveJob awaited : dependencies.awaited(needing)) {
-                if (awaited.neededBy(needing.rank(), startBy(needing))) {
+            for (ActiveJob awaited : dependencies.dependencies(needing)) {
+                if (awaited.inheritUrgency(needing.effectivePriority(), startBy(needing))) {
                     open.add(awaited);
                 }
             }
@@ -39,29 +39,29 @@
     /** Jobs that needed others are cancelled: what they awaited is only as urgent as those that still need it. */
     public void left(Collection<ActiveJob> cancelled) {
         Deque<ActiveJob> open = new ArrayDeque<>();
-        cancelled.forEach(job -> open.addAll(dependencies.awaited(job)));
+        cancelled.forEach(job -> open.addAll(dependencies.dependencies(job)));
         while (!open.isEmpty()) {
             ActiveJob job = open.poll();
-            if (job.cancelled()) {
+            if (job.isCancelled()) {
                 continue;
             }
-            var rank = job.rank();
-            long before = job.neededByMicros();
-            job.neededByNobody();
-            for (ActiveJob needing : dependencies.following(job)) {
-                if (!needing.cancelled()) {
-                    job.neededBy(needing.rank(), startBy(needing));
+            var rank = job.effectivePriority();
+            long before = job.inheritedDeadlineMicros();
+            job.resetInheritedUrgency();
+            for (ActiveJob needing : dependencies.dependents(job)) {
+                if (!needing.isCancelled()) {
+                    job.inheritUrgency(needing.effectivePriority(), startBy(needing));
                 }
             }
-            if (rank != job.rank() || before != job.neededByMicros()) {
-                open.addAll(dependencies.awaited(job));
+            if (rank != job.effectivePriority() || before != job.inheritedDeadlineMicros()) {
+                open.addAll(dependencies.dependencies(job));
             }
         }
     }
 
     /** When all that the job awaits has to be done so that it ends in time; time of day. */
     private long startBy(ActiveJob job) {
-        long end = job.endByMicros();
+        long end = job.effectiveDeadlineMicros();
         return end == Long.MAX_VALUE ? end : end - estimates.spanMicros(job);
     }
 }
--- a/src/main/java/io/sillreel/placement/QueueOrder.java
+++ b/src/main/java/io/sillreel/placement/QueueOrder.java
@@ -60,7 +60,7 @@
             }
         }
         queue.sort(Comparator.<QueuedJob>comparingInt(queued -> queued.level)
-                .thenComparingLong(queued -> queued.job.planStamp()));
+                .thenComparingLong(queued -> queued.job.planRevision()));
         return queue;
     }
 
@@ -80,7 +80,7 @@
      * would miss its time if it yielded any longer. Level 0 is for what has waited too long.
      */
     private int level(ActiveJob job, long slack, boolean guaranteed, long wallMicros) {
-        PriorityClass rank = job.rank();
+        PriorityClass rank = job.effectivePriority();
         long age = wallMicros - job.readyWallMicros();
         int level = levelOf(rank, slack < 0 ? LATE : slack < PRESSING_MICROS ? PRESSING : IN_TIME);
         if (guaranteed && age > GUARANTEE_PATIENCE_MICROS && (unbegun(job) || age < 2 * deadlines.guaranteeMicros())) {
@@ -111,10 +111,10 @@
         QuotaUsage claimed = new QuotaUsage();
         Set<ActiveJob> within = new HashSet<>();
         List<ActiveJob> jobs = new ArrayList<>(cluster.jobs());
-        jobs.sort(Comparator.comparingLong(ActiveJob::planStamp));
+        jobs.sort(Comparator.comparingLong(ActiveJob::planRevision));
         for (ActiveJob job : jobs) {
             Team team = cluster.team(job.spec().team());
-            if (job.cancelled() || job.awaitsOthers() || team == null) {
+            if (job.isCancelled() || job.hasUnmetDependencies() || team == null) {
                 continue;
             }
             claimed.take(job.spec(), job.spec().tasks());
--- a/src/main/java/io/sillreel/placement/RuntimeEstimator.java
+++ b/src/main/java/io/sillreel/placement/RuntimeEstimator.java
@@ -31,13 +31,14 @@
     /** A task of the job has ended after it ran for so long. */
     public synchronized void measured(ActiveJob job, long ranMicros) {
         JobSpec spec = job.spec();
-        job.ran(ranMicros);
-        if (spec.guessMicros() > 0) {
-            double ratio = Math.max(MIN_RATIO, Math.min(MAX_RATIO, (double) ranMicros / spec.guessMicros()));
+        job.recordTaskRuntime(ranMicros);
+        if (spec.estimatedMicros() > 0) {
+            double ratio = Math.max(MIN_RATIO, Math.min(MAX_RATIO, (double) ranMicros / spec.estimatedMicros()));
             ratios.merge(spec.jobClass(), ratio, (old, now) -> old + WEIGHT * (now - old));
         }
-        if (job.ranCount() >= MIN_TASKS_OF_A_TAIL && job.ranCount() == spec.tasks()) {
-            double tail = Math.min(MAX_TAIL, (double) job.longestMicros() * job.ranCount() / job.ranMicros());
+        if (job.measuredTaskCount() >= MIN_TASKS_OF_A_TAIL && job.measuredTaskCount() == spec.tasks()) {
+            double tail = Math.min(
+                    MAX_TAIL, (double) job.longestTaskMicros() * job.measuredTaskCount() / job.measuredMicros());
             tails.merge(spec.jobClass(), tail, (old, now) -> old + WEIGHT * (now - old));
         }
     }
@@ -65,12 +66,13 @@
 
     /** How long a task like the job's is expected to run, without its image fetch. */
     public synchronized long expectedMicros(JobSpec spec) {
-        return Math.max(1_000_000, Math.round(spec.guessMicros() * ratios.getOrDefault(spec.jobClass(), 1.0)));
+        return Math.max(1_000_000, Math.round(spec.estimatedMicros() * ratios.getOrDefault(spec.jobClass(), 1.0)));
     }
 
     /** How long a task of the job is expected to run, from its class and from its own tasks that have ended. */
     public long expectedMicros(ActiveJob job) {
-        return (CLASS_TASKS * expectedMicros(job.spec()) + job.ranMicros()) / (CLASS_TASKS + job.ranCount());
+        return (CLASS_TASKS * expectedMicros(job.spec()) + job.measuredMicros())
+                / (CLASS_TASKS + job.measuredTaskCount());
     }
 
     /** How long the slowest of the job's tasks is expected to run: the job is not done before. */
--- a/src/main/java/io/sillreel/placement/ServiceLevelObjectives.java
+++ b/src/main/java/io/sillreel/placement/ServiceLevelObjectives.java
@@ -36,9 +36,9 @@
     public long of(ActiveJob job, long wallMicros, long delayMicros) {
         JobSpec spec = job.spec();
         long reachable = wallMicros + delayMicros + estimates.slowestMicros(job);
-        long needed = job.neededByMicros();
-        if (spec.dueMicros() >= 0) {
-            long due = job.admittedWallMicros() + spec.dueMicros();
+        long needed = job.inheritedDeadlineMicros();
+        if (spec.deadlineMicros() >= 0) {
+            long due = job.admittedWallMicros() + spec.deadlineMicros();
             return needed >= reachable ? Math.min(due, needed) : due;
         }
         long first = needed >= reachable ? needed : Long.MAX_VALUE;
--- a/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
+++ b/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
@@ -37,16 +37,16 @@
         List<WriteQueue.PendingWrite> queued = new ArrayList<>();
         ActiveJob.Listener watcher = new IgnoringListener() {
             @Override
-            public void toWrite(List<? extends WriteQueue.PendingWrite> items) {
+            public void enqueueWrites(List<? extends WriteQueue.PendingWrite> items) {
                 queued.addAll(items);
             }
         };
         ActiveJob job = new ActiveJob(spec("job-000412", 7_000), 7, 0, new ValueLimits(8_192, 2_048), watcher);
-        List.of(0, 3, 6_999).forEach(job::settle);
+        List.of(0, 3, 6_999).forEach(job::markTaskDone);
         assertThat(job.prerequisites()).isEmpty();
         JsonNode head = job.changes().get("run/job-000412");
         assertThat(PreviousVersion.understood("run/job-000412", head)).isEqualTo(head);
-        assertThat(RunRecord.decode(Head.of(head).bits()).stream()).containsExactly(0, 3, 6_999);
+        assertThat(RunRecord.decode(Head.fromJson(head).bitmap()).stream()).containsExactly(0, 3, 6_999);
         assertThat(head.toString().length()).isGreaterThan(1_024);
 
         job.onTooLarge();
@@ -60,7 +60,7 @@
         });
         assertThat(job.changes().get("run/job-000412").toString().length()).isLessThan(1_024);
         job.onStored(10);
-        assertThat(List.of(0, 3, 6_999)).allMatch(job::isStored);
+        assertThat(List.of(0, 3, 6_999)).allMatch(job::isTaskStored);
     }
 
     /** A job of 400 tasks whose done set that version cut by larger values, and a writer under today's limits. */
@@ -84,7 +84,7 @@
             writeQueue = new WriteQueue(store, process, "leader", 101, 2, () -> {});
             watcher = new IgnoringListener() {
                 @Override
-                public void toWrite(List<? extends WriteQueue.PendingWrite> items) {
+                public void enqueueWrites(List<? extends WriteQueue.PendingWrite> items) {
                     items.forEach(writeQueue::enqueue);
                 }
             };
@@ -102,7 +102,7 @@
             });
             RunRecord.StoredChunks stored = new RunRecord.StoredChunks(values, stamps, RunRecord.chunkTasks(64));
             ActiveJob job = new ActiveJob(spec, 7, 0, ValueLimits.fixed(32), watcher);
-            job.inherit(101, Head.of(json(CHUNKED.get("run/job-000413"))), stored);
+            job.inherit(101, Head.fromJson(json(CHUNKED.get("run/job-000413"))), stored);
             return job;
         }
 
@@ -115,7 +115,7 @@
             ActiveJob job = new ActiveJob(spec, 7, 0, ValueLimits.fixed(32), watcher);
             job.inherit(
                     102,
-                    Head.of(state.value("run/job-000413")),
+                    Head.fromJson(state.value("run/job-000413")),
                     new RunRecord.StoredChunks(values, new HashMap<>(), 0));
             return job;
         }
@@ -133,23 +133,23 @@
     void whatItCutLargerIsRewrittenInSmallerParts() {
         ChunkedJob chunked = new ChunkedJob();
         ActiveJob job = chunked.inherited();
-        assertThat(List.of(0, 191, 192, 399)).allMatch(job::isStored);
+        assertThat(List.of(0, 191, 192, 399)).allMatch(job::isTaskStored);
         assertThat(job.doneCount()).isEqualTo(4);
-        job.settle(200);
+        job.markTaskDone(200);
         chunked.write(job);
-        assertThat(job.isStored(200)).isTrue();
+        assertThat(job.isTaskStored(200)).isTrue();
         assertThat(chunked.state.keysUnder("run/")).containsExactly("run/job-000413");
         assertThat(chunked.state.refusedForSize()).isZero();
 
         ActiveJob successor = chunked.succeeded();
         assertThat(successor.doneCount()).isEqualTo(5);
-        assertThat(List.of(0, 191, 192, 200, 399)).allMatch(successor::isDone);
+        assertThat(List.of(0, 191, 192, 200, 399)).allMatch(successor::isTaskDone);
 
         for (int task = 0; task < 400; task++) {
-            job.settle(task);
+            job.markTaskDone(task);
         }
         chunked.write(job);
-        assertThat(job.doneStored()).isTrue();
+        assertThat(job.isCompletionStored()).isTrue();
         assertThat(chunked.state.keysUnder("bits/")).isEmpty();
     }
 
@@ -159,7 +159,7 @@
         ChunkedJob chunked = new ChunkedJob();
         ActiveJob job = chunked.inherited();
         for (int task = 0; task < 400; task++) {
-            job.settle(task);
+            job.markTaskDone(task);
         }
         chunked.write(job);
         var late = chunked.store.commit(new Transaction()
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -108,14 +108,14 @@
 
     @Test
     void whatItStoredIsRead() {
-        assertThat(JobSpec.ofPlan(json(PLAN).path("job"))).isEqualTo(spec("job-000412", 16));
+        assertThat(JobSpec.fromPlan(json(PLAN).path("job"))).isEqualTo(spec("job-000412", 16));
         ActiveJob job = job(16);
-        job.inherit(9, Head.of(json(RUNNING)), RunRecord.StoredChunks.NONE);
+        job.inherit(9, Head.fromJson(json(RUNNING)), RunRecord.StoredChunks.NONE);
         assertThat(job.doneCount()).isEqualTo(3);
-        assertThat(job.isStored(15)).isTrue();
-        assertThat(job.awaitsOthers()).isFalse();
-        assertThat(Head.of(json(DONE)).isDone()).isTrue();
-        assertThat(Head.of(json(FAILED)).reason()).startsWith("attempt 1 failed");
+        assertThat(job.isTaskStored(15)).isTrue();
+        assertThat(job.hasUnmetDependencies()).isFalse();
+        assertThat(Head.fromJson(json(DONE)).isDone()).isTrue();
+        assertThat(Head.fromJson(json(FAILED)).reason()).startsWith("attempt 1 failed");
         ScaleOutRequest rental = ScaleOutRequest.of("hire/r-5-12", json(RENTAL), 9);
         assertThat(rental.machines()).containsExactly("host-000231", "host-000232");
         assertThat(rental.mayHold("host-000231")).isTrue();
@@ -154,17 +154,17 @@
     @Test
     void whatItReadsIsWrittenAsItWroteIt() {
         var plan = Json.object().put("at_us", 1_700_000_123_456_789L);
-        plan.set("job", spec("job-000412", 16).json());
+        plan.set("job", spec("job-000412", 16).toJson());
         assertThat(plan.toString()).isEqualTo(PLAN);
         ActiveJob job = job(16);
-        List.of(0, 3, 15).forEach(job::settle);
+        List.of(0, 3, 15).forEach(job::markTaskDone);
         job.allocate(4);
         assertThat(job.changes().get("run/job-000412").toString()).isEqualTo(RUNNING);
         ActiveJob done = job(2);
-        List.of(0, 1).forEach(done::settle);
+        List.of(0, 1).forEach(done::markTaskDone);
         assertThat(done.changes().get("run/job-000412").toString()).isEqualTo(DONE);
         ActiveJob failed = job(2);
-        failed.failAttempt(
+        failed.recordFailedAttempt(
                 new RetrySchedule(2, 10, 60),
                 1_700_000_123_456_789L,
                 "its tasks failed on host-000001 and host-000002");
--- a/src/test/java/io/sillreel/admission/JobStatusServiceTest.java
+++ b/src/test/java/io/sillreel/admission/JobStatusServiceTest.java
@@ -39,7 +39,7 @@
             job.putArray("awaits").add("job-%06d".formatted(jobs - 1));
         }
         PlanRecord plan = new PlanRecord(1, SubmissionDecoder.read(job));
-        store.commit(new Transaction().set(PlanRecord.key(plan.spec().uid()), plan.json()));
+        store.commit(new Transaction().set(PlanRecord.key(plan.spec().uid()), plan.toJson()));
         time.runFor(10_000);
     }
 
--- a/src/test/java/io/sillreel/load/StoredJobs.java
+++ b/src/test/java/io/sillreel/load/StoredJobs.java
@@ -30,7 +30,7 @@
     void addDone(int count) {
         for (int each = 0; each < count; each++) {
             String uid = uid(next++);
-            store(PlanRecord.key(uid), new PlanRecord(ADMITTED_WALL_MICROS, spec(uid, null, List.of())).json());
+            store(PlanRecord.key(uid), new PlanRecord(ADMITTED_WALL_MICROS, spec(uid, null, List.of())).toJson());
             store(
                     RunRecord.key(uid),
                     Json.object()
@@ -47,7 +47,7 @@
             String uid = uid(next);
             List<String> awaits = each == 0 ? List.of() : List.of(uid(each % FANS == 0 ? first : next - 1));
             List<String> builds = each == 0 ? List.of("a-type-that-is-not-there") : null;
-            store(PlanRecord.key(uid), new PlanRecord(ADMITTED_WALL_MICROS, spec(uid, builds, awaits)).json());
+            store(PlanRecord.key(uid), new PlanRecord(ADMITTED_WALL_MICROS, spec(uid, builds, awaits)).toJson());
             next++;
         }
     }
--- a/src/test/java/io/sillreel/pipeline/IgnoringListener.java
+++ b/src/test/java/io/sillreel/pipeline/IgnoringListener.java
@@ -9,8 +9,8 @@
     public void recordStored(ActiveJob job) {}
 
     @Override
-    public void foundCancelled(ActiveJob job) {}
+    public void cancellationFound(ActiveJob job) {}
 
     @Override
-    public void toWrite(List<? extends WriteQueue.PendingWrite> items) {}
+    public void enqueueWrites(List<? extends WriteQueue.PendingWrite> items) {}
 }
--- a/src/test/java/io/sillreel/pipeline/PipelineTest.java
+++ b/src/test/java/io/sillreel/pipeline/PipelineTest.java
@@ -59,7 +59,7 @@
         assertThat(run.link("4")).isEqualTo(LinkState.SKIPPED);
         assertThat(run.state("after")).isEqualTo(JobState.SKIPPED);
         assertThat(run.ready()).containsExactly("repair");
-        assertThat(run.failed()).isFalse();
+        assertThat(run.hasFailed()).isFalse();
         assertThatThrownBy(() -> run.settle("b", true)).isInstanceOf(IllegalStateException.class);
     }
 
@@ -72,7 +72,7 @@
         run.settle("a", true);
         assertThat(run.ready()).isEmpty();
         assertThat(run.link("1")).isEqualTo(LinkState.SKIPPED);
-        assertThat(run.over()).isTrue();
+        assertThat(run.isOver()).isTrue();
     }
 
     @Test
@@ -92,7 +92,7 @@
         JobSpec spec = spec(100_000);
         ActiveJob job = new ActiveJob(spec, 7, 0, ValueLimits.fixed(valueBytes), new IgnoringListener());
         for (int piece = 0; piece < 99_999; piece += 2) {
-            job.settle(piece);
+            job.markTaskDone(piece);
         }
         // The parts first, one after the other, then the head that names them: each a value and a change of its own.
         List<WriteQueue.PendingWrite> parts = List.copyOf(job.prerequisites());
@@ -111,12 +111,12 @@
         assertThat(head).hasSize(1);
         assertThat(head.get(job.key()).toString().length()).isLessThan(valueBytes);
         job.onStored(9);
-        assertThat(job.isStored(99_998)).isTrue();
+        assertThat(job.isTaskStored(99_998)).isTrue();
 
         ActiveJob again = new ActiveJob(spec, 7, 0, ValueLimits.fixed(valueBytes), new IgnoringListener());
-        again.inherit(9, RunRecord.Head.of(head.get(job.key())), pieces(values));
+        again.inherit(9, RunRecord.Head.fromJson(head.get(job.key())), pieces(values));
         assertThat(again.doneCount()).isEqualTo(50_000);
-        assertThat(again.nextWaiting()).isEqualTo(1);
+        assertThat(again.nextWaitingTask()).isEqualTo(1);
     }
 
     private static RunRecord.StoredChunks pieces(Map<String, String> values) {
@@ -132,9 +132,9 @@
         job.allocate(0);
         job.allocate(0);
         job.deallocate(0);
-        assertThat(job.nextWaiting()).isEqualTo(-1);
+        assertThat(job.nextWaitingTask()).isEqualTo(-1);
         job.deallocate(0);
-        assertThat(job.nextWaiting()).isZero();
+        assertThat(job.nextWaitingTask()).isZero();
     }
 
     @Test
--- a/src/test/java/io/sillreel/pipeline/PlanRecordTest.java
+++ b/src/test/java/io/sillreel/pipeline/PlanRecordTest.java
@@ -49,9 +49,9 @@
     @Test
     void aPlanThatFitsIsOneValueThatAllVersionsRead() {
         PlanRecord plan = plan(List.of("g8", "c4"), List.of());
-        Map<String, JsonNode> values = plan.cut(VALUE_BYTES, 1).orElseThrow();
-        assertThat(values).containsExactly(Map.entry("plan/job-000412", plan.json()));
-        assertThat(PlanRecord.of(plan.json())).isEqualTo(plan);
+        Map<String, JsonNode> values = plan.splitOverflow(VALUE_BYTES, 1).orElseThrow();
+        assertThat(values).containsExactly(Map.entry("plan/job-000412", plan.toJson()));
+        assertThat(PlanRecord.fromJson(plan.toJson())).isEqualTo(plan);
     }
 
     @Test
@@ -60,9 +60,10 @@
                 plan(null, names("job-", 600)),
                 plan(names("type-", 90), names("job-", 300)),
                 plan(names("type-", 300), List.of()))) {
-            Map<String, JsonNode> values = plan.cut(VALUE_BYTES, MAX_VALUES).orElseThrow();
+            Map<String, JsonNode> values =
+                    plan.splitOverflow(VALUE_BYTES, MAX_VALUES).orElseThrow();
             assertThat(values.values()).allMatch(value -> Json.bytes(value).length <= VALUE_BYTES);
-            PlanRecord head = PlanRecord.of(values.get("plan/job-000412"));
+            PlanRecord head = PlanRecord.fromJson(values.get("plan/job-000412"));
             assertThat(head.complete()).isFalse();
             List<JsonNode> overflow = new ArrayList<>();
             for (int index = 0; index < head.overflowValues(); index++) {
@@ -75,9 +76,10 @@
 
     @Test
     void whatTakesTooManyValuesOrHasATooLongNameIsNotCut() {
-        assertThat(plan(null, names("job-", 900)).cut(VALUE_BYTES, MAX_VALUES)).isEmpty();
-        assertThat(plan(null, names("job-", 200)).cut(VALUE_BYTES, 1)).isEmpty();
-        assertThat(plan(List.of("g".repeat(VALUE_BYTES)), List.of()).cut(VALUE_BYTES, MAX_VALUES))
+        assertThat(plan(null, names("job-", 900)).splitOverflow(VALUE_BYTES, MAX_VALUES))
+                .isEmpty();
+        assertThat(plan(null, names("job-", 200)).splitOverflow(VALUE_BYTES, 1)).isEmpty();
+        assertThat(plan(List.of("g".repeat(VALUE_BYTES)), List.of()).splitOverflow(VALUE_BYTES, MAX_VALUES))
                 .isEmpty();
     }
 }
--- a/src/test/java/io/sillreel/placement/PlacementIndexTest.java
+++ b/src/test/java/io/sillreel/placement/PlacementIndexTest.java
@@ -22,7 +22,7 @@
             new MachineType("c8", 8, 0, 32, 50, 0.2, 1, 0.5, 1, List.of("a", "b")));
 
     private static JobSpec job(Random random, int number) {
-        return JobSpec.ofPlan(SimCluster.job("job-" + number, 1 + random.nextInt(12))
+        return JobSpec.fromPlan(SimCluster.job("job-" + number, 1 + random.nextInt(12))
                 .put("vcpus", 0.5 * (1 + random.nextInt(6)))
                 .put("reel", "img-" + random.nextInt(3))
                 .put("image_gb", random.nextInt(4))
@@ -72,7 +72,7 @@
         List<FreeCapacity> fitting = new ArrayList<>(spaces);
         fitting.removeIf(space -> space.room(spec) <= 0 || !Cluster.allows(spec, space.machine));
         fitting.sort(Comparator.<FreeCapacity>comparingLong(space -> fetchStep(space, spec))
-                .thenComparingInt(space -> space.machine.spot() == spec.saves() ? 0 : 1)
+                .thenComparingInt(space -> space.machine.spot() == spec.supportsCheckpoints() ? 0 : 1)
                 .thenComparingDouble(
                         space -> space.hasImage(spec) ? space.cpus : -Math.min(space.room(spec), spec.tasks()))
                 .thenComparing(space -> space.machine.name()));
@@ -104,7 +104,7 @@
             Recorder recorder = new Recorder(spec);
             index.offer(spec, spec.tasks(), false, recorder);
             assertThat(recorder.taken)
-                    .as(Json.parse(Json.bytes(spec.json())).toString())
+                    .as(Json.parse(Json.bytes(spec.toJson())).toString())
                     .isEqualTo(bySorting(sorted, spec));
         }
     }
--- a/src/test/java/io/sillreel/placement/PlannerTest.java
+++ b/src/test/java/io/sillreel/placement/PlannerTest.java
@@ -85,7 +85,7 @@
 
     private void run(ActiveJob job, Machine machine, int tasks) {
         for (int i = 0; i < tasks; i++) {
-            Allocation allocation = Allocation.launched(job, job.nextWaiting(), ++attempts, 0);
+            Allocation allocation = Allocation.launched(job, job.nextWaitingTask(), ++attempts, 0);
             machine.add(allocation);
             allocation.seen(TaskStage.RUNNING, nowMicros);
         }
--- a/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
+++ b/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
@@ -29,13 +29,13 @@
     private final Cluster cluster = new Cluster(Map.of("t", new Team("t", 10, 0, 0, 0)));
     private final DependencyGraph dependencies = new DependencyGraph(new DependencyGraph.Callbacks() {
         @Override
-        public void ready(ActiveJob job) {
+        public void becameReady(ActiveJob job) {
             ready.add(job.uid());
-            job.ready(NOW);
+            job.markReady(NOW);
         }
 
         @Override
-        public void closed(ActiveJob job, String because) {
+        public void skipped(ActiveJob job, String because) {
             closed.add(job.uid());
             cancelled.add(job.uid());
             job.cancel();
@@ -76,7 +76,7 @@
     private ActiveJob joined(String uid, PriorityClass rank, long dueMicros, String... awaits) {
         ActiveJob job = job(uid, rank, dueMicros, awaits);
         cluster.add(job);
-        dependencies.enter(job, cancelled::contains);
+        dependencies.add(job, cancelled::contains);
         inheritance.joined(job);
         return job;
     }
@@ -86,23 +86,25 @@
     void theFirstStepIsAsUrgentAsWhatNeedsIt() {
         ActiveJob first = joined("job-000001", PriorityClass.BEST_EFFORT, -1);
         ActiveJob second = joined("job-000002", PriorityClass.BEST_EFFORT, -1, "job-000001");
-        assertThat(first.rank()).isEqualTo(PriorityClass.BEST_EFFORT);
-        assertThat(first.endByMicros()).isEqualTo(Long.MAX_VALUE);
+        assertThat(first.effectivePriority()).isEqualTo(PriorityClass.BEST_EFFORT);
+        assertThat(first.effectiveDeadlineMicros()).isEqualTo(Long.MAX_VALUE);
         ActiveJob last = joined("job-000003", PriorityClass.HIGH, 300 * SECOND, "job-000002");
-        assertThat(List.of(first.rank(), second.rank())).containsOnly(PriorityClass.HIGH);
-        assertThat(second.endByMicros()).isEqualTo(NOW + 300 * SECOND - estimates.spanMicros(last));
-        assertThat(first.endByMicros()).isEqualTo(second.endByMicros() - estimates.spanMicros(second));
+        assertThat(List.of(first.effectivePriority(), second.effectivePriority()))
+                .containsOnly(PriorityClass.HIGH);
+        assertThat(second.effectiveDeadlineMicros()).isEqualTo(NOW + 300 * SECOND - estimates.spanMicros(last));
+        assertThat(first.effectiveDeadlineMicros())
+                .isEqualTo(second.effectiveDeadlineMicros() - estimates.spanMicros(second));
         ActiveJob sooner = joined("job-000004", PriorityClass.NORMAL, 60 * SECOND, "job-000001");
-        assertThat(first.endByMicros()).isEqualTo(NOW + 60 * SECOND - estimates.spanMicros(sooner));
-        assertThat(first.rank()).isEqualTo(PriorityClass.HIGH);
+        assertThat(first.effectiveDeadlineMicros()).isEqualTo(NOW + 60 * SECOND - estimates.spanMicros(sooner));
+        assertThat(first.effectivePriority()).isEqualTo(PriorityClass.HIGH);
         last.cancel();
         inheritance.left(List.of(last));
-        assertThat(second.rank()).isEqualTo(PriorityClass.BEST_EFFORT);
-        assertThat(first.rank()).isEqualTo(PriorityClass.NORMAL);
+        assertThat(second.effectivePriority()).isEqualTo(PriorityClass.BEST_EFFORT);
+        assertThat(first.effectivePriority()).isEqualTo(PriorityClass.NORMAL);
         sooner.cancel();
         inheritance.left(List.of(sooner));
-        assertThat(first.rank()).isEqualTo(PriorityClass.BEST_EFFORT);
-        assertThat(first.endByMicros()).isEqualTo(Long.MAX_VALUE);
+        assertThat(first.effectivePriority()).isEqualTo(PriorityClass.BEST_EFFORT);
+        assertThat(first.effectiveDeadlineMicros()).isEqualTo(Long.MAX_VALUE);
     }
 
     /** Guards the guarantee: what awaits others takes no part of it, and leaves it to those behind. */
@@ -126,15 +128,15 @@
         ActiveJob second = job("job-000002", PriorityClass.NORMAL, -1, "job-000001");
         ActiveJob fourth = job("job-000000", PriorityClass.NORMAL, -1, "job-000003");
         ActiveJob first = job("job-000001", PriorityClass.NORMAL, -1, "job-000008");
-        dependencies.begin(List.of(fourth, third, first, second), "job-000008"::equals, uid -> false);
+        dependencies.restore(List.of(fourth, third, first, second), "job-000008"::equals, uid -> false);
         assertThat(ready).containsExactly("job-000001");
         assertThat(lookedUp).containsExactly("job-000009");
-        dependencies.released(first);
-        dependencies.done(first);
+        dependencies.markReleased(first);
+        dependencies.markDone(first);
         assertThat(ready).containsExactly("job-000001", "job-000002");
-        dependencies.cancelled("job-000002");
+        dependencies.markCancelled("job-000002");
         assertThat(closed).containsExactly("job-000003", "job-000000");
-        dependencies.found("job-000009");
+        dependencies.lookupSucceeded("job-000009");
         assertThat(ready).hasSize(2);
     }
 
@@ -143,12 +145,12 @@
     void whatIsAwaitedMayBeSeenLaterOrHaveEndedLongAgo() {
         joined("job-000002", PriorityClass.NORMAL, -1, "job-000001", "job-000007");
         assertThat(lookedUp).containsExactly("job-000001", "job-000007");
-        dependencies.found("job-000007");
+        dependencies.lookupSucceeded("job-000007");
         ActiveJob first = joined("job-000001", PriorityClass.NORMAL, -1);
-        assertThat(dependencies.asks("job-000001")).isFalse();
+        assertThat(dependencies.isAwaitingLookup("job-000001")).isFalse();
         assertThat(ready).containsExactly("job-000001");
-        dependencies.released(first);
-        dependencies.done(first);
+        dependencies.markReleased(first);
+        dependencies.markDone(first);
         assertThat(ready).containsExactly("job-000001", "job-000002");
         cancelled.add("job-000005");
         joined("job-000003", PriorityClass.NORMAL, -1, "job-000005");
