--- a/src/main/java/io/sillreel/agent/AgentCommands.java
+++ b/src/main/java/io/sillreel/agent/AgentCommands.java
@@ -16,15 +16,15 @@
         add("launch", uid, index, attempt);
     }
 
-    public void halt(String uid, int index, long attempt, long windDownMicros) {
+    public void stop(String uid, int index, long attempt, long windDownMicros) {
         add("halt", uid, index, attempt).put("wind_down_s", windDownMicros / 1_000_000.0);
     }
 
-    public void reap(String uid, int index, long attempt) {
+    public void acknowledge(String uid, int index, long attempt) {
         add("reap", uid, index, attempt);
     }
 
-    public boolean full() {
+    public boolean isFull() {
         return commands.size() >= MAX_COMMANDS;
     }
 
@@ -33,14 +33,14 @@
     }
 
     /** Returns the commands under that token, as the body of a response or of a direct command. */
-    public ObjectNode body(long token) {
+    public ObjectNode toJson(long token) {
         ObjectNode body = Json.object().put("baton", token);
         body.set("orders", commands);
         return body;
     }
 
-    public HttpResponse reply(long token) {
-        return HttpResponse.of(200, body(token));
+    public HttpResponse toResponse(long token) {
+        return HttpResponse.of(200, toJson(token));
     }
 
     private ObjectNode add(String verb, String uid, int index, long attempt) {
--- a/src/main/java/io/sillreel/agent/Heartbeat.java
+++ b/src/main/java/io/sillreel/agent/Heartbeat.java
@@ -11,23 +11,23 @@
 public record Heartbeat(
         String machine,
         String address,
-        String build,
+        String machineType,
         String zone,
         boolean spot,
-        long session,
+        long epoch,
         long sequence,
-        long token,
-        long recallMicros,
+        long fencingToken,
+        long interruptionMicros,
         List<TaskStatus> tasks) {
 
     /** A worker waits so long for the answer to a report. */
-    public static final long ANSWER_WAIT_MICROS = 4_000_000;
+    public static final long RESPONSE_TIMEOUT_MICROS = 4_000_000;
 
     /** The state of a task on its machine; the order is part of the message format between controllers. */
     public enum TaskStage {
         PULLING,
         RUNNING,
-        FLUSHING,
+        CHECKPOINTING,
         ENDED
     }
 
@@ -48,10 +48,10 @@
     private static Heartbeat read(JsonParser in) throws IOException {
         String machine = "";
         String address = "";
-        String build = "";
+        String machineType = "";
         String zone = "";
         boolean spot = false;
-        long session = 0;
+        long epoch = 0;
         long sequence = 0;
         long token = 0;
         long recallMicros = -1;
@@ -62,10 +62,10 @@
             switch (field) {
                 case "hopper" -> machine = in.getValueAsString("");
                 case "addr" -> address = in.getValueAsString("");
-                case "build" -> build = in.getValueAsString("");
+                case "build" -> machineType = in.getValueAsString("");
                 case "yard" -> zone = in.getValueAsString("");
                 case "loaners" -> spot = in.getValueAsBoolean();
-                case "shift" -> session = in.getValueAsLong();
+                case "shift" -> epoch = in.getValueAsLong();
                 case "tally" -> sequence = in.getValueAsLong();
                 case "baton" -> token = in.getValueAsLong();
                 case "recall_s" -> recallMicros = value.isNumeric() ? Math.round(in.getDoubleValue() * 1_000_000) : -1;
@@ -79,7 +79,7 @@
         }
         return machine.isEmpty()
                 ? null
-                : new Heartbeat(machine, address, build, zone, spot, session, sequence, token, recallMicros, tasks);
+                : new Heartbeat(machine, address, machineType, zone, spot, epoch, sequence, token, recallMicros, tasks);
     }
 
     private static List<TaskStatus> tasks(JsonParser in) throws IOException {
@@ -104,7 +104,7 @@
             if (slash >= 0) {
                 TaskStage known = switch (stage) {
                     case "pulling" -> TaskStage.PULLING;
-                    case "flushing" -> TaskStage.FLUSHING;
+                    case "flushing" -> TaskStage.CHECKPOINTING;
                     case "ended" -> TaskStage.ENDED;
                     default -> TaskStage.RUNNING;
                 };
@@ -116,7 +116,7 @@
     }
 
     /** True if this message was made after one with the given numbers. */
-    public boolean newerThan(long otherSession, long otherSequence) {
-        return session > otherSession || session == otherSession && sequence > otherSequence;
+    public boolean isNewerThan(long otherSession, long otherSequence) {
+        return epoch > otherSession || epoch == otherSession && sequence > otherSequence;
     }
 }
--- a/src/main/java/io/sillreel/cloud/CloudClient.java
+++ b/src/main/java/io/sillreel/cloud/CloudClient.java
@@ -74,10 +74,10 @@
     }
 
     /** Rents up to {@code count} machines under a request name that is never used for anything else. */
-    public CompletableFuture<Rented> rent(String request, String build, String zone, boolean spot, int count) {
+    public CompletableFuture<Rented> rent(String request, String machineType, String zone, boolean spot, int count) {
         ObjectNode body = Json.object()
                 .put("hire", request)
-                .put("build", build)
+                .put("build", machineType)
                 .put("yard", zone)
                 .put("loaners", spot)
                 .put("count", count);
--- a/src/main/java/io/sillreel/cluster/Allocation.java
+++ b/src/main/java/io/sillreel/cluster/Allocation.java
@@ -7,21 +7,21 @@
 public final class Allocation {
     private final ActiveJob job;
     private final String uid;
-    private final int index;
+    private final int taskIndex;
     private final long attempt;
     private final long launchSequence;
     private Machine machine;
     private TaskStage stage;
     private long runningSinceMicros = -1;
     private boolean holding;
-    private boolean halting;
-    private long haltWindDownMicros;
-    private long reapSequence;
+    private boolean isStopping;
+    private long gracePeriodMicros;
+    private long acknowledgementSequence;
 
     private Allocation(ActiveJob job, String uid, int index, long attempt, long launchSequence, TaskStage stage) {
         this.job = job;
         this.uid = uid;
-        this.index = index;
+        this.taskIndex = index;
         this.attempt = attempt;
         this.launchSequence = launchSequence;
         this.stage = stage;
@@ -33,16 +33,16 @@
     }
 
     /** A task found in a report, alive or not. The job is null if it isn't driven any more. */
-    public static Allocation found(ActiveJob job, String uid, int index, long attempt, TaskStage stage) {
+    public static Allocation discovered(ActiveJob job, String uid, int index, long attempt, TaskStage stage) {
         return new Allocation(job, uid, index, attempt, 0, stage);
     }
 
     /** The machine takes the allocation in: from now on a live one holds its task. */
-    void placed(Machine on) {
+    void bindTo(Machine on) {
         machine = on;
-        if (job != null && !ended()) {
-            job.allocate(index);
-            on.book().placed(this);
+        if (job != null && !hasEnded()) {
+            job.allocate(taskIndex);
+            on.allocationIndex().add(this);
             holding = true;
         }
     }
@@ -57,11 +57,11 @@
      */
     public void release() {
         if (holding) {
-            job.deallocate(index);
-            machine.book().gone(this);
+            job.deallocate(taskIndex);
+            machine.allocationIndex().remove(this);
             holding = false;
         }
-        machine.changed();
+        machine.invalidateUsage();
     }
 
     public ActiveJob job() {
@@ -72,8 +72,8 @@
         return uid;
     }
 
-    public int index() {
-        return index;
+    public int taskIndex() {
+        return taskIndex;
     }
 
     public long attempt() {
@@ -85,7 +85,7 @@
     }
 
     /** True as long as no report has shown the task: the launch may not have happened. */
-    public boolean unconfirmed() {
+    public boolean isUnconfirmed() {
         return stage == null;
     }
 
@@ -94,13 +94,13 @@
     }
 
     /** Takes note of the state in which a report shows the task. */
-    public void seen(TaskStage newStage, long nowMicros) {
+    public void updateStage(TaskStage newStage, long nowMicros) {
         if (newStage == TaskStage.RUNNING && runningSinceMicros < 0) {
             runningSinceMicros = nowMicros;
         }
         stage = newStage;
-        if (ended()) {
-            machine.changed();
+        if (hasEnded()) {
+            machine.invalidateUsage();
         }
     }
 
@@ -109,32 +109,32 @@
         return runningSinceMicros;
     }
 
-    public boolean ended() {
+    public boolean hasEnded() {
         return stage == TaskStage.ENDED;
     }
 
-    public void halt(long windDownMicros) {
-        halting = true;
-        haltWindDownMicros = windDownMicros;
+    public void stop(long windDownMicros) {
+        isStopping = true;
+        gracePeriodMicros = windDownMicros;
     }
 
     /** The machine is told, in the answer to the report with the given sequence, to forget the ended task. */
-    public void reapCommanded(long sequence) {
-        if (reapSequence == 0) {
-            reapSequence = sequence;
+    public void acknowledgementSent(long sequence) {
+        if (acknowledgementSequence == 0) {
+            acknowledgementSequence = sequence;
         }
     }
 
     /** The report whose answer first said so, or 0. */
-    public long reapSequence() {
-        return reapSequence;
+    public long acknowledgementSequence() {
+        return acknowledgementSequence;
     }
 
-    public boolean halting() {
-        return halting;
+    public boolean isStopping() {
+        return isStopping;
     }
 
-    public long haltWindDownMicros() {
-        return haltWindDownMicros;
+    public long gracePeriodMicros() {
+        return gracePeriodMicros;
     }
 }
--- a/src/main/java/io/sillreel/cluster/AllocationIndex.java
+++ b/src/main/java/io/sillreel/cluster/AllocationIndex.java
@@ -9,29 +9,29 @@
 /** Where each job's live tasks are and what they take of their teams' limits, kept as tasks come and go. */
 public final class AllocationIndex {
     private final Map<ActiveJob, Set<Allocation>> byJob = new HashMap<>();
-    private final QuotaUsage use = new QuotaUsage();
+    private final QuotaUsage usage = new QuotaUsage();
 
-    void placed(Allocation allocation) {
+    void add(Allocation allocation) {
         byJob.computeIfAbsent(allocation.job(), job -> new LinkedHashSet<>()).add(allocation);
-        use.take(allocation.job().spec(), 1);
+        usage.add(allocation.job().spec(), 1);
     }
 
-    void gone(Allocation allocation) {
+    void remove(Allocation allocation) {
         Set<Allocation> allocations = byJob.get(allocation.job());
         allocations.remove(allocation);
         if (allocations.isEmpty()) {
             byJob.remove(allocation.job());
         }
-        use.take(allocation.job().spec(), -1);
+        usage.add(allocation.job().spec(), -1);
     }
 
     /** The job's live tasks. */
-    public Set<Allocation> of(ActiveJob job) {
+    public Set<Allocation> ofJob(ActiveJob job) {
         return byJob.getOrDefault(job, Set.of());
     }
 
     /** What all live tasks take; to be copied before it is changed. */
-    public QuotaUsage use() {
-        return use;
+    public QuotaUsage usage() {
+        return usage;
     }
 }
--- a/src/main/java/io/sillreel/cluster/Cluster.java
+++ b/src/main/java/io/sillreel/cluster/Cluster.java
@@ -16,10 +16,10 @@
     private final Map<String, Team> teams;
     private final Map<String, ActiveJob> jobs = new LinkedHashMap<>();
     private final Map<String, Machine> machines = new LinkedHashMap<>();
-    private final AllocationIndex book = new AllocationIndex();
-    private final UnreconciledMachines unheard = new UnreconciledMachines();
+    private final AllocationIndex allocationIndex = new AllocationIndex();
+    private final UnreconciledMachines unreconciledMachines = new UnreconciledMachines();
 
-    private long work;
+    private long stepCount;
 
     public Cluster(Map<String, Team> teams) {
         this.teams = teams;
@@ -55,37 +55,37 @@
 
     /** A machine of an earlier term: until it is heard, or its bound has passed, it may hold that term's tasks. */
     public void addInherited(Machine machine) {
-        machine.inherit();
+        machine.markInherited();
         add(machine);
-        if (machine.mayHoldEarlier()) {
-            unheard.add(machine);
+        if (machine.mayHoldInheritedTasks()) {
+            unreconciledMachines.add(machine);
         }
     }
 
     public void remove(Machine machine) {
         machines.remove(machine.name());
-        unheard.remove(machine);
+        unreconciledMachines.remove(machine);
     }
 
     /** Nothing of an earlier term is hidden on the machine any more. */
-    public void cleared(Machine machine) {
-        unheard.remove(machine);
+    public void markReconciled(Machine machine) {
+        unreconciledMachines.remove(machine);
     }
 
-    public AllocationIndex book() {
-        return book;
+    public AllocationIndex allocationIndex() {
+        return allocationIndex;
     }
 
     /**
      * Steps of planning and of reports so far: what they cost must not grow with machines that have nothing to do with
      * them.
      */
-    public long work() {
-        return work;
+    public long stepCount() {
+        return stepCount;
     }
 
-    public void worked(long steps) {
-        work += steps;
+    public void countSteps(long steps) {
+        stepCount += steps;
     }
 
     public Team team(String name) {
@@ -93,18 +93,18 @@
     }
 
     /** Machines on which an earlier leader's tasks may be that no report has shown yet. */
-    public Collection<Machine> unheard() {
-        return unheard.machines();
+    public Collection<Machine> unreconciledMachines() {
+        return unreconciledMachines.machines();
     }
 
-    public boolean allHeard() {
-        return unheard.isEmpty();
+    public boolean allReconciled() {
+        return unreconciledMachines.isEmpty();
     }
 
     /** What each team's tasks take; tasks count until they are certainly gone. To be changed freely by the caller. */
-    public QuotaUsage usage() {
-        QuotaUsage usage = book.use().copy();
-        if (!unheard.isEmpty()) {
+    public QuotaUsage quotaUsage() {
+        QuotaUsage usage = allocationIndex.usage().copy();
+        if (!unreconciledMachines.isEmpty()) {
             addWorstCase(usage);
         }
         return usage;
@@ -115,58 +115,57 @@
         QuotaUsage hidden = new QuotaUsage();
         for (ActiveJob job : jobs.values()) {
             if (job.isInherited()) {
-                hidden.take(job.spec(), job.waitingCount());
+                hidden.add(job.spec(), job.waitingCount());
             }
         }
-        usage.addHidden(hidden, unheard.cpus(), unheard.cards());
+        usage.addCapped(hidden, unreconciledMachines.cpus(), unreconciledMachines.gpus());
     }
 
     /** How many more tasks of the job its team's limit allows. */
-    public int headroom(JobSpec spec, QuotaUsage usage) {
+    public int quotaHeadroom(JobSpec spec, QuotaUsage usage) {
         Team team = teams.get(spec.team());
         if (team == null) {
             return 0;
         }
-        QuotaUsage.Amount used = usage.of(spec.team());
-        return Math.min(
-                left(team.cpusMax(), used.cpus(), spec.cpus()), left(team.gpusMax(), used.cards(), spec.gpus()));
+        QuotaUsage.Amount used = usage.ofTeam(spec.team());
+        return Math.min(left(team.cpusMax(), used.cpus(), spec.cpus()), left(team.gpusMax(), used.gpus(), spec.gpus()));
     }
 
     private static int left(double most, long used, double each) {
         if (most <= 0 || each <= 0) {
             return Integer.MAX_VALUE;
         }
-        return (int) Math.max(0, (QuotaUsage.milli(most) - used) / QuotaUsage.milli(each));
+        return (int) Math.max(0, (QuotaUsage.toMilli(most) - used) / QuotaUsage.toMilli(each));
     }
 
     /** True if the job's tasks may be launched at all now. */
-    public boolean launchable(ActiveJob job, long wallMicros) {
+    public boolean isLaunchable(ActiveJob job, long wallMicros) {
         return job.isReleased()
                 && !job.isCancelled()
                 && !job.isComplete()
                 && wallMicros >= job.nextAttemptWallMicros()
-                && (!job.isInherited() || !unheard.mayHold(job.spec()));
+                && (!job.isInherited() || !unreconciledMachines.mayHoldTasksOf(job.spec()));
     }
 
     /** True if the machine is one the job allows, its other tasks aside. */
-    public static boolean allows(JobSpec spec, Machine machine) {
-        return allows(spec, machine.type(), machine.zone(), machine.spot());
+    public static boolean isEligible(JobSpec spec, Machine machine) {
+        return isEligible(spec, machine.type(), machine.zone(), machine.spot());
     }
 
     /** True if machines of the type, in the zone and of the kind are such as the job allows. */
-    public static boolean allows(JobSpec spec, MachineType type, String zone, boolean spot) {
+    public static boolean isEligible(JobSpec spec, MachineType type, String zone, boolean spot) {
         return spec.allowsMachineType(type.name()) && spec.allowsZone(zone) && (spec.spotAllowed() || !spot);
     }
 
     /** How many tasks of the job may start in the machine's zone given where its other tasks are. */
-    public int zoneRoom(ActiveJob job, String zone) {
+    public int zoneHeadroom(ActiveJob job, String zone) {
         JobSpec spec = job.spec();
         if (!spec.zoneAffinity() && !spec.zoneAntiAffinity()) {
             return Integer.MAX_VALUE;
         }
         int here = 0;
         int elsewhere = 0;
-        for (Allocation allocation : book.of(job)) {
+        for (Allocation allocation : allocationIndex.ofJob(job)) {
             if (allocation.machine().zone().equals(zone)) {
                 here++;
             } else {
--- a/src/main/java/io/sillreel/cluster/HeartbeatOrder.java
+++ b/src/main/java/io/sillreel/cluster/HeartbeatOrder.java
@@ -7,18 +7,18 @@
  * that count anew hint at a machine that has started again.
  */
 public final class HeartbeatOrder {
-    private static final int STALE_BEFORE_ASKING = 3;
+    private static final int STALE_HEARTBEATS_BEFORE_QUERY = 3;
 
-    private long session;
+    private long epoch;
     private long sequence;
-    private long endedSession;
-    private long directMicros = Long.MIN_VALUE;
-    private long staleSession;
+    private long endedEpoch;
+    private long commandResponseMicros = Long.MIN_VALUE;
+    private long staleEpoch;
     private long staleSequence;
     private int staleCount;
 
-    public long session() {
-        return session;
+    public long epoch() {
+        return epoch;
     }
 
     public long sequence() {
@@ -26,51 +26,51 @@
     }
 
     /** True if the message is newer than all that were seen, and its session is not known to be over. */
-    boolean isNew(Heartbeat report) {
-        return report.newerThan(session, sequence) && report.session() > endedSession;
+    boolean isNew(Heartbeat heartbeat) {
+        return heartbeat.isNewerThan(epoch, sequence) && heartbeat.epoch() > endedEpoch;
     }
 
     /** True if the worker's session before this message has ended. */
-    boolean startsSession(Heartbeat report) {
-        return session > 0 && report.session() > session;
+    boolean startsEpoch(Heartbeat heartbeat) {
+        return epoch > 0 && heartbeat.epoch() > epoch;
     }
 
     /** The message is the newest one from now on. */
-    void advance(Heartbeat report, boolean direct, long nowMicros) {
-        session = report.session();
-        sequence = report.sequence();
-        directMicros = direct ? nowMicros : Long.MIN_VALUE;
+    void accept(Heartbeat heartbeat, boolean direct, long nowMicros) {
+        epoch = heartbeat.epoch();
+        sequence = heartbeat.sequence();
+        commandResponseMicros = direct ? nowMicros : Long.MIN_VALUE;
         staleCount = 0;
     }
 
     /** The lease has run out whatever the worker heard last: what belongs to its session is dead. */
-    public void endSession() {
-        endedSession = session;
+    public void endEpoch() {
+        endedEpoch = epoch;
     }
 
     /**
      * True if this is the report that the answer to a direct command has just overtaken: the worker waits for its
      * answer.
      */
-    public boolean overtaken(Heartbeat report, long withinMicros, long nowMicros) {
-        return report.session() == session
-                && report.sequence() == sequence - 1
-                && session > endedSession
-                && directMicros != Long.MIN_VALUE
-                && nowMicros - directMicros < withinMicros;
+    public boolean isOvertakenByCommand(Heartbeat heartbeat, long withinMicros, long nowMicros) {
+        return heartbeat.epoch() == epoch
+                && heartbeat.sequence() == sequence - 1
+                && epoch > endedEpoch
+                && commandResponseMicros != Long.MIN_VALUE
+                && nowMicros - commandResponseMicros < withinMicros;
     }
 
     /**
      * Counts reports that are older than what was seen; true once several have come whose numbers rise: copies of old
      * ones do that too, but so does a machine that is back and counts anew.
      */
-    public boolean countsAnew(Heartbeat report) {
-        if (staleCount == 0 || report.newerThan(staleSession, staleSequence)) {
-            staleSession = report.session();
-            staleSequence = report.sequence();
+    public boolean suggestsRestart(Heartbeat heartbeat) {
+        if (staleCount == 0 || heartbeat.isNewerThan(staleEpoch, staleSequence)) {
+            staleEpoch = heartbeat.epoch();
+            staleSequence = heartbeat.sequence();
             staleCount++;
         }
-        if (staleCount < STALE_BEFORE_ASKING) {
+        if (staleCount < STALE_HEARTBEATS_BEFORE_QUERY) {
             return false;
         }
         staleCount = 0;
--- a/src/main/java/io/sillreel/cluster/Machine.java
+++ b/src/main/java/io/sillreel/cluster/Machine.java
@@ -14,9 +14,9 @@
 public final class Machine {
     /** RENTED: no report yet. UP: reports. LEAVING: takes nothing more. RETURNING: the cloud was asked to take it. */
     public enum State {
-        RENTED,
+        PROVISIONING,
         UP,
-        LEAVING,
+        DRAINING,
         RETURNING
     }
 
@@ -31,28 +31,28 @@
     private final MachineType type;
     private final String zone;
     private final boolean spot;
-    private final ScaleOutRequest rental;
-    private final long rentedMicros;
-    private final AllocationIndex book;
+    private final ScaleOutRequest scaleOutRequest;
+    private final long requestedMicros;
+    private final AllocationIndex allocationIndex;
     private final Map<String, Allocation> allocations = new LinkedHashMap<>();
     private final ImageCache images;
-    private final HeartbeatOrder messages = new HeartbeatOrder();
+    private final HeartbeatOrder heartbeatOrder = new HeartbeatOrder();
     private final Responsiveness responsiveness = new Responsiveness();
-    private final MachineHealth faults = new MachineHealth();
-    private final ResourceUsage use;
+    private final MachineHealth health = new MachineHealth();
+    private final ResourceUsage usage;
 
-    private State state = State.RENTED;
+    private State state = State.PROVISIONING;
     private String address;
-    private boolean inherited;
-    private boolean trusted;
+    private boolean isInherited;
+    private boolean isReconciled;
     private long upMicros = -1;
-    private long lastReportMicros = -1;
-    private long leaseBoundMicros;
-    private long recallAtMicros = -1;
+    private long lastHeartbeatMicros = -1;
+    private long leaseExpiryMicros;
+    private long interruptionAtMicros = -1;
     private long idleSinceMicros;
     private long firstListedMicros = -1;
-    private boolean toBeReturned;
-    private String leavingReason;
+    private boolean isReturnScheduled;
+    private String drainReason;
 
     /**
      * @param rental the rental that the machine belongs to, or null if no stored one names it
@@ -63,23 +63,23 @@
             MachineType type,
             String zone,
             boolean spot,
-            ScaleOutRequest rental,
+            ScaleOutRequest scaleOutRequest,
             long rentedMicros,
             AllocationIndex book) {
         this.name = name;
         this.type = type;
         this.zone = zone;
         this.spot = spot;
-        this.rental = rental;
-        this.rentedMicros = rentedMicros;
+        this.scaleOutRequest = scaleOutRequest;
+        this.requestedMicros = rentedMicros;
         this.idleSinceMicros = rentedMicros;
-        this.book = book;
+        this.allocationIndex = book;
         this.images = new ImageCache(type.cacheGb());
-        this.use = new ResourceUsage(allocations.values());
+        this.usage = new ResourceUsage(allocations.values());
     }
 
-    AllocationIndex book() {
-        return book;
+    AllocationIndex allocationIndex() {
+        return allocationIndex;
     }
 
     public String name() {
@@ -98,12 +98,12 @@
         return spot;
     }
 
-    public ScaleOutRequest rental() {
-        return rental;
+    public ScaleOutRequest scaleOutRequest() {
+        return scaleOutRequest;
     }
 
-    public long rentedMicros() {
-        return rentedMicros;
+    public long requestedMicros() {
+        return requestedMicros;
     }
 
     public State state() {
@@ -122,26 +122,26 @@
     }
 
     /** True if an earlier leader rented the machine: it boots no longer, or not for long. */
-    public boolean inherited() {
-        return inherited;
+    public boolean isInherited() {
+        return isInherited;
     }
 
-    public void inherit() {
-        inherited = true;
+    public void markInherited() {
+        isInherited = true;
     }
 
     /** True once a report made under the current term has shown what is on the machine. */
-    public boolean trusted() {
-        return trusted;
+    public boolean isReconciled() {
+        return isReconciled;
     }
 
-    public void trust() {
-        trusted = true;
+    public void markReconciled() {
+        isReconciled = true;
     }
 
     /** The order of its messages, and which of them is the newest. */
-    public HeartbeatOrder messages() {
-        return messages;
+    public HeartbeatOrder heartbeatOrder() {
+        return heartbeatOrder;
     }
 
     /** Whether it hears what it is told. */
@@ -150,24 +150,25 @@
     }
 
     /** Whether it fails what it starts, or takes longer than others. */
-    public MachineHealth faults() {
-        return faults;
+    public MachineHealth health() {
+        return health;
     }
 
     /**
      * Takes the report's numbers; false if a newer message was seen already, or if the session that it tells of is
      * over: a report held back by the network, or a copy of one, shows tasks that have died since.
      */
-    public boolean advance(Heartbeat report, boolean direct, long nowMicros) {
-        if (!messages.isNew(report)) {
+    public boolean acceptHeartbeat(Heartbeat heartbeat, boolean direct, long nowMicros) {
+        if (!heartbeatOrder.isNew(heartbeat)) {
             return false;
         }
-        responsiveness.reported(messages.startsSession(report), state == State.UP, lastReportMicros, nowMicros);
-        messages.advance(report, direct, nowMicros);
-        lastReportMicros = nowMicros;
-        address(report.address());
-        recallAtMicros = report.recallMicros() < 0 ? -1 : nowMicros + report.recallMicros();
-        if (state == State.RENTED) {
+        responsiveness.heartbeatReceived(
+                heartbeatOrder.startsEpoch(heartbeat), state == State.UP, lastHeartbeatMicros, nowMicros);
+        heartbeatOrder.accept(heartbeat, direct, nowMicros);
+        lastHeartbeatMicros = nowMicros;
+        address(heartbeat.address());
+        interruptionAtMicros = heartbeat.interruptionMicros() < 0 ? -1 : nowMicros + heartbeat.interruptionMicros();
+        if (state == State.PROVISIONING) {
             state = State.UP;
             upMicros = nowMicros;
             idleSinceMicros = nowMicros;
@@ -176,69 +177,69 @@
     }
 
     /** It is answered 200, which keeps its tasks alive if it hears that. */
-    public void answered(long boundMicros) {
-        responsiveness.answered();
-        aliveUntil(boundMicros);
+    public void heartbeatAnswered(long boundMicros) {
+        responsiveness.heartbeatAnswered();
+        extendLease(boundMicros);
     }
 
     /** Goes back to the cloud whatever is on it: nothing else can make an end of that. */
     public void scheduleReturn(String reason) {
-        leave(reason);
-        toBeReturned = true;
+        drain(reason);
+        isReturnScheduled = true;
     }
 
-    public boolean toBeReturned() {
-        return toBeReturned;
+    public boolean isReturnScheduled() {
+        return isReturnScheduled;
     }
 
     public long upMicros() {
         return upMicros;
     }
 
-    public long lastReportMicros() {
-        return lastReportMicros;
+    public long lastHeartbeatMicros() {
+        return lastHeartbeatMicros;
     }
 
     /** Until when tasks may be alive on the machine if it is never heard again. */
-    public long leaseBoundMicros() {
-        return leaseBoundMicros;
+    public long leaseExpiryMicros() {
+        return leaseExpiryMicros;
     }
 
     /** Tasks may be alive on the machine until then. */
-    public void aliveUntil(long boundMicros) {
-        leaseBoundMicros = Math.max(leaseBoundMicros, boundMicros);
+    public void extendLease(long boundMicros) {
+        leaseExpiryMicros = Math.max(leaseExpiryMicros, boundMicros);
     }
 
     /** True if an earlier leader may have launched tasks here: only on machines that are stored as up. */
-    public boolean mayHoldEarlier() {
-        return rental.mayHold(name);
+    public boolean mayHoldInheritedTasks() {
+        return scaleOutRequest.isStoredAsUp(name);
     }
 
     /** When the cloud takes the machine back, or -1. */
-    public long recallAtMicros() {
-        return recallAtMicros;
+    public long interruptionAtMicros() {
+        return interruptionAtMicros;
     }
 
-    public boolean recalled() {
-        return recallAtMicros >= 0;
+    public boolean isInterrupted() {
+        return interruptionAtMicros >= 0;
     }
 
     /** Since when nothing has run here, as far as was looked. */
     public long idleSinceMicros(long nowMicros) {
-        if (liveCount() > 0) {
+        if (liveTaskCount() > 0) {
             idleSinceMicros = nowMicros;
         }
         return idleSinceMicros;
     }
 
     /** True if nothing is on it that would be lost with it: no live task, and no result that only it knows. */
-    public boolean empty() {
+    public boolean isEmpty() {
         for (Allocation allocation : allocations.values()) {
-            if (!allocation.ended()
+            if (!allocation.hasEnded()
                     || allocation.job() != null
                             && !allocation.job().isCancelled()
-                            && allocation.job().isTaskDone(allocation.index())
-                            && !allocation.job().isTaskStored(allocation.index())) {
+                            && allocation.job().isTaskDone(allocation.taskIndex())
+                            && !allocation.job().isTaskStored(allocation.taskIndex())) {
                 return false;
             }
         }
@@ -250,26 +251,26 @@
     }
 
     /** The machine is in the cloud's list. */
-    public void listed(long nowMicros) {
+    public void recordListed(long nowMicros) {
         if (firstListedMicros < 0) {
             firstListedMicros = nowMicros;
         }
     }
 
     /** Takes nothing more and goes back to the cloud once it is empty. */
-    public void leave(String reason) {
-        if (state == State.RENTED || state == State.UP) {
-            state = State.LEAVING;
-            leavingReason = reason;
+    public void drain(String reason) {
+        if (state == State.PROVISIONING || state == State.UP) {
+            state = State.DRAINING;
+            drainReason = reason;
         }
     }
 
-    public void returning() {
+    public void markReturning() {
         state = State.RETURNING;
     }
 
-    public String leavingReason() {
-        return leavingReason;
+    public String drainReason() {
+        return drainReason;
     }
 
     public Collection<Allocation> allocations() {
@@ -286,24 +287,24 @@
 
     /** Adds a task to the machine. */
     public void add(Allocation allocation) {
-        allocations.put(key(allocation.uid(), allocation.index(), allocation.attempt()), allocation);
-        changed();
-        allocation.placed(this);
+        allocations.put(key(allocation.uid(), allocation.taskIndex(), allocation.attempt()), allocation);
+        invalidateUsage();
+        allocation.bindTo(this);
         if (allocation.job() != null) {
             images.use(Image.of(allocation.job().spec()));
         }
     }
 
     public void remove(Allocation allocation) {
-        allocations.remove(key(allocation.uid(), allocation.index(), allocation.attempt()));
-        changed();
+        allocations.remove(key(allocation.uid(), allocation.taskIndex(), allocation.attempt()));
+        invalidateUsage();
     }
 
     /** Removes all tasks and returns them. */
     public List<Allocation> clearAllocations() {
         List<Allocation> gone = new ArrayList<>(allocations.values());
         allocations.clear();
-        changed();
+        invalidateUsage();
         return gone;
     }
 
@@ -317,43 +318,45 @@
 
     /** Processors that are free; none on a machine whose report holds no more tasks. */
     public double freeCpus() {
-        return allocations.size() >= MAX_TASKS ? 0 : type.cpus() - use.cpus();
+        return allocations.size() >= MAX_TASKS ? 0 : type.cpus() - usage.cpus();
     }
 
     public double freeRamGb() {
-        return type.ramGb() - use.ramGb();
+        return type.ramGb() - usage.ramGb();
     }
 
-    public double freeCards() {
-        return type.cards() - use.cards();
+    public double freeGpus() {
+        return type.cards() - usage.gpus();
     }
 
     /** Live tasks that have a place here. */
-    public int liveCount() {
-        return use.tasks();
+    public int liveTaskCount() {
+        return usage.tasks();
     }
 
     /** A task came, ended or went: what they take is counted again when it is next asked for. */
-    void changed() {
-        use.changed();
+    void invalidateUsage() {
+        usage.invalidate();
     }
 
     /** How many more tasks of the job fit beside those that are here. */
-    public int room(JobSpec spec) {
-        return fits(spec, freeCpus(), freeRamGb(), freeCards());
+    public int fittingTasks(JobSpec spec) {
+        return fittingTasks(spec, freeCpus(), freeRamGb(), freeGpus());
     }
 
     /** True if a task of the job fits into an empty machine of the type. */
-    public static boolean fitsEmpty(JobSpec spec, MachineType type) {
-        return fits(spec, type.cpus(), type.ramGb(), type.cards()) > 0;
+    public static boolean fitsEmptyMachine(JobSpec spec, MachineType type) {
+        return fittingTasks(spec, type.cpus(), type.ramGb(), type.cards()) > 0;
     }
 
     /** Returns how many tasks of the job fit into the free resources. */
-    public static int fits(JobSpec spec, double cpus, double ramGb, double cards) {
-        return Math.min(fits(cpus, spec.cpus()), Math.min(fits(ramGb, spec.ramGb()), fits(cards, spec.gpus())));
+    public static int fittingTasks(JobSpec spec, double cpus, double ramGb, double gpus) {
+        return Math.min(
+                fittingTasks(cpus, spec.cpus()),
+                Math.min(fittingTasks(ramGb, spec.ramGb()), fittingTasks(gpus, spec.gpus())));
     }
 
-    private static int fits(double free, double each) {
+    private static int fittingTasks(double free, double each) {
         return each <= 0 ? Integer.MAX_VALUE : (int) Math.floor(free / each + EPSILON);
     }
 }
--- a/src/main/java/io/sillreel/cluster/MachineHealth.java
+++ b/src/main/java/io/sillreel/cluster/MachineHealth.java
@@ -8,28 +8,28 @@
     /** A task that takes so many times what is expected of it hints at a slow machine, or at a wrong estimate. */
     public static final double SLOW_RATIO = 2.5;
 
-    private final Set<String> suspectedBy = new HashSet<>();
+    private final Set<String> suspectingJobs = new HashSet<>();
     private final Set<String> slowJobs = new HashSet<>();
 
     /** True while the machine is under suspicion of failing what it starts. */
     public boolean isSuspect() {
-        return !suspectedBy.isEmpty();
+        return !suspectingJobs.isEmpty();
     }
 
-    public Set<String> suspectedBy() {
-        return suspectedBy;
+    public Set<String> suspectingJobs() {
+        return suspectingJobs;
     }
 
-    public void suspect(String uid) {
-        suspectedBy.add(uid);
+    public void addSuspicion(String uid) {
+        suspectingJobs.add(uid);
     }
 
     public void clearSuspicion(String uid) {
-        suspectedBy.remove(uid);
+        suspectingJobs.remove(uid);
     }
 
     /** A task of the job took so many times what was expected of it. */
-    public void ran(double ratio, String uid) {
+    public void recordRuntimeRatio(double ratio, String uid) {
         if (ratio < SLOW_RATIO) {
             slowJobs.clear();
         } else {
@@ -38,7 +38,7 @@
     }
 
     /** True once tasks of several jobs in a row took a multiple: one job alone may just have been guessed wrong. */
-    public boolean slow() {
+    public boolean isSlow() {
         return slowJobs.size() > 1;
     }
 }
--- a/src/main/java/io/sillreel/cluster/QuotaUsage.java
+++ b/src/main/java/io/sillreel/cluster/QuotaUsage.java
@@ -11,27 +11,27 @@
     /** Processors and cards. */
     public static final class Amount {
         private long cpus;
-        private long cards;
+        private long gpus;
 
         private Amount() {}
 
         private Amount(Amount other) {
             cpus = other.cpus;
-            cards = other.cards;
+            gpus = other.gpus;
         }
 
         public long cpus() {
             return cpus;
         }
 
-        public long cards() {
-            return cards;
+        public long gpus() {
+            return gpus;
         }
 
         /** Adds at most so much of another amount. */
-        private void addUpTo(Amount other, double mostCpus, double mostCards) {
-            cpus += Math.min(other.cpus, milli(mostCpus));
-            cards += Math.min(other.cards, milli(mostCards));
+        private void addUpTo(Amount other, double maxCpus, double maxGpus) {
+            cpus += Math.min(other.cpus, toMilli(maxCpus));
+            gpus += Math.min(other.gpus, toMilli(maxGpus));
         }
     }
 
@@ -39,13 +39,13 @@
     private final Map<String, Amount> teams = new HashMap<>();
 
     /** The tasks' amounts are added, or taken off if there are fewer than none. */
-    public void take(JobSpec spec, int tasks) {
+    public void add(JobSpec spec, int tasks) {
         Amount amount = teams.computeIfAbsent(spec.team(), team -> new Amount());
-        amount.cpus += tasks * milli(spec.cpus());
-        amount.cards += tasks * milli(spec.gpus());
+        amount.cpus += tasks * toMilli(spec.cpus());
+        amount.gpus += tasks * toMilli(spec.gpus());
     }
 
-    public Amount of(String team) {
+    public Amount ofTeam(String team) {
         return teams.getOrDefault(team, NOTHING);
     }
 
@@ -57,13 +57,13 @@
     }
 
     /** Adds what the hidden tasks of each team may take, as far as it fits into the given room. */
-    public void addHidden(QuotaUsage hidden, double mostCpus, double mostCards) {
+    public void addCapped(QuotaUsage hidden, double maxCpus, double maxGpus) {
         hidden.teams.forEach((team, most) ->
-                teams.computeIfAbsent(team, name -> new Amount()).addUpTo(most, mostCpus, mostCards));
+                teams.computeIfAbsent(team, name -> new Amount()).addUpTo(most, maxCpus, maxGpus));
     }
 
     /** Rounded up, so that limits hold. */
-    public static long milli(double amount) {
+    public static long toMilli(double amount) {
         return (long) Math.ceil(amount * MILLI - 1e-6);
     }
 }
--- a/src/main/java/io/sillreel/cluster/ResourceUsage.java
+++ b/src/main/java/io/sillreel/cluster/ResourceUsage.java
@@ -8,7 +8,7 @@
     private boolean counted;
     private double cpus;
     private double ramGb;
-    private double cards;
+    private double gpus;
     private int tasks;
 
     ResourceUsage(Collection<Allocation> allocations) {
@@ -16,42 +16,42 @@
     }
 
     /** A task came, ended or went. */
-    void changed() {
+    void invalidate() {
         counted = false;
     }
 
     /** Processors that live tasks take, or more than there are where that isn't known. */
     double cpus() {
-        count();
+        recount();
         return cpus;
     }
 
     double ramGb() {
-        count();
+        recount();
         return ramGb;
     }
 
-    double cards() {
-        count();
-        return cards;
+    double gpus() {
+        recount();
+        return gpus;
     }
 
     int tasks() {
-        count();
+        recount();
         return tasks;
     }
 
-    private void count() {
+    private void recount() {
         if (counted) {
             return;
         }
         counted = true;
         cpus = 0;
         ramGb = 0;
-        cards = 0;
+        gpus = 0;
         tasks = 0;
         for (Allocation allocation : allocations) {
-            if (allocation.ended()) {
+            if (allocation.hasEnded()) {
                 continue;
             }
             tasks++;
@@ -59,12 +59,12 @@
                 // What it takes isn't known here, so it counts as everything.
                 cpus = Double.MAX_VALUE;
                 ramGb = Double.MAX_VALUE;
-                cards = Double.MAX_VALUE;
+                gpus = Double.MAX_VALUE;
                 return;
             }
             cpus += allocation.job().spec().cpus();
             ramGb += allocation.job().spec().ramGb();
-            cards += allocation.job().spec().gpus();
+            gpus += allocation.job().spec().gpus();
         }
     }
 }
--- a/src/main/java/io/sillreel/cluster/Responsiveness.java
+++ b/src/main/java/io/sillreel/cluster/Responsiveness.java
@@ -3,19 +3,19 @@
 /** Whether a machine hears what it is told: its reports may arrive while the answers to them do not. */
 public final class Responsiveness {
     /** So many answers in a row without effect are no accident. */
-    private static final int UNRESPONSIVE_AFTER = 3;
+    private static final int UNRESPONSIVE_THRESHOLD = 3;
     /** A machine that is silent for so long may have lost answers with its reports. */
     private static final long GAP_MICROS = 7_000_000;
 
-    private static final long FORGIVEN_MICROS = 20_000_000;
+    private static final long RETRY_AFTER_MICROS = 20_000_000;
     /**
      * A worker lets half a second pass between two reports; less apart are copies, or what was held back on the way.
      */
-    private static final long CROWDED_MICROS = 300_000;
+    private static final long MIN_HEARTBEAT_INTERVAL_MICROS = 300_000;
 
-    private int answered;
-    private int unheeded;
-    private long doubtMicros;
+    private int heartbeatAnswered;
+    private int commandIgnored;
+    private long lastIgnoredMicros;
 
     /**
      * A new report has come.
@@ -23,52 +23,52 @@
      * @param newSession its worker's session has ended since the report before
      * @param up the machine is in use
      */
-    void reported(boolean newSession, boolean up, long lastReportMicros, long nowMicros) {
+    void heartbeatReceived(boolean newSession, boolean up, long lastReportMicros, long nowMicros) {
         // First: the lease of a machine that was cut off has run out because it was not answered, and when a zone comes
         // back hundreds of them are not deaf.
-        answered = nowMicros - lastReportMicros < GAP_MICROS ? answered : 0;
-        if (newSession && answered > 1) {
+        heartbeatAnswered = nowMicros - lastReportMicros < GAP_MICROS ? heartbeatAnswered : 0;
+        if (newSession && heartbeatAnswered > 1) {
             // Its lease ran out though it was answered all along.
-            unheeded = UNRESPONSIVE_AFTER;
-            doubtMicros = nowMicros;
+            commandIgnored = UNRESPONSIVE_THRESHOLD;
+            lastIgnoredMicros = nowMicros;
         }
-        if (unheeded > 1 && up && nowMicros - doubtMicros > FORGIVEN_MICROS) {
+        if (commandIgnored > 1 && up && nowMicros - lastIgnoredMicros > RETRY_AFTER_MICROS) {
             // Many seemed to receive nothing at once, so it was not given up; now it is tried again, with one task.
-            unheeded = 1;
+            commandIgnored = 1;
         }
     }
 
-    void answered() {
-        answered++;
+    void heartbeatAnswered() {
+        heartbeatAnswered++;
     }
 
     /** A report has shown that an earlier answer was obeyed. */
-    public void heeded() {
-        unheeded = 0;
+    public void commandObeyed() {
+        commandIgnored = 0;
     }
 
     /** A report has shown that the answer to the one before was not obeyed, or not even heard. */
-    public void unheeded(long nowMicros) {
-        unheeded++;
-        doubtMicros = nowMicros;
+    public void commandIgnored(long nowMicros) {
+        commandIgnored++;
+        lastIgnoredMicros = nowMicros;
     }
 
     /**
      * A report lacks the current token. Copies of reports of an earlier term come in crowds as the next one begins, and
      * say nothing of what the machine hears.
      */
-    public void unaware(long nowMicros) {
-        if (unheeded == 0 || nowMicros - doubtMicros > CROWDED_MICROS) {
-            unheeded(nowMicros);
+    public void staleTokenShown(long nowMicros) {
+        if (commandIgnored == 0 || nowMicros - lastIgnoredMicros > MIN_HEARTBEAT_INTERVAL_MICROS) {
+            commandIgnored(nowMicros);
         }
     }
 
-    public int unheededCount() {
-        return unheeded;
+    public int ignoredCommandCount() {
+        return commandIgnored;
     }
 
     /** True once several answers in a row have shown no effect: its reports arrive, but it hears nothing. */
-    public boolean unresponsive() {
-        return unheeded >= UNRESPONSIVE_AFTER;
+    public boolean isUnresponsive() {
+        return commandIgnored >= UNRESPONSIVE_THRESHOLD;
     }
 }
--- a/src/main/java/io/sillreel/cluster/ScaleOutRequest.java
+++ b/src/main/java/io/sillreel/cluster/ScaleOutRequest.java
@@ -23,54 +23,54 @@
     private static final int REST_BYTES = 300;
 
     private final String name;
-    private final String build;
+    private final String machineType;
     private final String zone;
     private final boolean spot;
-    private final int count;
+    private final int machineCount;
     private final Set<String> machines = new LinkedHashSet<>();
     private final Set<String> storedMachines = new LinkedHashSet<>();
     private final Set<String> sentMachines = new LinkedHashSet<>();
     private final Set<String> up = new LinkedHashSet<>();
-    private final List<ScaleOutRequest> splitOff = new ArrayList<>();
+    private final List<ScaleOutRequest> overflowRequests = new ArrayList<>();
     private Runnable onStored = () -> {};
     private long revision;
     private boolean answered;
-    private boolean dropped;
-    private boolean maybeExecuted;
+    private boolean isDiscarded;
+    private boolean mayHaveExecuted;
     private long askedMicros;
 
     /** Creates a rental that the cloud has not been asked for yet. */
-    public ScaleOutRequest(String name, String build, String zone, boolean spot, int count) {
+    public ScaleOutRequest(String name, String machineType, String zone, boolean spot, int count) {
         this.name = name;
-        this.build = build;
+        this.machineType = machineType;
         this.zone = zone;
         this.spot = spot;
-        this.count = count;
+        this.machineCount = count;
     }
 
     /** Reads a stored rental. */
     public static ScaleOutRequest of(String key, JsonNode value, long revision) {
-        ScaleOutRequest rental = new ScaleOutRequest(
+        ScaleOutRequest scaleOutRequest = new ScaleOutRequest(
                 key.substring(PREFIX.length()),
                 value.path("build").asText(),
                 value.path("yard").asText(),
                 value.path("spot").asBoolean(),
                 value.path("count").asInt());
-        rental.revision = revision;
-        rental.answered = value.has("machines");
-        rental.maybeExecuted = true;
-        value.path("machines").forEach(machine -> rental.machines.add(machine.asText()));
+        scaleOutRequest.revision = revision;
+        scaleOutRequest.answered = value.has("machines");
+        scaleOutRequest.mayHaveExecuted = true;
+        value.path("machines").forEach(machine -> scaleOutRequest.machines.add(machine.asText()));
         if (value.has("up")) {
-            value.path("up").forEach(machine -> rental.up.add(machine.asText()));
+            value.path("up").forEach(machine -> scaleOutRequest.up.add(machine.asText()));
         } else {
-            rental.up.addAll(rental.machines);
+            scaleOutRequest.up.addAll(scaleOutRequest.machines);
         }
-        rental.storedMachines.addAll(rental.up);
-        return rental;
+        scaleOutRequest.storedMachines.addAll(scaleOutRequest.up);
+        return scaleOutRequest;
     }
 
     /** How many machines fit into a value of that size, each of them named twice. */
-    public static int mostMachines(int valueBytes) {
+    public static int maxMachines(int valueBytes) {
         return Math.max(1, (valueBytes - REST_BYTES) / MACHINE_BYTES);
     }
 
@@ -82,29 +82,30 @@
         List<String> all = new ArrayList<>(machines);
         for (int from = most; from < all.size(); from += most) {
             List<String> part = all.subList(from, Math.min(all.size(), from + most));
-            ScaleOutRequest rental = new ScaleOutRequest(name + "." + from / most, build, zone, spot, part.size());
-            rental.answered(part);
-            part.stream().filter(up::remove).forEach(rental.up::add);
-            part.stream().filter(storedMachines::remove).forEach(rental.storedMachines::add);
+            ScaleOutRequest scaleOutRequest =
+                    new ScaleOutRequest(name + "." + from / most, machineType, zone, spot, part.size());
+            scaleOutRequest.answered(part);
+            part.stream().filter(up::remove).forEach(scaleOutRequest.up::add);
+            part.stream().filter(storedMachines::remove).forEach(scaleOutRequest.storedMachines::add);
             part.forEach(machines::remove);
-            rental.onStored(() -> enqueue.accept(this));
-            splitOff.add(rental);
+            scaleOutRequest.onStored(() -> enqueue.accept(this));
+            overflowRequests.add(scaleOutRequest);
         }
-        return List.copyOf(splitOff);
+        return List.copyOf(overflowRequests);
     }
 
     @Override
     public List<WriteQueue.PendingWrite> prerequisites() {
-        splitOff.removeIf(rental -> rental.revision > 0 || rental.dropped);
-        return List.copyOf(splitOff);
+        overflowRequests.removeIf(scaleOutRequest -> scaleOutRequest.revision > 0 || scaleOutRequest.isDiscarded);
+        return List.copyOf(overflowRequests);
     }
 
     public String name() {
         return name;
     }
 
-    public String build() {
-        return build;
+    public String machineType() {
+        return machineType;
     }
 
     public String zone() {
@@ -115,8 +116,8 @@
         return spot;
     }
 
-    public int count() {
-        return count;
+    public int machineCount() {
+        return machineCount;
     }
 
     public Set<String> machines() {
@@ -127,12 +128,12 @@
      * True once the machine stands as up in the stored rental, so that a successor knows to look there. Machines that
      * have not reported yet don't, so that those that boot or never come up hold up no takeover.
      */
-    public boolean mayHold(String machine) {
+    public boolean isStoredAsUp(String machine) {
         return storedMachines.contains(machine);
     }
 
     /** The machine has reported; true if that is yet to be stored. */
-    public boolean cameUp(String machine) {
+    public boolean markUp(String machine) {
         return machines.contains(machine) && up.add(machine);
     }
 
@@ -141,7 +142,7 @@
      * as up again, it gets no task and holds up no takeover: a third of the fleet may be silent when the leader
      * crashes.
      */
-    public boolean wentDown(String machine) {
+    public boolean markDown(String machine) {
         storedMachines.remove(machine);
         return up.remove(machine);
     }
@@ -157,27 +158,27 @@
     }
 
     /** The machine no longer exists and is not part of the rental any more. */
-    public void gone(String machine) {
+    public void removeMachine(String machine) {
         machines.remove(machine);
         up.remove(machine);
-        dropped = answered && machines.isEmpty();
+        isDiscarded = answered && machines.isEmpty();
     }
 
     /** The cloud rents nothing under this name; the name is not used again. */
-    public void drop() {
-        dropped = true;
+    public void discard() {
+        isDiscarded = true;
     }
 
-    public boolean dropped() {
-        return dropped;
+    public boolean isDiscarded() {
+        return isDiscarded;
     }
 
-    public boolean maybeExecuted() {
-        return maybeExecuted;
+    public boolean mayHaveExecuted() {
+        return mayHaveExecuted;
     }
 
-    public void maybeExecuted(boolean maybe) {
-        maybeExecuted |= maybe;
+    public void mayHaveExecuted(boolean maybe) {
+        mayHaveExecuted |= maybe;
     }
 
     public long askedMicros() {
@@ -209,16 +210,16 @@
         sentMachines.addAll(up);
         // From the moment it is sent, what the write lacks may be missing from the store.
         storedMachines.retainAll(sentMachines);
-        changes.put(key(), dropped ? null : json());
+        changes.put(key(), isDiscarded ? null : json());
         return changes;
     }
 
     private ObjectNode json() {
         ObjectNode value = Json.object()
-                .put("build", build)
+                .put("build", machineType)
                 .put("yard", zone)
                 .put("spot", spot)
-                .put("count", count);
+                .put("count", machineCount);
         if (answered) {
             ArrayNode names = Json.array();
             machines.forEach(names::add);
@@ -232,7 +233,7 @@
 
     @Override
     public void onStored(long newRevision) {
-        revision = dropped ? 0 : newRevision;
+        revision = isDiscarded ? 0 : newRevision;
         storedMachines.clear();
         storedMachines.addAll(sentMachines);
         Runnable then = onStored;
--- a/src/main/java/io/sillreel/cluster/UnreconciledMachines.java
+++ b/src/main/java/io/sillreel/cluster/UnreconciledMachines.java
@@ -55,9 +55,10 @@
     }
 
     /** True if one of them could hold tasks of the job. */
-    boolean mayHold(JobSpec spec) {
+    boolean mayHoldTasksOf(JobSpec spec) {
         for (Kind kind : kinds.keySet()) {
-            if (Cluster.allows(spec, kind.type(), kind.zone(), kind.spot()) && Machine.fitsEmpty(spec, kind.type())) {
+            if (Cluster.isEligible(spec, kind.type(), kind.zone(), kind.spot())
+                    && Machine.fitsEmptyMachine(spec, kind.type())) {
                 return true;
             }
         }
@@ -74,11 +75,11 @@
     }
 
     /** The cards of all of them. */
-    double cards() {
-        double cards = 0;
+    double gpus() {
+        double gpus = 0;
         for (Map.Entry<Kind, Integer> kind : kinds.entrySet()) {
-            cards += kind.getValue() * kind.getKey().type().cards();
+            gpus += kind.getValue() * kind.getKey().type().cards();
         }
-        return cards;
+        return gpus;
     }
 }
--- a/src/main/java/io/sillreel/fleet/CloudListReconciler.java
+++ b/src/main/java/io/sillreel/fleet/CloudListReconciler.java
@@ -89,12 +89,12 @@
                 continue;
             }
             strangers.remove(entry.name());
-            machine.listed(eventLoop.nowMicros());
+            machine.recordListed(eventLoop.nowMicros());
             machine.address(entry.address());
             if (entry.stage().equals(FAILED)) {
                 LOG.info("machine {} has failed", machine.name());
                 clear.accept(machine);
-                machine.leave("it has failed");
+                machine.drain("it has failed");
             }
         }
         long lag = 2 * listLagMicros + 1_000_000;
@@ -117,16 +117,16 @@
         }
         // It may be the answer to a call still under way, so a second look decides.
         Long first = strangers.putIfAbsent(entry.name(), asked);
-        boolean pending = registry.rentals().stream().anyMatch(rental -> !rental.answered());
+        boolean pending = registry.rentals().stream().anyMatch(scaleOutRequest -> !scaleOutRequest.answered());
         if (first == null || pending && asked - first < PENDING_RENTAL_MICROS) {
             return;
         }
         Machine machine = registry.adopt(entry.name(), entry.build(), entry.zone(), entry.spot());
         if (machine != null) {
             machine.address(entry.address());
-            machine.listed(asked);
+            machine.recordListed(asked);
             if (entry.stage().equals(FAILED)) {
-                machine.leave("it has failed");
+                machine.drain("it has failed");
             }
         }
     }
--- a/src/main/java/io/sillreel/fleet/FleetManager.java
+++ b/src/main/java/io/sillreel/fleet/FleetManager.java
@@ -82,8 +82,8 @@
     }
 
     /** Takes over a stored rental; its machines may run tasks of an earlier leader until the bound. */
-    public void inherit(ScaleOutRequest rental, long aliveUntilMicros) {
-        registry.inherit(rental, aliveUntilMicros);
+    public void inherit(ScaleOutRequest scaleOutRequest, long aliveUntilMicros) {
+        registry.inherit(scaleOutRequest, aliveUntilMicros);
     }
 
     public boolean isGone(String machine) {
@@ -92,21 +92,21 @@
 
     /** A machine has reported: it is stored as up before it may be given tasks. */
     public void cameUp(Machine machine) {
-        if (machine.rental().cameUp(machine.name())) {
-            writeQueue.enqueue(machine.rental());
+        if (machine.scaleOutRequest().markUp(machine.name())) {
+            writeQueue.enqueue(machine.scaleOutRequest());
         }
     }
 
     /** A machine was silent for longer than anything could live on it: stored soon, with others of its rental. */
     public void wentDown(Machine machine) {
-        if (machine.rental().wentDown(machine.name())) {
-            wentDown.add(machine.rental());
+        if (machine.scaleOutRequest().markDown(machine.name())) {
+            wentDown.add(machine.scaleOutRequest());
         }
     }
 
     /** A machine that no known rental brought: used from now on, once it is stored. */
-    public Machine adopt(String name, String build, String zone, boolean spot) {
-        return registry.adopt(name, build, zone, spot);
+    public Machine adopt(String name, String machineType, String zone, boolean spot) {
+        return registry.adopt(name, machineType, zone, spot);
     }
 
     /** Rents, lists and returns machines as needed; called about once a second. */
@@ -114,7 +114,9 @@
         long now = eventLoop.nowMicros();
         synchronized (cluster) {
             retirement.retire(now);
-            wentDown.stream().filter(rental -> !rental.dropped()).forEach(writeQueue::enqueue);
+            wentDown.stream()
+                    .filter(scaleOutRequest -> !scaleOutRequest.isDiscarded())
+                    .forEach(writeQueue::enqueue);
             wentDown.clear();
         }
         reconciler.tick(now);
@@ -129,8 +131,10 @@
         synchronized (cluster) {
             for (Machine machine : cluster.machines()) {
                 boolean leaving =
-                        machine.state() == Machine.State.LEAVING || machine.state() == Machine.State.RETURNING;
-                if (leaving && (machine.toBeReturned() || machine.empty()) && empty.size() < CloudClient.MAX_RETURNED) {
+                        machine.state() == Machine.State.DRAINING || machine.state() == Machine.State.RETURNING;
+                if (leaving
+                        && (machine.isReturnScheduled() || machine.isEmpty())
+                        && empty.size() < CloudClient.MAX_RETURNED) {
                     empty.add(machine);
                 }
             }
@@ -140,7 +144,7 @@
         }
         returning = true;
         List<String> machines = empty.stream().map(Machine::name).toList();
-        empty.forEach(Machine::returning);
+        empty.forEach(Machine::markReturning);
         cloud.giveBack(machines).thenAccept(outcome -> {
             returning = false;
             if (outcome == Outcome.OK) {
--- a/src/main/java/io/sillreel/fleet/FleetRegistry.java
+++ b/src/main/java/io/sillreel/fleet/FleetRegistry.java
@@ -61,7 +61,7 @@
 
     /** How many machines one stored rental may name. */
     int maxMachinesOfARental() {
-        return ScaleOutRequest.mostMachines(limits.announcedBytes());
+        return ScaleOutRequest.maxMachines(limits.announcedBytes());
     }
 
     boolean isGone(String machine) {
@@ -73,68 +73,76 @@
         return "r-" + term + "-" + ++names;
     }
 
-    void add(ScaleOutRequest rental) {
-        rentals.put(rental.name(), rental);
+    void add(ScaleOutRequest scaleOutRequest) {
+        rentals.put(scaleOutRequest.name(), scaleOutRequest);
     }
 
     /** The cloud rents nothing under this name. */
-    void forget(ScaleOutRequest rental) {
-        rental.drop();
-        rentals.remove(rental.name());
+    void forget(ScaleOutRequest scaleOutRequest) {
+        scaleOutRequest.discard();
+        rentals.remove(scaleOutRequest.name());
     }
 
     /** Takes over a stored rental; its machines may run tasks of an earlier leader until the bound. */
-    void inherit(ScaleOutRequest rental, long aliveUntilMicros) {
+    void inherit(ScaleOutRequest scaleOutRequest, long aliveUntilMicros) {
         int most = maxMachinesOfARental();
-        if (rental.machines().size() > most) {
-            rental.split(most, writeQueue::enqueue).forEach(part -> {
+        if (scaleOutRequest.machines().size() > most) {
+            scaleOutRequest.split(most, writeQueue::enqueue).forEach(part -> {
                 inherit(part, aliveUntilMicros);
                 writeQueue.enqueue(part);
             });
         }
-        add(rental);
-        for (String name : List.copyOf(rental.machines())) {
-            MachineType type = types.get().get(rental.build());
+        add(scaleOutRequest);
+        for (String name : List.copyOf(scaleOutRequest.machines())) {
+            MachineType type = types.get().get(scaleOutRequest.machineType());
             if (cluster.machine(name) != null) {
                 // Cut off from another rental that was not written again: one of them is enough.
-                rental.gone(name);
-                writeQueue.enqueue(rental);
+                scaleOutRequest.removeMachine(name);
+                writeQueue.enqueue(scaleOutRequest);
             } else if (type != null) {
-                Machine machine = machine(name, type, rental, eventLoop.nowMicros());
-                machine.aliveUntil(aliveUntilMicros);
+                Machine machine = machine(name, type, scaleOutRequest, eventLoop.nowMicros());
+                machine.extendLease(aliveUntilMicros);
                 cluster.addInherited(machine);
             }
         }
     }
 
     /** A machine that no known rental brought: used from now on, once it is stored. */
-    Machine adopt(String name, String build, String zone, boolean spot) {
-        MachineType type = types.get().get(build);
+    Machine adopt(String name, String machineType, String zone, boolean spot) {
+        MachineType type = types.get().get(machineType);
         if (type == null) {
             return null;
         }
-        ScaleOutRequest rental = new ScaleOutRequest("adopted-" + term + "-" + ++names, build, zone, spot, 1);
-        rental.answered(List.of(name));
-        add(rental);
-        LOG.info("machine {} ({}, {}) was not expected, it is taken into the fleet", name, build, zone);
-        Machine machine = enter(name, rental, eventLoop.nowMicros());
-        writeQueue.enqueue(rental);
+        ScaleOutRequest scaleOutRequest =
+                new ScaleOutRequest("adopted-" + term + "-" + ++names, machineType, zone, spot, 1);
+        scaleOutRequest.answered(List.of(name));
+        add(scaleOutRequest);
+        LOG.info("machine {} ({}, {}) was not expected, it is taken into the fleet", name, machineType, zone);
+        Machine machine = enter(name, scaleOutRequest, eventLoop.nowMicros());
+        writeQueue.enqueue(scaleOutRequest);
         return machine;
     }
 
     /** A machine of a rental joins the fleet, unless it has done so already. */
-    Machine enter(String name, ScaleOutRequest rental, long rentedMicros) {
-        MachineType type = types.get().get(rental.build());
+    Machine enter(String name, ScaleOutRequest scaleOutRequest, long rentedMicros) {
+        MachineType type = types.get().get(scaleOutRequest.machineType());
         if (type == null || cluster.machine(name) != null) {
             return cluster.machine(name);
         }
-        Machine machine = machine(name, type, rental, rentedMicros);
+        Machine machine = machine(name, type, scaleOutRequest, rentedMicros);
         cluster.add(machine);
         return machine;
     }
 
-    private Machine machine(String name, MachineType type, ScaleOutRequest rental, long rentedMicros) {
-        return new Machine(name, type, rental.zone(), rental.spot(), rental, rentedMicros, cluster.book());
+    private Machine machine(String name, MachineType type, ScaleOutRequest scaleOutRequest, long rentedMicros) {
+        return new Machine(
+                name,
+                type,
+                scaleOutRequest.zone(),
+                scaleOutRequest.spot(),
+                scaleOutRequest,
+                rentedMicros,
+                cluster.allocationIndex());
     }
 
     private void forgetGone() {
@@ -151,10 +159,10 @@
         cluster.remove(machine);
         goneMicros.put(machine.name(), eventLoop.nowMicros());
         forgetGone();
-        machine.rental().gone(machine.name());
-        if (machine.rental().dropped()) {
-            rentals.remove(machine.rental().name());
+        machine.scaleOutRequest().removeMachine(machine.name());
+        if (machine.scaleOutRequest().isDiscarded()) {
+            rentals.remove(machine.scaleOutRequest().name());
         }
-        writeQueue.enqueue(machine.rental());
+        writeQueue.enqueue(machine.scaleOutRequest());
     }
 }
--- a/src/main/java/io/sillreel/fleet/FleetThresholds.java
+++ b/src/main/java/io/sillreel/fleet/FleetThresholds.java
@@ -33,7 +33,7 @@
     /** The thresholds that follow from the rate of the cloud and the lease of the workers. */
     public static FleetThresholds of(Settings settings) {
         double calls = settings.cloud().requestsPerSecond() * settings.workers().leaseMicros() / MICROS;
-        int rented = ScaleOutRequest.mostMachines(settings.state().values().announcedBytes());
+        int rented = ScaleOutRequest.maxMachines(settings.state().values().announcedBytes());
         double callsOfAMachine = 1.0 / CloudClient.MAX_RETURNED + 1.0 / Math.min(rented, CloudClient.MAX_RENTED);
         return new FleetThresholds((int) (calls / callsOfAMachine));
     }
--- a/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
@@ -62,19 +62,19 @@
     /** Decides which machines are to go. */
     void retire(long now) {
         for (Machine machine : cluster.machines()) {
-            long sinceReport = now - Math.max(machine.lastReportMicros(), machine.rentedMicros());
-            if (machine.state() == Machine.State.RENTED) {
+            long sinceReport = now - Math.max(machine.lastHeartbeatMicros(), machine.requestedMicros());
+            if (machine.state() == Machine.State.PROVISIONING) {
                 long patience = Math.max(
                         MIN_BOOT_PATIENCE_MICROS,
                         BOOT_PATIENCE_FACTOR * machine.type().bootMicros());
-                if (now - machine.rentedMicros() > patience && machine.leaseBoundMicros() < now) {
+                if (now - machine.requestedMicros() > patience && machine.leaseExpiryMicros() < now) {
                     leave(machine, "it never came up");
                 }
             } else if (machine.state() == Machine.State.UP) {
                 // A cut zone or a machine that hangs mostly comes back; then it has its images and need not boot.
-                if (machine.leaseBoundMicros() < now && sinceReport > SILENT_LEASES * times.leaseMicros()) {
+                if (machine.leaseExpiryMicros() < now && sinceReport > SILENT_LEASES * times.leaseMicros()) {
                     leave(machine, "it is silent");
-                } else if (machine.recalled() && machine.empty()) {
+                } else if (machine.isInterrupted() && machine.isEmpty()) {
                     leave(machine, "the cloud takes it back");
                 }
             }
@@ -92,11 +92,11 @@
      * until their lease ran out; once the cloud has taken it back on our word, they can start elsewhere at once.
      */
     private void retireRecalled(Machine machine, long now) {
-        boolean here = machine.state() == Machine.State.UP || machine.state() == Machine.State.LEAVING;
+        boolean here = machine.state() == Machine.State.UP || machine.state() == Machine.State.DRAINING;
         if (here
-                && machine.recalled()
-                && machine.recallAtMicros() - now < LAST_MOMENT_MICROS
-                && !machine.toBeReturned()) {
+                && machine.isInterrupted()
+                && machine.interruptionAtMicros() - now < LAST_MOMENT_MICROS
+                && !machine.isReturnScheduled()) {
             scheduleReturn(machine, "the cloud takes it back");
         }
     }
@@ -114,12 +114,12 @@
         int overdue = 0;
         int heard = 0;
         for (Machine machine : cluster.machines()) {
-            if (machine.state() == Machine.State.UP && machine.trusted()) {
-                long silent = now - machine.lastReportMicros();
+            if (machine.state() == Machine.State.UP && machine.isReconciled()) {
+                long silent = now - machine.lastHeartbeatMicros();
                 overdue += silent > usual ? 1 : 0;
                 heard += silent > usual ? 0 : 1;
                 // Past its lease there is no hurry any more, and it may be the last of many that are just coming back.
-                if (silent > patience && machine.leaseBoundMicros() > now) {
+                if (silent > patience && machine.leaseExpiryMicros() > now) {
                     lost.add(machine);
                 }
             }
@@ -148,7 +148,7 @@
      * last; once the cloud has taken them back, it is certain that nothing runs there.
      */
     private void retireUnheard(long now) {
-        int unheard = cluster.unheard().size();
+        int unheard = cluster.unreconciledMachines().size();
         int all = cluster.machines().size();
         // The last few are hardly on a detour, and each of them holds up every earlier job. In a small fleet the last
         // one mostly is: it waits for the answer of the controller that has ended.
@@ -158,8 +158,8 @@
         if (now - begunMicros < patience || unheard == 0 || unheard > thresholds.maxUnheard(all)) {
             return;
         }
-        for (Machine machine : cluster.unheard()) {
-            if (now - Math.max(machine.upMicros(), begunMicros) > patience && !machine.toBeReturned()) {
+        for (Machine machine : cluster.unreconciledMachines()) {
+            if (now - Math.max(machine.upMicros(), begunMicros) > patience && !machine.isReturnScheduled()) {
                 scheduleReturn(machine, "it has not been heard, or does not hear, since the term began");
             }
         }
@@ -167,7 +167,7 @@
 
     private static void leave(Machine machine, String reason) {
         tell(machine, reason);
-        machine.leave(reason);
+        machine.drain(reason);
     }
 
     private static void scheduleReturn(Machine machine, String reason) {
--- a/src/main/java/io/sillreel/fleet/ScaleOut.java
+++ b/src/main/java/io/sillreel/fleet/ScaleOut.java
@@ -91,11 +91,11 @@
     }
 
     private void store(ScaleOutProposal request, int count) {
-        ScaleOutRequest rental =
+        ScaleOutRequest scaleOutRequest =
                 new ScaleOutRequest(registry.newName(), request.type().name(), request.zone(), request.spot(), count);
-        registry.add(rental);
-        rental.onStored(() -> ask(rental));
-        writeQueue.enqueue(rental);
+        registry.add(scaleOutRequest);
+        scaleOutRequest.onStored(() -> ask(scaleOutRequest));
+        writeQueue.enqueue(scaleOutRequest);
     }
 
     /** Rentals that the cloud has yet to answer: how many, and what they may bring. */
@@ -106,14 +106,14 @@
         int machines = 0;
         long cpus = 0;
         long ordinaryCpus = 0;
-        for (ScaleOutRequest rental : registry.rentals()) {
-            if (!rental.answered()) {
-                MachineType type = types.get().get(rental.build());
-                long each = type == null ? 0 : Math.round(type.cpus() * rental.count());
+        for (ScaleOutRequest scaleOutRequest : registry.rentals()) {
+            if (!scaleOutRequest.answered()) {
+                MachineType type = types.get().get(scaleOutRequest.machineType());
+                long each = type == null ? 0 : Math.round(type.cpus() * scaleOutRequest.machineCount());
                 count++;
-                machines += rental.count();
+                machines += scaleOutRequest.machineCount();
                 cpus += each;
-                ordinaryCpus += rental.spot() ? 0 : each;
+                ordinaryCpus += scaleOutRequest.spot() ? 0 : each;
             }
         }
         return new OpenRentals(count, machines, cpus, ordinaryCpus);
@@ -140,32 +140,37 @@
 
     /** Asks once more for what got no answer. */
     void askAgain(long now) {
-        for (ScaleOutRequest rental : List.copyOf(registry.rentals())) {
-            if (!rental.answered()
-                    && !rental.dropped()
-                    && rental.revision() > 0
-                    && now - rental.askedMicros() > RENTAL_RETRY_MICROS + CloudClient.TIMEOUT_MICROS) {
-                ask(rental);
+        for (ScaleOutRequest scaleOutRequest : List.copyOf(registry.rentals())) {
+            if (!scaleOutRequest.answered()
+                    && !scaleOutRequest.isDiscarded()
+                    && scaleOutRequest.revision() > 0
+                    && now - scaleOutRequest.askedMicros() > RENTAL_RETRY_MICROS + CloudClient.TIMEOUT_MICROS) {
+                ask(scaleOutRequest);
             }
         }
     }
 
-    private void ask(ScaleOutRequest rental) {
-        if (!mayAct.getAsBoolean() || rental.answered() || rental.dropped()) {
+    private void ask(ScaleOutRequest scaleOutRequest) {
+        if (!mayAct.getAsBoolean() || scaleOutRequest.answered() || scaleOutRequest.isDiscarded()) {
             return;
         }
-        rental.askedMicros(eventLoop.nowMicros());
-        cloud.rent(rental.name(), rental.build(), rental.zone(), rental.spot(), rental.count())
+        scaleOutRequest.askedMicros(eventLoop.nowMicros());
+        cloud.rent(
+                        scaleOutRequest.name(),
+                        scaleOutRequest.machineType(),
+                        scaleOutRequest.zone(),
+                        scaleOutRequest.spot(),
+                        scaleOutRequest.machineCount())
                 .thenAccept(rented -> {
                     synchronized (cluster) {
-                        rented(rental, rented);
+                        rented(scaleOutRequest, rented);
                     }
                 });
     }
 
-    private void rented(ScaleOutRequest rental, CloudClient.Rented rented) {
+    private void rented(ScaleOutRequest scaleOutRequest, CloudClient.Rented rented) {
         long now = eventLoop.nowMicros();
-        if (rental.answered() || rental.dropped()) {
+        if (scaleOutRequest.answered() || scaleOutRequest.isDiscarded()) {
             // Asked twice, since an answer seemed lost: the first one counts, and what it brought may be at work.
             return;
         }
@@ -174,43 +179,55 @@
                 LOG.info(
                         "rented {} of {} {} in {}{} as {}",
                         rented.machines().size(),
-                        rental.count(),
-                        rental.build(),
-                        rental.zone(),
-                        rental.spot() ? ", spot" : "",
-                        rental.name());
+                        scaleOutRequest.machineCount(),
+                        scaleOutRequest.machineType(),
+                        scaleOutRequest.zone(),
+                        scaleOutRequest.spot() ? ", spot" : "",
+                        scaleOutRequest.name());
                 List<String> fresh = rented.machines().stream()
                         .filter(name -> cluster.machine(name) == null && !registry.isGone(name))
                         .toList();
-                rental.answered(fresh);
-                fresh.forEach(name -> registry.enter(name, rental, now));
-                if (rented.machines().size() < rental.count()) {
-                    capacity.full(rental.build(), rental.zone(), rental.spot(), now + FULL_PAUSE_MICROS);
+                scaleOutRequest.answered(fresh);
+                fresh.forEach(name -> registry.enter(name, scaleOutRequest, now));
+                if (rented.machines().size() < scaleOutRequest.machineCount()) {
+                    capacity.full(
+                            scaleOutRequest.machineType(),
+                            scaleOutRequest.zone(),
+                            scaleOutRequest.spot(),
+                            now + FULL_PAUSE_MICROS);
                 }
                 if (fresh.isEmpty()) {
-                    registry.forget(rental);
+                    registry.forget(scaleOutRequest);
                 }
-                writeQueue.enqueue(rental);
+                writeQueue.enqueue(scaleOutRequest);
             }
             case NO_CAPACITY -> {
-                capacity.full(rental.build(), rental.zone(), rental.spot(), now + FULL_PAUSE_MICROS);
-                registry.forget(rental);
-                writeQueue.enqueue(rental);
+                capacity.full(
+                        scaleOutRequest.machineType(),
+                        scaleOutRequest.zone(),
+                        scaleOutRequest.spot(),
+                        now + FULL_PAUSE_MICROS);
+                registry.forget(scaleOutRequest);
+                writeQueue.enqueue(scaleOutRequest);
             }
             case REFUSED -> {
-                if (rental.maybeExecuted()) {
-                    rental.askedMicros(now - CloudClient.TIMEOUT_MICROS);
+                if (scaleOutRequest.mayHaveExecuted()) {
+                    scaleOutRequest.askedMicros(now - CloudClient.TIMEOUT_MICROS);
                 } else {
                     // Surely rented nothing; the request is formed anew when the cloud answers again.
-                    capacity.full(rental.build(), rental.zone(), rental.spot(), now + RENTAL_RETRY_MICROS);
-                    registry.forget(rental);
-                    writeQueue.enqueue(rental);
+                    capacity.full(
+                            scaleOutRequest.machineType(),
+                            scaleOutRequest.zone(),
+                            scaleOutRequest.spot(),
+                            now + RENTAL_RETRY_MICROS);
+                    registry.forget(scaleOutRequest);
+                    writeQueue.enqueue(scaleOutRequest);
                 }
             }
             default -> {
-                LOG.info("the rental {} got no answer, asking again under the same name", rental.name());
-                rental.maybeExecuted(true);
-                rental.askedMicros(now - CloudClient.TIMEOUT_MICROS);
+                LOG.info("the rental {} got no answer, asking again under the same name", scaleOutRequest.name());
+                scaleOutRequest.mayHaveExecuted(true);
+                scaleOutRequest.askedMicros(now - CloudClient.TIMEOUT_MICROS);
             }
         }
     }
--- a/src/main/java/io/sillreel/fleet/SpotInterruptionDrain.java
+++ b/src/main/java/io/sillreel/fleet/SpotInterruptionDrain.java
@@ -33,22 +33,22 @@
     public Set<Machine> drain(long now) {
         Set<Machine> touched = new LinkedHashSet<>();
         for (Machine machine : cluster.machines()) {
-            if (!machine.recalled()) {
+            if (!machine.isInterrupted()) {
                 continue;
             }
-            long left = machine.recallAtMicros() - now;
+            long left = machine.interruptionAtMicros() - now;
             for (Allocation allocation : machine.allocations()) {
                 if (allocation.job() == null
-                        || allocation.ended()
-                        || allocation.unconfirmed()
-                        || allocation.halting()) {
+                        || allocation.hasEnded()
+                        || allocation.isUnconfirmed()
+                        || allocation.isStopping()) {
                     continue;
                 }
                 JobSpec spec = allocation.job().spec();
                 if (spec.supportsCheckpoints()
                         ? left < 2 * spec.checkpointDurationMicros() + COMMAND_MICROS
                         : remainingMicros(allocation, now) > UNFINISHABLE_FACTOR * left) {
-                    allocation.halt(
+                    allocation.stop(
                             spec.supportsCheckpoints() ? spec.checkpointDurationMicros() + SAVE_MARGIN_MICROS : 0);
                     touched.add(machine);
                 }
--- a/src/main/java/io/sillreel/fleet/StragglerDetector.java
+++ b/src/main/java/io/sillreel/fleet/StragglerDetector.java
@@ -29,7 +29,7 @@
             Set<String> lateJobs = new HashSet<>();
             for (Allocation allocation : machine.allocations()) {
                 if (allocation.job() != null
-                        && !allocation.ended()
+                        && !allocation.hasEnded()
                         && allocation.runningSinceMicros() >= 0
                         && now - allocation.runningSinceMicros()
                                 > MachineHealth.SLOW_RATIO
@@ -40,14 +40,14 @@
                 }
             }
             if (machine.state() == Machine.State.UP
-                    && (machine.faults().slow()
+                    && (machine.health().isSlow()
                             || lateJobs.size() > 1
                                     && late > machine.allocations().size() / 2)) {
                 LOG.info(
                         "machine {} ({}) is considered slow",
                         machine.name(),
                         machine.type().name());
-                machine.leave("slow");
+                machine.drain("slow");
             }
         }
     }
--- a/src/main/java/io/sillreel/heartbeat/CommandWriter.java
+++ b/src/main/java/io/sillreel/heartbeat/CommandWriter.java
@@ -35,26 +35,26 @@
     /** Reaps what is settled and stops what must not run; both are repeated until the reports show them done. */
     void command(Machine machine, AgentCommands commands) {
         for (Allocation allocation : machine.allocations()) {
-            if (commands.full()) {
+            if (commands.isFull()) {
                 return;
             }
             ActiveJob job = allocation.job();
             boolean idle = job == null || job.isCancelled();
-            if (allocation.ended()) {
+            if (allocation.hasEnded()) {
                 // The worker is the only one to know of a completion until the store does.
-                if (idle || !job.isTaskDone(allocation.index()) || job.isTaskStored(allocation.index())) {
-                    allocation.reapCommanded(machine.messages().sequence());
-                    commands.reap(allocation.uid(), allocation.index(), allocation.attempt());
+                if (idle || !job.isTaskDone(allocation.taskIndex()) || job.isTaskStored(allocation.taskIndex())) {
+                    allocation.acknowledgementSent(machine.heartbeatOrder().sequence());
+                    commands.acknowledge(allocation.uid(), allocation.taskIndex(), allocation.attempt());
                 }
-            } else if (allocation.unconfirmed()) {
+            } else if (allocation.isUnconfirmed()) {
                 if (idle) {
-                    commands.halt(allocation.uid(), allocation.index(), allocation.attempt(), 0);
+                    commands.stop(allocation.uid(), allocation.taskIndex(), allocation.attempt(), 0);
                 }
-            } else if (idle || job.isTaskDone(allocation.index())) {
-                commands.halt(allocation.uid(), allocation.index(), allocation.attempt(), 0);
-            } else if (allocation.halting()) {
-                commands.halt(
-                        allocation.uid(), allocation.index(), allocation.attempt(), allocation.haltWindDownMicros());
+            } else if (idle || job.isTaskDone(allocation.taskIndex())) {
+                commands.stop(allocation.uid(), allocation.taskIndex(), allocation.attempt(), 0);
+            } else if (allocation.isStopping()) {
+                commands.stop(
+                        allocation.uid(), allocation.taskIndex(), allocation.attempt(), allocation.gracePeriodMicros());
             }
         }
     }
@@ -62,47 +62,49 @@
     /**
      * Gives the machine what the plan has for it, and what it had no room for elsewhere as far as there is room here.
      */
-    void launch(Machine machine, Heartbeat report, AgentCommands commands, long now) {
+    void launch(Machine machine, Heartbeat heartbeat, AgentCommands commands, long now) {
         List<Assignment> planned = plan.launches().remove(machine.name());
         if (!planner.usable(machine, now)) {
             return;
         }
         if (planned != null) {
-            launch(machine, planned, report, commands, now);
+            launch(machine, planned, heartbeat, commands, now);
         }
         if (machine.freeCpus() > 0) {
             List<Assignment> left = planner.fill(plan, machine, now, eventLoop.wallMicros());
             if (!left.isEmpty()) {
-                launch(machine, left, report, commands, now);
+                launch(machine, left, heartbeat, commands, now);
             }
         }
     }
 
     private void launch(
-            Machine machine, List<Assignment> assignments, Heartbeat report, AgentCommands commands, long now) {
-        QuotaUsage usage = cluster.usage();
+            Machine machine, List<Assignment> assignments, Heartbeat heartbeat, AgentCommands commands, long now) {
+        QuotaUsage usage = cluster.quotaUsage();
         // A machine that has not heeded its last answer is tried with one task, not with all that it has room for.
         int most = Math.min(
-                machine.responsiveness().unheededCount() > 0 ? 1 : Integer.MAX_VALUE,
+                machine.responsiveness().ignoredCommandCount() > 0 ? 1 : Integer.MAX_VALUE,
                 Machine.MAX_TASKS - machine.allocations().size());
         for (Assignment assignment : assignments) {
             ActiveJob job = assignment.job();
-            if (!cluster.launchable(job, eventLoop.wallMicros()) || !Cluster.allows(job.spec(), machine)) {
+            if (!cluster.isLaunchable(job, eventLoop.wallMicros()) || !Cluster.isEligible(job.spec(), machine)) {
                 continue;
             }
             int count = Math.min(
                     assignment.count(),
                     Math.min(
-                            machine.room(job.spec()),
-                            Math.min(cluster.headroom(job.spec(), usage), cluster.zoneRoom(job, machine.zone()))));
-            for (int i = 0; i < count && most > 0 && !commands.full() && !attemptIds.exhausted(); i++) {
+                            machine.fittingTasks(job.spec()),
+                            Math.min(
+                                    cluster.quotaHeadroom(job.spec(), usage),
+                                    cluster.zoneHeadroom(job, machine.zone()))));
+            for (int i = 0; i < count && most > 0 && !commands.isFull() && !attemptIds.exhausted(); i++) {
                 int task = job.nextWaitingTask();
                 if (task < 0) {
                     break;
                 }
                 long attempt = attemptIds.next();
-                machine.add(Allocation.launched(job, task, attempt, report.sequence()));
-                usage.take(job.spec(), 1);
+                machine.add(Allocation.launched(job, task, attempt, heartbeat.sequence()));
+                usage.add(job.spec(), 1);
                 most--;
                 commands.launch(job.uid(), task, attempt);
             }
--- a/src/main/java/io/sillreel/heartbeat/FaultAttribution.java
+++ b/src/main/java/io/sillreel/heartbeat/FaultAttribution.java
@@ -25,9 +25,9 @@
         if (job.hasSucceededOnce()) {
             return Fault.MACHINE;
         }
-        machine.faults().suspect(job.uid());
+        machine.health().addSuspicion(job.uid());
         job.failedOn().add(machine.name());
-        if (machine.faults().suspectedBy().size() > 1) {
+        if (machine.health().suspectingJobs().size() > 1) {
             return Fault.MACHINE;
         }
         return job.failedOn().size() >= MACHINES_THAT_FAIL_A_JOB ? Fault.JOB : Fault.UNKNOWN;
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatObserver.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatObserver.java
@@ -7,17 +7,17 @@
     /** Sees nothing. */
     HeartbeatObserver NONE = new HeartbeatObserver() {
         @Override
-        public void received(Heartbeat report) {}
+        public void received(Heartbeat heartbeat) {}
 
         @Override
-        public boolean answerable(Heartbeat report, long term) {
+        public boolean answerable(Heartbeat heartbeat, long term) {
             return true;
         }
     };
 
     /** A report has come from its worker itself. */
-    void received(Heartbeat report);
+    void received(Heartbeat heartbeat);
 
     /** False if the leader of the term must not answer the report. */
-    boolean answerable(Heartbeat report, long term);
+    boolean answerable(Heartbeat heartbeat, long term);
 }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
@@ -25,7 +25,7 @@
     /** What the processing of reports needs from the rest of the term. */
     public interface Callbacks {
         /** A machine that nobody rented under a known name has reported. */
-        Machine adopt(Heartbeat report);
+        Machine adopt(Heartbeat heartbeat);
 
         /** True if the machine was returned or taken; it can't be there any more. */
         boolean isGone(String machine);
@@ -78,7 +78,7 @@
         this.thresholds = thresholds;
         this.callbacks = callbacks;
         this.mayAct = mayAct;
-        this.nothing = new AgentCommands().reply(term);
+        this.nothing = new AgentCommands().toResponse(term);
         this.reconciler = new TaskReconciler(eventLoop, cluster, writeQueue, retries, estimates, callbacks::progressed);
         this.attemptIds = new AttemptIds(term);
         this.commandWriter = new CommandWriter(eventLoop, attemptIds, cluster, planner);
@@ -100,39 +100,40 @@
     }
 
     /** A report that came by itself, here or through another controller. */
-    public HttpResponse report(Heartbeat report) {
+    public HttpResponse report(Heartbeat heartbeat) {
         synchronized (cluster) {
             long now = eventLoop.nowMicros();
-            Machine machine = cluster.machine(report.machine());
+            Machine machine = cluster.machine(heartbeat.machine());
             if (machine == null) {
-                return stranger(report);
+                return stranger(heartbeat);
             }
-            if (machine.trusted()
-                    && report.token() < term
-                    && report.newerThan(
-                            machine.messages().session(), machine.messages().sequence())) {
+            if (machine.isReconciled()
+                    && heartbeat.fencingToken() < term
+                    && heartbeat.isNewerThan(
+                            machine.heartbeatOrder().epoch(),
+                            machine.heartbeatOrder().sequence())) {
                 // Within one life neither the token nor the numbers fall.
                 return newLife(machine);
             }
-            if (!machine.advance(report, false, now)) {
-                return notNewer(machine, report, now);
+            if (!machine.acceptHeartbeat(heartbeat, false, now)) {
+                return notNewer(machine, heartbeat, now);
             }
-            cluster.worked(report.tasks().size() + 1);
+            cluster.countSteps(heartbeat.tasks().size() + 1);
             callbacks.cameUp(machine);
-            if (report.token() != term) {
+            if (heartbeat.fencingToken() != term) {
                 return unheard(machine, now);
             }
-            reconciler.take(machine, report, true, now);
+            reconciler.take(machine, heartbeat, true, now);
             if (unresponsive(machine)) {
                 return giveUp(machine);
             }
-            machine.answered(aliveUntil(now));
+            machine.heartbeatAnswered(aliveUntil(now));
             AgentCommands commands = new AgentCommands();
             commandWriter.command(machine, commands);
             if (mayAct.getAsBoolean()) {
-                commandWriter.launch(machine, report, commands, now);
+                commandWriter.launch(machine, heartbeat, commands, now);
             }
-            return commands.isEmpty() ? nothing : commands.reply(term);
+            return commands.isEmpty() ? nothing : commands.toResponse(term);
         }
     }
 
@@ -140,12 +141,12 @@
      * A machine that no stored rental names holds nothing of ours. It is used once it shows the current token: a copy
      * of an old report, of a machine that was returned since, never does.
      */
-    private HttpResponse stranger(Heartbeat report) {
-        if (callbacks.isGone(report.machine())) {
+    private HttpResponse stranger(Heartbeat heartbeat) {
+        if (callbacks.isGone(heartbeat.machine())) {
             return HttpResponse.retryLater(503, "the machine was returned", 1);
         }
-        if (report.token() == term && callbacks.adopt(report) == null) {
-            return HttpResponse.retryLater(503, "machine type " + report.build() + " is not known", 1);
+        if (heartbeat.fencingToken() == term && callbacks.adopt(heartbeat) == null) {
+            return HttpResponse.retryLater(503, "machine type " + heartbeat.machineType() + " is not known", 1);
         }
         return nothing;
     }
@@ -154,12 +155,12 @@
      * An older message, or a copy, says nothing new and must extend no bound, so it is not answered 200. The exception
      * is a report that the answer to a direct command has just overtaken: its worker still waits.
      */
-    private HttpResponse notNewer(Machine machine, Heartbeat report, long now) {
-        if (machine.messages().overtaken(report, Heartbeat.ANSWER_WAIT_MICROS, now)) {
-            machine.answered(aliveUntil(now));
+    private HttpResponse notNewer(Machine machine, Heartbeat heartbeat, long now) {
+        if (machine.heartbeatOrder().isOvertakenByCommand(heartbeat, Heartbeat.RESPONSE_TIMEOUT_MICROS, now)) {
+            machine.heartbeatAnswered(aliveUntil(now));
             return nothing;
         }
-        if (machine.messages().countsAnew(report)) {
+        if (machine.heartbeatOrder().suggestsRestart(heartbeat)) {
             callbacks.ask(machine);
         }
         return HttpResponse.retryLater(503, "a newer report was seen", 1);
@@ -172,19 +173,19 @@
         if (unresponsive(machine)) {
             return giveUp(machine);
         }
-        machine.responsiveness().unaware(now);
-        machine.answered(aliveUntil(now));
+        machine.responsiveness().staleTokenShown(now);
+        machine.heartbeatAnswered(aliveUntil(now));
         return nothing;
     }
 
     /** True if the machine alone, or with few others, hears nothing; if many do, the fault is on this side. */
     private boolean unresponsive(Machine machine) {
-        if (!machine.responsiveness().unresponsive()) {
+        if (!machine.responsiveness().isUnresponsive()) {
             return false;
         }
         int most = thresholds.maxUnresponsive(cluster.machines().size());
         long unresponsive = cluster.machines().stream()
-                .filter(each -> each.responsiveness().unresponsive())
+                .filter(each -> each.responsiveness().isUnresponsive())
                 .limit(most + 1L)
                 .count();
         return unresponsive <= most;
@@ -198,8 +199,8 @@
                     machine.name(),
                     machine.type().name());
             callbacks.progressed();
-            if (machine.trusted()) {
-                machine.leave("it hears nothing");
+            if (machine.isReconciled()) {
+                machine.drain("it hears nothing");
             } else {
                 machine.scheduleReturn("it hears nothing");
             }
@@ -208,11 +209,13 @@
     }
 
     /** The report in the answer to a direct command. It can't show that a launch did not happen. */
-    public void answered(Heartbeat report) {
+    public void answered(Heartbeat heartbeat) {
         synchronized (cluster) {
-            Machine machine = cluster.machine(report.machine());
-            if (machine != null && report.token() == term && machine.advance(report, true, eventLoop.nowMicros())) {
-                reconciler.take(machine, report, false, eventLoop.nowMicros());
+            Machine machine = cluster.machine(heartbeat.machine());
+            if (machine != null
+                    && heartbeat.fencingToken() == term
+                    && machine.acceptHeartbeat(heartbeat, true, eventLoop.nowMicros())) {
+                reconciler.take(machine, heartbeat, false, eventLoop.nowMicros());
             }
         }
     }
@@ -221,13 +224,13 @@
      * What the machine said when it was asked how far it counts: less than it had counted when it was asked means that
      * it is a new life of it. If reports have been taken since, the answer is older than they are and says nothing.
      */
-    public void asked(Heartbeat report, long sessionBefore, long sequenceBefore) {
+    public void asked(Heartbeat heartbeat, long sessionBefore, long sequenceBefore) {
         synchronized (cluster) {
-            Machine machine = cluster.machine(report.machine());
+            Machine machine = cluster.machine(heartbeat.machine());
             if (machine != null
-                    && machine.messages().session() == sessionBefore
-                    && machine.messages().sequence() == sequenceBefore
-                    && !report.newerThan(sessionBefore, sequenceBefore)) {
+                    && machine.heartbeatOrder().epoch() == sessionBefore
+                    && machine.heartbeatOrder().sequence() == sequenceBefore
+                    && !heartbeat.isNewerThan(sessionBefore, sequenceBefore)) {
                 newLife(machine);
             }
         }
@@ -239,7 +242,7 @@
      * its lease has run out, since the new life may have been given some of it.
      */
     private HttpResponse newLife(Machine machine) {
-        if (!machine.toBeReturned()) {
+        if (!machine.isReturnScheduled()) {
             LOG.info("machine {} has restarted under its old name", machine.name());
             machine.scheduleReturn("it has restarted");
         }
@@ -255,9 +258,9 @@
     public void expire() {
         long now = eventLoop.nowMicros();
         for (Machine machine : cluster.machines()) {
-            if (machine.leaseBoundMicros() <= now) {
-                machine.messages().endSession();
-                cluster.cleared(machine);
+            if (machine.leaseExpiryMicros() <= now) {
+                machine.heartbeatOrder().endEpoch();
+                cluster.markReconciled(machine);
                 if (mayAct.getAsBoolean()) {
                     callbacks.wentDown(machine);
                 }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatRelay.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatRelay.java
@@ -88,7 +88,7 @@
     }
 
     /** Passes the report to the leader with the next batch and completes with the leader's answer to it. */
-    public CompletableFuture<HttpResponse> pass(Heartbeat report, String leaderAddress) {
+    public CompletableFuture<HttpResponse> pass(Heartbeat heartbeat, String leaderAddress) {
         CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
         synchronized (this) {
             if (!leader.equals(leaderAddress)) {
@@ -96,7 +96,7 @@
                 brokenUntilMicros = Long.MIN_VALUE;
                 unansweredInARow = 0;
             }
-            waiting.add(new Waiting(report, eventLoop.nowMicros(), answer));
+            waiting.add(new Waiting(heartbeat, eventLoop.nowMicros(), answer));
             if (gathering || batches >= BATCHES_AT_ONCE) {
                 return answer;
             }
@@ -117,7 +117,7 @@
         int bytes = 0;
         while (!waiting.isEmpty() && batch.size() < maxReports) {
             Waiting next = waiting.peek();
-            if (eventLoop.nowMicros() - next.sinceMicros() > Heartbeat.ANSWER_WAIT_MICROS) {
+            if (eventLoop.nowMicros() - next.sinceMicros() > Heartbeat.RESPONSE_TIMEOUT_MICROS) {
                 givenUp.add(waiting.poll());
                 continue;
             }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatRouter.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatRouter.java
@@ -60,28 +60,28 @@
             unanswered++;
             return answer(NOBODY_LEADS);
         }
-        Heartbeat report = Heartbeat.read(request.body());
-        if (report == null) {
+        Heartbeat heartbeat = Heartbeat.read(request.body());
+        if (heartbeat == null) {
             return answer(HttpResponse.refusal(400, "hopper: is missing"));
         }
-        watcher.received(report);
-        spread.seen(report.machine());
-        String elsewhere = spread.moveTo(report.machine());
+        watcher.received(heartbeat);
+        spread.seen(heartbeat.machine());
+        String elsewhere = spread.moveTo(heartbeat.machine());
         if (elsewhere == null
                 && current == null
                 && !relay.works(leader.get().address())
-                && !spread.sentOnLately(report.machine())) {
+                && !spread.sentOnLately(heartbeat.machine())) {
             elsewhere = leader.get().nodeName();
         }
         if (elsewhere != null) {
             moved++;
-            spread.sentOn(report.machine());
+            spread.sentOn(heartbeat.machine());
             return answer(elsewhere(elsewhere));
         }
         if (current != null) {
-            return answer(decide(current, report));
+            return answer(decide(current, heartbeat));
         }
-        return relay.pass(report, leader.get().address()).thenApply(response -> {
+        return relay.pass(heartbeat, leader.get().address()).thenApply(response -> {
             if (!response.isOk()) {
                 unanswered++;
             }
@@ -103,11 +103,11 @@
         }
         List<Heartbeat> reports = PeerMessages.reports(request.body());
         handed += reports.size();
-        return new HeartbeatBatch(eventLoop, reports, report -> decide(current, report)).start();
+        return new HeartbeatBatch(eventLoop, reports, heartbeat -> decide(current, heartbeat)).start();
     }
 
-    private HttpResponse decide(LeaderTerm current, Heartbeat report) {
-        return watcher.answerable(report, current.term()) ? current.answer(report) : NOBODY_LEADS;
+    private HttpResponse decide(LeaderTerm current, Heartbeat heartbeat) {
+        return watcher.answerable(heartbeat, current.term()) ? current.answer(heartbeat) : NOBODY_LEADS;
     }
 
     private static HttpResponse elsewhere(String node) {
--- a/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
+++ b/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
@@ -48,33 +48,35 @@
      *
      * @param ownReport it came by itself: only such a one shows that a launch has not happened
      */
-    void take(Machine machine, Heartbeat report, boolean ownReport, long now) {
-        if (!machine.trusted()) {
-            machine.trust();
-            machine.responsiveness().heeded();
-            cluster.cleared(machine);
+    void take(Machine machine, Heartbeat heartbeat, boolean ownReport, long now) {
+        if (!machine.isReconciled()) {
+            machine.markReconciled();
+            machine.responsiveness().commandObeyed();
+            cluster.markReconciled(machine);
             LOG.debug(
                     "machine {} ({}, {}) heard with {} tasks",
                     machine.name(),
                     machine.type().name(),
                     machine.zone(),
-                    report.tasks().size());
+                    heartbeat.tasks().size());
             progressed.run();
         }
         Set<Allocation> shown = new HashSet<>();
         boolean heeded = false;
         boolean unheeded = false;
-        for (TaskStatus task : report.tasks()) {
+        for (TaskStatus task : heartbeat.tasks()) {
             Allocation allocation = machine.allocation(task.uid(), task.index(), task.attempt());
             if (allocation == null) {
                 allocation = found(machine, task, now);
-            } else if (!allocation.ended()) {
-                heeded |= allocation.unconfirmed();
-                allocation.seen(task.stage(), now);
-                if (allocation.ended()) {
+            } else if (!allocation.hasEnded()) {
+                heeded |= allocation.isUnconfirmed();
+                allocation.updateStage(task.stage(), now);
+                if (allocation.hasEnded()) {
                     ended(machine, allocation, task.cause(), now);
                 }
-            } else if (ownReport && allocation.reapSequence() > 0 && allocation.reapSequence() < report.sequence()) {
+            } else if (ownReport
+                    && allocation.acknowledgementSequence() > 0
+                    && allocation.acknowledgementSequence() < heartbeat.sequence()) {
                 unheeded = true;
             }
             shown.add(allocation);
@@ -82,8 +84,8 @@
         if (shown.size() < machine.allocations().size()) {
             for (Allocation allocation : List.copyOf(machine.allocations())) {
                 boolean neverStarted =
-                        allocation.unconfirmed() && ownReport && allocation.launchSequence() < report.sequence();
-                if (!shown.contains(allocation) && (neverStarted || !allocation.unconfirmed())) {
+                        allocation.isUnconfirmed() && ownReport && allocation.launchSequence() < heartbeat.sequence();
+                if (!shown.contains(allocation) && (neverStarted || !allocation.isUnconfirmed())) {
                     unheeded |= neverStarted;
                     heeded |= !neverStarted;
                     vacate(machine, allocation);
@@ -91,9 +93,9 @@
             }
         }
         if (heeded) {
-            machine.responsiveness().heeded();
+            machine.responsiveness().commandObeyed();
         } else if (unheeded) {
-            machine.responsiveness().unheeded(now);
+            machine.responsiveness().commandIgnored(now);
         }
     }
 
@@ -103,13 +105,13 @@
             job = null;
         }
         boolean elsewhere = job != null && job.isAllocated(task.index());
-        Allocation allocation = Allocation.found(job, task.uid(), task.index(), task.attempt(), task.stage());
+        Allocation allocation = Allocation.discovered(job, task.uid(), task.index(), task.attempt(), task.stage());
         machine.add(allocation);
-        if (allocation.ended()) {
+        if (allocation.hasEnded()) {
             ended(machine, allocation, task.cause(), now);
         } else if (elsewhere) {
             LOG.error("{}/{} is on {} and elsewhere, stopping it here", task.uid(), task.index(), machine.name());
-            allocation.halt(0);
+            allocation.stop(0);
         }
         return allocation;
     }
@@ -125,19 +127,20 @@
             case "done" -> {
                 if (allocation.runningSinceMicros() >= 0) {
                     long ran = now - allocation.runningSinceMicros();
-                    machine.faults().ran((double) ran / estimates.expectedMicros(job.spec()), job.uid());
+                    machine.health().recordRuntimeRatio((double) ran / estimates.expectedMicros(job.spec()), job.uid());
                     estimates.measured(job, ran);
                 }
-                machine.faults().clearSuspicion(job.uid());
+                machine.health().clearSuspicion(job.uid());
                 judge(job);
-                if (job.markTaskDone(allocation.index()) && !job.isCancelled()) {
+                if (job.markTaskDone(allocation.taskIndex()) && !job.isCancelled()) {
                     writeQueue.enqueue(job);
                 }
             }
             case "error" -> failed(machine, job, allocation);
             case "no_room", "busy", "no_such" ->
-                LOG.info("{} refused {}/{}: {}", machine.name(), allocation.uid(), allocation.index(), cause);
-            default -> LOG.debug("{}/{} ended on {}: {}", allocation.uid(), allocation.index(), machine.name(), cause);
+                LOG.info("{} refused {}/{}: {}", machine.name(), allocation.uid(), allocation.taskIndex(), cause);
+            default ->
+                LOG.debug("{}/{} ended on {}: {}", allocation.uid(), allocation.taskIndex(), machine.name(), cause);
         }
     }
 
@@ -146,15 +149,15 @@
         for (String name : job.failedOn()) {
             Machine suspectedMachine = cluster.machine(name);
             if (suspectedMachine != null
-                    && suspectedMachine.faults().suspectedBy().contains(job.uid())) {
+                    && suspectedMachine.health().suspectingJobs().contains(job.uid())) {
                 LOG.info("machine {} is considered faulty: {} succeeds elsewhere", name, job.uid());
-                suspectedMachine.leave("faulty");
+                suspectedMachine.drain("faulty");
             }
         }
     }
 
     private void failed(Machine machine, ActiveJob job, Allocation allocation) {
-        if (job.isCancelled() || machine.state() == Machine.State.LEAVING) {
+        if (job.isCancelled() || machine.state() == Machine.State.DRAINING) {
             return;
         }
         switch (FaultAttribution.failed(job, machine)) {
@@ -163,13 +166,13 @@
                         "machine {} is considered faulty: it failed {}/{}",
                         machine.name(),
                         allocation.uid(),
-                        allocation.index());
-                machine.leave("faulty");
+                        allocation.taskIndex());
+                machine.drain("faulty");
                 job.failedOn().remove(machine.name());
             }
             case JOB -> {
                 for (Machine suspectedMachine : cluster.machines()) {
-                    suspectedMachine.faults().clearSuspicion(job.uid());
+                    suspectedMachine.health().clearSuspicion(job.uid());
                 }
                 job.recordFailedAttempt(
                         retries, eventLoop.wallMicros(), "its tasks failed on " + String.join(" and ", job.failedOn()));
@@ -181,7 +184,7 @@
                 LOG.info(
                         "{}/{} failed on {}, trying it elsewhere",
                         allocation.uid(),
-                        allocation.index(),
+                        allocation.taskIndex(),
                         machine.name());
         }
     }
--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -318,7 +318,7 @@
     /** A cancelled job is kept for as long as one of its tasks may be anywhere. */
     void forgetCancelled() {
         synchronized (cluster) {
-            if (!cluster.allHeard()) {
+            if (!cluster.allReconciled()) {
                 return;
             }
             for (ActiveJob job : List.copyOf(cluster.jobs())) {
--- a/src/main/java/io/sillreel/leadership/LeaderReachability.java
+++ b/src/main/java/io/sillreel/leadership/LeaderReachability.java
@@ -79,7 +79,8 @@
         boolean expected;
         synchronized (cluster) {
             expected = loaded
-                    && cluster.machines().stream().anyMatch(machine -> machine.trusted() || machine.mayHoldEarlier());
+                    && cluster.machines().stream()
+                            .anyMatch(machine -> machine.isReconciled() || machine.mayHoldInheritedTasks());
         }
         if (leadership.proven()) {
             sentToLook.clear();
--- a/src/main/java/io/sillreel/leadership/LeaderStatus.java
+++ b/src/main/java/io/sillreel/leadership/LeaderStatus.java
@@ -83,8 +83,9 @@
             gauges.put("sillreel.cpus.wanted", capacity.wantedCpus(eventLoop.wallMicros()));
             gauges.put("sillreel.cpus.standing", capacity.standingCpus(eventLoop.wallMicros()));
             gauges.put("sillreel.writes.waiting", (double) writeQueue.backlog());
-            gauges.put("sillreel.machines.unheard", (double) cluster.unheard().size());
-            gauges.put("sillreel.work", (double) cluster.work());
+            gauges.put("sillreel.machines.unheard", (double)
+                    cluster.unreconciledMachines().size());
+            gauges.put("sillreel.work", (double) cluster.stepCount());
             return gauges;
         }
     }
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -241,7 +241,7 @@
             jobs.begin(state, askedMicros);
             long bound =
                     reportProcessor.aliveUntil(eventLoop.nowMicros()) + gracePeriodMicros() + GRACE_MARGIN_MICROS / 3;
-            state.rentals().forEach(rental -> fleet.inherit(rental, bound));
+            state.rentals().forEach(scaleOutRequest -> fleet.inherit(scaleOutRequest, bound));
             loaded = true;
             reachability.loaded();
             planning.progressed();
@@ -263,9 +263,9 @@
     // --- Reports ---------------------------------------------------------------------------------------------------
 
     /** Answers a worker's report, or says that this controller may not. */
-    public HttpResponse answer(Heartbeat report) {
-        if (report.token() > term) {
-            leadership.heard(null, report.token());
+    public HttpResponse answer(Heartbeat heartbeat) {
+        if (heartbeat.fencingToken() > term) {
+            leadership.heard(null, heartbeat.fencingToken());
             return HttpResponse.retryLater(503, "a later term has begun", 1);
         }
         if (closed || !loaded) {
@@ -275,10 +275,10 @@
         if (!mayKeepAlive()) {
             return HttpResponse.retryLater(503, "the state service has not confirmed the lease for too long", 1);
         }
-        if (!leadership.proven() && reachability.betterElsewhere(report.machine())) {
+        if (!leadership.proven() && reachability.betterElsewhere(heartbeat.machine())) {
             return HttpResponse.retryLater(503, "another controller may hold the lease by now", 1);
         }
-        return reportProcessor.report(report);
+        return reportProcessor.report(heartbeat);
     }
 
     /** Looks, about once a second, whether another controller had better lead. */
@@ -291,8 +291,8 @@
     }
 
     @Override
-    public Machine adopt(Heartbeat report) {
-        return fleet.adopt(report.machine(), report.build(), report.zone(), report.spot());
+    public Machine adopt(Heartbeat heartbeat) {
+        return fleet.adopt(heartbeat.machine(), heartbeat.machineType(), heartbeat.zone(), heartbeat.spot());
     }
 
     @Override
@@ -320,14 +320,14 @@
         if (machine.address() == null) {
             return;
         }
-        long session = machine.messages().session();
-        long sequence = machine.messages().sequence();
+        long epoch = machine.heartbeatOrder().epoch();
+        long sequence = machine.heartbeatOrder().sequence();
         httpClient
                 .send(machine.address(), HttpRequest.get("/status"), ASK_TIMEOUT_MICROS)
                 .thenAccept(response -> {
-                    Heartbeat report = !closed && response.isOk() ? Heartbeat.read(response.body()) : null;
-                    if (report != null && report.machine().equals(machine.name())) {
-                        reportProcessor.asked(report, session, sequence);
+                    Heartbeat heartbeat = !closed && response.isOk() ? Heartbeat.read(response.body()) : null;
+                    if (heartbeat != null && heartbeat.machine().equals(machine.name())) {
+                        reportProcessor.asked(heartbeat, epoch, sequence);
                     }
                 });
     }
--- a/src/main/java/io/sillreel/leadership/SchedulingCycle.java
+++ b/src/main/java/io/sillreel/leadership/SchedulingCycle.java
@@ -118,8 +118,8 @@
         Planner.Plan plan = planner.plan(now, eventLoop.wallMicros());
         reportProcessor.plan(plan);
         for (Allocation allocation : plan.halts()) {
-            LOG.debug("stopping {}/{} to make room", allocation.uid(), allocation.index());
-            allocation.halt(allocation.job().spec().checkpointDurationMicros() + COMMAND_MICROS);
+            LOG.debug("stopping {}/{} to make room", allocation.uid(), allocation.taskIndex());
+            allocation.stop(allocation.job().spec().checkpointDurationMicros() + COMMAND_MICROS);
             haltsDue.add(allocation.machine());
         }
         planCostMicros = eventLoop.nowMicros() - now;
@@ -129,14 +129,14 @@
 
     /** The tasks of the job are to be stopped as soon as their machines can be told. */
     void halt(ActiveJob job) {
-        for (Allocation allocation : cluster.book().of(job)) {
+        for (Allocation allocation : cluster.allocationIndex().ofJob(job)) {
             haltsDue.add(allocation.machine());
         }
     }
 
     /** Sends a machine its commands without waiting for its next report; what gets lost is repeated there. */
     private void push(Machine machine) {
-        if (machine.address() == null || !machine.trusted()) {
+        if (machine.address() == null || !machine.isReconciled()) {
             return;
         }
         AgentCommands commands = new AgentCommands();
@@ -145,12 +145,13 @@
             return;
         }
         HttpRequest request = HttpRequest.post(
-                "/do", commands.body(term).put("shift", machine.messages().session()));
+                "/do",
+                commands.toJson(term).put("shift", machine.heartbeatOrder().epoch()));
         httpClient.send(machine.address(), request, DO_TIMEOUT_MICROS).thenAccept(response -> {
             if (!closed && (response.status() == 200 || response.status() == 409)) {
-                Heartbeat report = Heartbeat.read(response.body());
-                if (report != null) {
-                    reportProcessor.answered(report);
+                Heartbeat heartbeat = Heartbeat.read(response.body());
+                if (heartbeat != null) {
+                    reportProcessor.answered(heartbeat);
                 }
             }
         });
--- a/src/main/java/io/sillreel/peer/PeerMessages.java
+++ b/src/main/java/io/sillreel/peer/PeerMessages.java
@@ -106,8 +106,8 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(512 * reports.size());
         try (CBORGenerator out = STREAM.createGenerator(bytes)) {
             out.writeStartArray(null, reports.size());
-            for (Heartbeat report : reports) {
-                write(out, report);
+            for (Heartbeat heartbeat : reports) {
+                write(out, heartbeat);
             }
             out.writeEndArray();
         } catch (IOException e) {
@@ -117,23 +117,23 @@
     }
 
     /** About what a report takes in a batch. */
-    public static int approximateBytes(Heartbeat report) {
-        return REPORT_BYTES + TASK_BYTES * report.tasks().size();
+    public static int approximateBytes(Heartbeat heartbeat) {
+        return REPORT_BYTES + TASK_BYTES * heartbeat.tasks().size();
     }
 
-    private static void write(CBORGenerator out, Heartbeat report) throws IOException {
+    private static void write(CBORGenerator out, Heartbeat heartbeat) throws IOException {
         out.writeStartArray(null, 10);
-        out.writeString(report.machine());
-        out.writeString(report.address());
-        out.writeString(report.build());
-        out.writeString(report.zone());
-        out.writeBoolean(report.spot());
-        out.writeNumber(report.session());
-        out.writeNumber(report.sequence());
-        out.writeNumber(report.token());
-        out.writeNumber(report.recallMicros());
-        out.writeStartArray(null, report.tasks().size());
-        for (TaskStatus task : report.tasks()) {
+        out.writeString(heartbeat.machine());
+        out.writeString(heartbeat.address());
+        out.writeString(heartbeat.machineType());
+        out.writeString(heartbeat.zone());
+        out.writeBoolean(heartbeat.spot());
+        out.writeNumber(heartbeat.epoch());
+        out.writeNumber(heartbeat.sequence());
+        out.writeNumber(heartbeat.fencingToken());
+        out.writeNumber(heartbeat.interruptionMicros());
+        out.writeStartArray(null, heartbeat.tasks().size());
+        for (TaskStatus task : heartbeat.tasks()) {
             out.writeStartArray(null, 5);
             out.writeString(task.uid());
             out.writeNumber(task.index());
@@ -163,10 +163,10 @@
     private static Heartbeat report(CBORParser in) throws IOException {
         String machine = in.nextTextValue();
         String address = in.nextTextValue();
-        String build = in.nextTextValue();
+        String machineType = in.nextTextValue();
         String zone = in.nextTextValue();
         boolean spot = in.nextToken() == JsonToken.VALUE_TRUE;
-        long session = in.nextLongValue(0);
+        long epoch = in.nextLongValue(0);
         long sequence = in.nextLongValue(0);
         long token = in.nextLongValue(0);
         long recallMicros = in.nextLongValue(-1);
@@ -182,7 +182,7 @@
             in.nextToken();
         }
         in.nextToken();
-        return new Heartbeat(machine, address, build, zone, spot, session, sequence, token, recallMicros, tasks);
+        return new Heartbeat(machine, address, machineType, zone, spot, epoch, sequence, token, recallMicros, tasks);
     }
 
     /** The lease leader's answers to reports, in their order. */
--- a/src/main/java/io/sillreel/pipeline/JobSpec.java
+++ b/src/main/java/io/sillreel/pipeline/JobSpec.java
@@ -38,8 +38,8 @@
         return checkpointIntervalMicros > 0;
     }
 
-    public boolean allowsMachineType(String build) {
-        return machineTypes == null || machineTypes.contains(build);
+    public boolean allowsMachineType(String machineType) {
+        return machineTypes == null || machineTypes.contains(machineType);
     }
 
     public boolean allowsZone(String where) {
--- a/src/main/java/io/sillreel/placement/CapacityPlanner.java
+++ b/src/main/java/io/sillreel/placement/CapacityPlanner.java
@@ -210,7 +210,7 @@
         double waiting = 0;
         JobSpec largest = null;
         for (ActiveJob job : cluster.jobs()) {
-            if (!job.spec().spotAllowed() && job.waitingCount() > 0 && cluster.launchable(job, wallMicros)) {
+            if (!job.spec().spotAllowed() && job.waitingCount() > 0 && cluster.isLaunchable(job, wallMicros)) {
                 waiting += job.waitingCount() * job.spec().cpus();
                 if (largest == null || job.spec().cpus() > largest.cpus()) {
                     largest = job.spec();
@@ -234,14 +234,14 @@
     private void stranded(
             Collection<MachineType> types, long nowMicros, long wallMicros, List<ScaleOutProposal> rentalRequests) {
         for (ActiveJob job : cluster.jobs()) {
-            if (!cluster.launchable(job, wallMicros) || job.waitingCount() == 0 || job.allocatedCount() > 0) {
+            if (!cluster.isLaunchable(job, wallMicros) || job.waitingCount() == 0 || job.allocatedCount() > 0) {
                 continue;
             }
             boolean hosted = cluster.machines().stream()
                     .anyMatch(machine -> counts(machine, nowMicros)
-                            && Cluster.allows(job.spec(), machine)
+                            && Cluster.isEligible(job.spec(), machine)
                             && !job.failedOn().contains(machine.name())
-                            && Machine.fitsEmpty(job.spec(), machine.type()));
+                            && Machine.fitsEmptyMachine(job.spec(), machine.type()));
             if (!hosted) {
                 ScaleOutProposal rentalRequest =
                         offers.cheapest(types, job.spec().cpus(), job.spec(), true, true, rentalRequests, nowMicros);
@@ -256,10 +256,10 @@
     /** True if the machine is, or will soon be, there to work. */
     private static boolean counts(Machine machine, long nowMicros) {
         return switch (machine.state()) {
-            case UP -> !machine.recalled() && !machine.faults().isSuspect() && !isAway(machine, nowMicros);
-            case RENTED ->
-                nowMicros - machine.rentedMicros()
-                        < (machine.inherited() ? 1 : LATE_BOOT_FACTOR)
+            case UP -> !machine.isInterrupted() && !machine.health().isSuspect() && !isAway(machine, nowMicros);
+            case PROVISIONING ->
+                nowMicros - machine.requestedMicros()
+                        < (machine.isInherited() ? 1 : LATE_BOOT_FACTOR)
                                 * machine.type().bootMicros();
             default -> false;
         };
@@ -267,7 +267,7 @@
 
     /** True if it is silent beyond its lease: it may come back, but until then others have to do its work. */
     private static boolean isAway(Machine machine, long nowMicros) {
-        return machine.leaseBoundMicros() < nowMicros;
+        return machine.leaseExpiryMicros() < nowMicros;
     }
 
     /**
@@ -278,7 +278,7 @@
         double have = 0;
         List<Machine> candidates = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
-            if (machine.state() == Machine.State.UP && machine.trusted() && !isAway(machine, nowMicros)) {
+            if (machine.state() == Machine.State.UP && machine.isReconciled() && !isAway(machine, nowMicros)) {
                 have += machine.type().cpus();
                 boolean idle = nowMicros - machine.idleSinceMicros(nowMicros) > idleMicros;
                 boolean settled = nowMicros - machine.upMicros() > SETTLED_MICROS;
@@ -297,7 +297,7 @@
         }
         candidates.sort(Comparator.<Machine>comparingDouble(machine ->
                         -machine.type().priceOf(machine.spot()) / machine.type().cpus())
-                .thenComparingInt(Machine::liveCount));
+                .thenComparingInt(Machine::liveTaskCount));
         List<Machine> surplus = new ArrayList<>();
         for (Machine machine : candidates) {
             boolean kept = !machine.spot()
@@ -319,14 +319,14 @@
 
     /** Processors taken by tasks that wait for their images, or whose launch no report has shown yet. */
     public double startingCpus() {
-        return cpusOf(allocation -> allocation.unconfirmed() || allocation.stage() == Heartbeat.TaskStage.PULLING);
+        return cpusOf(allocation -> allocation.isUnconfirmed() || allocation.stage() == Heartbeat.TaskStage.PULLING);
     }
 
     private double cpusOf(Predicate<Allocation> counted) {
         double cpus = 0;
         for (Machine machine : cluster.machines()) {
             for (Allocation allocation : machine.allocations()) {
-                if (!allocation.ended() && allocation.job() != null && counted.test(allocation)) {
+                if (!allocation.hasEnded() && allocation.job() != null && counted.test(allocation)) {
                     cpus += allocation.job().spec().cpus();
                 }
             }
--- a/src/main/java/io/sillreel/placement/FreeCapacity.java
+++ b/src/main/java/io/sillreel/placement/FreeCapacity.java
@@ -12,23 +12,23 @@
     final Set<String> images = new HashSet<>();
     double cpus;
     double ramGb;
-    double cards;
+    double gpus;
 
     FreeCapacity(Machine machine) {
         this.machine = machine;
         cpus = machine.freeCpus();
         ramGb = machine.freeRamGb();
-        cards = machine.freeCards();
+        gpus = machine.freeGpus();
     }
 
     int room(JobSpec spec) {
-        return Machine.fits(spec, cpus, ramGb, cards);
+        return Machine.fittingTasks(spec, cpus, ramGb, gpus);
     }
 
     void take(JobSpec spec, int tasks) {
         cpus -= tasks * spec.cpus();
         ramGb -= tasks * spec.ramGb();
-        cards -= tasks * spec.gpus();
+        gpus -= tasks * spec.gpus();
         images.add(spec.image());
     }
 
--- a/src/main/java/io/sillreel/placement/MachineOfferSelector.java
+++ b/src/main/java/io/sillreel/placement/MachineOfferSelector.java
@@ -77,7 +77,7 @@
         ScaleOutProposal best = null;
         double bestCost = Double.MAX_VALUE;
         for (MachineType type : types) {
-            if (only != null && (!only.allowsMachineType(type.name()) || !Machine.fitsEmpty(only, type))) {
+            if (only != null && (!only.allowsMachineType(type.name()) || !Machine.fitsEmptyMachine(only, type))) {
                 continue;
             }
             for (String zone : type.zones()) {
--- a/src/main/java/io/sillreel/placement/PlacementIndex.java
+++ b/src/main/java/io/sillreel/placement/PlacementIndex.java
@@ -28,7 +28,7 @@
         static Offer of(FreeCapacity space) {
             Machine machine = space.machine;
             return new Offer(
-                    machine.type().name(), machine.zone(), machine.spot(), space.cpus, space.ramGb, space.cards);
+                    machine.type().name(), machine.zone(), machine.spot(), space.cpus, space.ramGb, space.gpus);
         }
 
         // Written out: the compiler would leave it to be linked at run time, which costs a takeover milliseconds.
@@ -202,8 +202,8 @@
         for (Group group : groups.values()) {
             steps++;
             Offer offer = group.offer;
-            int room = Machine.fits(spec, offer.cpus(), offer.ramGb(), offer.cards());
-            if (room <= 0 || !Cluster.allows(spec, group.type, offer.zone(), offer.spot())) {
+            int room = Machine.fittingTasks(spec, offer.cpus(), offer.ramGb(), offer.cards());
+            if (room <= 0 || !Cluster.isEligible(spec, group.type, offer.zone(), offer.spot())) {
                 continue;
             }
             // What saves its progress loses little when a spot machine is taken, so the others get the ordinary ones.
--- a/src/main/java/io/sillreel/placement/Planner.java
+++ b/src/main/java/io/sillreel/placement/Planner.java
@@ -60,11 +60,11 @@
     /** True if the machine takes launches now. */
     public boolean usable(Machine machine, long nowMicros) {
         return machine.state() == Machine.State.UP
-                && machine.trusted()
-                && !machine.recalled()
-                && !machine.responsiveness().unresponsive()
-                && machine.rental().mayHold(machine.name())
-                && nowMicros - machine.lastReportMicros() < REPORT_SILENCE_FACTOR * reportMicros;
+                && machine.isReconciled()
+                && !machine.isInterrupted()
+                && !machine.responsiveness().isUnresponsive()
+                && machine.scaleOutRequest().isStoredAsUp(machine.name())
+                && nowMicros - machine.lastHeartbeatMicros() < REPORT_SILENCE_FACTOR * reportMicros;
     }
 
     /** A plan for everything that waits. */
@@ -75,9 +75,9 @@
             return Plan.EMPTY;
         }
         PlacementIndex places = freePlaces(queue, nowMicros);
-        cluster.worked(queue.size() + cluster.machines().size());
+        cluster.countSteps(queue.size() + cluster.machines().size());
         Plan plan = new Plan(new HashMap<>(), new ArrayList<>(), new ArrayList<>(), new HashMap<>());
-        QuotaUsage usage = cluster.usage();
+        QuotaUsage usage = cluster.quotaUsage();
         Preemption preemption = new Preemption(this, cluster, deadlines, plan, guaranteed, nowMicros);
         Reservations reservations = new Reservations(plan, nowMicros);
         int preempting = 0;
@@ -103,7 +103,7 @@
             }
             from = to;
         }
-        cluster.worked(places.steps());
+        cluster.countSteps(places.steps());
         queue.stream().filter(queued -> queued.left > 0).forEach(plan.left()::add);
         return plan;
     }
@@ -117,8 +117,8 @@
         PlacementIndex places = new PlacementIndex(least);
         for (Machine machine : cluster.machines()) {
             if (usable(machine, nowMicros)
-                    && machine.responsiveness().unheededCount() == 0
-                    && !machine.faults().isSuspect()) {
+                    && machine.responsiveness().ignoredCommandCount() == 0
+                    && !machine.health().isSuspect()) {
                 places.add(new FreeCapacity(machine));
             }
         }
@@ -130,7 +130,7 @@
         List<Assignment> assignments = new ArrayList<>();
         if (plan.left().isEmpty()
                 || !usable(machine, nowMicros)
-                || machine.faults().isSuspect()) {
+                || machine.health().isSuspect()) {
             return assignments;
         }
         FreeCapacity space = new FreeCapacity(machine);
@@ -152,16 +152,16 @@
                     if (queued.left <= 0
                             || now == (pass == 1)
                             || owner != null && owner.left > 0 && owner != queued
-                            || !Cluster.allows(spec, machine)
+                            || !Cluster.isEligible(spec, machine)
                             || space.room(spec) <= 0) {
                         continue;
                     }
-                    usage = usage == null ? cluster.usage() : usage;
+                    usage = usage == null ? cluster.quotaUsage() : usage;
                     int count = Math.min(
                             Math.min(queued.left, space.room(spec)), startable(queued.job, machine, usage, wallMicros));
                     if (count > 0) {
                         space.take(spec, count);
-                        usage.take(spec, count);
+                        usage.add(spec, count);
                         queued.left -= count;
                         assignments.add(new Assignment(queued.job, count));
                     }
@@ -169,18 +169,18 @@
             }
             from = to;
         }
-        cluster.worked(looked);
+        cluster.countSteps(looked);
         return assignments;
     }
 
     /** How many tasks of the job the rules let start on the machine now, its room aside. */
     private int startable(ActiveJob job, Machine machine, QuotaUsage usage, long wallMicros) {
-        if (!cluster.launchable(job, wallMicros) || job.failedOn().contains(machine.name()) || probing(job)) {
+        if (!cluster.isLaunchable(job, wallMicros) || job.failedOn().contains(machine.name()) || probing(job)) {
             return 0;
         }
         return Math.min(
                 job.waitingCount(),
-                Math.min(cluster.headroom(job.spec(), usage), cluster.zoneRoom(job, machine.zone())));
+                Math.min(cluster.quotaHeadroom(job.spec(), usage), cluster.zoneHeadroom(job, machine.zone())));
     }
 
     /** True while it isn't known whether the job fails everywhere: then one task at a time is tried. */
@@ -190,7 +190,7 @@
 
     /** Assigns what fits and returns how many tasks are left over for lack of room. */
     private int assign(QueuedJob queued, PlacementIndex places, QuotaUsage usage, Plan plan, boolean onlyWithImage) {
-        int wanted = Math.min(queued.left, cluster.headroom(queued.job.spec(), usage));
+        int wanted = Math.min(queued.left, cluster.quotaHeadroom(queued.job.spec(), usage));
         if (probing(queued.job)) {
             wanted = Math.min(wanted, queued.job.allocatedCount() == 0 ? 1 : 0);
         }
@@ -231,7 +231,7 @@
         }
 
         private int room(String zone) {
-            return zoneRoom.computeIfAbsent(zone, where -> cluster.zoneRoom(queued.job, where));
+            return zoneRoom.computeIfAbsent(zone, where -> cluster.zoneHeadroom(queued.job, where));
         }
 
         @Override
@@ -247,7 +247,7 @@
             onlyZone = zone;
             zoneRoom.put(zone, room == Integer.MAX_VALUE ? room : room - count);
             space.take(spec, count);
-            usage.take(spec, count);
+            usage.add(spec, count);
             wanted -= count;
             queued.left -= count;
             plan.launches().computeIfAbsent(machine, name -> new ArrayList<>()).add(new Assignment(queued.job, count));
@@ -277,10 +277,10 @@
                 if (wanted == 0) {
                     return;
                 }
-                cluster.worked(1);
-                if (Cluster.allows(spec, machine)
+                cluster.countSteps(1);
+                if (Cluster.isEligible(spec, machine)
                         && !plan.reserved().containsKey(machine.name())
-                        && Machine.fitsEmpty(spec, machine.type())) {
+                        && Machine.fitsEmptyMachine(spec, machine.type())) {
                     plan.reserved().put(machine.name(), queued);
                     wanted--;
                 }
@@ -291,7 +291,7 @@
             if (emptiestFirst == null) {
                 emptiestFirst = new ArrayList<>();
                 for (Machine machine : cluster.machines()) {
-                    if (usable(machine, nowMicros) && !machine.faults().isSuspect()) {
+                    if (usable(machine, nowMicros) && !machine.health().isSuspect()) {
                         emptiestFirst.add(machine);
                     }
                 }
--- a/src/main/java/io/sillreel/placement/Preemption.java
+++ b/src/main/java/io/sillreel/placement/Preemption.java
@@ -69,13 +69,14 @@
         }
         usable.sort(Comparator.comparing(Machine::name));
         for (Machine machine : usable) {
-            if (!machine.faults().isSuspect()) {
+            if (!machine.health().isSuspect()) {
                 machines.put(machine, stoppableRanks(machine));
             }
-            if (machine.allocations().stream().anyMatch(allocation -> allocation.halting() && !allocation.ended())) {
+            if (machine.allocations().stream()
+                    .anyMatch(allocation -> allocation.isStopping() && !allocation.hasEnded())) {
                 freeing.add(machine);
             }
-            cluster.worked(machine.allocations().size());
+            cluster.countSteps(machine.allocations().size());
         }
     }
 
@@ -90,7 +91,10 @@
     }
 
     private static boolean isStoppable(Allocation allocation) {
-        return allocation.job() != null && !allocation.ended() && !allocation.unconfirmed() && !allocation.halting();
+        return allocation.job() != null
+                && !allocation.hasEnded()
+                && !allocation.isUnconfirmed()
+                && !allocation.isStopping();
     }
 
     /** Stops tasks where that really makes room for the job; false if the job may have none stopped. */
@@ -147,11 +151,11 @@
         List<Machine> allowed = new ArrayList<>();
         List<Machine> withoutImage = new ArrayList<>();
         machines.forEach((machine, ranks) -> {
-            if (!ranks.isEmpty() && Cluster.allows(spec, machine)) {
+            if (!ranks.isEmpty() && Cluster.isEligible(spec, machine)) {
                 (machine.hasImage(image) ? allowed : withoutImage).add(machine);
             }
         });
-        cluster.worked(machines.size());
+        cluster.countSteps(machines.size());
         allowed.addAll(withoutImage);
         return allowed;
     }
@@ -174,14 +178,14 @@
                         && !forWhom.effectivePriority().isAbove(PriorityClass.NORMAL)) {
             return false;
         }
-        return left(spec.team()) >= QuotaUsage.milli(spec.cpus());
+        return left(spec.team()) >= QuotaUsage.toMilli(spec.cpus());
     }
 
     private long left(String team) {
         return beyond.computeIfAbsent(
                 team,
-                name -> cluster.book().use().of(name).cpus()
-                        - QuotaUsage.milli(
+                name -> cluster.allocationIndex().usage().ofTeam(name).cpus()
+                        - QuotaUsage.toMilli(
                                 cluster.team(name) == null
                                         ? 0
                                         : cluster.team(name).cpus()));
@@ -203,26 +207,26 @@
         List<Allocation> victims = new ArrayList<>();
         double cpus = machine.freeCpus();
         double ram = machine.freeRamGb();
-        double cards = machine.freeCards();
+        double gpus = machine.freeGpus();
         for (Allocation allocation : machine.allocations()) {
-            if (allocation.job() == null || allocation.ended()) {
+            if (allocation.job() == null || allocation.hasEnded()) {
                 continue;
             }
             JobSpec running = allocation.job().spec();
             if (halting.contains(allocation)) {
                 cpus += running.cpus();
                 ram += running.ramGb();
-                cards += running.gpus();
+                gpus += running.gpus();
             } else if (isStoppable(allocation) && may.test(allocation)) {
                 victims.add(allocation);
             }
         }
-        cluster.worked(machine.allocations().size());
+        cluster.countSteps(machine.allocations().size());
         if (victims.isEmpty()) {
             return 0;
         }
         victims.sort(Comparator.comparingDouble(allocation -> lost(allocation, nowMicros)));
-        int before = Machine.fits(spec, cpus, ram, cards);
+        int before = Machine.fittingTasks(spec, cpus, ram, gpus);
         int gained = 0;
         List<Allocation> chosen = new ArrayList<>();
         for (Allocation victim : victims) {
@@ -232,9 +236,9 @@
             JobSpec freed = victim.job().spec();
             cpus += freed.cpus();
             ram += freed.ramGb();
-            cards += freed.gpus();
+            gpus += freed.gpus();
             chosen.add(victim);
-            int after = Machine.fits(spec, cpus, ram, cards);
+            int after = Machine.fittingTasks(spec, cpus, ram, gpus);
             if (after > before) {
                 gained += after - before;
                 before = after;
@@ -249,7 +253,7 @@
         JobSpec spec = allocation.job().spec();
         halting.add(allocation);
         plan.halts().add(allocation);
-        beyond.put(spec.team(), left(spec.team()) - QuotaUsage.milli(spec.cpus()));
+        beyond.put(spec.team(), left(spec.team()) - QuotaUsage.toMilli(spec.cpus()));
     }
 
     /** Tasks of the job that will fit where others are being stopped already. */
@@ -258,15 +262,15 @@
         for (Machine machine : freeing) {
             double cpus = 0;
             double ram = 0;
-            double cards = 0;
+            double gpus = 0;
             for (Allocation allocation : machine.allocations()) {
-                if (allocation.halting() && !allocation.ended() && allocation.job() != null) {
+                if (allocation.isStopping() && !allocation.hasEnded() && allocation.job() != null) {
                     cpus += allocation.job().spec().cpus();
                     ram += allocation.job().spec().ramGb();
-                    cards += allocation.job().spec().gpus();
+                    gpus += allocation.job().spec().gpus();
                 }
             }
-            count += Math.min(Machine.fits(spec, cpus, ram, cards), LIMITLESS);
+            count += Math.min(Machine.fittingTasks(spec, cpus, ram, gpus), LIMITLESS);
         }
         return count;
     }
--- a/src/main/java/io/sillreel/placement/QueueOrder.java
+++ b/src/main/java/io/sillreel/placement/QueueOrder.java
@@ -49,7 +49,7 @@
     List<QueuedJob> queue(Set<ActiveJob> guaranteed, long wallMicros) {
         List<QueuedJob> queue = new ArrayList<>();
         for (ActiveJob job : cluster.jobs()) {
-            if (job.waitingCount() > 0 && cluster.launchable(job, wallMicros)) {
+            if (job.waitingCount() > 0 && cluster.isLaunchable(job, wallMicros)) {
                 long slack = deadlines.slackMicros(job, wallMicros);
                 boolean aged = aged(job, wallMicros);
                 queue.add(new QueuedJob(
@@ -117,9 +117,9 @@
             if (job.isCancelled() || job.hasUnmetDependencies() || team == null) {
                 continue;
             }
-            claimed.take(job.spec(), job.spec().tasks());
-            QuotaUsage.Amount sum = claimed.of(job.spec().team());
-            if (sum.cpus() <= QuotaUsage.milli(team.cpus()) && sum.cards() <= QuotaUsage.milli(team.gpus())) {
+            claimed.add(job.spec(), job.spec().tasks());
+            QuotaUsage.Amount sum = claimed.ofTeam(job.spec().team());
+            if (sum.cpus() <= QuotaUsage.toMilli(team.cpus()) && sum.gpus() <= QuotaUsage.toMilli(team.gpus())) {
                 within.add(job);
             }
         }
--- a/src/main/java/io/sillreel/recovery/Recovery.java
+++ b/src/main/java/io/sillreel/recovery/Recovery.java
@@ -164,16 +164,16 @@
     }
 
     @Override
-    public void received(Heartbeat report) {
-        long shown = TermEvidence.shownBy(report);
+    public void received(Heartbeat heartbeat) {
+        long shown = TermEvidence.shownBy(heartbeat);
         if (!suspended && shown > shownTerm()) {
-            terms.shown(shown, report.machine());
+            terms.shown(shown, heartbeat.machine());
         }
     }
 
     @Override
-    public boolean answerable(Heartbeat report, long term) {
-        return terms.answerable(report, term);
+    public boolean answerable(Heartbeat heartbeat, long term) {
+        return terms.answerable(heartbeat, term);
     }
 
     // --- The verdict -------------------------------------------------------------------------------------------------
--- a/src/main/java/io/sillreel/recovery/TermEvidence.java
+++ b/src/main/java/io/sillreel/recovery/TermEvidence.java
@@ -30,9 +30,9 @@
     }
 
     /** The highest term that a report shows. */
-    static long shownBy(Heartbeat report) {
-        long shown = report.token();
-        for (TaskStatus task : report.tasks()) {
+    static long shownBy(Heartbeat heartbeat) {
+        long shown = heartbeat.fencingToken();
+        for (TaskStatus task : heartbeat.tasks()) {
             shown = Math.max(shown, AttemptIds.termOf(task.attempt()));
         }
         return shown;
@@ -58,17 +58,17 @@
      * A report that this controller is to answer under its own term; false if its worker knows the term from somebody
      * else, who must have taken it before a loss.
      */
-    boolean answerable(Heartbeat report, long term) {
+    boolean answerable(Heartbeat heartbeat, long term) {
         if (toldTerm != term) {
             toldTerm = term;
             told.clear();
         }
-        if (report.token() == term && !told.contains(report.machine())) {
+        if (heartbeat.fencingToken() == term && !told.contains(heartbeat.machine())) {
             history.learn(HighWatermarks.NONE.withTerm(term));
-            onLoss.accept(report.machine() + " has seen term " + term + " before it was told of it");
+            onLoss.accept(heartbeat.machine() + " has seen term " + term + " before it was told of it");
             return false;
         }
-        told.add(report.machine());
+        told.add(heartbeat.machine());
         return true;
     }
 }
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -116,10 +116,10 @@
         assertThat(job.hasUnmetDependencies()).isFalse();
         assertThat(Head.fromJson(json(DONE)).isDone()).isTrue();
         assertThat(Head.fromJson(json(FAILED)).reason()).startsWith("attempt 1 failed");
-        ScaleOutRequest rental = ScaleOutRequest.of("hire/r-5-12", json(RENTAL), 9);
-        assertThat(rental.machines()).containsExactly("host-000231", "host-000232");
-        assertThat(rental.mayHold("host-000231")).isTrue();
-        assertThat(rental.mayHold("host-000232")).isFalse();
+        ScaleOutRequest scaleOutRequest = ScaleOutRequest.of("hire/r-5-12", json(RENTAL), 9);
+        assertThat(scaleOutRequest.machines()).containsExactly("host-000231", "host-000232");
+        assertThat(scaleOutRequest.isStoredAsUp("host-000231")).isTrue();
+        assertThat(scaleOutRequest.isStoredAsUp("host-000232")).isFalse();
     }
 
     /**
@@ -169,10 +169,10 @@
                 1_700_000_123_456_789L,
                 "its tasks failed on host-000001 and host-000002");
         assertThat(failed.changes().get("run/job-000412").toString()).isEqualTo(FAILED);
-        ScaleOutRequest rental = new ScaleOutRequest("r-5-12", "g8", "a", true, 12);
-        rental.answered(List.of("host-000231", "host-000232"));
-        rental.cameUp("host-000231");
-        assertThat(rental.changes().get("hire/r-5-12").toString()).isEqualTo(RENTAL);
+        ScaleOutRequest scaleOutRequest = new ScaleOutRequest("r-5-12", "g8", "a", true, 12);
+        scaleOutRequest.answered(List.of("host-000231", "host-000232"));
+        scaleOutRequest.markUp("host-000231");
+        assertThat(scaleOutRequest.changes().get("hire/r-5-12").toString()).isEqualTo(RENTAL);
     }
 
     @Test
@@ -181,7 +181,7 @@
         assertThat(Hello.of(bytes(HELLO))).isEqualTo(hello);
         assertThat(hello.bytes()).isEqualTo(bytes(HELLO));
         assertThat(Hello.of(bytes(HELLO_WITHOUT_LEADER)).leader()).isNull();
-        Heartbeat report = new Heartbeat(
+        Heartbeat heartbeat = new Heartbeat(
                 "host-000231",
                 "10.1.0.232:9000",
                 "g8",
@@ -194,12 +194,12 @@
                 List.of(
                         new Heartbeat.TaskStatus("job-000412", 3, 2L + (41L << 32), Heartbeat.TaskStage.RUNNING, ""),
                         new Heartbeat.TaskStatus("job-000398", 0, 1, Heartbeat.TaskStage.ENDED, "done")));
-        assertThat(PeerMessages.reports(bytes(HEARTBEATS))).containsExactly(report);
-        assertThat(PeerMessages.heartbeats(List.of(report)).body()).isEqualTo(bytes(HEARTBEATS));
+        assertThat(PeerMessages.reports(bytes(HEARTBEATS))).containsExactly(heartbeat);
+        assertThat(PeerMessages.heartbeats(List.of(heartbeat)).body()).isEqualTo(bytes(HEARTBEATS));
         AgentCommands commands = new AgentCommands();
         commands.launch("job-000412", 4, 7);
         List<HttpResponse> replies =
-                List.of(commands.reply(41), HttpResponse.retryLater(503, "a newer report was seen", 1));
+                List.of(commands.toResponse(41), HttpResponse.retryLater(503, "a newer report was seen", 1));
         assertThat(PeerMessages.answers(replies)).isEqualTo(bytes(ANSWERS));
         assertThat(PeerMessages.replies(bytes(ANSWERS))).hasSize(2);
         assertThat(PeerMessages.cancelled("job-000412").body()).isEqualTo(bytes(CANCELLED));
@@ -237,19 +237,24 @@
         }
         JsonNode stored = json("{\"build\":\"c4\",\"yard\":\"a\",\"spot\":true,\"count\":50,\"machines\":[" + names
                 + "],\"up\":[" + names + "]}");
-        ScaleOutRequest rental = ScaleOutRequest.of("hire/r-5-12", stored, 9);
-        int most = ScaleOutRequest.mostMachines(1_024);
-        List<ScaleOutRequest> parts = rental.split(most, again -> {});
-        assertThat(rental.prerequisites()).hasSameSizeAs(parts);
-        int machines = rental.machines().size();
+        ScaleOutRequest scaleOutRequest = ScaleOutRequest.of("hire/r-5-12", stored, 9);
+        int most = ScaleOutRequest.maxMachines(1_024);
+        List<ScaleOutRequest> parts = scaleOutRequest.split(most, again -> {});
+        assertThat(scaleOutRequest.prerequisites()).hasSameSizeAs(parts);
+        int machines = scaleOutRequest.machines().size();
         for (ScaleOutRequest part : parts) {
-            assertThat(part.machines()).allMatch(part::mayHold);
+            assertThat(part.machines()).allMatch(part::isStoredAsUp);
             assertThat(part.changes().get(part.key()).toString().length()).isLessThan(1_024);
             machines += part.machines().size();
             part.onStored(10);
         }
         assertThat(machines).isEqualTo(50);
-        assertThat(rental.prerequisites()).isEmpty();
-        assertThat(rental.changes().get(rental.key()).toString().length()).isLessThan(1_024);
+        assertThat(scaleOutRequest.prerequisites()).isEmpty();
+        assertThat(scaleOutRequest
+                        .changes()
+                        .get(scaleOutRequest.key())
+                        .toString()
+                        .length())
+                .isLessThan(1_024);
     }
 }
--- a/src/test/java/io/sillreel/agent/MessageSizeTest.java
+++ b/src/test/java/io/sillreel/agent/MessageSizeTest.java
@@ -17,10 +17,10 @@
     @Test
     void theLongestCommandsFitIntoALine() {
         AgentCommands commands = new AgentCommands();
-        while (!commands.full()) {
-            commands.halt(LONGEST_UID, LAST_TASK, Long.MAX_VALUE, 3_600_500_000L);
+        while (!commands.isFull()) {
+            commands.stop(LONGEST_UID, LAST_TASK, Long.MAX_VALUE, 3_600_500_000L);
         }
-        assertThat(Json.bytes(commands.body(Long.MAX_VALUE)).length).isLessThan(NettyHttpServer.MAX_BODY_BYTES);
+        assertThat(Json.bytes(commands.toJson(Long.MAX_VALUE)).length).isLessThan(NettyHttpServer.MAX_BODY_BYTES);
     }
 
     /** Guards a machine with hundreds of tasks: a report that is refused for its size ends its lease. */
--- a/src/test/java/io/sillreel/heartbeat/HeartbeatBatchTest.java
+++ b/src/test/java/io/sillreel/heartbeat/HeartbeatBatchTest.java
@@ -19,8 +19,8 @@
     private final SimTime.Process process = time.new Process();
 
     private CompletableFuture<HttpResponse> start(int reports, int answerBytes, List<Heartbeat> decided) {
-        HeartbeatBatch batch = new HeartbeatBatch(process, Collections.nCopies(reports, REPORT), report -> {
-            decided.add(report);
+        HeartbeatBatch batch = new HeartbeatBatch(process, Collections.nCopies(reports, REPORT), heartbeat -> {
+            decided.add(heartbeat);
             return new HttpResponse(200, new byte[answerBytes], 0);
         });
         return batch.start();
--- a/src/test/java/io/sillreel/heartbeat/HeartbeatRelayTest.java
+++ b/src/test/java/io/sillreel/heartbeat/HeartbeatRelayTest.java
@@ -35,8 +35,8 @@
                 new HeartbeatRelay(time.new Process(), (address, request, timeout) -> answer(request), () -> workers);
         int soon = 0;
         for (int i = 0; i < 100; i++) {
-            Heartbeat report = new Heartbeat("host-%06d".formatted(i), "", "c4", "a", true, 1, i, 1, -1, List.of());
-            CompletableFuture<HttpResponse> reply = relay.pass(report, "leader:1");
+            Heartbeat heartbeat = new Heartbeat("host-%06d".formatted(i), "", "c4", "a", true, 1, i, 1, -1, List.of());
+            CompletableFuture<HttpResponse> reply = relay.pass(heartbeat, "leader:1");
             time.runFor(10_000);
             time.runFor(5_000);
             soon += reply.isDone() ? 1 : 0;
--- a/src/test/java/io/sillreel/placement/PlacementIndexTest.java
+++ b/src/test/java/io/sillreel/placement/PlacementIndexTest.java
@@ -70,7 +70,7 @@
     /** What a look at every machine gives: the order that the index has to keep. */
     private static List<String> bySorting(List<FreeCapacity> spaces, JobSpec spec) {
         List<FreeCapacity> fitting = new ArrayList<>(spaces);
-        fitting.removeIf(space -> space.room(spec) <= 0 || !Cluster.allows(spec, space.machine));
+        fitting.removeIf(space -> space.room(spec) <= 0 || !Cluster.isEligible(spec, space.machine));
         fitting.sort(Comparator.<FreeCapacity>comparingLong(space -> fetchStep(space, spec))
                 .thenComparingInt(space -> space.machine.spot() == spec.supportsCheckpoints() ? 0 : 1)
                 .thenComparingDouble(
--- a/src/test/java/io/sillreel/placement/PlannerTest.java
+++ b/src/test/java/io/sillreel/placement/PlannerTest.java
@@ -47,10 +47,17 @@
                 .put("count", 1);
         value.putArray("machines").add(name);
         Machine machine = new Machine(
-                name, TYPE, "a", spot, ScaleOutRequest.of("hire/" + name, value, 1), nowMicros, cluster.book());
+                name,
+                TYPE,
+                "a",
+                spot,
+                ScaleOutRequest.of("hire/" + name, value, 1),
+                nowMicros,
+                cluster.allocationIndex());
         cluster.add(machine);
-        machine.advance(new Heartbeat(name, name + ":1", "c4", "a", spot, 1, 1, 1, -1, List.of()), false, nowMicros);
-        machine.trust();
+        machine.acceptHeartbeat(
+                new Heartbeat(name, name + ":1", "c4", "a", spot, 1, 1, 1, -1, List.of()), false, nowMicros);
+        machine.markReconciled();
         return machine;
     }
 
@@ -87,7 +94,7 @@
         for (int i = 0; i < tasks; i++) {
             Allocation allocation = Allocation.launched(job, job.nextWaitingTask(), ++attempts, 0);
             machine.add(allocation);
-            allocation.seen(TaskStage.RUNNING, nowMicros);
+            allocation.updateStage(TaskStage.RUNNING, nowMicros);
         }
     }
 
@@ -107,11 +114,11 @@
         Plan plan = plan();
         Machine reporting = cluster.machine("host-000001");
         Allocation ended = reporting.allocations().iterator().next();
-        ended.seen(TaskStage.ENDED, nowMicros);
+        ended.updateStage(TaskStage.ENDED, nowMicros);
         ended.release();
-        long before = cluster.work();
+        long before = cluster.stepCount();
         assertThat(planner.fill(plan, reporting, nowMicros, nowMicros)).hasSize(1);
-        return cluster.work() - before;
+        return cluster.stepCount() - before;
     }
 
     /** Guards against planning for the whole fleet whenever a machine reports. */
@@ -131,7 +138,7 @@
             job("free", PriorityClass.values()[i % 4], 8, 1, 0, i % 2 == 0);
         }
         assertThat(plan().left()).isEmpty();
-        return cluster.work() - machines;
+        return cluster.stepCount() - machines;
     }
 
     /** Guards a leader of thousands: a look at every idle machine for every job was a plan of seconds. */
@@ -167,7 +174,7 @@
         ActiveJob high = job("s", PriorityClass.HIGH, 4, 1, 0, false);
         assertThat(plan().halts()).hasSize(4);
         List.copyOf(one.allocations()).forEach(allocation -> {
-            allocation.seen(TaskStage.ENDED, nowMicros);
+            allocation.updateStage(TaskStage.ENDED, nowMicros);
             allocation.release();
         });
         assertThat(plan().launches().get("host-000001")).containsExactly(new Assignment(high, 4));
@@ -192,12 +199,12 @@
         run(small, one, 4);
         Plan plan = plan();
         Allocation ended = one.allocations().iterator().next();
-        ended.seen(TaskStage.ENDED, nowMicros);
+        ended.updateStage(TaskStage.ENDED, nowMicros);
         ended.release();
         assertThat(planner.fill(plan, one, nowMicros, nowMicros)).isEmpty();
         assertThat(plan().launches()).isEmpty();
         List.copyOf(one.allocations()).forEach(allocation -> {
-            allocation.seen(TaskStage.ENDED, nowMicros);
+            allocation.updateStage(TaskStage.ENDED, nowMicros);
             allocation.release();
         });
         assertThat(planner.fill(plan, one, nowMicros, nowMicros)).containsExactly(new Assignment(large, 1));
@@ -211,7 +218,8 @@
         assertThat(plan().launches().get("host-000001")).containsExactly(new Assignment(high, 1));
         nowMicros += 61 * SECOND;
         cluster.machine("host-000001")
-                .advance(new Heartbeat("host-000001", "", "c4", "a", true, 1, 2, 1, -1, List.of()), false, nowMicros);
+                .acceptHeartbeat(
+                        new Heartbeat("host-000001", "", "c4", "a", true, 1, 2, 1, -1, List.of()), false, nowMicros);
         assertThat(plan().launches().get("host-000001")).containsExactly(new Assignment(low, 1));
     }
 
--- a/src/test/java/io/sillreel/sim/SimCloud.java
+++ b/src/test/java/io/sillreel/sim/SimCloud.java
@@ -107,12 +107,12 @@
         return HttpResponse.of(200, answer);
     }
 
-    private String boot(String build, String zone, boolean spot) {
+    private String boot(String machineType, String zone, boolean spot) {
         String name = "host-%06d".formatted(created++);
-        booting.put(name, build);
+        booting.put(name, machineType);
         world.time().after(bootMicros, () -> {
             if (booting.remove(name) != null) {
-                machines.put(name, new SimWorker(world, name, build, zone, spot, created % world.nodes()));
+                machines.put(name, new SimWorker(world, name, machineType, zone, spot, created % world.nodes()));
             }
         });
         return name;
--- a/src/test/java/io/sillreel/sim/SimWorker.java
+++ b/src/test/java/io/sillreel/sim/SimWorker.java
@@ -38,14 +38,14 @@
 
     private final SimCluster world;
     private final String name;
-    private final String build;
+    private final String machineType;
     private final String zone;
     private final boolean spot;
     private final SimTime.Process process;
     private final HttpClient httpClient;
     private final Map<String, Task> tasks = new LinkedHashMap<>();
     private int node;
-    private long session = 1;
+    private long epoch = 1;
     private long sequence;
     private long token;
     private long leaseFromMicros;
@@ -56,10 +56,10 @@
     private long runMicros = 3_000_000;
     private long recallAtMicros = -1;
 
-    SimWorker(SimCluster world, String name, String build, String zone, boolean spot, int firstNode) {
+    SimWorker(SimCluster world, String name, String machineType, String zone, boolean spot, int firstNode) {
         this.world = world;
         this.name = name;
-        this.build = build;
+        this.machineType = machineType;
         this.zone = zone;
         this.spot = spot;
         this.node = firstNode;
@@ -76,7 +76,7 @@
     }
 
     String build() {
-        return build;
+        return machineType;
     }
 
     public String zone() {
@@ -115,7 +115,7 @@
         life++;
         inFlight = false;
         tasks.clear();
-        session = 1;
+        epoch = 1;
         sequence = 0;
         token = 0;
         leaseFromMicros = world.time().nowMicros();
@@ -167,7 +167,7 @@
     private void endLease() {
         if (leaseIsOver()) {
             tasks.clear();
-            session++;
+            epoch++;
             leaseFromMicros = world.time().nowMicros();
             changed();
         }
@@ -207,7 +207,7 @@
         inFlight = true;
         lastReportMicros = now;
         sequence++;
-        long sentSession = session;
+        long sentSession = epoch;
         int sentLife = life;
         HttpRequest request = HttpRequest.post("/agent/beat", body());
         httpClient.send(world.publicAddress(node), request, ANSWER_MICROS).thenAccept(response -> {
@@ -236,7 +236,7 @@
         }
         process.schedule(world.settings().workers().heartbeatIntervalMicros(), this::report);
         JsonNode body = response.json();
-        if (body.path("baton").asLong() < token || sentSession != session) {
+        if (body.path("baton").asLong() < token || sentSession != epoch) {
             return;
         }
         leaseFromMicros = sentMicros;
@@ -249,7 +249,7 @@
         int status = 200;
         if (request.route().equals("/do")) {
             JsonNode body = Json.parse(request.body());
-            if (body.path("baton").asLong() < token || body.path("shift").asLong() != session) {
+            if (body.path("baton").asLong() < token || body.path("shift").asLong() != epoch) {
                 status = 409;
             } else {
                 obey(body);
@@ -296,10 +296,10 @@
         ObjectNode body = Json.object()
                 .put("hopper", name)
                 .put("addr", address())
-                .put("build", build)
+                .put("build", machineType)
                 .put("yard", zone)
                 .put("loaners", spot)
-                .put("shift", session)
+                .put("shift", epoch)
                 .put("tally", sequence)
                 .put("baton", token);
         if (recallAtMicros >= 0) {
