--- a/src/main/java/io/sillreel/admission/SubmissionDecoder.java
+++ b/src/main/java/io/sillreel/admission/SubmissionDecoder.java
@@ -101,7 +101,7 @@
                 .anyMatch(type -> spec.allowsMachineType(type.name())
                         && (spec.zone() == null || type.zones().contains(spec.zone()))
                         && spec.cpus() <= type.cpus()
-                        && spec.gpus() <= type.cards()
+                        && spec.gpus() <= type.gpus()
                         && spec.ramGb() <= type.ramGb());
         return fits ? Optional.empty() : Optional.of("a task fits no allowed machine type");
     }
--- a/src/main/java/io/sillreel/cloud/CloudClient.java
+++ b/src/main/java/io/sillreel/cloud/CloudClient.java
@@ -26,7 +26,7 @@
 
     /** A machine as the cloud lists it. */
     public record Listed(
-            String name, String address, String build, String zone, boolean spot, String stage, long ageMicros) {}
+            String name, String address, String machineType, String zone, boolean spot, String stage, long ageMicros) {}
 
     /** The machine types as the cloud lists them. */
     public record MachineTypeList(Outcome outcome, JsonNode body) {}
@@ -74,7 +74,8 @@
     }
 
     /** Rents up to {@code count} machines under a request name that is never used for anything else. */
-    public CompletableFuture<Rented> rent(String request, String machineType, String zone, boolean spot, int count) {
+    public CompletableFuture<Rented> rentMachines(
+            String request, String machineType, String zone, boolean spot, int count) {
         ObjectNode body = Json.object()
                 .put("hire", request)
                 .put("build", machineType)
@@ -91,7 +92,7 @@
     }
 
     /** When OK comes back the machines, and all that was on them, are gone. */
-    public CompletableFuture<Outcome> giveBack(Collection<String> machines) {
+    public CompletableFuture<Outcome> returnMachines(Collection<String> machines) {
         ArrayNode names = Json.array();
         machines.stream().limit(MAX_RETURNED).forEach(names::add);
         ObjectNode body = Json.object();
--- a/src/main/java/io/sillreel/cloud/MachineType.java
+++ b/src/main/java/io/sillreel/cloud/MachineType.java
@@ -10,7 +10,7 @@
 public record MachineType(
         String name,
         double cpus,
-        double cards,
+        double gpus,
         double ramGb,
         double cacheGb,
         double pullGbPerSecond,
@@ -20,7 +20,7 @@
         List<String> zones) {
 
     /** Reads the cloud's answer, which is also the form in which it is kept in the state service. */
-    public static Map<String, MachineType> read(JsonNode machineTypes) {
+    public static Map<String, MachineType> readAll(JsonNode machineTypes) {
         Map<String, MachineType> types = new LinkedHashMap<>();
         for (JsonNode node : machineTypes.path("builds")) {
             List<String> zones = new ArrayList<>();
--- a/src/main/java/io/sillreel/cloud/MachineTypeCatalog.java
+++ b/src/main/java/io/sillreel/cloud/MachineTypeCatalog.java
@@ -55,7 +55,7 @@
     private void ask(long revision, boolean storable) {
         cloud.machineTypes().thenAccept(answer -> {
             if (answer.outcome() != CloudClient.Outcome.OK
-                    || MachineType.read(answer.body()).isEmpty()) {
+                    || MachineType.readAll(answer.body()).isEmpty()) {
                 return;
             }
             learn(answer.body());
@@ -75,7 +75,7 @@
     }
 
     private void learn(JsonNode machineTypes) {
-        Map<String, MachineType> read = MachineType.read(machineTypes);
+        Map<String, MachineType> read = MachineType.readAll(machineTypes);
         if (types.isEmpty() && !read.isEmpty()) {
             LOG.info("machine types: {}", String.join(", ", read.keySet()));
         }
--- a/src/main/java/io/sillreel/cluster/Machine.java
+++ b/src/main/java/io/sillreel/cluster/Machine.java
@@ -326,7 +326,7 @@
     }
 
     public double freeGpus() {
-        return type.cards() - usage.gpus();
+        return type.gpus() - usage.gpus();
     }
 
     /** Live tasks that have a place here. */
@@ -346,7 +346,7 @@
 
     /** True if a task of the job fits into an empty machine of the type. */
     public static boolean fitsEmptyMachine(JobSpec spec, MachineType type) {
-        return fittingTasks(spec, type.cpus(), type.ramGb(), type.cards()) > 0;
+        return fittingTasks(spec, type.cpus(), type.ramGb(), type.gpus()) > 0;
     }
 
     /** Returns how many tasks of the job fit into the free resources. */
--- a/src/main/java/io/sillreel/cluster/UnreconciledMachines.java
+++ b/src/main/java/io/sillreel/cluster/UnreconciledMachines.java
@@ -78,7 +78,7 @@
     double gpus() {
         double gpus = 0;
         for (Map.Entry<Kind, Integer> kind : kinds.entrySet()) {
-            gpus += kind.getValue() * kind.getKey().type().cards();
+            gpus += kind.getValue() * kind.getKey().type().gpus();
         }
         return gpus;
     }
--- a/src/main/java/io/sillreel/fleet/CloudListReconciler.java
+++ b/src/main/java/io/sillreel/fleet/CloudListReconciler.java
@@ -112,16 +112,16 @@
     }
 
     private void stranger(Listed entry, long asked) {
-        if (registry.isGone(entry.name())) {
+        if (registry.wasReturned(entry.name())) {
             return;
         }
         // It may be the answer to a call still under way, so a second look decides.
         Long first = strangers.putIfAbsent(entry.name(), asked);
-        boolean pending = registry.rentals().stream().anyMatch(scaleOutRequest -> !scaleOutRequest.answered());
+        boolean pending = registry.scaleOutRequests().stream().anyMatch(scaleOutRequest -> !scaleOutRequest.answered());
         if (first == null || pending && asked - first < PENDING_RENTAL_MICROS) {
             return;
         }
-        Machine machine = registry.adopt(entry.name(), entry.build(), entry.zone(), entry.spot());
+        Machine machine = registry.adopt(entry.name(), entry.machineType(), entry.zone(), entry.spot());
         if (machine != null) {
             machine.address(entry.address());
             machine.recordListed(asked);
--- a/src/main/java/io/sillreel/fleet/FleetManager.java
+++ b/src/main/java/io/sillreel/fleet/FleetManager.java
@@ -36,7 +36,7 @@
     private final ScaleInPolicy retirement;
     private final CloudListReconciler reconciler;
     private final ScaleOut requester;
-    private final Set<ScaleOutRequest> wentDown = new LinkedHashSet<>();
+    private final Set<ScaleOutRequest> machineDown = new LinkedHashSet<>();
     private boolean returning;
 
     /**
@@ -87,20 +87,20 @@
     }
 
     public boolean isGone(String machine) {
-        return registry.isGone(machine);
+        return registry.wasReturned(machine);
     }
 
     /** A machine has reported: it is stored as up before it may be given tasks. */
-    public void cameUp(Machine machine) {
+    public void machineUp(Machine machine) {
         if (machine.scaleOutRequest().markUp(machine.name())) {
             writeQueue.enqueue(machine.scaleOutRequest());
         }
     }
 
     /** A machine was silent for longer than anything could live on it: stored soon, with others of its rental. */
-    public void wentDown(Machine machine) {
+    public void machineDown(Machine machine) {
         if (machine.scaleOutRequest().markDown(machine.name())) {
-            wentDown.add(machine.scaleOutRequest());
+            machineDown.add(machine.scaleOutRequest());
         }
     }
 
@@ -110,23 +110,23 @@
     }
 
     /** Rents, lists and returns machines as needed; called about once a second. */
-    public void tick() {
+    public void runCycle() {
         long now = eventLoop.nowMicros();
         synchronized (cluster) {
-            retirement.retire(now);
-            wentDown.stream()
+            retirement.drainSurplus(now);
+            machineDown.stream()
                     .filter(scaleOutRequest -> !scaleOutRequest.isDiscarded())
                     .forEach(writeQueue::enqueue);
-            wentDown.clear();
+            machineDown.clear();
         }
         reconciler.tick(now);
-        giveBack();
-        requester.askAgain(now);
-        requester.rent(now);
+        returnMachines();
+        requester.retryUnanswered(now);
+        requester.requestMachines(now);
     }
 
     /** Returns machines that are leaving and empty, or silent for longer than their tasks can live. */
-    private void giveBack() {
+    private void returnMachines() {
         List<Machine> empty = new ArrayList<>();
         synchronized (cluster) {
             for (Machine machine : cluster.machines()) {
@@ -145,7 +145,7 @@
         returning = true;
         List<String> machines = empty.stream().map(Machine::name).toList();
         empty.forEach(Machine::markReturning);
-        cloud.giveBack(machines).thenAccept(outcome -> {
+        cloud.returnMachines(machines).thenAccept(outcome -> {
             returning = false;
             if (outcome == Outcome.OK) {
                 synchronized (cluster) {
--- a/src/main/java/io/sillreel/fleet/FleetRegistry.java
+++ b/src/main/java/io/sillreel/fleet/FleetRegistry.java
@@ -31,7 +31,7 @@
     private final ValueLimits limits;
     private final Supplier<Map<String, MachineType>> types;
     private final Consumer<Machine> clear;
-    private final Map<String, ScaleOutRequest> rentals = new LinkedHashMap<>();
+    private final Map<String, ScaleOutRequest> scaleOutRequests = new LinkedHashMap<>();
     /** Machines that were given back, the earliest first, and when. */
     private final Map<String, Long> goneMicros = new LinkedHashMap<>();
 
@@ -55,8 +55,8 @@
         this.clear = clear;
     }
 
-    Collection<ScaleOutRequest> rentals() {
-        return rentals.values();
+    Collection<ScaleOutRequest> scaleOutRequests() {
+        return scaleOutRequests.values();
     }
 
     /** How many machines one stored rental may name. */
@@ -64,7 +64,7 @@
         return ScaleOutRequest.maxMachines(limits.announcedBytes());
     }
 
-    boolean isGone(String machine) {
+    boolean wasReturned(String machine) {
         return goneMicros.containsKey(machine);
     }
 
@@ -74,13 +74,13 @@
     }
 
     void add(ScaleOutRequest scaleOutRequest) {
-        rentals.put(scaleOutRequest.name(), scaleOutRequest);
+        scaleOutRequests.put(scaleOutRequest.name(), scaleOutRequest);
     }
 
     /** The cloud rents nothing under this name. */
-    void forget(ScaleOutRequest scaleOutRequest) {
+    void discard(ScaleOutRequest scaleOutRequest) {
         scaleOutRequest.discard();
-        rentals.remove(scaleOutRequest.name());
+        scaleOutRequests.remove(scaleOutRequest.name());
     }
 
     /** Takes over a stored rental; its machines may run tasks of an earlier leader until the bound. */
@@ -118,13 +118,13 @@
         scaleOutRequest.answered(List.of(name));
         add(scaleOutRequest);
         LOG.info("machine {} ({}, {}) was not expected, it is taken into the fleet", name, machineType, zone);
-        Machine machine = enter(name, scaleOutRequest, eventLoop.nowMicros());
+        Machine machine = addMachine(name, scaleOutRequest, eventLoop.nowMicros());
         writeQueue.enqueue(scaleOutRequest);
         return machine;
     }
 
     /** A machine of a rental joins the fleet, unless it has done so already. */
-    Machine enter(String name, ScaleOutRequest scaleOutRequest, long rentedMicros) {
+    Machine addMachine(String name, ScaleOutRequest scaleOutRequest, long rentedMicros) {
         MachineType type = types.get().get(scaleOutRequest.machineType());
         if (type == null || cluster.machine(name) != null) {
             return cluster.machine(name);
@@ -161,7 +161,7 @@
         forgetGone();
         machine.scaleOutRequest().removeMachine(machine.name());
         if (machine.scaleOutRequest().isDiscarded()) {
-            rentals.remove(machine.scaleOutRequest().name());
+            scaleOutRequests.remove(machine.scaleOutRequest().name());
         }
         writeQueue.enqueue(machine.scaleOutRequest());
     }
--- a/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
@@ -60,7 +60,7 @@
     }
 
     /** Decides which machines are to go. */
-    void retire(long now) {
+    void drainSurplus(long now) {
         for (Machine machine : cluster.machines()) {
             long sinceReport = now - Math.max(machine.lastHeartbeatMicros(), machine.requestedMicros());
             if (machine.state() == Machine.State.PROVISIONING) {
--- a/src/main/java/io/sillreel/fleet/ScaleOut.java
+++ b/src/main/java/io/sillreel/fleet/ScaleOut.java
@@ -65,7 +65,7 @@
     }
 
     /** Asks for what the capacity planner wants, unless more urgent writes wait. */
-    void rent(long now) {
+    void requestMachines(long now) {
         // A rental is stored before the cloud is asked, so it waits while as urgent writes are behind.
         if (!mayAct.getAsBoolean() || writeQueue.urgentCount() > txnOps) {
             return;
@@ -77,24 +77,24 @@
             if (open.count() >= MAX_OPEN_RENTALS) {
                 return;
             }
-            rentalRequests = capacity.rentalRequests(
+            rentalRequests = capacity.scaleOutProposals(
                     types.get().values(), open.cpus(), open.ordinaryCpus(), now, eventLoop.wallMicros());
-            room = rentalRequests.isEmpty() ? 0 : room(open, now);
+            room = rentalRequests.isEmpty() ? 0 : machineHeadroom(open, now);
         }
         for (ScaleOutProposal rentalRequest : rentalRequests) {
             int count = Math.min(room, Math.min(rentalRequest.count(), registry.maxMachinesOfARental()));
             if (count > 0) {
                 room -= count;
-                store(rentalRequest, count);
+                storeRequest(rentalRequest, count);
             }
         }
     }
 
-    private void store(ScaleOutProposal request, int count) {
+    private void storeRequest(ScaleOutProposal request, int count) {
         ScaleOutRequest scaleOutRequest =
                 new ScaleOutRequest(registry.newName(), request.type().name(), request.zone(), request.spot(), count);
         registry.add(scaleOutRequest);
-        scaleOutRequest.onStored(() -> ask(scaleOutRequest));
+        scaleOutRequest.onStored(() -> sendRequest(scaleOutRequest));
         writeQueue.enqueue(scaleOutRequest);
     }
 
@@ -106,7 +106,7 @@
         int machines = 0;
         long cpus = 0;
         long ordinaryCpus = 0;
-        for (ScaleOutRequest scaleOutRequest : registry.rentals()) {
+        for (ScaleOutRequest scaleOutRequest : registry.scaleOutRequests()) {
             if (!scaleOutRequest.answered()) {
                 MachineType type = types.get().get(scaleOutRequest.machineType());
                 long each = type == null ? 0 : Math.round(type.cpus() * scaleOutRequest.machineCount());
@@ -120,7 +120,7 @@
     }
 
     /** How many more machines the controllers can carry; said once a minute while that is none. */
-    private int room(OpenRentals open, long now) {
+    private int machineHeadroom(OpenRentals open, long now) {
         int machines = cluster.machines().size();
         long tasks = 0;
         for (Machine machine : cluster.machines()) {
@@ -139,23 +139,23 @@
     }
 
     /** Asks once more for what got no answer. */
-    void askAgain(long now) {
-        for (ScaleOutRequest scaleOutRequest : List.copyOf(registry.rentals())) {
+    void retryUnanswered(long now) {
+        for (ScaleOutRequest scaleOutRequest : List.copyOf(registry.scaleOutRequests())) {
             if (!scaleOutRequest.answered()
                     && !scaleOutRequest.isDiscarded()
                     && scaleOutRequest.revision() > 0
                     && now - scaleOutRequest.askedMicros() > RENTAL_RETRY_MICROS + CloudClient.TIMEOUT_MICROS) {
-                ask(scaleOutRequest);
+                sendRequest(scaleOutRequest);
             }
         }
     }
 
-    private void ask(ScaleOutRequest scaleOutRequest) {
+    private void sendRequest(ScaleOutRequest scaleOutRequest) {
         if (!mayAct.getAsBoolean() || scaleOutRequest.answered() || scaleOutRequest.isDiscarded()) {
             return;
         }
         scaleOutRequest.askedMicros(eventLoop.nowMicros());
-        cloud.rent(
+        cloud.rentMachines(
                         scaleOutRequest.name(),
                         scaleOutRequest.machineType(),
                         scaleOutRequest.zone(),
@@ -163,12 +163,12 @@
                         scaleOutRequest.machineCount())
                 .thenAccept(rented -> {
                     synchronized (cluster) {
-                        rented(scaleOutRequest, rented);
+                        handleResult(scaleOutRequest, rented);
                     }
                 });
     }
 
-    private void rented(ScaleOutRequest scaleOutRequest, CloudClient.Rented rented) {
+    private void handleResult(ScaleOutRequest scaleOutRequest, CloudClient.Rented rented) {
         long now = eventLoop.nowMicros();
         if (scaleOutRequest.answered() || scaleOutRequest.isDiscarded()) {
             // Asked twice, since an answer seemed lost: the first one counts, and what it brought may be at work.
@@ -185,29 +185,29 @@
                         scaleOutRequest.spot() ? ", spot" : "",
                         scaleOutRequest.name());
                 List<String> fresh = rented.machines().stream()
-                        .filter(name -> cluster.machine(name) == null && !registry.isGone(name))
+                        .filter(name -> cluster.machine(name) == null && !registry.wasReturned(name))
                         .toList();
                 scaleOutRequest.answered(fresh);
-                fresh.forEach(name -> registry.enter(name, scaleOutRequest, now));
+                fresh.forEach(name -> registry.addMachine(name, scaleOutRequest, now));
                 if (rented.machines().size() < scaleOutRequest.machineCount()) {
-                    capacity.full(
+                    capacity.markUnavailable(
                             scaleOutRequest.machineType(),
                             scaleOutRequest.zone(),
                             scaleOutRequest.spot(),
                             now + FULL_PAUSE_MICROS);
                 }
                 if (fresh.isEmpty()) {
-                    registry.forget(scaleOutRequest);
+                    registry.discard(scaleOutRequest);
                 }
                 writeQueue.enqueue(scaleOutRequest);
             }
             case NO_CAPACITY -> {
-                capacity.full(
+                capacity.markUnavailable(
                         scaleOutRequest.machineType(),
                         scaleOutRequest.zone(),
                         scaleOutRequest.spot(),
                         now + FULL_PAUSE_MICROS);
-                registry.forget(scaleOutRequest);
+                registry.discard(scaleOutRequest);
                 writeQueue.enqueue(scaleOutRequest);
             }
             case REFUSED -> {
@@ -215,12 +215,12 @@
                     scaleOutRequest.askedMicros(now - CloudClient.TIMEOUT_MICROS);
                 } else {
                     // Surely rented nothing; the request is formed anew when the cloud answers again.
-                    capacity.full(
+                    capacity.markUnavailable(
                             scaleOutRequest.machineType(),
                             scaleOutRequest.zone(),
                             scaleOutRequest.spot(),
                             now + RENTAL_RETRY_MICROS);
-                    registry.forget(scaleOutRequest);
+                    registry.discard(scaleOutRequest);
                     writeQueue.enqueue(scaleOutRequest);
                 }
             }
--- a/src/main/java/io/sillreel/fleet/SpotInterruptionDrain.java
+++ b/src/main/java/io/sillreel/fleet/SpotInterruptionDrain.java
@@ -18,11 +18,11 @@
     private static final long SAVE_MARGIN_MICROS = 1_000_000;
 
     private final Cluster cluster;
-    private final RuntimeEstimator estimates;
+    private final RuntimeEstimator runtimeEstimator;
 
-    public SpotInterruptionDrain(Cluster cluster, RuntimeEstimator estimates) {
+    public SpotInterruptionDrain(Cluster cluster, RuntimeEstimator runtimeEstimator) {
         this.cluster = cluster;
-        this.estimates = estimates;
+        this.runtimeEstimator = runtimeEstimator;
     }
 
     /**
@@ -30,7 +30,7 @@
      * yet end by themselves; those that surely won't lose nothing by being stopped at once, and start elsewhere so much
      * sooner.
      */
-    public Set<Machine> drain(long now) {
+    public Set<Machine> stopInterruptedTasks(long now) {
         Set<Machine> touched = new LinkedHashSet<>();
         for (Machine machine : cluster.machines()) {
             if (!machine.isInterrupted()) {
@@ -59,6 +59,6 @@
 
     private long remainingMicros(Allocation allocation, long now) {
         long ran = allocation.runningSinceMicros() < 0 ? 0 : now - allocation.runningSinceMicros();
-        return estimates.expectedMicros(allocation.job()) - ran;
+        return runtimeEstimator.expectedMicros(allocation.job()) - ran;
     }
 }
--- a/src/main/java/io/sillreel/fleet/StragglerDetector.java
+++ b/src/main/java/io/sillreel/fleet/StragglerDetector.java
@@ -15,15 +15,15 @@
     private static final Logger LOG = LoggerFactory.getLogger(StragglerDetector.class);
 
     private final Cluster cluster;
-    private final RuntimeEstimator estimates;
+    private final RuntimeEstimator runtimeEstimator;
 
-    public StragglerDetector(Cluster cluster, RuntimeEstimator estimates) {
+    public StragglerDetector(Cluster cluster, RuntimeEstimator runtimeEstimator) {
         this.cluster = cluster;
-        this.estimates = estimates;
+        this.runtimeEstimator = runtimeEstimator;
     }
 
     /** Empties machines whose tasks, of several jobs, take a multiple of what such tasks take elsewhere. */
-    public void drain(long now) {
+    public void drainStragglers(long now) {
         for (Machine machine : cluster.machines()) {
             int late = 0;
             Set<String> lateJobs = new HashSet<>();
@@ -33,7 +33,7 @@
                         && allocation.runningSinceMicros() >= 0
                         && now - allocation.runningSinceMicros()
                                 > MachineHealth.SLOW_RATIO
-                                        * estimates.expectedMicros(
+                                        * runtimeEstimator.expectedMicros(
                                                 allocation.job().spec())) {
                     late++;
                     lateJobs.add(allocation.uid());
--- a/src/main/java/io/sillreel/heartbeat/CommandWriter.java
+++ b/src/main/java/io/sillreel/heartbeat/CommandWriter.java
@@ -64,14 +64,14 @@
      */
     void launch(Machine machine, Heartbeat heartbeat, AgentCommands commands, long now) {
         List<Assignment> planned = plan.launches().remove(machine.name());
-        if (!planner.usable(machine, now)) {
+        if (!planner.acceptsLaunches(machine, now)) {
             return;
         }
         if (planned != null) {
             launch(machine, planned, heartbeat, commands, now);
         }
         if (machine.freeCpus() > 0) {
-            List<Assignment> left = planner.fill(plan, machine, now, eventLoop.wallMicros());
+            List<Assignment> left = planner.planMachine(plan, machine, now, eventLoop.wallMicros());
             if (!left.isEmpty()) {
                 launch(machine, left, heartbeat, commands, now);
             }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
@@ -67,7 +67,7 @@
             WorkerTimes times,
             FleetThresholds thresholds,
             RetrySchedule retries,
-            RuntimeEstimator estimates,
+            RuntimeEstimator runtimeEstimator,
             Planner planner,
             Callbacks callbacks,
             BooleanSupplier mayAct) {
@@ -79,7 +79,8 @@
         this.callbacks = callbacks;
         this.mayAct = mayAct;
         this.nothing = new AgentCommands().toResponse(term);
-        this.reconciler = new TaskReconciler(eventLoop, cluster, writeQueue, retries, estimates, callbacks::progressed);
+        this.reconciler =
+                new TaskReconciler(eventLoop, cluster, writeQueue, retries, runtimeEstimator, callbacks::progressed);
         this.attemptIds = new AttemptIds(term);
         this.commandWriter = new CommandWriter(eventLoop, attemptIds, cluster, planner);
     }
--- a/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
+++ b/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
@@ -24,7 +24,7 @@
     private final Cluster cluster;
     private final WriteQueue writeQueue;
     private final RetrySchedule retries;
-    private final RuntimeEstimator estimates;
+    private final RuntimeEstimator runtimeEstimator;
     private final Runnable progressed;
 
     /** @param progressed called when there may be something new to plan */
@@ -33,13 +33,13 @@
             Cluster cluster,
             WriteQueue writeQueue,
             RetrySchedule retries,
-            RuntimeEstimator estimates,
+            RuntimeEstimator runtimeEstimator,
             Runnable progressed) {
         this.eventLoop = eventLoop;
         this.cluster = cluster;
         this.writeQueue = writeQueue;
         this.retries = retries;
-        this.estimates = estimates;
+        this.runtimeEstimator = runtimeEstimator;
         this.progressed = progressed;
     }
 
@@ -127,8 +127,9 @@
             case "done" -> {
                 if (allocation.runningSinceMicros() >= 0) {
                     long ran = now - allocation.runningSinceMicros();
-                    machine.health().recordRuntimeRatio((double) ran / estimates.expectedMicros(job.spec()), job.uid());
-                    estimates.measured(job, ran);
+                    machine.health()
+                            .recordRuntimeRatio((double) ran / runtimeEstimator.expectedMicros(job.spec()), job.uid());
+                    runtimeEstimator.recordRuntime(job, ran);
                 }
                 machine.health().clearSuspicion(job.uid());
                 judge(job);
--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -77,7 +77,7 @@
             Cluster cluster,
             WriteQueue writeQueue,
             CapacityPlanner capacity,
-            RuntimeEstimator estimates,
+            RuntimeEstimator runtimeEstimator,
             ValueLimits limits,
             Runnable changed,
             Consumer<ActiveJob> onCancelled,
@@ -91,7 +91,7 @@
         this.changed = changed;
         this.onCancelled = onCancelled;
         this.missedChanges = missedChanges;
-        this.inheritance = new PriorityInheritance(dependencies, estimates);
+        this.inheritance = new PriorityInheritance(dependencies, runtimeEstimator);
     }
 
     /**
@@ -102,12 +102,12 @@
     void begin(StoredState state, long askedMicros) {
         cancellationProofMicros = askedMicros;
         cancelledUids = state.cancelled();
-        state.recentlyDone().forEach(plan -> capacity.arrived(plan.spec(), plan.admittedWallMicros()));
+        state.recentlyDone().forEach(plan -> capacity.recordArrival(plan.spec(), plan.admittedWallMicros()));
         enqueueWrites(state.leftovers());
         List<ActiveJob> unfinished = new ArrayList<>();
         state.unfinished().forEach(stored -> unfinished.add(inherit(stored)));
         dependencies.restore(unfinished, state.done()::contains, uid -> cancelledUids.contains(uid));
-        unfinished.forEach(inheritance::joined);
+        unfinished.forEach(inheritance::jobAdded);
     }
 
     /** Follows from then on what becomes of plans and cancellations. */
@@ -151,7 +151,7 @@
             job.cancel();
         }
         if (!job.hasUnmetDependencies()) {
-            capacity.arrived(job.spec(), job.readyWallMicros());
+            capacity.recordArrival(job.spec(), job.readyWallMicros());
         }
         cluster.add(job);
         changed.run();
@@ -172,7 +172,7 @@
                     ActiveJob job = create(complete.get(), revision);
                     add(job);
                     dependencies.add(job, cancelledUids::contains);
-                    inheritance.joined(job);
+                    inheritance.jobAdded(job);
                 }
             }
         });
@@ -185,7 +185,7 @@
         }
         if (job.hasUnmetDependencies()) {
             job.markReady(eventLoop.wallMicros());
-            capacity.arrived(job.spec(), job.readyWallMicros());
+            capacity.recordArrival(job.spec(), job.readyWallMicros());
         }
         if (!job.isReleased()) {
             writeQueue.enqueue(job);
@@ -310,7 +310,7 @@
                 job.cancel();
                 changed.run();
                 onCancelled.accept(job);
-                inheritance.left(List.of(job));
+                inheritance.jobsRemoved(List.of(job));
             }
         }
     }
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -57,7 +57,7 @@
     private final Supplier<Map<String, MachineType>> types;
     private final Cluster cluster;
     private final WriteQueue writeQueue;
-    private final RuntimeEstimator estimates = new RuntimeEstimator();
+    private final RuntimeEstimator runtimeEstimator = new RuntimeEstimator();
     private final CapacityPlanner capacity;
     private final HeartbeatProcessor reportProcessor;
     private final FleetManager fleet;
@@ -65,7 +65,7 @@
     private final LeaderStatus status;
     private final LeaderReachability reachability;
     private final SchedulingCycle planning;
-    private final StragglerDetector slowMachines;
+    private final StragglerDetector stragglerDetector;
 
     private boolean loaded;
     private boolean closed;
@@ -100,23 +100,23 @@
                 leaderRevision,
                 settings.state().maxTransactionChanges(),
                 () -> leadership.resign("the leader key has changed"));
-        ServiceLevelObjectives deadlines = new ServiceLevelObjectives(settings.objectives(), estimates);
-        Planner planner = new Planner(cluster, settings.workers().heartbeatIntervalMicros(), deadlines);
-        this.capacity = new CapacityPlanner(cluster, deadlines, estimates);
+        ServiceLevelObjectives objectives = new ServiceLevelObjectives(settings.objectives(), runtimeEstimator);
+        Planner planner = new Planner(cluster, settings.workers().heartbeatIntervalMicros(), objectives);
+        this.capacity = new CapacityPlanner(cluster, objectives, runtimeEstimator);
         this.jobs = new LeaderJobs(
                 eventLoop,
                 store,
                 cluster,
                 writeQueue,
                 capacity,
-                estimates,
+                runtimeEstimator,
                 settings.state().values(),
                 this::progressed,
                 this::haltTasks,
                 prefix -> leadership.resign("the changes under " + prefix + " were missed"));
         this.status = new LeaderStatus(eventLoop, term, cluster, capacity, writeQueue);
         this.reportProcessor = newReportProcessor(operator, planner);
-        this.slowMachines = new StragglerDetector(cluster, estimates);
+        this.stragglerDetector = new StragglerDetector(cluster, runtimeEstimator);
         this.reachability = new LeaderReachability(eventLoop, settings, leadership, peers, cluster);
         this.planning = new SchedulingCycle(
                 eventLoop,
@@ -125,7 +125,7 @@
                 httpClient,
                 planner,
                 reportProcessor,
-                new SpotInterruptionDrain(cluster, estimates),
+                new SpotInterruptionDrain(cluster, runtimeEstimator),
                 this::mayAct);
         this.fleet = newFleet(cloud, operator, fleetCapacity);
     }
@@ -139,7 +139,7 @@
                 settings.workers(),
                 FleetThresholds.of(settings),
                 retries(operator),
-                estimates,
+                runtimeEstimator,
                 planner,
                 this,
                 this::mayAct);
@@ -221,7 +221,7 @@
             return;
         }
         long asked = eventLoop.nowMicros();
-        LongPredicate countsAsDemand = admitted -> DemandEstimator.remembers(admitted, eventLoop.wallMicros());
+        LongPredicate countsAsDemand = admitted -> DemandEstimator.isWithinWindow(admitted, eventLoop.wallMicros());
         new StoredStateReader(store, settings.state().values().presentBytes(), countsAsDemand, () -> !closed)
                 .read()
                 .thenAccept(state -> {
@@ -302,12 +302,12 @@
 
     @Override
     public void cameUp(Machine machine) {
-        fleet.cameUp(machine);
+        fleet.machineUp(machine);
     }
 
     @Override
     public void wentDown(Machine machine) {
-        fleet.wentDown(machine);
+        fleet.machineDown(machine);
     }
 
     @Override
@@ -344,9 +344,9 @@
         if (mayAct() && now - fleetMicros > FLEET_MICROS) {
             fleetMicros = now;
             synchronized (cluster) {
-                slowMachines.drain(now);
+                stragglerDetector.drainStragglers(now);
             }
-            fleet.tick();
+            fleet.runCycle();
             jobs.forgetCancelled();
             status.tell();
         }
--- a/src/main/java/io/sillreel/leadership/SchedulingCycle.java
+++ b/src/main/java/io/sillreel/leadership/SchedulingCycle.java
@@ -36,7 +36,7 @@
     private final HttpClient httpClient;
     private final Planner planner;
     private final HeartbeatProcessor reportProcessor;
-    private final SpotInterruptionDrain recallDrain;
+    private final SpotInterruptionDrain interruptionDrain;
     private final BooleanSupplier mayAct;
     private final Set<Machine> haltsDue = new LinkedHashSet<>();
     private boolean closed;
@@ -54,7 +54,7 @@
             HttpClient httpClient,
             Planner planner,
             HeartbeatProcessor reportProcessor,
-            SpotInterruptionDrain recallDrain,
+            SpotInterruptionDrain interruptionDrain,
             BooleanSupplier mayAct) {
         this.eventLoop = eventLoop;
         this.term = term;
@@ -62,7 +62,7 @@
         this.httpClient = httpClient;
         this.planner = planner;
         this.reportProcessor = reportProcessor;
-        this.recallDrain = recallDrain;
+        this.interruptionDrain = interruptionDrain;
         this.mayAct = mayAct;
     }
 
@@ -91,7 +91,7 @@
             reportProcessor.expire();
             dirty |= now - plannedMicros > MAX_PLAN_INTERVAL_MICROS;
             plan();
-            haltsDue.addAll(recallDrain.drain(now));
+            haltsDue.addAll(interruptionDrain.stopInterruptedTasks(now));
             // A few at a time: what is not pushed is told in answer to the machine's next report anyway.
             var due = haltsDue.iterator();
             while (due.hasNext() && toPush.size() < MAX_PUSHES) {
@@ -117,7 +117,7 @@
         plannedMicros = now;
         Planner.Plan plan = planner.plan(now, eventLoop.wallMicros());
         reportProcessor.plan(plan);
-        for (Allocation allocation : plan.halts()) {
+        for (Allocation allocation : plan.preemptions()) {
             LOG.debug("stopping {}/{} to make room", allocation.uid(), allocation.taskIndex());
             allocation.stop(allocation.job().spec().checkpointDurationMicros() + COMMAND_MICROS);
             haltsDue.add(allocation.machine());
--- a/src/main/java/io/sillreel/placement/CapacityPlanner.java
+++ b/src/main/java/io/sillreel/placement/CapacityPlanner.java
@@ -29,8 +29,8 @@
     private static final long SETTLED_MICROS = 30_000_000;
 
     private final Cluster cluster;
-    private final ServiceLevelObjectives deadlines;
-    private final RuntimeEstimator estimates;
+    private final ServiceLevelObjectives objectives;
+    private final RuntimeEstimator runtimeEstimator;
     private final MachineOfferSelector offers;
     private final Map<PriorityClass, DemandEstimator> demand = new EnumMap<>(PriorityClass.class);
     /** What arrives for ordinary machines alone; it is part of the demand of its rank as well. */
@@ -39,28 +39,28 @@
     private long shortSinceMicros = -1;
 
     /** Creates a planner that has seen no demand yet. */
-    public CapacityPlanner(Cluster cluster, ServiceLevelObjectives deadlines, RuntimeEstimator estimates) {
+    public CapacityPlanner(Cluster cluster, ServiceLevelObjectives objectives, RuntimeEstimator runtimeEstimator) {
         this.cluster = cluster;
-        this.deadlines = deadlines;
-        this.estimates = estimates;
+        this.objectives = objectives;
+        this.runtimeEstimator = runtimeEstimator;
         this.offers = new MachineOfferSelector(cluster);
     }
 
     /** The cloud had none, or too few, of the kind; it isn't asked for more until then. */
-    public void full(String type, String zone, boolean spot, long untilMicros) {
-        offers.full(type, zone, spot, untilMicros);
+    public void markUnavailable(String type, String zone, boolean spot, long untilMicros) {
+        offers.markUnavailable(type, zone, spot, untilMicros);
     }
 
     /**
      * Told once for every job when it is ready, so that the standing demand is known; a successor learns it from the
      * stored plans.
      */
-    public void arrived(JobSpec spec, long readyWallMicros) {
-        double cpuMicros = spec.tasks() * spec.cpus() * estimates.occupiedMicros(spec);
+    public void recordArrival(JobSpec spec, long readyWallMicros) {
+        double cpuMicros = spec.tasks() * spec.cpus() * runtimeEstimator.occupancyMicros(spec);
         demand.computeIfAbsent(spec.priorityClass(), rank -> new DemandEstimator())
-                .arrived(readyWallMicros, cpuMicros);
+                .recordArrival(readyWallMicros, cpuMicros);
         if (!spec.spotAllowed()) {
-            ordinaryDemand.arrived(readyWallMicros, cpuMicros);
+            ordinaryDemand.recordArrival(readyWallMicros, cpuMicros);
         }
     }
 
@@ -81,10 +81,10 @@
                 continue;
             }
             JobSpec spec = job.spec();
-            long each = estimates.occupiedMicros(job);
+            long each = runtimeEstimator.occupancyMicros(job);
             double work = (job.waitingCount() + RUNNING_PART * job.allocatedCount()) * spec.cpus() * each;
             // Whole tasks don't fill the time to the end.
-            long left = deadlines.of(job, wallMicros, bootMicros) - wallMicros - each / 2;
+            long left = objectives.deadlineMicros(job, wallMicros, bootMicros) - wallMicros - each / 2;
             if (left < bootMicros + each) {
                 // It is late whatever is done; it still wants doing soon, but does not call for a crowd of machines.
                 left = bootMicros > 0 ? bootMicros + LATE_TASKS * each : each;
@@ -148,7 +148,7 @@
      *
      * @param rentingCpus processors that the cloud has been asked for, and of those the ones of ordinary machines
      */
-    public List<ScaleOutProposal> rentalRequests(
+    public List<ScaleOutProposal> scaleOutProposals(
             Collection<MachineType> types,
             long rentingCpus,
             long rentingOrdinaryCpus,
--- a/src/main/java/io/sillreel/placement/DemandEstimator.java
+++ b/src/main/java/io/sillreel/placement/DemandEstimator.java
@@ -15,12 +15,12 @@
     private long firstMicros = -1;
 
     /** True if what was admitted then is not yet forgotten. */
-    public static boolean remembers(long admittedWallMicros, long wallMicros) {
+    public static boolean isWithinWindow(long admittedWallMicros, long wallMicros) {
         return admittedWallMicros >= wallMicros - WINDOW_MICROS;
     }
 
     /** Work that was admitted at the time, in processor-microseconds. */
-    public void arrived(long wallMicros, double cpuMicros) {
+    public void recordArrival(long wallMicros, double cpuMicros) {
         arrivals.add(new Arrival(wallMicros, cpuMicros));
         sum += cpuMicros;
         if (firstMicros < 0 || wallMicros < firstMicros) {
@@ -30,7 +30,7 @@
 
     /** Returns the processors that work arriving at the recent rate keeps busy. */
     public double cpus(long wallMicros) {
-        while (!arrivals.isEmpty() && !remembers(arrivals.peek().wallMicros(), wallMicros)) {
+        while (!arrivals.isEmpty() && !isWithinWindow(arrivals.peek().wallMicros(), wallMicros)) {
             sum -= arrivals.poll().cpuMicros();
         }
         if (arrivals.isEmpty()) {
--- a/src/main/java/io/sillreel/placement/FreeCapacity.java
+++ b/src/main/java/io/sillreel/placement/FreeCapacity.java
@@ -21,7 +21,7 @@
         gpus = machine.freeGpus();
     }
 
-    int room(JobSpec spec) {
+    int fittingTasks(JobSpec spec) {
         return Machine.fittingTasks(spec, cpus, ramGb, gpus);
     }
 
--- a/src/main/java/io/sillreel/placement/MachineOfferSelector.java
+++ b/src/main/java/io/sillreel/placement/MachineOfferSelector.java
@@ -43,7 +43,7 @@
     }
 
     /** The cloud had none, or too few, of the kind; it isn't asked for more until then. */
-    void full(String type, String zone, boolean spot, long untilMicros) {
+    void markUnavailable(String type, String zone, boolean spot, long untilMicros) {
         fullUntil.put(new Offer(type, zone, spot), untilMicros);
     }
 
--- a/src/main/java/io/sillreel/placement/PlacementIndex.java
+++ b/src/main/java/io/sillreel/placement/PlacementIndex.java
@@ -24,7 +24,7 @@
     private static final double MIN_FETCH_RATE = 0.01;
 
     /** What machines offer that are interchangeable but for their names and images. */
-    private record Offer(String type, String zone, boolean spot, double cpus, double ramGb, double cards) {
+    private record Offer(String type, String zone, boolean spot, double cpus, double ramGb, double gpus) {
         static Offer of(FreeCapacity space) {
             Machine machine = space.machine;
             return new Offer(
@@ -40,12 +40,12 @@
                     && offer.spot == spot
                     && offer.cpus == cpus
                     && offer.ramGb == ramGb
-                    && offer.cards == cards;
+                    && offer.gpus == gpus;
         }
 
         @Override
         public int hashCode() {
-            int room = Double.hashCode(cpus) + 31 * Double.hashCode(ramGb) + 7 * Double.hashCode(cards);
+            int room = Double.hashCode(cpus) + 31 * Double.hashCode(ramGb) + 7 * Double.hashCode(gpus);
             return 31 * (31 * type.hashCode() + zone.hashCode()) + room + (spot ? 1 : 0);
         }
     }
@@ -202,7 +202,7 @@
         for (Group group : groups.values()) {
             steps++;
             Offer offer = group.offer;
-            int room = Machine.fittingTasks(spec, offer.cpus(), offer.ramGb(), offer.cards());
+            int room = Machine.fittingTasks(spec, offer.cpus(), offer.ramGb(), offer.gpus());
             if (room <= 0 || !Cluster.isEligible(spec, group.type, offer.zone(), offer.spot())) {
                 continue;
             }
--- a/src/main/java/io/sillreel/placement/Planner.java
+++ b/src/main/java/io/sillreel/placement/Planner.java
@@ -30,9 +30,9 @@
      */
     public record Plan(
             Map<String, List<Assignment>> launches,
-            List<Allocation> halts,
-            List<QueuedJob> left,
-            Map<String, QueuedJob> reserved) {
+            List<Allocation> preemptions,
+            List<QueuedJob> unplaced,
+            Map<String, QueuedJob> reservations) {
         public static final Plan EMPTY = new Plan(Collections.emptyMap(), List.of(), List.of(), Map.of());
     }
 
@@ -46,19 +46,19 @@
 
     private final Cluster cluster;
     private final long reportMicros;
-    private final ServiceLevelObjectives deadlines;
+    private final ServiceLevelObjectives objectives;
     private final QueueOrder order;
 
     /** @param reportMicros the interval between two reports of a worker */
-    public Planner(Cluster cluster, long reportMicros, ServiceLevelObjectives deadlines) {
+    public Planner(Cluster cluster, long reportMicros, ServiceLevelObjectives objectives) {
         this.cluster = cluster;
         this.reportMicros = reportMicros;
-        this.deadlines = deadlines;
-        this.order = new QueueOrder(cluster, deadlines);
+        this.objectives = objectives;
+        this.order = new QueueOrder(cluster, objectives);
     }
 
     /** True if the machine takes launches now. */
-    public boolean usable(Machine machine, long nowMicros) {
+    public boolean acceptsLaunches(Machine machine, long nowMicros) {
         return machine.state() == Machine.State.UP
                 && machine.isReconciled()
                 && !machine.isInterrupted()
@@ -78,33 +78,33 @@
         cluster.countSteps(queue.size() + cluster.machines().size());
         Plan plan = new Plan(new HashMap<>(), new ArrayList<>(), new ArrayList<>(), new HashMap<>());
         QuotaUsage usage = cluster.quotaUsage();
-        Preemption preemption = new Preemption(this, cluster, deadlines, plan, guaranteed, nowMicros);
+        Preemption preemption = new Preemption(this, cluster, objectives, plan, guaranteed, nowMicros);
         Reservations reservations = new Reservations(plan, nowMicros);
         int preempting = 0;
         // Within a level, what is not pressing first takes only the places that have its image; the rest comes after.
         int from = 0;
         while (from < queue.size()) {
             int to = from;
-            while (to < queue.size() && queue.get(to).level == queue.get(from).level) {
+            while (to < queue.size() && queue.get(to).priorityBand == queue.get(from).priorityBand) {
                 to++;
             }
             List<QueuedJob> level = queue.subList(from, to);
             for (QueuedJob queued : level) {
-                assign(queued, places, usage, plan, !queued.pressing);
+                assign(queued, places, usage, plan, !queued.isUrgent);
             }
             for (QueuedJob queued : level) {
                 int lacking = assign(queued, places, usage, plan, false);
-                if (lacking > 0 && queued.aged) {
+                if (lacking > 0 && queued.isAged) {
                     reservations.reserve(queued);
                 }
-                if (lacking > 0 && preempting < MAX_PREEMPTING && preemption.on(queued, lacking, wallMicros)) {
+                if (lacking > 0 && preempting < MAX_PREEMPTING && preemption.preemptFor(queued, lacking, wallMicros)) {
                     preempting++;
                 }
             }
             from = to;
         }
         cluster.countSteps(places.steps());
-        queue.stream().filter(queued -> queued.left > 0).forEach(plan.left()::add);
+        queue.stream().filter(queued -> queued.remainingTasks > 0).forEach(plan.unplaced()::add);
         return plan;
     }
 
@@ -116,7 +116,7 @@
                 .orElse(0);
         PlacementIndex places = new PlacementIndex(least);
         for (Machine machine : cluster.machines()) {
-            if (usable(machine, nowMicros)
+            if (acceptsLaunches(machine, nowMicros)
                     && machine.responsiveness().ignoredCommandCount() == 0
                     && !machine.health().isSuspect()) {
                 places.add(new FreeCapacity(machine));
@@ -126,43 +126,46 @@
     }
 
     /** Tasks that the last plan had no room for and that fit on the machine now, in the same order. */
-    public List<Assignment> fill(Plan plan, Machine machine, long nowMicros, long wallMicros) {
+    public List<Assignment> planMachine(Plan plan, Machine machine, long nowMicros, long wallMicros) {
         List<Assignment> assignments = new ArrayList<>();
-        if (plan.left().isEmpty()
-                || !usable(machine, nowMicros)
+        if (plan.unplaced().isEmpty()
+                || !acceptsLaunches(machine, nowMicros)
                 || machine.health().isSuspect()) {
             return assignments;
         }
         FreeCapacity space = new FreeCapacity(machine);
         QuotaUsage usage = null;
-        List<QueuedJob> left = plan.left();
-        QueuedJob owner = plan.reserved().get(machine.name());
+        List<QueuedJob> left = plan.unplaced();
+        QueuedJob owner = plan.reservations().get(machine.name());
         int looked = 0;
         int from = 0;
         while (from < left.size() && looked < MAX_LOOKED_AT && space.cpus > 1e-6) {
             int to = from;
-            while (to < left.size() && left.get(to).level == left.get(from).level && to - from < MAX_LOOKED_AT) {
+            while (to < left.size()
+                    && left.get(to).priorityBand == left.get(from).priorityBand
+                    && to - from < MAX_LOOKED_AT) {
                 to++;
             }
             for (int pass = 0; pass < 2; pass++) {
                 for (QueuedJob queued : left.subList(from, to)) {
                     looked++;
                     JobSpec spec = queued.job.spec();
-                    boolean now = queued.pressing || space.hasImage(spec);
-                    if (queued.left <= 0
+                    boolean now = queued.isUrgent || space.hasImage(spec);
+                    if (queued.remainingTasks <= 0
                             || now == (pass == 1)
-                            || owner != null && owner.left > 0 && owner != queued
+                            || owner != null && owner.remainingTasks > 0 && owner != queued
                             || !Cluster.isEligible(spec, machine)
-                            || space.room(spec) <= 0) {
+                            || space.fittingTasks(spec) <= 0) {
                         continue;
                     }
                     usage = usage == null ? cluster.quotaUsage() : usage;
                     int count = Math.min(
-                            Math.min(queued.left, space.room(spec)), startable(queued.job, machine, usage, wallMicros));
+                            Math.min(queued.remainingTasks, space.fittingTasks(spec)),
+                            startableTasks(queued.job, machine, usage, wallMicros));
                     if (count > 0) {
                         space.take(spec, count);
                         usage.add(spec, count);
-                        queued.left -= count;
+                        queued.remainingTasks -= count;
                         assignments.add(new Assignment(queued.job, count));
                     }
                 }
@@ -174,8 +177,8 @@
     }
 
     /** How many tasks of the job the rules let start on the machine now, its room aside. */
-    private int startable(ActiveJob job, Machine machine, QuotaUsage usage, long wallMicros) {
-        if (!cluster.isLaunchable(job, wallMicros) || job.failedOn().contains(machine.name()) || probing(job)) {
+    private int startableTasks(ActiveJob job, Machine machine, QuotaUsage usage, long wallMicros) {
+        if (!cluster.isLaunchable(job, wallMicros) || job.failedOn().contains(machine.name()) || isProbing(job)) {
             return 0;
         }
         return Math.min(
@@ -184,22 +187,22 @@
     }
 
     /** True while it isn't known whether the job fails everywhere: then one task at a time is tried. */
-    private static boolean probing(ActiveJob job) {
+    private static boolean isProbing(ActiveJob job) {
         return !job.hasSucceededOnce() && !job.failedOn().isEmpty();
     }
 
     /** Assigns what fits and returns how many tasks are left over for lack of room. */
     private int assign(QueuedJob queued, PlacementIndex places, QuotaUsage usage, Plan plan, boolean onlyWithImage) {
-        int wanted = Math.min(queued.left, cluster.quotaHeadroom(queued.job.spec(), usage));
-        if (probing(queued.job)) {
+        int wanted = Math.min(queued.remainingTasks, cluster.quotaHeadroom(queued.job.spec(), usage));
+        if (isProbing(queued.job)) {
             wanted = Math.min(wanted, queued.job.allocatedCount() == 0 ? 1 : 0);
         }
         if (wanted <= 0) {
             return 0;
         }
         PlaceTaker taker = new PlaceTaker(queued, wanted, usage, plan);
-        places.offer(queued.job.spec(), queued.left, onlyWithImage, taker);
-        return probing(queued.job) ? 0 : taker.wanted;
+        places.offer(queued.job.spec(), queued.remainingTasks, onlyWithImage, taker);
+        return isProbing(queued.job) ? 0 : taker.wanted;
     }
 
     /** Puts the tasks of one job into the plan, as far as its zones and the plan's reservations allow. */
@@ -237,19 +240,19 @@
         @Override
         public boolean take(FreeCapacity space) {
             String machine = space.machine.name();
-            QueuedJob owner = plan.reserved().get(machine);
+            QueuedJob owner = plan.reservations().get(machine);
             if (owner != null && owner != queued || queued.job.failedOn().contains(machine)) {
                 return false;
             }
             String zone = space.machine.zone();
             int room = room(zone);
-            int count = Math.min(wanted, Math.min(space.room(spec), room));
+            int count = Math.min(wanted, Math.min(space.fittingTasks(spec), room));
             onlyZone = zone;
             zoneRoom.put(zone, room == Integer.MAX_VALUE ? room : room - count);
             space.take(spec, count);
             usage.add(spec, count);
             wanted -= count;
-            queued.left -= count;
+            queued.remainingTasks -= count;
             plan.launches().computeIfAbsent(machine, name -> new ArrayList<>()).add(new Assignment(queued.job, count));
             return true;
         }
@@ -272,16 +275,16 @@
 
         void reserve(QueuedJob queued) {
             JobSpec spec = queued.job.spec();
-            int wanted = Math.min(queued.left, MAX_RESERVED);
+            int wanted = Math.min(queued.remainingTasks, MAX_RESERVED);
             for (Machine machine : emptiestFirst()) {
                 if (wanted == 0) {
                     return;
                 }
                 cluster.countSteps(1);
                 if (Cluster.isEligible(spec, machine)
-                        && !plan.reserved().containsKey(machine.name())
+                        && !plan.reservations().containsKey(machine.name())
                         && Machine.fitsEmptyMachine(spec, machine.type())) {
-                    plan.reserved().put(machine.name(), queued);
+                    plan.reservations().put(machine.name(), queued);
                     wanted--;
                 }
             }
@@ -291,7 +294,7 @@
             if (emptiestFirst == null) {
                 emptiestFirst = new ArrayList<>();
                 for (Machine machine : cluster.machines()) {
-                    if (usable(machine, nowMicros) && !machine.health().isSuspect()) {
+                    if (acceptsLaunches(machine, nowMicros) && !machine.health().isSuspect()) {
                         emptiestFirst.add(machine);
                     }
                 }
--- a/src/main/java/io/sillreel/placement/Preemption.java
+++ b/src/main/java/io/sillreel/placement/Preemption.java
@@ -27,7 +27,7 @@
 
     private final Planner planner;
     private final Cluster cluster;
-    private final ServiceLevelObjectives deadlines;
+    private final ServiceLevelObjectives objectives;
     private final Planner.Plan plan;
     private final Set<ActiveJob> guaranteed;
     private final long nowMicros;
@@ -44,13 +44,13 @@
     Preemption(
             Planner planner,
             Cluster cluster,
-            ServiceLevelObjectives deadlines,
+            ServiceLevelObjectives objectives,
             Planner.Plan plan,
             Set<ActiveJob> guaranteed,
             long nowMicros) {
         this.planner = planner;
         this.cluster = cluster;
-        this.deadlines = deadlines;
+        this.objectives = objectives;
         this.plan = plan;
         this.guaranteed = guaranteed;
         this.nowMicros = nowMicros;
@@ -63,7 +63,7 @@
         gathered = true;
         List<Machine> usable = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
-            if (planner.usable(machine, nowMicros)) {
+            if (planner.acceptsLaunches(machine, nowMicros)) {
                 usable.add(machine);
             }
         }
@@ -98,18 +98,18 @@
     }
 
     /** Stops tasks where that really makes room for the job; false if the job may have none stopped. */
-    boolean on(QueuedJob queued, int lacking, long wallMicros) {
+    boolean preemptFor(QueuedJob queued, int lacking, long wallMicros) {
         JobSpec spec = queued.job.spec();
         // Stopping others costs work, so it waits until the aim is in danger; work that is lost once it is missed
         // would be lost for nothing.
         long waited = wallMicros - queued.job.readyWallMicros();
         boolean owed = guaranteed.contains(queued.job)
-                && waited > deadlines.guaranteeMicros() / 2
-                && QueueOrder.isOwedLevel(queued);
-        boolean missed = waited > deadlines.guaranteeMicros();
+                && waited > objectives.guaranteedStartMicros() / 2
+                && QueueOrder.isOwedBand(queued);
+        boolean missed = waited > objectives.guaranteedStartMicros();
         PriorityClass own = queued.job.effectivePriority();
         boolean urgent = own.isAbove(PriorityClass.NORMAL);
-        long slack = deadlines.slackMicros(queued.job, wallMicros);
+        long slack = objectives.slackMicros(queued.job, wallMicros);
         boolean lastChance = own != PriorityClass.BEST_EFFORT && slack >= 0 && slack <= LAST_CHANCE_MICROS;
         if (!owed && !urgent && !lastChance) {
             return false;
@@ -252,7 +252,7 @@
     private void halt(Allocation allocation) {
         JobSpec spec = allocation.job().spec();
         halting.add(allocation);
-        plan.halts().add(allocation);
+        plan.preemptions().add(allocation);
         beyond.put(spec.team(), left(spec.team()) - QuotaUsage.toMilli(spec.cpus()));
     }
 
--- a/src/main/java/io/sillreel/placement/PriorityInheritance.java
+++ b/src/main/java/io/sillreel/placement/PriorityInheritance.java
@@ -12,15 +12,15 @@
  */
 public final class PriorityInheritance {
     private final DependencyGraph dependencies;
-    private final RuntimeEstimator estimates;
+    private final RuntimeEstimator runtimeEstimator;
 
-    public PriorityInheritance(DependencyGraph dependencies, RuntimeEstimator estimates) {
+    public PriorityInheritance(DependencyGraph dependencies, RuntimeEstimator runtimeEstimator) {
         this.dependencies = dependencies;
-        this.estimates = estimates;
+        this.runtimeEstimator = runtimeEstimator;
     }
 
     /** The job has joined a chain, or jobs that it is needed by have told it something new. */
-    public void joined(ActiveJob job) {
+    public void jobAdded(ActiveJob job) {
         Deque<ActiveJob> open = new ArrayDeque<>();
         open.add(job);
         while (!open.isEmpty()) {
@@ -37,7 +37,7 @@
     }
 
     /** Jobs that needed others are cancelled: what they awaited is only as urgent as those that still need it. */
-    public void left(Collection<ActiveJob> cancelled) {
+    public void jobsRemoved(Collection<ActiveJob> cancelled) {
         Deque<ActiveJob> open = new ArrayDeque<>();
         cancelled.forEach(job -> open.addAll(dependencies.dependencies(job)));
         while (!open.isEmpty()) {
@@ -62,6 +62,6 @@
     /** When all that the job awaits has to be done so that it ends in time; time of day. */
     private long startBy(ActiveJob job) {
         long end = job.effectiveDeadlineMicros();
-        return end == Long.MAX_VALUE ? end : end - estimates.spanMicros(job);
+        return end == Long.MAX_VALUE ? end : end - runtimeEstimator.jobSpanMicros(job);
     }
 }
--- a/src/main/java/io/sillreel/placement/QueueOrder.java
+++ b/src/main/java/io/sillreel/placement/QueueOrder.java
@@ -19,7 +19,7 @@
     /** How long guaranteed work waits on others before it goes ahead of them. */
     private static final long GUARANTEE_PATIENCE_MICROS = 2_000_000;
 
-    private static final int LEVELS_PER_RANK = 3;
+    private static final int BANDS_PER_PRIORITY = 3;
     private static final int PRESSING = 0;
     private static final int IN_TIME = 1;
     private static final int LATE = 2;
@@ -35,14 +35,14 @@
     private static final long YIELD_UNTIL_MICROS = 150_000_000;
 
     private static final long END_BY_MICROS = 300_000_000;
-    private static final int OWED_LEVEL = levelOf(PriorityClass.HIGH, LATE);
+    private static final int OWED_BAND = bandOf(PriorityClass.HIGH, LATE);
 
     private final Cluster cluster;
-    private final ServiceLevelObjectives deadlines;
+    private final ServiceLevelObjectives objectives;
 
-    QueueOrder(Cluster cluster, ServiceLevelObjectives deadlines) {
+    QueueOrder(Cluster cluster, ServiceLevelObjectives objectives) {
         this.cluster = cluster;
-        this.deadlines = deadlines;
+        this.objectives = objectives;
     }
 
     /** Waiting jobs in the order in which they are served. */
@@ -50,27 +50,27 @@
         List<QueuedJob> queue = new ArrayList<>();
         for (ActiveJob job : cluster.jobs()) {
             if (job.waitingCount() > 0 && cluster.isLaunchable(job, wallMicros)) {
-                long slack = deadlines.slackMicros(job, wallMicros);
-                boolean aged = aged(job, wallMicros);
+                long slack = objectives.slackMicros(job, wallMicros);
+                boolean aged = isAged(job, wallMicros);
                 queue.add(new QueuedJob(
                         job,
-                        aged ? 0 : level(job, slack, guaranteed.contains(job), wallMicros),
+                        aged ? 0 : priorityBand(job, slack, guaranteed.contains(job), wallMicros),
                         aged || slack >= 0 && slack < PRESSING_MICROS,
                         aged));
             }
         }
-        queue.sort(Comparator.<QueuedJob>comparingInt(queued -> queued.level)
+        queue.sort(Comparator.<QueuedJob>comparingInt(queued -> queued.priorityBand)
                 .thenComparingLong(queued -> queued.job.planRevision()));
         return queue;
     }
 
     /** No exception from the order of admission lasts for ever: such a job goes before all that came after it. */
-    private static boolean aged(ActiveJob job, long wallMicros) {
+    private static boolean isAged(ActiveJob job, long wallMicros) {
         long age = wallMicros - job.readyWallMicros();
-        return age > END_BY_MICROS || unbegun(job) && age > BEGIN_BY_MICROS;
+        return age > END_BY_MICROS || hasNotStarted(job) && age > BEGIN_BY_MICROS;
     }
 
-    private static boolean unbegun(ActiveJob job) {
+    private static boolean hasNotStarted(ActiveJob job) {
         return job.allocatedCount() == 0 && job.doneCount() == 0;
     }
 
@@ -79,18 +79,20 @@
      * is about to miss its time, before the rest, and work that has missed it, after the rest; work of a low rank that
      * would miss its time if it yielded any longer. Level 0 is for what has waited too long.
      */
-    private int level(ActiveJob job, long slack, boolean guaranteed, long wallMicros) {
+    private int priorityBand(ActiveJob job, long slack, boolean guaranteed, long wallMicros) {
         PriorityClass rank = job.effectivePriority();
         long age = wallMicros - job.readyWallMicros();
-        int level = levelOf(rank, slack < 0 ? LATE : slack < PRESSING_MICROS ? PRESSING : IN_TIME);
-        if (guaranteed && age > GUARANTEE_PATIENCE_MICROS && (unbegun(job) || age < 2 * deadlines.guaranteeMicros())) {
-            return Math.min(level, OWED_LEVEL);
+        int level = bandOf(rank, slack < 0 ? LATE : slack < PRESSING_MICROS ? PRESSING : IN_TIME);
+        if (guaranteed
+                && age > GUARANTEE_PATIENCE_MICROS
+                && (hasNotStarted(job) || age < 2 * objectives.guaranteedStartMicros())) {
+            return Math.min(level, OWED_BAND);
         }
         if (age > YIELD_UNTIL_MICROS) {
-            return Math.min(level, levelOf(PriorityClass.NORMAL, PRESSING));
+            return Math.min(level, bandOf(PriorityClass.NORMAL, PRESSING));
         }
         return rank == PriorityClass.BEST_EFFORT && slack >= 0 && slack < URGENT_MICROS
-                ? levelOf(PriorityClass.NORMAL, LATE)
+                ? bandOf(PriorityClass.NORMAL, LATE)
                 : level;
     }
 
@@ -98,12 +100,12 @@
      * True if the job is served no later than owed work is, which stands behind what the high rank can still do in
      * time: else each would stop the other's tasks in turn.
      */
-    static boolean isOwedLevel(QueuedJob queued) {
-        return queued.level <= OWED_LEVEL;
+    static boolean isOwedBand(QueuedJob queued) {
+        return queued.priorityBand <= OWED_BAND;
     }
 
-    private static int levelOf(PriorityClass rank, int time) {
-        return 1 + LEVELS_PER_RANK * rank.ordinal() + time;
+    private static int bandOf(PriorityClass rank, int time) {
+        return 1 + BANDS_PER_PRIORITY * rank.ordinal() + time;
     }
 
     /** Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs. */
--- a/src/main/java/io/sillreel/placement/QueuedJob.java
+++ b/src/main/java/io/sillreel/placement/QueuedJob.java
@@ -5,16 +5,16 @@
 /** A waiting job with its place in the order, and how many of its tasks have no place yet. */
 final class QueuedJob {
     final ActiveJob job;
-    final int level;
-    final boolean pressing;
-    final boolean aged;
-    int left;
+    final int priorityBand;
+    final boolean isUrgent;
+    final boolean isAged;
+    int remainingTasks;
 
     QueuedJob(ActiveJob job, int level, boolean pressing, boolean aged) {
         this.job = job;
-        this.level = level;
-        this.pressing = pressing;
-        this.aged = aged;
-        this.left = job.waitingCount();
+        this.priorityBand = level;
+        this.isUrgent = pressing;
+        this.isAged = aged;
+        this.remainingTasks = job.waitingCount();
     }
 }
--- a/src/main/java/io/sillreel/placement/RuntimeEstimator.java
+++ b/src/main/java/io/sillreel/placement/RuntimeEstimator.java
@@ -29,7 +29,7 @@
     private final Map<String, Double> tails = new HashMap<>();
 
     /** A task of the job has ended after it ran for so long. */
-    public synchronized void measured(ActiveJob job, long ranMicros) {
+    public synchronized void recordRuntime(ActiveJob job, long ranMicros) {
         JobSpec spec = job.spec();
         job.recordTaskRuntime(ranMicros);
         if (spec.estimatedMicros() > 0) {
@@ -44,12 +44,12 @@
     }
 
     /** How long a task is expected to keep its place: with its part of the image fetch, and the reports around it. */
-    public long occupiedMicros(JobSpec spec) {
+    public long occupancyMicros(JobSpec spec) {
         return expectedMicros(spec) + overheadMicros(spec);
     }
 
     /** The same, with what the job's own tasks have shown. */
-    public long occupiedMicros(ActiveJob job) {
+    public long occupancyMicros(ActiveJob job) {
         return expectedMicros(job) + overheadMicros(job.spec());
     }
 
@@ -60,7 +60,7 @@
     /**
      * From the end of what a job awaits to its own: its slowest task, the image, and the reports and plans around it.
      */
-    public long spanMicros(ActiveJob job) {
+    public long jobSpanMicros(ActiveJob job) {
         return slowestMicros(job) + START_MICROS + Math.round(job.spec().imageGb() * WHOLE_FETCH_MICROS_PER_GB);
     }
 
--- a/src/main/java/io/sillreel/placement/ServiceLevelObjectives.java
+++ b/src/main/java/io/sillreel/placement/ServiceLevelObjectives.java
@@ -11,15 +11,15 @@
     private static final long DEFAULT_GUARANTEE_MICROS = 10_000_000;
 
     private final List<Objective> objectives;
-    private final RuntimeEstimator estimates;
+    private final RuntimeEstimator runtimeEstimator;
 
-    public ServiceLevelObjectives(List<Objective> objectives, RuntimeEstimator estimates) {
+    public ServiceLevelObjectives(List<Objective> objectives, RuntimeEstimator runtimeEstimator) {
         this.objectives = objectives;
-        this.estimates = estimates;
+        this.runtimeEstimator = runtimeEstimator;
     }
 
     /** Within what time work within a guarantee is to start. */
-    public long guaranteeMicros() {
+    public long guaranteedStartMicros() {
         return objectives.stream()
                 .filter(aim -> aim.kind().equals("guarantee") && aim.withinMicros() > 0)
                 .mapToLong(Objective::withinMicros)
@@ -28,14 +28,14 @@
     }
 
     /** The first time that can still be met, or else the last there was; time of day in microseconds. */
-    public long of(ActiveJob job, long wallMicros) {
-        return of(job, wallMicros, 0);
+    public long deadlineMicros(ActiveJob job, long wallMicros) {
+        return deadlineMicros(job, wallMicros, 0);
     }
 
     /** The same for tasks that can only start after a delay. */
-    public long of(ActiveJob job, long wallMicros, long delayMicros) {
+    public long deadlineMicros(ActiveJob job, long wallMicros, long delayMicros) {
         JobSpec spec = job.spec();
-        long reachable = wallMicros + delayMicros + estimates.slowestMicros(job);
+        long reachable = wallMicros + delayMicros + runtimeEstimator.slowestMicros(job);
         long needed = job.inheritedDeadlineMicros();
         if (spec.deadlineMicros() >= 0) {
             long due = job.admittedWallMicros() + spec.deadlineMicros();
@@ -48,7 +48,7 @@
                 // An aim for starting leaves the whole run after it; all count from when the job was ready.
                 long at = job.readyWallMicros()
                         + aim.withinMicros()
-                        + (aim.kind().equals("wait") ? estimates.slowestMicros(job) : 0);
+                        + (aim.kind().equals("wait") ? runtimeEstimator.slowestMicros(job) : 0);
                 last = Math.max(last, at);
                 if (at >= reachable) {
                     first = Math.min(first, at);
@@ -63,6 +63,6 @@
 
     /** How long the job's last tasks may still wait to be started; negative once the deadline can't be met. */
     public long slackMicros(ActiveJob job, long wallMicros) {
-        return of(job, wallMicros) - wallMicros - estimates.slowestMicros(job);
+        return deadlineMicros(job, wallMicros) - wallMicros - runtimeEstimator.slowestMicros(job);
     }
 }
--- a/src/test/java/io/sillreel/cloud/CloudClientTest.java
+++ b/src/test/java/io/sillreel/cloud/CloudClientTest.java
@@ -69,7 +69,7 @@
         CompletableFuture<Machines> list = cloud.machines();
         int served = 0;
         for (int second = 0; second < 60; second++) {
-            CompletableFuture<Outcome> given = cloud.giveBack(List.of("host-000001"));
+            CompletableFuture<Outcome> given = cloud.returnMachines(List.of("host-000001"));
             time.runFor(SECOND);
             served += given.join() == Outcome.OK ? 1 : 0;
         }
@@ -86,7 +86,7 @@
             named[0] = Json.parse(request.body()).path("hoppers").size();
             return null;
         });
-        cloud.giveBack(many);
+        cloud.returnMachines(many);
         time.runFor(SECOND);
         assertThat(named[0]).isEqualTo(100);
     }
--- a/src/test/java/io/sillreel/fleet/FleetRegistryTest.java
+++ b/src/test/java/io/sillreel/fleet/FleetRegistryTest.java
@@ -41,11 +41,11 @@
         comeAndGo("host-000001");
         time.runFor(59 * MINUTE);
         comeAndGo("host-000002");
-        assertThat(registry.isGone("host-000001")).isTrue();
+        assertThat(registry.wasReturned("host-000001")).isTrue();
         time.runFor(2 * MINUTE);
         comeAndGo("host-000003");
-        assertThat(registry.isGone("host-000001")).isFalse();
-        assertThat(registry.isGone("host-000002")).isTrue();
+        assertThat(registry.wasReturned("host-000001")).isFalse();
+        assertThat(registry.wasReturned("host-000002")).isTrue();
         assertThat(cluster.machines()).isEmpty();
     }
 }
--- a/src/test/java/io/sillreel/placement/PlacementIndexTest.java
+++ b/src/test/java/io/sillreel/placement/PlacementIndexTest.java
@@ -53,7 +53,7 @@
 
         @Override
         public boolean take(FreeCapacity space) {
-            int count = Math.min(wanted, space.room(spec));
+            int count = Math.min(wanted, space.fittingTasks(spec));
             wanted -= count;
             space.take(spec, count);
             taken.add(space.machine.name() + " x " + count);
@@ -70,11 +70,11 @@
     /** What a look at every machine gives: the order that the index has to keep. */
     private static List<String> bySorting(List<FreeCapacity> spaces, JobSpec spec) {
         List<FreeCapacity> fitting = new ArrayList<>(spaces);
-        fitting.removeIf(space -> space.room(spec) <= 0 || !Cluster.isEligible(spec, space.machine));
+        fitting.removeIf(space -> space.fittingTasks(spec) <= 0 || !Cluster.isEligible(spec, space.machine));
         fitting.sort(Comparator.<FreeCapacity>comparingLong(space -> fetchStep(space, spec))
                 .thenComparingInt(space -> space.machine.spot() == spec.supportsCheckpoints() ? 0 : 1)
                 .thenComparingDouble(
-                        space -> space.hasImage(spec) ? space.cpus : -Math.min(space.room(spec), spec.tasks()))
+                        space -> space.hasImage(spec) ? space.cpus : -Math.min(space.fittingTasks(spec), spec.tasks()))
                 .thenComparing(space -> space.machine.name()));
         Recorder recorder = new Recorder(spec);
         fitting.stream().takeWhile(space -> !recorder.satisfied()).forEach(recorder::take);
--- a/src/test/java/io/sillreel/placement/PlannerTest.java
+++ b/src/test/java/io/sillreel/placement/PlannerTest.java
@@ -117,7 +117,7 @@
         ended.updateStage(TaskStage.ENDED, nowMicros);
         ended.release();
         long before = cluster.stepCount();
-        assertThat(planner.fill(plan, reporting, nowMicros, nowMicros)).hasSize(1);
+        assertThat(planner.planMachine(plan, reporting, nowMicros, nowMicros)).hasSize(1);
         return cluster.stepCount() - before;
     }
 
@@ -137,7 +137,7 @@
         for (int i = 0; i < waitingJobs; i++) {
             job("free", PriorityClass.values()[i % 4], 8, 1, 0, i % 2 == 0);
         }
-        assertThat(plan().left()).isEmpty();
+        assertThat(plan().unplaced()).isEmpty();
         return cluster.stepCount() - machines;
     }
 
@@ -160,9 +160,9 @@
         run(plain, two, 4);
         run(saving, three, 4);
         job("t", PriorityClass.BEST_EFFORT, 2, 1, 4 * SECOND, false);
-        assertThat(plan().halts()).as("the aim is not in danger yet").isEmpty();
+        assertThat(plan().preemptions()).as("the aim is not in danger yet").isEmpty();
         nowMicros += 2 * SECOND;
-        assertThat(plan().halts()).hasSize(2).allMatch(allocation -> allocation.job() == saving);
+        assertThat(plan().preemptions()).hasSize(2).allMatch(allocation -> allocation.job() == saving);
     }
 
     /** Guards against two that stop each other's tasks in turn: whoever stops must come before whoever was stopped. */
@@ -172,7 +172,7 @@
         Machine one = machine(1);
         run(owed, one, 4);
         ActiveJob high = job("s", PriorityClass.HIGH, 4, 1, 0, false);
-        assertThat(plan().halts()).hasSize(4);
+        assertThat(plan().preemptions()).hasSize(4);
         List.copyOf(one.allocations()).forEach(allocation -> {
             allocation.updateStage(TaskStage.ENDED, nowMicros);
             allocation.release();
@@ -187,7 +187,7 @@
         run(within, machine(1), 4);
         run(within, machine(2), 4);
         job("t", PriorityClass.NORMAL, 2, 1, 60 * SECOND, false);
-        assertThat(plan().halts()).isEmpty();
+        assertThat(plan().preemptions()).isEmpty();
     }
 
     /** Guards a large task against small ones that take every processor as it comes free. */
@@ -201,13 +201,13 @@
         Allocation ended = one.allocations().iterator().next();
         ended.updateStage(TaskStage.ENDED, nowMicros);
         ended.release();
-        assertThat(planner.fill(plan, one, nowMicros, nowMicros)).isEmpty();
+        assertThat(planner.planMachine(plan, one, nowMicros, nowMicros)).isEmpty();
         assertThat(plan().launches()).isEmpty();
         List.copyOf(one.allocations()).forEach(allocation -> {
             allocation.updateStage(TaskStage.ENDED, nowMicros);
             allocation.release();
         });
-        assertThat(planner.fill(plan, one, nowMicros, nowMicros)).containsExactly(new Assignment(large, 1));
+        assertThat(planner.planMachine(plan, one, nowMicros, nowMicros)).containsExactly(new Assignment(large, 1));
     }
 
     @Test
--- a/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
+++ b/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
@@ -25,7 +25,7 @@
     private final List<String> ready = new ArrayList<>();
     private final List<String> closed = new ArrayList<>();
     private final List<String> lookedUp = new ArrayList<>();
-    private final RuntimeEstimator estimates = new RuntimeEstimator();
+    private final RuntimeEstimator runtimeEstimator = new RuntimeEstimator();
     private final Cluster cluster = new Cluster(Map.of("t", new Team("t", 10, 0, 0, 0)));
     private final DependencyGraph dependencies = new DependencyGraph(new DependencyGraph.Callbacks() {
         @Override
@@ -46,7 +46,7 @@
             lookedUp.add(uid);
         }
     });
-    private final PriorityInheritance inheritance = new PriorityInheritance(dependencies, estimates);
+    private final PriorityInheritance inheritance = new PriorityInheritance(dependencies, runtimeEstimator);
 
     private ActiveJob job(String uid, PriorityClass rank, long dueMicros, String... awaits) {
         JobSpec spec = new JobSpec(
@@ -77,7 +77,7 @@
         ActiveJob job = job(uid, rank, dueMicros, awaits);
         cluster.add(job);
         dependencies.add(job, cancelled::contains);
-        inheritance.joined(job);
+        inheritance.jobAdded(job);
         return job;
     }
 
@@ -91,18 +91,20 @@
         ActiveJob last = joined("job-000003", PriorityClass.HIGH, 300 * SECOND, "job-000002");
         assertThat(List.of(first.effectivePriority(), second.effectivePriority()))
                 .containsOnly(PriorityClass.HIGH);
-        assertThat(second.effectiveDeadlineMicros()).isEqualTo(NOW + 300 * SECOND - estimates.spanMicros(last));
+        assertThat(second.effectiveDeadlineMicros())
+                .isEqualTo(NOW + 300 * SECOND - runtimeEstimator.jobSpanMicros(last));
         assertThat(first.effectiveDeadlineMicros())
-                .isEqualTo(second.effectiveDeadlineMicros() - estimates.spanMicros(second));
+                .isEqualTo(second.effectiveDeadlineMicros() - runtimeEstimator.jobSpanMicros(second));
         ActiveJob sooner = joined("job-000004", PriorityClass.NORMAL, 60 * SECOND, "job-000001");
-        assertThat(first.effectiveDeadlineMicros()).isEqualTo(NOW + 60 * SECOND - estimates.spanMicros(sooner));
+        assertThat(first.effectiveDeadlineMicros())
+                .isEqualTo(NOW + 60 * SECOND - runtimeEstimator.jobSpanMicros(sooner));
         assertThat(first.effectivePriority()).isEqualTo(PriorityClass.HIGH);
         last.cancel();
-        inheritance.left(List.of(last));
+        inheritance.jobsRemoved(List.of(last));
         assertThat(second.effectivePriority()).isEqualTo(PriorityClass.BEST_EFFORT);
         assertThat(first.effectivePriority()).isEqualTo(PriorityClass.NORMAL);
         sooner.cancel();
-        inheritance.left(List.of(sooner));
+        inheritance.jobsRemoved(List.of(sooner));
         assertThat(first.effectivePriority()).isEqualTo(PriorityClass.BEST_EFFORT);
         assertThat(first.effectiveDeadlineMicros()).isEqualTo(Long.MAX_VALUE);
     }
@@ -114,7 +116,7 @@
         ActiveJob waiting = joined("job-000002", PriorityClass.NORMAL, -1, "job-000001");
         ActiveJob behind = joined("job-000003", PriorityClass.NORMAL, -1);
         ActiveJob beyond = joined("job-000004", PriorityClass.NORMAL, -1);
-        QueueOrder order = new QueueOrder(cluster, new ServiceLevelObjectives(List.of(), estimates));
+        QueueOrder order = new QueueOrder(cluster, new ServiceLevelObjectives(List.of(), runtimeEstimator));
         assertThat(order.guaranteed()).contains(first, behind).doesNotContain(waiting, beyond);
     }
 
