--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -58,11 +58,11 @@
     private final CloudClient cloud;
     private final MachineTypeCatalog machineTypes;
     private final LeaderElection leadership;
-    private final AdaptiveLimit users;
-    private final HeartbeatRelay relay;
-    private final HeartbeatRouter reports;
+    private final AdaptiveLimit admissionLimit;
+    private final HeartbeatRelay heartbeatRelay;
+    private final HeartbeatRouter heartbeatRouter;
     private final Peers peers;
-    private final WorkerLoadBalancer spread;
+    private final WorkerLoadBalancer loadBalancer;
     private final long startedMicros;
     private final EventLoopLag eventLoopLag;
     private final RequestQueue requestQueue;
@@ -112,21 +112,21 @@
                 this,
                 () -> recovery == null ? 0 : recovery.termFloor());
         this.machineTypes = new MachineTypeCatalog(store, cloud, eventLoop, () -> leadership.heldTerm() > 0);
-        this.users = new AdaptiveLimit(
+        this.admissionLimit = new AdaptiveLimit(
                 new Admission(store, eventLoop, settings, limits, machineTypes::types, this, this::tellCancelled),
                 operator.maxRequests(),
                 limits.rememberedJobs(),
                 eventLoop::nowMicros);
         this.peers = new Peers(eventLoop);
-        this.spread = new WorkerLoadBalancer(
+        this.loadBalancer = new WorkerLoadBalancer(
                 eventLoop, peers, settings.nodeName(), settings.workers().heartbeatIntervalMicros());
-        this.relay = new HeartbeatRelay(eventLoop, httpClient, spread::workers);
-        this.reports = new HeartbeatRouter(
+        this.heartbeatRelay = new HeartbeatRelay(eventLoop, httpClient, loadBalancer::workerCount);
+        this.heartbeatRouter = new HeartbeatRouter(
                 eventLoop,
                 settings,
                 leadership,
-                relay,
-                spread,
+                heartbeatRelay,
+                loadBalancer,
                 () -> leaderTerm,
                 recovery == null ? HeartbeatObserver.NONE : recovery);
     }
@@ -161,7 +161,7 @@
     }
 
     /** Where a public request waits for its turn: health checks nowhere, workers apart from users. */
-    public static RequestClass line(HttpRequest request) {
+    public static RequestClass requestClass(HttpRequest request) {
         return switch (request.route()) {
             case UP -> RequestClass.IMMEDIATE;
             case HEARTBEAT -> RequestClass.WORKERS;
@@ -175,14 +175,16 @@
     }
 
     /** What users, workers and health checks ask. */
-    public CompletableFuture<HttpResponse> publicCall(HttpRequest request) {
+    public CompletableFuture<HttpResponse> handlePublic(HttpRequest request) {
         String route = request.route();
         if (route.equals("/v2/runs") || route.startsWith("/v2/runs/")) {
-            return recovery == null ? users.handle(request) : recovery.guarded(() -> users.handle(request));
+            return recovery == null
+                    ? admissionLimit.handle(request)
+                    : recovery.guarded(() -> admissionLimit.handle(request));
         }
         if (route.equals(HEARTBEAT)) {
             return request.method().equals("POST")
-                    ? reports.heartbeat(request)
+                    ? heartbeatRouter.route(request)
                     : answer(HttpResponse.refusal(405, "use POST"));
         }
         if (route.equals(UP)) {
@@ -192,10 +194,10 @@
     }
 
     /** What the other controllers, and operators, ask. */
-    public CompletableFuture<HttpResponse> internalCall(HttpRequest request) {
+    public CompletableFuture<HttpResponse> handleInternal(HttpRequest request) {
         switch (request.route()) {
             case PeerMessages.HEARTBEATS -> {
-                return reports.handedOn(request);
+                return heartbeatRouter.handleRelayed(request);
             }
             case PeerMessages.HELLO -> {
                 heard(Hello.of(request.body()));
@@ -203,12 +205,12 @@
             }
             case PeerMessages.CANCELLED -> {
                 if (leaderTerm != null) {
-                    PeerMessages.cancelled(request.body()).forEach(leaderTerm::cancelled);
+                    PeerMessages.cancelled(request.body()).forEach(leaderTerm::jobCancelled);
                 }
                 return answer(HttpResponse.of(200, Json.object()));
             }
             case "/metrics" -> {
-                return answer(HttpResponse.of(200, measured()));
+                return answer(HttpResponse.of(200, metricValues()));
             }
             default -> {
                 boolean known = recovery != null && Recovery.concerns(request.route());
@@ -227,7 +229,7 @@
      */
     private HttpResponse up() {
         boolean silent = !storeAnswers();
-        boolean othersAnswered = peers.storeAnswersAnother();
+        boolean othersAnswered = peers.storeAnswersElsewhere();
         boolean undecided = machineTypes.types().isEmpty();
         if (silent && othersAnswered || undecided && othersAnswered) {
             return HttpResponse.retryLater(503, "the state service can't be asked from here", 1);
@@ -242,9 +244,10 @@
     /** The lease leader follows the stored cancellations, but the state service may refuse it alone. */
     private void tellCancelled(String uid) {
         if (leaderTerm != null) {
-            leaderTerm.cancelled(uid);
+            leaderTerm.jobCancelled(uid);
         } else {
-            reports.leader()
+            heartbeatRouter
+                    .leader()
                     .ifPresent(leader ->
                             httpClient.send(leader.address(), PeerMessages.cancelled(uid), CANCELLED_TIMEOUT_MICROS));
         }
@@ -252,10 +255,10 @@
 
     private void hello() {
         eventLoop.schedule(HELLO_EVERY_MICROS, this::hello);
-        spread.review(leadership.known().node());
-        reports.review();
+        loadBalancer.rebalance(leadership.knownLeader().node());
+        heartbeatRouter.startNextWindow();
         if (leaderTerm != null) {
-            leaderTerm.review();
+            leaderTerm.checkReachability();
         }
         for (Member member : settings.members()) {
             if (peers.heardWithin(member.nodeName(), HELLO_EVERY_MICROS * 3 / 4)) {
@@ -273,26 +276,26 @@
     }
 
     private Hello ownHello() {
-        LeaderElection.Leader leader = leadership.known();
+        LeaderElection.Leader leader = leadership.knownLeader();
         return new Hello(
                 settings.nodeName(),
                 leader.node(),
                 leader.term(),
                 storeAnswers(),
-                spread.workers(),
-                reports.serves(),
-                reports.recentlyUnanswered());
+                loadBalancer.workerCount(),
+                heartbeatRouter.isServing(),
+                heartbeatRouter.recentlyUnansweredCount());
     }
 
     private void heard(Hello hello) {
-        peers.heard(hello);
+        peers.received(hello);
         if (hello.term() > 0) {
-            leadership.heard(hello.leader(), hello.term());
+            leadership.observeTerm(hello.leader(), hello.term());
         }
     }
 
     @Override
-    public void took(long term, long leaderRevision) {
+    public void leadershipAcquired(long term, long leaderRevision) {
         if (recovery == null) {
             begin(term, leaderRevision);
         } else {
@@ -318,7 +321,7 @@
     }
 
     @Override
-    public void lost(String reason) {
+    public void leadershipLost(String reason) {
         if (recovery != null) {
             recovery.termLost();
         }
@@ -343,12 +346,19 @@
     /** Most controllers are never asked for metrics, and a start has better things to do. */
     private ControllerMetrics metrics() {
         if (metrics == null) {
-            metrics = new ControllerMetrics(reports, leadership, users, relay, spread, eventLoopLag, requestQueue);
+            metrics = new ControllerMetrics(
+                    heartbeatRouter,
+                    leadership,
+                    admissionLimit,
+                    heartbeatRelay,
+                    loadBalancer,
+                    eventLoopLag,
+                    requestQueue);
         }
         return metrics;
     }
 
-    private ObjectNode measured() {
+    private ObjectNode metricValues() {
         ObjectNode all = metrics().measured();
         LeaderTerm current = leaderTerm;
         if (current != null) {
--- a/src/main/java/io/sillreel/ControllerMetrics.java
+++ b/src/main/java/io/sillreel/ControllerMetrics.java
@@ -23,8 +23,8 @@
     private final HeartbeatRouter reports;
     private final LeaderElection leadership;
     private final AdaptiveLimit users;
-    private final HeartbeatRelay relay;
-    private final WorkerLoadBalancer spread;
+    private final HeartbeatRelay heartbeatRelay;
+    private final WorkerLoadBalancer loadBalancer;
     private final EventLoopLag eventLoopLag;
     private final RequestQueue requestQueue;
     private MeterRegistry ownRegistry;
@@ -33,37 +33,38 @@
             HeartbeatRouter reports,
             LeaderElection leadership,
             AdaptiveLimit users,
-            HeartbeatRelay relay,
-            WorkerLoadBalancer spread,
+            HeartbeatRelay heartbeatRelay,
+            WorkerLoadBalancer loadBalancer,
             EventLoopLag eventLoopLag,
             RequestQueue requestQueue) {
         this.reports = reports;
         this.leadership = leadership;
         this.users = users;
-        this.relay = relay;
-        this.spread = spread;
+        this.heartbeatRelay = heartbeatRelay;
+        this.loadBalancer = loadBalancer;
         this.eventLoopLag = eventLoopLag;
         this.requestQueue = requestQueue;
     }
 
     @Override
     public void bindTo(MeterRegistry to) {
-        FunctionCounter.builder("sillreel.reports", reports, HeartbeatRouter::reports)
+        FunctionCounter.builder("sillreel.reports", reports, HeartbeatRouter::heartbeatCount)
                 .register(to);
-        FunctionCounter.builder("sillreel.reports.handed", reports, HeartbeatRouter::reportsHandedOn)
+        FunctionCounter.builder("sillreel.reports.handed", reports, HeartbeatRouter::relayedCount)
                 .register(to);
-        FunctionCounter.builder("sillreel.reports.passed", relay, HeartbeatRelay::passed)
+        FunctionCounter.builder("sillreel.reports.passed", heartbeatRelay, HeartbeatRelay::relayedCount)
                 .register(to);
-        FunctionCounter.builder("sillreel.reports.lost", relay, HeartbeatRelay::lost)
+        FunctionCounter.builder("sillreel.reports.lost", heartbeatRelay, HeartbeatRelay::lostCount)
                 .register(to);
-        FunctionCounter.builder("sillreel.reports.batches", relay, HeartbeatRelay::batchesSent)
+        FunctionCounter.builder("sillreel.reports.batches", heartbeatRelay, HeartbeatRelay::batchCount)
                 .register(to);
-        FunctionCounter.builder("sillreel.workers.moved", reports, HeartbeatRouter::workersMoved)
+        FunctionCounter.builder("sillreel.workers.moved", reports, HeartbeatRouter::redirectCount)
                 .register(to);
         FunctionCounter.builder("sillreel.requests.refused", users, AdaptiveLimit::refused)
                 .register(to);
         Gauge.builder("sillreel.requests.limit", users, AdaptiveLimit::limit).register(to);
-        Gauge.builder("sillreel.workers", spread, WorkerLoadBalancer::workers).register(to);
+        Gauge.builder("sillreel.workers", loadBalancer, WorkerLoadBalancer::workerCount)
+                .register(to);
         Gauge.builder("sillreel.version", () -> 1)
                 .tag("version", Controller.version())
                 .register(to);
--- a/src/main/java/io/sillreel/admission/Admission.java
+++ b/src/main/java/io/sillreel/admission/Admission.java
@@ -93,11 +93,11 @@
     }
 
     private CompletableFuture<HttpResponse> poll(String uid) {
-        return views.fresh(uid).thenApply(view -> {
-            if (view == null) {
+        return views.fresh(uid).thenApply(status -> {
+            if (status == null) {
                 return cannotRead();
             }
-            return view.accepted() ? HttpResponse.of(200, answer(view)) : HttpResponse.refusal(404, "no such job");
+            return status.accepted() ? HttpResponse.of(200, answer(status)) : HttpResponse.refusal(404, "no such job");
         });
     }
 
@@ -243,8 +243,8 @@
 
     private HttpResponse admitted(JobSpec spec, long planRevision, boolean cancelled) {
         JobStatus planned = JobStatusReader.planned(spec.uid(), planRevision, spec);
-        JobStatus view = cancelled ? planned.closedBy() : planned;
-        views.remember(view);
+        JobStatus status = cancelled ? planned.closedBy() : planned;
+        views.remember(status);
         LOG.info(
                 "admitted {}: {} x {} cpus, {} of {}, rank {}{}",
                 spec.uid(),
@@ -254,7 +254,7 @@
                 spec.team(),
                 spec.priorityClass().wireName(),
                 after(spec.dependencies()));
-        String stage = view.cancelled() ? "withdrawn" : "queued";
+        String stage = status.cancelled() ? "withdrawn" : "queued";
         return HttpResponse.of(201, Json.object().put("uid", spec.uid()).put("stage", stage));
     }
 
@@ -273,11 +273,11 @@
 
     /** A job that was accepted is answered as such before anything else is held against the request. */
     private CompletableFuture<HttpResponse> unlessKnown(String uid, HttpResponse otherwise) {
-        return views.fresh(uid).thenApply(view -> {
-            if (view == null) {
+        return views.fresh(uid).thenApply(status -> {
+            if (status == null) {
                 return cannotRead();
             }
-            return view.accepted() ? HttpResponse.of(200, answer(view)) : otherwise;
+            return status.accepted() ? HttpResponse.of(200, answer(status)) : otherwise;
         });
     }
 
@@ -285,31 +285,31 @@
         if (tries == 0) {
             return done(HttpResponse.retryLater(503, "the job is changing too fast", RETRY_SECONDS));
         }
-        return views.fresh(uid).thenCompose(view -> {
-            if (view == null) {
+        return views.fresh(uid).thenCompose(status -> {
+            if (status == null) {
                 return done(cannotRead());
             }
-            if (!view.accepted()) {
+            if (!status.accepted()) {
                 return done(HttpResponse.refusal(404, "no such job"));
             }
-            if (view.terminal()) {
-                return done(HttpResponse.of(200, answer(view)));
+            if (status.terminal()) {
+                return done(HttpResponse.of(200, answer(status)));
             }
             String key = CancellationRecord.key(uid);
             // Conditional on the record as read: done and cancelled exclude each other.
             Transaction transaction = new Transaction()
                     .requireRevision(key, 0)
-                    .requireRevision(RunRecord.key(uid), view.runStamp())
+                    .requireRevision(RunRecord.key(uid), status.runStamp())
                     .set(key, Json.object().put("at_us", eventLoop.wallMicros()));
             return store.commit(transaction).thenCompose(commit -> {
                 if (commit.outcome() == Outcome.OK) {
                     JobStatus cancelled = new JobStatus(
                             uid,
-                            view.planStamp(),
-                            view.tasks(),
-                            view.awaits(),
-                            view.runStamp(),
-                            view.head(),
+                            status.planStamp(),
+                            status.tasks(),
+                            status.awaits(),
+                            status.runStamp(),
+                            status.head(),
                             commit.storeRevision(),
                             false);
                     views.remember(cancelled);
@@ -325,8 +325,8 @@
         });
     }
 
-    private ObjectNode answer(JobStatus view) {
-        return view.answer(view.terminal() ? null : live.of(view.uid()));
+    private ObjectNode answer(JobStatus status) {
+        return status.answer(status.terminal() ? null : live.of(status.uid()));
     }
 
     private static HttpResponse cannotRead() {
--- a/src/main/java/io/sillreel/admission/JobStatusReader.java
+++ b/src/main/java/io/sillreel/admission/JobStatusReader.java
@@ -108,13 +108,13 @@
             if (planned.join().isEmpty() || !decided) {
                 return false;
             }
-            JobStatus view = planned.join().get();
+            JobStatus status = planned.join().get();
             Entry head = run.join().entry();
             views.remember(new JobStatus(
                     uid,
-                    view.planStamp(),
-                    view.tasks(),
-                    view.awaits(),
+                    status.planStamp(),
+                    status.tasks(),
+                    status.awaits(),
                     run.join().revision(),
                     head == null ? null : RunRecord.Head.fromJson(head.value()),
                     cancel.join().revision(),
--- a/src/main/java/io/sillreel/admission/JobStatusService.java
+++ b/src/main/java/io/sillreel/admission/JobStatusService.java
@@ -83,24 +83,24 @@
     }
 
     synchronized JobStatus remembered(String uid) {
-        JobStatus view = views.get(uid);
-        return view == null ? JobStatus.unknown(uid) : view;
+        JobStatus status = views.get(uid);
+        return status == null ? JobStatus.unknown(uid) : status;
     }
 
     /** Remembers a view unless what is remembered is newer. */
-    synchronized void remember(JobStatus view) {
-        JobStatus merged = view.with(remembered(view.uid()));
+    synchronized void remember(JobStatus status) {
+        JobStatus merged = status.with(remembered(status.uid()));
         if (merged.accepted()) {
-            views.put(view.uid(), merged);
+            views.put(status.uid(), merged);
         }
     }
 
     /** A view read after this call, or a terminal one; null if the store could not be asked. */
     CompletableFuture<JobStatus> fresh(String uid) {
         synchronized (this) {
-            JobStatus view = remembered(uid);
-            if (view.terminal()) {
-                return CompletableFuture.completedFuture(view);
+            JobStatus status = remembered(uid);
+            if (status.terminal()) {
+                return CompletableFuture.completedFuture(status);
             }
             if (store.isSilent()) {
                 return CompletableFuture.completedFuture(null);
@@ -148,17 +148,17 @@
             gathering = false;
             while (!questions.isEmpty() && batch.size() < MAX_PER_BATCH) {
                 Question question = questions.peek();
-                JobStatus view = remembered(question.uid());
-                Map<String, Long> own = own(view);
+                JobStatus status = remembered(question.uid());
+                Map<String, Long> own = own(status);
                 Set<String> unknown = new LinkedHashSet<>();
-                if (view.awaitsOthers() && !addAwaited(view, own, unknown)) {
-                    remember(view.closedBy());
+                if (status.awaitsOthers() && !addAwaited(status, own, unknown)) {
+                    remember(status.closedBy());
                     closed.add(questions.poll());
                 } else if (!unknown.isEmpty()) {
                     toLearn.put(questions.poll(), unknown);
                 } else if (batch.isEmpty() || conditions.size() + own.size() <= mostConditions) {
                     conditions.putAll(own);
-                    batch.add(new Compared(questions.poll(), view, own.keySet()));
+                    batch.add(new Compared(questions.poll(), status, own.keySet()));
                 } else {
                     break;
                 }
@@ -196,13 +196,13 @@
         eventLoop.schedule(gatherMicros > GATHER_MICROS ? gatherMicros : 0, this::ask);
     }
 
-    private static Map<String, Long> own(JobStatus view) {
+    private static Map<String, Long> own(JobStatus status) {
         Map<String, Long> own = new LinkedHashMap<>();
-        if (!view.accepted()) {
-            own.put(PlanRecord.key(view.uid()), 0L);
+        if (!status.accepted()) {
+            own.put(PlanRecord.key(status.uid()), 0L);
         }
-        own.put(RunRecord.key(view.uid()), view.runStamp());
-        own.put(CancellationRecord.key(view.uid()), view.cancellationStamp());
+        own.put(RunRecord.key(status.uid()), status.runStamp());
+        own.put(CancellationRecord.key(status.uid()), status.cancellationStamp());
         return own;
     }
 
@@ -210,8 +210,8 @@
      * Adds the absence of cancellations of all unfinished jobs that this one needs; false if one of them is known to be
      * cancelled. Who has been released needs nobody any more, and who is done can't be cancelled.
      */
-    private boolean addAwaited(JobStatus view, Map<String, Long> conditions, Set<String> unknown) {
-        Deque<String> open = new ArrayDeque<>(view.awaits());
+    private boolean addAwaited(JobStatus status, Map<String, Long> conditions, Set<String> unknown) {
+        Deque<String> open = new ArrayDeque<>(status.awaits());
         Set<String> seen = new HashSet<>(open);
         while (!open.isEmpty()) {
             JobStatus awaited = remembered(open.poll());
@@ -292,11 +292,11 @@
 
     /** Answers with what has just been read, if that was of the job itself and is all there is to know. */
     private void answerFrom(Question question, boolean read, boolean ofItself) {
-        JobStatus view = remembered(question.uid());
+        JobStatus status = remembered(question.uid());
         if (!read) {
             question.answer().complete(null);
-        } else if (ofItself && !view.awaitsOthers()) {
-            question.answer().complete(view);
+        } else if (ofItself && !status.awaitsOthers()) {
+            question.answer().complete(status);
         } else {
             askAgain(question);
         }
--- a/src/main/java/io/sillreel/cli/Main.java
+++ b/src/main/java/io/sillreel/cli/Main.java
@@ -185,12 +185,12 @@
                 group,
                 NettyHttpServer.MAX_BODY_BYTES,
                 limits.publicConnections(),
-                Controller::line,
+                Controller::requestClass,
                 controller.requestQueue(),
                 limits.workerConnections());
         new NettyHttpServer(group, MAX_BATCH_BYTES, limits.internalConnections())
-                .listen(settings.internalAddress(), controller::internalCall);
-        loop.execute(() -> controller.start(() -> users.bind(settings.publicAddress(), controller::publicCall)
+                .listen(settings.internalAddress(), controller::handleInternal);
+        loop.execute(() -> controller.start(() -> users.bind(settings.publicAddress(), controller::handlePublic)
                 .addListener(bound -> {
                     if (!bound.isSuccess()) {
                         System.err.println("sillreel: public_addr: can't be listened on: "
--- a/src/main/java/io/sillreel/heartbeat/AttemptIds.java
+++ b/src/main/java/io/sillreel/heartbeat/AttemptIds.java
@@ -27,13 +27,13 @@
     }
 
     /** True if there is no further id in this term. */
-    public boolean exhausted() {
+    public boolean isExhausted() {
         return count >= MAX_COUNT;
     }
 
     /** An id that no launch of any term has had. */
     public long next() {
-        if (exhausted()) {
+        if (isExhausted()) {
             throw new IllegalStateException("all attempt ids of the term are used up");
         }
         return base + ++count;
--- a/src/main/java/io/sillreel/heartbeat/CommandWriter.java
+++ b/src/main/java/io/sillreel/heartbeat/CommandWriter.java
@@ -33,7 +33,7 @@
     }
 
     /** Reaps what is settled and stops what must not run; both are repeated until the reports show them done. */
-    void command(Machine machine, AgentCommands commands) {
+    void addCommands(Machine machine, AgentCommands commands) {
         for (Allocation allocation : machine.allocations()) {
             if (commands.isFull()) {
                 return;
@@ -62,23 +62,23 @@
     /**
      * Gives the machine what the plan has for it, and what it had no room for elsewhere as far as there is room here.
      */
-    void launch(Machine machine, Heartbeat heartbeat, AgentCommands commands, long now) {
+    void addLaunches(Machine machine, Heartbeat heartbeat, AgentCommands commands, long now) {
         List<Assignment> planned = plan.launches().remove(machine.name());
         if (!planner.acceptsLaunches(machine, now)) {
             return;
         }
         if (planned != null) {
-            launch(machine, planned, heartbeat, commands, now);
+            addLaunches(machine, planned, heartbeat, commands, now);
         }
         if (machine.freeCpus() > 0) {
             List<Assignment> left = planner.planMachine(plan, machine, now, eventLoop.wallMicros());
             if (!left.isEmpty()) {
-                launch(machine, left, heartbeat, commands, now);
+                addLaunches(machine, left, heartbeat, commands, now);
             }
         }
     }
 
-    private void launch(
+    private void addLaunches(
             Machine machine, List<Assignment> assignments, Heartbeat heartbeat, AgentCommands commands, long now) {
         QuotaUsage usage = cluster.quotaUsage();
         // A machine that has not heeded its last answer is tried with one task, not with all that it has room for.
@@ -97,7 +97,7 @@
                             Math.min(
                                     cluster.quotaHeadroom(job.spec(), usage),
                                     cluster.zoneHeadroom(job, machine.zone()))));
-            for (int i = 0; i < count && most > 0 && !commands.isFull() && !attemptIds.exhausted(); i++) {
+            for (int i = 0; i < count && most > 0 && !commands.isFull() && !attemptIds.isExhausted(); i++) {
                 int task = job.nextWaitingTask();
                 if (task < 0) {
                     break;
--- a/src/main/java/io/sillreel/heartbeat/FaultAttribution.java
+++ b/src/main/java/io/sillreel/heartbeat/FaultAttribution.java
@@ -21,7 +21,7 @@
     private FaultAttribution() {}
 
     /** Judges a task of the job that failed on the machine. */
-    public static Fault failed(ActiveJob job, Machine machine) {
+    public static Fault attribute(ActiveJob job, Machine machine) {
         if (job.hasSucceededOnce()) {
             return Fault.MACHINE;
         }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatBatch.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatBatch.java
@@ -48,7 +48,7 @@
             replies.add(response);
         }
         if (replies.size() == reports.size()) {
-            answer.complete(new HttpResponse(200, PeerMessages.answers(replies), 0));
+            answer.complete(new HttpResponse(200, PeerMessages.encodeResponses(replies), 0));
         } else {
             eventLoop.schedule(1, this::decideSome);
         }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatObserver.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatObserver.java
@@ -7,17 +7,17 @@
     /** Sees nothing. */
     HeartbeatObserver NONE = new HeartbeatObserver() {
         @Override
-        public void received(Heartbeat heartbeat) {}
+        public void heartbeatReceived(Heartbeat heartbeat) {}
 
         @Override
-        public boolean answerable(Heartbeat heartbeat, long term) {
+        public boolean mayAnswer(Heartbeat heartbeat, long term) {
             return true;
         }
     };
 
     /** A report has come from its worker itself. */
-    void received(Heartbeat heartbeat);
+    void heartbeatReceived(Heartbeat heartbeat);
 
     /** False if the leader of the term must not answer the report. */
-    boolean answerable(Heartbeat heartbeat, long term);
+    boolean mayAnswer(Heartbeat heartbeat, long term);
 }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
@@ -31,15 +31,15 @@
         boolean isGone(String machine);
 
         /** The machine has reported for the first time. */
-        void cameUp(Machine machine);
+        void machineUp(Machine machine);
 
         /** Nothing that was on the machine can be alive any more, and it has not been heard since. */
-        void wentDown(Machine machine);
+        void machineDown(Machine machine);
 
-        void progressed();
+        void schedulingNeeded();
 
         /** Asks the machine itself how far it counts. */
-        void ask(Machine machine);
+        void queryStatus(Machine machine);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatProcessor.class);
@@ -53,7 +53,7 @@
     private final FleetThresholds thresholds;
     private final Callbacks callbacks;
     private final BooleanSupplier mayAct;
-    private final HttpResponse nothing;
+    private final HttpResponse noCommands;
     private final TaskReconciler reconciler;
     private final CommandWriter commandWriter;
     private final AttemptIds attemptIds;
@@ -78,9 +78,9 @@
         this.thresholds = thresholds;
         this.callbacks = callbacks;
         this.mayAct = mayAct;
-        this.nothing = new AgentCommands().toResponse(term);
-        this.reconciler =
-                new TaskReconciler(eventLoop, cluster, writeQueue, retries, runtimeEstimator, callbacks::progressed);
+        this.noCommands = new AgentCommands().toResponse(term);
+        this.reconciler = new TaskReconciler(
+                eventLoop, cluster, writeQueue, retries, runtimeEstimator, callbacks::schedulingNeeded);
         this.attemptIds = new AttemptIds(term);
         this.commandWriter = new CommandWriter(eventLoop, attemptIds, cluster, planner);
     }
@@ -91,22 +91,22 @@
     }
 
     /** True if this term can launch nothing more, so that another one has to begin. */
-    public boolean outOfAttempts() {
-        return attemptIds.exhausted();
+    public boolean isOutOfAttemptIds() {
+        return attemptIds.isExhausted();
     }
 
     /** The longest that tasks live on a machine whose report is answered now. */
-    public long aliveUntil(long nowMicros) {
+    public long leaseExpiryMicros(long nowMicros) {
         return nowMicros + times.leaseMicros() + times.leaseMicros() / DRIFT_DIVISOR + BOUND_MARGIN_MICROS;
     }
 
     /** A report that came by itself, here or through another controller. */
-    public HttpResponse report(Heartbeat heartbeat) {
+    public HttpResponse process(Heartbeat heartbeat) {
         synchronized (cluster) {
             long now = eventLoop.nowMicros();
             Machine machine = cluster.machine(heartbeat.machine());
             if (machine == null) {
-                return stranger(heartbeat);
+                return handleUnknownMachine(heartbeat);
             }
             if (machine.isReconciled()
                     && heartbeat.fencingToken() < term
@@ -114,27 +114,27 @@
                             machine.heartbeatOrder().epoch(),
                             machine.heartbeatOrder().sequence())) {
                 // Within one life neither the token nor the numbers fall.
-                return newLife(machine);
+                return handleRestart(machine);
             }
             if (!machine.acceptHeartbeat(heartbeat, false, now)) {
-                return notNewer(machine, heartbeat, now);
+                return handleStaleHeartbeat(machine, heartbeat, now);
             }
             cluster.countSteps(heartbeat.tasks().size() + 1);
-            callbacks.cameUp(machine);
+            callbacks.machineUp(machine);
             if (heartbeat.fencingToken() != term) {
-                return unheard(machine, now);
+                return handleStaleToken(machine, now);
             }
-            reconciler.take(machine, heartbeat, true, now);
-            if (unresponsive(machine)) {
-                return giveUp(machine);
+            reconciler.reconcile(machine, heartbeat, true, now);
+            if (isIsolatedUnresponsive(machine)) {
+                return refuseUnresponsive(machine);
             }
-            machine.heartbeatAnswered(aliveUntil(now));
+            machine.heartbeatAnswered(leaseExpiryMicros(now));
             AgentCommands commands = new AgentCommands();
-            commandWriter.command(machine, commands);
+            commandWriter.addCommands(machine, commands);
             if (mayAct.getAsBoolean()) {
-                commandWriter.launch(machine, heartbeat, commands, now);
+                commandWriter.addLaunches(machine, heartbeat, commands, now);
             }
-            return commands.isEmpty() ? nothing : commands.toResponse(term);
+            return commands.isEmpty() ? noCommands : commands.toResponse(term);
         }
     }
 
@@ -142,27 +142,27 @@
      * A machine that no stored rental names holds nothing of ours. It is used once it shows the current token: a copy
      * of an old report, of a machine that was returned since, never does.
      */
-    private HttpResponse stranger(Heartbeat heartbeat) {
+    private HttpResponse handleUnknownMachine(Heartbeat heartbeat) {
         if (callbacks.isGone(heartbeat.machine())) {
             return HttpResponse.retryLater(503, "the machine was returned", 1);
         }
         if (heartbeat.fencingToken() == term && callbacks.adopt(heartbeat) == null) {
             return HttpResponse.retryLater(503, "machine type " + heartbeat.machineType() + " is not known", 1);
         }
-        return nothing;
+        return noCommands;
     }
 
     /**
      * An older message, or a copy, says nothing new and must extend no bound, so it is not answered 200. The exception
      * is a report that the answer to a direct command has just overtaken: its worker still waits.
      */
-    private HttpResponse notNewer(Machine machine, Heartbeat heartbeat, long now) {
+    private HttpResponse handleStaleHeartbeat(Machine machine, Heartbeat heartbeat, long now) {
         if (machine.heartbeatOrder().isOvertakenByCommand(heartbeat, Heartbeat.RESPONSE_TIMEOUT_MICROS, now)) {
-            machine.heartbeatAnswered(aliveUntil(now));
-            return nothing;
+            machine.heartbeatAnswered(leaseExpiryMicros(now));
+            return noCommands;
         }
         if (machine.heartbeatOrder().suggestsRestart(heartbeat)) {
-            callbacks.ask(machine);
+            callbacks.queryStatus(machine);
         }
         return HttpResponse.retryLater(503, "a newer report was seen", 1);
     }
@@ -170,17 +170,17 @@
     /**
      * The machine does not know this term yet: it may still obey an earlier leader. It is told, but not without end.
      */
-    private HttpResponse unheard(Machine machine, long now) {
-        if (unresponsive(machine)) {
-            return giveUp(machine);
+    private HttpResponse handleStaleToken(Machine machine, long now) {
+        if (isIsolatedUnresponsive(machine)) {
+            return refuseUnresponsive(machine);
         }
         machine.responsiveness().staleTokenShown(now);
-        machine.heartbeatAnswered(aliveUntil(now));
-        return nothing;
+        machine.heartbeatAnswered(leaseExpiryMicros(now));
+        return noCommands;
     }
 
     /** True if the machine alone, or with few others, hears nothing; if many do, the fault is on this side. */
-    private boolean unresponsive(Machine machine) {
+    private boolean isIsolatedUnresponsive(Machine machine) {
         if (!machine.responsiveness().isUnresponsive()) {
             return false;
         }
@@ -193,13 +193,13 @@
     }
 
     /** It hears nothing: not answering lets its lease, and with it its tasks, run out; then it goes back. */
-    private HttpResponse giveUp(Machine machine) {
+    private HttpResponse refuseUnresponsive(Machine machine) {
         if (machine.state() == Machine.State.UP) {
             LOG.info(
                     "machine {} ({}) does not react to its commands",
                     machine.name(),
                     machine.type().name());
-            callbacks.progressed();
+            callbacks.schedulingNeeded();
             if (machine.isReconciled()) {
                 machine.drain("it hears nothing");
             } else {
@@ -210,13 +210,13 @@
     }
 
     /** The report in the answer to a direct command. It can't show that a launch did not happen. */
-    public void answered(Heartbeat heartbeat) {
+    public void processCommandResponse(Heartbeat heartbeat) {
         synchronized (cluster) {
             Machine machine = cluster.machine(heartbeat.machine());
             if (machine != null
                     && heartbeat.fencingToken() == term
                     && machine.acceptHeartbeat(heartbeat, true, eventLoop.nowMicros())) {
-                reconciler.take(machine, heartbeat, false, eventLoop.nowMicros());
+                reconciler.reconcile(machine, heartbeat, false, eventLoop.nowMicros());
             }
         }
     }
@@ -225,14 +225,14 @@
      * What the machine said when it was asked how far it counts: less than it had counted when it was asked means that
      * it is a new life of it. If reports have been taken since, the answer is older than they are and says nothing.
      */
-    public void asked(Heartbeat heartbeat, long sessionBefore, long sequenceBefore) {
+    public void processStatusResponse(Heartbeat heartbeat, long sessionBefore, long sequenceBefore) {
         synchronized (cluster) {
             Machine machine = cluster.machine(heartbeat.machine());
             if (machine != null
                     && machine.heartbeatOrder().epoch() == sessionBefore
                     && machine.heartbeatOrder().sequence() == sequenceBefore
                     && !heartbeat.isNewerThan(sessionBefore, sequenceBefore)) {
-                newLife(machine);
+                handleRestart(machine);
             }
         }
     }
@@ -242,7 +242,7 @@
      * could not be told from later ones of the new. What it was given stays counted until the cloud has taken it, or
      * its lease has run out, since the new life may have been given some of it.
      */
-    private HttpResponse newLife(Machine machine) {
+    private HttpResponse handleRestart(Machine machine) {
         if (!machine.isReturnScheduled()) {
             LOG.info("machine {} has restarted under its old name", machine.name());
             machine.scheduleReturn("it has restarted");
@@ -251,33 +251,33 @@
     }
 
     /** Adds what the machine is to reap and to stop; both are repeated until its reports show them done. */
-    public void command(Machine machine, AgentCommands commands) {
-        commandWriter.command(machine, commands);
+    public void addCommands(Machine machine, AgentCommands commands) {
+        commandWriter.addCommands(machine, commands);
     }
 
     /** Clears what can't be alive any more on machines that were not heard for longer than their lease. */
-    public void expire() {
+    public void expireLeases() {
         long now = eventLoop.nowMicros();
         for (Machine machine : cluster.machines()) {
             if (machine.leaseExpiryMicros() <= now) {
                 machine.heartbeatOrder().endEpoch();
                 cluster.markReconciled(machine);
                 if (mayAct.getAsBoolean()) {
-                    callbacks.wentDown(machine);
+                    callbacks.machineDown(machine);
                 }
                 if (!machine.allocations().isEmpty()) {
                     LOG.info(
                             "machine {} is silent beyond its lease, {} tasks are queued again",
                             machine.name(),
                             machine.allocations().size());
-                    clear(machine);
+                    clearTasks(machine);
                 }
             }
         }
     }
 
     /** All tasks of the machine are certainly gone. */
-    public void clear(Machine machine) {
-        reconciler.clear(machine);
+    public void clearTasks(Machine machine) {
+        reconciler.clearTasks(machine);
     }
 }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatRelay.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatRelay.java
@@ -59,9 +59,9 @@
     private int unansweredInARow;
     private boolean gathering;
     private long brokenUntilMicros = Long.MIN_VALUE;
-    private long passed;
-    private long lost;
-    private long batchesSent;
+    private long relayedCount;
+    private long lostCount;
+    private long batchCount;
 
     /** @param workers how many workers report here */
     public HeartbeatRelay(EventLoop eventLoop, HttpClient httpClient, IntSupplier workers) {
@@ -71,24 +71,24 @@
     }
 
     /** True unless the last batch to this lease leader was lost a moment ago. */
-    public synchronized boolean works(String leaderAddress) {
+    public synchronized boolean isReachable(String leaderAddress) {
         return !leader.equals(leaderAddress) || eventLoop.nowMicros() >= brokenUntilMicros;
     }
 
-    public synchronized long passed() {
-        return passed;
+    public synchronized long relayedCount() {
+        return relayedCount;
     }
 
-    public synchronized long lost() {
-        return lost;
+    public synchronized long lostCount() {
+        return lostCount;
     }
 
-    public synchronized long batchesSent() {
-        return batchesSent;
+    public synchronized long batchCount() {
+        return batchCount;
     }
 
     /** Passes the report to the leader with the next batch and completes with the leader's answer to it. */
-    public CompletableFuture<HttpResponse> pass(Heartbeat heartbeat, String leaderAddress) {
+    public CompletableFuture<HttpResponse> relay(Heartbeat heartbeat, String leaderAddress) {
         CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
         synchronized (this) {
             if (!leader.equals(leaderAddress)) {
@@ -138,7 +138,7 @@
             gathering = false;
             batch = nextBatch(givenUp);
             batches += batch.isEmpty() ? 0 : 1;
-            batchesSent += batch.isEmpty() ? 0 : 1;
+            batchCount += batch.isEmpty() ? 0 : 1;
             to = leader;
         }
         givenUp.forEach(each -> each.answer().complete(LOST));
@@ -148,19 +148,19 @@
         HttpRequest request =
                 PeerMessages.heartbeats(batch.stream().map(Waiting::report).toList());
         httpClient.send(to, request, TIMEOUT_MICROS).thenAccept(response -> {
-            List<HttpResponse> replies = response.isOk() ? PeerMessages.replies(response.body()) : List.of();
+            List<HttpResponse> replies = response.isOk() ? PeerMessages.decodeResponses(response.body()) : List.of();
             boolean more;
             synchronized (this) {
                 batches--;
                 if (replies.size() != batch.size()) {
-                    lost += batch.size();
+                    lostCount += batch.size();
                     boolean broken =
                             response.status() != HttpResponse.NO_ANSWER || ++unansweredInARow > MAX_LATE_BATCHES;
                     if (broken && to.equals(leader)) {
                         brokenUntilMicros = eventLoop.nowMicros() + BROKEN_MICROS;
                     }
                 } else {
-                    passed += batch.size();
+                    relayedCount += batch.size();
                     unansweredInARow = 0;
                 }
                 more = !waiting.isEmpty() && !gathering;
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatRouter.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatRouter.java
@@ -22,13 +22,13 @@
     private final EventLoop eventLoop;
     private final Settings settings;
     private final LeaderElection leadership;
-    private final HeartbeatRelay relay;
-    private final WorkerLoadBalancer spread;
+    private final HeartbeatRelay heartbeatRelay;
+    private final WorkerLoadBalancer loadBalancer;
     private final Supplier<LeaderTerm> leaderTerm;
     private final HeartbeatObserver watcher;
-    private long reports;
-    private long handed;
-    private long moved;
+    private long heartbeatCount;
+    private long relayed;
+    private long redirected;
     private int unanswered;
     private int unansweredBefore;
 
@@ -37,22 +37,22 @@
             EventLoop eventLoop,
             Settings settings,
             LeaderElection leadership,
-            HeartbeatRelay relay,
-            WorkerLoadBalancer spread,
+            HeartbeatRelay heartbeatRelay,
+            WorkerLoadBalancer loadBalancer,
             Supplier<LeaderTerm> leaderTerm,
             HeartbeatObserver watcher) {
         this.eventLoop = eventLoop;
         this.settings = settings;
         this.leadership = leadership;
-        this.relay = relay;
-        this.spread = spread;
+        this.heartbeatRelay = heartbeatRelay;
+        this.loadBalancer = loadBalancer;
         this.leaderTerm = leaderTerm;
         this.watcher = watcher;
     }
 
     /** A worker's report: decided here, handed on to the lease leader, or sent to where it can be. */
-    public CompletableFuture<HttpResponse> heartbeat(HttpRequest request) {
-        reports++;
+    public CompletableFuture<HttpResponse> route(HttpRequest request) {
+        heartbeatCount++;
         LeaderTerm current = leaderTerm.get();
         Optional<Member> leader = current != null ? Optional.empty() : leader();
         if (current == null && leader.isEmpty()) {
@@ -64,24 +64,24 @@
         if (heartbeat == null) {
             return answer(HttpResponse.refusal(400, "hopper: is missing"));
         }
-        watcher.received(heartbeat);
-        spread.seen(heartbeat.machine());
-        String elsewhere = spread.moveTo(heartbeat.machine());
+        watcher.heartbeatReceived(heartbeat);
+        loadBalancer.heartbeatReceived(heartbeat.machine());
+        String elsewhere = loadBalancer.redirectTarget(heartbeat.machine());
         if (elsewhere == null
                 && current == null
-                && !relay.works(leader.get().address())
-                && !spread.sentOnLately(heartbeat.machine())) {
+                && !heartbeatRelay.isReachable(leader.get().address())
+                && !loadBalancer.wasRedirectedRecently(heartbeat.machine())) {
             elsewhere = leader.get().nodeName();
         }
         if (elsewhere != null) {
-            moved++;
-            spread.sentOn(heartbeat.machine());
+            redirected++;
+            loadBalancer.redirected(heartbeat.machine());
             return answer(elsewhere(elsewhere));
         }
         if (current != null) {
             return answer(decide(current, heartbeat));
         }
-        return relay.pass(heartbeat, leader.get().address()).thenApply(response -> {
+        return heartbeatRelay.relay(heartbeat, leader.get().address()).thenApply(response -> {
             if (!response.isOk()) {
                 unanswered++;
             }
@@ -91,23 +91,23 @@
 
     /** The controller that is known to lead, unless it is this one or nobody. */
     public Optional<Member> leader() {
-        String node = leadership.known().node();
+        String node = leadership.knownLeader().node();
         return node == null ? Optional.empty() : settings.member(node);
     }
 
     /** Reports that another controller hands on. */
-    public CompletableFuture<HttpResponse> handedOn(HttpRequest request) {
+    public CompletableFuture<HttpResponse> handleRelayed(HttpRequest request) {
         LeaderTerm current = leaderTerm.get();
         if (current == null) {
             return answer(HttpResponse.retryLater(503, "not the leader", 1));
         }
-        List<Heartbeat> reports = PeerMessages.reports(request.body());
-        handed += reports.size();
+        List<Heartbeat> reports = PeerMessages.decodeHeartbeats(request.body());
+        relayed += reports.size();
         return new HeartbeatBatch(eventLoop, reports, heartbeat -> decide(current, heartbeat)).start();
     }
 
     private HttpResponse decide(LeaderTerm current, Heartbeat heartbeat) {
-        return watcher.answerable(heartbeat, current.term()) ? current.answer(heartbeat) : NOBODY_LEADS;
+        return watcher.mayAnswer(heartbeat, current.term()) ? current.handleHeartbeat(heartbeat) : NOBODY_LEADS;
     }
 
     private static HttpResponse elsewhere(String node) {
@@ -115,35 +115,36 @@
     }
 
     /** True if workers that report here have their reports answered. */
-    public boolean serves() {
+    public boolean isServing() {
         return leaderTerm.get() != null
-                || leader().map(member -> relay.works(member.address())).orElse(false);
+                || leader().map(member -> heartbeatRelay.isReachable(member.address()))
+                        .orElse(false);
     }
 
     /** A second or so has passed; what went unanswered is remembered for one more. */
-    public void review() {
+    public void startNextWindow() {
         unansweredBefore = unanswered;
         unanswered = 0;
     }
 
     /** Reports that could not be answered within the last two seconds or so. */
-    public int recentlyUnanswered() {
+    public int recentlyUnansweredCount() {
         return unanswered + unansweredBefore;
     }
 
     /** Reports that came from workers. */
-    public long reports() {
-        return reports;
+    public long heartbeatCount() {
+        return heartbeatCount;
     }
 
     /** Reports that other controllers handed on. */
-    public long reportsHandedOn() {
-        return handed;
+    public long relayedCount() {
+        return relayed;
     }
 
     /** Workers that were sent to another controller. */
-    public long workersMoved() {
-        return moved;
+    public long redirectCount() {
+        return redirected;
     }
 
     private static CompletableFuture<HttpResponse> answer(HttpResponse response) {
--- a/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
+++ b/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
@@ -25,7 +25,7 @@
     private final WriteQueue writeQueue;
     private final RetrySchedule retries;
     private final RuntimeEstimator runtimeEstimator;
-    private final Runnable progressed;
+    private final Runnable schedulingNeeded;
 
     /** @param progressed called when there may be something new to plan */
     TaskReconciler(
@@ -40,7 +40,7 @@
         this.writeQueue = writeQueue;
         this.retries = retries;
         this.runtimeEstimator = runtimeEstimator;
-        this.progressed = progressed;
+        this.schedulingNeeded = progressed;
     }
 
     /**
@@ -48,7 +48,7 @@
      *
      * @param ownReport it came by itself: only such a one shows that a launch has not happened
      */
-    void take(Machine machine, Heartbeat heartbeat, boolean ownReport, long now) {
+    void reconcile(Machine machine, Heartbeat heartbeat, boolean ownReport, long now) {
         if (!machine.isReconciled()) {
             machine.markReconciled();
             machine.responsiveness().commandObeyed();
@@ -59,7 +59,7 @@
                     machine.type().name(),
                     machine.zone(),
                     heartbeat.tasks().size());
-            progressed.run();
+            schedulingNeeded.run();
         }
         Set<Allocation> shown = new HashSet<>();
         boolean heeded = false;
@@ -67,12 +67,12 @@
         for (TaskStatus task : heartbeat.tasks()) {
             Allocation allocation = machine.allocation(task.uid(), task.index(), task.attempt());
             if (allocation == null) {
-                allocation = found(machine, task, now);
+                allocation = discover(machine, task, now);
             } else if (!allocation.hasEnded()) {
                 heeded |= allocation.isUnconfirmed();
                 allocation.updateStage(task.stage(), now);
                 if (allocation.hasEnded()) {
-                    ended(machine, allocation, task.cause(), now);
+                    handleEnd(machine, allocation, task.cause(), now);
                 }
             } else if (ownReport
                     && allocation.acknowledgementSequence() > 0
@@ -88,7 +88,7 @@
                 if (!shown.contains(allocation) && (neverStarted || !allocation.isUnconfirmed())) {
                     unheeded |= neverStarted;
                     heeded |= !neverStarted;
-                    vacate(machine, allocation);
+                    removeAllocation(machine, allocation);
                 }
             }
         }
@@ -99,7 +99,7 @@
         }
     }
 
-    private Allocation found(Machine machine, TaskStatus task, long now) {
+    private Allocation discover(Machine machine, TaskStatus task, long now) {
         ActiveJob job = cluster.job(task.uid());
         if (job != null && (task.index() < 0 || task.index() >= job.spec().tasks())) {
             job = null;
@@ -108,7 +108,7 @@
         Allocation allocation = Allocation.discovered(job, task.uid(), task.index(), task.attempt(), task.stage());
         machine.add(allocation);
         if (allocation.hasEnded()) {
-            ended(machine, allocation, task.cause(), now);
+            handleEnd(machine, allocation, task.cause(), now);
         } else if (elsewhere) {
             LOG.error("{}/{} is on {} and elsewhere, stopping it here", task.uid(), task.index(), machine.name());
             allocation.stop(0);
@@ -116,9 +116,9 @@
         return allocation;
     }
 
-    private void ended(Machine machine, Allocation allocation, String cause, long now) {
+    private void handleEnd(Machine machine, Allocation allocation, String cause, long now) {
         ActiveJob job = allocation.job();
-        progressed.run();
+        schedulingNeeded.run();
         if (job == null) {
             return;
         }
@@ -132,12 +132,12 @@
                     runtimeEstimator.recordRuntime(job, ran);
                 }
                 machine.health().clearSuspicion(job.uid());
-                judge(job);
+                attributeEarlierFailures(job);
                 if (job.markTaskDone(allocation.taskIndex()) && !job.isCancelled()) {
                     writeQueue.enqueue(job);
                 }
             }
-            case "error" -> failed(machine, job, allocation);
+            case "error" -> handleFailure(machine, job, allocation);
             case "no_room", "busy", "no_such" ->
                 LOG.info("{} refused {}/{}: {}", machine.name(), allocation.uid(), allocation.taskIndex(), cause);
             default ->
@@ -146,7 +146,7 @@
     }
 
     /** A job that succeeds is no mistake: the machines that failed it before are the faulty ones. */
-    private void judge(ActiveJob job) {
+    private void attributeEarlierFailures(ActiveJob job) {
         for (String name : job.failedOn()) {
             Machine suspectedMachine = cluster.machine(name);
             if (suspectedMachine != null
@@ -157,11 +157,11 @@
         }
     }
 
-    private void failed(Machine machine, ActiveJob job, Allocation allocation) {
+    private void handleFailure(Machine machine, ActiveJob job, Allocation allocation) {
         if (job.isCancelled() || machine.state() == Machine.State.DRAINING) {
             return;
         }
-        switch (FaultAttribution.failed(job, machine)) {
+        switch (FaultAttribution.attribute(job, machine)) {
             case MACHINE -> {
                 LOG.info(
                         "machine {} is considered faulty: it failed {}/{}",
@@ -190,15 +190,15 @@
         }
     }
 
-    private void vacate(Machine machine, Allocation allocation) {
+    private void removeAllocation(Machine machine, Allocation allocation) {
         machine.remove(allocation);
         allocation.release();
-        progressed.run();
+        schedulingNeeded.run();
     }
 
     /** All tasks of the machine are certainly gone. */
-    void clear(Machine machine) {
+    void clearTasks(Machine machine) {
         machine.clearAllocations().forEach(Allocation::release);
-        progressed.run();
+        schedulingNeeded.run();
     }
 }
--- a/src/main/java/io/sillreel/heartbeat/WorkerLoadBalancer.java
+++ b/src/main/java/io/sillreel/heartbeat/WorkerLoadBalancer.java
@@ -11,11 +11,11 @@
  * leader keeps a smaller part, since it decides every answer already.
  */
 public final class WorkerLoadBalancer {
-    private static final double LEADER_PART = 0.25;
+    private static final double LEADER_SHARE = 0.25;
     /** So many beyond its part are no reason to move anybody. */
     private static final int SLACK = 3;
 
-    private static final double SLACK_PART = 0.1;
+    private static final double SLACK_SHARE = 0.1;
     /** A worker that came back this soon was sent away in vain. */
     private static final long SETTLE_MICROS = 30_000_000;
 
@@ -23,10 +23,10 @@
     private final Peers peers;
     private final String node;
     private final long freshMicros;
-    private final Map<String, Long> seenMicros = new HashMap<>();
-    private final Map<String, Long> movedMicros = new HashMap<>();
-    private int toMove;
-    private String moveTo;
+    private final Map<String, Long> heartbeatMicros = new HashMap<>();
+    private final Map<String, Long> redirectedMicros = new HashMap<>();
+    private int redirectsLeft;
+    private String redirectTarget;
 
     /** @param reportMicros the interval between two reports of a worker */
     public WorkerLoadBalancer(EventLoop eventLoop, Peers peers, String node, long reportMicros) {
@@ -37,65 +37,65 @@
     }
 
     /** The worker has reported here. */
-    public synchronized void seen(String machine) {
-        seenMicros.put(machine, eventLoop.nowMicros());
+    public synchronized void heartbeatReceived(String machine) {
+        heartbeatMicros.put(machine, eventLoop.nowMicros());
     }
 
     /** The worker is served elsewhere from now on. */
-    public synchronized void sentOn(String machine) {
-        movedMicros.put(machine, eventLoop.nowMicros());
-        seenMicros.remove(machine);
+    public synchronized void redirected(String machine) {
+        redirectedMicros.put(machine, eventLoop.nowMicros());
+        heartbeatMicros.remove(machine);
     }
 
-    public synchronized boolean sentOnLately(String machine) {
-        Long at = movedMicros.get(machine);
+    public synchronized boolean wasRedirectedRecently(String machine) {
+        Long at = redirectedMicros.get(machine);
         return at != null && eventLoop.nowMicros() - at < SETTLE_MICROS;
     }
 
-    public synchronized int workers() {
-        return seenMicros.size();
+    public synchronized int workerCount() {
+        return heartbeatMicros.size();
     }
 
     /** Looks how the workers are spread; done once a second or so. */
-    public synchronized void review(String leader) {
+    public synchronized void rebalance(String leader) {
         long now = eventLoop.nowMicros();
-        seenMicros.values().removeIf(at -> now - at > freshMicros);
-        movedMicros.values().removeIf(at -> now - at > SETTLE_MICROS);
-        toMove = 0;
-        moveTo = null;
-        int all = seenMicros.size();
-        double parts = part(node, leader);
+        heartbeatMicros.values().removeIf(at -> now - at > freshMicros);
+        redirectedMicros.values().removeIf(at -> now - at > SETTLE_MICROS);
+        redirectsLeft = 0;
+        redirectTarget = null;
+        int all = heartbeatMicros.size();
+        double parts = share(node, leader);
         for (Hello peer : peers.fresh()) {
             if (peer.serves()) {
                 all += peer.workers();
-                parts += part(peer.node(), leader);
+                parts += share(peer.node(), leader);
             }
         }
-        double over = seenMicros.size() - all * part(node, leader) / parts;
-        if (over < SLACK + SLACK_PART * all / parts) {
+        double over = heartbeatMicros.size() - all * share(node, leader) / parts;
+        if (over < SLACK + SLACK_SHARE * all / parts) {
             return;
         }
         double most = 0;
         for (Hello peer : peers.fresh()) {
-            double room = all * part(peer.node(), leader) / parts - peer.workers();
+            double room = all * share(peer.node(), leader) / parts - peer.workers();
             if (peer.serves() && room > most) {
                 most = room;
-                moveTo = peer.node();
+                redirectTarget = peer.node();
             }
         }
-        toMove = (int) Math.min(over, Math.ceil(most / 2));
+        redirectsLeft = (int) Math.min(over, Math.ceil(most / 2));
     }
 
-    private static double part(String who, String leader) {
-        return who.equals(leader) ? LEADER_PART : 1;
+    private static double share(String who, String leader) {
+        return who.equals(leader) ? LEADER_SHARE : 1;
     }
 
     /** Where the worker is to go, or null if it is to stay. */
-    public synchronized String moveTo(String machine) {
-        if (toMove <= 0 || sentOnLately(machine)) {
+    public synchronized String redirectTarget(String machine) {
+        if (redirectsLeft <= 0 || wasRedirectedRecently(machine)) {
             return null;
         }
-        toMove--;
-        return moveTo;
+        redirectsLeft--;
+        return redirectTarget;
     }
 }
--- a/src/main/java/io/sillreel/leadership/LeaderElection.java
+++ b/src/main/java/io/sillreel/leadership/LeaderElection.java
@@ -26,9 +26,9 @@
 
     /** Told in the loop when the lease is taken and when it is lost. */
     public interface Listener {
-        void took(long term, long leaderRevision);
+        void leadershipAcquired(long term, long leaderRevision);
 
-        void lost(String reason);
+        void leadershipLost(String reason);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
@@ -47,13 +47,13 @@
     private final Listener listener;
     private final LongSupplier termFloor;
 
-    private Leader known = new Leader(null, 0);
+    private Leader knownLeader = new Leader(null, 0);
     private long leaseId;
     private long heldTerm;
-    private long proofMicros;
+    private long leaseConfirmedMicros;
     private boolean renewing;
     private int watches;
-    private long notBeforeMicros = Long.MIN_VALUE;
+    private long candidacyResumesMicros = Long.MIN_VALUE;
     private Runnable onSettled = () -> {};
 
     /**
@@ -79,17 +79,17 @@
     /** @param settled done once it is known who leads, or that this can't be known now */
     public void start(Runnable settled) {
         onSettled = settled;
-        look();
+        readLeaderKey();
     }
 
-    private void settled() {
+    private void electionSettled() {
         Runnable then = onSettled;
         onSettled = () -> {};
         then.run();
     }
 
-    public synchronized Leader known() {
-        return known;
+    public synchronized Leader knownLeader() {
+        return knownLeader;
     }
 
     /** The term held, or 0; holding is not yet being allowed to act. */
@@ -98,27 +98,27 @@
     }
 
     /** When the last renewal that was granted had been sent. */
-    public synchronized long proofMicros() {
-        return proofMicros;
+    public synchronized long leaseConfirmedMicros() {
+        return leaseConfirmedMicros;
     }
 
     /** True while nobody else can have taken the lease. */
-    public synchronized boolean proven() {
+    public synchronized boolean isLeaseValid() {
         return heldTerm > 0
                 && eventLoop.nowMicros()
-                        < proofMicros + leaseMicros - leaseMicros / DRIFT_DIVISOR - TIMER_MARGIN_MICROS;
+                        < leaseConfirmedMicros + leaseMicros - leaseMicros / DRIFT_DIVISOR - TIMER_MARGIN_MICROS;
     }
 
     /** Another controller or a worker has shown a term; a higher one than ours ends our holding. */
-    public void heard(String leaderNode, long term) {
+    public void observeTerm(String leaderNode, long term) {
         synchronized (this) {
-            if (term <= known.term()) {
+            if (term <= knownLeader.term()) {
                 return;
             }
-            known = new Leader(leaderNode, term);
+            knownLeader = new Leader(leaderNode, term);
         }
         if (heldTerm() > 0 && term > heldTerm()) {
-            lose("term " + term + " has begun elsewhere");
+            loseLeadership("term " + term + " has begun elsewhere");
         }
     }
 
@@ -126,21 +126,21 @@
     public void resign(String reason) {
         long granted = leaseId;
         if (heldTerm() > 0) {
-            lose(reason);
+            loseLeadership(reason);
             store.revokeLease(granted);
         }
     }
 
     /** Does not try to take the lease for so long, so that another controller can. */
     public synchronized void pauseCandidacy(long forMicros) {
-        notBeforeMicros = eventLoop.nowMicros() + forMicros;
+        candidacyResumesMicros = eventLoop.nowMicros() + forMicros;
     }
 
-    private void look() {
+    private void readLeaderKey() {
         store.list(LEADER_KEY).thenAccept(listing -> {
             if (listing.outcome() != Outcome.OK) {
-                settled();
-                eventLoop.schedule(RETRY_MICROS, this::look);
+                electionSettled();
+                eventLoop.schedule(RETRY_MICROS, this::readLeaderKey);
                 return;
             }
             Entry entry = listing.entries().stream()
@@ -148,17 +148,17 @@
                     .findFirst()
                     .orElse(null);
             if (entry == null) {
-                note(null, 0);
+                recordLeader(null, 0);
                 acquire(0, listing.storeRevision());
             } else {
-                note(
+                recordLeader(
                         entry.value().path("node").asText(),
                         entry.value().path("term").asLong());
-                if (heldTerm() == 0 && node.equals(known().node())) {
+                if (heldTerm() == 0 && node.equals(knownLeader().node())) {
                     // Our own earlier life: it is dead, so there is nobody to wait for.
                     acquire(entry.revision(), listing.storeRevision());
                 } else {
-                    settled();
+                    electionSettled();
                     watch(listing.storeRevision());
                 }
             }
@@ -168,7 +168,7 @@
     private void watch(long since) {
         store.watch(LEADER_KEY, since, WATCH_MICROS).thenAccept(result -> {
             if (result.outcome() != Outcome.OK) {
-                eventLoop.schedule(RETRY_MICROS, this::look);
+                eventLoop.schedule(RETRY_MICROS, this::readLeaderKey);
                 return;
             }
             boolean vacant = false;
@@ -178,59 +178,59 @@
                 }
                 vacant = change.value() == null;
                 if (vacant) {
-                    note(null, 0);
+                    recordLeader(null, 0);
                 } else {
-                    note(
+                    recordLeader(
                             change.value().path("node").asText(),
                             change.value().path("term").asLong());
                 }
             }
             if (vacant) {
                 acquire(0, result.storeRevision());
-            } else if (heldTerm() == 0 && (known().node() == null || ++watches % LOOK_EVERY_WATCHES == 0)) {
+            } else if (heldTerm() == 0 && (knownLeader().node() == null || ++watches % LOOK_EVERY_WATCHES == 0)) {
                 // A key that has vanished without a change would be watched for ever.
-                look();
+                readLeaderKey();
             } else {
                 watch(result.storeRevision());
             }
         });
     }
 
-    private void note(String leaderNode, long term) {
+    private void recordLeader(String leaderNode, long term) {
         long held = heldTerm();
         synchronized (this) {
             if (leaderNode == null) {
-                known = new Leader(null, known.term());
-            } else if (term >= known.term()) {
-                known = new Leader(leaderNode, term);
+                knownLeader = new Leader(null, knownLeader.term());
+            } else if (term >= knownLeader.term()) {
+                knownLeader = new Leader(leaderNode, term);
             }
         }
         if (held > 0 && (leaderNode == null || term != held)) {
-            lose(leaderNode == null ? "the lease ran out" : "term " + term + " has begun elsewhere");
+            loseLeadership(leaderNode == null ? "the lease ran out" : "term " + term + " has begun elsewhere");
         }
     }
 
     private void acquire(long leaderRevision, long storeRevision) {
         long sent = eventLoop.nowMicros();
-        if (sent < notBeforeMicros) {
+        if (sent < candidacyResumesMicros) {
             watch(storeRevision);
             return;
         }
         store.grantLease(leaseMicros).thenAccept(grant -> {
             if (grant.outcome() != Outcome.OK) {
-                settled();
-                eventLoop.schedule(RETRY_MICROS, this::look);
+                electionSettled();
+                eventLoop.schedule(RETRY_MICROS, this::readLeaderKey);
                 return;
             }
             store.get(TERM_KEY).thenAccept(read -> {
                 if (!read.isDecided()) {
-                    settled();
+                    electionSettled();
                     store.revokeLease(grant.leaseId());
-                    eventLoop.schedule(RETRY_MICROS, this::look);
+                    eventLoop.schedule(RETRY_MICROS, this::readLeaderKey);
                     return;
                 }
                 long term = 1 + Math.max(storedTerm(read), termFloor.getAsLong());
-                take(grant.leaseId(), sent, leaderRevision, read.revision(), term, storeRevision);
+                claimLeadership(grant.leaseId(), sent, leaderRevision, read.revision(), term, storeRevision);
             });
         });
     }
@@ -240,7 +240,8 @@
         return read.entry() == null ? 0 : read.entry().value().path("term").asLong();
     }
 
-    private void take(long granted, long sent, long leaderRevision, long termRevision, long term, long storeRevision) {
+    private void claimLeadership(
+            long granted, long sent, long leaderRevision, long termRevision, long term, long storeRevision) {
         ObjectNode leader = Json.object().put("node", node).put("term", term);
         Transaction transaction = new Transaction()
                 .requireRevision(LEADER_KEY, leaderRevision)
@@ -251,18 +252,18 @@
             if (commit.outcome() != Outcome.OK) {
                 // Lost the race, or can't know: the lease is ended so that a late success does not linger.
                 store.revokeLease(granted);
-                eventLoop.schedule(commit.outcome() == Outcome.CONFLICT ? 0 : RETRY_MICROS, this::look);
+                eventLoop.schedule(commit.outcome() == Outcome.CONFLICT ? 0 : RETRY_MICROS, this::readLeaderKey);
                 return;
             }
             synchronized (this) {
                 leaseId = granted;
                 heldTerm = term;
-                proofMicros = sent;
-                known = new Leader(node, term);
+                leaseConfirmedMicros = sent;
+                knownLeader = new Leader(node, term);
             }
             LOG.info("took the lease: term {}", term);
-            listener.took(term, commit.storeRevision());
-            settled();
+            listener.leadershipAcquired(term, commit.storeRevision());
+            electionSettled();
             eventLoop.schedule(leaseMicros / 3, this::renew);
             watch(commit.storeRevision());
         });
@@ -284,7 +285,7 @@
                 renewing = false;
                 ours = heldTerm > 0 && leaseId == granted;
                 if (ours && outcome == Outcome.OK) {
-                    proofMicros = Math.max(proofMicros, sent);
+                    leaseConfirmedMicros = Math.max(leaseConfirmedMicros, sent);
                 }
             }
             if (!ours) {
@@ -292,7 +293,7 @@
             }
             if (outcome == Outcome.NOT_FOUND) {
                 // Whether the end of the key is seen by a watch or not: nobody leads as far as is known here.
-                note(null, 0);
+                recordLeader(null, 0);
                 return;
             }
             long wait = outcome == Outcome.OK ? leaseMicros / 3 - (eventLoop.nowMicros() - sent) : RETRY_MICROS;
@@ -300,7 +301,7 @@
         });
     }
 
-    private void lose(String reason) {
+    private void loseLeadership(String reason) {
         synchronized (this) {
             if (heldTerm == 0) {
                 return;
@@ -309,6 +310,6 @@
             heldTerm = 0;
             leaseId = 0;
         }
-        listener.lost(reason);
+        listener.leadershipLost(reason);
     }
 }
--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -99,7 +99,7 @@
      *
      * @param askedMicros when it was asked for: all cancellations confirmed before are known
      */
-    void begin(StoredState state, long askedMicros) {
+    void restore(StoredState state, long askedMicros) {
         cancellationProofMicros = askedMicros;
         cancelledUids = state.cancelled();
         state.recentlyDone().forEach(plan -> capacity.recordArrival(plan.spec(), plan.admittedWallMicros()));
@@ -249,12 +249,12 @@
                 CancellationRecord.PREFIX,
                 since,
                 CANCELLATIONS_WATCH_MICROS,
-                change -> cancelled(change.key().substring(CancellationRecord.PREFIX.length())),
+                change -> jobCancelled(change.key().substring(CancellationRecord.PREFIX.length())),
                 sent -> cancellationProofMicros = Math.max(cancellationProofMicros, sent));
     }
 
     /** A cancellation has been stored: seen there, or heard of from the controller that stored it. */
-    void cancelled(String uid) {
+    void jobCancelled(String uid) {
         synchronized (cluster) {
             cancelledUids.add(uid);
             ActiveJob job = cluster.job(uid);
@@ -316,7 +316,7 @@
     }
 
     /** A cancelled job is kept for as long as one of its tasks may be anywhere. */
-    void forgetCancelled() {
+    void removeCancelled() {
         synchronized (cluster) {
             if (!cluster.allReconciled()) {
                 return;
--- a/src/main/java/io/sillreel/leadership/LeaderReachability.java
+++ b/src/main/java/io/sillreel/leadership/LeaderReachability.java
@@ -27,10 +27,10 @@
     private final LeaderElection leadership;
     private final Peers peers;
     private final Cluster cluster;
-    private final Set<String> sentToLook = new HashSet<>();
-    private boolean loaded;
+    private final Set<String> probedElsewhere = new HashSet<>();
+    private boolean stateLoaded;
     private long loadedMicros;
-    private long reportMicros;
+    private long heartbeatMicros;
     private long disturbedMicros;
 
     LeaderReachability(
@@ -43,14 +43,14 @@
     }
 
     /** What is stored has been read: from now on reports are answered. */
-    void loaded() {
-        loaded = true;
+    void stateLoaded() {
+        stateLoaded = true;
         loadedMicros = eventLoop.nowMicros();
     }
 
     /** A worker's report has reached this leader. */
-    void reported() {
-        reportMicros = eventLoop.nowMicros();
+    void heartbeatReceived() {
+        heartbeatMicros = eventLoop.nowMicros();
     }
 
     /**
@@ -60,11 +60,11 @@
      * comes back. If others are heard and are not answered either, it is an outage for all, in which holding over saves
      * the tasks.
      */
-    boolean betterElsewhere(String machine) {
-        if (peers.storeAnswersAnother()) {
+    boolean shouldRedirect(String machine) {
+        if (peers.storeAnswersElsewhere()) {
             return true;
         }
-        return settings.controllers() > 1 && peers.silent() && sentToLook.add(machine);
+        return settings.controllers() > 1 && peers.areSilent() && probedElsewhere.add(machine);
     }
 
     /**
@@ -74,17 +74,17 @@
      * @param cancellationProofMicros all cancellations that were confirmed before are known
      * @param writesStuck true if writes do not come to an end
      */
-    void review(long cancellationProofMicros, boolean writesStuck) {
+    void check(long cancellationProofMicros, boolean writesStuck) {
         long now = eventLoop.nowMicros();
         boolean expected;
         synchronized (cluster) {
-            expected = loaded
+            expected = stateLoaded
                     && cluster.machines().stream()
                             .anyMatch(machine -> machine.isReconciled() || machine.mayHoldInheritedTasks());
         }
-        if (leadership.proven()) {
-            sentToLook.clear();
-            boolean cancellationsUnknown = loaded && now - cancellationProofMicros > CANCELLATIONS_UNKNOWN_MICROS;
+        if (leadership.isLeaseValid()) {
+            probedElsewhere.clear();
+            boolean cancellationsUnknown = stateLoaded && now - cancellationProofMicros > CANCELLATIONS_UNKNOWN_MICROS;
             if (cancellationsUnknown || writesStuck) {
                 // The lease is held and nothing comes of it; whoever begins anew from what is stored is better off.
                 if (settings.controllers() > 1) {
@@ -96,15 +96,15 @@
             }
         }
         boolean heardElsewhere = peers.fresh().stream().anyMatch(peer -> peer.unanswered() > 0);
-        if (heardElsewhere || peers.fresh().size() < settings.controllers() - 1 || !leadership.proven()) {
+        if (heardElsewhere || peers.fresh().size() < settings.controllers() - 1 || !leadership.isLeaseValid()) {
             disturbedMicros = now;
         }
-        if (settings.controllers() == 1 || !heardElsewhere && !peers.silent()) {
+        if (settings.controllers() == 1 || !heardElsewhere && !peers.areSilent()) {
             // Nobody else could lead, or nobody hears a worker, so there is none to hear.
             return;
         }
         long patience = heardElsewhere ? UNREACHED_MICROS : ISOLATED_MICROS;
-        if (expected && now - Math.max(reportMicros, loadedMicros) > patience) {
+        if (expected && now - Math.max(heartbeatMicros, loadedMicros) > patience) {
             // Whoever can be reached may lead instead; tasks die if nobody answers for them.
             leadership.pauseCandidacy(CANDIDACY_PAUSE_MICROS);
             leadership.resign("no worker reaches this controller");
@@ -112,7 +112,7 @@
     }
 
     /** True if no worker has had to look for another controller lately: then a silent one is not on its way to one. */
-    boolean undisturbed() {
+    boolean isUndisturbed() {
         return eventLoop.nowMicros() - Math.max(disturbedMicros, loadedMicros) > DETOURS_OVER_MICROS;
     }
 }
--- a/src/main/java/io/sillreel/leadership/LeaderStatus.java
+++ b/src/main/java/io/sillreel/leadership/LeaderStatus.java
@@ -32,7 +32,7 @@
     }
 
     /** Every so often one line that tells an on-call reader how things stand. */
-    void tell() {
+    void logPeriodically() {
         long now = eventLoop.nowMicros();
         if (now - statusMicros < STATUS_MICROS
                 || cluster.jobs().isEmpty() && cluster.machines().isEmpty()) {
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -59,12 +59,12 @@
     private final WriteQueue writeQueue;
     private final RuntimeEstimator runtimeEstimator = new RuntimeEstimator();
     private final CapacityPlanner capacity;
-    private final HeartbeatProcessor reportProcessor;
+    private final HeartbeatProcessor heartbeatProcessor;
     private final FleetManager fleet;
     private final LeaderJobs jobs;
     private final LeaderStatus status;
     private final LeaderReachability reachability;
-    private final SchedulingCycle planning;
+    private final SchedulingCycle schedulingCycle;
     private final StragglerDetector stragglerDetector;
 
     private boolean loaded;
@@ -111,20 +111,20 @@
                 capacity,
                 runtimeEstimator,
                 settings.state().values(),
-                this::progressed,
-                this::haltTasks,
+                this::schedulingNeeded,
+                this::stopTasks,
                 prefix -> leadership.resign("the changes under " + prefix + " were missed"));
         this.status = new LeaderStatus(eventLoop, term, cluster, capacity, writeQueue);
-        this.reportProcessor = newReportProcessor(operator, planner);
+        this.heartbeatProcessor = newReportProcessor(operator, planner);
         this.stragglerDetector = new StragglerDetector(cluster, runtimeEstimator);
         this.reachability = new LeaderReachability(eventLoop, settings, leadership, peers, cluster);
-        this.planning = new SchedulingCycle(
+        this.schedulingCycle = new SchedulingCycle(
                 eventLoop,
                 term,
                 cluster,
                 httpClient,
                 planner,
-                reportProcessor,
+                heartbeatProcessor,
                 new SpotInterruptionDrain(cluster, runtimeEstimator),
                 this::mayAct);
         this.fleet = newFleet(cloud, operator, fleetCapacity);
@@ -158,12 +158,12 @@
                 capacity,
                 types,
                 this::mayAct,
-                reachability::undisturbed,
-                reportProcessor::clear);
+                reachability::isUndisturbed,
+                heartbeatProcessor::clearTasks);
     }
 
-    private void haltTasks(ActiveJob job) {
-        planning.halt(job);
+    private void stopTasks(ActiveJob job) {
+        schedulingCycle.stopTasks(job);
     }
 
     private static RetrySchedule retries(OperatorProperties operator) {
@@ -172,13 +172,13 @@
 
     /** Begins to read what is stored. */
     public void start() {
-        load();
+        readStoredState();
     }
 
     /** Ends the term here: nothing is written or launched any more. */
     public void close() {
         closed = true;
-        planning.close();
+        schedulingCycle.close();
         jobs.close();
         writeQueue.close();
     }
@@ -191,7 +191,7 @@
     private boolean mayAct() {
         return !closed
                 && loaded
-                && leadership.proven()
+                && leadership.isLeaseValid()
                 && leadership.heldTerm() == term
                 && eventLoop.nowMicros() - jobs.cancellationProofMicros() < CANCELLATIONS_STALE_MICROS;
     }
@@ -206,18 +206,18 @@
     }
 
     private boolean mayKeepAlive() {
-        long proof = Math.min(leadership.proofMicros(), jobs.cancellationProofMicros());
+        long proof = Math.min(leadership.leaseConfirmedMicros(), jobs.cancellationProofMicros());
         return eventLoop.nowMicros() < proof + gracePeriodMicros();
     }
 
     // --- Taking over -----------------------------------------------------------------------------------------------
 
-    private void load() {
+    private void readStoredState() {
         if (closed) {
             return;
         }
         if (types.get().isEmpty()) {
-            eventLoop.schedule(RETRY_MICROS, this::load);
+            eventLoop.schedule(RETRY_MICROS, this::readStoredState);
             return;
         }
         long asked = eventLoop.nowMicros();
@@ -229,22 +229,23 @@
                         return;
                     }
                     if (state.isEmpty()) {
-                        eventLoop.schedule(RETRY_MICROS, this::load);
+                        eventLoop.schedule(RETRY_MICROS, this::readStoredState);
                         return;
                     }
-                    begin(state.get(), asked);
+                    beginLeading(state.get(), asked);
                 });
     }
 
-    private void begin(StoredState state, long askedMicros) {
+    private void beginLeading(StoredState state, long askedMicros) {
         synchronized (cluster) {
-            jobs.begin(state, askedMicros);
-            long bound =
-                    reportProcessor.aliveUntil(eventLoop.nowMicros()) + gracePeriodMicros() + GRACE_MARGIN_MICROS / 3;
+            jobs.restore(state, askedMicros);
+            long bound = heartbeatProcessor.leaseExpiryMicros(eventLoop.nowMicros())
+                    + gracePeriodMicros()
+                    + GRACE_MARGIN_MICROS / 3;
             state.rentals().forEach(scaleOutRequest -> fleet.inherit(scaleOutRequest, bound));
             loaded = true;
-            reachability.loaded();
-            planning.progressed();
+            reachability.stateLoaded();
+            schedulingCycle.markDirty();
         }
         LOG.info(
                 "term {} begins with {} unfinished jobs and {} machines",
@@ -256,38 +257,38 @@
     }
 
     /** A cancellation has been stored: heard of from the controller that stored it. */
-    public void cancelled(String uid) {
-        jobs.cancelled(uid);
+    public void jobCancelled(String uid) {
+        jobs.jobCancelled(uid);
     }
 
     // --- Reports ---------------------------------------------------------------------------------------------------
 
     /** Answers a worker's report, or says that this controller may not. */
-    public HttpResponse answer(Heartbeat heartbeat) {
+    public HttpResponse handleHeartbeat(Heartbeat heartbeat) {
         if (heartbeat.fencingToken() > term) {
-            leadership.heard(null, heartbeat.fencingToken());
+            leadership.observeTerm(null, heartbeat.fencingToken());
             return HttpResponse.retryLater(503, "a later term has begun", 1);
         }
         if (closed || !loaded) {
             return HttpResponse.retryLater(503, "the term is only beginning", 1);
         }
-        reachability.reported();
+        reachability.heartbeatReceived();
         if (!mayKeepAlive()) {
             return HttpResponse.retryLater(503, "the state service has not confirmed the lease for too long", 1);
         }
-        if (!leadership.proven() && reachability.betterElsewhere(heartbeat.machine())) {
+        if (!leadership.isLeaseValid() && reachability.shouldRedirect(heartbeat.machine())) {
             return HttpResponse.retryLater(503, "another controller may hold the lease by now", 1);
         }
-        return reportProcessor.report(heartbeat);
+        return heartbeatProcessor.process(heartbeat);
     }
 
     /** Looks, about once a second, whether another controller had better lead. */
-    public void review() {
-        if (reportProcessor.outOfAttempts()) {
+    public void checkReachability() {
+        if (heartbeatProcessor.isOutOfAttemptIds()) {
             leadership.resign("the term has no attempt ids left");
             return;
         }
-        reachability.review(jobs.cancellationProofMicros(), writeQueue.isStuck());
+        reachability.check(jobs.cancellationProofMicros(), writeQueue.isStuck());
     }
 
     @Override
@@ -301,22 +302,22 @@
     }
 
     @Override
-    public void cameUp(Machine machine) {
+    public void machineUp(Machine machine) {
         fleet.machineUp(machine);
     }
 
     @Override
-    public void wentDown(Machine machine) {
+    public void machineDown(Machine machine) {
         fleet.machineDown(machine);
     }
 
     @Override
-    public void progressed() {
-        planning.progressed();
+    public void schedulingNeeded() {
+        schedulingCycle.markDirty();
     }
 
     @Override
-    public void ask(Machine machine) {
+    public void queryStatus(Machine machine) {
         if (machine.address() == null) {
             return;
         }
@@ -327,7 +328,7 @@
                 .thenAccept(response -> {
                     Heartbeat heartbeat = !closed && response.isOk() ? Heartbeat.read(response.body()) : null;
                     if (heartbeat != null && heartbeat.machine().equals(machine.name())) {
-                        reportProcessor.asked(heartbeat, epoch, sequence);
+                        heartbeatProcessor.processStatusResponse(heartbeat, epoch, sequence);
                     }
                 });
     }
@@ -340,15 +341,15 @@
         }
         eventLoop.schedule(TICK_MICROS, this::tick);
         long now = eventLoop.nowMicros();
-        planning.tick(now);
+        schedulingCycle.tick(now);
         if (mayAct() && now - fleetMicros > FLEET_MICROS) {
             fleetMicros = now;
             synchronized (cluster) {
                 stragglerDetector.drainStragglers(now);
             }
             fleet.runCycle();
-            jobs.forgetCancelled();
-            status.tell();
+            jobs.removeCancelled();
+            status.logPeriodically();
         }
     }
 
@@ -367,8 +368,8 @@
     /** For metrics. */
     public Map<String, Double> gauges() {
         Map<String, Double> gauges = status.gauges();
-        gauges.put("sillreel.plans", (double) planning.plans());
-        gauges.put("sillreel.plans.ms", planning.planMicros() / 1_000.0);
+        gauges.put("sillreel.plans", (double) schedulingCycle.plans());
+        gauges.put("sillreel.plans.ms", schedulingCycle.planMicros() / 1_000.0);
         return gauges;
     }
 }
--- a/src/main/java/io/sillreel/leadership/SchedulingCycle.java
+++ b/src/main/java/io/sillreel/leadership/SchedulingCycle.java
@@ -35,10 +35,10 @@
     private final Cluster cluster;
     private final HttpClient httpClient;
     private final Planner planner;
-    private final HeartbeatProcessor reportProcessor;
+    private final HeartbeatProcessor heartbeatProcessor;
     private final SpotInterruptionDrain interruptionDrain;
     private final BooleanSupplier mayAct;
-    private final Set<Machine> haltsDue = new LinkedHashSet<>();
+    private final Set<Machine> pendingStops = new LinkedHashSet<>();
     private boolean closed;
     private boolean dirty = true;
     private long plannedMicros;
@@ -53,7 +53,7 @@
             Cluster cluster,
             HttpClient httpClient,
             Planner planner,
-            HeartbeatProcessor reportProcessor,
+            HeartbeatProcessor heartbeatProcessor,
             SpotInterruptionDrain interruptionDrain,
             BooleanSupplier mayAct) {
         this.eventLoop = eventLoop;
@@ -61,7 +61,7 @@
         this.cluster = cluster;
         this.httpClient = httpClient;
         this.planner = planner;
-        this.reportProcessor = reportProcessor;
+        this.heartbeatProcessor = heartbeatProcessor;
         this.interruptionDrain = interruptionDrain;
         this.mayAct = mayAct;
     }
@@ -71,7 +71,7 @@
     }
 
     /** There may be something new to plan. */
-    void progressed() {
+    void markDirty() {
         dirty = true;
     }
 
@@ -88,25 +88,25 @@
     void tick(long now) {
         List<Machine> toPush = new ArrayList<>();
         synchronized (cluster) {
-            reportProcessor.expire();
+            heartbeatProcessor.expireLeases();
             dirty |= now - plannedMicros > MAX_PLAN_INTERVAL_MICROS;
-            plan();
-            haltsDue.addAll(interruptionDrain.stopInterruptedTasks(now));
+            planIfDue();
+            pendingStops.addAll(interruptionDrain.stopInterruptedTasks(now));
             // A few at a time: what is not pushed is told in answer to the machine's next report anyway.
-            var due = haltsDue.iterator();
+            var due = pendingStops.iterator();
             while (due.hasNext() && toPush.size() < MAX_PUSHES) {
                 toPush.add(due.next());
                 due.remove();
             }
         }
-        toPush.forEach(this::push);
+        toPush.forEach(this::sendCommands);
     }
 
     /**
      * Plans anew if anything has changed since the last time, and seldom enough that planning leaves most of the
      * processor to reports: at a fraction of a core one plan for hundreds of machines takes many milliseconds.
      */
-    private void plan() {
+    private void planIfDue() {
         long now = eventLoop.nowMicros();
         if (!dirty
                 || !mayAct.getAsBoolean()
@@ -116,11 +116,11 @@
         dirty = false;
         plannedMicros = now;
         Planner.Plan plan = planner.plan(now, eventLoop.wallMicros());
-        reportProcessor.plan(plan);
+        heartbeatProcessor.plan(plan);
         for (Allocation allocation : plan.preemptions()) {
             LOG.debug("stopping {}/{} to make room", allocation.uid(), allocation.taskIndex());
             allocation.stop(allocation.job().spec().checkpointDurationMicros() + COMMAND_MICROS);
-            haltsDue.add(allocation.machine());
+            pendingStops.add(allocation.machine());
         }
         planCostMicros = eventLoop.nowMicros() - now;
         plans++;
@@ -128,19 +128,19 @@
     }
 
     /** The tasks of the job are to be stopped as soon as their machines can be told. */
-    void halt(ActiveJob job) {
+    void stopTasks(ActiveJob job) {
         for (Allocation allocation : cluster.allocationIndex().ofJob(job)) {
-            haltsDue.add(allocation.machine());
+            pendingStops.add(allocation.machine());
         }
     }
 
     /** Sends a machine its commands without waiting for its next report; what gets lost is repeated there. */
-    private void push(Machine machine) {
+    private void sendCommands(Machine machine) {
         if (machine.address() == null || !machine.isReconciled()) {
             return;
         }
         AgentCommands commands = new AgentCommands();
-        reportProcessor.command(machine, commands);
+        heartbeatProcessor.addCommands(machine, commands);
         if (commands.isEmpty()) {
             return;
         }
@@ -151,7 +151,7 @@
             if (!closed && (response.status() == 200 || response.status() == 409)) {
                 Heartbeat heartbeat = Heartbeat.read(response.body());
                 if (heartbeat != null) {
-                    reportProcessor.answered(heartbeat);
+                    heartbeatProcessor.processCommandResponse(heartbeat);
                 }
             }
         });
--- a/src/main/java/io/sillreel/peer/PeerMessages.java
+++ b/src/main/java/io/sillreel/peer/PeerMessages.java
@@ -147,7 +147,7 @@
     }
 
     /** @throws UncheckedIOException if that is not what {@link #heartbeats} wrote */
-    public static List<Heartbeat> reports(byte[] body) {
+    public static List<Heartbeat> decodeHeartbeats(byte[] body) {
         List<Heartbeat> reports = new ArrayList<>();
         try (CBORParser in = STREAM.createParser(body)) {
             in.nextToken();
@@ -186,7 +186,7 @@
     }
 
     /** The lease leader's answers to reports, in their order. */
-    public static byte[] answers(List<HttpResponse> replies) {
+    public static byte[] encodeResponses(List<HttpResponse> replies) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64 * replies.size());
         try (CBORGenerator out = STREAM.createGenerator(bytes)) {
             out.writeStartArray(null, replies.size());
@@ -205,7 +205,7 @@
     }
 
     /** The answers, or none if they can't be read. */
-    public static List<HttpResponse> replies(byte[] body) {
+    public static List<HttpResponse> decodeResponses(byte[] body) {
         List<HttpResponse> replies = new ArrayList<>();
         try (CBORParser in = STREAM.createParser(body)) {
             in.nextToken();
--- a/src/main/java/io/sillreel/peer/Peers.java
+++ b/src/main/java/io/sillreel/peer/Peers.java
@@ -20,7 +20,7 @@
         this.eventLoop = eventLoop;
     }
 
-    public synchronized void heard(Hello hello) {
+    public synchronized void received(Hello hello) {
         hellos.put(hello.node(), hello);
         heardMicros.put(hello.node(), eventLoop.nowMicros());
     }
@@ -43,12 +43,12 @@
     }
 
     /** True if nobody else is heard at all, though there are others. */
-    public boolean silent() {
+    public boolean areSilent() {
         return fresh().isEmpty();
     }
 
     /** True if the state service answers another controller: then an outage is not for all. */
-    public boolean storeAnswersAnother() {
+    public boolean storeAnswersElsewhere() {
         return fresh().stream().anyMatch(Hello::storeAnswers);
     }
 }
--- a/src/main/java/io/sillreel/recovery/Recovery.java
+++ b/src/main/java/io/sillreel/recovery/Recovery.java
@@ -135,7 +135,7 @@
     }
 
     private long shownTerm() {
-        return Math.max(history.peaks().term(), leadership.known().term());
+        return Math.max(history.peaks().term(), leadership.knownLeader().term());
     }
 
     // --- Evidence ----------------------------------------------------------------------------------------------------
@@ -164,7 +164,7 @@
     }
 
     @Override
-    public void received(Heartbeat heartbeat) {
+    public void heartbeatReceived(Heartbeat heartbeat) {
         long shown = TermEvidence.shownBy(heartbeat);
         if (!suspended && shown > shownTerm()) {
             terms.shown(shown, heartbeat.machine());
@@ -172,7 +172,7 @@
     }
 
     @Override
-    public boolean answerable(Heartbeat heartbeat, long term) {
+    public boolean mayAnswer(Heartbeat heartbeat, long term) {
         return terms.answerable(heartbeat, term);
     }
 
@@ -304,7 +304,7 @@
 
     /** What was reached before the loss, as far as it is known here. */
     HighWatermarks peaks() {
-        return history.peaks().withTerm(leadership.known().term());
+        return history.peaks().withTerm(leadership.knownLeader().term());
     }
 
     /** Another controller has said how it sees the state service. */
@@ -384,7 +384,7 @@
     }
 
     String leader() {
-        return leadership.known().node();
+        return leadership.knownLeader().node();
     }
 
     /** The putting back that is under way here, or null. */
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -194,14 +194,14 @@
                 List.of(
                         new Heartbeat.TaskStatus("job-000412", 3, 2L + (41L << 32), Heartbeat.TaskStage.RUNNING, ""),
                         new Heartbeat.TaskStatus("job-000398", 0, 1, Heartbeat.TaskStage.ENDED, "done")));
-        assertThat(PeerMessages.reports(bytes(HEARTBEATS))).containsExactly(heartbeat);
+        assertThat(PeerMessages.decodeHeartbeats(bytes(HEARTBEATS))).containsExactly(heartbeat);
         assertThat(PeerMessages.heartbeats(List.of(heartbeat)).body()).isEqualTo(bytes(HEARTBEATS));
         AgentCommands commands = new AgentCommands();
         commands.launch("job-000412", 4, 7);
         List<HttpResponse> replies =
                 List.of(commands.toResponse(41), HttpResponse.retryLater(503, "a newer report was seen", 1));
-        assertThat(PeerMessages.answers(replies)).isEqualTo(bytes(ANSWERS));
-        assertThat(PeerMessages.replies(bytes(ANSWERS))).hasSize(2);
+        assertThat(PeerMessages.encodeResponses(replies)).isEqualTo(bytes(ANSWERS));
+        assertThat(PeerMessages.decodeResponses(bytes(ANSWERS))).hasSize(2);
         assertThat(PeerMessages.cancelled("job-000412").body()).isEqualTo(bytes(CANCELLED));
         assertThat(PeerMessages.cancelled(bytes(CANCELLED))).containsExactly("job-000412");
     }
--- a/src/test/java/io/sillreel/heartbeat/AttemptIdsTest.java
+++ b/src/test/java/io/sillreel/heartbeat/AttemptIdsTest.java
@@ -11,7 +11,7 @@
     void aTermGivesNoIdOfTheFollowingOne() {
         AttemptIds ids = new AttemptIds(7, (1L << 32) - 2);
         assertThat(ids.next()).isEqualTo((8L << 32) - 1).isLessThan(new AttemptIds(8).next());
-        assertThat(ids.exhausted()).isTrue();
+        assertThat(ids.isExhausted()).isTrue();
         assertThatThrownBy(ids::next).isInstanceOf(IllegalStateException.class);
     }
 }
--- a/src/test/java/io/sillreel/heartbeat/HeartbeatBatchTest.java
+++ b/src/test/java/io/sillreel/heartbeat/HeartbeatBatchTest.java
@@ -34,7 +34,7 @@
         assertThat(decided).hasSize(HeartbeatBatch.MAX_DECIDED_AT_ONCE);
         assertThat(answer).isNotDone();
         time.runFor(1_000);
-        assertThat(PeerMessages.replies(answer.join().body()))
+        assertThat(PeerMessages.decodeResponses(answer.join().body()))
                 .hasSize(3 * HeartbeatBatch.MAX_DECIDED_AT_ONCE)
                 .allMatch(HttpResponse::isOk);
     }
@@ -45,7 +45,7 @@
         List<Heartbeat> decided = new ArrayList<>();
         CompletableFuture<HttpResponse> answer = start(40, HeartbeatBatch.MAX_ANSWER_BYTES / 10, decided);
         time.runFor(1_000);
-        List<HttpResponse> replies = PeerMessages.replies(answer.join().body());
+        List<HttpResponse> replies = PeerMessages.decodeResponses(answer.join().body());
         assertThat(replies).hasSize(40);
         assertThat(replies.stream().filter(HttpResponse::isOk))
                 .hasSameSizeAs(decided)
--- a/src/test/java/io/sillreel/heartbeat/HeartbeatRelayTest.java
+++ b/src/test/java/io/sillreel/heartbeat/HeartbeatRelayTest.java
@@ -20,23 +20,23 @@
     private final List<Integer> batches = new ArrayList<>();
 
     private CompletableFuture<HttpResponse> answer(HttpRequest request) {
-        int reports = PeerMessages.reports(request.body()).size();
+        int reports = PeerMessages.decodeHeartbeats(request.body()).size();
         batches.add(reports);
         List<HttpResponse> replies = new ArrayList<>();
         for (int i = 0; i < reports; i++) {
             replies.add(new HttpResponse(200, new byte[0], 0));
         }
-        return CompletableFuture.completedFuture(new HttpResponse(200, PeerMessages.answers(replies), 0));
+        return CompletableFuture.completedFuture(new HttpResponse(200, PeerMessages.encodeResponses(replies), 0));
     }
 
     /** Hands on a report every 10 ms for a second, and returns how many had been answered 15 ms after they came. */
     private int play(int workers) {
-        HeartbeatRelay relay =
+        HeartbeatRelay heartbeatRelay =
                 new HeartbeatRelay(time.new Process(), (address, request, timeout) -> answer(request), () -> workers);
         int soon = 0;
         for (int i = 0; i < 100; i++) {
             Heartbeat heartbeat = new Heartbeat("host-%06d".formatted(i), "", "c4", "a", true, 1, i, 1, -1, List.of());
-            CompletableFuture<HttpResponse> reply = relay.pass(heartbeat, "leader:1");
+            CompletableFuture<HttpResponse> reply = heartbeatRelay.relay(heartbeat, "leader:1");
             time.runFor(10_000);
             time.runFor(5_000);
             soon += reply.isDone() ? 1 : 0;
@@ -67,17 +67,17 @@
     /** Guards a follower of thousands: two batches of 64 a round trip were 1,300 reports a second at 100 ms. */
     @Test
     void batchesGrowWithTheWorkersAndNotBeyondWhatALeaderTakesIn() {
-        HeartbeatRelay relay =
+        HeartbeatRelay heartbeatRelay =
                 new HeartbeatRelay(time.new Process(), (address, request, timeout) -> answer(request), () -> 4_000);
         for (int number = 0; number < 600; number++) {
-            relay.pass(report(number, List.of()), "leader:1");
+            heartbeatRelay.relay(report(number, List.of()), "leader:1");
         }
         time.runFor(500_000);
         assertThat(batches).containsExactly(250, 250, 100);
         batches.clear();
         List<TaskStatus> many = Collections.nCopies(800, new TaskStatus("job-000001", 0, 1, TaskStage.RUNNING, ""));
         for (int number = 0; number < 200; number++) {
-            relay.pass(report(number, many), "leader:1");
+            heartbeatRelay.relay(report(number, many), "leader:1");
         }
         time.runFor(500_000);
         assertThat(batches.stream().mapToInt(Integer::intValue).sum()).isEqualTo(200);
@@ -88,21 +88,21 @@
     @Test
     void reportsWhoseWorkersWaitNoLongerAreNotHandedOn() {
         List<CompletableFuture<HttpResponse>> held = new ArrayList<>();
-        HeartbeatRelay relay = new HeartbeatRelay(
+        HeartbeatRelay heartbeatRelay = new HeartbeatRelay(
                 time.new Process(),
                 (address, request, timeout) -> {
-                    batches.add(PeerMessages.reports(request.body()).size());
+                    batches.add(PeerMessages.decodeHeartbeats(request.body()).size());
                     held.add(new CompletableFuture<>());
                     return held.get(held.size() - 1);
                 },
                 () -> 1);
-        relay.pass(report(1, List.of()), "leader:1");
+        heartbeatRelay.relay(report(1, List.of()), "leader:1");
         time.runFor(100_000);
-        relay.pass(report(2, List.of()), "leader:1");
+        heartbeatRelay.relay(report(2, List.of()), "leader:1");
         time.runFor(100_000);
-        CompletableFuture<HttpResponse> givenUp = relay.pass(report(3, List.of()), "leader:1");
+        CompletableFuture<HttpResponse> givenUp = heartbeatRelay.relay(report(3, List.of()), "leader:1");
         time.runFor(5_000_000);
-        relay.pass(report(4, List.of()), "leader:1");
+        heartbeatRelay.relay(report(4, List.of()), "leader:1");
         held.forEach(answer -> answer.complete(HttpResponse.noAnswer()));
         time.runFor(100_000);
         assertThat(givenUp.join().status()).isEqualTo(503);
@@ -110,22 +110,25 @@
     }
 
     private HeartbeatRelay handedOnTo(HttpResponse response, int batches) {
-        HeartbeatRelay relay = new HeartbeatRelay(
+        HeartbeatRelay heartbeatRelay = new HeartbeatRelay(
                 time.new Process(),
                 (address, request, timeout) -> CompletableFuture.completedFuture(response),
                 () -> 1);
         for (int i = 0; i < batches; i++) {
-            relay.pass(new Heartbeat("host-000001", "", "c4", "a", true, 1, i, 1, -1, List.of()), "leader:1");
+            heartbeatRelay.relay(new Heartbeat("host-000001", "", "c4", "a", true, 1, i, 1, -1, List.of()), "leader:1");
             time.runFor(100_000);
         }
-        return relay;
+        return heartbeatRelay;
     }
 
     /** Guards a leader that is only late against the workers themselves, who would be more work than their batches. */
     @Test
     void oneLateBatchSendsNobodyToTheLeader() {
-        assertThat(handedOnTo(HttpResponse.noAnswer(), 1).works("leader:1")).isTrue();
-        assertThat(handedOnTo(HttpResponse.noAnswer(), 2).works("leader:1")).isFalse();
-        assertThat(handedOnTo(HttpResponse.notSent(), 1).works("leader:1")).isFalse();
+        assertThat(handedOnTo(HttpResponse.noAnswer(), 1).isReachable("leader:1"))
+                .isTrue();
+        assertThat(handedOnTo(HttpResponse.noAnswer(), 2).isReachable("leader:1"))
+                .isFalse();
+        assertThat(handedOnTo(HttpResponse.notSent(), 1).isReachable("leader:1"))
+                .isFalse();
     }
 }
--- a/src/test/java/io/sillreel/sim/SimCluster.java
+++ b/src/test/java/io/sillreel/sim/SimCluster.java
@@ -115,7 +115,7 @@
                 ProcessLimits.of(settings, HEAP_BYTES));
         processes[node] = process;
         controllers[node] = controller;
-        network.listen(host + ":8081", request -> process.awake(() -> controller.internalCall(request)));
+        network.listen(host + ":8081", request -> process.awake(() -> controller.handleInternal(request)));
         controller.start(() -> {
             if (!process.killed()) {
                 network.listen(
@@ -132,10 +132,10 @@
         controller
                 .requestQueue()
                 .enqueue(
-                        Controller.line(request),
+                        Controller.requestClass(request),
                         request.body().length,
                         () -> time.nowMicros() < givenUpMicros,
-                        () -> controller.publicCall(request).thenAccept(answer::complete));
+                        () -> controller.handlePublic(request).thenAccept(answer::complete));
         return answer;
     }
 
