--- a/src/main/java/io/sillreel/cluster/ScaleOutRequest.java
+++ b/src/main/java/io/sillreel/cluster/ScaleOutRequest.java
@@ -4,12 +4,11 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.http.Json;
-import io.sillreel.statestore.WriteQueue;
+import io.sillreel.statestore.KeyChange;
+import io.sillreel.statestore.PendingWrite;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
 
@@ -17,7 +16,7 @@
  * A rental under its unique name: stored before the cloud is asked, and again with its machines before any of them gets
  * a task. The stored rentals bound where tasks can be.
  */
-public final class ScaleOutRequest implements WriteQueue.PendingWrite {
+public final class ScaleOutRequest implements PendingWrite {
     public static final String PREFIX = "hire/";
     private static final int MACHINE_BYTES = 40;
     private static final int REST_BYTES = 300;
@@ -95,7 +94,7 @@
     }
 
     @Override
-    public List<WriteQueue.PendingWrite> prerequisites() {
+    public List<PendingWrite> prerequisites() {
         overflowRequests.removeIf(scaleOutRequest -> scaleOutRequest.revision > 0 || scaleOutRequest.isDiscarded);
         return List.copyOf(overflowRequests);
     }
@@ -204,14 +203,12 @@
     }
 
     @Override
-    public Map<String, JsonNode> changes() {
-        Map<String, JsonNode> changes = new HashMap<>();
+    public KeyChange change() {
         sentMachines.clear();
         sentMachines.addAll(up);
         // From the moment it is sent, what the write lacks may be missing from the store.
         storedMachines.retainAll(sentMachines);
-        changes.put(key(), isDiscarded ? null : json());
-        return changes;
+        return isDiscarded ? KeyChange.REMOVAL : KeyChange.put(json());
     }
 
     private ObjectNode json() {
--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -14,6 +14,7 @@
 import io.sillreel.placement.PriorityInheritance;
 import io.sillreel.placement.RuntimeEstimator;
 import io.sillreel.settings.ValueLimits;
+import io.sillreel.statestore.PendingWrite;
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.StateStore.Change;
 import io.sillreel.statestore.StateStore.Outcome;
@@ -138,7 +139,7 @@
     }
 
     @Override
-    public void enqueueWrites(List<? extends WriteQueue.PendingWrite> items) {
+    public void enqueueWrites(List<? extends PendingWrite> items) {
         items.forEach(writeQueue::enqueue);
     }
 
--- a/src/main/java/io/sillreel/leadership/StoredJobsReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredJobsReader.java
@@ -7,8 +7,8 @@
 import io.sillreel.pipeline.JobIdSet;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
+import io.sillreel.statestore.PendingWrite;
 import io.sillreel.statestore.StateStore.Entry;
-import io.sillreel.statestore.WriteQueue;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -135,7 +135,7 @@
         recentlyDone.sort(Comparator.comparingLong(PlanRecord::admittedWallMicros));
         unfinished.replaceAll(
                 job -> job.with(parts.getOrDefault(job.plan().spec().uid(), RunRecord.StoredChunks.NONE)));
-        List<WriteQueue.PendingWrite> leftovers = new ArrayList<>();
+        List<PendingWrite> leftovers = new ArrayList<>();
         parts.forEach((uid, stored) -> {
             if (done.contains(uid)) {
                 leftovers.addAll(stored.removals());
--- a/src/main/java/io/sillreel/leadership/StoredState.java
+++ b/src/main/java/io/sillreel/leadership/StoredState.java
@@ -4,7 +4,7 @@
 import io.sillreel.pipeline.JobIdSet;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
-import io.sillreel.statestore.WriteQueue;
+import io.sillreel.statestore.PendingWrite;
 import java.util.List;
 
 /**
@@ -23,7 +23,7 @@
         List<StoredJob> unfinished,
         JobIdSet done,
         List<PlanRecord> recentlyDone,
-        List<WriteQueue.PendingWrite> leftovers,
+        List<PendingWrite> leftovers,
         JobIdSet cancelled,
         List<ScaleOutRequest> rentals,
         long plansRevision,
--- a/src/main/java/io/sillreel/pipeline/ActiveJob.java
+++ b/src/main/java/io/sillreel/pipeline/ActiveJob.java
@@ -1,12 +1,12 @@
 package io.sillreel.pipeline;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import io.sillreel.settings.ValueLimits;
-import io.sillreel.statestore.WriteQueue;
+import io.sillreel.statestore.KeyChange;
+import io.sillreel.statestore.PendingWrite;
+import io.sillreel.statestore.WriteUrgency;
 import java.util.BitSet;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import org.agrona.collections.Int2IntCounterMap;
 
@@ -14,7 +14,7 @@
  * A pipeline as its lease leader drives it: which tasks are done, which have an allocation on a machine, and what of
  * that is stored. Nothing is launched before the release is stored, nothing is reaped before the settlement is.
  */
-public final class ActiveJob implements WriteQueue.PendingWrite {
+public final class ActiveJob implements PendingWrite {
     /** Told in the loop about what happened to the record. */
     public interface Listener {
         void recordStored(ActiveJob job);
@@ -22,7 +22,7 @@
         void cancellationFound(ActiveJob job);
 
         /** These are to be written as well, or the job again if it is among them. */
-        void enqueueWrites(List<? extends WriteQueue.PendingWrite> items);
+        void enqueueWrites(List<? extends PendingWrite> items);
     }
 
     private final JobSpec spec;
@@ -312,7 +312,7 @@
     }
 
     /** What is stored beside the head, once nobody needs it any more. */
-    public List<WriteQueue.PendingWrite> leftovers() {
+    public List<PendingWrite> leftovers() {
         return done.leftovers();
     }
 
@@ -327,13 +327,11 @@
     }
 
     @Override
-    public WriteQueue.WriteUrgency urgency() {
+    public WriteUrgency urgency() {
         if (isComplete()) {
-            return WriteQueue.WriteUrgency.JOB_END;
+            return WriteUrgency.JOB_END;
         }
-        return isReleased && attempts == attemptsSent
-                ? WriteQueue.WriteUrgency.PROGRESS
-                : WriteQueue.WriteUrgency.JOB_START;
+        return isReleased && attempts == attemptsSent ? WriteUrgency.PROGRESS : WriteUrgency.JOB_START;
     }
 
     @Override
@@ -342,32 +340,30 @@
     }
 
     @Override
-    public List<WriteQueue.PendingWrite> prerequisites() {
+    public List<PendingWrite> prerequisites() {
         return done.prerequisites();
     }
 
     @Override
-    public Map<String, JsonNode> changes() {
+    public KeyChange change() {
         attemptsSent = attempts;
         doneSent = isComplete();
         StoredCompletionBitmap.InHead inHead = done.write();
         int running = allocatedCount;
         String stage = doneSent ? RunRecord.DONE : running > 0 ? "running" : "queued";
-        return Map.of(
-                key(),
-                new RunRecord.Head(
-                                spec.tasks(),
-                                done.count(),
-                                running,
-                                attempts,
-                                nextAttemptWallMicros,
-                                stage,
-                                reason,
-                                inHead.bits(),
-                                spec.dependencies().isEmpty() ? 0 : readyWallMicros,
-                                inHead.per(),
-                                inHead.generations())
-                        .toJson());
+        return KeyChange.put(new RunRecord.Head(
+                        spec.tasks(),
+                        done.count(),
+                        running,
+                        attempts,
+                        nextAttemptWallMicros,
+                        stage,
+                        reason,
+                        inHead.bits(),
+                        spec.dependencies().isEmpty() ? 0 : readyWallMicros,
+                        inHead.per(),
+                        inHead.generations())
+                .toJson());
     }
 
     @Override
@@ -375,7 +371,7 @@
         runRevision = revision;
         isReleased = true;
         isCompletionStored |= doneSent;
-        List<WriteQueue.PendingWrite> unneeded = done.headStored(isCompletionStored);
+        List<PendingWrite> unneeded = done.headStored(isCompletionStored);
         if (!unneeded.isEmpty()) {
             watcher.enqueueWrites(unneeded);
         }
--- a/src/main/java/io/sillreel/pipeline/CascadingCancellation.java
+++ b/src/main/java/io/sillreel/pipeline/CascadingCancellation.java
@@ -1,12 +1,11 @@
 package io.sillreel.pipeline;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import io.sillreel.http.Json;
-import io.sillreel.statestore.WriteQueue;
-import java.util.Map;
+import io.sillreel.statestore.KeyChange;
+import io.sillreel.statestore.SingleKeyWrite;
 
 /** The cancellation of a job that follows a cancelled one, to be written down unless its user was faster. */
-public final class CascadingCancellation extends WriteQueue.SingleKeyWrite {
+public final class CascadingCancellation extends SingleKeyWrite {
     private final String because;
     private final long wallMicros;
 
@@ -18,9 +17,9 @@
     }
 
     @Override
-    public Map<String, JsonNode> changes() {
+    public KeyChange change() {
         return revision() > 0
-                ? Map.of()
-                : Map.of(key(), Json.object().put("at_us", wallMicros).put("by", because));
+                ? KeyChange.NONE
+                : KeyChange.put(Json.object().put("at_us", wallMicros).put("by", because));
     }
 }
--- a/src/main/java/io/sillreel/pipeline/CompletionBitmapChunks.java
+++ b/src/main/java/io/sillreel/pipeline/CompletionBitmapChunks.java
@@ -1,8 +1,10 @@
 package io.sillreel.pipeline;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import io.sillreel.http.Json;
-import io.sillreel.statestore.WriteQueue;
+import io.sillreel.statestore.KeyChange;
+import io.sillreel.statestore.PendingWrite;
+import io.sillreel.statestore.SingleKeyWrite;
+import io.sillreel.statestore.WriteUrgency;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -77,7 +79,7 @@
     }
 
     /** Parts to be written before the next head; none once all that it is to name are stored. */
-    List<WriteQueue.PendingWrite> pendingWrites(BitSet done) {
+    List<PendingWrite> pendingWrites(BitSet done) {
         dirty.removeIf(index -> {
             Chunk older = pending.get(index);
             if (older != null && !older.isStored()) {
@@ -94,7 +96,7 @@
         });
         return pending.values().stream()
                 .filter(part -> !part.isStored())
-                .map(WriteQueue.PendingWrite.class::cast)
+                .map(PendingWrite.class::cast)
                 .toList();
     }
 
@@ -115,7 +117,7 @@
     }
 
     /** The head with those generations is stored: what it does not name is to be removed. */
-    List<WriteQueue.PendingWrite> headStored(long[] generations) {
+    List<PendingWrite> headStored(long[] generations) {
         System.arraycopy(generations, 0, named, 0, named.length);
         pending.values().removeIf(part -> {
             if (part.isStored() && named[part.index] == part.generation) {
@@ -133,14 +135,14 @@
     }
 
     /** The job is over: nothing of it is needed any more. */
-    List<WriteQueue.PendingWrite> removeAll() {
+    List<PendingWrite> removeAll() {
         pending.values().forEach(part -> stored.put(part.key(), part.revision()));
         pending.clear();
         return remove(Set.of());
     }
 
-    private List<WriteQueue.PendingWrite> remove(Set<String> kept) {
-        List<WriteQueue.PendingWrite> removals = new ArrayList<>();
+    private List<PendingWrite> remove(Set<String> kept) {
+        List<PendingWrite> removals = new ArrayList<>();
         stored.entrySet().removeIf(entry -> {
             if (kept.contains(entry.getKey())) {
                 return false;
@@ -152,7 +154,7 @@
     }
 
     /** One part of the set as it was when it was cut. */
-    private final class Chunk extends WriteQueue.SingleKeyWrite {
+    private final class Chunk extends SingleKeyWrite {
         final int index;
         final long generation;
         final BitSet bits;
@@ -170,15 +172,15 @@
         }
 
         @Override
-        public WriteQueue.WriteUrgency urgency() {
-            return WriteQueue.WriteUrgency.PROGRESS;
+        public WriteUrgency urgency() {
+            return WriteUrgency.PROGRESS;
         }
 
         @Override
-        public Map<String, JsonNode> changes() {
+        public KeyChange change() {
             return pending.get(index) != this
-                    ? Map.of()
-                    : Map.of(key(), Json.object().put("bits", RunRecord.encode(bits)));
+                    ? KeyChange.NONE
+                    : KeyChange.put(Json.object().put("bits", RunRecord.encode(bits)));
         }
 
         @Override
@@ -192,23 +194,19 @@
     }
 
     /** The end of a key that nobody needs any more. */
-    static final class Removal extends WriteQueue.SingleKeyWrite {
+    static final class Removal extends SingleKeyWrite {
         Removal(String key, long revision) {
             super(key, revision);
         }
 
         @Override
-        public WriteQueue.WriteUrgency urgency() {
-            return WriteQueue.WriteUrgency.PROGRESS;
+        public WriteUrgency urgency() {
+            return WriteUrgency.PROGRESS;
         }
 
         @Override
-        public Map<String, JsonNode> changes() {
-            Map<String, JsonNode> changes = new HashMap<>();
-            if (revision() > 0) {
-                changes.put(key(), null);
-            }
-            return changes;
+        public KeyChange change() {
+            return revision() > 0 ? KeyChange.REMOVAL : KeyChange.NONE;
         }
 
         @Override
--- a/src/main/java/io/sillreel/pipeline/RunRecord.java
+++ b/src/main/java/io/sillreel/pipeline/RunRecord.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.http.Json;
+import io.sillreel.statestore.PendingWrite;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.WriteQueue;
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.BitSet;
@@ -64,8 +64,8 @@
         }
 
         /** What takes all of them away. */
-        public List<WriteQueue.PendingWrite> removals() {
-            List<WriteQueue.PendingWrite> removals = new ArrayList<>();
+        public List<PendingWrite> removals() {
+            List<PendingWrite> removals = new ArrayList<>();
             revisions.forEach((key, stamp) -> removals.add(new CompletionBitmapChunks.Removal(key, stamp)));
             return removals;
         }
--- a/src/main/java/io/sillreel/pipeline/StoredCompletionBitmap.java
+++ b/src/main/java/io/sillreel/pipeline/StoredCompletionBitmap.java
@@ -1,7 +1,7 @@
 package io.sillreel.pipeline;
 
 import io.sillreel.settings.ValueLimits;
-import io.sillreel.statestore.WriteQueue;
+import io.sillreel.statestore.PendingWrite;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
@@ -31,7 +31,7 @@
     private int count;
     private long[] generationsSent = {};
     /** What another version stored beside the head and this one does not: removed once the head says all. */
-    private final List<WriteQueue.PendingWrite> oldParts = new ArrayList<>();
+    private final List<PendingWrite> oldParts = new ArrayList<>();
 
     /** @param partsStored run when all parts that the next head is to name are stored */
     StoredCompletionBitmap(String uid, int tasks, ValueLimits limits, Runnable partsStored) {
@@ -90,7 +90,7 @@
     }
 
     /** What has to be stored before the head. */
-    List<WriteQueue.PendingWrite> prerequisites() {
+    List<PendingWrite> prerequisites() {
         return writesParts() ? parts.pendingWrites(done) : List.of();
     }
 
@@ -113,9 +113,9 @@
      * @param doneStored true if a head is stored that says that the whole job is done
      * @return removals of what no head needs any more
      */
-    List<WriteQueue.PendingWrite> headStored(boolean doneStored) {
+    List<PendingWrite> headStored(boolean doneStored) {
         stored.or(sent);
-        List<WriteQueue.PendingWrite> unneeded = new ArrayList<>(oldParts);
+        List<PendingWrite> unneeded = new ArrayList<>(oldParts);
         oldParts.clear();
         if (doneStored && parts != null) {
             unneeded.addAll(parts.removeAll());
@@ -133,7 +133,7 @@
     }
 
     /** Removals of everything that is stored beside the head. */
-    List<WriteQueue.PendingWrite> leftovers() {
+    List<PendingWrite> leftovers() {
         return parts == null ? List.copyOf(oldParts) : parts.removeAll();
     }
 
--- a/src/main/java/io/sillreel/statestore/WriteBatch.java
+++ b/src/main/java/io/sillreel/statestore/WriteBatch.java
@@ -1,12 +1,8 @@
 package io.sillreel.statestore;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import io.sillreel.http.Json;
 import io.sillreel.statestore.StateStore.Transaction;
-import io.sillreel.statestore.WriteQueue.PendingWrite;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.function.Predicate;
 
 /** Items that are written in one transaction, each conditional on its own key's stamp and all on the leader's. */
@@ -40,12 +36,9 @@
      * @param room how many changes the transaction may hold with it
      * @return whether the item was added
      */
-    boolean add(PendingWrite item, Map<String, JsonNode> changes, double room) {
-        int size = 0;
-        for (JsonNode value : changes.values()) {
-            size += value == null ? 0 : Json.bytes(value).length + CHANGE_BYTES;
-        }
-        if (transaction.size() + changes.size() > room || !items.isEmpty() && isFull(item, size)) {
+    boolean add(PendingWrite item, KeyChange change, double room) {
+        int size = change.value() == null ? 0 : change.bytes() + CHANGE_BYTES;
+        if (transaction.size() + 1 > room || !items.isEmpty() && isFull(item, size)) {
             return false;
         }
         bytes += size;
@@ -54,19 +47,11 @@
         if (item.requiredAbsentKey() != null) {
             transaction.requireRevision(item.requiredAbsentKey(), 0);
         }
-        changes.forEach(this::change);
+        change.addTo(transaction, item.key());
         return true;
     }
 
     private boolean isFull(PendingWrite item, int size) {
         return bytes + size > MAX_BYTES || writtenAlone.test(item) || writtenAlone.test(items.get(0));
     }
-
-    private void change(String key, JsonNode value) {
-        if (value == null) {
-            transaction.remove(key);
-        } else {
-            transaction.set(key, value);
-        }
-    }
 }
--- a/src/main/java/io/sillreel/statestore/WriteQueue.java
+++ b/src/main/java/io/sillreel/statestore/WriteQueue.java
@@ -1,8 +1,6 @@
 package io.sillreel.statestore;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import io.sillreel.http.EventLoop;
-import io.sillreel.http.Json;
 import io.sillreel.statestore.StateStore.Commit;
 import io.sillreel.statestore.StateStore.Outcome;
 import io.sillreel.statestore.StateStore.Read;
@@ -20,90 +18,10 @@
 
 /**
  * The lease leader's only way to write: changes merged into one transaction at a time, each conditional on the leader
- * key's stamp and on the changed key's own. So neither a former leader's late transaction nor an own one whose answer
- * was lost can undo what was written after it.
+ * key's revision and on the changed key's own. So neither a former leader's late transaction nor an own one whose
+ * answer was lost can undo what was written after it.
  */
 public final class WriteQueue {
-    /** What goes first when the store takes less than there is to write. */
-    public enum WriteUrgency {
-        JOB_END,
-        JOB_START,
-        PROGRESS
-    }
-
-    /** Something to be stored under a guarding key. */
-    public interface PendingWrite {
-        /** The key whose stamp guards the change; it is among the changes. */
-        String key();
-
-        long revision();
-
-        /**
-         * What to write now, the guarding key included; null as value removes, and nothing at all means that there is
-         * nothing left to write. Asked for when the write is sent.
-         */
-        Map<String, JsonNode> changes();
-
-        /** What has to be stored before this; it queues the item again once that is done. */
-        default List<PendingWrite> prerequisites() {
-            return List.of();
-        }
-
-        /** How urgent the change is that would be written now. */
-        default WriteUrgency urgency() {
-            return WriteUrgency.JOB_START;
-        }
-
-        /** A key that must not exist, or null. */
-        default String requiredAbsentKey() {
-            return null;
-        }
-
-        /** The changes last asked for are stored. */
-        void onStored(long revision);
-
-        /** The guarding key has another stamp than thought; the item will be written again. */
-        void onConflict(long revision);
-
-        /** Alone it is larger than the store takes; it is not written again unless it is queued again, smaller. */
-        default void onTooLarge() {}
-
-        /** The key that must not exist does. */
-        default void onPreconditionFailed() {}
-    }
-
-    /** Something under one key that nothing else is written with. */
-    public abstract static class SingleKeyWrite implements PendingWrite {
-        private final String key;
-        private long revision;
-
-        /** @param stamp as the key is thought to be stored, 0 if it is not */
-        protected SingleKeyWrite(String key, long revision) {
-            this.key = key;
-            this.revision = revision;
-        }
-
-        @Override
-        public final String key() {
-            return key;
-        }
-
-        @Override
-        public final long revision() {
-            return revision;
-        }
-
-        @Override
-        public void onStored(long newRevision) {
-            revision = newRevision;
-        }
-
-        @Override
-        public final void onConflict(long newRevision) {
-            revision = newRevision;
-        }
-    }
-
     private static final Logger LOG = LoggerFactory.getLogger(WriteQueue.class);
     private static final long GATHER_MICROS = 5_000;
     private static final long RETRY_MICROS = 250_000;
@@ -237,12 +155,12 @@
                 first.forEach(this::add);
                 continue;
             }
-            Map<String, JsonNode> changes = item.changes();
-            if (changes.isEmpty()) {
+            KeyChange change = item.change();
+            if (change.isNone()) {
                 remove(item);
                 continue;
             }
-            if (!batch.add(item, changes, room)) {
+            if (!batch.add(item, change, room)) {
                 break;
             }
             remove(item);
@@ -338,9 +256,7 @@
             return;
         }
         PendingWrite item = batch.get(0);
-        int bytes = item.changes().values().stream()
-                .mapToInt(value -> value == null ? 0 : Json.bytes(value).length)
-                .sum();
+        int bytes = item.change().bytes();
         LOG.error(
                 "{} is refused by the state service with {} bytes, and is not written again as it is",
                 item.key(),
--- a/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
+++ b/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
@@ -3,6 +3,7 @@
 import static io.sillreel.VersionsTest.CHUNKED;
 import static io.sillreel.VersionsTest.json;
 import static io.sillreel.VersionsTest.spec;
+import static io.sillreel.sim.StoredValues.storedValue;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
@@ -17,6 +18,7 @@
 import io.sillreel.sim.SimNetwork;
 import io.sillreel.sim.SimStateStore;
 import io.sillreel.sim.SimTime;
+import io.sillreel.statestore.PendingWrite;
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.StateStore.Outcome;
 import io.sillreel.statestore.StateStore.Transaction;
@@ -34,17 +36,17 @@
     /** Guards the done set of a job that both versions lead in turn: parts of it would be unknown to that version. */
     @Test
     void aDoneSetIsWrittenAsItWroteItUntilTheStateServiceRefusesItsSize() {
-        List<WriteQueue.PendingWrite> queued = new ArrayList<>();
+        List<PendingWrite> queued = new ArrayList<>();
         ActiveJob.Listener watcher = new IgnoringListener() {
             @Override
-            public void enqueueWrites(List<? extends WriteQueue.PendingWrite> items) {
+            public void enqueueWrites(List<? extends PendingWrite> items) {
                 queued.addAll(items);
             }
         };
         ActiveJob job = new ActiveJob(spec("job-000412", 7_000), 7, 0, new ValueLimits(8_192, 2_048), watcher);
         List.of(0, 3, 6_999).forEach(job::markTaskDone);
         assertThat(job.prerequisites()).isEmpty();
-        JsonNode head = job.changes().get("run/job-000412");
+        JsonNode head = storedValue(job, "run/job-000412");
         assertThat(PreviousVersion.understood("run/job-000412", head)).isEqualTo(head);
         assertThat(RunRecord.decode(Head.fromJson(head).bitmap()).stream()).containsExactly(0, 3, 6_999);
         assertThat(head.toString().length()).isGreaterThan(1_024);
@@ -52,13 +54,13 @@
         job.onTooLarge();
         assertThat(queued).hasSize(1).first().isSameAs(job);
         queued.clear();
-        List<WriteQueue.PendingWrite> parts = job.prerequisites();
+        List<PendingWrite> parts = job.prerequisites();
         assertThat(parts).hasSize(2).allMatch(part -> part.key().startsWith("bits/job-000412/"));
         parts.forEach(part -> {
-            assertThat(part.changes()).hasSize(1);
+            assertThat(part.change().value()).isNotNull();
             part.onStored(9);
         });
-        assertThat(job.changes().get("run/job-000412").toString().length()).isLessThan(1_024);
+        assertThat(storedValue(job, "run/job-000412").toString().length()).isLessThan(1_024);
         job.onStored(10);
         assertThat(List.of(0, 3, 6_999)).allMatch(job::isTaskStored);
     }
@@ -84,7 +86,7 @@
             writeQueue = new WriteQueue(store, process, "leader", 101, 2, () -> {});
             watcher = new IgnoringListener() {
                 @Override
-                public void enqueueWrites(List<? extends WriteQueue.PendingWrite> items) {
+                public void enqueueWrites(List<? extends PendingWrite> items) {
                     items.forEach(writeQueue::enqueue);
                 }
             };
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -1,5 +1,6 @@
 package io.sillreel;
 
+import static io.sillreel.sim.StoredValues.storedValue;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
@@ -159,20 +160,20 @@
         ActiveJob job = job(16);
         List.of(0, 3, 15).forEach(job::markTaskDone);
         job.allocate(4);
-        assertThat(job.changes().get("run/job-000412").toString()).isEqualTo(RUNNING);
+        assertThat(storedValue(job, "run/job-000412").toString()).isEqualTo(RUNNING);
         ActiveJob done = job(2);
         List.of(0, 1).forEach(done::markTaskDone);
-        assertThat(done.changes().get("run/job-000412").toString()).isEqualTo(DONE);
+        assertThat(storedValue(done, "run/job-000412").toString()).isEqualTo(DONE);
         ActiveJob failed = job(2);
         failed.recordFailedAttempt(
                 new RetrySchedule(2, 10, 60),
                 1_700_000_123_456_789L,
                 "its tasks failed on host-000001 and host-000002");
-        assertThat(failed.changes().get("run/job-000412").toString()).isEqualTo(FAILED);
+        assertThat(storedValue(failed, "run/job-000412").toString()).isEqualTo(FAILED);
         ScaleOutRequest scaleOutRequest = new ScaleOutRequest("r-5-12", "g8", "a", true, 12);
         scaleOutRequest.answered(List.of("host-000231", "host-000232"));
         scaleOutRequest.markUp("host-000231");
-        assertThat(scaleOutRequest.changes().get("hire/r-5-12").toString()).isEqualTo(RENTAL);
+        assertThat(storedValue(scaleOutRequest, "hire/r-5-12").toString()).isEqualTo(RENTAL);
     }
 
     @Test
@@ -244,15 +245,13 @@
         int machines = scaleOutRequest.machines().size();
         for (ScaleOutRequest part : parts) {
             assertThat(part.machines()).allMatch(part::isStoredAsUp);
-            assertThat(part.changes().get(part.key()).toString().length()).isLessThan(1_024);
+            assertThat(storedValue(part, part.key()).toString().length()).isLessThan(1_024);
             machines += part.machines().size();
             part.onStored(10);
         }
         assertThat(machines).isEqualTo(50);
         assertThat(scaleOutRequest.prerequisites()).isEmpty();
-        assertThat(scaleOutRequest
-                        .changes()
-                        .get(scaleOutRequest.key())
+        assertThat(storedValue(scaleOutRequest, scaleOutRequest.key())
                         .toString()
                         .length())
                 .isLessThan(1_024);
--- a/src/test/java/io/sillreel/pipeline/IgnoringListener.java
+++ b/src/test/java/io/sillreel/pipeline/IgnoringListener.java
@@ -1,6 +1,6 @@
 package io.sillreel.pipeline;
 
-import io.sillreel.statestore.WriteQueue;
+import io.sillreel.statestore.PendingWrite;
 import java.util.List;
 
 /** Takes no notice of what becomes of a job's record. */
@@ -12,5 +12,5 @@
     public void cancellationFound(ActiveJob job) {}
 
     @Override
-    public void enqueueWrites(List<? extends WriteQueue.PendingWrite> items) {}
+    public void enqueueWrites(List<? extends PendingWrite> items) {}
 }
--- a/src/test/java/io/sillreel/pipeline/PipelineTest.java
+++ b/src/test/java/io/sillreel/pipeline/PipelineTest.java
@@ -1,14 +1,16 @@
 package io.sillreel.pipeline;
 
+import static io.sillreel.sim.StoredValues.storedValue;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import io.sillreel.pipeline.PipelinePlan.Link;
 import io.sillreel.pipeline.PipelinePlan.Port;
 import io.sillreel.pipeline.PipelineRun.JobState;
 import io.sillreel.pipeline.PipelineRun.LinkState;
 import io.sillreel.settings.ValueLimits;
-import io.sillreel.statestore.WriteQueue;
+import io.sillreel.statestore.PendingWrite;
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.List;
@@ -95,26 +97,23 @@
             job.markTaskDone(piece);
         }
         // The parts first, one after the other, then the head that names them: each a value and a change of its own.
-        List<WriteQueue.PendingWrite> parts = List.copyOf(job.prerequisites());
+        List<PendingWrite> parts = List.copyOf(job.prerequisites());
         assertThat(parts).hasSize((100_000 + RunRecord.chunkTasks(valueBytes) - 1) / RunRecord.chunkTasks(valueBytes));
         Map<String, String> values = new HashMap<>();
-        for (WriteQueue.PendingWrite part : parts) {
-            assertThat(part.changes()).hasSize(1);
-            part.changes().forEach((key, value) -> {
-                assertThat(value.toString().length()).isLessThan(valueBytes);
-                values.put(key, value.path("bits").asText());
-            });
+        for (PendingWrite part : parts) {
+            JsonNode value = storedValue(part, part.key());
+            assertThat(value.toString().length()).isLessThan(valueBytes);
+            values.put(part.key(), value.path("bits").asText());
             part.onStored(8);
         }
         assertThat(job.prerequisites()).isEmpty();
-        var head = job.changes();
-        assertThat(head).hasSize(1);
-        assertThat(head.get(job.key()).toString().length()).isLessThan(valueBytes);
+        JsonNode head = storedValue(job, job.key());
+        assertThat(head.toString().length()).isLessThan(valueBytes);
         job.onStored(9);
         assertThat(job.isTaskStored(99_998)).isTrue();
 
         ActiveJob again = new ActiveJob(spec, 7, 0, ValueLimits.fixed(valueBytes), new IgnoringListener());
-        again.inherit(9, RunRecord.Head.fromJson(head.get(job.key())), pieces(values));
+        again.inherit(9, RunRecord.Head.fromJson(head), pieces(values));
         assertThat(again.doneCount()).isEqualTo(50_000);
         assertThat(again.nextWaitingTask()).isEqualTo(1);
     }
--- a/src/test/java/io/sillreel/statestore/WriteQueueTest.java
+++ b/src/test/java/io/sillreel/statestore/WriteQueueTest.java
@@ -2,7 +2,6 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import io.sillreel.http.Json;
 import io.sillreel.overload.RateLimiter;
 import io.sillreel.sim.SimNetwork;
@@ -14,7 +13,6 @@
 import io.sillreel.statestore.StateStore.Transaction;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import org.junit.jupiter.api.Test;
 
 class WriteQueueTest {
@@ -83,21 +81,21 @@
                 .isLessThan(25);
     }
 
-    private static final class Count implements WriteQueue.PendingWrite {
+    private static final class Count implements PendingWrite {
         private final String key;
         private String padding = "";
         private int value;
         private int sent;
         private int stored;
         private long revision;
-        private WriteQueue.WriteUrgency urgency = WriteQueue.WriteUrgency.JOB_START;
+        private WriteUrgency urgency = WriteUrgency.JOB_START;
 
         Count(String key) {
             this.key = key;
         }
 
         @Override
-        public WriteQueue.WriteUrgency urgency() {
+        public WriteUrgency urgency() {
             return urgency;
         }
 
@@ -112,9 +110,9 @@
         }
 
         @Override
-        public Map<String, JsonNode> changes() {
+        public KeyChange change() {
             sent = value;
-            return Map.of(key, Json.object().put("n", value).put("p", padding));
+            return KeyChange.put(Json.object().put("n", value).put("p", padding));
         }
 
         @Override
@@ -173,7 +171,7 @@
         Count[] progress = new Count[8];
         for (int i = 0; i < progress.length; i++) {
             progress[i] = new Count("p" + i);
-            progress[i].urgency = WriteQueue.WriteUrgency.PROGRESS;
+            progress[i].urgency = WriteUrgency.PROGRESS;
             scarce.enqueue(progress[i]);
         }
         time.runFor(1_900_000);
@@ -184,7 +182,7 @@
             scarce.enqueue(starts[i]);
         }
         Count end = new Count("e");
-        end.urgency = WriteQueue.WriteUrgency.JOB_END;
+        end.urgency = WriteUrgency.JOB_END;
         scarce.enqueue(end);
         time.runFor(8_000_000);
         assertThat(end.revision).isPositive();
@@ -276,7 +274,7 @@
     void progressThatGathersIsNoBacklogOfWhatPresses() {
         for (int i = 0; i < 30; i++) {
             Count progress = new Count("p/" + i);
-            progress.urgency = WriteQueue.WriteUrgency.PROGRESS;
+            progress.urgency = WriteUrgency.PROGRESS;
             writeQueue.enqueue(progress);
         }
         writeQueue.enqueue(new Count("hire/1"));
