--- a/src/main/java/io/sillreel/cluster/Allocation.java
+++ b/src/main/java/io/sillreel/cluster/Allocation.java
@@ -13,7 +13,7 @@
     private Machine machine;
     private TaskStage stage;
     private long runningSinceMicros = -1;
-    private boolean holding;
+    private boolean isTaskHeld;
     private boolean isStopping;
     private long gracePeriodMicros;
     private long acknowledgementSequence;
@@ -43,7 +43,7 @@
         if (job != null && !hasEnded()) {
             job.allocate(taskIndex);
             on.allocationIndex().add(this);
-            holding = true;
+            isTaskHeld = true;
         }
     }
 
@@ -56,10 +56,10 @@
      * takeover must not free a task that by then runs elsewhere.
      */
     public void release() {
-        if (holding) {
+        if (isTaskHeld) {
             job.deallocate(taskIndex);
             machine.allocationIndex().remove(this);
-            holding = false;
+            isTaskHeld = false;
         }
         machine.invalidateUsage();
     }
@@ -119,7 +119,7 @@
     }
 
     /** The machine is told, in the answer to the report with the given sequence, to forget the ended task. */
-    public void acknowledgementSent(long sequence) {
+    public void recordAcknowledgementSent(long sequence) {
         if (acknowledgementSequence == 0) {
             acknowledgementSequence = sequence;
         }
--- a/src/main/java/io/sillreel/cluster/Cluster.java
+++ b/src/main/java/io/sillreel/cluster/Cluster.java
@@ -128,10 +128,12 @@
             return 0;
         }
         QuotaUsage.Amount used = usage.ofTeam(spec.team());
-        return Math.min(left(team.cpusMax(), used.cpus(), spec.cpus()), left(team.gpusMax(), used.gpus(), spec.gpus()));
+        return Math.min(
+                remainingTasks(team.cpusMax(), used.cpus(), spec.cpus()),
+                remainingTasks(team.gpusMax(), used.gpus(), spec.gpus()));
     }
 
-    private static int left(double most, long used, double each) {
+    private static int remainingTasks(double most, long used, double each) {
         if (most <= 0 || each <= 0) {
             return Integer.MAX_VALUE;
         }
@@ -149,7 +151,7 @@
 
     /** True if the machine is one the job allows, its other tasks aside. */
     public static boolean isEligible(JobSpec spec, Machine machine) {
-        return isEligible(spec, machine.type(), machine.zone(), machine.spot());
+        return isEligible(spec, machine.type(), machine.zone(), machine.isSpot());
     }
 
     /** True if machines of the type, in the zone and of the kind are such as the job allows. */
--- a/src/main/java/io/sillreel/cluster/ImageCache.java
+++ b/src/main/java/io/sillreel/cluster/ImageCache.java
@@ -35,7 +35,7 @@
     }
 
     /** Remembers the image as the most recently used; what the cache can't hold is thought to be gone. */
-    void use(Image image) {
+    void markUsed(Image image) {
         images.remove(image);
         images.add(image);
         Deque<Image> newestFirst = new ArrayDeque<>();
@@ -49,7 +49,7 @@
         }
     }
 
-    boolean has(Image image) {
+    boolean contains(Image image) {
         return images.contains(image);
     }
 }
--- a/src/main/java/io/sillreel/cluster/Machine.java
+++ b/src/main/java/io/sillreel/cluster/Machine.java
@@ -30,7 +30,7 @@
     private final String name;
     private final MachineType type;
     private final String zone;
-    private final boolean spot;
+    private final boolean isSpot;
     private final ScaleOutRequest scaleOutRequest;
     private final long requestedMicros;
     private final AllocationIndex allocationIndex;
@@ -69,7 +69,7 @@
         this.name = name;
         this.type = type;
         this.zone = zone;
-        this.spot = spot;
+        this.isSpot = spot;
         this.scaleOutRequest = scaleOutRequest;
         this.requestedMicros = rentedMicros;
         this.idleSinceMicros = rentedMicros;
@@ -94,8 +94,8 @@
         return zone;
     }
 
-    public boolean spot() {
-        return spot;
+    public boolean isSpot() {
+        return isSpot;
     }
 
     public ScaleOutRequest scaleOutRequest() {
@@ -115,7 +115,7 @@
     }
 
     /** Takes over the address under which the machine accepts commands, if there is one. */
-    public void address(String newAddress) {
+    public void updateAddress(String newAddress) {
         if (newAddress != null && !newAddress.isEmpty()) {
             address = newAddress;
         }
@@ -162,11 +162,11 @@
         if (!heartbeatOrder.isNew(heartbeat)) {
             return false;
         }
-        responsiveness.heartbeatReceived(
+        responsiveness.recordHeartbeat(
                 heartbeatOrder.startsEpoch(heartbeat), state == State.UP, lastHeartbeatMicros, nowMicros);
         heartbeatOrder.accept(heartbeat, direct, nowMicros);
         lastHeartbeatMicros = nowMicros;
-        address(heartbeat.address());
+        updateAddress(heartbeat.address());
         interruptionAtMicros = heartbeat.interruptionMicros() < 0 ? -1 : nowMicros + heartbeat.interruptionMicros();
         if (state == State.PROVISIONING) {
             state = State.UP;
@@ -177,8 +177,8 @@
     }
 
     /** It is answered 200, which keeps its tasks alive if it hears that. */
-    public void heartbeatAnswered(long boundMicros) {
-        responsiveness.heartbeatAnswered();
+    public void recordHeartbeatAnswered(long boundMicros) {
+        responsiveness.recordHeartbeatAnswered();
         extendLease(boundMicros);
     }
 
@@ -291,7 +291,7 @@
         invalidateUsage();
         allocation.bindTo(this);
         if (allocation.job() != null) {
-            images.use(Image.of(allocation.job().spec()));
+            images.markUsed(Image.of(allocation.job().spec()));
         }
     }
 
@@ -313,7 +313,7 @@
     }
 
     public boolean hasImage(Image image) {
-        return images.has(image);
+        return images.contains(image);
     }
 
     /** Processors that are free; none on a machine whose report holds no more tasks. */
--- a/src/main/java/io/sillreel/cluster/QuotaUsage.java
+++ b/src/main/java/io/sillreel/cluster/QuotaUsage.java
@@ -36,30 +36,30 @@
     }
 
     private static final Amount NOTHING = new Amount();
-    private final Map<String, Amount> teams = new HashMap<>();
+    private final Map<String, Amount> amountByTeam = new HashMap<>();
 
     /** The tasks' amounts are added, or taken off if there are fewer than none. */
     public void add(JobSpec spec, int tasks) {
-        Amount amount = teams.computeIfAbsent(spec.team(), team -> new Amount());
+        Amount amount = amountByTeam.computeIfAbsent(spec.team(), team -> new Amount());
         amount.cpus += tasks * toMilli(spec.cpus());
         amount.gpus += tasks * toMilli(spec.gpus());
     }
 
     public Amount ofTeam(String team) {
-        return teams.getOrDefault(team, NOTHING);
+        return amountByTeam.getOrDefault(team, NOTHING);
     }
 
     /** Returns an independent copy. */
     public QuotaUsage copy() {
         QuotaUsage copy = new QuotaUsage();
-        teams.forEach((team, amount) -> copy.teams.put(team, new Amount(amount)));
+        amountByTeam.forEach((team, amount) -> copy.amountByTeam.put(team, new Amount(amount)));
         return copy;
     }
 
     /** Adds what the hidden tasks of each team may take, as far as it fits into the given room. */
     public void addCapped(QuotaUsage hidden, double maxCpus, double maxGpus) {
-        hidden.teams.forEach((team, most) ->
-                teams.computeIfAbsent(team, name -> new Amount()).addUpTo(most, maxCpus, maxGpus));
+        hidden.amountByTeam.forEach((team, most) ->
+                amountByTeam.computeIfAbsent(team, name -> new Amount()).addUpTo(most, maxCpus, maxGpus));
     }
 
     /** Rounded up, so that limits hold. */
--- a/src/main/java/io/sillreel/cluster/ResourceUsage.java
+++ b/src/main/java/io/sillreel/cluster/ResourceUsage.java
@@ -5,7 +5,7 @@
 /** What the live tasks of a machine take, counted when it is asked for after something has changed. */
 final class ResourceUsage {
     private final Collection<Allocation> allocations;
-    private boolean counted;
+    private boolean isCurrent;
     private double cpus;
     private double ramGb;
     private double gpus;
@@ -17,35 +17,35 @@
 
     /** A task came, ended or went. */
     void invalidate() {
-        counted = false;
+        isCurrent = false;
     }
 
     /** Processors that live tasks take, or more than there are where that isn't known. */
     double cpus() {
-        recount();
+        countIfStale();
         return cpus;
     }
 
     double ramGb() {
-        recount();
+        countIfStale();
         return ramGb;
     }
 
     double gpus() {
-        recount();
+        countIfStale();
         return gpus;
     }
 
     int tasks() {
-        recount();
+        countIfStale();
         return tasks;
     }
 
-    private void recount() {
-        if (counted) {
+    private void countIfStale() {
+        if (isCurrent) {
             return;
         }
-        counted = true;
+        isCurrent = true;
         cpus = 0;
         ramGb = 0;
         gpus = 0;
--- a/src/main/java/io/sillreel/cluster/Responsiveness.java
+++ b/src/main/java/io/sillreel/cluster/Responsiveness.java
@@ -5,7 +5,7 @@
     /** So many answers in a row without effect are no accident. */
     private static final int UNRESPONSIVE_THRESHOLD = 3;
     /** A machine that is silent for so long may have lost answers with its reports. */
-    private static final long GAP_MICROS = 7_000_000;
+    private static final long HEARTBEAT_GAP_MICROS = 7_000_000;
 
     private static final long RETRY_AFTER_MICROS = 20_000_000;
     /**
@@ -13,8 +13,8 @@
      */
     private static final long MIN_HEARTBEAT_INTERVAL_MICROS = 300_000;
 
-    private int heartbeatAnswered;
-    private int commandIgnored;
+    private int answeredHeartbeatCount;
+    private int ignoredCommandCount;
     private long lastIgnoredMicros;
 
     /**
@@ -23,33 +23,33 @@
      * @param newSession its worker's session has ended since the report before
      * @param up the machine is in use
      */
-    void heartbeatReceived(boolean newSession, boolean up, long lastReportMicros, long nowMicros) {
+    void recordHeartbeat(boolean newSession, boolean up, long lastReportMicros, long nowMicros) {
         // First: the lease of a machine that was cut off has run out because it was not answered, and when a zone comes
         // back hundreds of them are not deaf.
-        heartbeatAnswered = nowMicros - lastReportMicros < GAP_MICROS ? heartbeatAnswered : 0;
-        if (newSession && heartbeatAnswered > 1) {
+        answeredHeartbeatCount = nowMicros - lastReportMicros < HEARTBEAT_GAP_MICROS ? answeredHeartbeatCount : 0;
+        if (newSession && answeredHeartbeatCount > 1) {
             // Its lease ran out though it was answered all along.
-            commandIgnored = UNRESPONSIVE_THRESHOLD;
+            ignoredCommandCount = UNRESPONSIVE_THRESHOLD;
             lastIgnoredMicros = nowMicros;
         }
-        if (commandIgnored > 1 && up && nowMicros - lastIgnoredMicros > RETRY_AFTER_MICROS) {
+        if (ignoredCommandCount > 1 && up && nowMicros - lastIgnoredMicros > RETRY_AFTER_MICROS) {
             // Many seemed to receive nothing at once, so it was not given up; now it is tried again, with one task.
-            commandIgnored = 1;
+            ignoredCommandCount = 1;
         }
     }
 
-    void heartbeatAnswered() {
-        heartbeatAnswered++;
+    void recordHeartbeatAnswered() {
+        answeredHeartbeatCount++;
     }
 
     /** A report has shown that an earlier answer was obeyed. */
-    public void commandObeyed() {
-        commandIgnored = 0;
+    public void recordCommandObeyed() {
+        ignoredCommandCount = 0;
     }
 
     /** A report has shown that the answer to the one before was not obeyed, or not even heard. */
-    public void commandIgnored(long nowMicros) {
-        commandIgnored++;
+    public void recordCommandIgnored(long nowMicros) {
+        ignoredCommandCount++;
         lastIgnoredMicros = nowMicros;
     }
 
@@ -57,18 +57,18 @@
      * A report lacks the current token. Copies of reports of an earlier term come in crowds as the next one begins, and
      * say nothing of what the machine hears.
      */
-    public void staleTokenShown(long nowMicros) {
-        if (commandIgnored == 0 || nowMicros - lastIgnoredMicros > MIN_HEARTBEAT_INTERVAL_MICROS) {
-            commandIgnored(nowMicros);
+    public void recordStaleToken(long nowMicros) {
+        if (ignoredCommandCount == 0 || nowMicros - lastIgnoredMicros > MIN_HEARTBEAT_INTERVAL_MICROS) {
+            recordCommandIgnored(nowMicros);
         }
     }
 
     public int ignoredCommandCount() {
-        return commandIgnored;
+        return ignoredCommandCount;
     }
 
     /** True once several answers in a row have shown no effect: its reports arrive, but it hears nothing. */
     public boolean isUnresponsive() {
-        return commandIgnored >= UNRESPONSIVE_THRESHOLD;
+        return ignoredCommandCount >= UNRESPONSIVE_THRESHOLD;
     }
 }
--- a/src/main/java/io/sillreel/cluster/ScaleOutRequest.java
+++ b/src/main/java/io/sillreel/cluster/ScaleOutRequest.java
@@ -24,26 +24,26 @@
     private final String name;
     private final String machineType;
     private final String zone;
-    private final boolean spot;
+    private final boolean isSpot;
     private final int machineCount;
     private final Set<String> machines = new LinkedHashSet<>();
-    private final Set<String> storedMachines = new LinkedHashSet<>();
-    private final Set<String> sentMachines = new LinkedHashSet<>();
-    private final Set<String> up = new LinkedHashSet<>();
+    private final Set<String> storedUpMachines = new LinkedHashSet<>();
+    private final Set<String> sentUpMachines = new LinkedHashSet<>();
+    private final Set<String> upMachines = new LinkedHashSet<>();
     private final List<ScaleOutRequest> overflowRequests = new ArrayList<>();
     private Runnable onStored = () -> {};
     private long revision;
-    private boolean answered;
+    private boolean isAnswered;
     private boolean isDiscarded;
     private boolean mayHaveExecuted;
-    private long askedMicros;
+    private long lastSentMicros;
 
     /** Creates a rental that the cloud has not been asked for yet. */
     public ScaleOutRequest(String name, String machineType, String zone, boolean spot, int count) {
         this.name = name;
         this.machineType = machineType;
         this.zone = zone;
-        this.spot = spot;
+        this.isSpot = spot;
         this.machineCount = count;
     }
 
@@ -56,15 +56,15 @@
                 value.path("spot").asBoolean(),
                 value.path("count").asInt());
         scaleOutRequest.revision = revision;
-        scaleOutRequest.answered = value.has("machines");
+        scaleOutRequest.isAnswered = value.has("machines");
         scaleOutRequest.mayHaveExecuted = true;
         value.path("machines").forEach(machine -> scaleOutRequest.machines.add(machine.asText()));
         if (value.has("up")) {
-            value.path("up").forEach(machine -> scaleOutRequest.up.add(machine.asText()));
+            value.path("up").forEach(machine -> scaleOutRequest.upMachines.add(machine.asText()));
         } else {
-            scaleOutRequest.up.addAll(scaleOutRequest.machines);
+            scaleOutRequest.upMachines.addAll(scaleOutRequest.machines);
         }
-        scaleOutRequest.storedMachines.addAll(scaleOutRequest.up);
+        scaleOutRequest.storedUpMachines.addAll(scaleOutRequest.upMachines);
         return scaleOutRequest;
     }
 
@@ -82,12 +82,12 @@
         for (int from = most; from < all.size(); from += most) {
             List<String> part = all.subList(from, Math.min(all.size(), from + most));
             ScaleOutRequest scaleOutRequest =
-                    new ScaleOutRequest(name + "." + from / most, machineType, zone, spot, part.size());
-            scaleOutRequest.answered(part);
-            part.stream().filter(up::remove).forEach(scaleOutRequest.up::add);
-            part.stream().filter(storedMachines::remove).forEach(scaleOutRequest.storedMachines::add);
+                    new ScaleOutRequest(name + "." + from / most, machineType, zone, isSpot, part.size());
+            scaleOutRequest.recordAnswer(part);
+            part.stream().filter(upMachines::remove).forEach(scaleOutRequest.upMachines::add);
+            part.stream().filter(storedUpMachines::remove).forEach(scaleOutRequest.storedUpMachines::add);
             part.forEach(machines::remove);
-            scaleOutRequest.onStored(() -> enqueue.accept(this));
+            scaleOutRequest.whenStored(() -> enqueue.accept(this));
             overflowRequests.add(scaleOutRequest);
         }
         return List.copyOf(overflowRequests);
@@ -111,8 +111,8 @@
         return zone;
     }
 
-    public boolean spot() {
-        return spot;
+    public boolean isSpot() {
+        return isSpot;
     }
 
     public int machineCount() {
@@ -128,12 +128,12 @@
      * have not reported yet don't, so that those that boot or never come up hold up no takeover.
      */
     public boolean isStoredAsUp(String machine) {
-        return storedMachines.contains(machine);
+        return storedUpMachines.contains(machine);
     }
 
     /** The machine has reported; true if that is yet to be stored. */
     public boolean markUp(String machine) {
-        return machines.contains(machine) && up.add(machine);
+        return machines.contains(machine) && upMachines.add(machine);
     }
 
     /**
@@ -142,25 +142,25 @@
      * crashes.
      */
     public boolean markDown(String machine) {
-        storedMachines.remove(machine);
-        return up.remove(machine);
+        storedUpMachines.remove(machine);
+        return upMachines.remove(machine);
     }
 
     /** True once the cloud has said which machines it rented. */
-    public boolean answered() {
-        return answered;
+    public boolean isAnswered() {
+        return isAnswered;
     }
 
-    public void answered(Iterable<String> names) {
-        answered = true;
+    public void recordAnswer(Iterable<String> names) {
+        isAnswered = true;
         names.forEach(machines::add);
     }
 
     /** The machine no longer exists and is not part of the rental any more. */
     public void removeMachine(String machine) {
         machines.remove(machine);
-        up.remove(machine);
-        isDiscarded = answered && machines.isEmpty();
+        upMachines.remove(machine);
+        isDiscarded = isAnswered && machines.isEmpty();
     }
 
     /** The cloud rents nothing under this name; the name is not used again. */
@@ -176,19 +176,19 @@
         return mayHaveExecuted;
     }
 
-    public void mayHaveExecuted(boolean maybe) {
-        mayHaveExecuted |= maybe;
+    public void markPossiblyExecuted() {
+        mayHaveExecuted = true;
     }
 
-    public long askedMicros() {
-        return askedMicros;
+    public long lastSentMicros() {
+        return lastSentMicros;
     }
 
-    public void askedMicros(long micros) {
-        askedMicros = micros;
+    public void recordSent(long micros) {
+        lastSentMicros = micros;
     }
 
-    public void onStored(Runnable then) {
+    public void whenStored(Runnable then) {
         onStored = then;
     }
 
@@ -204,10 +204,10 @@
 
     @Override
     public KeyChange change() {
-        sentMachines.clear();
-        sentMachines.addAll(up);
+        sentUpMachines.clear();
+        sentUpMachines.addAll(upMachines);
         // From the moment it is sent, what the write lacks may be missing from the store.
-        storedMachines.retainAll(sentMachines);
+        storedUpMachines.retainAll(sentUpMachines);
         return isDiscarded ? KeyChange.REMOVAL : KeyChange.put(json());
     }
 
@@ -215,14 +215,14 @@
         ObjectNode value = Json.object()
                 .put("build", machineType)
                 .put("yard", zone)
-                .put("spot", spot)
+                .put("spot", isSpot)
                 .put("count", machineCount);
-        if (answered) {
+        if (isAnswered) {
             ArrayNode names = Json.array();
             machines.forEach(names::add);
             value.set("machines", names);
             ArrayNode reporting = Json.array();
-            up.forEach(reporting::add);
+            upMachines.forEach(reporting::add);
             value.set("up", reporting);
         }
         return value;
@@ -231,8 +231,8 @@
     @Override
     public void onStored(long newRevision) {
         revision = isDiscarded ? 0 : newRevision;
-        storedMachines.clear();
-        storedMachines.addAll(sentMachines);
+        storedUpMachines.clear();
+        storedUpMachines.addAll(sentUpMachines);
         Runnable then = onStored;
         onStored = () -> {};
         then.run();
--- a/src/main/java/io/sillreel/cluster/UnreconciledMachines.java
+++ b/src/main/java/io/sillreel/cluster/UnreconciledMachines.java
@@ -14,15 +14,18 @@
  * fleet in here and asks for every job whether it may be hidden, so they are counted by what they could hold.
  */
 final class UnreconciledMachines {
-    private record Kind(MachineType type, String zone, boolean spot) {
-        static Kind of(Machine machine) {
-            return new Kind(machine.type(), machine.zone(), machine.spot());
+    private record MachineKind(MachineType type, String zone, boolean spot) {
+        static MachineKind of(Machine machine) {
+            return new MachineKind(machine.type(), machine.zone(), machine.isSpot());
         }
 
         // Written out: the compiler would leave it to be linked at run time, which costs a takeover milliseconds.
         @Override
         public boolean equals(Object other) {
-            return other instanceof Kind kind && kind.type == type && kind.zone.equals(zone) && kind.spot == spot;
+            return other instanceof MachineKind kind
+                    && kind.type == type
+                    && kind.zone.equals(zone)
+                    && kind.spot == spot;
         }
 
         @Override
@@ -32,7 +35,7 @@
     }
 
     private final Set<Machine> machines = new LinkedHashSet<>();
-    private final Map<Kind, Integer> kinds = new HashMap<>();
+    private final Map<MachineKind, Integer> kinds = new HashMap<>();
 
     Collection<Machine> machines() {
         return Collections.unmodifiableSet(machines);
@@ -44,19 +47,19 @@
 
     void add(Machine machine) {
         if (machines.add(machine)) {
-            kinds.merge(Kind.of(machine), 1, Integer::sum);
+            kinds.merge(MachineKind.of(machine), 1, Integer::sum);
         }
     }
 
     void remove(Machine machine) {
         if (machines.remove(machine)) {
-            kinds.computeIfPresent(Kind.of(machine), (kind, count) -> count == 1 ? null : count - 1);
+            kinds.computeIfPresent(MachineKind.of(machine), (kind, count) -> count == 1 ? null : count - 1);
         }
     }
 
     /** True if one of them could hold tasks of the job. */
     boolean mayHoldTasksOf(JobSpec spec) {
-        for (Kind kind : kinds.keySet()) {
+        for (MachineKind kind : kinds.keySet()) {
             if (Cluster.isEligible(spec, kind.type(), kind.zone(), kind.spot())
                     && Machine.fitsEmptyMachine(spec, kind.type())) {
                 return true;
@@ -68,7 +71,7 @@
     /** The processors of all of them. */
     double cpus() {
         double cpus = 0;
-        for (Map.Entry<Kind, Integer> kind : kinds.entrySet()) {
+        for (Map.Entry<MachineKind, Integer> kind : kinds.entrySet()) {
             cpus += kind.getValue() * kind.getKey().type().cpus();
         }
         return cpus;
@@ -77,7 +80,7 @@
     /** The cards of all of them. */
     double gpus() {
         double gpus = 0;
-        for (Map.Entry<Kind, Integer> kind : kinds.entrySet()) {
+        for (Map.Entry<MachineKind, Integer> kind : kinds.entrySet()) {
             gpus += kind.getValue() * kind.getKey().type().gpus();
         }
         return gpus;
--- a/src/main/java/io/sillreel/fleet/CloudListReconciler.java
+++ b/src/main/java/io/sillreel/fleet/CloudListReconciler.java
@@ -22,8 +22,8 @@
     /** A long list takes much of the cloud's rate: the pause after it is so many times as long as it took. */
     private static final long LIST_PAUSE_FACTOR = 2;
 
-    private static final long PENDING_RENTAL_MICROS = 30_000_000;
-    private static final String FAILED = "failed";
+    private static final long PENDING_REQUEST_MICROS = 30_000_000;
+    private static final String FAILED_STAGE = "failed";
 
     private final EventLoop eventLoop;
     private final Cluster cluster;
@@ -32,11 +32,11 @@
     private final long listLagMicros;
     private final Consumer<Machine> clear;
     /** Listed machines that no rental names, and when they were first seen. */
-    private final Map<String, Long> strangers = new HashMap<>();
+    private final Map<String, Long> unknownMachines = new HashMap<>();
 
     private long listedMicros = Long.MIN_VALUE / 2;
     private long listPauseMicros = MIN_LIST_PAUSE_MICROS;
-    private boolean listing;
+    private boolean isListing;
 
     /**
      * @param listLagMicros how far the list usually lags behind
@@ -58,17 +58,17 @@
     }
 
     /** Asks for the list if that is due. */
-    void tick(long now) {
-        if (!listing && now - listedMicros > listPauseMicros) {
+    void listIfDue(long now) {
+        if (!isListing && now - listedMicros > listPauseMicros) {
             list();
         }
     }
 
     private void list() {
-        listing = true;
+        isListing = true;
         long asked = eventLoop.nowMicros();
         cloud.machines().thenAccept(answer -> {
-            listing = false;
+            isListing = false;
             listedMicros = eventLoop.nowMicros();
             listPauseMicros = Math.max(MIN_LIST_PAUSE_MICROS, LIST_PAUSE_FACTOR * (listedMicros - asked));
             if (answer.outcome() == Outcome.OK) {
@@ -85,13 +85,13 @@
             present.add(entry.name());
             Machine machine = cluster.machine(entry.name());
             if (machine == null) {
-                stranger(entry, asked);
+                adoptIfUnknown(entry, asked);
                 continue;
             }
-            strangers.remove(entry.name());
+            unknownMachines.remove(entry.name());
             machine.recordListed(eventLoop.nowMicros());
-            machine.address(entry.address());
-            if (entry.stage().equals(FAILED)) {
+            machine.updateAddress(entry.address());
+            if (entry.stage().equals(FAILED_STAGE)) {
                 LOG.info("machine {} has failed", machine.name());
                 clear.accept(machine);
                 machine.drain("it has failed");
@@ -108,24 +108,25 @@
                 registry.remove(machine);
             }
         }
-        strangers.keySet().retainAll(present);
+        unknownMachines.keySet().retainAll(present);
     }
 
-    private void stranger(Listed entry, long asked) {
+    private void adoptIfUnknown(Listed entry, long asked) {
         if (registry.wasReturned(entry.name())) {
             return;
         }
         // It may be the answer to a call still under way, so a second look decides.
-        Long first = strangers.putIfAbsent(entry.name(), asked);
-        boolean pending = registry.scaleOutRequests().stream().anyMatch(scaleOutRequest -> !scaleOutRequest.answered());
-        if (first == null || pending && asked - first < PENDING_RENTAL_MICROS) {
+        Long first = unknownMachines.putIfAbsent(entry.name(), asked);
+        boolean pending =
+                registry.scaleOutRequests().stream().anyMatch(scaleOutRequest -> !scaleOutRequest.isAnswered());
+        if (first == null || pending && asked - first < PENDING_REQUEST_MICROS) {
             return;
         }
         Machine machine = registry.adopt(entry.name(), entry.machineType(), entry.zone(), entry.spot());
         if (machine != null) {
-            machine.address(entry.address());
+            machine.updateAddress(entry.address());
             machine.recordListed(asked);
-            if (entry.stage().equals(FAILED)) {
+            if (entry.stage().equals(FAILED_STAGE)) {
                 machine.drain("it has failed");
             }
         }
--- a/src/main/java/io/sillreel/fleet/FleetManager.java
+++ b/src/main/java/io/sillreel/fleet/FleetManager.java
@@ -33,11 +33,11 @@
     private final WriteQueue writeQueue;
     private final BooleanSupplier mayAct;
     private final FleetRegistry registry;
-    private final ScaleInPolicy retirement;
-    private final CloudListReconciler reconciler;
-    private final ScaleOut requester;
-    private final Set<ScaleOutRequest> machineDown = new LinkedHashSet<>();
-    private boolean returning;
+    private final ScaleInPolicy scaleInPolicy;
+    private final CloudListReconciler cloudListReconciler;
+    private final ScaleOut scaleOut;
+    private final Set<ScaleOutRequest> requestsWithMachinesDown = new LinkedHashSet<>();
+    private boolean isReturnPending;
 
     /**
      * @param mayAct true while rentals and returns are allowed
@@ -64,11 +64,11 @@
         this.mayAct = mayAct;
         this.registry = new FleetRegistry(
                 eventLoop, term, cluster, writeQueue, settings.state().values(), types, clear);
-        this.retirement = new ScaleInPolicy(
+        this.scaleInPolicy = new ScaleInPolicy(
                 eventLoop, cluster, settings.workers(), operator, capacity, FleetThresholds.of(settings), undisturbed);
-        this.reconciler = new CloudListReconciler(
+        this.cloudListReconciler = new CloudListReconciler(
                 eventLoop, cluster, cloud, registry, settings.cloud().listLagMicros(), clear);
-        this.requester = new ScaleOut(
+        this.scaleOut = new ScaleOut(
                 eventLoop,
                 cluster,
                 cloud,
@@ -86,21 +86,21 @@
         registry.inherit(scaleOutRequest, aliveUntilMicros);
     }
 
-    public boolean isGone(String machine) {
+    public boolean wasReturned(String machine) {
         return registry.wasReturned(machine);
     }
 
     /** A machine has reported: it is stored as up before it may be given tasks. */
-    public void machineUp(Machine machine) {
+    public void recordMachineUp(Machine machine) {
         if (machine.scaleOutRequest().markUp(machine.name())) {
             writeQueue.enqueue(machine.scaleOutRequest());
         }
     }
 
     /** A machine was silent for longer than anything could live on it: stored soon, with others of its rental. */
-    public void machineDown(Machine machine) {
+    public void recordMachineDown(Machine machine) {
         if (machine.scaleOutRequest().markDown(machine.name())) {
-            machineDown.add(machine.scaleOutRequest());
+            requestsWithMachinesDown.add(machine.scaleOutRequest());
         }
     }
 
@@ -113,16 +113,16 @@
     public void runCycle() {
         long now = eventLoop.nowMicros();
         synchronized (cluster) {
-            retirement.drainSurplus(now);
-            machineDown.stream()
+            scaleInPolicy.drainSurplus(now);
+            requestsWithMachinesDown.stream()
                     .filter(scaleOutRequest -> !scaleOutRequest.isDiscarded())
                     .forEach(writeQueue::enqueue);
-            machineDown.clear();
+            requestsWithMachinesDown.clear();
         }
-        reconciler.tick(now);
+        cloudListReconciler.listIfDue(now);
         returnMachines();
-        requester.retryUnanswered(now);
-        requester.requestMachines(now);
+        scaleOut.retryUnanswered(now);
+        scaleOut.requestMachines(now);
     }
 
     /** Returns machines that are leaving and empty, or silent for longer than their tasks can live. */
@@ -139,14 +139,14 @@
                 }
             }
         }
-        if (empty.isEmpty() || returning || !mayAct.getAsBoolean()) {
+        if (empty.isEmpty() || isReturnPending || !mayAct.getAsBoolean()) {
             return;
         }
-        returning = true;
+        isReturnPending = true;
         List<String> machines = empty.stream().map(Machine::name).toList();
         empty.forEach(Machine::markReturning);
         cloud.returnMachines(machines).thenAccept(outcome -> {
-            returning = false;
+            isReturnPending = false;
             if (outcome == Outcome.OK) {
                 synchronized (cluster) {
                     empty.forEach(registry::remove);
--- a/src/main/java/io/sillreel/fleet/FleetRegistry.java
+++ b/src/main/java/io/sillreel/fleet/FleetRegistry.java
@@ -22,7 +22,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(FleetRegistry.class);
 
     /** Messages may be minutes late; lists of the cloud lag less. */
-    private static final long GONE_REMEMBERED_MICROS = 3_600_000_000L;
+    private static final long RETURN_REMEMBERED_MICROS = 3_600_000_000L;
 
     private final EventLoop eventLoop;
     private final long term;
@@ -33,9 +33,9 @@
     private final Consumer<Machine> clear;
     private final Map<String, ScaleOutRequest> scaleOutRequests = new LinkedHashMap<>();
     /** Machines that were given back, the earliest first, and when. */
-    private final Map<String, Long> goneMicros = new LinkedHashMap<>();
+    private final Map<String, Long> returnedMicros = new LinkedHashMap<>();
 
-    private long names;
+    private long lastNameNumber;
 
     /** @param clear told of a machine whose tasks are certainly gone */
     FleetRegistry(
@@ -60,17 +60,17 @@
     }
 
     /** How many machines one stored rental may name. */
-    int maxMachinesOfARental() {
+    int maxMachinesPerRequest() {
         return ScaleOutRequest.maxMachines(limits.announcedBytes());
     }
 
     boolean wasReturned(String machine) {
-        return goneMicros.containsKey(machine);
+        return returnedMicros.containsKey(machine);
     }
 
     /** A name that no rental of any term has. */
-    String newName() {
-        return "r-" + term + "-" + ++names;
+    String nextRequestName() {
+        return "r-" + term + "-" + ++lastNameNumber;
     }
 
     void add(ScaleOutRequest scaleOutRequest) {
@@ -85,7 +85,7 @@
 
     /** Takes over a stored rental; its machines may run tasks of an earlier leader until the bound. */
     void inherit(ScaleOutRequest scaleOutRequest, long aliveUntilMicros) {
-        int most = maxMachinesOfARental();
+        int most = maxMachinesPerRequest();
         if (scaleOutRequest.machines().size() > most) {
             scaleOutRequest.split(most, writeQueue::enqueue).forEach(part -> {
                 inherit(part, aliveUntilMicros);
@@ -100,7 +100,7 @@
                 scaleOutRequest.removeMachine(name);
                 writeQueue.enqueue(scaleOutRequest);
             } else if (type != null) {
-                Machine machine = machine(name, type, scaleOutRequest, eventLoop.nowMicros());
+                Machine machine = newMachine(name, type, scaleOutRequest, eventLoop.nowMicros());
                 machine.extendLease(aliveUntilMicros);
                 cluster.addInherited(machine);
             }
@@ -114,8 +114,8 @@
             return null;
         }
         ScaleOutRequest scaleOutRequest =
-                new ScaleOutRequest("adopted-" + term + "-" + ++names, machineType, zone, spot, 1);
-        scaleOutRequest.answered(List.of(name));
+                new ScaleOutRequest("adopted-" + term + "-" + ++lastNameNumber, machineType, zone, spot, 1);
+        scaleOutRequest.recordAnswer(List.of(name));
         add(scaleOutRequest);
         LOG.info("machine {} ({}, {}) was not expected, it is taken into the fleet", name, machineType, zone);
         Machine machine = addMachine(name, scaleOutRequest, eventLoop.nowMicros());
@@ -129,25 +129,25 @@
         if (type == null || cluster.machine(name) != null) {
             return cluster.machine(name);
         }
-        Machine machine = machine(name, type, scaleOutRequest, rentedMicros);
+        Machine machine = newMachine(name, type, scaleOutRequest, rentedMicros);
         cluster.add(machine);
         return machine;
     }
 
-    private Machine machine(String name, MachineType type, ScaleOutRequest scaleOutRequest, long rentedMicros) {
+    private Machine newMachine(String name, MachineType type, ScaleOutRequest scaleOutRequest, long rentedMicros) {
         return new Machine(
                 name,
                 type,
                 scaleOutRequest.zone(),
-                scaleOutRequest.spot(),
+                scaleOutRequest.isSpot(),
                 scaleOutRequest,
                 rentedMicros,
                 cluster.allocationIndex());
     }
 
-    private void forgetGone() {
-        long since = eventLoop.nowMicros() - GONE_REMEMBERED_MICROS;
-        Iterator<Long> earliestFirst = goneMicros.values().iterator();
+    private void forgetOldReturns() {
+        long since = eventLoop.nowMicros() - RETURN_REMEMBERED_MICROS;
+        Iterator<Long> earliestFirst = returnedMicros.values().iterator();
         while (earliestFirst.hasNext() && earliestFirst.next() < since) {
             earliestFirst.remove();
         }
@@ -157,8 +157,8 @@
     void remove(Machine machine) {
         clear.accept(machine);
         cluster.remove(machine);
-        goneMicros.put(machine.name(), eventLoop.nowMicros());
-        forgetGone();
+        returnedMicros.put(machine.name(), eventLoop.nowMicros());
+        forgetOldReturns();
         machine.scaleOutRequest().removeMachine(machine.name());
         if (machine.scaleOutRequest().isDiscarded()) {
             scaleOutRequests.remove(machine.scaleOutRequest().name());
--- a/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
@@ -15,19 +15,19 @@
 /** Decides which machines are to be given back to the cloud, and why. All access is under the lock of the cluster. */
 final class ScaleInPolicy {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleInPolicy.class);
-    private static final long MIN_BOOT_PATIENCE_MICROS = 75_000_000;
-    private static final int BOOT_PATIENCE_FACTOR = 3;
-    private static final long MIN_UNHEARD_MICROS = 8_000_000;
+    private static final long MIN_BOOT_TIMEOUT_MICROS = 75_000_000;
+    private static final int BOOT_TIMEOUT_FACTOR = 3;
+    private static final long MIN_UNRECONCILED_MICROS = 8_000_000;
     /** A report with the new token follows the first one by half a second, and both may pass through a follower. */
-    private static final long ROUND_MICROS = 1_500_000;
+    private static final long SECOND_HEARTBEAT_MICROS = 1_500_000;
 
-    private static final long LATE_MICROS = 1_000_000;
+    private static final long HEARTBEAT_DELAY_MICROS = 1_000_000;
     /** A recalled machine is returned so long before the cloud would take it. */
-    private static final long LAST_MOMENT_MICROS = 1_500_000;
+    private static final long INTERRUPTION_MARGIN_MICROS = 1_500_000;
     /** A worker whose controller is gone waits 4 s for its answer and 1 s before it tries another. */
-    private static final long DETOUR_MICROS = 5_500_000;
+    private static final long CONTROLLER_CHANGE_MICROS = 5_500_000;
 
-    private static final double SILENT_LEASES = 2.5;
+    private static final double MAX_SILENT_LEASES = 2.5;
 
     private final EventLoop eventLoop;
     private final Cluster cluster;
@@ -35,10 +35,10 @@
     private final OperatorProperties operator;
     private final CapacityPlanner capacity;
     private final FleetThresholds thresholds;
-    private final BooleanSupplier undisturbed;
-    private final List<Long> lostMicros = new ArrayList<>();
-    private final long begunMicros;
-    private long manySilentMicros = Long.MIN_VALUE / 2;
+    private final BooleanSupplier isUndisturbed;
+    private final List<Long> lostAtMicros = new ArrayList<>();
+    private final long termStartMicros;
+    private long lastMassSilenceMicros = Long.MIN_VALUE / 2;
 
     /** @param undisturbed true if no worker has had to look for another controller lately */
     ScaleInPolicy(
@@ -55,8 +55,8 @@
         this.operator = operator;
         this.capacity = capacity;
         this.thresholds = thresholds;
-        this.undisturbed = undisturbed;
-        this.begunMicros = eventLoop.nowMicros();
+        this.isUndisturbed = undisturbed;
+        this.termStartMicros = eventLoop.nowMicros();
     }
 
     /** Decides which machines are to go. */
@@ -65,25 +65,25 @@
             long sinceReport = now - Math.max(machine.lastHeartbeatMicros(), machine.requestedMicros());
             if (machine.state() == Machine.State.PROVISIONING) {
                 long patience = Math.max(
-                        MIN_BOOT_PATIENCE_MICROS,
-                        BOOT_PATIENCE_FACTOR * machine.type().bootMicros());
+                        MIN_BOOT_TIMEOUT_MICROS,
+                        BOOT_TIMEOUT_FACTOR * machine.type().bootMicros());
                 if (now - machine.requestedMicros() > patience && machine.leaseExpiryMicros() < now) {
-                    leave(machine, "it never came up");
+                    drain(machine, "it never came up");
                 }
             } else if (machine.state() == Machine.State.UP) {
                 // A cut zone or a machine that hangs mostly comes back; then it has its images and need not boot.
-                if (machine.leaseExpiryMicros() < now && sinceReport > SILENT_LEASES * times.leaseMicros()) {
-                    leave(machine, "it is silent");
+                if (machine.leaseExpiryMicros() < now && sinceReport > MAX_SILENT_LEASES * times.leaseMicros()) {
+                    drain(machine, "it is silent");
                 } else if (machine.isInterrupted() && machine.isEmpty()) {
-                    leave(machine, "the cloud takes it back");
+                    drain(machine, "the cloud takes it back");
                 }
             }
-            retireRecalled(machine, now);
+            returnInterrupted(machine, now);
         }
-        retireLost(now);
-        retireUnheard(now);
+        returnLost(now);
+        returnUnreconciled(now);
         for (Machine machine : capacity.surplus(operator.idleMicros(), now, eventLoop.wallMicros())) {
-            leave(machine, "it has no work");
+            drain(machine, "it has no work");
         }
     }
 
@@ -91,11 +91,11 @@
      * What runs on a recalled machine is lost in a moment. If the machine just vanished, its tasks would count as alive
      * until their lease ran out; once the cloud has taken it back on our word, they can start elsewhere at once.
      */
-    private void retireRecalled(Machine machine, long now) {
+    private void returnInterrupted(Machine machine, long now) {
         boolean here = machine.state() == Machine.State.UP || machine.state() == Machine.State.DRAINING;
         if (here
                 && machine.isInterrupted()
-                && machine.interruptionAtMicros() - now < LAST_MOMENT_MICROS
+                && machine.interruptionAtMicros() - now < INTERRUPTION_MARGIN_MICROS
                 && !machine.isReturnScheduled()) {
             scheduleReturn(machine, "the cloud takes it back");
         }
@@ -106,10 +106,10 @@
      * long before its lease does, and its tasks can start elsewhere. When many fall silent together, it is the network
      * or they hang, and they come back: then their leases are waited for.
      */
-    private void retireLost(long now) {
-        long patience =
-                times.heartbeatIntervalMicros() * 3 / 2 + (undisturbed.getAsBoolean() ? ROUND_MICROS : DETOUR_MICROS);
-        long usual = times.heartbeatIntervalMicros() * 5 / 4 + LATE_MICROS;
+    private void returnLost(long now) {
+        long patience = times.heartbeatIntervalMicros() * 3 / 2
+                + (isUndisturbed.getAsBoolean() ? SECOND_HEARTBEAT_MICROS : CONTROLLER_CHANGE_MICROS);
+        long usual = times.heartbeatIntervalMicros() * 5 / 4 + HEARTBEAT_DELAY_MICROS;
         List<Machine> lost = new ArrayList<>();
         int overdue = 0;
         int heard = 0;
@@ -126,19 +126,19 @@
         }
         // Those that fall silent together come overdue one after the other: what was given up lately counts with them,
         // or a cut zone would be given away two machines at a time.
-        lostMicros.removeIf(at -> now - at > times.leaseMicros());
+        lostAtMicros.removeIf(at -> now - at > times.leaseMicros());
         if (heard == 0
-                || overdue + lostMicros.size()
+                || overdue + lostAtMicros.size()
                         > thresholds.maxLost(cluster.machines().size())) {
-            manySilentMicros = now;
+            lastMassSilenceMicros = now;
         }
         // When those that were cut off together come back, the last of them is on its way like the others.
-        if (now - manySilentMicros < DETOUR_MICROS + times.heartbeatIntervalMicros()) {
+        if (now - lastMassSilenceMicros < CONTROLLER_CHANGE_MICROS + times.heartbeatIntervalMicros()) {
             return;
         }
         for (Machine machine : lost) {
             scheduleReturn(machine, "it has fallen silent");
-            lostMicros.add(now);
+            lostAtMicros.add(now);
         }
     }
 
@@ -147,41 +147,41 @@
      * report and don't hear the answer, would hold up every job of an earlier term for as long as their leases might
      * last; once the cloud has taken them back, it is certain that nothing runs there.
      */
-    private void retireUnheard(long now) {
+    private void returnUnreconciled(long now) {
         int unheard = cluster.unreconciledMachines().size();
         int all = cluster.machines().size();
         // The last few are hardly on a detour, and each of them holds up every earlier job. In a small fleet the last
         // one mostly is: it waits for the answer of the controller that has ended.
-        long patience = unheard <= thresholds.fewUnheard(all)
-                ? times.heartbeatIntervalMicros() * 5 / 4 + ROUND_MICROS
-                : Math.max(MIN_UNHEARD_MICROS, 2 * times.heartbeatIntervalMicros() + 4_000_000);
-        if (now - begunMicros < patience || unheard == 0 || unheard > thresholds.maxUnheard(all)) {
+        long patience = unheard <= thresholds.fewUnreconciled(all)
+                ? times.heartbeatIntervalMicros() * 5 / 4 + SECOND_HEARTBEAT_MICROS
+                : Math.max(MIN_UNRECONCILED_MICROS, 2 * times.heartbeatIntervalMicros() + 4_000_000);
+        if (now - termStartMicros < patience || unheard == 0 || unheard > thresholds.maxUnreconciled(all)) {
             return;
         }
         for (Machine machine : cluster.unreconciledMachines()) {
-            if (now - Math.max(machine.upMicros(), begunMicros) > patience && !machine.isReturnScheduled()) {
+            if (now - Math.max(machine.upMicros(), termStartMicros) > patience && !machine.isReturnScheduled()) {
                 scheduleReturn(machine, "it has not been heard, or does not hear, since the term began");
             }
         }
     }
 
-    private static void leave(Machine machine, String reason) {
-        tell(machine, reason);
+    private static void drain(Machine machine, String reason) {
+        logReturn(machine, reason);
         machine.drain(reason);
     }
 
     private static void scheduleReturn(Machine machine, String reason) {
-        tell(machine, reason);
+        logReturn(machine, reason);
         machine.scheduleReturn(reason);
     }
 
-    private static void tell(Machine machine, String reason) {
+    private static void logReturn(Machine machine, String reason) {
         LOG.info(
                 "machine {} ({}, {}{}) is to be returned: {}",
                 machine.name(),
                 machine.type().name(),
                 machine.zone(),
-                machine.spot() ? ", spot" : "",
+                machine.isSpot() ? ", spot" : "",
                 reason);
     }
 }
--- a/src/main/java/io/sillreel/fleet/ScaleOut.java
+++ b/src/main/java/io/sillreel/fleet/ScaleOut.java
@@ -20,10 +20,10 @@
 /** Rents machines: each rental is stored under its name before the cloud is asked, and asked again under that name. */
 final class ScaleOut {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
-    private static final long FULL_PAUSE_MICROS = 20_000_000;
-    private static final long RENTAL_RETRY_MICROS = 2_000_000;
-    private static final int MAX_OPEN_RENTALS = 6;
-    private static final long TELL_FULL_MICROS = 60_000_000;
+    private static final long UNAVAILABLE_MICROS = 20_000_000;
+    private static final long RETRY_MICROS = 2_000_000;
+    private static final int MAX_OPEN_REQUESTS = 6;
+    private static final long FULL_WARNING_INTERVAL_MICROS = 60_000_000;
 
     private final EventLoop eventLoop;
     private final Cluster cluster;
@@ -34,8 +34,8 @@
     private final FleetCapacity fleetCapacity;
     private final Supplier<Map<String, MachineType>> types;
     private final BooleanSupplier mayAct;
-    private final int txnOps;
-    private long toldFullMicros = Long.MIN_VALUE / 2;
+    private final int maxTransactionChanges;
+    private long lastFullWarningMicros = Long.MIN_VALUE / 2;
 
     /**
      * @param mayAct true while rentals are allowed
@@ -61,20 +61,20 @@
         this.fleetCapacity = fleetCapacity;
         this.types = types;
         this.mayAct = mayAct;
-        this.txnOps = txnOps;
+        this.maxTransactionChanges = txnOps;
     }
 
     /** Asks for what the capacity planner wants, unless more urgent writes wait. */
     void requestMachines(long now) {
         // A rental is stored before the cloud is asked, so it waits while as urgent writes are behind.
-        if (!mayAct.getAsBoolean() || writeQueue.urgentCount() > txnOps) {
+        if (!mayAct.getAsBoolean() || writeQueue.urgentCount() > maxTransactionChanges) {
             return;
         }
         List<ScaleOutProposal> rentalRequests;
         int room;
         synchronized (cluster) {
-            OpenRentals open = openRentals();
-            if (open.count() >= MAX_OPEN_RENTALS) {
+            OpenRequests open = openRequests();
+            if (open.count() >= MAX_OPEN_REQUESTS) {
                 return;
             }
             rentalRequests = capacity.scaleOutProposals(
@@ -82,7 +82,7 @@
             room = rentalRequests.isEmpty() ? 0 : machineHeadroom(open, now);
         }
         for (ScaleOutProposal rentalRequest : rentalRequests) {
-            int count = Math.min(room, Math.min(rentalRequest.count(), registry.maxMachinesOfARental()));
+            int count = Math.min(room, Math.min(rentalRequest.count(), registry.maxMachinesPerRequest()));
             if (count > 0) {
                 room -= count;
                 storeRequest(rentalRequest, count);
@@ -91,36 +91,36 @@
     }
 
     private void storeRequest(ScaleOutProposal request, int count) {
-        ScaleOutRequest scaleOutRequest =
-                new ScaleOutRequest(registry.newName(), request.type().name(), request.zone(), request.spot(), count);
+        ScaleOutRequest scaleOutRequest = new ScaleOutRequest(
+                registry.nextRequestName(), request.type().name(), request.zone(), request.spot(), count);
         registry.add(scaleOutRequest);
-        scaleOutRequest.onStored(() -> sendRequest(scaleOutRequest));
+        scaleOutRequest.whenStored(() -> sendRequest(scaleOutRequest));
         writeQueue.enqueue(scaleOutRequest);
     }
 
     /** Rentals that the cloud has yet to answer: how many, and what they may bring. */
-    private record OpenRentals(int count, int machines, long cpus, long ordinaryCpus) {}
+    private record OpenRequests(int count, int machines, long cpus, long ordinaryCpus) {}
 
-    private OpenRentals openRentals() {
+    private OpenRequests openRequests() {
         int count = 0;
         int machines = 0;
         long cpus = 0;
         long ordinaryCpus = 0;
         for (ScaleOutRequest scaleOutRequest : registry.scaleOutRequests()) {
-            if (!scaleOutRequest.answered()) {
+            if (!scaleOutRequest.isAnswered()) {
                 MachineType type = types.get().get(scaleOutRequest.machineType());
                 long each = type == null ? 0 : Math.round(type.cpus() * scaleOutRequest.machineCount());
                 count++;
                 machines += scaleOutRequest.machineCount();
                 cpus += each;
-                ordinaryCpus += scaleOutRequest.spot() ? 0 : each;
+                ordinaryCpus += scaleOutRequest.isSpot() ? 0 : each;
             }
         }
-        return new OpenRentals(count, machines, cpus, ordinaryCpus);
+        return new OpenRequests(count, machines, cpus, ordinaryCpus);
     }
 
     /** How many more machines the controllers can carry; said once a minute while that is none. */
-    private int machineHeadroom(OpenRentals open, long now) {
+    private int machineHeadroom(OpenRequests open, long now) {
         int machines = cluster.machines().size();
         long tasks = 0;
         for (Machine machine : cluster.machines()) {
@@ -128,8 +128,8 @@
         }
         double tasksPerMachine = Math.max(FleetCapacity.USUAL_TASKS, (double) tasks / Math.max(1, machines));
         int room = fleetCapacity.machines(tasksPerMachine) - machines - open.machines();
-        if (room <= 0 && now - toldFullMicros > TELL_FULL_MICROS) {
-            toldFullMicros = now;
+        if (room <= 0 && now - lastFullWarningMicros > FULL_WARNING_INTERVAL_MICROS) {
+            lastFullWarningMicros = now;
             LOG.warn(
                     "no more machines are rented: {} are there or asked for, and the controllers carry {}",
                     machines + open.machines(),
@@ -141,25 +141,25 @@
     /** Asks once more for what got no answer. */
     void retryUnanswered(long now) {
         for (ScaleOutRequest scaleOutRequest : List.copyOf(registry.scaleOutRequests())) {
-            if (!scaleOutRequest.answered()
+            if (!scaleOutRequest.isAnswered()
                     && !scaleOutRequest.isDiscarded()
                     && scaleOutRequest.revision() > 0
-                    && now - scaleOutRequest.askedMicros() > RENTAL_RETRY_MICROS + CloudClient.TIMEOUT_MICROS) {
+                    && now - scaleOutRequest.lastSentMicros() > RETRY_MICROS + CloudClient.TIMEOUT_MICROS) {
                 sendRequest(scaleOutRequest);
             }
         }
     }
 
     private void sendRequest(ScaleOutRequest scaleOutRequest) {
-        if (!mayAct.getAsBoolean() || scaleOutRequest.answered() || scaleOutRequest.isDiscarded()) {
+        if (!mayAct.getAsBoolean() || scaleOutRequest.isAnswered() || scaleOutRequest.isDiscarded()) {
             return;
         }
-        scaleOutRequest.askedMicros(eventLoop.nowMicros());
+        scaleOutRequest.recordSent(eventLoop.nowMicros());
         cloud.rentMachines(
                         scaleOutRequest.name(),
                         scaleOutRequest.machineType(),
                         scaleOutRequest.zone(),
-                        scaleOutRequest.spot(),
+                        scaleOutRequest.isSpot(),
                         scaleOutRequest.machineCount())
                 .thenAccept(rented -> {
                     synchronized (cluster) {
@@ -170,7 +170,7 @@
 
     private void handleResult(ScaleOutRequest scaleOutRequest, CloudClient.Rented rented) {
         long now = eventLoop.nowMicros();
-        if (scaleOutRequest.answered() || scaleOutRequest.isDiscarded()) {
+        if (scaleOutRequest.isAnswered() || scaleOutRequest.isDiscarded()) {
             // Asked twice, since an answer seemed lost: the first one counts, and what it brought may be at work.
             return;
         }
@@ -182,19 +182,19 @@
                         scaleOutRequest.machineCount(),
                         scaleOutRequest.machineType(),
                         scaleOutRequest.zone(),
-                        scaleOutRequest.spot() ? ", spot" : "",
+                        scaleOutRequest.isSpot() ? ", spot" : "",
                         scaleOutRequest.name());
                 List<String> fresh = rented.machines().stream()
                         .filter(name -> cluster.machine(name) == null && !registry.wasReturned(name))
                         .toList();
-                scaleOutRequest.answered(fresh);
+                scaleOutRequest.recordAnswer(fresh);
                 fresh.forEach(name -> registry.addMachine(name, scaleOutRequest, now));
                 if (rented.machines().size() < scaleOutRequest.machineCount()) {
                     capacity.markUnavailable(
                             scaleOutRequest.machineType(),
                             scaleOutRequest.zone(),
-                            scaleOutRequest.spot(),
-                            now + FULL_PAUSE_MICROS);
+                            scaleOutRequest.isSpot(),
+                            now + UNAVAILABLE_MICROS);
                 }
                 if (fresh.isEmpty()) {
                     registry.discard(scaleOutRequest);
@@ -205,29 +205,29 @@
                 capacity.markUnavailable(
                         scaleOutRequest.machineType(),
                         scaleOutRequest.zone(),
-                        scaleOutRequest.spot(),
-                        now + FULL_PAUSE_MICROS);
+                        scaleOutRequest.isSpot(),
+                        now + UNAVAILABLE_MICROS);
                 registry.discard(scaleOutRequest);
                 writeQueue.enqueue(scaleOutRequest);
             }
             case REFUSED -> {
                 if (scaleOutRequest.mayHaveExecuted()) {
-                    scaleOutRequest.askedMicros(now - CloudClient.TIMEOUT_MICROS);
+                    scaleOutRequest.recordSent(now - CloudClient.TIMEOUT_MICROS);
                 } else {
                     // Surely rented nothing; the request is formed anew when the cloud answers again.
                     capacity.markUnavailable(
                             scaleOutRequest.machineType(),
                             scaleOutRequest.zone(),
-                            scaleOutRequest.spot(),
-                            now + RENTAL_RETRY_MICROS);
+                            scaleOutRequest.isSpot(),
+                            now + RETRY_MICROS);
                     registry.discard(scaleOutRequest);
                     writeQueue.enqueue(scaleOutRequest);
                 }
             }
             default -> {
                 LOG.info("the rental {} got no answer, asking again under the same name", scaleOutRequest.name());
-                scaleOutRequest.mayHaveExecuted(true);
-                scaleOutRequest.askedMicros(now - CloudClient.TIMEOUT_MICROS);
+                scaleOutRequest.markPossiblyExecuted();
+                scaleOutRequest.recordSent(now - CloudClient.TIMEOUT_MICROS);
             }
         }
     }
--- a/src/main/java/io/sillreel/fleet/SpotInterruptionDrain.java
+++ b/src/main/java/io/sillreel/fleet/SpotInterruptionDrain.java
@@ -15,7 +15,7 @@
     /** What stopping takes besides saving: the way of the command, and of the report of the end. */
     private static final long COMMAND_MICROS = 3_000_000;
 
-    private static final long SAVE_MARGIN_MICROS = 1_000_000;
+    private static final long CHECKPOINT_MARGIN_MICROS = 1_000_000;
 
     private final Cluster cluster;
     private final RuntimeEstimator runtimeEstimator;
@@ -49,7 +49,9 @@
                         ? left < 2 * spec.checkpointDurationMicros() + COMMAND_MICROS
                         : remainingMicros(allocation, now) > UNFINISHABLE_FACTOR * left) {
                     allocation.stop(
-                            spec.supportsCheckpoints() ? spec.checkpointDurationMicros() + SAVE_MARGIN_MICROS : 0);
+                            spec.supportsCheckpoints()
+                                    ? spec.checkpointDurationMicros() + CHECKPOINT_MARGIN_MICROS
+                                    : 0);
                     touched.add(machine);
                 }
             }
--- a/src/main/java/io/sillreel/heartbeat/CommandWriter.java
+++ b/src/main/java/io/sillreel/heartbeat/CommandWriter.java
@@ -43,7 +43,8 @@
             if (allocation.hasEnded()) {
                 // The worker is the only one to know of a completion until the store does.
                 if (idle || !job.isTaskDone(allocation.taskIndex()) || job.isTaskStored(allocation.taskIndex())) {
-                    allocation.acknowledgementSent(machine.heartbeatOrder().sequence());
+                    allocation.recordAcknowledgementSent(
+                            machine.heartbeatOrder().sequence());
                     commands.acknowledge(allocation.uid(), allocation.taskIndex(), allocation.attempt());
                 }
             } else if (allocation.isUnconfirmed()) {
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
@@ -128,7 +128,7 @@
             if (isIsolatedUnresponsive(machine)) {
                 return refuseUnresponsive(machine);
             }
-            machine.heartbeatAnswered(leaseExpiryMicros(now));
+            machine.recordHeartbeatAnswered(leaseExpiryMicros(now));
             AgentCommands commands = new AgentCommands();
             commandWriter.addCommands(machine, commands);
             if (mayAct.getAsBoolean()) {
@@ -158,7 +158,7 @@
      */
     private HttpResponse handleStaleHeartbeat(Machine machine, Heartbeat heartbeat, long now) {
         if (machine.heartbeatOrder().isOvertakenByCommand(heartbeat, Heartbeat.RESPONSE_TIMEOUT_MICROS, now)) {
-            machine.heartbeatAnswered(leaseExpiryMicros(now));
+            machine.recordHeartbeatAnswered(leaseExpiryMicros(now));
             return noCommands;
         }
         if (machine.heartbeatOrder().suggestsRestart(heartbeat)) {
@@ -174,8 +174,8 @@
         if (isIsolatedUnresponsive(machine)) {
             return refuseUnresponsive(machine);
         }
-        machine.responsiveness().staleTokenShown(now);
-        machine.heartbeatAnswered(leaseExpiryMicros(now));
+        machine.responsiveness().recordStaleToken(now);
+        machine.recordHeartbeatAnswered(leaseExpiryMicros(now));
         return noCommands;
     }
 
--- a/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
+++ b/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
@@ -51,7 +51,7 @@
     void reconcile(Machine machine, Heartbeat heartbeat, boolean ownReport, long now) {
         if (!machine.isReconciled()) {
             machine.markReconciled();
-            machine.responsiveness().commandObeyed();
+            machine.responsiveness().recordCommandObeyed();
             cluster.markReconciled(machine);
             LOG.debug(
                     "machine {} ({}, {}) heard with {} tasks",
@@ -93,9 +93,9 @@
             }
         }
         if (heeded) {
-            machine.responsiveness().commandObeyed();
+            machine.responsiveness().recordCommandObeyed();
         } else if (unheeded) {
-            machine.responsiveness().commandIgnored(now);
+            machine.responsiveness().recordCommandIgnored(now);
         }
     }
 
--- a/src/main/java/io/sillreel/leadership/LeaderStatus.java
+++ b/src/main/java/io/sillreel/leadership/LeaderStatus.java
@@ -75,7 +75,7 @@
             gauges.put("sillreel.tasks.waiting", (double) waiting);
             gauges.put("sillreel.machines", (double) cluster.machines().size());
             gauges.put("sillreel.machines.ordinary", (double) cluster.machines().stream()
-                    .filter(machine -> !machine.spot())
+                    .filter(machine -> !machine.isSpot())
                     .count());
             gauges.put("sillreel.cpus.up", cpus);
             gauges.put("sillreel.cpus.busy", capacity.busyCpus());
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -298,17 +298,17 @@
 
     @Override
     public boolean isGone(String machine) {
-        return fleet.isGone(machine);
+        return fleet.wasReturned(machine);
     }
 
     @Override
     public void machineUp(Machine machine) {
-        fleet.machineUp(machine);
+        fleet.recordMachineUp(machine);
     }
 
     @Override
     public void machineDown(Machine machine) {
-        fleet.machineDown(machine);
+        fleet.recordMachineDown(machine);
     }
 
     @Override
--- a/src/main/java/io/sillreel/placement/CapacityPlanner.java
+++ b/src/main/java/io/sillreel/placement/CapacityPlanner.java
@@ -200,7 +200,7 @@
         double free = rentingOrdinaryCpus;
         double have = rentingOrdinaryCpus;
         for (Machine machine : cluster.machines()) {
-            if (!machine.spot() && counts(machine, nowMicros)) {
+            if (!machine.isSpot() && counts(machine, nowMicros)) {
                 have += machine.type().cpus();
                 free += machine.state() == Machine.State.UP
                         ? Math.max(0, machine.freeCpus())
@@ -282,7 +282,7 @@
                 have += machine.type().cpus();
                 boolean idle = nowMicros - machine.idleSinceMicros(nowMicros) > idleMicros;
                 boolean settled = nowMicros - machine.upMicros() > SETTLED_MICROS;
-                if (idle || !machine.spot() && settled) {
+                if (idle || !machine.isSpot() && settled) {
                     candidates.add(machine);
                 }
             }
@@ -291,21 +291,22 @@
         double spare = have - Math.max(wantedCpus(wallMicros), needed);
         double ordinarySpare = -ordinaryDemand.cpus(wallMicros);
         for (Machine machine : cluster.machines()) {
-            ordinarySpare += !machine.spot() && machine.state() == Machine.State.UP
+            ordinarySpare += !machine.isSpot() && machine.state() == Machine.State.UP
                     ? machine.type().cpus()
                     : 0;
         }
-        candidates.sort(Comparator.<Machine>comparingDouble(machine ->
-                        -machine.type().priceOf(machine.spot()) / machine.type().cpus())
-                .thenComparingInt(Machine::liveTaskCount));
+        candidates.sort(
+                Comparator.<Machine>comparingDouble(machine -> -machine.type().priceOf(machine.isSpot())
+                                / machine.type().cpus())
+                        .thenComparingInt(Machine::liveTaskCount));
         List<Machine> surplus = new ArrayList<>();
         for (Machine machine : candidates) {
-            boolean kept = !machine.spot()
+            boolean kept = !machine.isSpot()
                     && ordinaryDemand.cpus(wallMicros) > 0
                     && machine.type().cpus() > ordinarySpare + 0.01;
             if (machine.type().cpus() <= spare + 0.01 && !kept) {
                 surplus.add(machine);
-                ordinarySpare -= machine.spot() ? 0 : machine.type().cpus();
+                ordinarySpare -= machine.isSpot() ? 0 : machine.type().cpus();
                 spare -= machine.type().cpus();
             }
         }
--- a/src/main/java/io/sillreel/placement/MachineOfferSelector.java
+++ b/src/main/java/io/sillreel/placement/MachineOfferSelector.java
@@ -52,7 +52,7 @@
         spotCpus.clear();
         allSpotCpus = 0;
         for (Machine machine : cluster.machines()) {
-            if (machine.spot()) {
+            if (machine.isSpot()) {
                 allSpotCpus += machine.type().cpus();
                 spotCpus.merge(machine.zone(), machine.type().cpus(), Double::sum);
             }
--- a/src/main/java/io/sillreel/placement/PlacementIndex.java
+++ b/src/main/java/io/sillreel/placement/PlacementIndex.java
@@ -28,7 +28,7 @@
         static Offer of(FreeCapacity space) {
             Machine machine = space.machine;
             return new Offer(
-                    machine.type().name(), machine.zone(), machine.spot(), space.cpus, space.ramGb, space.gpus);
+                    machine.type().name(), machine.zone(), machine.isSpot(), space.cpus, space.ramGb, space.gpus);
         }
 
         // Written out: the compiler would leave it to be linked at run time, which costs a takeover milliseconds.
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -171,7 +171,7 @@
                 "its tasks failed on host-000001 and host-000002");
         assertThat(storedValue(failed, "run/job-000412").toString()).isEqualTo(FAILED);
         ScaleOutRequest scaleOutRequest = new ScaleOutRequest("r-5-12", "g8", "a", true, 12);
-        scaleOutRequest.answered(List.of("host-000231", "host-000232"));
+        scaleOutRequest.recordAnswer(List.of("host-000231", "host-000232"));
         scaleOutRequest.markUp("host-000231");
         assertThat(storedValue(scaleOutRequest, "hire/r-5-12").toString()).isEqualTo(RENTAL);
     }
--- a/src/test/java/io/sillreel/fleet/FleetThresholdsTest.java
+++ b/src/test/java/io/sillreel/fleet/FleetThresholdsTest.java
@@ -9,8 +9,8 @@
 
     @Test
     void smallFleetsAreJudgedByParts() {
-        assertThat(slowCloud.maxUnheard(1_000)).isEqualTo(250);
-        assertThat(slowCloud.fewUnheard(1_000)).isEqualTo(10);
+        assertThat(slowCloud.maxUnreconciled(1_000)).isEqualTo(250);
+        assertThat(slowCloud.fewUnreconciled(1_000)).isEqualTo(10);
         assertThat(slowCloud.maxLost(1_000)).isEqualTo(20);
         assertThat(slowCloud.maxLost(10)).isEqualTo(2);
         assertThat(slowCloud.maxUnresponsive(1_000)).isEqualTo(125);
@@ -19,8 +19,8 @@
     /** Guards large fleets: forty machines are not the last few, and a thousand can't be rented anew. */
     @Test
     void partsOfALargeFleetAreNotFew() {
-        assertThat(slowCloud.maxUnheard(8_000)).isEqualTo(500);
-        assertThat(slowCloud.fewUnheard(8_000)).isEqualTo(10);
+        assertThat(slowCloud.maxUnreconciled(8_000)).isEqualTo(500);
+        assertThat(slowCloud.fewUnreconciled(8_000)).isEqualTo(10);
         assertThat(slowCloud.maxLost(8_000)).isEqualTo(24);
         assertThat(slowCloud.maxUnresponsive(8_000)).isEqualTo(500);
     }
--- a/src/test/java/io/sillreel/placement/PlacementIndexTest.java
+++ b/src/test/java/io/sillreel/placement/PlacementIndexTest.java
@@ -72,7 +72,7 @@
         List<FreeCapacity> fitting = new ArrayList<>(spaces);
         fitting.removeIf(space -> space.fittingTasks(spec) <= 0 || !Cluster.isEligible(spec, space.machine));
         fitting.sort(Comparator.<FreeCapacity>comparingLong(space -> fetchStep(space, spec))
-                .thenComparingInt(space -> space.machine.spot() == spec.supportsCheckpoints() ? 0 : 1)
+                .thenComparingInt(space -> space.machine.isSpot() == spec.supportsCheckpoints() ? 0 : 1)
                 .thenComparingDouble(
                         space -> space.hasImage(spec) ? space.cpus : -Math.min(space.fittingTasks(spec), spec.tasks()))
                 .thenComparing(space -> space.machine.name()));
