--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -9,6 +9,8 @@
 import io.sillreel.heartbeat.HeartbeatObserver;
 import io.sillreel.heartbeat.HeartbeatRelay;
 import io.sillreel.heartbeat.HeartbeatRouter;
+import io.sillreel.heartbeat.LeaderHeartbeats;
+import io.sillreel.heartbeat.LeaderLocator;
 import io.sillreel.heartbeat.WorkerLoadBalancer;
 import io.sillreel.http.EventLoop;
 import io.sillreel.http.HttpClient;
@@ -33,6 +35,7 @@
 import io.sillreel.settings.Settings;
 import io.sillreel.settings.Settings.Member;
 import io.sillreel.statestore.StateStore;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
 /** One controller, put together from its slices. It does no I/O of its own: time and network are handed in. */
@@ -61,6 +64,7 @@
     private final AdaptiveLimit admissionLimit;
     private final HeartbeatRelay heartbeatRelay;
     private final HeartbeatRouter heartbeatRouter;
+    private final LeaderLocator leaderLocator = new KnownLeaderLocator();
     private final Peers peers;
     private final WorkerLoadBalancer loadBalancer;
     private final long startedMicros;
@@ -123,14 +127,26 @@
         this.heartbeatRelay = new HeartbeatRelay(eventLoop, httpClient, loadBalancer::workerCount);
         this.heartbeatRouter = new HeartbeatRouter(
                 eventLoop,
-                settings,
-                leadership,
+                leaderLocator,
                 heartbeatRelay,
                 loadBalancer,
-                () -> leaderTerm,
                 recovery == null ? HeartbeatObserver.NONE : recovery);
     }
 
+    /** The leader as the election and this controller's own term show it. */
+    private final class KnownLeaderLocator implements LeaderLocator {
+        @Override
+        public LeaderHeartbeats ownTerm() {
+            return leaderTerm;
+        }
+
+        @Override
+        public Optional<Member> remoteLeader() {
+            String node = leadership.knownLeader().node();
+            return node == null ? Optional.empty() : settings.member(node);
+        }
+    }
+
     private Recovery newRecovery(ProcessLimits limits) {
         return new Recovery(
                 eventLoop,
@@ -246,8 +262,8 @@
         if (leaderTerm != null) {
             leaderTerm.jobCancelled(uid);
         } else {
-            heartbeatRouter
-                    .leader()
+            leaderLocator
+                    .remoteLeader()
                     .ifPresent(leader ->
                             httpClient.send(leader.address(), PeerMessages.cancelled(uid), CANCELLED_TIMEOUT_MICROS));
         }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatRouter.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatRouter.java
@@ -5,26 +5,20 @@
 import io.sillreel.http.HttpRequest;
 import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.leadership.LeaderElection;
-import io.sillreel.leadership.LeaderTerm;
 import io.sillreel.peer.PeerMessages;
-import io.sillreel.settings.Settings;
 import io.sillreel.settings.Settings.Member;
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import java.util.function.Supplier;
 
 /** Brings workers' reports to where they can be decided: here, at the lease leader, or at another controller. */
 public final class HeartbeatRouter {
     private static final HttpResponse NOBODY_LEADS = HttpResponse.retryLater(503, "nobody holds the lease", 1);
 
     private final EventLoop eventLoop;
-    private final Settings settings;
-    private final LeaderElection leadership;
+    private final LeaderLocator leaderLocator;
     private final HeartbeatRelay heartbeatRelay;
     private final WorkerLoadBalancer loadBalancer;
-    private final Supplier<LeaderTerm> leaderTerm;
     private final HeartbeatObserver watcher;
     private long heartbeatCount;
     private long relayed;
@@ -32,29 +26,24 @@
     private int unanswered;
     private int unansweredBefore;
 
-    /** @param leaderTerm the term that this controller leads, or null */
     public HeartbeatRouter(
             EventLoop eventLoop,
-            Settings settings,
-            LeaderElection leadership,
+            LeaderLocator leaderLocator,
             HeartbeatRelay heartbeatRelay,
             WorkerLoadBalancer loadBalancer,
-            Supplier<LeaderTerm> leaderTerm,
             HeartbeatObserver watcher) {
         this.eventLoop = eventLoop;
-        this.settings = settings;
-        this.leadership = leadership;
+        this.leaderLocator = leaderLocator;
         this.heartbeatRelay = heartbeatRelay;
         this.loadBalancer = loadBalancer;
-        this.leaderTerm = leaderTerm;
         this.watcher = watcher;
     }
 
     /** A worker's report: decided here, handed on to the lease leader, or sent to where it can be. */
     public CompletableFuture<HttpResponse> route(HttpRequest request) {
         heartbeatCount++;
-        LeaderTerm current = leaderTerm.get();
-        Optional<Member> leader = current != null ? Optional.empty() : leader();
+        LeaderHeartbeats current = leaderLocator.ownTerm();
+        Optional<Member> leader = current != null ? Optional.empty() : leaderLocator.remoteLeader();
         if (current == null && leader.isEmpty()) {
             // Not even read: right after a start hundreds ask, and the election can't wait for that.
             unanswered++;
@@ -89,15 +78,9 @@
         });
     }
 
-    /** The controller that is known to lead, unless it is this one or nobody. */
-    public Optional<Member> leader() {
-        String node = leadership.knownLeader().node();
-        return node == null ? Optional.empty() : settings.member(node);
-    }
-
     /** Reports that another controller hands on. */
     public CompletableFuture<HttpResponse> handleRelayed(HttpRequest request) {
-        LeaderTerm current = leaderTerm.get();
+        LeaderHeartbeats current = leaderLocator.ownTerm();
         if (current == null) {
             return answer(HttpResponse.retryLater(503, "not the leader", 1));
         }
@@ -106,7 +89,7 @@
         return new HeartbeatBatch(eventLoop, reports, heartbeat -> decide(current, heartbeat)).start();
     }
 
-    private HttpResponse decide(LeaderTerm current, Heartbeat heartbeat) {
+    private HttpResponse decide(LeaderHeartbeats current, Heartbeat heartbeat) {
         return watcher.mayAnswer(heartbeat, current.term()) ? current.handleHeartbeat(heartbeat) : NOBODY_LEADS;
     }
 
@@ -116,8 +99,10 @@
 
     /** True if workers that report here have their reports answered. */
     public boolean isServing() {
-        return leaderTerm.get() != null
-                || leader().map(member -> heartbeatRelay.isReachable(member.address()))
+        return leaderLocator.ownTerm() != null
+                || leaderLocator
+                        .remoteLeader()
+                        .map(member -> heartbeatRelay.isReachable(member.address()))
                         .orElse(false);
     }
 
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -10,6 +10,7 @@
 import io.sillreel.fleet.SpotInterruptionDrain;
 import io.sillreel.fleet.StragglerDetector;
 import io.sillreel.heartbeat.HeartbeatProcessor;
+import io.sillreel.heartbeat.LeaderHeartbeats;
 import io.sillreel.http.EventLoop;
 import io.sillreel.http.HttpClient;
 import io.sillreel.http.HttpRequest;
@@ -38,7 +39,7 @@
  * Everything a controller holds while it leads one term: built from the stored plans, records and fleet and from the
  * machines' reports, thrown away with the term. A deposed leader has nothing left to act on.
  */
-public final class LeaderTerm implements HeartbeatProcessor.Callbacks, LiveTaskCounts {
+public final class LeaderTerm implements LeaderHeartbeats, HeartbeatProcessor.Callbacks, LiveTaskCounts {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
     private static final long TICK_MICROS = 100_000;
     private static final long FLEET_MICROS = 1_000_000;
@@ -183,6 +184,7 @@
         writeQueue.close();
     }
 
+    @Override
     public long term() {
         return term;
     }
@@ -264,6 +266,7 @@
     // --- Reports ---------------------------------------------------------------------------------------------------
 
     /** Answers a worker's report, or says that this controller may not. */
+    @Override
     public HttpResponse handleHeartbeat(Heartbeat heartbeat) {
         if (heartbeat.fencingToken() > term) {
             leadership.observeTerm(null, heartbeat.fencingToken());
