--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -185,12 +185,12 @@
         if (route.equals(HEARTBEAT)) {
             return request.method().equals("POST")
                     ? heartbeatRouter.route(request)
-                    : answer(HttpResponse.refusal(405, "use POST"));
+                    : answer(HttpResponse.error(405, "use POST"));
         }
         if (route.equals(UP)) {
-            return answer(request.method().equals("GET") ? up() : HttpResponse.refusal(405, "use GET"));
+            return answer(request.method().equals("GET") ? up() : HttpResponse.error(405, "use GET"));
         }
-        return answer(HttpResponse.refusal(404, "no such path"));
+        return answer(HttpResponse.error(404, "no such path"));
     }
 
     /** What the other controllers, and operators, ask. */
@@ -214,7 +214,7 @@
             }
             default -> {
                 boolean known = recovery != null && Recovery.concerns(request.route());
-                return answer(known ? recovery.answer(request) : HttpResponse.refusal(404, "no such path"));
+                return answer(known ? recovery.answer(request) : HttpResponse.error(404, "no such path"));
             }
         }
     }
--- a/src/main/java/io/sillreel/ControllerMetrics.java
+++ b/src/main/java/io/sillreel/ControllerMetrics.java
@@ -60,7 +60,7 @@
                 .register(to);
         FunctionCounter.builder("sillreel.workers.moved", reports, HeartbeatRouter::redirectCount)
                 .register(to);
-        FunctionCounter.builder("sillreel.requests.refused", users, AdaptiveLimit::refused)
+        FunctionCounter.builder("sillreel.requests.refused", users, AdaptiveLimit::refusedCount)
                 .register(to);
         Gauge.builder("sillreel.requests.limit", users, AdaptiveLimit::limit).register(to);
         Gauge.builder("sillreel.workers", loadBalancer, WorkerLoadBalancer::workerCount)
--- a/src/main/java/io/sillreel/admission/Admission.java
+++ b/src/main/java/io/sillreel/admission/Admission.java
@@ -18,8 +18,8 @@
 import io.sillreel.settings.Settings.StateLimits;
 import io.sillreel.settings.ValueLimits;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Commit;
-import io.sillreel.statestore.StateStore.Outcome;
+import io.sillreel.statestore.StateStore.CommitResult;
+import io.sillreel.statestore.StateStore.StoreOutcome;
 import io.sillreel.statestore.StateStore.Transaction;
 import java.util.List;
 import java.util.Map;
@@ -75,19 +75,19 @@
     public CompletableFuture<HttpResponse> handle(HttpRequest request) {
         String route = request.route();
         if (route.equals(RUNS)) {
-            return request.method().equals("POST") ? submit(request) : done(HttpResponse.refusal(405, "use POST"));
+            return request.method().equals("POST") ? submit(request) : done(HttpResponse.error(405, "use POST"));
         }
         String rest = route.substring(RUNS.length() + 1);
         boolean cancel = rest.endsWith("/withdraw");
         String uid = cancel ? rest.substring(0, rest.length() - "/withdraw".length()) : rest;
         if (uid.contains("/")) {
-            return done(HttpResponse.refusal(404, "no such path"));
+            return done(HttpResponse.error(404, "no such path"));
         }
         if (!request.method().equals(cancel ? "POST" : "GET")) {
-            return done(HttpResponse.refusal(405, cancel ? "use POST" : "use GET"));
+            return done(HttpResponse.error(405, cancel ? "use POST" : "use GET"));
         }
         if (!SubmissionDecoder.isUid(uid)) {
-            return done(HttpResponse.refusal(404, "no such job"));
+            return done(HttpResponse.error(404, "no such job"));
         }
         return cancel ? cancel(uid, MAX_TRIES) : poll(uid);
     }
@@ -97,25 +97,25 @@
             if (status == null) {
                 return cannotRead();
             }
-            return status.accepted() ? HttpResponse.of(200, answer(status)) : HttpResponse.refusal(404, "no such job");
+            return status.accepted() ? HttpResponse.of(200, answer(status)) : HttpResponse.error(404, "no such job");
         });
     }
 
     private CompletableFuture<HttpResponse> submit(HttpRequest request) {
         JsonNode body = Json.parse(request.body());
         if (!body.isObject()) {
-            return done(HttpResponse.refusal(400, "the body is not a JSON object"));
+            return done(HttpResponse.error(400, "the body is not a JSON object"));
         }
         JsonNode named = body.path("uid");
         if (!named.isTextual() || !SubmissionDecoder.isUid(named.asText())) {
-            return done(HttpResponse.refusal(400, "uid: is not of the form job-000412"));
+            return done(HttpResponse.error(400, "uid: is not of the form job-000412"));
         }
         String uid = named.asText();
         JobSpec spec;
         try {
             spec = SubmissionDecoder.read(body);
         } catch (SubmissionDecoder.Malformed e) {
-            return unlessKnown(uid, HttpResponse.refusal(400, e.getMessage()));
+            return unlessKnown(uid, HttpResponse.error(400, e.getMessage()));
         }
         Map<String, MachineType> known = types.get();
         if (known.isEmpty()) {
@@ -124,7 +124,7 @@
         Optional<String> never =
                 SubmissionDecoder.neverRuns(spec, settings.teams().get(spec.team()), known.values());
         if (never.isPresent()) {
-            return unlessKnown(uid, HttpResponse.refusal(422, never.get()));
+            return unlessKnown(uid, HttpResponse.error(422, never.get()));
         }
         if (views.remembered(uid).accepted()) {
             return unlessKnown(uid, cannotRead());
@@ -133,7 +133,7 @@
     }
 
     private CompletableFuture<HttpResponse> admit(JobSpec spec, int tries) {
-        if (store.isSilent()) {
+        if (store.isUnresponsive()) {
             return done(cannotRead());
         }
         if (spec.dependencies().isEmpty()) {
@@ -150,7 +150,7 @@
             for (JobStatus each : awaited) {
                 if (!each.accepted()) {
                     return unlessKnown(
-                            spec.uid(), HttpResponse.refusal(422, "awaits: " + each.uid() + " was never accepted"));
+                            spec.uid(), HttpResponse.error(422, "awaits: " + each.uid() + " was never accepted"));
                 }
             }
             return store(spec, awaited, tries);
@@ -173,7 +173,7 @@
         }
         return commit(plan, values.get(), awaited)
                 .thenCompose(commit -> {
-                    boolean cutSmaller = commit.outcome() == Outcome.TOO_LARGE && !maybeCut;
+                    boolean cutSmaller = commit.outcome() == StoreOutcome.TOO_LARGE && !maybeCut;
                     Optional<Map<String, JsonNode>> smaller = cutSmaller ? cut(plan) : Optional.empty();
                     return smaller.isPresent()
                             ? commit(plan, smaller.get(), awaited)
@@ -190,7 +190,8 @@
     }
 
     /** Stores the values of a plan; a job which awaits a cancelled one is cancelled in the same transaction. */
-    private CompletableFuture<Commit> commit(PlanRecord plan, Map<String, JsonNode> values, List<JobStatus> awaited) {
+    private CompletableFuture<CommitResult> commit(
+            PlanRecord plan, Map<String, JsonNode> values, List<JobStatus> awaited) {
         String uid = plan.spec().uid();
         Transaction transaction = new Transaction().requireRevision(PlanRecord.key(uid), 0);
         values.forEach(transaction::set);
@@ -214,7 +215,8 @@
         return awaited.stream().filter(JobStatus::cancelled).findFirst();
     }
 
-    private CompletableFuture<HttpResponse> stored(JobSpec spec, List<JobStatus> awaited, Commit commit, int tries) {
+    private CompletableFuture<HttpResponse> stored(
+            JobSpec spec, List<JobStatus> awaited, CommitResult commit, int tries) {
         String uid = spec.uid();
         switch (commit.outcome()) {
             case OK -> {
@@ -228,8 +230,8 @@
                 return unlessKnown(uid, tooLarge(spec));
             }
             default -> {
-                boolean moved =
-                        commit.outcome() == Outcome.CONFLICT && !commit.failed().contains(PlanRecord.key(uid));
+                boolean moved = commit.outcome() == StoreOutcome.CONFLICT
+                        && !commit.failedKeys().contains(PlanRecord.key(uid));
                 if (moved && tries > 1) {
                     // One of those that it awaits has been cancelled since.
                     return admit(spec, tries - 1);
@@ -268,7 +270,7 @@
     private static HttpResponse tooLarge(JobSpec spec) {
         int names = spec.dependencies().size();
         String awaits = names == 0 ? "" : "; it awaits " + names + " jobs, split them over several jobs";
-        return HttpResponse.refusal(422, "the job's description is too large to be stored" + awaits);
+        return HttpResponse.error(422, "the job's description is too large to be stored" + awaits);
     }
 
     /** A job that was accepted is answered as such before anything else is held against the request. */
@@ -290,7 +292,7 @@
                 return done(cannotRead());
             }
             if (!status.accepted()) {
-                return done(HttpResponse.refusal(404, "no such job"));
+                return done(HttpResponse.error(404, "no such job"));
             }
             if (status.terminal()) {
                 return done(HttpResponse.of(200, answer(status)));
@@ -302,7 +304,7 @@
                     .requireRevision(RunRecord.key(uid), status.runStamp())
                     .set(key, Json.object().put("at_us", eventLoop.wallMicros()));
             return store.commit(transaction).thenCompose(commit -> {
-                if (commit.outcome() == Outcome.OK) {
+                if (commit.outcome() == StoreOutcome.OK) {
                     JobStatus cancelled = new JobStatus(
                             uid,
                             status.planStamp(),
@@ -317,7 +319,7 @@
                     onCancelled.accept(uid);
                     return done(HttpResponse.of(200, answer(cancelled)));
                 }
-                if (commit.outcome() == Outcome.REFUSED) {
+                if (commit.outcome() == StoreOutcome.REFUSED) {
                     return done(cannotRead());
                 }
                 return cancel(uid, tries - 1);
--- a/src/main/java/io/sillreel/admission/JobStatusReader.java
+++ b/src/main/java/io/sillreel/admission/JobStatusReader.java
@@ -5,9 +5,9 @@
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Entry;
-import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Read;
+import io.sillreel.statestore.StateStore.ReadResult;
+import io.sillreel.statestore.StateStore.StoreOutcome;
+import io.sillreel.statestore.StateStore.StoredEntry;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -78,12 +78,12 @@
                     synchronized (this) {
                         allPlans = null;
                     }
-                    reading.complete(scan.outcome() == Outcome.OK ? Optional.of(plans) : Optional.empty());
+                    reading.complete(scan.outcome() == StoreOutcome.OK ? Optional.of(plans) : Optional.empty());
                 });
         return reading;
     }
 
-    private static void addChainPlan(Map<String, ChainPlan> plans, Entry entry) {
+    private static void addChainPlan(Map<String, ChainPlan> plans, StoredEntry entry) {
         PlanRecord plan = PlanRecord.fromJson(entry.value());
         JobSpec spec = plan.spec();
         if (plan.complete() && !spec.dependencies().isEmpty()) {
@@ -101,15 +101,15 @@
 
     private CompletableFuture<Boolean> read(String uid) {
         CompletableFuture<Optional<JobStatus>> planned = readPlan(uid);
-        CompletableFuture<Read> run = store.get(RunRecord.key(uid));
-        CompletableFuture<Read> cancel = store.get(CancellationRecord.key(uid));
+        CompletableFuture<ReadResult> run = store.get(RunRecord.key(uid));
+        CompletableFuture<ReadResult> cancel = store.get(CancellationRecord.key(uid));
         return CompletableFuture.allOf(planned, run, cancel).thenApply(ignored -> {
-            boolean decided = run.join().isDecided() && cancel.join().isDecided();
+            boolean decided = run.join().isConclusive() && cancel.join().isConclusive();
             if (planned.join().isEmpty() || !decided) {
                 return false;
             }
             JobStatus status = planned.join().get();
-            Entry head = run.join().entry();
+            StoredEntry head = run.join().entry();
             views.remember(new JobStatus(
                     uid,
                     status.planStamp(),
@@ -130,7 +130,7 @@
             return CompletableFuture.completedFuture(Optional.of(old));
         }
         return store.get(PlanRecord.key(uid)).thenCompose(read -> {
-            if (!read.isDecided()) {
+            if (!read.isConclusive()) {
                 return CompletableFuture.completedFuture(Optional.empty());
             }
             if (read.entry() == null) {
--- a/src/main/java/io/sillreel/admission/JobStatusService.java
+++ b/src/main/java/io/sillreel/admission/JobStatusService.java
@@ -5,7 +5,7 @@
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Outcome;
+import io.sillreel.statestore.StateStore.StoreOutcome;
 import io.sillreel.statestore.StateStore.Transaction;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -102,7 +102,7 @@
             if (status.terminal()) {
                 return CompletableFuture.completedFuture(status);
             }
-            if (store.isSilent()) {
+            if (store.isUnresponsive()) {
                 return CompletableFuture.completedFuture(null);
             }
         }
@@ -230,8 +230,8 @@
     }
 
     /** Compares in as many transactions as it takes: a cancellation is for ever, so they need not be one moment's. */
-    private CompletableFuture<StateStore.Commit> compare(Map<String, Long> conditions) {
-        List<CompletableFuture<StateStore.Commit>> parts = new ArrayList<>();
+    private CompletableFuture<StateStore.CommitResult> compare(Map<String, Long> conditions) {
+        List<CompletableFuture<StateStore.CommitResult>> parts = new ArrayList<>();
         Transaction transaction = new Transaction();
         int size = 0;
         for (Map.Entry<String, Long> condition : conditions.entrySet()) {
@@ -246,26 +246,26 @@
         parts.add(store.commit(transaction));
         gatherMicros = Math.min(MAX_GATHER_MICROS, GATHER_MICROS + GATHER_PER_PART_MICROS * (parts.size() - 1));
         return CompletableFuture.allOf(parts.toArray(CompletableFuture[]::new)).thenApply(all -> {
-            Outcome outcome = Outcome.OK;
+            StoreOutcome outcome = StoreOutcome.OK;
             List<String> failed = new ArrayList<>();
-            for (CompletableFuture<StateStore.Commit> part : parts) {
-                failed.addAll(part.join().failed());
-                if (part.join().outcome() != Outcome.OK && outcome != Outcome.CONFLICT) {
+            for (CompletableFuture<StateStore.CommitResult> part : parts) {
+                failed.addAll(part.join().failedKeys());
+                if (part.join().outcome() != StoreOutcome.OK && outcome != StoreOutcome.CONFLICT) {
                     outcome = part.join().outcome();
                 }
             }
-            return new StateStore.Commit(outcome, 0, failed);
+            return new StateStore.CommitResult(outcome, 0, failed);
         });
     }
 
-    private void settle(List<Compared> batch, StateStore.Commit commit) {
+    private void settle(List<Compared> batch, StateStore.CommitResult commit) {
         for (Compared compared : batch) {
             Question question = compared.question();
             switch (commit.outcome()) {
                 case OK -> question.answer().complete(compared.view());
                 case CONFLICT -> {
                     Set<String> moved = new LinkedHashSet<>();
-                    for (String key : commit.failed()) {
+                    for (String key : commit.failedKeys()) {
                         if (compared.keys().contains(key)) {
                             moved.add(key.substring(key.indexOf('/') + 1));
                         }
@@ -279,7 +279,7 @@
                 }
                 case UNKNOWN -> {
                     // Transactions alone may go unanswered for a while; reading says the same.
-                    if (store.isSilent()) {
+                    if (store.isUnresponsive()) {
                         question.answer().complete(null);
                     } else {
                         reader.learn(Set.of(question.uid())).thenAccept(learnt -> answerFrom(question, learnt, true));
--- a/src/main/java/io/sillreel/agent/Heartbeat.java
+++ b/src/main/java/io/sillreel/agent/Heartbeat.java
@@ -38,7 +38,7 @@
      * Reads a report, or returns null if it is none. Read as a stream: reports are most of what a controller is sent.
      */
     public static Heartbeat read(byte[] body) {
-        try (JsonParser in = Json.parser(body)) {
+        try (JsonParser in = Json.createParser(body)) {
             return in.nextToken() == JsonToken.START_OBJECT ? read(in) : null;
         } catch (IOException | NumberFormatException e) {
             return null;
--- a/src/main/java/io/sillreel/cloud/CloudClient.java
+++ b/src/main/java/io/sillreel/cloud/CloudClient.java
@@ -187,6 +187,6 @@
         if (response.isOk()) {
             return Outcome.OK;
         }
-        return response.surelyNotExecuted() ? Outcome.REFUSED : Outcome.UNKNOWN;
+        return response.isCertainlyNotExecuted() ? Outcome.REFUSED : Outcome.UNKNOWN;
     }
 }
--- a/src/main/java/io/sillreel/cloud/MachineTypeCatalog.java
+++ b/src/main/java/io/sillreel/cloud/MachineTypeCatalog.java
@@ -4,7 +4,7 @@
 import io.sillreel.http.EventLoop;
 import io.sillreel.http.Json;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Outcome;
+import io.sillreel.statestore.StateStore.StoreOutcome;
 import io.sillreel.statestore.StateStore.Transaction;
 import java.util.Map;
 import java.util.function.BooleanSupplier;
@@ -42,11 +42,11 @@
     /** Begins to look: in the store first, in the cloud if nothing is stored, and for prices now and then. */
     public void start() {
         store.get(KEY).thenAccept(read -> {
-            if (read.outcome() == Outcome.OK) {
+            if (read.outcome() == StoreOutcome.OK) {
                 learn(read.entry().value());
             }
             if (types.isEmpty() || holdsLease.getAsBoolean()) {
-                ask(read.revision(), read.isDecided());
+                ask(read.revision(), read.isConclusive());
             }
             eventLoop.schedule(types.isEmpty() ? RETRY_MICROS : REFRESH_MICROS, this::start);
         });
@@ -62,7 +62,7 @@
             if (storable) {
                 store.commit(new Transaction().requireRevision(KEY, revision).set(KEY, answer.body()))
                         .thenAccept(commit -> {
-                            if (commit.outcome() == Outcome.TOO_LARGE) {
+                            if (commit.outcome() == StoreOutcome.TOO_LARGE) {
                                 LOG.error(
                                         "{} is refused by the state service with {} bytes; controllers that start "
                                                 + "while the cloud is down will not know the machine types",
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatRelay.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatRelay.java
@@ -155,7 +155,7 @@
                 if (replies.size() != batch.size()) {
                     lostCount += batch.size();
                     boolean broken =
-                            response.status() != HttpResponse.NO_ANSWER || ++unansweredInARow > MAX_LATE_BATCHES;
+                            response.status() != HttpResponse.NO_RESPONSE || ++unansweredInARow > MAX_LATE_BATCHES;
                     if (broken && to.equals(leader)) {
                         brokenUntilMicros = eventLoop.nowMicros() + BROKEN_MICROS;
                     }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatRouter.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatRouter.java
@@ -62,7 +62,7 @@
         }
         Heartbeat heartbeat = Heartbeat.read(request.body());
         if (heartbeat == null) {
-            return answer(HttpResponse.refusal(400, "hopper: is missing"));
+            return answer(HttpResponse.error(400, "hopper: is missing"));
         }
         watcher.heartbeatReceived(heartbeat);
         loadBalancer.heartbeatReceived(heartbeat.machine());
--- a/src/main/java/io/sillreel/http/Json.java
+++ b/src/main/java/io/sillreel/http/Json.java
@@ -18,28 +18,28 @@
  * that nothing here uses, took a quarter of the processor time of a start.
  */
 public final class Json {
-    private static final JsonFactory STREAM = new JsonFactory();
-    private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
+    private static final JsonFactory JSON_FACTORY = new JsonFactory();
+    private static final JsonNodeFactory NODE_FACTORY = JsonNodeFactory.instance;
 
     private Json() {}
 
     /** The body as a stream of tokens, for what is read too often to be made a tree of. */
-    public static JsonParser parser(byte[] body) throws IOException {
-        return STREAM.createParser(body);
+    public static JsonParser createParser(byte[] body) throws IOException {
+        return JSON_FACTORY.createParser(body);
     }
 
     public static ObjectNode object() {
-        return NODES.objectNode();
+        return NODE_FACTORY.objectNode();
     }
 
     public static ArrayNode array() {
-        return NODES.arrayNode();
+        return NODE_FACTORY.arrayNode();
     }
 
     /** Returns the node as UTF-8 text. */
     public static byte[] bytes(JsonNode node) {
         try (ByteArrayBuilder bytes = new ByteArrayBuilder();
-                JsonGenerator out = STREAM.createGenerator(bytes);
+                JsonGenerator out = JSON_FACTORY.createGenerator(bytes);
                 JsonParser in = new TreeTraversingParser(node)) {
             in.nextToken();
             out.copyCurrentStructure(in);
@@ -52,8 +52,8 @@
 
     /** The parsed body, or a missing node if it is not JSON. */
     public static JsonNode parse(byte[] body) {
-        try (JsonParser in = parser(body)) {
-            return tree(in);
+        try (JsonParser in = createParser(body)) {
+            return readTree(in);
         } catch (IOException e) {
             return MissingNode.getInstance();
         }
@@ -63,41 +63,41 @@
      * The one value that a parser of any of Jackson's formats reads, or a missing node if there is none or more than
      * one.
      */
-    public static JsonNode tree(JsonParser in) throws IOException {
+    public static JsonNode readTree(JsonParser in) throws IOException {
         if (in.nextToken() == null) {
             return MissingNode.getInstance();
         }
-        JsonNode node = value(in);
+        JsonNode node = readValue(in);
         return in.nextToken() == null ? node : MissingNode.getInstance();
     }
 
-    private static JsonNode value(JsonParser in) throws IOException {
+    private static JsonNode readValue(JsonParser in) throws IOException {
         return switch (in.currentToken()) {
             case START_OBJECT -> {
-                ObjectNode object = NODES.objectNode();
+                ObjectNode object = NODE_FACTORY.objectNode();
                 for (String name = in.nextFieldName(); name != null; name = in.nextFieldName()) {
                     in.nextToken();
-                    object.set(name, value(in));
+                    object.set(name, readValue(in));
                 }
                 yield object;
             }
             case START_ARRAY -> {
-                ArrayNode array = NODES.arrayNode();
+                ArrayNode array = NODE_FACTORY.arrayNode();
                 while (!in.nextToken().isStructEnd()) {
-                    array.add(value(in));
+                    array.add(readValue(in));
                 }
                 yield array;
             }
-            case VALUE_STRING -> NODES.textNode(in.getText());
+            case VALUE_STRING -> NODE_FACTORY.textNode(in.getText());
             case VALUE_NUMBER_INT ->
                 switch (in.getNumberType()) {
-                    case INT -> NODES.numberNode(in.getIntValue());
-                    case LONG -> NODES.numberNode(in.getLongValue());
-                    default -> NODES.numberNode(in.getBigIntegerValue());
+                    case INT -> NODE_FACTORY.numberNode(in.getIntValue());
+                    case LONG -> NODE_FACTORY.numberNode(in.getLongValue());
+                    default -> NODE_FACTORY.numberNode(in.getBigIntegerValue());
                 };
-            case VALUE_NUMBER_FLOAT -> NODES.numberNode(in.getDoubleValue());
-            case VALUE_TRUE, VALUE_FALSE -> NODES.booleanNode(in.getBooleanValue());
-            default -> NODES.nullNode();
+            case VALUE_NUMBER_FLOAT -> NODE_FACTORY.numberNode(in.getDoubleValue());
+            case VALUE_TRUE, VALUE_FALSE -> NODE_FACTORY.booleanNode(in.getBooleanValue());
+            default -> NODE_FACTORY.nullNode();
         };
     }
 }
--- a/src/main/java/io/sillreel/http/NettyEventLoop.java
+++ b/src/main/java/io/sillreel/http/NettyEventLoop.java
@@ -12,7 +12,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(NettyEventLoop.class);
 
     private final io.netty.channel.EventLoop nettyLoop;
-    private final EpochMicroClock wall = new SystemEpochMicroClock();
+    private final EpochMicroClock wallClock = new SystemEpochMicroClock();
 
     public NettyEventLoop(io.netty.channel.EventLoop nettyLoop) {
         this.nettyLoop = nettyLoop;
@@ -25,23 +25,23 @@
 
     @Override
     public long wallMicros() {
-        return wall.microTime();
+        return wallClock.microTime();
     }
 
     @Override
     public Timer schedule(long delayMicros, Runnable task) {
         ScheduledFuture<?> scheduled =
-                nettyLoop.schedule(() -> guarded(task), Math.max(0, delayMicros), TimeUnit.MICROSECONDS);
+                nettyLoop.schedule(() -> runLoggingFailure(task), Math.max(0, delayMicros), TimeUnit.MICROSECONDS);
         return () -> scheduled.cancel(false);
     }
 
     @Override
     public void execute(Runnable task) {
-        nettyLoop.execute(() -> guarded(task));
+        nettyLoop.execute(() -> runLoggingFailure(task));
     }
 
     /** A defect in one task is logged and must not take the others' timers along. */
-    private static void guarded(Runnable task) {
+    private static void runLoggingFailure(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
--- a/src/main/java/io/sillreel/http/NettyHttpClient.java
+++ b/src/main/java/io/sillreel/http/NettyHttpClient.java
@@ -43,19 +43,19 @@
      * A connection without work is closed after so long. A lease leader sends commands to every machine now and then;
      * the connections that this left open would add up to the fleet and take the sockets that the state service needs.
      */
-    private static final long IDLE_MICROS = 2_000_000;
+    private static final long IDLE_SWEEP_MICROS = 2_000_000;
 
     private final EventLoop nettyLoop;
     private final int connectionsPerAddress;
-    private final int maxAnswerBytes;
+    private final int maxResponseBytes;
     private final Map<String, Pool> pools = new HashMap<>();
-    private boolean sweeping;
+    private boolean sweepScheduled;
 
     /** @param maxAnswerBytes the largest answer that is taken in; what is larger is told as such */
     public NettyHttpClient(EventLoop nettyLoop, int connectionsPerAddress, int maxAnswerBytes) {
         this.nettyLoop = nettyLoop;
         this.connectionsPerAddress = connectionsPerAddress;
-        this.maxAnswerBytes = maxAnswerBytes;
+        this.maxResponseBytes = maxAnswerBytes;
     }
 
     @Override
@@ -74,17 +74,17 @@
         pending.timer = nettyLoop.schedule(() -> pool.expire(pending), timeoutMicros, TimeUnit.MICROSECONDS);
         pool.waiting.add(pending);
         pool.drain();
-        if (!sweeping) {
-            sweeping = true;
-            nettyLoop.schedule(this::sweep, IDLE_MICROS, TimeUnit.MICROSECONDS);
+        if (!sweepScheduled) {
+            sweepScheduled = true;
+            nettyLoop.schedule(this::sweep, IDLE_SWEEP_MICROS, TimeUnit.MICROSECONDS);
         }
     }
 
     private void sweep() {
         closeUnused();
-        sweeping = !pools.isEmpty();
-        if (sweeping) {
-            nettyLoop.schedule(this::sweep, IDLE_MICROS, TimeUnit.MICROSECONDS);
+        sweepScheduled = !pools.isEmpty();
+        if (sweepScheduled) {
+            nettyLoop.schedule(this::sweep, IDLE_SWEEP_MICROS, TimeUnit.MICROSECONDS);
         }
     }
 
@@ -176,7 +176,7 @@
                         protected void initChannel(SocketChannel channel) {
                             channel.pipeline()
                                     .addLast(new HttpClientCodec())
-                                    .addLast(new Aggregator(maxAnswerBytes))
+                                    .addLast(new Aggregator(maxResponseBytes))
                                     .addLast(new Answers(Pool.this));
                         }
                     })
@@ -222,7 +222,7 @@
                 pending.finish(HttpResponse.notSent());
             } else {
                 pending.channel.close();
-                pending.finish(HttpResponse.noAnswer());
+                pending.finish(HttpResponse.noResponse());
             }
         }
 
@@ -286,11 +286,11 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            finish(HttpResponse.noAnswer());
+            finish(HttpResponse.noResponse());
         }
 
         void tooLarge() {
-            finish(HttpResponse.answerTooLarge());
+            finish(HttpResponse.responseTooLarge());
         }
 
         private void finish(HttpResponse response) {
--- a/src/main/java/io/sillreel/http/NettyHttpServer.java
+++ b/src/main/java/io/sillreel/http/NettyHttpServer.java
@@ -48,11 +48,11 @@
     private final EventLoopGroup group;
     private final int maxBodyBytes;
     private final int maxConnections;
-    private final Function<HttpRequest, RequestClass> lines;
+    private final Function<HttpRequest, RequestClass> requestClassifier;
     private final RequestQueue requestQueue;
-    private final int maxCrowd;
-    private int connections;
-    private int crowded;
+    private final int maxWorkerConnections;
+    private int openConnections;
+    private int workerConnections;
 
     /** A listener whose requests are all taken up as they come. */
     public NettyHttpServer(EventLoopGroup group, int maxBodyBytes, int maxConnections) {
@@ -73,9 +73,9 @@
         this.group = group;
         this.maxBodyBytes = maxBodyBytes;
         this.maxConnections = maxConnections;
-        this.lines = lines;
+        this.requestClassifier = lines;
         this.requestQueue = requestQueue;
-        this.maxCrowd = maxCrowd;
+        this.maxWorkerConnections = maxCrowd;
     }
 
     /** Listens on the address, or fails with a plain message. */
@@ -96,10 +96,10 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        if (++connections > maxConnections) {
+                        if (++openConnections > maxConnections) {
                             channel.close();
                         }
-                        channel.closeFuture().addListener(closed -> connections--);
+                        channel.closeFuture().addListener(closed -> openConnections--);
                         channel.pipeline()
                                 .addLast(new HttpServerCodec())
                                 .addLast(new Aggregator(maxBodyBytes))
@@ -130,7 +130,7 @@
 
         @Override
         protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-            FullHttpResponse refusal = response(HttpResponse.refusal(400, "the body is larger than 64 KiB"));
+            FullHttpResponse refusal = response(HttpResponse.error(400, "the body is larger than 64 KiB"));
             refusal.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             ctx.writeAndFlush(refusal);
             // Closing on what is still being sent would reset the connection and take the answer along.
@@ -147,15 +147,15 @@
         }
 
         /** True if the connection belongs to the crowd and there is no place left for it. */
-        private boolean turnsAway(RequestClass line) {
-            if (counted || line != RequestClass.WORKERS) {
+        private boolean turnsAway(RequestClass requestClass) {
+            if (counted || requestClass != RequestClass.WORKERS) {
                 return false;
             }
-            if (crowded >= maxCrowd) {
+            if (workerConnections >= maxWorkerConnections) {
                 return true;
             }
             counted = true;
-            crowded++;
+            workerConnections++;
             return false;
         }
 
@@ -163,7 +163,7 @@
         public void channelInactive(ChannelHandlerContext ctx) {
             if (counted) {
                 counted = false;
-                crowded--;
+                workerConnections--;
             }
             ctx.fireChannelInactive();
         }
@@ -174,17 +174,17 @@
             byte[] body = new byte[nettyRequest.content().readableBytes()];
             nettyRequest.content().readBytes(body);
             if (!nettyRequest.decoderResult().isSuccess()) {
-                write(ctx, HttpResponse.refusal(400, "not HTTP"), false);
+                write(ctx, HttpResponse.error(400, "not HTTP"), false);
                 return;
             }
             HttpRequest request = new HttpRequest(nettyRequest.method().name(), nettyRequest.uri(), body);
-            RequestClass line = lines.apply(request);
-            if (turnsAway(line)) {
+            RequestClass requestClass = requestClassifier.apply(request);
+            if (turnsAway(requestClass)) {
                 write(ctx, HttpResponse.retryLater(503, "too many connections", 1), false);
-            } else if (line == RequestClass.IMMEDIATE) {
+            } else if (requestClass == RequestClass.IMMEDIATE) {
                 answer(ctx, request, keepAlive);
             } else if (!requestQueue.enqueue(
-                    line, body.length, ctx.channel()::isActive, () -> answer(ctx, request, keepAlive))) {
+                    requestClass, body.length, ctx.channel()::isActive, () -> answer(ctx, request, keepAlive))) {
                 write(ctx, HttpResponse.retryLater(503, "too much waits already", 1), keepAlive);
             }
         }
--- a/src/main/java/io/sillreel/http/RequestQueue.java
+++ b/src/main/java/io/sillreel/http/RequestQueue.java
@@ -20,19 +20,19 @@
         WORKERS
     }
 
-    private static final int MAX_IN_A_SLICE = 16;
-    private static final long SLICE_MICROS = 20_000;
+    private static final int MAX_REQUESTS_PER_SLICE = 16;
+    private static final long MAX_SLICE_MICROS = 20_000;
     /** Users wait two seconds for an answer to a question, workers four. */
-    private static final long BEHIND_MICROS = 1_000_000;
+    private static final long NEWEST_FIRST_AFTER_MICROS = 1_000_000;
 
     private record WaitingRequest(long sinceMicros, int bytes, BooleanSupplier wanted, Runnable work) {}
 
     private final EventLoop eventLoop;
     private final long maxBytes;
     private final Deque<WaitingRequest> users = new ArrayDeque<>();
-    private final Deque<WaitingRequest> crowd = new ArrayDeque<>();
-    private boolean crowdNext;
-    private boolean due;
+    private final Deque<WaitingRequest> workers = new ArrayDeque<>();
+    private boolean workersNext;
+    private boolean sliceScheduled;
     private long abandonedCount;
     private long bytesWaiting;
 
@@ -51,8 +51,8 @@
      * @param bytes what the request holds until then
      * @return false if too much waits already: the work is not done
      */
-    public boolean enqueue(RequestClass line, int bytes, BooleanSupplier wanted, Runnable work) {
-        if (line == RequestClass.IMMEDIATE) {
+    public boolean enqueue(RequestClass requestClass, int bytes, BooleanSupplier wanted, Runnable work) {
+        if (requestClass == RequestClass.IMMEDIATE) {
             work.run();
             return true;
         }
@@ -61,20 +61,20 @@
                 return false;
             }
             bytesWaiting += bytes;
-            (line == RequestClass.USERS ? users : crowd)
+            (requestClass == RequestClass.USERS ? users : workers)
                     .add(new WaitingRequest(eventLoop.nowMicros(), bytes, wanted, work));
-            if (due) {
+            if (sliceScheduled) {
                 return true;
             }
-            due = true;
+            sliceScheduled = true;
         }
-        eventLoop.schedule(0, this::slice);
+        eventLoop.schedule(0, this::runSlice);
         return true;
     }
 
-    private void slice() {
+    private void runSlice() {
         long begun = eventLoop.nowMicros();
-        for (int done = 0; done < MAX_IN_A_SLICE && eventLoop.nowMicros() - begun < SLICE_MICROS; done++) {
+        for (int done = 0; done < MAX_REQUESTS_PER_SLICE && eventLoop.nowMicros() - begun < MAX_SLICE_MICROS; done++) {
             WaitingRequest request = next();
             if (request == null) {
                 return;
@@ -82,22 +82,22 @@
             request.work().run();
         }
         // Not at once: a timer, however short, lets the network be looked at first.
-        eventLoop.schedule(1, this::slice);
+        eventLoop.schedule(1, this::runSlice);
     }
 
     private synchronized WaitingRequest next() {
-        crowdNext = !crowdNext;
-        WaitingRequest request = next(crowdNext ? crowd : users);
+        workersNext = !workersNext;
+        WaitingRequest request = next(workersNext ? workers : users);
         if (request == null) {
-            request = next(crowdNext ? users : crowd);
+            request = next(workersNext ? users : workers);
         }
-        due = request != null;
+        sliceScheduled = request != null;
         return request;
     }
 
     private WaitingRequest next(Deque<WaitingRequest> line) {
         while (!line.isEmpty()) {
-            boolean behind = eventLoop.nowMicros() - line.peekFirst().sinceMicros() > BEHIND_MICROS;
+            boolean behind = eventLoop.nowMicros() - line.peekFirst().sinceMicros() > NEWEST_FIRST_AFTER_MICROS;
             boolean gone = !line.peekFirst().wanted().getAsBoolean();
             WaitingRequest request = behind && !gone ? line.pollLast() : line.pollFirst();
             bytesWaiting -= request.bytes();
@@ -115,6 +115,6 @@
     }
 
     public synchronized int waitingCount() {
-        return users.size() + crowd.size();
+        return users.size() + workers.size();
     }
 }
--- a/src/main/java/io/sillreel/leadership/LeaderElection.java
+++ b/src/main/java/io/sillreel/leadership/LeaderElection.java
@@ -4,11 +4,11 @@
 import io.sillreel.http.EventLoop;
 import io.sillreel.http.Json;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Change;
-import io.sillreel.statestore.StateStore.Entry;
-import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Read;
+import io.sillreel.statestore.StateStore.ReadResult;
+import io.sillreel.statestore.StateStore.StoreOutcome;
+import io.sillreel.statestore.StateStore.StoredEntry;
 import io.sillreel.statestore.StateStore.Transaction;
+import io.sillreel.statestore.StateStore.WatchEvent;
 import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -138,12 +138,12 @@
 
     private void readLeaderKey() {
         store.list(LEADER_KEY).thenAccept(listing -> {
-            if (listing.outcome() != Outcome.OK) {
+            if (listing.outcome() != StoreOutcome.OK) {
                 electionSettled();
                 eventLoop.schedule(RETRY_MICROS, this::readLeaderKey);
                 return;
             }
-            Entry entry = listing.entries().stream()
+            StoredEntry entry = listing.entries().stream()
                     .filter(e -> e.key().equals(LEADER_KEY))
                     .findFirst()
                     .orElse(null);
@@ -167,12 +167,12 @@
 
     private void watch(long since) {
         store.watch(LEADER_KEY, since, WATCH_MICROS).thenAccept(result -> {
-            if (result.outcome() != Outcome.OK) {
+            if (result.outcome() != StoreOutcome.OK) {
                 eventLoop.schedule(RETRY_MICROS, this::readLeaderKey);
                 return;
             }
             boolean vacant = false;
-            for (Change change : result.changes()) {
+            for (WatchEvent change : result.events()) {
                 if (!change.key().equals(LEADER_KEY)) {
                     continue;
                 }
@@ -217,13 +217,13 @@
             return;
         }
         store.grantLease(leaseMicros).thenAccept(grant -> {
-            if (grant.outcome() != Outcome.OK) {
+            if (grant.outcome() != StoreOutcome.OK) {
                 electionSettled();
                 eventLoop.schedule(RETRY_MICROS, this::readLeaderKey);
                 return;
             }
             store.get(TERM_KEY).thenAccept(read -> {
-                if (!read.isDecided()) {
+                if (!read.isConclusive()) {
                     electionSettled();
                     store.revokeLease(grant.leaseId());
                     eventLoop.schedule(RETRY_MICROS, this::readLeaderKey);
@@ -236,7 +236,7 @@
     }
 
     /** The last term that was taken, as it was read under {@link #TERM_KEY}; 0 before the first one. */
-    public static long storedTerm(Read read) {
+    public static long storedTerm(ReadResult read) {
         return read.entry() == null ? 0 : read.entry().value().path("term").asLong();
     }
 
@@ -249,10 +249,10 @@
                 .set(LEADER_KEY, leader, granted)
                 .set(TERM_KEY, Json.object().put("term", term));
         store.commit(transaction).thenAccept(commit -> {
-            if (commit.outcome() != Outcome.OK) {
+            if (commit.outcome() != StoreOutcome.OK) {
                 // Lost the race, or can't know: the lease is ended so that a late success does not linger.
                 store.revokeLease(granted);
-                eventLoop.schedule(commit.outcome() == Outcome.CONFLICT ? 0 : RETRY_MICROS, this::readLeaderKey);
+                eventLoop.schedule(commit.outcome() == StoreOutcome.CONFLICT ? 0 : RETRY_MICROS, this::readLeaderKey);
                 return;
             }
             synchronized (this) {
@@ -284,19 +284,19 @@
             synchronized (this) {
                 renewing = false;
                 ours = heldTerm > 0 && leaseId == granted;
-                if (ours && outcome == Outcome.OK) {
+                if (ours && outcome == StoreOutcome.OK) {
                     leaseConfirmedMicros = Math.max(leaseConfirmedMicros, sent);
                 }
             }
             if (!ours) {
                 return;
             }
-            if (outcome == Outcome.NOT_FOUND) {
+            if (outcome == StoreOutcome.NOT_FOUND) {
                 // Whether the end of the key is seen by a watch or not: nobody leads as far as is known here.
                 recordLeader(null, 0);
                 return;
             }
-            long wait = outcome == Outcome.OK ? leaseMicros / 3 - (eventLoop.nowMicros() - sent) : RETRY_MICROS;
+            long wait = outcome == StoreOutcome.OK ? leaseMicros / 3 - (eventLoop.nowMicros() - sent) : RETRY_MICROS;
             eventLoop.schedule(Math.max(wait, RETRY_MICROS / 3), this::renew);
         });
     }
--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -16,8 +16,8 @@
 import io.sillreel.settings.ValueLimits;
 import io.sillreel.statestore.PendingWrite;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Change;
-import io.sillreel.statestore.StateStore.Outcome;
+import io.sillreel.statestore.StateStore.StoreOutcome;
+import io.sillreel.statestore.StateStore.WatchEvent;
 import io.sillreel.statestore.WriteQueue;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -216,7 +216,7 @@
         }
         store.get(RunRecord.key(uid)).thenAccept(read -> {
             synchronized (cluster) {
-                if (read.outcome() == Outcome.OK
+                if (read.outcome() == StoreOutcome.OK
                         && RunRecord.Head.fromJson(read.entry().value()).isDone()) {
                     doneUids.add(uid);
                     dependencies.lookupSucceeded(uid);
@@ -267,7 +267,7 @@
     }
 
     /** Follows the changes under a prefix for as long as the term lasts. */
-    private void follow(String prefix, long since, long blockMicros, Consumer<Change> each, Consumer<Long> proven) {
+    private void follow(String prefix, long since, long blockMicros, Consumer<WatchEvent> each, Consumer<Long> proven) {
         if (closed) {
             return;
         }
@@ -279,7 +279,7 @@
             switch (result.outcome()) {
                 case OK -> {
                     synchronized (cluster) {
-                        result.changes().forEach(each);
+                        result.events().forEach(each);
                     }
                     proven.accept(sent);
                     follow(prefix, result.storeRevision(), blockMicros, each, proven);
--- a/src/main/java/io/sillreel/leadership/LeaderStatus.java
+++ b/src/main/java/io/sillreel/leadership/LeaderStatus.java
@@ -82,7 +82,7 @@
             gauges.put("sillreel.cpus.starting", capacity.startingCpus());
             gauges.put("sillreel.cpus.wanted", capacity.wantedCpus(eventLoop.wallMicros()));
             gauges.put("sillreel.cpus.standing", capacity.standingCpus(eventLoop.wallMicros()));
-            gauges.put("sillreel.writes.waiting", (double) writeQueue.backlog());
+            gauges.put("sillreel.writes.waiting", (double) writeQueue.pendingCount());
             gauges.put("sillreel.machines.unheard", (double)
                     cluster.unreconciledMachines().size());
             gauges.put("sillreel.work", (double) cluster.stepCount());
--- a/src/main/java/io/sillreel/leadership/StoredJobsReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredJobsReader.java
@@ -8,7 +8,7 @@
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.statestore.PendingWrite;
-import io.sillreel.statestore.StateStore.Entry;
+import io.sillreel.statestore.StateStore.StoredEntry;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -34,7 +34,7 @@
     private final Map<String, RunRecord.StoredChunks> parts = new HashMap<>();
     private final List<StoredJob> unfinished = new ArrayList<>();
     private final List<PlanRecord> recentlyDone = new ArrayList<>();
-    private final Deque<Entry> plansToJudge = new ArrayDeque<>();
+    private final Deque<StoredEntry> plansToJudge = new ArrayDeque<>();
     private CompletableFuture<Boolean> nextPlans = CompletableFuture.completedFuture(true);
     private String runsReadUpTo = "";
     private boolean allRunsRead;
@@ -50,8 +50,8 @@
     }
 
     /** Adds a page of records. */
-    void addRuns(List<Entry> page) {
-        for (Entry entry : page) {
+    void addRuns(List<StoredEntry> page) {
+        for (StoredEntry entry : page) {
             String rest = after(RunRecord.PREFIX, entry);
             int slash = rest.indexOf('/');
             if (slash >= 0) {
@@ -78,7 +78,7 @@
     }
 
     /** Adds a page of plans; completes with true once all of it has been judged, with false if that can't be. */
-    CompletableFuture<Boolean> addPlans(List<Entry> page) {
+    CompletableFuture<Boolean> addPlans(List<StoredEntry> page) {
         // Without the records nothing can be judged, now or ever: a plan that waited for them would wait for ever.
         if (runsFailed) {
             return CompletableFuture.completedFuture(false);
@@ -91,11 +91,11 @@
     }
 
     /** Adds a page of parts of done sets. */
-    void addParts(List<Entry> page) {
+    void addParts(List<StoredEntry> page) {
         page.forEach(entry -> addPart(RunRecord.uidOfChunk(entry.key()), entry));
     }
 
-    private void addPart(String uid, Entry entry) {
+    private void addPart(String uid, StoredEntry entry) {
         parts.computeIfAbsent(
                         uid,
                         each -> new RunRecord.StoredChunks(new HashMap<>(), new HashMap<>(), previousVersionChunkTasks))
@@ -112,7 +112,7 @@
         }
     }
 
-    private void judge(Entry plan) {
+    private void judge(StoredEntry plan) {
         String uid = after(PlanRecord.PREFIX, plan);
         if (!done.contains(uid)) {
             Head head = heads.remove(uid);
--- a/src/main/java/io/sillreel/leadership/StoredStateReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredStateReader.java
@@ -6,9 +6,9 @@
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Entry;
-import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Scan;
+import io.sillreel.statestore.StateStore.ScanResult;
+import io.sillreel.statestore.StateStore.StoreOutcome;
+import io.sillreel.statestore.StateStore.StoredEntry;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -45,28 +45,28 @@
         StoredJobsReader jobs = new StoredJobsReader(previousVersionChunkTasks, countsAsDemand);
         JobIdSet cancelled = new JobIdSet();
         List<ScaleOutRequest> rentals = new ArrayList<>();
-        CompletableFuture<Scan> runs = store.scan(RunRecord.PREFIX, page -> {
+        CompletableFuture<ScanResult> runs = store.scan(RunRecord.PREFIX, page -> {
             jobs.addRuns(page);
             return next();
         });
-        CompletableFuture<Scan> plans = store.scan(
+        CompletableFuture<ScanResult> plans = store.scan(
                 PlanRecord.PREFIX, page -> jobs.addPlans(page).thenApply(judged -> judged && wanted.getAsBoolean()));
-        CompletableFuture<Scan> parts = store.scan(RunRecord.chunksPrefix(), page -> {
+        CompletableFuture<ScanResult> parts = store.scan(RunRecord.chunksPrefix(), page -> {
             jobs.addParts(page);
             return next();
         });
-        CompletableFuture<Scan> cancellations = store.scan(CancellationRecord.PREFIX, page -> {
+        CompletableFuture<ScanResult> cancellations = store.scan(CancellationRecord.PREFIX, page -> {
             page.forEach(entry -> cancelled.add(after(CancellationRecord.PREFIX, entry)));
             return next();
         });
-        CompletableFuture<Scan> hired = store.scan(ScaleOutRequest.PREFIX, page -> {
+        CompletableFuture<ScanResult> hired = store.scan(ScaleOutRequest.PREFIX, page -> {
             page.forEach(entry -> rentals.add(ScaleOutRequest.of(entry.key(), entry.value(), entry.revision())));
             return next();
         });
-        runs.thenAccept(scan -> jobs.runsRead(scan.outcome() == Outcome.OK));
-        List<CompletableFuture<Scan>> all = List.of(plans, runs, cancellations, hired, parts);
+        runs.thenAccept(scan -> jobs.runsRead(scan.outcome() == StoreOutcome.OK));
+        List<CompletableFuture<ScanResult>> all = List.of(plans, runs, cancellations, hired, parts);
         return CompletableFuture.allOf(all.toArray(CompletableFuture[]::new)).thenCompose(done -> {
-            if (all.stream().anyMatch(scan -> scan.join().outcome() != Outcome.OK)) {
+            if (all.stream().anyMatch(scan -> scan.join().outcome() != StoreOutcome.OK)) {
                 return CompletableFuture.completedFuture(Optional.empty());
             }
             return complete(jobs.state(
@@ -81,7 +81,7 @@
         return CompletableFuture.completedFuture(wanted.getAsBoolean());
     }
 
-    static String after(String prefix, Entry entry) {
+    static String after(String prefix, StoredEntry entry) {
         return entry.key().substring(prefix.length());
     }
 
--- a/src/main/java/io/sillreel/overload/AdaptiveLimit.java
+++ b/src/main/java/io/sillreel/overload/AdaptiveLimit.java
@@ -21,15 +21,15 @@
 public final class AdaptiveLimit implements HttpHandler {
     private static final double POLL_SHARE = 0.7;
     private static final int MIN_LIMIT = 8;
-    private static final long OWED_AFTER_MICROS = 10_000_000;
-    private static final int OWED_AT_ONCE = 4;
+    private static final long OVERDUE_AFTER_MICROS = 10_000_000;
+    private static final int MAX_OVERDUE_IN_PROGRESS = 4;
 
-    private final HttpHandler inner;
+    private final HttpHandler delegate;
     private final LongSupplier nowMicros;
     private final SimpleLimiter<Void> limiter;
     private int inProgress;
-    private long refused;
-    private int owedInProgress;
+    private long refusedCount;
+    private int overdueInProgress;
     /** Since when questions have been refused, the oldest first. */
     private final Map<String, Long> refusedSince;
 
@@ -46,7 +46,7 @@
                 return size() > maxRefused;
             }
         };
-        this.inner = inner;
+        this.delegate = inner;
         this.nowMicros = nowMicros;
         this.limiter = SimpleLimiter.newBuilder()
                 .limit(Gradient2Limit.newBuilder()
@@ -64,18 +64,18 @@
         synchronized (this) {
             admitted = poll && inProgress >= POLL_SHARE * limiter.getLimit() ? Optional.empty() : limiter.acquire(null);
             if (admitted.isEmpty() && !(poll && isOwed(request.path()))) {
-                refused++;
+                refusedCount++;
                 return CompletableFuture.completedFuture(HttpResponse.retryLater(429, "too much is asked at once", 1));
             }
             inProgress += admitted.isPresent() ? 1 : 0;
-            owedInProgress += admitted.isPresent() ? 0 : 1;
+            overdueInProgress += admitted.isPresent() ? 0 : 1;
         }
-        CompletableFuture<HttpResponse> answer = inner.handle(request);
+        CompletableFuture<HttpResponse> answer = delegate.handle(request);
         answer.whenComplete((response, failure) -> {
             boolean served = failure == null && response.status() != 503;
             synchronized (this) {
                 inProgress -= admitted.isPresent() ? 1 : 0;
-                owedInProgress -= admitted.isPresent() ? 0 : 1;
+                overdueInProgress -= admitted.isPresent() ? 0 : 1;
                 if (served && poll) {
                     refusedSince.remove(request.path());
                 }
@@ -90,14 +90,14 @@
     private boolean isOwed(String question) {
         long now = nowMicros.getAsLong();
         Long since = refusedSince.putIfAbsent(question, now);
-        return since != null && now - since > OWED_AFTER_MICROS && owedInProgress < OWED_AT_ONCE;
+        return since != null && now - since > OVERDUE_AFTER_MICROS && overdueInProgress < MAX_OVERDUE_IN_PROGRESS;
     }
 
     public synchronized int limit() {
         return limiter.getLimit();
     }
 
-    public synchronized long refused() {
-        return refused;
+    public synchronized long refusedCount() {
+        return refusedCount;
     }
 }
--- a/src/main/java/io/sillreel/overload/EventLoopLag.java
+++ b/src/main/java/io/sillreel/overload/EventLoopLag.java
@@ -6,9 +6,9 @@
  * How late this process does what is due: a share of the processor that is too small shows here before anything else.
  */
 public final class EventLoopLag {
-    private static final long EVERY_MICROS = 500_000;
+    private static final long SAMPLE_INTERVAL_MICROS = 500_000;
     /** What was late fades by half in two to three looks, or seconds would pass before a calm process counts as one. */
-    private static final int FADING = 4;
+    private static final int DECAY_DIVISOR = 4;
 
     private final EventLoop eventLoop;
     private long dueMicros;
@@ -20,14 +20,14 @@
     }
 
     public void start() {
-        dueMicros = eventLoop.nowMicros() + EVERY_MICROS;
-        eventLoop.schedule(EVERY_MICROS, this::look);
+        dueMicros = eventLoop.nowMicros() + SAMPLE_INTERVAL_MICROS;
+        eventLoop.schedule(SAMPLE_INTERVAL_MICROS, this::sample);
     }
 
-    private void look() {
+    private void sample() {
         synchronized (this) {
             long late = Math.max(0, eventLoop.nowMicros() - dueMicros);
-            currentMicros = Math.max(late, currentMicros - currentMicros / FADING);
+            currentMicros = Math.max(late, currentMicros - currentMicros / DECAY_DIVISOR);
             maxMicros = Math.max(maxMicros, late);
         }
         start();
--- a/src/main/java/io/sillreel/overload/RateLimiter.java
+++ b/src/main/java/io/sillreel/overload/RateLimiter.java
@@ -10,17 +10,17 @@
 public final class RateLimiter {
     private static final double SHRINK_FACTOR = 0.6;
     private static final double MIN_SHARE = 0.05;
-    private static final double REGAINED_PER_SECOND = 0.02;
+    private static final double SHARE_RECOVERY_PER_SECOND = 0.02;
     /** What is refused within so long is refused for the same reason. */
-    private static final long SAME_MICROS = 300_000;
+    private static final long REJECTION_WINDOW_MICROS = 300_000;
 
     private final EventLoop eventLoop;
     private final double maxPerSecond;
     private final double maxBurst;
     private double share = 1;
     private double tokens;
-    private long atMicros;
-    private long refusedMicros = Long.MIN_VALUE / 2;
+    private long refilledAtMicros;
+    private long rejectedAtMicros = Long.MIN_VALUE / 2;
 
     /** @param burst how many tokens gather during a pause */
     public RateLimiter(EventLoop eventLoop, double perSecond, double burst) {
@@ -28,7 +28,7 @@
         this.maxPerSecond = perSecond;
         this.maxBurst = burst;
         this.tokens = burst;
-        this.atMicros = eventLoop.nowMicros();
+        this.refilledAtMicros = eventLoop.nowMicros();
     }
 
     /** Takes the tokens if they are there; a request larger than the bucket may overdraw a full one. */
@@ -47,7 +47,7 @@
     }
 
     /** Takes the tokens even if they have to be earned first: for the little that can't wait. */
-    public synchronized void acquireInAdvance(double amount) {
+    public synchronized void acquireUnconditionally(double amount) {
         refill();
         tokens -= amount;
     }
@@ -56,13 +56,13 @@
     public synchronized void onRejected() {
         refill();
         tokens = Math.min(tokens, 0);
-        if (eventLoop.nowMicros() - refusedMicros > SAME_MICROS) {
-            refusedMicros = eventLoop.nowMicros();
+        if (eventLoop.nowMicros() - rejectedAtMicros > REJECTION_WINDOW_MICROS) {
+            rejectedAtMicros = eventLoop.nowMicros();
             share = Math.max(MIN_SHARE, share * SHRINK_FACTOR);
         }
     }
 
-    public synchronized double available() {
+    public synchronized double availableTokens() {
         refill();
         return tokens;
     }
@@ -73,9 +73,9 @@
 
     private void refill() {
         long now = eventLoop.nowMicros();
-        double seconds = (now - atMicros) / 1_000_000.0;
-        share = Math.min(1, share + REGAINED_PER_SECOND * seconds);
+        double seconds = (now - refilledAtMicros) / 1_000_000.0;
+        share = Math.min(1, share + SHARE_RECOVERY_PER_SECOND * seconds);
         tokens = Math.min(burst(), tokens + share * maxPerSecond * seconds);
-        atMicros = now;
+        refilledAtMicros = now;
     }
 }
--- a/src/main/java/io/sillreel/pipeline/PlanRecord.java
+++ b/src/main/java/io/sillreel/pipeline/PlanRecord.java
@@ -5,8 +5,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.http.Json;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Read;
+import io.sillreel.statestore.StateStore.ReadResult;
+import io.sillreel.statestore.StateStore.StoreOutcome;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -132,14 +132,14 @@
         if (complete()) {
             return CompletableFuture.completedFuture(Optional.of(this));
         }
-        List<CompletableFuture<Read>> reads = new ArrayList<>();
+        List<CompletableFuture<ReadResult>> reads = new ArrayList<>();
         for (int index = 0; index < overflowValues; index++) {
             reads.add(store.get(overflowKey(spec.uid(), index)));
         }
         return CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new)).thenApply(all -> {
             List<JsonNode> values = new ArrayList<>();
-            for (CompletableFuture<Read> read : reads) {
-                if (read.join().outcome() != Outcome.OK) {
+            for (CompletableFuture<ReadResult> read : reads) {
+                if (read.join().outcome() != StoreOutcome.OK) {
                     return Optional.empty();
                 }
                 values.add(read.join().entry().value());
--- a/src/main/java/io/sillreel/pipeline/RunRecord.java
+++ b/src/main/java/io/sillreel/pipeline/RunRecord.java
@@ -58,7 +58,7 @@
         }
 
         /** Adds a stored entry. */
-        public void add(StateStore.Entry entry) {
+        public void add(StateStore.StoredEntry entry) {
             values.put(entry.key(), entry.value().path("bits").asText());
             revisions.put(entry.key(), entry.revision());
         }
--- a/src/main/java/io/sillreel/recovery/ChangeFollower.java
+++ b/src/main/java/io/sillreel/recovery/ChangeFollower.java
@@ -3,11 +3,11 @@
 import io.sillreel.http.EventLoop;
 import io.sillreel.leadership.LeaderElection;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Change;
-import io.sillreel.statestore.StateStore.Entry;
-import io.sillreel.statestore.StateStore.Listing;
-import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Read;
+import io.sillreel.statestore.StateStore.ListResult;
+import io.sillreel.statestore.StateStore.ReadResult;
+import io.sillreel.statestore.StateStore.StoreOutcome;
+import io.sillreel.statestore.StateStore.StoredEntry;
+import io.sillreel.statestore.StateStore.WatchEvent;
 import io.sillreel.statestore.StateStore.WatchResult;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -93,7 +93,7 @@
             if (thisRun != run) {
                 return;
             }
-            if (verdict.outcome() == Outcome.OK && term.isDecided()) {
+            if (verdict.outcome() == StoreOutcome.OK && term.isConclusive()) {
                 begin(thisRun, fromLandmark, verdict, term);
             } else {
                 eventLoop.schedule(RETRY_MICROS, () -> begin(thisRun, fromLandmark));
@@ -101,18 +101,19 @@
         });
     }
 
-    private void begin(long thisRun, boolean fromLandmark, Listing verdict, Read term) {
-        Optional<Entry> stored = verdict.entries().stream()
+    private void begin(long thisRun, boolean fromLandmark, ListResult verdict, ReadResult term) {
+        Optional<StoredEntry> stored = verdict.entries().stream()
                 .filter(entry -> entry.key().equals(RecoveryRecord.KEY))
                 .findFirst();
         onRecord.accept(stored.map(entry -> RecoveryRecord.of(entry.value())).orElse(RecoveryRecord.NONE));
         if (thisRun != run) {
             return;
         }
-        Stream<Entry> landmarks = Stream.concat(stored.stream(), Stream.ofNullable(term.entry()));
-        Optional<Entry> latest = landmarks.max(Comparator.comparingLong(Entry::revision));
-        long since =
-                fromLandmark ? latest.map(Entry::revision).orElse(verdict.storeRevision()) : verdict.storeRevision();
+        Stream<StoredEntry> landmarks = Stream.concat(stored.stream(), Stream.ofNullable(term.entry()));
+        Optional<StoredEntry> latest = landmarks.max(Comparator.comparingLong(StoredEntry::revision));
+        long since = fromLandmark
+                ? latest.map(StoredEntry::revision).orElse(verdict.storeRevision())
+                : verdict.storeRevision();
         log.restart(since, eventLoop.wallMicros());
         latest.ifPresent(entry -> log.landmark(RecentChange.of(entry.key(), entry.value(), entry.revision())));
         followedMicros = eventLoop.nowMicros();
@@ -127,12 +128,12 @@
             if (thisRun != run || paused.getAsBoolean()) {
                 return;
             }
-            if (result.outcome() == Outcome.OK) {
+            if (result.outcome() == StoreOutcome.OK) {
                 followedMicros = eventLoop.nowMicros();
                 long reached = Math.max(since, result.storeRevision());
                 take(result, reached);
                 eventLoop.schedule(pauseMicros, () -> follow(thisRun, reached));
-            } else if (result.outcome() == Outcome.COMPACTED) {
+            } else if (result.outcome() == StoreOutcome.COMPACTED) {
                 begin(thisRun, false);
             } else {
                 eventLoop.schedule(RETRY_MICROS, () -> follow(thisRun, since));
@@ -142,7 +143,7 @@
 
     private void take(WatchResult result, long reached) {
         List<RecentChange> changes = new ArrayList<>();
-        for (Change change : result.changes()) {
+        for (WatchEvent change : result.events()) {
             changes.add(RecentChange.of(change.key(), change.value(), change.revision()));
             if (change.key().equals(RecoveryRecord.KEY) && change.value() != null) {
                 onRecord.accept(RecoveryRecord.of(change.value()));
--- a/src/main/java/io/sillreel/recovery/ChangeRestorer.java
+++ b/src/main/java/io/sillreel/recovery/ChangeRestorer.java
@@ -1,9 +1,9 @@
 package io.sillreel.recovery;
 
 import com.fasterxml.jackson.databind.node.MissingNode;
-import io.sillreel.statestore.StateStore.Commit;
-import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Read;
+import io.sillreel.statestore.StateStore.CommitResult;
+import io.sillreel.statestore.StateStore.ReadResult;
+import io.sillreel.statestore.StateStore.StoreOutcome;
 import io.sillreel.statestore.StateStore.Transaction;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -101,9 +101,9 @@
             if (term.isOver()) {
                 return;
             }
-            if (commit.outcome() == Outcome.CONFLICT) {
+            if (commit.outcome() == StoreOutcome.CONFLICT) {
                 List<RecentChange> rest = new ArrayList<>();
-                Set<String> failed = new HashSet<>(commit.failed());
+                Set<String> failed = new HashSet<>(commit.failedKeys());
                 for (RecentChange change : batch) {
                     if (failed.isEmpty() || failed.contains(change.key())) {
                         gone(change, missing);
@@ -116,7 +116,7 @@
                 } else {
                     compare(rest, true, toCompare, missing, then);
                 }
-            } else if (commit.outcome() != Outcome.OK) {
+            } else if (commit.outcome() != StoreOutcome.OK) {
                 term.later(() -> compare(batch, someGone, toCompare, missing, then));
             } else {
                 batch.forEach(this::found);
@@ -166,13 +166,13 @@
 
     /** Reads what the keys hold now, and writes what is to replace it. */
     private void write(List<RecentChange> batch, Deque<RecentChange> rest, Runnable then) {
-        List<CompletableFuture<Read>> reads = new ArrayList<>();
+        List<CompletableFuture<ReadResult>> reads = new ArrayList<>();
         batch.forEach(change -> reads.add(term.store().get(change.key())));
         CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new)).thenAccept(all -> {
             if (term.isOver()) {
                 return;
             }
-            if (reads.stream().anyMatch(read -> !read.join().isDecided())) {
+            if (reads.stream().anyMatch(read -> !read.join().isConclusive())) {
                 term.later(() -> write(batch, rest, then));
                 return;
             }
@@ -190,7 +190,7 @@
         });
     }
 
-    private void add(Transaction transaction, RecentChange change, Read read) {
+    private void add(Transaction transaction, RecentChange change, ReadResult read) {
         var current =
                 read.entry() == null ? MissingNode.getInstance() : read.entry().value();
         if (!RestorePolicy.restores(change, current, read.revision(), history.returnedAt())) {
@@ -204,17 +204,18 @@
         }
     }
 
-    private void settle(Commit commit, int size, List<RecentChange> batch, Deque<RecentChange> rest, Runnable then) {
+    private void settle(
+            CommitResult commit, int size, List<RecentChange> batch, Deque<RecentChange> rest, Runnable then) {
         if (term.isOverAfter(commit)) {
             return;
         }
-        if (commit.outcome() == Outcome.OK) {
+        if (commit.outcome() == StoreOutcome.OK) {
             restored += size;
             write(rest, then);
-        } else if (commit.outcome() == Outcome.TOO_LARGE && batch.size() > 1) {
+        } else if (commit.outcome() == StoreOutcome.TOO_LARGE && batch.size() > 1) {
             putBack(rest, batch.subList(1, batch.size()));
             write(batch.subList(0, 1), rest, then);
-        } else if (commit.outcome() == Outcome.TOO_LARGE) {
+        } else if (commit.outcome() == StoreOutcome.TOO_LARGE) {
             tooLarge = batch.get(0).key();
             LOG.error("{} is larger than the state service takes now, and can't be put back", tooLarge);
             write(rest, then);
--- a/src/main/java/io/sillreel/recovery/RebuildLease.java
+++ b/src/main/java/io/sillreel/recovery/RebuildLease.java
@@ -3,8 +3,8 @@
 import io.sillreel.http.EventLoop;
 import io.sillreel.leadership.LeaderElection;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Commit;
-import io.sillreel.statestore.StateStore.Outcome;
+import io.sillreel.statestore.StateStore.CommitResult;
+import io.sillreel.statestore.StateStore.StoreOutcome;
 import io.sillreel.statestore.StateStore.Transaction;
 
 /** The term of the lease under which writes are put back: every write is conditional on it. */
@@ -70,8 +70,8 @@
     }
 
     /** True if there is nothing left to do; a commit that shows another leader ends the term. */
-    boolean isOverAfter(Commit commit) {
-        if (commit.outcome() == Outcome.CONFLICT && commit.failed().contains(LeaderElection.LEADER_KEY)) {
+    boolean isOverAfter(CommitResult commit) {
+        if (commit.outcome() == StoreOutcome.CONFLICT && commit.failedKeys().contains(LeaderElection.LEADER_KEY)) {
             resign("the leader key has changed");
         }
         return isOver();
--- a/src/main/java/io/sillreel/recovery/Recovery.java
+++ b/src/main/java/io/sillreel/recovery/Recovery.java
@@ -11,7 +11,7 @@
 import io.sillreel.recovery.RecoveryMessages.Greeting;
 import io.sillreel.settings.Settings;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Outcome;
+import io.sillreel.statestore.StateStore.StoreOutcome;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
@@ -237,7 +237,7 @@
             if (leadership.heldTerm() != term) {
                 return;
             }
-            if (!read.isDecided()) {
+            if (!read.isConclusive()) {
                 eventLoop.schedule(RETRY_MICROS, () -> beforeTerm(term, leaderRevision, begin));
                 return;
             }
@@ -329,7 +329,7 @@
 
     private void lookAtRecord() {
         store.get(RecoveryRecord.KEY).thenAccept(read -> {
-            if (read.outcome() == Outcome.OK) {
+            if (read.outcome() == StoreOutcome.OK) {
                 noticed(RecoveryRecord.of(read));
             }
             verdicts.keep();
--- a/src/main/java/io/sillreel/recovery/RecoveryApi.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryApi.java
@@ -38,8 +38,8 @@
             }
             case RecoveryMessages.CHANGES -> page(request);
             case STATUS -> HttpResponse.of(200, status());
-            case ACCEPT_LOSS -> request.method().equals("POST") ? acceptLoss() : HttpResponse.refusal(405, "use POST");
-            default -> HttpResponse.refusal(404, "no such path");
+            case ACCEPT_LOSS -> request.method().equals("POST") ? acceptLoss() : HttpResponse.error(405, "use POST");
+            default -> HttpResponse.error(404, "no such path");
         };
     }
 
@@ -90,11 +90,11 @@
 
     private HttpResponse acceptLoss() {
         if (!recovery.suspended()) {
-            return HttpResponse.refusal(409, "no loss is known that has not been made good");
+            return HttpResponse.error(409, "no loss is known that has not been made good");
         }
         StoreRebuild rebuild = recovery.rebuild();
         if (rebuild == null) {
-            return HttpResponse.refusal(409, "ask the controller that leads: " + recovery.leader());
+            return HttpResponse.error(409, "ask the controller that leads: " + recovery.leader());
         }
         if (rebuild.incomplete().isEmpty()) {
             return HttpResponse.retryLater(503, "what is remembered is still being put back", RETRY_SECONDS);
--- a/src/main/java/io/sillreel/recovery/RecoveryGenerationStore.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryGenerationStore.java
@@ -2,7 +2,7 @@
 
 import io.sillreel.http.EventLoop;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Outcome;
+import io.sillreel.statestore.StateStore.StoreOutcome;
 import io.sillreel.statestore.StateStore.Transaction;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
@@ -50,7 +50,7 @@
             RecoveryRecord verdict = wanted.get();
             if (verdict == null) {
                 storing = false;
-            } else if (!read.isDecided()) {
+            } else if (!read.isConclusive()) {
                 eventLoop.schedule(RETRY_MICROS, this::read);
             } else {
                 RecoveryRecord stored = RecoveryRecord.of(read);
@@ -68,7 +68,7 @@
         Transaction transaction =
                 new Transaction().requireRevision(RecoveryRecord.KEY, revision).set(RecoveryRecord.KEY, verdict.json());
         store.commit(transaction).thenAccept(commit -> {
-            if (commit.outcome() == Outcome.OK) {
+            if (commit.outcome() == StoreOutcome.OK) {
                 storing = false;
                 onStored.accept(verdict);
                 keep();
--- a/src/main/java/io/sillreel/recovery/RecoveryRecord.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryRecord.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.http.Json;
-import io.sillreel.statestore.StateStore.Read;
+import io.sillreel.statestore.StateStore.ReadResult;
 
 /**
  * The stored verdict that the state service has lost writes, and what became of it.
@@ -28,7 +28,7 @@
     }
 
     /** What was read under the key; one that does not exist means that no loss was ever noticed. */
-    static RecoveryRecord of(Read read) {
+    static RecoveryRecord of(ReadResult read) {
         return read.entry() == null ? NONE : of(read.entry().value());
     }
 
--- a/src/main/java/io/sillreel/recovery/StoreMonitor.java
+++ b/src/main/java/io/sillreel/recovery/StoreMonitor.java
@@ -71,7 +71,7 @@
             }
             JsonNode body = response.json();
             if (!believed(observed, response, body)) {
-                return HttpResponse.noAnswer();
+                return HttpResponse.noResponse();
             }
             if (response.isOk() && !changes.isEmpty()) {
                 remember(changes, body.path("ledger").asLong());
--- a/src/main/java/io/sillreel/recovery/StoreRebuild.java
+++ b/src/main/java/io/sillreel/recovery/StoreRebuild.java
@@ -1,7 +1,7 @@
 package io.sillreel.recovery;
 
 import io.sillreel.settings.Settings;
-import io.sillreel.statestore.StateStore.Outcome;
+import io.sillreel.statestore.StateStore.StoreOutcome;
 import io.sillreel.statestore.StateStore.Transaction;
 import java.util.ArrayList;
 import java.util.List;
@@ -117,7 +117,7 @@
             if (term.isOver()) {
                 return;
             }
-            if (!read.isDecided()) {
+            if (!read.isConclusive()) {
                 term.later(this::open);
                 return;
             }
@@ -141,11 +141,11 @@
             if (term.isOverAfter(commit)) {
                 return;
             }
-            if (commit.outcome() == Outcome.OK) {
+            if (commit.outcome() == StoreOutcome.OK) {
                 recordStamp = commit.storeRevision();
                 record = next;
                 written.run();
-            } else if (commit.outcome() == Outcome.REFUSED) {
+            } else if (commit.outcome() == StoreOutcome.REFUSED) {
                 term.later(() -> writeRecord(next, written));
             } else {
                 rereadRecord(next, written);
@@ -158,7 +158,7 @@
             if (term.isOver()) {
                 return;
             }
-            if (read.isDecided()) {
+            if (read.isConclusive()) {
                 recordStamp = read.revision();
                 term.later(() -> writeRecord(next, written));
             } else {
--- a/src/main/java/io/sillreel/recovery/TermEvidence.java
+++ b/src/main/java/io/sillreel/recovery/TermEvidence.java
@@ -48,7 +48,7 @@
         store.get(LeaderElection.TERM_KEY).thenAccept(read -> {
             reading = false;
             long stored = LeaderElection.storedTerm(read);
-            if (read.isDecided() && stored < term) {
+            if (read.isConclusive() && stored < term) {
                 onLoss.accept(by + " has seen term " + term + ", and " + stored + " is stored");
             }
         });
--- a/src/main/java/io/sillreel/settings/SettingsReader.java
+++ b/src/main/java/io/sillreel/settings/SettingsReader.java
@@ -66,7 +66,7 @@
     public static Settings parse(String toml) {
         JsonNode root;
         try {
-            root = Json.tree(new TomlFactory().createParser(toml));
+            root = Json.readTree(new TomlFactory().createParser(toml));
         } catch (JsonProcessingException e) {
             throw new SettingsException("settings", "not TOML: " + e.getOriginalMessage());
         } catch (IOException e) {
--- a/src/main/java/io/sillreel/statestore/StateStore.java
+++ b/src/main/java/io/sillreel/statestore/StateStore.java
@@ -21,7 +21,7 @@
      * What became of a request. UNKNOWN: it may have been executed, or may yet be; read before deciding. TOO_LARGE: not
      * executed, nor will it ever be as it is.
      */
-    public enum Outcome {
+    public enum StoreOutcome {
         OK,
         NOT_FOUND,
         CONFLICT,
@@ -33,45 +33,45 @@
     }
 
     /** A key with its value and the revision of its last change. */
-    public record Entry(String key, JsonNode value, long revision) {}
+    public record StoredEntry(String key, JsonNode value, long revision) {}
 
     /** The answer to a read; the entry is null unless the key exists. */
-    public record Read(Outcome outcome, Entry entry) {
+    public record ReadResult(StoreOutcome outcome, StoredEntry entry) {
         /** Stamp of the key as read: 0 if it does not exist. */
         public long revision() {
             return entry == null ? 0 : entry.revision();
         }
 
         /** True if the answer says what the key is, or that it is not. */
-        public boolean isDecided() {
-            return outcome == Outcome.OK || outcome == Outcome.NOT_FOUND;
+        public boolean isConclusive() {
+            return outcome == StoreOutcome.OK || outcome == StoreOutcome.NOT_FOUND;
         }
     }
 
     /** All entries under a prefix, and the revision from which changes have to be watched. */
-    public record Listing(Outcome outcome, List<Entry> entries, long storeRevision) {}
+    public record ListResult(StoreOutcome outcome, List<StoredEntry> entries, long storeRevision) {}
 
     /** How reading all entries under a prefix ended, and the revision from which changes have to be watched. */
-    public record Scan(Outcome outcome, long storeRevision) {}
+    public record ScanResult(StoreOutcome outcome, long storeRevision) {}
 
     /** Takes the entries of a scan, in the order of their keys. */
     @FunctionalInterface
     public interface PageConsumer {
         /** Completes with true once the next page is wanted, with false if the scan is to end here. */
-        CompletableFuture<Boolean> accept(List<Entry> page);
+        CompletableFuture<Boolean> accept(List<StoredEntry> page);
     }
 
     /** What became of a transaction, its revision, and the keys whose conditions failed. */
-    public record Commit(Outcome outcome, long storeRevision, List<String> failed) {}
+    public record CommitResult(StoreOutcome outcome, long storeRevision, List<String> failedKeys) {}
 
     /** A lease of the state service. */
-    public record LeaseGrant(Outcome outcome, long leaseId) {}
+    public record LeaseGrant(StoreOutcome outcome, long leaseId) {}
 
     /** A change; the value is null if the key was removed. */
-    public record Change(String key, JsonNode value, long revision) {}
+    public record WatchEvent(String key, JsonNode value, long revision) {}
 
     /** The changes that a watch has seen, and the revision up to which it has seen them. */
-    public record WatchResult(Outcome outcome, long storeRevision, List<Change> changes) {}
+    public record WatchResult(StoreOutcome outcome, long storeRevision, List<WatchEvent> events) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(StateStore.class);
     private static final long TIMEOUT_MICROS = 1_500_000;
@@ -96,10 +96,10 @@
     private final HttpClient leaseHttpClient;
     private final EventLoop eventLoop;
     private final String address;
-    private final RateLimiter requests;
-    private final RateLimiter writes;
+    private final RateLimiter requestLimiter;
+    private final RateLimiter writeLimiter;
     private long lastAnswerMicros = Long.MIN_VALUE;
-    private int unanswered;
+    private int consecutiveFailures;
 
     /**
      * @param leaseCaller asks for leases and their renewal, on connections of its own: one that had to be opened first,
@@ -116,8 +116,8 @@
         this.leaseHttpClient = leaseHttpClient;
         this.eventLoop = eventLoop;
         this.address = address;
-        this.requests = requests;
-        this.writes = writes;
+        this.requestLimiter = requests;
+        this.writeLimiter = writes;
     }
 
     /** When the service last carried out a request of ours; long ago if it never has. */
@@ -128,25 +128,25 @@
     /**
      * True while requests go unanswered one after the other: whoever asks is better refused at once than kept waiting.
      */
-    public synchronized boolean isSilent() {
-        return unanswered >= SILENT_AFTER;
+    public synchronized boolean isUnresponsive() {
+        return consecutiveFailures >= SILENT_AFTER;
     }
 
     /** What may still be written now without passing this controller's part of the shared rate. */
-    public double writesAvailable() {
-        return writes.available();
+    public double availableWrites() {
+        return writeLimiter.availableTokens();
     }
 
     /** The most that may be written at once after a pause. */
-    public double writeBurst() {
-        return writes.burst();
+    public double maxWriteBurst() {
+        return writeLimiter.burst();
     }
 
     /** Reads one key. */
-    public CompletableFuture<Read> get(String key) {
+    public CompletableFuture<ReadResult> get(String key) {
         return send(HttpRequest.get("/kv/" + key), TIMEOUT_MICROS).thenApply(response -> {
-            Outcome outcome = outcome(response);
-            return new Read(outcome, outcome == Outcome.OK ? entry(response.json()) : null);
+            StoreOutcome outcome = outcome(response);
+            return new ReadResult(outcome, outcome == StoreOutcome.OK ? entry(response.json()) : null);
         });
     }
 
@@ -154,15 +154,15 @@
      * Reads the few entries under a prefix. What is refused or lost is told at once: whoever looks who leads has to
      * know that this can't be known, and looks again by itself.
      */
-    public CompletableFuture<Listing> list(String prefix) {
-        List<Entry> entries = new ArrayList<>();
+    public CompletableFuture<ListResult> list(String prefix) {
+        List<StoredEntry> entries = new ArrayList<>();
         PageConsumer collect = page -> {
             entries.addAll(page);
             return CompletableFuture.completedFuture(true);
         };
         return scan(prefix, collect, false)
-                .thenApply(scan -> new Listing(
-                        scan.outcome(), scan.outcome() == Outcome.OK ? entries : List.of(), scan.storeRevision()));
+                .thenApply(scan -> new ListResult(
+                        scan.outcome(), scan.outcome() == StoreOutcome.OK ? entries : List.of(), scan.storeRevision()));
     }
 
     /**
@@ -171,12 +171,12 @@
      * part of the rate, and one that is refused or lost is asked for again by itself: a list that began anew each time
      * would never end once it is longer than the rate allows at once.
      */
-    public CompletableFuture<Scan> scan(String prefix, PageConsumer consumer) {
+    public CompletableFuture<ScanResult> scan(String prefix, PageConsumer consumer) {
         return scan(prefix, consumer, true);
     }
 
-    private CompletableFuture<Scan> scan(String prefix, PageConsumer consumer, boolean patient) {
-        CompletableFuture<Scan> result = new CompletableFuture<>();
+    private CompletableFuture<ScanResult> scan(String prefix, PageConsumer consumer, boolean patient) {
+        CompletableFuture<ScanResult> result = new CompletableFuture<>();
         page(new PageRequest(prefix, "", NO_REVISION, 0, patient, consumer, result));
         return result;
     }
@@ -189,7 +189,7 @@
             int failures,
             boolean patient,
             PageConsumer consumer,
-            CompletableFuture<Scan> result) {
+            CompletableFuture<ScanResult> result) {
         HttpRequest call() {
             String after = since.isEmpty() ? "" : "&since=" + since;
             return HttpRequest.get("/kv?prefix=" + prefix + after + "&limit=" + PAGE);
@@ -205,29 +205,29 @@
     }
 
     private void page(PageRequest pageRequest) {
-        if (!requests.tryAcquire(1)) {
+        if (!requestLimiter.tryAcquire(1)) {
             if (pageRequest.patient()) {
                 eventLoop.schedule(PAGE_PAUSE_MICROS, () -> page(pageRequest));
             } else {
-                pageRequest.result().complete(new Scan(Outcome.REFUSED, 0));
+                pageRequest.result().complete(new ScanResult(StoreOutcome.REFUSED, 0));
             }
             return;
         }
         httpClient.send(address, pageRequest.call(), TIMEOUT_MICROS).thenAccept(response -> {
             noteRefusal(response);
-            Outcome outcome = outcome(response);
-            if (outcome == Outcome.OK) {
+            StoreOutcome outcome = outcome(response);
+            if (outcome == StoreOutcome.OK) {
                 pageRead(pageRequest, response.json());
             } else if (pageRequest.patient() && pageRequest.failures() < MAX_PAGE_FAILURES) {
                 eventLoop.schedule(PAGE_RETRY_MICROS, () -> page(pageRequest.again()));
             } else {
-                pageRequest.result().complete(new Scan(outcome, 0));
+                pageRequest.result().complete(new ScanResult(outcome, 0));
             }
         });
     }
 
     private void pageRead(PageRequest pageRequest, JsonNode body) {
-        List<Entry> entries = new ArrayList<>();
+        List<StoredEntry> entries = new ArrayList<>();
         body.path("entries").forEach(entry -> entries.add(entry(entry)));
         // The first page's ledger: a watch from there misses nothing that later pages may have left out.
         long storeRevision =
@@ -235,17 +235,17 @@
         boolean more = body.path("truncated").asBoolean() && !entries.isEmpty();
         hand(pageRequest, entries).thenAccept(wanted -> {
             if (!wanted) {
-                pageRequest.result().complete(new Scan(Outcome.REFUSED, 0));
+                pageRequest.result().complete(new ScanResult(StoreOutcome.REFUSED, 0));
             } else if (more) {
                 page(pageRequest.after(entries.get(entries.size() - 1).key(), storeRevision));
             } else {
-                pageRequest.result().complete(new Scan(Outcome.OK, storeRevision));
+                pageRequest.result().complete(new ScanResult(StoreOutcome.OK, storeRevision));
             }
         });
     }
 
     /** An entry that can't be understood ends the scan, so that whoever waits for it is told. */
-    private static CompletableFuture<Boolean> hand(PageRequest pageRequest, List<Entry> entries) {
+    private static CompletableFuture<Boolean> hand(PageRequest pageRequest, List<StoredEntry> entries) {
         try {
             return pageRequest.consumer().accept(entries);
         } catch (RuntimeException e) {
@@ -255,21 +255,22 @@
     }
 
     /** Sends a transaction, unless this controller's part of the shared rates is used up. */
-    public CompletableFuture<Commit> commit(Transaction transaction) {
-        if (!requests.tryAcquire(1) || transaction.size() > 0 && !writes.tryAcquire(transaction.size())) {
-            return CompletableFuture.completedFuture(new Commit(Outcome.REFUSED, 0, List.of()));
+    public CompletableFuture<CommitResult> commit(Transaction transaction) {
+        if (!requestLimiter.tryAcquire(1) || transaction.size() > 0 && !writeLimiter.tryAcquire(transaction.size())) {
+            return CompletableFuture.completedFuture(new CommitResult(StoreOutcome.REFUSED, 0, List.of()));
         }
         long timeout = transaction.size() > 0 ? TIMEOUT_MICROS : COMPARE_TIMEOUT_MICROS;
         return httpClient
                 .send(address, HttpRequest.post("/txn", transaction.toJson()), timeout)
                 .thenApply(response -> {
                     if (response.status() == TOO_MANY_REQUESTS) {
-                        (transaction.size() > 0 ? writes : requests).onRejected();
+                        (transaction.size() > 0 ? writeLimiter : requestLimiter).onRejected();
                     }
                     JsonNode body = response.json();
                     List<String> failed = new ArrayList<>();
                     body.path("failed").forEach(key -> failed.add(key.asText()));
-                    return new Commit(outcome(response), body.path("ledger").asLong(), failed);
+                    return new CommitResult(
+                            outcome(response), body.path("ledger").asLong(), failed);
                 });
     }
 
@@ -281,12 +282,12 @@
                         outcome(response), response.json().path("permit").asLong()));
     }
 
-    public CompletableFuture<Outcome> renewLease(long leaseId) {
+    public CompletableFuture<StoreOutcome> renewLease(long leaseId) {
         return sendNow(HttpRequest.post("/grants/" + leaseId + "/touch", Json.object()))
                 .thenApply(this::outcome);
     }
 
-    public CompletableFuture<Outcome> revokeLease(long leaseId) {
+    public CompletableFuture<StoreOutcome> revokeLease(long leaseId) {
         return send(new HttpRequest("DELETE", "/grants/" + leaseId, HttpRequest.NO_BODY), TIMEOUT_MICROS)
                 .thenApply(this::outcome);
     }
@@ -296,13 +297,13 @@
         String path = "/watch?prefix=" + prefix + "&since=" + since + "&block_ms=" + blockMicros / 1_000;
         return send(HttpRequest.get(path), blockMicros + WATCH_SLACK_MICROS).thenApply(response -> {
             // What is too much to be taken in at once can still be read in pages.
-            Outcome outcome =
-                    response.status() == HttpResponse.ANSWER_TOO_LARGE ? Outcome.COMPACTED : outcome(response);
-            List<Change> changes = new ArrayList<>();
+            StoreOutcome outcome =
+                    response.status() == HttpResponse.RESPONSE_TOO_LARGE ? StoreOutcome.COMPACTED : outcome(response);
+            List<WatchEvent> changes = new ArrayList<>();
             JsonNode body = response.json();
             for (JsonNode change : body.path("news")) {
                 boolean removed = change.has("remove");
-                changes.add(new Change(
+                changes.add(new WatchEvent(
                         change.path(removed ? "remove" : "set").asText(),
                         removed ? null : change.path("v"),
                         change.path("stamp").asLong()));
@@ -312,7 +313,7 @@
     }
 
     private CompletableFuture<HttpResponse> send(HttpRequest request, long timeoutMicros) {
-        if (!requests.tryAcquire(1)) {
+        if (!requestLimiter.tryAcquire(1)) {
             return CompletableFuture.completedFuture(HttpResponse.retryLater(TOO_MANY_REQUESTS, "paced", 1));
         }
         return httpClient.send(address, request, timeoutMicros).thenApply(response -> {
@@ -323,18 +324,18 @@
 
     private void noteRefusal(HttpResponse response) {
         if (response.status() == TOO_MANY_REQUESTS) {
-            requests.onRejected();
+            requestLimiter.onRejected();
         }
     }
 
     private CompletableFuture<HttpResponse> sendNow(HttpRequest request) {
-        requests.acquireInAdvance(1);
+        requestLimiter.acquireUnconditionally(1);
         return leaseHttpClient.send(address, request, TIMEOUT_MICROS);
     }
 
-    private Outcome outcome(HttpResponse response) {
+    private StoreOutcome outcome(HttpResponse response) {
         synchronized (this) {
-            unanswered = response.status() > 0 ? 0 : unanswered + 1;
+            consecutiveFailures = response.status() > 0 ? 0 : consecutiveFailures + 1;
         }
         if (response.status() == 200
                 || response.status() == 404
@@ -345,21 +346,21 @@
             }
         }
         return switch (response.status()) {
-            case 200 -> Outcome.OK;
-            case 404 -> Outcome.NOT_FOUND;
-            case 409 -> Outcome.CONFLICT;
-            case 410 -> Outcome.COMPACTED;
+            case 200 -> StoreOutcome.OK;
+            case 404 -> StoreOutcome.NOT_FOUND;
+            case 409 -> StoreOutcome.CONFLICT;
+            case 410 -> StoreOutcome.COMPACTED;
             case 400 ->
                 response.json().path("error").asText().equals("no such lease")
-                        ? Outcome.NO_SUCH_LEASE
-                        : Outcome.TOO_LARGE;
-            case TOO_MANY_REQUESTS, 503, HttpResponse.NOT_SENT -> Outcome.REFUSED;
-            default -> Outcome.UNKNOWN;
+                        ? StoreOutcome.NO_SUCH_LEASE
+                        : StoreOutcome.TOO_LARGE;
+            case TOO_MANY_REQUESTS, 503, HttpResponse.NOT_SENT -> StoreOutcome.REFUSED;
+            default -> StoreOutcome.UNKNOWN;
         };
     }
 
-    private static Entry entry(JsonNode node) {
-        return new Entry(
+    private static StoredEntry entry(JsonNode node) {
+        return new StoredEntry(
                 node.path("k").asText(), node.path("v"), node.path("stamp").asLong());
     }
 
--- a/src/main/java/io/sillreel/statestore/WriteBatch.java
+++ b/src/main/java/io/sillreel/statestore/WriteBatch.java
@@ -12,7 +12,7 @@
     private static final int CHANGE_BYTES = 300;
 
     private final Predicate<PendingWrite> writtenAlone;
-    private final List<PendingWrite> items = new ArrayList<>();
+    private final List<PendingWrite> writes = new ArrayList<>();
     private final Transaction transaction = new Transaction();
     private int bytes;
 
@@ -22,8 +22,8 @@
         transaction.requireRevision(leaderKey, leaderRevision);
     }
 
-    List<PendingWrite> items() {
-        return items;
+    List<PendingWrite> writes() {
+        return writes;
     }
 
     Transaction transaction() {
@@ -38,11 +38,11 @@
      */
     boolean add(PendingWrite item, KeyChange change, double room) {
         int size = change.value() == null ? 0 : change.bytes() + CHANGE_BYTES;
-        if (transaction.size() + 1 > room || !items.isEmpty() && isFull(item, size)) {
+        if (transaction.size() + 1 > room || !writes.isEmpty() && isFull(item, size)) {
             return false;
         }
         bytes += size;
-        items.add(item);
+        writes.add(item);
         transaction.requireRevision(item.key(), item.revision());
         if (item.requiredAbsentKey() != null) {
             transaction.requireRevision(item.requiredAbsentKey(), 0);
@@ -52,6 +52,6 @@
     }
 
     private boolean isFull(PendingWrite item, int size) {
-        return bytes + size > MAX_BYTES || writtenAlone.test(item) || writtenAlone.test(items.get(0));
+        return bytes + size > MAX_BYTES || writtenAlone.test(item) || writtenAlone.test(writes.get(0));
     }
 }
--- a/src/main/java/io/sillreel/statestore/WriteQueue.java
+++ b/src/main/java/io/sillreel/statestore/WriteQueue.java
@@ -1,9 +1,9 @@
 package io.sillreel.statestore;
 
 import io.sillreel.http.EventLoop;
-import io.sillreel.statestore.StateStore.Commit;
-import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Read;
+import io.sillreel.statestore.StateStore.CommitResult;
+import io.sillreel.statestore.StateStore.ReadResult;
+import io.sillreel.statestore.StateStore.StoreOutcome;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -23,35 +23,35 @@
  */
 public final class WriteQueue {
     private static final Logger LOG = LoggerFactory.getLogger(WriteQueue.class);
-    private static final long GATHER_MICROS = 5_000;
-    private static final long RETRY_MICROS = 250_000;
-    private static final long IDLE_MICROS = 50_000;
-    private static final long STUCK_MICROS = 15_000_000;
+    private static final long BATCHING_DELAY_MICROS = 5_000;
+    private static final long RETRY_DELAY_MICROS = 250_000;
+    private static final long RATE_LIMITED_DELAY_MICROS = 50_000;
+    private static final long STUCK_AFTER_MICROS = 15_000_000;
     /**
      * Writes left over for cancellations and admissions on this controller, and the most of a low rate that this may
      * be.
      */
-    private static final double RESERVE = 2;
+    private static final double RESERVED_WRITES = 2;
 
-    private static final double MAX_RESERVE_PART = 0.25;
+    private static final double MAX_RESERVED_FRACTION = 0.25;
     /** Progress waits so long for more of its kind, and leaves so much of the rate to what can't wait. */
-    private static final long PROGRESS_GATHER_MICROS = 2_000_000;
+    private static final long PROGRESS_BATCHING_DELAY_MICROS = 2_000_000;
 
-    private static final double PROGRESS_RESERVE_PART = 0.3;
+    private static final double PROGRESS_RESERVED_FRACTION = 0.3;
 
     private final StateStore store;
     private final EventLoop eventLoop;
     private final String leaderKey;
     private final long leaderRevision;
-    private final int txnOps;
-    private final Runnable onDeposed;
-    private final Map<String, PendingWrite> waiting = new LinkedHashMap<>();
-    private final Map<String, Long> sinceMicros = new HashMap<>();
+    private final int maxChangesPerTransaction;
+    private final Runnable leadershipListener;
+    private final Map<String, PendingWrite> pending = new LinkedHashMap<>();
+    private final Map<String, Long> queuedAtMicros = new HashMap<>();
     /** Written one by one, since together they were too large. */
     private final Set<String> writtenAlone = new HashSet<>();
 
-    private boolean busy;
-    private long busySinceMicros;
+    private boolean writeInProgress;
+    private long writeStartedAtMicros;
     private boolean closed;
 
     /**
@@ -69,36 +69,36 @@
         this.eventLoop = eventLoop;
         this.leaderKey = leaderKey;
         this.leaderRevision = leaderRevision;
-        this.txnOps = txnOps;
-        this.onDeposed = deposed;
+        this.maxChangesPerTransaction = txnOps;
+        this.leadershipListener = deposed;
     }
 
     /** Queues the item unless it waits already. */
     public synchronized void enqueue(PendingWrite item) {
         add(item);
-        scheduleWrite(GATHER_MICROS);
+        scheduleWrite(BATCHING_DELAY_MICROS);
     }
 
     private synchronized void add(PendingWrite item) {
-        if (waiting.putIfAbsent(item.key(), item) == null) {
-            sinceMicros.putIfAbsent(item.key(), eventLoop.nowMicros());
+        if (pending.putIfAbsent(item.key(), item) == null) {
+            queuedAtMicros.putIfAbsent(item.key(), eventLoop.nowMicros());
         }
     }
 
     private void remove(PendingWrite item) {
-        waiting.remove(item.key());
-        sinceMicros.remove(item.key());
+        pending.remove(item.key());
+        queuedAtMicros.remove(item.key());
     }
 
     /** Ends all writing; what waits is dropped. */
     public synchronized void close() {
         closed = true;
-        waiting.clear();
-        sinceMicros.clear();
+        pending.clear();
+        queuedAtMicros.clear();
     }
 
-    public synchronized int backlog() {
-        return waiting.size();
+    public synchronized int pendingCount() {
+        return pending.size();
     }
 
     /**
@@ -106,20 +106,20 @@
      * behind.
      */
     public synchronized long urgentCount() {
-        return waiting.values().stream()
+        return pending.values().stream()
                 .filter(item -> item.urgency() != WriteUrgency.PROGRESS)
                 .count();
     }
 
     /** True if one write has been under way for longer than any takes: something here has gone wrong. */
     public synchronized boolean isStuck() {
-        return busy && eventLoop.nowMicros() - busySinceMicros > STUCK_MICROS;
+        return writeInProgress && eventLoop.nowMicros() - writeStartedAtMicros > STUCK_AFTER_MICROS;
     }
 
     private synchronized void scheduleWrite(long delayMicros) {
-        if (!busy && !closed) {
-            busy = true;
-            busySinceMicros = eventLoop.nowMicros();
+        if (!writeInProgress && !closed) {
+            writeInProgress = true;
+            writeStartedAtMicros = eventLoop.nowMicros();
             eventLoop.schedule(delayMicros, this::write);
         }
     }
@@ -127,28 +127,29 @@
     private void write() {
         WriteBatch batch;
         synchronized (this) {
-            if (closed || waiting.isEmpty()) {
-                busy = false;
+            if (closed || pending.isEmpty()) {
+                writeInProgress = false;
                 return;
             }
-            batch = gather();
+            batch = fillBatch();
         }
-        if (batch.items().isEmpty()) {
-            scheduleNext(IDLE_MICROS);
+        if (batch.writes().isEmpty()) {
+            scheduleNext(RATE_LIMITED_DELAY_MICROS);
             return;
         }
-        store.commit(batch.transaction()).thenAccept(commit -> settle(batch.items(), commit));
+        store.commit(batch.transaction()).thenAccept(commit -> handleResult(batch.writes(), commit));
     }
 
     /** Takes as much of what waits as may be written now, in the order of its urgency. */
-    private WriteBatch gather() {
+    private WriteBatch fillBatch() {
         WriteBatch batch = new WriteBatch(leaderKey, leaderRevision, item -> writtenAlone.contains(item.key()));
-        double burst = store.writeBurst();
-        double available = store.writesAvailable() - Math.min(RESERVE, MAX_RESERVE_PART * burst);
-        for (PendingWrite item : inOrder()) {
+        double burst = store.maxWriteBurst();
+        double available = store.availableWrites() - Math.min(RESERVED_WRITES, MAX_RESERVED_FRACTION * burst);
+        for (PendingWrite item : dueByUrgency()) {
             // Asked for before the changes, which count what is urgent about the item as sent.
             boolean progress = item.urgency() == WriteUrgency.PROGRESS;
-            double room = Math.min(txnOps, progress ? available - PROGRESS_RESERVE_PART * burst : available);
+            double room = Math.min(
+                    maxChangesPerTransaction, progress ? available - PROGRESS_RESERVED_FRACTION * burst : available);
             List<PendingWrite> first = item.prerequisites();
             if (!first.isEmpty()) {
                 remove(item);
@@ -169,15 +170,16 @@
     }
 
     /** What is due, the most urgent first; among equals what has waited longest. */
-    private List<PendingWrite> inOrder() {
+    private List<PendingWrite> dueByUrgency() {
         List<List<PendingWrite>> byUrgency = new ArrayList<>();
         for (int i = 0; i < WriteUrgency.values().length; i++) {
             byUrgency.add(new ArrayList<>());
         }
         long now = eventLoop.nowMicros();
-        for (PendingWrite item : waiting.values()) {
+        for (PendingWrite item : pending.values()) {
             WriteUrgency urgency = item.urgency();
-            if (urgency != WriteUrgency.PROGRESS || now - sinceMicros.get(item.key()) >= PROGRESS_GATHER_MICROS) {
+            if (urgency != WriteUrgency.PROGRESS
+                    || now - queuedAtMicros.get(item.key()) >= PROGRESS_BATCHING_DELAY_MICROS) {
                 byUrgency.get(urgency.ordinal()).add(item);
             }
         }
@@ -188,8 +190,8 @@
 
     private void scheduleNext(long delayMicros) {
         synchronized (this) {
-            busy = false;
-            if (waiting.isEmpty()) {
+            writeInProgress = false;
+            if (pending.isEmpty()) {
                 return;
             }
         }
@@ -200,52 +202,52 @@
         return closed;
     }
 
-    private void settle(List<PendingWrite> batch, Commit commit) {
+    private void handleResult(List<PendingWrite> batch, CommitResult commit) {
         if (isClosed()) {
             return;
         }
-        if (commit.outcome() == Outcome.OK) {
+        if (commit.outcome() == StoreOutcome.OK) {
             synchronized (this) {
                 batch.forEach(item -> writtenAlone.remove(item.key()));
             }
-            batch.forEach(item -> tell(item, each -> each.onStored(commit.storeRevision())));
-            scheduleNext(GATHER_MICROS);
+            batch.forEach(item -> notifyWrite(item, each -> each.onStored(commit.storeRevision())));
+            scheduleNext(BATCHING_DELAY_MICROS);
             return;
         }
-        if (commit.outcome() == Outcome.CONFLICT && commit.failed().contains(leaderKey)) {
-            onDeposed.run();
+        if (commit.outcome() == StoreOutcome.CONFLICT && commit.failedKeys().contains(leaderKey)) {
+            leadershipListener.run();
             return;
         }
-        if (commit.outcome() == Outcome.CONFLICT) {
+        if (commit.outcome() == StoreOutcome.CONFLICT) {
             List<PendingWrite> moved = new ArrayList<>();
             for (PendingWrite item : batch) {
-                if (item.requiredAbsentKey() != null && commit.failed().contains(item.requiredAbsentKey())) {
-                    tell(item, PendingWrite::onPreconditionFailed);
-                } else if (commit.failed().contains(item.key())) {
+                if (item.requiredAbsentKey() != null && commit.failedKeys().contains(item.requiredAbsentKey())) {
+                    notifyWrite(item, PendingWrite::onPreconditionFailed);
+                } else if (commit.failedKeys().contains(item.key())) {
                     moved.add(item);
                 } else {
                     add(item);
                 }
             }
-            reread(moved);
+            rereadRevisions(moved);
             return;
         }
-        if (commit.outcome() == Outcome.TOO_LARGE) {
-            tooLarge(batch);
-            scheduleNext(GATHER_MICROS);
+        if (commit.outcome() == StoreOutcome.TOO_LARGE) {
+            handleTooLarge(batch);
+            scheduleNext(BATCHING_DELAY_MICROS);
             return;
         }
-        if (commit.outcome() == Outcome.UNKNOWN) {
+        if (commit.outcome() == StoreOutcome.UNKNOWN) {
             LOG.info("a write of {} keys got no answer, reading them again", batch.size());
-            reread(batch);
+            rereadRevisions(batch);
             return;
         }
         batch.forEach(this::add);
-        scheduleNext(RETRY_MICROS);
+        scheduleNext(RETRY_DELAY_MICROS);
     }
 
     /** The same is never sent again: what was refused together goes one by one, and what was refused alone waits. */
-    private void tooLarge(List<PendingWrite> batch) {
+    private void handleTooLarge(List<PendingWrite> batch) {
         if (batch.size() > 1) {
             batch.forEach(item -> {
                 synchronized (this) {
@@ -261,11 +263,11 @@
                 "{} is refused by the state service with {} bytes, and is not written again as it is",
                 item.key(),
                 bytes);
-        tell(item, PendingWrite::onTooLarge);
+        notifyWrite(item, PendingWrite::onTooLarge);
     }
 
     /** One item that can't take what became of its write must not keep all others from being written. */
-    private static void tell(PendingWrite item, Consumer<PendingWrite> result) {
+    private static void notifyWrite(PendingWrite item, Consumer<PendingWrite> result) {
         try {
             result.accept(item);
         } catch (RuntimeException e) {
@@ -274,21 +276,21 @@
     }
 
     /** After an unknown outcome the stamps are read anew; a late success then fails the next write, not the data. */
-    private void reread(List<PendingWrite> items) {
+    private void rereadRevisions(List<PendingWrite> items) {
         if (items.isEmpty()) {
-            scheduleNext(GATHER_MICROS);
+            scheduleNext(BATCHING_DELAY_MICROS);
             return;
         }
-        List<CompletableFuture<Read>> reads = new ArrayList<>();
+        List<CompletableFuture<ReadResult>> reads = new ArrayList<>();
         items.forEach(item -> reads.add(store.get(item.key())));
         CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new)).thenRun(() -> {
             for (int i = 0; i < items.size(); i++) {
-                if (reads.get(i).join().isDecided()) {
+                if (reads.get(i).join().isConclusive()) {
                     items.get(i).onConflict(reads.get(i).join().revision());
                 }
                 add(items.get(i));
             }
-            scheduleNext(RETRY_MICROS);
+            scheduleNext(RETRY_DELAY_MICROS);
         });
     }
 }
--- a/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
+++ b/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
@@ -20,7 +20,7 @@
 import io.sillreel.sim.SimTime;
 import io.sillreel.statestore.PendingWrite;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Outcome;
+import io.sillreel.statestore.StateStore.StoreOutcome;
 import io.sillreel.statestore.StateStore.Transaction;
 import io.sillreel.statestore.WriteQueue;
 import java.util.ArrayList;
@@ -169,6 +169,6 @@
                 .requireRevision("run/job-000413", 101)
                 .set("run/job-000413/0", json(CHUNKED.get("run/job-000413/0"))));
         time.runFor(100_000);
-        assertThat(late.join().outcome()).isEqualTo(Outcome.CONFLICT);
+        assertThat(late.join().outcome()).isEqualTo(StoreOutcome.CONFLICT);
     }
 }
--- a/src/test/java/io/sillreel/cli/RecoveryCommandTest.java
+++ b/src/test/java/io/sillreel/cli/RecoveryCommandTest.java
@@ -32,7 +32,7 @@
                         request -> CompletableFuture.completedFuture(
                                 request.path().equals("/recovery/status")
                                         ? HttpResponse.of(200, Json.object().put("generation", 3))
-                                        : HttpResponse.refusal(409, "ask the controller that leads: hopper-1")));
+                                        : HttpResponse.error(409, "ask the controller that leads: hopper-1")));
         return "127.0.0.1:" + ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
--- a/src/test/java/io/sillreel/heartbeat/HeartbeatRelayTest.java
+++ b/src/test/java/io/sillreel/heartbeat/HeartbeatRelayTest.java
@@ -103,7 +103,7 @@
         CompletableFuture<HttpResponse> givenUp = heartbeatRelay.relay(report(3, List.of()), "leader:1");
         time.runFor(5_000_000);
         heartbeatRelay.relay(report(4, List.of()), "leader:1");
-        held.forEach(answer -> answer.complete(HttpResponse.noAnswer()));
+        held.forEach(answer -> answer.complete(HttpResponse.noResponse()));
         time.runFor(100_000);
         assertThat(givenUp.join().status()).isEqualTo(503);
         assertThat(batches).containsExactly(1, 1, 1);
@@ -124,9 +124,9 @@
     /** Guards a leader that is only late against the workers themselves, who would be more work than their batches. */
     @Test
     void oneLateBatchSendsNobodyToTheLeader() {
-        assertThat(handedOnTo(HttpResponse.noAnswer(), 1).isReachable("leader:1"))
+        assertThat(handedOnTo(HttpResponse.noResponse(), 1).isReachable("leader:1"))
                 .isTrue();
-        assertThat(handedOnTo(HttpResponse.noAnswer(), 2).isReachable("leader:1"))
+        assertThat(handedOnTo(HttpResponse.noResponse(), 2).isReachable("leader:1"))
                 .isFalse();
         assertThat(handedOnTo(HttpResponse.notSent(), 1).isReachable("leader:1"))
                 .isFalse();
--- a/src/test/java/io/sillreel/http/HttpTest.java
+++ b/src/test/java/io/sillreel/http/HttpTest.java
@@ -68,7 +68,7 @@
         assertThat(client.send(address, HttpRequest.get("/large"), LONG_MICROS)
                         .join()
                         .status())
-                .isEqualTo(HttpResponse.ANSWER_TOO_LARGE);
+                .isEqualTo(HttpResponse.RESPONSE_TOO_LARGE);
         assertThat(client.send(address, HttpRequest.get("/"), LONG_MICROS)
                         .join()
                         .status())
--- a/src/test/java/io/sillreel/http/RequestQueueTest.java
+++ b/src/test/java/io/sillreel/http/RequestQueueTest.java
@@ -16,9 +16,9 @@
     private final RequestQueue requestQueue = new RequestQueue(process, 4 * 1024 * 1024);
     private final List<String> served = new ArrayList<>();
 
-    private void ask(RequestClass line, String who, long givesUpAfterMicros) {
+    private void ask(RequestClass requestClass, String who, long givesUpAfterMicros) {
         long until = time.nowMicros() + givesUpAfterMicros;
-        requestQueue.enqueue(line, 1_000, () -> time.nowMicros() < until, () -> {
+        requestQueue.enqueue(requestClass, 1_000, () -> time.nowMicros() < until, () -> {
             process.works(WORK_MICROS);
             served.add(who);
         });
--- a/src/test/java/io/sillreel/load/SimulatedServices.java
+++ b/src/test/java/io/sillreel/load/SimulatedServices.java
@@ -95,7 +95,7 @@
     CompletableFuture<HttpResponse> cloud(HttpRequest request) {
         if (!cloudRate.tryAcquire(1)) {
             refused++;
-            return CompletableFuture.completedFuture(HttpResponse.refusal(429, "too many requests"));
+            return CompletableFuture.completedFuture(HttpResponse.error(429, "too many requests"));
         }
         return CompletableFuture.completedFuture(
                 switch (request.method() + " " + request.route()) {
@@ -145,7 +145,7 @@
             return fresh;
         });
         if (names.isEmpty()) {
-            return HttpResponse.refusal(503, "no capacity");
+            return HttpResponse.error(503, "no capacity");
         }
         ObjectNode answer = Json.object();
         answer.set("hoppers", names);
--- a/src/test/java/io/sillreel/sim/SimCloud.java
+++ b/src/test/java/io/sillreel/sim/SimCloud.java
@@ -58,7 +58,7 @@
     @Override
     public CompletableFuture<HttpResponse> handle(HttpRequest request) {
         if (outage) {
-            return CompletableFuture.completedFuture(HttpResponse.refusal(503, "trouble"));
+            return CompletableFuture.completedFuture(HttpResponse.error(503, "trouble"));
         }
         return CompletableFuture.completedFuture(
                 switch (request.method() + " " + request.route()) {
@@ -98,7 +98,7 @@
                         body.path("loaners").asBoolean()));
             }
             if (names.isEmpty()) {
-                return HttpResponse.refusal(503, "no capacity");
+                return HttpResponse.error(503, "no capacity");
             }
             answers.put(request, names);
         }
--- a/src/test/java/io/sillreel/sim/SimNetwork.java
+++ b/src/test/java/io/sillreel/sim/SimNetwork.java
@@ -126,7 +126,7 @@
     public HttpClient from(String host, SimTime.Process process) {
         return (to, request, timeoutMicros) -> {
             CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
-            EventLoop.Timer timer = process.schedule(timeoutMicros, () -> answer.complete(HttpResponse.noAnswer()));
+            EventLoop.Timer timer = process.schedule(timeoutMicros, () -> answer.complete(HttpResponse.noResponse()));
             answer.thenRun(timer::cancel);
             Fate fate = Fate.DELIVER;
             for (Rule rule : rules) {
@@ -147,7 +147,7 @@
             }
             if (fate == Fate.REFUSE) {
                 if (!request.route().equals("/watch")) {
-                    process.schedule(delay(), () -> answer.complete(HttpResponse.refusal(503, "trouble")));
+                    process.schedule(delay(), () -> answer.complete(HttpResponse.error(503, "trouble")));
                 }
                 return answer;
             }
--- a/src/test/java/io/sillreel/sim/SimWorker.java
+++ b/src/test/java/io/sillreel/sim/SimWorker.java
@@ -222,7 +222,7 @@
         endLease();
         // A worker that hung has waited for too long by its own clock.
         HttpResponse response =
-                world.time().nowMicros() - sentMicros > ANSWER_MICROS ? HttpResponse.noAnswer() : answer;
+                world.time().nowMicros() - sentMicros > ANSWER_MICROS ? HttpResponse.noResponse() : answer;
         if (response.status() == 421
                 && world.nodeNamed(response.json().path("foreman").asText()) >= 0) {
             node = world.nodeNamed(response.json().path("foreman").asText());
--- a/src/test/java/io/sillreel/statestore/ScanTest.java
+++ b/src/test/java/io/sillreel/statestore/ScanTest.java
@@ -9,9 +9,9 @@
 import io.sillreel.sim.SimNetwork.Fate;
 import io.sillreel.sim.SimStateStore;
 import io.sillreel.sim.SimTime;
-import io.sillreel.statestore.StateStore.Entry;
-import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Scan;
+import io.sillreel.statestore.StateStore.ScanResult;
+import io.sillreel.statestore.StateStore.StoreOutcome;
+import io.sillreel.statestore.StateStore.StoredEntry;
 import io.sillreel.statestore.StateStore.Transaction;
 import java.util.ArrayList;
 import java.util.List;
@@ -41,7 +41,7 @@
         }
     }
 
-    private CompletableFuture<Boolean> take(List<Entry> page) {
+    private CompletableFuture<Boolean> take(List<StoredEntry> page) {
         page.forEach(entry -> read.add(entry.key()));
         return CompletableFuture.completedFuture(true);
     }
@@ -49,20 +49,20 @@
     /** Guards takeovers: a list of more pages than the rate allows at once began anew for ever. */
     @Test
     void aListThatIsLongerThanTheRateAllowsAtOnceIsReadToItsEnd() {
-        CompletableFuture<Scan> scan = store.scan("k/", this::take);
+        CompletableFuture<ScanResult> scan = store.scan("k/", this::take);
         time.runFor(5_000_000);
-        assertThat(scan).isCompletedWithValueMatching(done -> done.outcome() == Outcome.OK);
+        assertThat(scan).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.OK);
         assertThat(read).hasSize(ENTRIES).doesNotHaveDuplicates().isSorted();
     }
 
     /** Guards takeovers: what threw on an entry left the scan without an end, and the term waited for ever. */
     @Test
     void aPageThatCanNotBeTakenInEndsTheScan() {
-        CompletableFuture<Scan> scan = store.scan("k/", page -> {
+        CompletableFuture<ScanResult> scan = store.scan("k/", page -> {
             throw new IllegalArgumentException("not understood");
         });
         time.runFor(1_000_000);
-        assertThat(scan).isCompletedWithValueMatching(done -> done.outcome() == Outcome.REFUSED);
+        assertThat(scan).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.REFUSED);
     }
 
     @Test
@@ -75,9 +75,9 @@
             int requestNumber = requests[0]++;
             return requestNumber % 3 == 0 ? Fate.LOSE : requestNumber % 3 == 1 ? Fate.REFUSE : null;
         });
-        CompletableFuture<Scan> scan = store.scan("k/", this::take);
+        CompletableFuture<ScanResult> scan = store.scan("k/", this::take);
         time.runFor(60_000_000);
-        assertThat(scan).isCompletedWithValueMatching(done -> done.outcome() == Outcome.OK);
+        assertThat(scan).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.OK);
         assertThat(read).hasSize(ENTRIES).doesNotHaveDuplicates();
     }
 
@@ -85,40 +85,41 @@
     @Test
     void aLookThatIsRefusedOrUnansweredIsToldAtOnce() {
         state.outage(true);
-        CompletableFuture<StateStore.Listing> refused = store.list("k/");
+        CompletableFuture<StateStore.ListResult> refused = store.list("k/");
         time.runFor(200_000);
-        assertThat(refused).isCompletedWithValueMatching(listing -> listing.outcome() == Outcome.REFUSED);
+        assertThat(refused).isCompletedWithValueMatching(listing -> listing.outcome() == StoreOutcome.REFUSED);
         state.outage(false);
         network.add((from, to, request) -> Fate.LOSE);
-        CompletableFuture<StateStore.Listing> unanswered = store.list("k/");
+        CompletableFuture<StateStore.ListResult> unanswered = store.list("k/");
         time.runFor(1_600_000);
-        assertThat(unanswered).isCompletedWithValueMatching(listing -> listing.outcome() == Outcome.UNKNOWN);
+        assertThat(unanswered).isCompletedWithValueMatching(listing -> listing.outcome() == StoreOutcome.UNKNOWN);
     }
 
     /** Guards the following of changes: what can't be taken in would be asked for, and refused, for ever. */
     @Test
     void aWatchWhoseAnswerIsTooLargeCanNotGoOn() {
         StateStore small = new StateStore(
-                (to, request, timeout) -> CompletableFuture.completedFuture(HttpResponse.answerTooLarge()),
+                (to, request, timeout) -> CompletableFuture.completedFuture(HttpResponse.responseTooLarge()),
                 network.from("node", process),
                 process,
                 "state:1",
                 new RateLimiter(process, 4, 4),
                 new RateLimiter(process, 4, 4));
-        assertThat(small.watch("k/", 0, 1_000).join().outcome()).isEqualTo(Outcome.COMPACTED);
+        assertThat(small.watch("k/", 0, 1_000).join().outcome()).isEqualTo(StoreOutcome.COMPACTED);
     }
 
     @Test
     void aScanEndsWithAnOutageAndWithWhoeverNeedsNoMore() {
         state.outage(true);
-        CompletableFuture<Scan> refused = store.scan("k/", this::take);
+        CompletableFuture<ScanResult> refused = store.scan("k/", this::take);
         time.runFor(5_000_000);
-        assertThat(refused).isCompletedWithValueMatching(done -> done.outcome() == Outcome.REFUSED);
+        assertThat(refused).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.REFUSED);
         state.outage(false);
         int[] pages = new int[1];
-        CompletableFuture<Scan> ended = store.scan("k/", page -> CompletableFuture.completedFuture(++pages[0] < 2));
+        CompletableFuture<ScanResult> ended =
+                store.scan("k/", page -> CompletableFuture.completedFuture(++pages[0] < 2));
         time.runFor(5_000_000);
-        assertThat(ended).isCompletedWithValueMatching(done -> done.outcome() == Outcome.REFUSED);
+        assertThat(ended).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.REFUSED);
         assertThat(pages[0]).isEqualTo(2);
     }
 }
--- a/src/test/java/io/sillreel/statestore/WriteQueueTest.java
+++ b/src/test/java/io/sillreel/statestore/WriteQueueTest.java
@@ -9,7 +9,7 @@
 import io.sillreel.sim.SimNetwork.Rule;
 import io.sillreel.sim.SimStateStore;
 import io.sillreel.sim.SimTime;
-import io.sillreel.statestore.StateStore.Outcome;
+import io.sillreel.statestore.StateStore.StoreOutcome;
 import io.sillreel.statestore.StateStore.Transaction;
 import java.util.ArrayList;
 import java.util.List;
@@ -153,8 +153,8 @@
         var refused = spent.get("leader");
         var renewed = spent.renewLease(leaseId);
         time.runFor(100_000);
-        assertThat(refused.join().outcome()).isEqualTo(StateStore.Outcome.REFUSED);
-        assertThat(renewed.join()).isNotEqualTo(StateStore.Outcome.REFUSED);
+        assertThat(refused.join().outcome()).isEqualTo(StateStore.StoreOutcome.REFUSED);
+        assertThat(renewed.join()).isNotEqualTo(StateStore.StoreOutcome.REFUSED);
     }
 
     /** Guards against ends of jobs that wait behind progress when the store takes less than there is to write. */
@@ -253,7 +253,7 @@
         state.compact();
         var watch = store.watch("many/", 5, 1_000_000);
         time.runFor(100_000);
-        assertThat(watch.join().outcome()).isEqualTo(Outcome.COMPACTED);
+        assertThat(watch.join().outcome()).isEqualTo(StoreOutcome.COMPACTED);
     }
 
     @Test
@@ -278,10 +278,10 @@
             writeQueue.enqueue(progress);
         }
         writeQueue.enqueue(new Count("hire/1"));
-        assertThat(writeQueue.backlog()).isEqualTo(31);
+        assertThat(writeQueue.pendingCount()).isEqualTo(31);
         assertThat(writeQueue.urgentCount()).isEqualTo(1);
         time.runFor(1_000_000);
-        assertThat(writeQueue.backlog()).isEqualTo(30);
+        assertThat(writeQueue.pendingCount()).isEqualTo(30);
         assertThat(writeQueue.urgentCount()).isZero();
     }
 }
