--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -332,9 +332,9 @@
     }
 
     @Override
-    public Counts of(String uid) {
+    public Counts countsOf(String uid) {
         LeaderTerm current = leaderTerm;
-        return current == null ? null : current.of(uid);
+        return current == null ? null : current.countsOf(uid);
     }
 
     /** What is counted here, for the registry of a program that embeds this. */
--- a/src/main/java/io/sillreel/admission/Admission.java
+++ b/src/main/java/io/sillreel/admission/Admission.java
@@ -326,7 +326,7 @@
     }
 
     private ObjectNode answer(JobStatus status) {
-        return status.answer(status.terminal() ? null : live.of(status.uid()));
+        return status.answer(status.terminal() ? null : live.countsOf(status.uid()));
     }
 
     private static HttpResponse cannotRead() {
--- a/src/main/java/io/sillreel/admission/JobStatus.java
+++ b/src/main/java/io/sillreel/admission/JobStatus.java
@@ -71,14 +71,14 @@
         ObjectNode node = Json.object().put("uid", uid);
         if (cancelled()) {
             return node.put("stage", "withdrawn")
-                    .put("done", head == null ? 0 : head.done())
+                    .put("done", head == null ? 0 : head.doneTasks())
                     .put("running", 0);
         }
         if (done()) {
             return node.put("stage", RunRecord.DONE).put("done", head.tasks()).put("running", 0);
         }
-        int running = live != null ? live.running() : head == null ? 0 : head.running();
-        int done = live != null ? live.done() : head == null ? 0 : head.done();
+        int running = live != null ? live.running() : head == null ? 0 : head.runningTasks();
+        int done = live != null ? live.done() : head == null ? 0 : head.doneTasks();
         String reason = live != null ? live.reason() : head == null ? null : head.reason();
         node.put("stage", running > 0 ? "running" : "queued").put("done", done).put("running", running);
         if (reason != null) {
--- a/src/main/java/io/sillreel/admission/JobStatusReader.java
+++ b/src/main/java/io/sillreel/admission/JobStatusReader.java
@@ -86,7 +86,7 @@
     private static void addChainPlan(Map<String, ChainPlan> plans, Entry entry) {
         PlanRecord plan = PlanRecord.fromJson(entry.value());
         JobSpec spec = plan.spec();
-        if (plan.complete() && !spec.dependencies().isEmpty()) {
+        if (plan.isComplete() && !spec.dependencies().isEmpty()) {
             plans.put(spec.uid(), new ChainPlan(entry.revision(), spec.tasks(), spec.dependencies()));
         }
     }
@@ -137,7 +137,7 @@
                 return CompletableFuture.completedFuture(Optional.of(old));
             }
             return PlanRecord.fromJson(read.entry().value())
-                    .complete(store)
+                    .loadOverflow(store)
                     .thenApply(plan -> plan.map(whole -> planned(uid, read.revision(), whole.spec())));
         });
     }
--- a/src/main/java/io/sillreel/heartbeat/FaultAttribution.java
+++ b/src/main/java/io/sillreel/heartbeat/FaultAttribution.java
@@ -26,10 +26,10 @@
             return Fault.MACHINE;
         }
         machine.health().addSuspicion(job.uid());
-        job.failedOn().add(machine.name());
+        job.failedMachines().add(machine.name());
         if (machine.health().suspectingJobs().size() > 1) {
             return Fault.MACHINE;
         }
-        return job.failedOn().size() >= MACHINES_THAT_FAIL_A_JOB ? Fault.JOB : Fault.UNKNOWN;
+        return job.failedMachines().size() >= MACHINES_THAT_FAIL_A_JOB ? Fault.JOB : Fault.UNKNOWN;
     }
 }
--- a/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
+++ b/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
@@ -147,7 +147,7 @@
 
     /** A job that succeeds is no mistake: the machines that failed it before are the faulty ones. */
     private void attributeEarlierFailures(ActiveJob job) {
-        for (String name : job.failedOn()) {
+        for (String name : job.failedMachines()) {
             Machine suspectedMachine = cluster.machine(name);
             if (suspectedMachine != null
                     && suspectedMachine.health().suspectingJobs().contains(job.uid())) {
@@ -169,15 +169,17 @@
                         allocation.uid(),
                         allocation.taskIndex());
                 machine.drain("faulty");
-                job.failedOn().remove(machine.name());
+                job.failedMachines().remove(machine.name());
             }
             case JOB -> {
                 for (Machine suspectedMachine : cluster.machines()) {
                     suspectedMachine.health().clearSuspicion(job.uid());
                 }
                 job.recordFailedAttempt(
-                        retries, eventLoop.wallMicros(), "its tasks failed on " + String.join(" and ", job.failedOn()));
-                job.failedOn().clear();
+                        retries,
+                        eventLoop.wallMicros(),
+                        "its tasks failed on " + String.join(" and ", job.failedMachines()));
+                job.failedMachines().clear();
                 LOG.info("job {}: {}", job.uid(), job.reason());
                 writeQueue.enqueue(job);
             }
--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -160,7 +160,7 @@
 
     /** A job that was admitted during the term; names in overflow values are read first. */
     private void enter(PlanRecord plan, long revision) {
-        plan.complete(store).thenAccept(complete -> {
+        plan.loadOverflow(store).thenAccept(complete -> {
             if (closed) {
                 return;
             }
@@ -180,7 +180,7 @@
     }
 
     @Override
-    public void becameReady(ActiveJob job) {
+    public void dependenciesMet(ActiveJob job) {
         if (job.isCancelled()) {
             return;
         }
@@ -197,7 +197,7 @@
      * The cancellation of what follows is told from that of the first; writing it down spares readers to look for it.
      */
     @Override
-    public void skipped(ActiveJob job, String because) {
+    public void dependencyCancelled(ActiveJob job, String because) {
         if (cancelledUids.add(job.uid())) {
             LOG.info("cancelled {}, which needs {}", job.uid(), because);
             writeQueue.enqueue(new CascadingCancellation(job.uid(), because, eventLoop.wallMicros()));
@@ -206,7 +206,7 @@
     }
 
     @Override
-    public void lookUp(String uid) {
+    public void lookUpCompletion(String uid) {
         if (closed || !dependencies.isAwaitingLookup(uid)) {
             return;
         }
@@ -226,7 +226,7 @@
             // Not read, or not done though nobody drives it: its plan may yet be seen.
             eventLoop.schedule(LOOK_AGAIN_MICROS, () -> {
                 synchronized (cluster) {
-                    lookUp(uid);
+                    lookUpCompletion(uid);
                 }
             });
         });
@@ -325,8 +325,8 @@
             for (ActiveJob job : List.copyOf(cluster.jobs())) {
                 if (job.isCancelled() && job.allocatedCount() == 0) {
                     cluster.remove(job);
-                    dependencies.forget(job);
-                    enqueueWrites(job.leftovers());
+                    dependencies.remove(job);
+                    enqueueWrites(job.removalsOfChunks());
                 }
             }
         }
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -356,7 +356,7 @@
     // --- For display -----------------------------------------------------------------------------------------------
 
     @Override
-    public Counts of(String uid) {
+    public Counts countsOf(String uid) {
         synchronized (cluster) {
             ActiveJob job = cluster.job(uid);
             return job == null || job.isComplete()
--- a/src/main/java/io/sillreel/leadership/StoredJobsReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredJobsReader.java
@@ -138,7 +138,7 @@
         List<PendingWrite> leftovers = new ArrayList<>();
         parts.forEach((uid, stored) -> {
             if (done.contains(uid)) {
-                leftovers.addAll(stored.removals());
+                leftovers.addAll(stored.removeAll());
             }
         });
         return new StoredState(
--- a/src/main/java/io/sillreel/leadership/StoredStateReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredStateReader.java
@@ -35,7 +35,7 @@
      */
     StoredStateReader(StateStore store, int presentValueBytes, LongPredicate countsAsDemand, BooleanSupplier wanted) {
         this.store = store;
-        this.previousVersionChunkTasks = RunRecord.chunkTasks(presentValueBytes);
+        this.previousVersionChunkTasks = RunRecord.tasksPerChunk(presentValueBytes);
         this.countsAsDemand = countsAsDemand;
         this.wanted = wanted;
     }
@@ -88,7 +88,7 @@
     /** Adds what lies in overflow values, which few plans have. */
     private CompletableFuture<Optional<StoredState>> complete(StoredState state) {
         List<CompletableFuture<Optional<PlanRecord>>> plans = new ArrayList<>();
-        state.unfinished().forEach(job -> plans.add(job.plan().complete(store)));
+        state.unfinished().forEach(job -> plans.add(job.plan().loadOverflow(store)));
         return CompletableFuture.allOf(plans.toArray(CompletableFuture[]::new)).thenApply(done -> {
             for (int index = 0; index < plans.size(); index++) {
                 Optional<PlanRecord> plan = plans.get(index).join();
--- a/src/main/java/io/sillreel/pipeline/ActiveJob.java
+++ b/src/main/java/io/sillreel/pipeline/ActiveJob.java
@@ -28,14 +28,14 @@
     private final JobSpec spec;
     private final long planRevision;
     private final long admittedWallMicros;
-    private final Listener watcher;
+    private final Listener listener;
     private final StoredCompletionBitmap done;
     private final BitSet allocated = new BitSet();
     /** Tasks that are done or have an allocation; kept with the counts, since reports ask for them all the time. */
     private final BitSet occupied = new BitSet();
 
     private final Int2IntCounterMap allocations = new Int2IntCounterMap(0);
-    private final Set<String> failedOn = new HashSet<>();
+    private final Set<String> failedMachines = new HashSet<>();
 
     private int allocatedCount;
     private int occupiedCount;
@@ -52,8 +52,8 @@
     private boolean doneSent;
     private boolean isCompletionStored;
     private boolean isCancelled;
-    private int attempts;
-    private int attemptsSent;
+    private int failedAttempts;
+    private int sentFailedAttempts;
     private long nextAttemptWallMicros;
     private String reason;
     private boolean hasSucceededOnce;
@@ -67,7 +67,7 @@
         this.spec = spec;
         this.planRevision = planRevision;
         this.admittedWallMicros = admittedWallMicros;
-        this.watcher = watcher;
+        this.listener = watcher;
         this.done = new StoredCompletionBitmap(
                 spec.uid(), spec.tasks(), limits, () -> watcher.enqueueWrites(List.of(this)));
         resetInheritedUrgency();
@@ -81,12 +81,12 @@
         isReleased = true;
         isInherited = true;
         markReady = true;
-        if (head.readyMicros() > 0) {
-            readyWallMicros = head.readyMicros();
+        if (head.readyWallMicros() > 0) {
+            readyWallMicros = head.readyWallMicros();
         }
-        attempts = head.attempts();
-        attemptsSent = attempts;
-        nextAttemptWallMicros = head.nextAttemptMicros();
+        failedAttempts = head.failedAttempts();
+        sentFailedAttempts = failedAttempts;
+        nextAttemptWallMicros = head.nextAttemptWallMicros();
         reason = head.reason();
         done.inherit(head, storedParts);
         done.copyInto(occupied);
@@ -179,7 +179,7 @@
     }
 
     public boolean isComplete() {
-        return done.complete();
+        return done.isComplete();
     }
 
     /** True once every user may be told that the job is done. */
@@ -209,8 +209,8 @@
             occupiedCount++;
         }
         hasSucceededOnce = true;
-        failedOn.clear();
-        attempts = 0;
+        failedMachines.clear();
+        failedAttempts = 0;
         nextAttemptWallMicros = 0;
         reason = null;
         return true;
@@ -298,22 +298,22 @@
         return hasSucceededOnce;
     }
 
-    public Set<String> failedOn() {
-        return failedOn;
+    public Set<String> failedMachines() {
+        return failedMachines;
     }
 
     /** An attempt that the job itself failed: the next one is scheduled, or the job is parked. */
     public void recordFailedAttempt(RetrySchedule schedule, long wallMicros, String why) {
-        attempts++;
-        nextAttemptWallMicros = schedule.nextAttemptMicros(attempts, wallMicros);
-        reason = schedule.exhausted(attempts)
-                ? "parked after " + attempts + " failed attempts: " + why
-                : "attempt " + attempts + " failed: " + why;
+        failedAttempts++;
+        nextAttemptWallMicros = schedule.nextAttemptMicros(failedAttempts, wallMicros);
+        reason = schedule.isExhausted(failedAttempts)
+                ? "parked after " + failedAttempts + " failed attempts: " + why
+                : "attempt " + failedAttempts + " failed: " + why;
     }
 
     /** What is stored beside the head, once nobody needs it any more. */
-    public List<PendingWrite> leftovers() {
-        return done.leftovers();
+    public List<PendingWrite> removalsOfChunks() {
+        return done.removalsOfChunks();
     }
 
     @Override
@@ -331,7 +331,7 @@
         if (isComplete()) {
             return WriteUrgency.JOB_END;
         }
-        return isReleased && attempts == attemptsSent ? WriteUrgency.PROGRESS : WriteUrgency.JOB_START;
+        return isReleased && failedAttempts == sentFailedAttempts ? WriteUrgency.PROGRESS : WriteUrgency.JOB_START;
     }
 
     @Override
@@ -346,7 +346,7 @@
 
     @Override
     public KeyChange change() {
-        attemptsSent = attempts;
+        sentFailedAttempts = failedAttempts;
         doneSent = isComplete();
         StoredCompletionBitmap.InHead inHead = done.write();
         int running = allocatedCount;
@@ -355,7 +355,7 @@
                         spec.tasks(),
                         done.count(),
                         running,
-                        attempts,
+                        failedAttempts,
                         nextAttemptWallMicros,
                         stage,
                         reason,
@@ -373,15 +373,15 @@
         isCompletionStored |= doneSent;
         List<PendingWrite> unneeded = done.headStored(isCompletionStored);
         if (!unneeded.isEmpty()) {
-            watcher.enqueueWrites(unneeded);
+            listener.enqueueWrites(unneeded);
         }
-        watcher.recordStored(this);
+        listener.recordStored(this);
     }
 
     @Override
     public void onTooLarge() {
         if (done.moveToChunks()) {
-            watcher.enqueueWrites(List.of(this));
+            listener.enqueueWrites(List.of(this));
         }
     }
 
@@ -392,6 +392,6 @@
 
     @Override
     public void onPreconditionFailed() {
-        watcher.cancellationFound(this);
+        listener.cancellationFound(this);
     }
 }
--- a/src/main/java/io/sillreel/pipeline/CompletionBitmapChunks.java
+++ b/src/main/java/io/sillreel/pipeline/CompletionBitmapChunks.java
@@ -25,21 +25,21 @@
 
     private final String uid;
     private final int tasksPerChunk;
-    private final long[] named;
-    private final Set<Integer> dirty = new HashSet<>();
+    private final long[] referencedGenerations;
+    private final Set<Integer> changedChunks = new HashSet<>();
     private final Map<Integer, Chunk> pending = new LinkedHashMap<>();
     /** Stamps of what is stored, by key; what is not named by the next head is removed after it. */
-    private final Map<String, Long> stored = new HashMap<>();
+    private final Map<String, Long> storedRevisions = new HashMap<>();
 
-    private final Consumer<CompletionBitmapChunks> onStored;
+    private final Consumer<CompletionBitmapChunks> onAllStored;
     private long lastGeneration;
 
     /** @param onStored told when all parts that the next head is to name are stored */
     CompletionBitmapChunks(String uid, int tasks, int per, Consumer<CompletionBitmapChunks> onStored) {
         this.uid = uid;
         this.tasksPerChunk = per;
-        this.named = new long[(tasks + per - 1) / per];
-        this.onStored = onStored;
+        this.referencedGenerations = new long[(tasks + per - 1) / per];
+        this.onAllStored = onStored;
     }
 
     static String key(String uid, int index, long generation) {
@@ -53,19 +53,19 @@
 
     /** Takes over what the head names, if it was cut alike; else everything is written anew. */
     void inherit(RunRecord.Head head, Map<String, Long> stamps, BitSet done) {
-        stored.putAll(stamps);
+        storedRevisions.putAll(stamps);
         for (String key : stamps.keySet()) {
             if (key.startsWith(PREFIX)) {
                 lastGeneration = Math.max(lastGeneration, Long.parseLong(key.substring(key.lastIndexOf('/') + 1)));
             }
         }
-        if (head.tasksPerChunk() == tasksPerChunk && head.chunkGenerations().length == named.length) {
-            System.arraycopy(head.chunkGenerations(), 0, named, 0, named.length);
+        if (head.tasksPerChunk() == tasksPerChunk && head.chunkGenerations().length == referencedGenerations.length) {
+            System.arraycopy(head.chunkGenerations(), 0, referencedGenerations, 0, referencedGenerations.length);
         } else {
             for (int task = done.nextSetBit(0);
                     task >= 0;
                     task = done.nextSetBit((task / tasksPerChunk + 1) * tasksPerChunk)) {
-                dirty.add(task / tasksPerChunk);
+                changedChunks.add(task / tasksPerChunk);
             }
         }
     }
@@ -75,19 +75,19 @@
     }
 
     void markChanged(int task) {
-        dirty.add(task / tasksPerChunk);
+        changedChunks.add(task / tasksPerChunk);
     }
 
     /** Parts to be written before the next head; none once all that it is to name are stored. */
     List<PendingWrite> pendingWrites(BitSet done) {
-        dirty.removeIf(index -> {
+        changedChunks.removeIf(index -> {
             Chunk older = pending.get(index);
             if (older != null && !older.isStored()) {
                 // One generation at a time: what has come since goes with the next.
                 return false;
             }
             if (older != null) {
-                stored.put(older.key(), older.revision());
+                storedRevisions.put(older.key(), older.revision());
             }
             pending.put(
                     index,
@@ -102,7 +102,7 @@
 
     /** The generations that the head is to name now. */
     long[] generations() {
-        long[] next = named.clone();
+        long[] next = referencedGenerations.clone();
         pending.values().stream().filter(Chunk::isStored).forEach(part -> next[part.index] = part.generation);
         return next;
     }
@@ -118,17 +118,17 @@
 
     /** The head with those generations is stored: what it does not name is to be removed. */
     List<PendingWrite> headStored(long[] generations) {
-        System.arraycopy(generations, 0, named, 0, named.length);
+        System.arraycopy(generations, 0, referencedGenerations, 0, referencedGenerations.length);
         pending.values().removeIf(part -> {
-            if (part.isStored() && named[part.index] == part.generation) {
-                stored.put(part.key(), part.revision());
+            if (part.isStored() && referencedGenerations[part.index] == part.generation) {
+                storedRevisions.put(part.key(), part.revision());
                 return true;
             }
             return false;
         });
         Set<String> kept = new HashSet<>();
-        for (int index = 0; index < named.length; index++) {
-            kept.add(key(uid, index, named[index]));
+        for (int index = 0; index < referencedGenerations.length; index++) {
+            kept.add(key(uid, index, referencedGenerations[index]));
         }
         pending.values().forEach(part -> kept.add(part.key()));
         return remove(kept);
@@ -136,14 +136,14 @@
 
     /** The job is over: nothing of it is needed any more. */
     List<PendingWrite> removeAll() {
-        pending.values().forEach(part -> stored.put(part.key(), part.revision()));
+        pending.values().forEach(part -> storedRevisions.put(part.key(), part.revision()));
         pending.clear();
         return remove(Set.of());
     }
 
     private List<PendingWrite> remove(Set<String> kept) {
         List<PendingWrite> removals = new ArrayList<>();
-        stored.entrySet().removeIf(entry -> {
+        storedRevisions.entrySet().removeIf(entry -> {
             if (kept.contains(entry.getKey())) {
                 return false;
             }
@@ -158,7 +158,7 @@
         final int index;
         final long generation;
         final BitSet bits;
-        private boolean confirmed;
+        private boolean isStored;
 
         Chunk(int index, long generation, BitSet bits) {
             super(CompletionBitmapChunks.key(uid, index, generation), 0);
@@ -168,7 +168,7 @@
         }
 
         boolean isStored() {
-            return confirmed;
+            return isStored;
         }
 
         @Override
@@ -180,15 +180,15 @@
         public KeyChange change() {
             return pending.get(index) != this
                     ? KeyChange.NONE
-                    : KeyChange.put(Json.object().put("bits", RunRecord.encode(bits)));
+                    : KeyChange.put(Json.object().put("bits", RunRecord.encodeBitmap(bits)));
         }
 
         @Override
         public void onStored(long newRevision) {
             super.onStored(newRevision);
-            confirmed = true;
+            isStored = true;
             if (pending.values().stream().allMatch(Chunk::isStored)) {
-                onStored.accept(CompletionBitmapChunks.this);
+                onAllStored.accept(CompletionBitmapChunks.this);
             }
         }
     }
--- a/src/main/java/io/sillreel/pipeline/DependencyGraph.java
+++ b/src/main/java/io/sillreel/pipeline/DependencyGraph.java
@@ -1,6 +1,6 @@
 package io.sillreel.pipeline;
 
-import io.sillreel.pipeline.PipelinePlan.Link;
+import io.sillreel.pipeline.PipelinePlan.Dependency;
 import io.sillreel.pipeline.PipelineRun.JobState;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -22,13 +22,13 @@
     /** What becomes of jobs when links settle. */
     public interface Callbacks {
         /** All that the job awaits is stored as done: it may be released. */
-        void becameReady(ActiveJob job);
+        void dependenciesMet(ActiveJob job);
 
         /** Something that the job awaits was cancelled, and so it is. */
-        void skipped(ActiveJob job, String because);
+        void dependencyCancelled(ActiveJob job, String because);
 
         /** Find out whether the job, which is not driven here, is done, and tell {@link #lookupSucceeded}. */
-        void lookUp(String uid);
+        void lookUpCompletion(String uid);
     }
 
     private final Callbacks callbacks;
@@ -51,11 +51,11 @@
         unfinished.forEach(job -> byUid.put(job.uid(), job));
         Set<String> names = new LinkedHashSet<>(byUid.keySet());
         Set<String> unknown = new HashSet<>();
-        List<Link> links = new ArrayList<>();
+        List<Dependency> links = new ArrayList<>();
         for (ActiveJob job : unfinished) {
-            for (String awaited : awaitedBy(job)) {
+            for (String awaited : unmetDependencies(job)) {
                 if (!done.test(awaited)) {
-                    links.add(PipelinePlan.needs(job.uid(), awaited));
+                    links.add(PipelinePlan.onSuccessOf(job.uid(), awaited));
                     if (!byUid.containsKey(awaited)) {
                         names.add(awaited);
                         unknown.add(awaited);
@@ -64,30 +64,30 @@
             }
         }
         PipelinePlan plan = PipelinePlan.compile(names, links);
-        for (String uid : plan.order()) {
+        for (String uid : plan.topologicalOrder()) {
             if (unknown.contains(uid)) {
-                run.observe(uid);
+                run.addExternal(uid);
             } else {
-                join(byUid.get(uid), plan.into(uid));
+                addToRun(byUid.get(uid), plan.dependenciesOf(uid));
             }
         }
-        for (String uid : plan.order()) {
+        for (String uid : plan.topologicalOrder()) {
             if (cancelled.test(uid)) {
                 markCancelled(uid);
             }
         }
-        for (String uid : run.ready()) {
-            callbacks.becameReady(jobs.get(uid));
+        for (String uid : run.readyJobs()) {
+            callbacks.dependenciesMet(jobs.get(uid));
         }
-        unknown.forEach(callbacks::lookUp);
+        unknown.forEach(callbacks::lookUpCompletion);
     }
 
     /** A job that was admitted during the term. */
     public void add(ActiveJob job, Predicate<String> cancelled) {
-        List<Link> into = new ArrayList<>();
+        List<Dependency> into = new ArrayList<>();
         List<String> unknown = new ArrayList<>();
         String closedBy = null;
-        for (String awaited : awaitedBy(job)) {
+        for (String awaited : unmetDependencies(job)) {
             if (run.state(awaited) == JobState.SUCCEEDED) {
                 continue;
             }
@@ -95,25 +95,25 @@
             if (closed) {
                 closedBy = awaited;
             }
-            if (!run.knows(awaited)) {
-                run.observe(awaited);
+            if (!run.contains(awaited)) {
+                run.addExternal(awaited);
                 if (!closed) {
                     unknown.add(awaited);
                 }
             }
-            into.add(PipelinePlan.needs(job.uid(), awaited));
+            into.add(PipelinePlan.onSuccessOf(job.uid(), awaited));
         }
-        join(job, into);
+        addToRun(job, into);
         if (closedBy != null) {
             run.cancel(job.uid());
-            callbacks.skipped(job, closedBy);
+            callbacks.dependencyCancelled(job, closedBy);
         } else if (run.state(job.uid()) == JobState.READY) {
-            callbacks.becameReady(job);
+            callbacks.dependenciesMet(job);
         }
-        unknown.forEach(callbacks::lookUp);
+        unknown.forEach(callbacks::lookUpCompletion);
     }
 
-    private void join(ActiveJob job, Collection<Link> into) {
+    private void addToRun(ActiveJob job, Collection<Dependency> into) {
         jobs.put(job.uid(), job);
         run.add(job.uid(), into);
         if (job.isReleased()) {
@@ -121,7 +121,7 @@
         }
     }
 
-    private static List<String> awaitedBy(ActiveJob job) {
+    private static List<String> unmetDependencies(ActiveJob job) {
         // Whoever has been released had all that it awaits.
         return job.isReleased() ? List.of() : job.spec().dependencies();
     }
@@ -136,26 +136,26 @@
     /** The end is stored: what awaited only this is ready. */
     public void markDone(ActiveJob job) {
         if (run.state(job.uid()) == JobState.RELEASED) {
-            tellReady(run.settle(job.uid(), true));
+            notifyReady(run.complete(job.uid(), true));
         }
-        forget(job);
+        remove(job);
     }
 
     /** What was asked for by {@link Callbacks#lookUp} is known: the job is done. */
     public void lookupSucceeded(String uid) {
-        tellReady(run.resolveObserved(uid, true));
+        notifyReady(run.completeExternal(uid, true));
         if (run.state(uid) == JobState.SUCCEEDED) {
-            run.forget(uid);
+            run.remove(uid);
         }
     }
 
     /** True if somebody still waits to know whether that job is done. */
     public boolean isAwaitingLookup(String uid) {
-        return run.isObserved(uid) && run.state(uid) == JobState.WAITING;
+        return run.isExternal(uid) && run.state(uid) == JobState.WAITING;
     }
 
-    private void tellReady(List<String> uids) {
-        uids.forEach(uid -> callbacks.becameReady(jobs.get(uid)));
+    private void notifyReady(List<String> uids) {
+        uids.forEach(uid -> callbacks.dependenciesMet(jobs.get(uid)));
     }
 
     /** The job's cancellation is stored: all that needs it is closed, in compiled order. */
@@ -163,32 +163,32 @@
         for (String closed : run.cancel(uid)) {
             ActiveJob job = jobs.get(closed);
             if (job != null) {
-                callbacks.skipped(job, uid);
+                callbacks.dependencyCancelled(job, uid);
             }
         }
     }
 
     /** The job is over, and nothing of it is anywhere any more. */
-    public void forget(ActiveJob job) {
-        List<String> upstream = run.upstream(job.uid());
-        run.forget(job.uid());
+    public void remove(ActiveJob job) {
+        List<String> upstream = run.upstreamJobs(job.uid());
+        run.remove(job.uid());
         jobs.remove(job.uid());
         for (String each : upstream) {
             // Nobody asks any more what became of it.
-            if (run.isObserved(each) && run.downstream(each).isEmpty()) {
-                run.forget(each);
+            if (run.isExternal(each) && run.downstreamJobs(each).isEmpty()) {
+                run.remove(each);
             }
         }
     }
 
     /** Jobs that need the given one directly. */
     public List<ActiveJob> dependents(ActiveJob job) {
-        return present(run.downstream(job.uid()));
+        return present(run.downstreamJobs(job.uid()));
     }
 
     /** Jobs that the given one still awaits directly, as far as they are driven here. */
     public List<ActiveJob> dependencies(ActiveJob job) {
-        return present(run.upstream(job.uid()));
+        return present(run.upstreamJobs(job.uid()));
     }
 
     private List<ActiveJob> present(List<String> uids) {
--- a/src/main/java/io/sillreel/pipeline/JobIdSet.java
+++ b/src/main/java/io/sillreel/pipeline/JobIdSet.java
@@ -11,26 +11,26 @@
     private static final int DECIMAL = 10;
 
     /** Ids as numbers; no id is coded as the value that stands for a free place. */
-    private final LongHashSet codes = new LongHashSet();
+    private final LongHashSet encodedIds = new LongHashSet();
 
     /** Adds the id; true if it was not in the set. */
     public boolean add(String uid) {
-        return codes.add(code(uid));
+        return encodedIds.add(encode(uid));
     }
 
     public boolean contains(String uid) {
-        return codes.contains(code(uid));
+        return encodedIds.contains(encode(uid));
     }
 
     public int size() {
-        return codes.size();
+        return encodedIds.size();
     }
 
     /**
      * The digits of the id behind a 1, since ids may begin with zeros: job-07 is not job-7. An id has at most eighteen
      * digits.
      */
-    private static long code(String uid) {
+    private static long encode(String uid) {
         if (!uid.startsWith(PREFIX)) {
             throw new IllegalArgumentException("not the id of a job: " + uid);
         }
--- a/src/main/java/io/sillreel/pipeline/LiveTaskCounts.java
+++ b/src/main/java/io/sillreel/pipeline/LiveTaskCounts.java
@@ -6,5 +6,5 @@
     record Counts(int done, int running, String reason) {}
 
     /** Counts of an unfinished job, or null if this controller does not know them. */
-    Counts of(String uid);
+    Counts countsOf(String uid);
 }
--- a/src/main/java/io/sillreel/pipeline/PipelinePlan.java
+++ b/src/main/java/io/sillreel/pipeline/PipelinePlan.java
@@ -12,35 +12,39 @@
 /** Jobs and the links between them, compiled into a stable topological order in which the job id breaks ties. */
 public final class PipelinePlan {
     /** Which settlement of the upstream job makes a link emit; the other closes it. */
-    public enum Port {
-        SUCCESS,
-        FAILURE
+    public enum Condition {
+        ON_SUCCESS,
+        ON_FAILURE
     }
 
     /** A link from one job to another; the downstream job needs every one of its links to emit. */
-    public record Link(String id, String from, Port port, String to) {}
+    public record Dependency(String id, String upstream, Condition condition, String downstream) {}
 
-    private final List<String> order;
-    private final List<Link> links;
-    private final Map<String, List<Link>> into = new HashMap<>();
-    private final Map<String, List<Link>> outOf = new HashMap<>();
+    private final List<String> topologicalOrder;
+    private final List<Dependency> dependencies;
+    private final Map<String, List<Dependency>> dependenciesOf = new HashMap<>();
+    private final Map<String, List<Dependency>> dependentsOf = new HashMap<>();
 
-    private PipelinePlan(List<String> order, List<Link> links) {
-        this.order = order;
-        this.links = links;
-        for (Link link : links) {
-            into.computeIfAbsent(link.to(), job -> new ArrayList<>()).add(link);
-            outOf.computeIfAbsent(link.from(), job -> new ArrayList<>()).add(link);
+    private PipelinePlan(List<String> order, List<Dependency> links) {
+        this.topologicalOrder = order;
+        this.dependencies = links;
+        for (Dependency link : links) {
+            dependenciesOf
+                    .computeIfAbsent(link.downstream(), job -> new ArrayList<>())
+                    .add(link);
+            dependentsOf
+                    .computeIfAbsent(link.upstream(), job -> new ArrayList<>())
+                    .add(link);
         }
     }
 
     /** The link by which a job needs the success of another one. */
-    public static Link needs(String job, String awaited) {
-        return new Link(awaited + ">" + job, awaited, Port.SUCCESS, job);
+    public static Dependency onSuccessOf(String job, String awaited) {
+        return new Dependency(awaited + ">" + job, awaited, Condition.ON_SUCCESS, job);
     }
 
     /** @throws IllegalArgumentException if an id repeats, a link ends nowhere, or there is a cycle */
-    public static PipelinePlan compile(Collection<String> jobs, Collection<Link> links) {
+    public static PipelinePlan compile(Collection<String> jobs, Collection<Dependency> links) {
         Map<String, Integer> waitingFor = new HashMap<>();
         for (String job : jobs) {
             if (waitingFor.put(job, 0) != null) {
@@ -49,15 +53,17 @@
         }
         Map<String, List<String>> downstream = new HashMap<>();
         Set<String> linkIds = new HashSet<>();
-        for (Link link : links) {
+        for (Dependency link : links) {
             if (!linkIds.add(link.id())) {
                 throw new IllegalArgumentException("link " + link.id() + " stands twice");
             }
-            if (!waitingFor.containsKey(link.from()) || !waitingFor.containsKey(link.to())) {
+            if (!waitingFor.containsKey(link.upstream()) || !waitingFor.containsKey(link.downstream())) {
                 throw new IllegalArgumentException("link " + link.id() + " ends at no job");
             }
-            waitingFor.merge(link.to(), 1, Integer::sum);
-            downstream.computeIfAbsent(link.from(), job -> new ArrayList<>()).add(link.to());
+            waitingFor.merge(link.downstream(), 1, Integer::sum);
+            downstream
+                    .computeIfAbsent(link.upstream(), job -> new ArrayList<>())
+                    .add(link.downstream());
         }
         PriorityQueue<String> free = new PriorityQueue<>();
         waitingFor.forEach((job, count) -> {
@@ -81,19 +87,19 @@
         return new PipelinePlan(List.copyOf(order), List.copyOf(links));
     }
 
-    public List<String> order() {
-        return order;
+    public List<String> topologicalOrder() {
+        return topologicalOrder;
     }
 
-    public List<Link> links() {
-        return links;
+    public List<Dependency> dependencies() {
+        return dependencies;
     }
 
-    public List<Link> into(String job) {
-        return into.getOrDefault(job, List.of());
+    public List<Dependency> dependenciesOf(String job) {
+        return dependenciesOf.getOrDefault(job, List.of());
     }
 
-    public List<Link> outOf(String job) {
-        return outOf.getOrDefault(job, List.of());
+    public List<Dependency> dependentsOf(String job) {
+        return dependentsOf.getOrDefault(job, List.of());
     }
 }
--- a/src/main/java/io/sillreel/pipeline/PipelineRun.java
+++ b/src/main/java/io/sillreel/pipeline/PipelineRun.java
@@ -1,7 +1,7 @@
 package io.sillreel.pipeline;
 
-import io.sillreel.pipeline.PipelinePlan.Link;
-import io.sillreel.pipeline.PipelinePlan.Port;
+import io.sillreel.pipeline.PipelinePlan.Condition;
+import io.sillreel.pipeline.PipelinePlan.Dependency;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -13,16 +13,16 @@
 import java.util.Map;
 
 /**
- * How far a pipeline has come. Each link settles once; a job is ready once all links into it have emitted, and skipped
- * once one of them has not. A cancelled pipeline releases nothing more. Jobs may join behind those that are there, and
- * are forgotten once they are over; either costs as much as the links that it touches.
+ * How far a pipeline has come. Each dependency settles once; a job is ready once all links into it have emitted, and
+ * skipped once one of them has not. A cancelled pipeline releases nothing more. Jobs may join behind those that are
+ * there, and are forgotten once they are over; either costs as much as the links that it touches.
  */
 public final class PipelineRun {
-    /** How a link between two jobs stands; each leaves {@code OPEN} once. */
-    public enum LinkState {
-        OPEN,
-        EMITTED,
-        CLOSED,
+    /** How a dependency between two jobs stands; each leaves {@code OPEN} once. */
+    public enum DependencyState {
+        PENDING,
+        SATISFIED,
+        UNSATISFIED,
         SKIPPED
     }
 
@@ -39,14 +39,14 @@
 
     private static final class Node {
         final String job;
-        final Map<String, Link> into = new LinkedHashMap<>();
-        final Map<String, Link> outOf = new LinkedHashMap<>();
+        final Map<String, Dependency> dependencies = new LinkedHashMap<>();
+        final Map<String, Dependency> dependents = new LinkedHashMap<>();
         /** Its place in the compiled order. */
-        long place;
+        long position;
         /** Links into it that have not emitted; review looks at them only when one has settled. */
-        int notEmitted;
+        int unsatisfiedCount;
         /** Known only because others need it: its end is found, not driven from here. */
-        boolean observed;
+        boolean isExternal;
 
         JobState state = JobState.WAITING;
 
@@ -55,59 +55,59 @@
         }
     }
 
-    private final Map<String, LinkState> links = new HashMap<>();
+    private final Map<String, DependencyState> dependencyStates = new HashMap<>();
     private final Map<String, Node> nodes = new LinkedHashMap<>();
-    private long places;
+    private long nextPosition;
     private boolean isCancelled;
 
     public PipelineRun(PipelinePlan plan) {
-        plan.order().forEach(job -> add(job, plan.into(job)));
+        plan.topologicalOrder().forEach(job -> add(job, plan.dependenciesOf(job)));
     }
 
     /**
      * A job joins with its links from jobs that are there. It comes after them in the compiled order, since they were
      * admitted before it.
      */
-    public void add(String job, Collection<Link> into) {
-        observe(job);
+    public void add(String job, Collection<Dependency> into) {
+        addExternal(job);
         Node node = nodes.get(job);
-        node.observed = false;
-        for (Link link : into) {
-            Node from = nodes.get(link.from());
+        node.isExternal = false;
+        for (Dependency dependency : into) {
+            Node from = nodes.get(dependency.upstream());
             if (from == null) {
-                throw new IllegalArgumentException("link " + link.id() + " begins at no job");
+                throw new IllegalArgumentException("dependency " + dependency.id() + " begins at no job");
             }
-            node.into.put(link.id(), link);
-            from.outOf.put(link.id(), link);
-            node.notEmitted++;
-            links.put(link.id(), LinkState.OPEN);
+            node.dependencies.put(dependency.id(), dependency);
+            from.dependents.put(dependency.id(), dependency);
+            node.unsatisfiedCount++;
+            dependencyStates.put(dependency.id(), DependencyState.PENDING);
         }
-        if (node.notEmitted == 0 && node.state == JobState.WAITING) {
+        if (node.unsatisfiedCount == 0 && node.state == JobState.WAITING) {
             node.state = isCancelled ? JobState.CANCELLED : JobState.READY;
         }
     }
 
     /** A job that others need and that is not driven here, or not yet; its end has still to be found. */
-    public void observe(String job) {
+    public void addExternal(String job) {
         nodes.computeIfAbsent(job, name -> {
             Node node = new Node(name);
-            node.observed = true;
-            node.place = places++;
+            node.isExternal = true;
+            node.position = nextPosition++;
             return node;
         });
     }
 
-    public boolean knows(String job) {
+    public boolean contains(String job) {
         return nodes.containsKey(job);
     }
 
-    public boolean isObserved(String job) {
-        return nodes.containsKey(job) && nodes.get(job).observed;
+    public boolean isExternal(String job) {
+        return nodes.containsKey(job) && nodes.get(job).isExternal;
     }
 
     /** Jobs that may be released now, in compiled order. */
-    public List<String> ready() {
-        return inOrder(nodes.values().stream()
+    public List<String> readyJobs() {
+        return inTopologicalOrder(nodes.values().stream()
                 .filter(node -> node.state == JobState.READY)
                 .toList());
     }
@@ -121,23 +121,25 @@
      *
      * @return jobs that have become ready by that, in compiled order
      */
-    public List<String> settle(String job, boolean succeeded) {
-        return end(expect(job, JobState.RELEASED), succeeded);
+    public List<String> complete(String job, boolean succeeded) {
+        return endJob(expect(job, JobState.RELEASED), succeeded);
     }
 
     /** The end of an observed job has been found. */
-    public List<String> resolveObserved(String job, boolean succeeded) {
+    public List<String> completeExternal(String job, boolean succeeded) {
         Node node = nodes.get(job);
-        return node == null || !node.observed || node.state != JobState.WAITING ? List.of() : end(node, succeeded);
+        return node == null || !node.isExternal || node.state != JobState.WAITING ? List.of() : endJob(node, succeeded);
     }
 
-    private List<String> end(Node node, boolean succeeded) {
+    private List<String> endJob(Node node, boolean succeeded) {
         node.state = isCancelled ? JobState.CANCELLED : succeeded ? JobState.SUCCEEDED : JobState.FAILED;
-        Port taken = succeeded ? Port.SUCCESS : Port.FAILURE;
-        List<Node> changed = settle(
+        Condition taken = succeeded ? Condition.ON_SUCCESS : Condition.ON_FAILURE;
+        List<Node> changed = resolveDependents(
                 node,
-                link -> isCancelled ? LinkState.SKIPPED : link.port() == taken ? LinkState.EMITTED : LinkState.CLOSED);
-        return inOrder(
+                dependency -> isCancelled
+                        ? DependencyState.SKIPPED
+                        : dependency.condition() == taken ? DependencyState.SATISFIED : DependencyState.UNSATISFIED);
+        return inTopologicalOrder(
                 changed.stream().filter(each -> each.state == JobState.READY).toList());
     }
 
@@ -155,8 +157,8 @@
             return List.of();
         }
         node.state = JobState.CANCELLED;
-        List<Node> changed = settle(node, link -> LinkState.CLOSED);
-        return inOrder(
+        List<Node> changed = resolveDependents(node, dependency -> DependencyState.UNSATISFIED);
+        return inTopologicalOrder(
                 changed.stream().filter(each -> each.state == JobState.SKIPPED).toList());
     }
 
@@ -166,7 +168,7 @@
         for (Node node : List.copyOf(nodes.values())) {
             if (node.state == JobState.WAITING || node.state == JobState.READY) {
                 node.state = JobState.CANCELLED;
-                settle(node, link -> LinkState.SKIPPED);
+                resolveDependents(node, dependency -> DependencyState.SKIPPED);
             }
         }
     }
@@ -176,18 +178,18 @@
     }
 
     /** Drops a job that is over, and its links. */
-    public void forget(String job) {
+    public void remove(String job) {
         Node node = nodes.remove(job);
         if (node == null) {
             return;
         }
-        for (Link link : node.outOf.values()) {
-            links.remove(link.id());
-            nodes.get(link.to()).into.remove(link.id());
+        for (Dependency dependency : node.dependents.values()) {
+            dependencyStates.remove(dependency.id());
+            nodes.get(dependency.downstream()).dependencies.remove(dependency.id());
         }
-        for (Link link : node.into.values()) {
-            links.remove(link.id());
-            nodes.get(link.from()).outOf.remove(link.id());
+        for (Dependency dependency : node.dependencies.values()) {
+            dependencyStates.remove(dependency.id());
+            nodes.get(dependency.upstream()).dependents.remove(dependency.id());
         }
     }
 
@@ -196,24 +198,24 @@
         return node == null ? null : node.state;
     }
 
-    public LinkState link(String id) {
-        return links.get(id);
+    public DependencyState dependencyState(String id) {
+        return dependencyStates.get(id);
     }
 
-    /** Jobs with a link into the given one. */
-    public List<String> upstream(String job) {
+    /** Jobs with a dependency into the given one. */
+    public List<String> upstreamJobs(String job) {
         Node node = nodes.get(job);
         return node == null
                 ? List.of()
-                : node.into.values().stream().map(Link::from).toList();
+                : node.dependencies.values().stream().map(Dependency::upstream).toList();
     }
 
-    /** Jobs that the given one has a link to. */
-    public List<String> downstream(String job) {
+    /** Jobs that the given one has a dependency to. */
+    public List<String> downstreamJobs(String job) {
         Node node = nodes.get(job);
         return node == null
                 ? List.of()
-                : node.outOf.values().stream().map(Link::to).toList();
+                : node.dependents.values().stream().map(Dependency::downstream).toList();
     }
 
     /** True once nothing can happen any more. */
@@ -224,35 +226,36 @@
                         || node.state == JobState.RELEASED);
     }
 
-    /** True if a job failed whose failure no link took up. */
-    public boolean hasFailed() {
+    /** True if a job failed whose failure no dependency took up. */
+    public boolean hasUnhandledFailure() {
         return nodes.values().stream()
                 .anyMatch(node -> node.state == JobState.FAILED
-                        && node.outOf.values().stream().noneMatch(link -> link.port() == Port.FAILURE));
+                        && node.dependents.values().stream()
+                                .noneMatch(dependency -> dependency.condition() == Condition.ON_FAILURE));
     }
 
-    private interface Settlement {
-        LinkState of(Link link);
+    private interface Outcome {
+        DependencyState of(Dependency dependency);
     }
 
     /** Settles the links out of a job, and of those that are skipped by that; a worklist, since chains may be long. */
-    private List<Node> settle(Node first, Settlement settlement) {
+    private List<Node> resolveDependents(Node first, Outcome outcome) {
         List<Node> changed = new ArrayList<>();
         Deque<Node> open = new ArrayDeque<>();
-        settleLinks(first, settlement, open);
+        resolveDependencies(first, outcome, open);
         while (!open.isEmpty()) {
             Node node = open.poll();
             if (isCancelled || node.state != JobState.WAITING) {
                 continue;
             }
-            boolean skipped = node.into.values().stream()
-                    .anyMatch(link ->
-                            links.get(link.id()) == LinkState.CLOSED || links.get(link.id()) == LinkState.SKIPPED);
+            boolean skipped = node.dependencies.values().stream()
+                    .anyMatch(dependency -> dependencyStates.get(dependency.id()) == DependencyState.UNSATISFIED
+                            || dependencyStates.get(dependency.id()) == DependencyState.SKIPPED);
             if (skipped) {
                 node.state = JobState.SKIPPED;
                 changed.add(node);
-                settleLinks(node, link -> LinkState.SKIPPED, open);
-            } else if (node.notEmitted == 0) {
+                resolveDependencies(node, dependency -> DependencyState.SKIPPED, open);
+            } else if (node.unsatisfiedCount == 0) {
                 node.state = JobState.READY;
                 changed.add(node);
             }
@@ -260,17 +263,17 @@
         return changed;
     }
 
-    private void settleLinks(Node node, Settlement settlement, Deque<Node> open) {
-        for (Link link : node.outOf.values()) {
-            if (links.get(link.id()) != LinkState.OPEN) {
+    private void resolveDependencies(Node node, Outcome outcome, Deque<Node> open) {
+        for (Dependency dependency : node.dependents.values()) {
+            if (dependencyStates.get(dependency.id()) != DependencyState.PENDING) {
                 continue;
             }
-            LinkState state = settlement.of(link);
-            links.put(link.id(), state);
-            Node to = nodes.get(link.to());
-            if (state == LinkState.EMITTED) {
-                to.notEmitted--;
-                if (to.notEmitted > 0) {
+            DependencyState state = outcome.of(dependency);
+            dependencyStates.put(dependency.id(), state);
+            Node to = nodes.get(dependency.downstream());
+            if (state == DependencyState.SATISFIED) {
+                to.unsatisfiedCount--;
+                if (to.unsatisfiedCount > 0) {
                     continue;
                 }
             }
@@ -278,9 +281,9 @@
         }
     }
 
-    private static List<String> inOrder(Collection<Node> some) {
+    private static List<String> inTopologicalOrder(Collection<Node> some) {
         return some.stream()
-                .sorted(Comparator.comparingLong(node -> node.place))
+                .sorted(Comparator.comparingLong(node -> node.position))
                 .map(node -> node.job)
                 .toList();
     }
--- a/src/main/java/io/sillreel/pipeline/PlanRecord.java
+++ b/src/main/java/io/sillreel/pipeline/PlanRecord.java
@@ -68,7 +68,7 @@
     }
 
     /** True if nothing of the record has to be read from overflow values. */
-    public boolean complete() {
+    public boolean isComplete() {
         return overflowValues == 0;
     }
 
@@ -116,7 +116,7 @@
     }
 
     /** The complete record, given the overflow values of the job in their order. */
-    public PlanRecord with(List<JsonNode> overflow) {
+    public PlanRecord withOverflow(List<JsonNode> overflow) {
         List<String> builds = new ArrayList<>();
         List<String> awaits = new ArrayList<>();
         for (JsonNode value : overflow) {
@@ -128,8 +128,8 @@
     }
 
     /** Completes a record that was read; empty if an overflow value could not be read now. */
-    public CompletableFuture<Optional<PlanRecord>> complete(StateStore store) {
-        if (complete()) {
+    public CompletableFuture<Optional<PlanRecord>> loadOverflow(StateStore store) {
+        if (isComplete()) {
             return CompletableFuture.completedFuture(Optional.of(this));
         }
         List<CompletableFuture<Read>> reads = new ArrayList<>();
@@ -144,7 +144,7 @@
                 }
                 values.add(read.join().entry().value());
             }
-            return Optional.of(with(values));
+            return Optional.of(withOverflow(values));
         });
     }
 }
--- a/src/main/java/io/sillreel/pipeline/RetrySchedule.java
+++ b/src/main/java/io/sillreel/pipeline/RetrySchedule.java
@@ -14,7 +14,7 @@
         return settledWallMicros + Math.min(maximumMicros, initialMicros << doublings);
     }
 
-    public boolean exhausted(int failedAttempts) {
+    public boolean isExhausted(int failedAttempts) {
         return failedAttempts >= MAX_ATTEMPTS;
     }
 }
--- a/src/main/java/io/sillreel/pipeline/RunRecord.java
+++ b/src/main/java/io/sillreel/pipeline/RunRecord.java
@@ -36,11 +36,12 @@
 
         /** The done set of the head and of the parts that it names. */
         BitSet read(String uid, Head head) {
-            BitSet done = decode(head.bitmap());
+            BitSet done = decodeBitmap(head.bitmap());
             if (head.tasksPerChunk() > 0) {
                 for (int index = 0; index < head.chunkGenerations().length; index++) {
                     int from = index * head.tasksPerChunk();
-                    decode(values.get(CompletionBitmapChunks.key(uid, index, head.chunkGenerations()[index]))).stream()
+                    decodeBitmap(values.get(CompletionBitmapChunks.key(uid, index, head.chunkGenerations()[index])))
+                            .stream()
                             .forEach(bit -> done.set(from + bit));
                 }
                 return done;
@@ -50,7 +51,7 @@
                     if (key.startsWith(PREFIX)) {
                         int from =
                                 firstVersionTasksPerChunk * Integer.parseInt(key.substring(key.lastIndexOf('/') + 1));
-                        decode(bits).stream().forEach(bit -> done.set(from + bit));
+                        decodeBitmap(bits).stream().forEach(bit -> done.set(from + bit));
                     }
                 });
             }
@@ -64,7 +65,7 @@
         }
 
         /** What takes all of them away. */
-        public List<PendingWrite> removals() {
+        public List<PendingWrite> removeAll() {
             List<PendingWrite> removals = new ArrayList<>();
             revisions.forEach((key, stamp) -> removals.add(new CompletionBitmapChunks.Removal(key, stamp)));
             return removals;
@@ -72,7 +73,7 @@
     }
 
     /** How many tasks' done bits fit into one value, leaving half of it for everything else. */
-    public static int chunkTasks(int valueBytes) {
+    public static int tasksPerChunk(int valueBytes) {
         return Math.max(8, valueBytes / 2 / 4 * 3 * 8);
     }
 
@@ -101,14 +102,14 @@
      */
     public record Head(
             int tasks,
-            int done,
-            int running,
-            int attempts,
-            long nextAttemptMicros,
+            int doneTasks,
+            int runningTasks,
+            int failedAttempts,
+            long nextAttemptWallMicros,
             String stage,
             String reason,
             String bitmap,
-            long readyMicros,
+            long readyWallMicros,
             int tasksPerChunk,
             long[] chunkGenerations) {
 
@@ -120,11 +121,11 @@
         public ObjectNode toJson() {
             ObjectNode node = Json.object()
                     .put("pieces", tasks)
-                    .put("done", done)
-                    .put("running", running)
+                    .put("done", doneTasks)
+                    .put("running", runningTasks)
                     .put("stage", stage);
-            if (attempts > 0) {
-                node.put("attempts", attempts).put("next_us", nextAttemptMicros);
+            if (failedAttempts > 0) {
+                node.put("attempts", failedAttempts).put("next_us", nextAttemptWallMicros);
             }
             if (reason != null) {
                 node.put("reason", reason);
@@ -132,8 +133,8 @@
             if (bitmap != null) {
                 node.put("bits", bitmap);
             }
-            if (readyMicros > 0) {
-                node.put("ready_us", readyMicros);
+            if (readyWallMicros > 0) {
+                node.put("ready_us", readyWallMicros);
             }
             if (tasksPerChunk > 0) {
                 ArrayNode named = node.put("per", tasksPerChunk).putArray("gens");
@@ -169,11 +170,11 @@
         }
     }
 
-    public static String encode(BitSet set) {
+    public static String encodeBitmap(BitSet set) {
         return Base64.getEncoder().encodeToString(set.toByteArray());
     }
 
-    public static BitSet decode(String bits) {
+    public static BitSet decodeBitmap(String bits) {
         return bits == null ? new BitSet() : BitSet.valueOf(Base64.getDecoder().decode(bits));
     }
 }
--- a/src/main/java/io/sillreel/pipeline/StoredCompletionBitmap.java
+++ b/src/main/java/io/sillreel/pipeline/StoredCompletionBitmap.java
@@ -17,29 +17,29 @@
     private final String uid;
     private final int tasks;
     /** Null if the set fits into the head under all limits. */
-    private final CompletionBitmapChunks parts;
+    private final CompletionBitmapChunks chunks;
     /**
      * False while the set is written into the head though it will not fit there under the announced limits. The
      * previous version reads no parts; it would start tasks again that are done. Once the state service refuses the
      * head for its size the announced limits are in force, which they are only after the upgrade.
      */
-    private boolean inParts;
+    private boolean usesChunks;
 
     private final BitSet done = new BitSet();
     private final BitSet stored = new BitSet();
     private final BitSet sent = new BitSet();
     private int count;
-    private long[] generationsSent = {};
+    private long[] sentGenerations = {};
     /** What another version stored beside the head and this one does not: removed once the head says all. */
-    private final List<PendingWrite> oldParts = new ArrayList<>();
+    private final List<PendingWrite> obsoleteChunks = new ArrayList<>();
 
     /** @param partsStored run when all parts that the next head is to name are stored */
     StoredCompletionBitmap(String uid, int tasks, ValueLimits limits, Runnable partsStored) {
         this.uid = uid;
         this.tasks = tasks;
-        int per = RunRecord.chunkTasks(limits.announcedBytes());
-        this.parts = tasks <= per ? null : new CompletionBitmapChunks(uid, tasks, per, all -> partsStored.run());
-        this.inParts = tasks > RunRecord.chunkTasks(limits.presentBytes());
+        int per = RunRecord.tasksPerChunk(limits.announcedBytes());
+        this.chunks = tasks <= per ? null : new CompletionBitmapChunks(uid, tasks, per, all -> partsStored.run());
+        this.usesChunks = tasks > RunRecord.tasksPerChunk(limits.presentBytes());
     }
 
     /** Takes over what is stored. */
@@ -47,11 +47,11 @@
         done.or(storedParts.read(uid, head));
         stored.or(done);
         count = done.cardinality();
-        inParts |= head.tasksPerChunk() > 0;
-        if (parts != null) {
-            parts.inherit(head, storedParts.revisions(), done);
+        usesChunks |= head.tasksPerChunk() > 0;
+        if (chunks != null) {
+            chunks.inherit(head, storedParts.revisions(), done);
         } else if (!storedParts.revisions().isEmpty()) {
-            oldParts.addAll(storedParts.removals());
+            obsoleteChunks.addAll(storedParts.removeAll());
         }
     }
 
@@ -62,8 +62,8 @@
         }
         done.set(task);
         count++;
-        if (parts != null) {
-            parts.markChanged(task);
+        if (chunks != null) {
+            chunks.markChanged(task);
         }
         return true;
     }
@@ -80,7 +80,7 @@
         return count;
     }
 
-    boolean complete() {
+    boolean isComplete() {
         return count == tasks;
     }
 
@@ -91,20 +91,20 @@
 
     /** What has to be stored before the head. */
     List<PendingWrite> prerequisites() {
-        return writesParts() ? parts.pendingWrites(done) : List.of();
+        return writesChunks() ? chunks.pendingWrites(done) : List.of();
     }
 
     /** What the head that is written now says of the set. */
     InHead write() {
         sent.clear();
-        if (writesParts()) {
+        if (writesChunks()) {
             sent.or(stored);
-            parts.copyInto(sent);
-            generationsSent = parts.generations();
-            return new InHead(null, parts.tasksPerChunk(), generationsSent);
+            chunks.copyInto(sent);
+            sentGenerations = chunks.generations();
+            return new InHead(null, chunks.tasksPerChunk(), sentGenerations);
         }
         sent.or(done);
-        return new InHead(complete() ? null : RunRecord.encode(done), 0, RunRecord.NO_CHUNKS);
+        return new InHead(isComplete() ? null : RunRecord.encodeBitmap(done), 0, RunRecord.NO_CHUNKS);
     }
 
     /**
@@ -115,29 +115,29 @@
      */
     List<PendingWrite> headStored(boolean doneStored) {
         stored.or(sent);
-        List<PendingWrite> unneeded = new ArrayList<>(oldParts);
-        oldParts.clear();
-        if (doneStored && parts != null) {
-            unneeded.addAll(parts.removeAll());
-        } else if (inParts) {
-            unneeded.addAll(parts.headStored(generationsSent));
+        List<PendingWrite> unneeded = new ArrayList<>(obsoleteChunks);
+        obsoleteChunks.clear();
+        if (doneStored && chunks != null) {
+            unneeded.addAll(chunks.removeAll());
+        } else if (usesChunks) {
+            unneeded.addAll(chunks.headStored(sentGenerations));
         }
         return unneeded;
     }
 
     /** The head with the set in it was refused for its size; true if the set can be stored in parts instead. */
     boolean moveToChunks() {
-        boolean movable = parts != null && !inParts;
-        inParts |= movable;
+        boolean movable = chunks != null && !usesChunks;
+        usesChunks |= movable;
         return movable;
     }
 
     /** Removals of everything that is stored beside the head. */
-    List<PendingWrite> leftovers() {
-        return parts == null ? List.copyOf(oldParts) : parts.removeAll();
+    List<PendingWrite> removalsOfChunks() {
+        return chunks == null ? List.copyOf(obsoleteChunks) : chunks.removeAll();
     }
 
-    private boolean writesParts() {
-        return inParts && !complete();
+    private boolean writesChunks() {
+        return usesChunks && !isComplete();
     }
 }
--- a/src/main/java/io/sillreel/placement/CapacityPlanner.java
+++ b/src/main/java/io/sillreel/placement/CapacityPlanner.java
@@ -240,7 +240,7 @@
             boolean hosted = cluster.machines().stream()
                     .anyMatch(machine -> counts(machine, nowMicros)
                             && Cluster.isEligible(job.spec(), machine)
-                            && !job.failedOn().contains(machine.name())
+                            && !job.failedMachines().contains(machine.name())
                             && Machine.fitsEmptyMachine(job.spec(), machine.type()));
             if (!hosted) {
                 ScaleOutProposal rentalRequest =
--- a/src/main/java/io/sillreel/placement/Planner.java
+++ b/src/main/java/io/sillreel/placement/Planner.java
@@ -178,7 +178,7 @@
 
     /** How many tasks of the job the rules let start on the machine now, its room aside. */
     private int startableTasks(ActiveJob job, Machine machine, QuotaUsage usage, long wallMicros) {
-        if (!cluster.isLaunchable(job, wallMicros) || job.failedOn().contains(machine.name()) || isProbing(job)) {
+        if (!cluster.isLaunchable(job, wallMicros) || job.failedMachines().contains(machine.name()) || isProbing(job)) {
             return 0;
         }
         return Math.min(
@@ -188,7 +188,7 @@
 
     /** True while it isn't known whether the job fails everywhere: then one task at a time is tried. */
     private static boolean isProbing(ActiveJob job) {
-        return !job.hasSucceededOnce() && !job.failedOn().isEmpty();
+        return !job.hasSucceededOnce() && !job.failedMachines().isEmpty();
     }
 
     /** Assigns what fits and returns how many tasks are left over for lack of room. */
@@ -241,7 +241,7 @@
         public boolean take(FreeCapacity space) {
             String machine = space.machine.name();
             QueuedJob owner = plan.reservations().get(machine);
-            if (owner != null && owner != queued || queued.job.failedOn().contains(machine)) {
+            if (owner != null && owner != queued || queued.job.failedMachines().contains(machine)) {
                 return false;
             }
             String zone = space.machine.zone();
--- a/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
+++ b/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
@@ -48,7 +48,8 @@
         assertThat(job.prerequisites()).isEmpty();
         JsonNode head = storedValue(job, "run/job-000412");
         assertThat(PreviousVersion.understood("run/job-000412", head)).isEqualTo(head);
-        assertThat(RunRecord.decode(Head.fromJson(head).bitmap()).stream()).containsExactly(0, 3, 6_999);
+        assertThat(RunRecord.decodeBitmap(Head.fromJson(head).bitmap()).stream())
+                .containsExactly(0, 3, 6_999);
         assertThat(head.toString().length()).isGreaterThan(1_024);
 
         job.onTooLarge();
@@ -102,7 +103,7 @@
                     stamps.put(key, 101L);
                 }
             });
-            RunRecord.StoredChunks stored = new RunRecord.StoredChunks(values, stamps, RunRecord.chunkTasks(64));
+            RunRecord.StoredChunks stored = new RunRecord.StoredChunks(values, stamps, RunRecord.tasksPerChunk(64));
             ActiveJob job = new ActiveJob(spec, 7, 0, ValueLimits.fixed(32), watcher);
             job.inherit(101, Head.fromJson(json(CHUNKED.get("run/job-000413"))), stored);
             return job;
--- a/src/test/java/io/sillreel/pipeline/PipelineTest.java
+++ b/src/test/java/io/sillreel/pipeline/PipelineTest.java
@@ -5,10 +5,10 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.sillreel.pipeline.PipelinePlan.Link;
-import io.sillreel.pipeline.PipelinePlan.Port;
+import io.sillreel.pipeline.PipelinePlan.Condition;
+import io.sillreel.pipeline.PipelinePlan.Dependency;
+import io.sillreel.pipeline.PipelineRun.DependencyState;
 import io.sillreel.pipeline.PipelineRun.JobState;
-import io.sillreel.pipeline.PipelineRun.LinkState;
 import io.sillreel.settings.ValueLimits;
 import io.sillreel.statestore.PendingWrite;
 import java.util.BitSet;
@@ -18,25 +18,25 @@
 import org.junit.jupiter.api.Test;
 
 class PipelineTest {
-    private static Link link(String id, String from, Port port, String to) {
-        return new Link(id, from, port, to);
+    private static Dependency link(String id, String from, Condition port, String to) {
+        return new Dependency(id, from, port, to);
     }
 
     @Test
     void theOrderIsTopologicalAndTiesGoByJobId() {
         PipelinePlan plan = PipelinePlan.compile(
                 List.of("d", "b", "c", "a"),
-                List.of(link("1", "d", Port.SUCCESS, "a"), link("2", "b", Port.SUCCESS, "a")));
-        assertThat(plan.order()).containsExactly("b", "c", "d", "a");
+                List.of(link("1", "d", Condition.ON_SUCCESS, "a"), link("2", "b", Condition.ON_SUCCESS, "a")));
+        assertThat(plan.topologicalOrder()).containsExactly("b", "c", "d", "a");
     }
 
     @Test
     void cyclesAndLooseEndsAreRefused() {
         assertThatThrownBy(() -> PipelinePlan.compile(
                         List.of("a", "b"),
-                        List.of(link("1", "a", Port.SUCCESS, "b"), link("2", "b", Port.SUCCESS, "a"))))
+                        List.of(link("1", "a", Condition.ON_SUCCESS, "b"), link("2", "b", Condition.ON_SUCCESS, "a"))))
                 .hasMessageContaining("cycle");
-        assertThatThrownBy(() -> PipelinePlan.compile(List.of("a"), List.of(link("1", "a", Port.SUCCESS, "x"))))
+        assertThatThrownBy(() -> PipelinePlan.compile(List.of("a"), List.of(link("1", "a", Condition.ON_SUCCESS, "x"))))
                 .hasMessageContaining("no job");
         assertThatThrownBy(() -> PipelinePlan.compile(List.of("a", "a"), List.of()))
                 .hasMessageContaining("twice");
@@ -47,33 +47,34 @@
         PipelineRun run = new PipelineRun(PipelinePlan.compile(
                 List.of("a", "b", "join", "repair", "after"),
                 List.of(
-                        link("1", "a", Port.SUCCESS, "join"), link("2", "b", Port.SUCCESS, "join"),
-                        link("3", "b", Port.FAILURE, "repair"), link("4", "join", Port.SUCCESS, "after"))));
-        assertThat(run.ready()).containsExactly("a", "b");
+                        link("1", "a", Condition.ON_SUCCESS, "join"), link("2", "b", Condition.ON_SUCCESS, "join"),
+                        link("3", "b", Condition.ON_FAILURE, "repair"),
+                                link("4", "join", Condition.ON_SUCCESS, "after"))));
+        assertThat(run.readyJobs()).containsExactly("a", "b");
         run.release("a");
         run.release("b");
-        run.settle("a", true);
-        assertThat(run.ready()).isEmpty();
-        run.settle("b", false);
-        assertThat(run.link("1")).isEqualTo(LinkState.EMITTED);
-        assertThat(run.link("2")).isEqualTo(LinkState.CLOSED);
+        run.complete("a", true);
+        assertThat(run.readyJobs()).isEmpty();
+        run.complete("b", false);
+        assertThat(run.dependencyState("1")).isEqualTo(DependencyState.SATISFIED);
+        assertThat(run.dependencyState("2")).isEqualTo(DependencyState.UNSATISFIED);
         assertThat(run.state("join")).isEqualTo(JobState.SKIPPED);
-        assertThat(run.link("4")).isEqualTo(LinkState.SKIPPED);
+        assertThat(run.dependencyState("4")).isEqualTo(DependencyState.SKIPPED);
         assertThat(run.state("after")).isEqualTo(JobState.SKIPPED);
-        assertThat(run.ready()).containsExactly("repair");
-        assertThat(run.hasFailed()).isFalse();
-        assertThatThrownBy(() -> run.settle("b", true)).isInstanceOf(IllegalStateException.class);
+        assertThat(run.readyJobs()).containsExactly("repair");
+        assertThat(run.hasUnhandledFailure()).isFalse();
+        assertThatThrownBy(() -> run.complete("b", true)).isInstanceOf(IllegalStateException.class);
     }
 
     @Test
     void aCancelledPipelineReleasesNothingMore() {
-        PipelineRun run =
-                new PipelineRun(PipelinePlan.compile(List.of("a", "b"), List.of(link("1", "a", Port.SUCCESS, "b"))));
+        PipelineRun run = new PipelineRun(
+                PipelinePlan.compile(List.of("a", "b"), List.of(link("1", "a", Condition.ON_SUCCESS, "b"))));
         run.release("a");
         run.cancel();
-        run.settle("a", true);
-        assertThat(run.ready()).isEmpty();
-        assertThat(run.link("1")).isEqualTo(LinkState.SKIPPED);
+        run.complete("a", true);
+        assertThat(run.readyJobs()).isEmpty();
+        assertThat(run.dependencyState("1")).isEqualTo(DependencyState.SKIPPED);
         assertThat(run.isOver()).isTrue();
     }
 
@@ -84,8 +85,8 @@
         assertThat(schedule.nextAttemptMicros(2, 100)).isEqualTo(104);
         assertThat(schedule.nextAttemptMicros(4, 100)).isEqualTo(110);
         assertThat(schedule.nextAttemptMicros(5, 100)).isEqualTo(160);
-        assertThat(schedule.exhausted(4)).isFalse();
-        assertThat(schedule.exhausted(5)).isTrue();
+        assertThat(schedule.isExhausted(4)).isFalse();
+        assertThat(schedule.isExhausted(5)).isTrue();
     }
 
     @Test
@@ -98,7 +99,8 @@
         }
         // The parts first, one after the other, then the head that names them: each a value and a change of its own.
         List<PendingWrite> parts = List.copyOf(job.prerequisites());
-        assertThat(parts).hasSize((100_000 + RunRecord.chunkTasks(valueBytes) - 1) / RunRecord.chunkTasks(valueBytes));
+        assertThat(parts)
+                .hasSize((100_000 + RunRecord.tasksPerChunk(valueBytes) - 1) / RunRecord.tasksPerChunk(valueBytes));
         Map<String, String> values = new HashMap<>();
         for (PendingWrite part : parts) {
             JsonNode value = storedValue(part, part.key());
@@ -121,7 +123,7 @@
     private static RunRecord.StoredChunks pieces(Map<String, String> values) {
         Map<String, Long> stamps = new HashMap<>();
         values.keySet().forEach(key -> stamps.put(key, 8L));
-        return new RunRecord.StoredChunks(values, stamps, RunRecord.chunkTasks(8 * 1024));
+        return new RunRecord.StoredChunks(values, stamps, RunRecord.tasksPerChunk(8 * 1024));
     }
 
     /** Guards against freeing a piece that a second live task still holds. */
@@ -141,8 +143,8 @@
         BitSet set = new BitSet();
         set.set(3);
         set.set(70);
-        assertThat(RunRecord.decode(RunRecord.encode(set))).isEqualTo(set);
-        assertThat(RunRecord.decode(null)).isEqualTo(new BitSet());
+        assertThat(RunRecord.decodeBitmap(RunRecord.encodeBitmap(set))).isEqualTo(set);
+        assertThat(RunRecord.decodeBitmap(null)).isEqualTo(new BitSet());
     }
 
     private static JobSpec spec(int pieces) {
--- a/src/test/java/io/sillreel/pipeline/PlanRecordTest.java
+++ b/src/test/java/io/sillreel/pipeline/PlanRecordTest.java
@@ -64,13 +64,13 @@
                     plan.splitOverflow(VALUE_BYTES, MAX_VALUES).orElseThrow();
             assertThat(values.values()).allMatch(value -> Json.bytes(value).length <= VALUE_BYTES);
             PlanRecord head = PlanRecord.fromJson(values.get("plan/job-000412"));
-            assertThat(head.complete()).isFalse();
+            assertThat(head.isComplete()).isFalse();
             List<JsonNode> overflow = new ArrayList<>();
             for (int index = 0; index < head.overflowValues(); index++) {
                 overflow.add(values.get(PlanRecord.overflowKey("job-000412", index)));
             }
             assertThat(values).hasSize(1 + overflow.size());
-            assertThat(head.with(overflow)).isEqualTo(plan);
+            assertThat(head.withOverflow(overflow)).isEqualTo(plan);
         }
     }
 
--- a/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
+++ b/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
@@ -29,20 +29,20 @@
     private final Cluster cluster = new Cluster(Map.of("t", new Team("t", 10, 0, 0, 0)));
     private final DependencyGraph dependencies = new DependencyGraph(new DependencyGraph.Callbacks() {
         @Override
-        public void becameReady(ActiveJob job) {
+        public void dependenciesMet(ActiveJob job) {
             ready.add(job.uid());
             job.markReady(NOW);
         }
 
         @Override
-        public void skipped(ActiveJob job, String because) {
+        public void dependencyCancelled(ActiveJob job, String because) {
             closed.add(job.uid());
             cancelled.add(job.uid());
             job.cancel();
         }
 
         @Override
-        public void lookUp(String uid) {
+        public void lookUpCompletion(String uid) {
             lookedUp.add(uid);
         }
     });
