--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -359,7 +359,7 @@
     // --- For display -----------------------------------------------------------------------------------------------
 
     @Override
-    public Counts of(String uid) {
+    public Counts countsOf(String uid) {
         synchronized (cluster) {
             ActiveJob job = cluster.job(uid);
             return job == null || job.isComplete()
