--- a/src/main/java/io/sillreel/admission/Admission.java
+++ b/src/main/java/io/sillreel/admission/Admission.java
@@ -12,6 +12,7 @@
 import io.sillreel.pipeline.CancellationRecord;
 import io.sillreel.pipeline.JobSpec;
 import io.sillreel.pipeline.LiveTaskCounts;
+import io.sillreel.pipeline.PlanOverflow;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.settings.Settings;
@@ -167,7 +168,7 @@
         ValueLimits limits = settings.state().values();
         boolean maybeCut = !spec.dependencies().isEmpty();
         Optional<Map<String, JsonNode>> values =
-                maybeCut ? cut(plan) : plan.splitOverflow(limits.presentBytes(), WHOLE);
+                maybeCut ? cut(plan) : PlanOverflow.split(plan, limits.presentBytes(), WHOLE);
         if (values.isEmpty()) {
             return unlessKnown(spec.uid(), tooLarge(spec));
         }
@@ -185,8 +186,8 @@
     /** The plan as it can be stored under the announced limits; one change is left for the cancellation. */
     private Optional<Map<String, JsonNode>> cut(PlanRecord plan) {
         StateLimits limits = settings.state();
-        return plan.splitOverflow(
-                limits.values().announcedBytes(), Math.max(WHOLE, limits.maxTransactionChanges() - 1));
+        return PlanOverflow.split(
+                plan, limits.values().announcedBytes(), Math.max(WHOLE, limits.maxTransactionChanges() - 1));
     }
 
     /** Stores the values of a plan; a job which awaits a cancelled one is cancelled in the same transaction. */
--- a/src/main/java/io/sillreel/admission/JobStatusReader.java
+++ b/src/main/java/io/sillreel/admission/JobStatusReader.java
@@ -2,7 +2,9 @@
 
 import io.sillreel.pipeline.CancellationRecord;
 import io.sillreel.pipeline.JobSpec;
+import io.sillreel.pipeline.PlanOverflow;
 import io.sillreel.pipeline.PlanRecord;
+import io.sillreel.pipeline.PlanRecordCodec;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.StateStore.ReadResult;
@@ -84,7 +86,7 @@
     }
 
     private static void addChainPlan(Map<String, ChainPlan> plans, StoredEntry entry) {
-        PlanRecord plan = PlanRecord.fromJson(entry.value());
+        PlanRecord plan = PlanRecordCodec.decode(entry.value());
         JobSpec spec = plan.spec();
         if (plan.isComplete() && !spec.dependencies().isEmpty()) {
             plans.put(spec.uid(), new ChainPlan(entry.revision(), spec.tasks(), spec.dependencies()));
@@ -136,8 +138,7 @@
             if (read.entry() == null) {
                 return CompletableFuture.completedFuture(Optional.of(old));
             }
-            return PlanRecord.fromJson(read.entry().value())
-                    .loadOverflow(store)
+            return PlanOverflow.load(PlanRecordCodec.decode(read.entry().value()), store)
                     .thenApply(plan -> plan.map(whole -> planned(uid, read.revision(), whole.spec())));
         });
     }
--- a/src/main/java/io/sillreel/admission/SubmissionDecoder.java
+++ b/src/main/java/io/sillreel/admission/SubmissionDecoder.java
@@ -2,8 +2,12 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.sillreel.cloud.MachineType;
+import io.sillreel.pipeline.Checkpointing;
 import io.sillreel.pipeline.JobSpec;
+import io.sillreel.pipeline.PlacementConstraints;
 import io.sillreel.pipeline.PriorityClass;
+import io.sillreel.pipeline.TaskSpec;
+import io.sillreel.pipeline.Urgency;
 import io.sillreel.settings.Settings.Team;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -49,27 +53,29 @@
         if (!tasks.isIntegralNumber() || !tasks.canConvertToInt() || tasks.asInt() < 1 || tasks.asInt() > MAX_TASKS) {
             throw new Malformed("pieces: is not a whole number from 1 to " + MAX_TASKS);
         }
-        return new JobSpec(
-                uid,
-                text(body, "lot"),
-                text(body, "crew"),
-                rank,
-                tasks.asInt(),
-                amount(body, "vcpus"),
-                amount(body, "cards"),
-                amount(body, "ram_gb"),
-                text(body, "reel"),
-                amount(body, "image_gb"),
+        // The first field that is wrong is the one that is told: the order of reading is part of the answer.
+        String jobClass = text(body, "lot");
+        String team = text(body, "crew");
+        double cpus = amount(body, "vcpus");
+        double gpus = amount(body, "cards");
+        double ramGb = amount(body, "ram_gb");
+        String image = text(body, "reel");
+        double imageGb = amount(body, "image_gb");
+        PlacementConstraints placement = placement(body);
+        long estimatedMicros = micros(body, "guess_s");
+        Checkpointing checkpointing = new Checkpointing(micros(body, "mark_every_s"), micros(body, "stash_s"));
+        Urgency urgency = new Urgency(rank, body.hasNonNull("due_s") ? micros(body, "due_s") : -1);
+        TaskSpec task = new TaskSpec(cpus, gpus, ramGb, image, imageGb, estimatedMicros, checkpointing);
+        return new JobSpec(uid, jobClass, team, urgency, tasks.asInt(), task, placement, awaits(body));
+    }
+
+    private static PlacementConstraints placement(JsonNode body) throws Malformed {
+        return new PlacementConstraints(
                 texts(body, "builds"),
                 optionalText(body, "yard"),
                 flag(body, "one_zone"),
                 flag(body, "spread"),
-                flag(body, "loaners"),
-                micros(body, "guess_s"),
-                micros(body, "mark_every_s"),
-                micros(body, "stash_s"),
-                body.hasNonNull("due_s") ? micros(body, "due_s") : -1,
-                awaits(body));
+                flag(body, "loaners"));
     }
 
     /** The jobs to be done first; a name that stands twice counts once. */
--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -8,7 +8,9 @@
 import io.sillreel.pipeline.CascadingCancellation;
 import io.sillreel.pipeline.DependencyGraph;
 import io.sillreel.pipeline.JobIdSet;
+import io.sillreel.pipeline.PlanOverflow;
 import io.sillreel.pipeline.PlanRecord;
+import io.sillreel.pipeline.PlanRecordCodec;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.placement.CapacityPlanner;
 import io.sillreel.placement.PriorityInheritance;
@@ -160,7 +162,7 @@
 
     /** A job that was admitted during the term; names in overflow values are read first. */
     private void enter(PlanRecord plan, long revision) {
-        plan.loadOverflow(store).thenAccept(complete -> {
+        PlanOverflow.load(plan, store).thenAccept(complete -> {
             if (closed) {
                 return;
             }
@@ -239,7 +241,7 @@
                 PLAN_WATCH_MICROS,
                 change -> {
                     if (change.value() != null) {
-                        enter(PlanRecord.fromJson(change.value()), change.revision());
+                        enter(PlanRecordCodec.decode(change.value()), change.revision());
                     }
                 },
                 sent -> {});
--- a/src/main/java/io/sillreel/leadership/StoredJobsReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredJobsReader.java
@@ -6,6 +6,7 @@
 import io.sillreel.leadership.StoredState.StoredJob;
 import io.sillreel.pipeline.JobIdSet;
 import io.sillreel.pipeline.PlanRecord;
+import io.sillreel.pipeline.PlanRecordCodec;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.statestore.PendingWrite;
 import io.sillreel.statestore.StateStore.StoredEntry;
@@ -117,13 +118,13 @@
         if (!done.contains(uid)) {
             Head head = heads.remove(uid);
             unfinished.add(new StoredJob(
-                    PlanRecord.fromJson(plan.value()),
+                    PlanRecordCodec.decode(plan.value()),
                     plan.revision(),
                     head == null ? null : head.head(),
                     head == null ? 0 : head.stamp(),
                     RunRecord.StoredChunks.NONE));
-        } else if (countsAsDemand.test(PlanRecord.admittedWallMicros(plan.value()))) {
-            recentlyDone.add(PlanRecord.fromJson(plan.value()));
+        } else if (countsAsDemand.test(PlanRecordCodec.admittedWallMicros(plan.value()))) {
+            recentlyDone.add(PlanRecordCodec.decode(plan.value()));
         }
     }
 
--- a/src/main/java/io/sillreel/leadership/StoredStateReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredStateReader.java
@@ -3,6 +3,7 @@
 import io.sillreel.cluster.ScaleOutRequest;
 import io.sillreel.pipeline.CancellationRecord;
 import io.sillreel.pipeline.JobIdSet;
+import io.sillreel.pipeline.PlanOverflow;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.statestore.StateStore;
@@ -88,7 +89,7 @@
     /** Adds what lies in overflow values, which few plans have. */
     private CompletableFuture<Optional<StoredState>> complete(StoredState state) {
         List<CompletableFuture<Optional<PlanRecord>>> plans = new ArrayList<>();
-        state.unfinished().forEach(job -> plans.add(job.plan().loadOverflow(store)));
+        state.unfinished().forEach(job -> plans.add(PlanOverflow.load(job.plan(), store)));
         return CompletableFuture.allOf(plans.toArray(CompletableFuture[]::new)).thenApply(done -> {
             for (int index = 0; index < plans.size(); index++) {
                 Optional<PlanRecord> plan = plans.get(index).join();
--- a/src/main/java/io/sillreel/pipeline/JobSpec.java
+++ b/src/main/java/io/sillreel/pipeline/JobSpec.java
@@ -1,149 +1,122 @@
 package io.sillreel.pipeline;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Json;
-import java.util.ArrayList;
 import java.util.List;
 
 /**
- * What was submitted. {@code builds} and {@code zone} are null for any; {@code dueMicros} is negative without a
- * deadline; {@code awaits} names the jobs that must be done before this one.
+ * A job array as it was submitted. The accessors below the components spare callers to know how the components are
+ * grouped.
+ *
+ * @param uid the id that the user chose; a repeated submission of it is idempotent
+ * @param jobClass jobs of one class run for similar times
+ * @param team the team whose quota and fair share the job uses
+ * @param tasks the number of tasks, numbered from 0
+ * @param dependencies ids of the jobs that have to be done before this one is released
  */
 public record JobSpec(
         String uid,
         String jobClass,
         String team,
-        PriorityClass priorityClass,
+        Urgency urgency,
         int tasks,
-        double cpus,
-        double gpus,
-        double ramGb,
-        String image,
-        double imageGb,
-        List<String> machineTypes,
-        String zone,
-        boolean zoneAffinity,
-        boolean zoneAntiAffinity,
-        boolean spotAllowed,
-        long estimatedMicros,
-        long checkpointIntervalMicros,
-        long checkpointDurationMicros,
-        long deadlineMicros,
+        TaskSpec task,
+        PlacementConstraints placement,
         List<String> dependencies) {
 
-    /** True if a task saves its progress when it is stopped with enough time. */
+    /** The priority class of the job itself. */
+    public PriorityClass priorityClass() {
+        return urgency.priorityClass();
+    }
+
+    /** Time from submission to the job's own deadline; negative without a deadline. */
+    public long deadlineMicros() {
+        return urgency.deadlineMicros();
+    }
+
+    /** Processors that one task occupies. */
+    public double cpus() {
+        return task.cpus();
+    }
+
+    /** Accelerators that one task occupies. */
+    public double gpus() {
+        return task.gpus();
+    }
+
+    /** Memory that one task occupies, in gigabytes. */
+    public double ramGb() {
+        return task.ramGb();
+    }
+
+    /** The name of the container image. */
+    public String image() {
+        return task.image();
+    }
+
+    /** The size of the container image in gigabytes. */
+    public double imageGb() {
+        return task.imageGb();
+    }
+
+    /** The user's estimate of the run time of one task. */
+    public long estimatedMicros() {
+        return task.estimatedMicros();
+    }
+
+    /** True if a task saves its progress when it is stopped with enough notice. */
     public boolean supportsCheckpoints() {
-        return checkpointIntervalMicros > 0;
+        return task.checkpointing().isSupported();
+    }
+
+    /** Time that a task takes to write a checkpoint when it is stopped. */
+    public long checkpointDurationMicros() {
+        return task.checkpointing().durationMicros();
     }
 
+    /** True if tasks may run on machines of the type of that name. */
     public boolean allowsMachineType(String machineType) {
-        return machineTypes == null || machineTypes.contains(machineType);
+        return placement.allowsMachineType(machineType);
     }
 
-    public boolean allowsZone(String where) {
-        return zone == null || zone.equals(where);
+    /** True if tasks may run in the zone of that name. */
+    public boolean allowsZone(String zone) {
+        return placement.allowsZone(zone);
     }
 
-    /** The most tasks that may be in one zone. */
+    /** The only allowed zone, or null for any. */
+    public String zone() {
+        return placement.zone();
+    }
+
+    /** True if all running tasks have to be in the same zone. */
+    public boolean zoneAffinity() {
+        return placement.zoneAffinity();
+    }
+
+    /** True if the tasks have to be spread over zones; see {@link #maxTasksPerZone}. */
+    public boolean zoneAntiAffinity() {
+        return placement.zoneAntiAffinity();
+    }
+
+    /** True if tasks may run on spot instances. */
+    public boolean spotAllowed() {
+        return placement.spotAllowed();
+    }
+
+    /** The most tasks that may run in one zone at a time. */
     public int maxTasksPerZone() {
-        return zoneAntiAffinity ? (tasks + 1) / 2 : tasks;
+        return placement.zoneAntiAffinity() ? (tasks + 1) / 2 : tasks;
     }
 
-    /** The same job with other lists of names; {@code builds} is null for any. */
-    JobSpec withNames(List<String> otherBuilds, List<String> otherAwaits) {
+    /** The same job with other machine types, null for any, and other dependencies. */
+    JobSpec withMachineTypesAndDependencies(List<String> otherMachineTypes, List<String> otherDependencies) {
         return new JobSpec(
                 uid,
                 jobClass,
                 team,
-                priorityClass,
+                urgency,
                 tasks,
-                cpus,
-                gpus,
-                ramGb,
-                image,
-                imageGb,
-                otherBuilds,
-                zone,
-                zoneAffinity,
-                zoneAntiAffinity,
-                spotAllowed,
-                estimatedMicros,
-                checkpointIntervalMicros,
-                checkpointDurationMicros,
-                deadlineMicros,
-                otherAwaits);
-    }
-
-    /** The form kept in the plan. */
-    public ObjectNode toJson() {
-        ObjectNode node = Json.object();
-        node.put("uid", uid)
-                .put("lot", jobClass)
-                .put("crew", team)
-                .put("rank", priorityClass.wireName())
-                .put("pieces", tasks)
-                .put("vcpus", cpus)
-                .put("cards", gpus)
-                .put("ram_gb", ramGb)
-                .put("reel", image)
-                .put("image_gb", imageGb)
-                .put("yard", zone)
-                .put("one_zone", zoneAffinity)
-                .put("spread", zoneAntiAffinity)
-                .put("loaners", spotAllowed)
-                .put("guess_us", estimatedMicros)
-                .put("mark_us", checkpointIntervalMicros)
-                .put("stash_us", checkpointDurationMicros)
-                .put("due_us", deadlineMicros);
-        if (machineTypes != null) {
-            ArrayNode names = Json.array();
-            machineTypes.forEach(names::add);
-            node.set("builds", names);
-        }
-        if (!dependencies.isEmpty()) {
-            ArrayNode names = node.putArray("awaits");
-            dependencies.forEach(names::add);
-        }
-        return node;
-    }
-
-    /** Reads what {@link #toJson()} wrote; it was checked when it was admitted. */
-    public static JobSpec fromPlan(JsonNode node) {
-        List<String> builds = node.has("builds") ? texts(node.path("builds")) : null;
-        JsonNode zone = node.path("yard");
-        return new JobSpec(
-                node.path("uid").asText(),
-                node.path("lot").asText(),
-                node.path("crew").asText(),
-                PriorityClass.fromWireName(node.path("rank").asText()).orElse(PriorityClass.NORMAL),
-                node.path("pieces").asInt(),
-                node.path("vcpus").asDouble(),
-                node.path("cards").asDouble(),
-                node.path("ram_gb").asDouble(),
-                node.path("reel").asText(),
-                node.path("image_gb").asDouble(),
-                builds,
-                zone.isTextual() ? zone.asText() : null,
-                node.path("one_zone").asBoolean(),
-                node.path("spread").asBoolean(),
-                node.path("loaners").asBoolean(),
-                node.path("guess_us").asLong(),
-                node.path("mark_us").asLong(),
-                node.path("stash_us").asLong(),
-                node.path("due_us").asLong(-1),
-                texts(node.path("awaits")));
-    }
-
-    private static List<String> texts(JsonNode names) {
-        if (names.isEmpty()) {
-            return List.of();
-        }
-        List<String> texts = new ArrayList<>();
-        for (JsonNode name : names) {
-            texts.add(name.asText());
-        }
-        return texts;
+                task,
+                placement.withMachineTypes(otherMachineTypes),
+                otherDependencies);
     }
 }
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -13,12 +13,17 @@
 import io.sillreel.peer.PeerMessages;
 import io.sillreel.peer.PeerMessages.Hello;
 import io.sillreel.pipeline.ActiveJob;
+import io.sillreel.pipeline.Checkpointing;
 import io.sillreel.pipeline.IgnoringListener;
 import io.sillreel.pipeline.JobSpec;
+import io.sillreel.pipeline.JobSpecCodec;
+import io.sillreel.pipeline.PlacementConstraints;
 import io.sillreel.pipeline.PriorityClass;
 import io.sillreel.pipeline.RetrySchedule;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.pipeline.RunRecord.Head;
+import io.sillreel.pipeline.TaskSpec;
+import io.sillreel.pipeline.Urgency;
 import io.sillreel.settings.ValueLimits;
 import io.sillreel.sim.PreviousVersion;
 import io.sillreel.sim.SimCluster;
@@ -76,22 +81,10 @@
                 uid,
                 "train",
                 "vision",
-                PriorityClass.HIGH,
+                new Urgency(PriorityClass.HIGH, 900_000_000L),
                 pieces,
-                8.0,
-                1.0,
-                64.0,
-                "img-07",
-                6.2,
-                List.of("g8", "c4"),
-                "a",
-                true,
-                false,
-                true,
-                240_000_000L,
-                30_000_000L,
-                4_000_000L,
-                900_000_000L,
+                new TaskSpec(8.0, 1.0, 64.0, "img-07", 6.2, 240_000_000L, new Checkpointing(30_000_000L, 4_000_000L)),
+                new PlacementConstraints(List.of("g8", "c4"), "a", true, false, true),
                 List.of());
     }
 
@@ -109,7 +102,7 @@
 
     @Test
     void whatItStoredIsRead() {
-        assertThat(JobSpec.fromPlan(json(PLAN).path("job"))).isEqualTo(spec("job-000412", 16));
+        assertThat(JobSpecCodec.decode(json(PLAN).path("job"))).isEqualTo(spec("job-000412", 16));
         ActiveJob job = job(16);
         job.inherit(9, Head.fromJson(json(RUNNING)), RunRecord.StoredChunks.NONE);
         assertThat(job.doneCount()).isEqualTo(3);
@@ -155,7 +148,7 @@
     @Test
     void whatItReadsIsWrittenAsItWroteIt() {
         var plan = Json.object().put("at_us", 1_700_000_123_456_789L);
-        plan.set("job", spec("job-000412", 16).toJson());
+        plan.set("job", JobSpecCodec.encode(spec("job-000412", 16)));
         assertThat(plan.toString()).isEqualTo(PLAN);
         ActiveJob job = job(16);
         List.of(0, 3, 15).forEach(job::markTaskDone);
--- a/src/test/java/io/sillreel/admission/JobStatusServiceTest.java
+++ b/src/test/java/io/sillreel/admission/JobStatusServiceTest.java
@@ -4,6 +4,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.pipeline.PlanRecord;
+import io.sillreel.pipeline.PlanRecordCodec;
 import io.sillreel.sim.SimCluster;
 import io.sillreel.sim.SimNetwork;
 import io.sillreel.sim.SimStateStore;
@@ -39,7 +40,7 @@
             job.putArray("awaits").add("job-%06d".formatted(jobs - 1));
         }
         PlanRecord plan = new PlanRecord(1, SubmissionDecoder.read(job));
-        store.commit(new Transaction().set(PlanRecord.key(plan.spec().uid()), plan.toJson()));
+        store.commit(new Transaction().set(PlanRecord.key(plan.spec().uid()), PlanRecordCodec.encode(plan)));
         time.runFor(10_000);
     }
 
--- a/src/test/java/io/sillreel/load/StoredJobs.java
+++ b/src/test/java/io/sillreel/load/StoredJobs.java
@@ -5,10 +5,15 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.http.HttpRequest;
 import io.sillreel.http.Json;
+import io.sillreel.pipeline.Checkpointing;
 import io.sillreel.pipeline.JobSpec;
+import io.sillreel.pipeline.PlacementConstraints;
 import io.sillreel.pipeline.PlanRecord;
+import io.sillreel.pipeline.PlanRecordCodec;
 import io.sillreel.pipeline.PriorityClass;
 import io.sillreel.pipeline.RunRecord;
+import io.sillreel.pipeline.TaskSpec;
+import io.sillreel.pipeline.Urgency;
 import io.sillreel.sim.SimStateStore;
 import java.util.List;
 
@@ -30,7 +35,9 @@
     void addDone(int count) {
         for (int each = 0; each < count; each++) {
             String uid = uid(next++);
-            store(PlanRecord.key(uid), new PlanRecord(ADMITTED_WALL_MICROS, spec(uid, null, List.of())).toJson());
+            store(
+                    PlanRecord.key(uid),
+                    PlanRecordCodec.encode(new PlanRecord(ADMITTED_WALL_MICROS, spec(uid, null, List.of()))));
             store(
                     RunRecord.key(uid),
                     Json.object()
@@ -47,7 +54,9 @@
             String uid = uid(next);
             List<String> awaits = each == 0 ? List.of() : List.of(uid(each % FANS == 0 ? first : next - 1));
             List<String> builds = each == 0 ? List.of("a-type-that-is-not-there") : null;
-            store(PlanRecord.key(uid), new PlanRecord(ADMITTED_WALL_MICROS, spec(uid, builds, awaits)).toJson());
+            store(
+                    PlanRecord.key(uid),
+                    PlanRecordCodec.encode(new PlanRecord(ADMITTED_WALL_MICROS, spec(uid, builds, awaits))));
             next++;
         }
     }
@@ -63,22 +72,10 @@
                 uid,
                 "a-class-of-jobs",
                 "t",
-                PriorityClass.BEST_EFFORT,
+                new Urgency(PriorityClass.BEST_EFFORT, -1L),
                 60,
-                1.0,
-                0.0,
-                1.6,
-                "img-07",
-                1.0,
-                builds,
-                null,
-                false,
-                false,
-                true,
-                25_000_000L,
-                0L,
-                0L,
-                -1L,
+                new TaskSpec(1.0, 0.0, 1.6, "img-07", 1.0, 25_000_000L, new Checkpointing(0L, 0L)),
+                new PlacementConstraints(builds, null, false, false, true),
                 awaits);
     }
 }
--- a/src/test/java/io/sillreel/pipeline/PlanRecordTest.java
+++ b/src/test/java/io/sillreel/pipeline/PlanRecordTest.java
@@ -26,22 +26,10 @@
                 "job-000412",
                 "train",
                 "vision",
-                PriorityClass.HIGH,
+                new Urgency(PriorityClass.HIGH, 900_000_000L),
                 16,
-                8.0,
-                1.0,
-                64.0,
-                "img-07",
-                6.2,
-                builds,
-                "a",
-                true,
-                false,
-                true,
-                240_000_000L,
-                30_000_000L,
-                4_000_000L,
-                900_000_000L,
+                new TaskSpec(8.0, 1.0, 64.0, "img-07", 6.2, 240_000_000L, new Checkpointing(30_000_000L, 4_000_000L)),
+                new PlacementConstraints(builds, "a", true, false, true),
                 awaits);
         return new PlanRecord(1_700_000_123_456_789L, spec);
     }
@@ -49,9 +37,9 @@
     @Test
     void aPlanThatFitsIsOneValueThatAllVersionsRead() {
         PlanRecord plan = plan(List.of("g8", "c4"), List.of());
-        Map<String, JsonNode> values = plan.splitOverflow(VALUE_BYTES, 1).orElseThrow();
-        assertThat(values).containsExactly(Map.entry("plan/job-000412", plan.toJson()));
-        assertThat(PlanRecord.fromJson(plan.toJson())).isEqualTo(plan);
+        Map<String, JsonNode> values = PlanOverflow.split(plan, VALUE_BYTES, 1).orElseThrow();
+        assertThat(values).containsExactly(Map.entry("plan/job-000412", PlanRecordCodec.encode(plan)));
+        assertThat(PlanRecordCodec.decode(PlanRecordCodec.encode(plan))).isEqualTo(plan);
     }
 
     @Test
@@ -61,25 +49,26 @@
                 plan(names("type-", 90), names("job-", 300)),
                 plan(names("type-", 300), List.of()))) {
             Map<String, JsonNode> values =
-                    plan.splitOverflow(VALUE_BYTES, MAX_VALUES).orElseThrow();
+                    PlanOverflow.split(plan, VALUE_BYTES, MAX_VALUES).orElseThrow();
             assertThat(values.values()).allMatch(value -> Json.bytes(value).length <= VALUE_BYTES);
-            PlanRecord head = PlanRecord.fromJson(values.get("plan/job-000412"));
+            PlanRecord head = PlanRecordCodec.decode(values.get("plan/job-000412"));
             assertThat(head.isComplete()).isFalse();
             List<JsonNode> overflow = new ArrayList<>();
             for (int index = 0; index < head.overflowValues(); index++) {
                 overflow.add(values.get(PlanRecord.overflowKey("job-000412", index)));
             }
             assertThat(values).hasSize(1 + overflow.size());
-            assertThat(head.withOverflow(overflow)).isEqualTo(plan);
+            assertThat(PlanOverflow.merge(head, overflow)).isEqualTo(plan);
         }
     }
 
     @Test
     void whatTakesTooManyValuesOrHasATooLongNameIsNotCut() {
-        assertThat(plan(null, names("job-", 900)).splitOverflow(VALUE_BYTES, MAX_VALUES))
+        assertThat(PlanOverflow.split(plan(null, names("job-", 900)), VALUE_BYTES, MAX_VALUES))
                 .isEmpty();
-        assertThat(plan(null, names("job-", 200)).splitOverflow(VALUE_BYTES, 1)).isEmpty();
-        assertThat(plan(List.of("g".repeat(VALUE_BYTES)), List.of()).splitOverflow(VALUE_BYTES, MAX_VALUES))
+        assertThat(PlanOverflow.split(plan(null, names("job-", 200)), VALUE_BYTES, 1))
+                .isEmpty();
+        assertThat(PlanOverflow.split(plan(List.of("g".repeat(VALUE_BYTES)), List.of()), VALUE_BYTES, MAX_VALUES))
                 .isEmpty();
     }
 }
--- a/src/test/java/io/sillreel/placement/PlacementIndexTest.java
+++ b/src/test/java/io/sillreel/placement/PlacementIndexTest.java
@@ -8,6 +8,7 @@
 import io.sillreel.cluster.Machine;
 import io.sillreel.http.Json;
 import io.sillreel.pipeline.JobSpec;
+import io.sillreel.pipeline.JobSpecCodec;
 import io.sillreel.sim.SimCluster;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -22,7 +23,7 @@
             new MachineType("c8", 8, 0, 32, 50, 0.2, 1, 0.5, 1, List.of("a", "b")));
 
     private static JobSpec job(Random random, int number) {
-        return JobSpec.fromPlan(SimCluster.job("job-" + number, 1 + random.nextInt(12))
+        return JobSpecCodec.decode(SimCluster.job("job-" + number, 1 + random.nextInt(12))
                 .put("vcpus", 0.5 * (1 + random.nextInt(6)))
                 .put("reel", "img-" + random.nextInt(3))
                 .put("image_gb", random.nextInt(4))
@@ -104,7 +105,7 @@
             Recorder recorder = new Recorder(spec);
             index.offer(spec, spec.tasks(), false, recorder);
             assertThat(recorder.taken)
-                    .as(Json.parse(Json.bytes(spec.toJson())).toString())
+                    .as(Json.parse(Json.bytes(JobSpecCodec.encode(spec))).toString())
                     .isEqualTo(bySorting(sorted, spec));
         }
     }
--- a/src/test/java/io/sillreel/placement/PlannerTest.java
+++ b/src/test/java/io/sillreel/placement/PlannerTest.java
@@ -11,9 +11,13 @@
 import io.sillreel.cluster.ScaleOutRequest;
 import io.sillreel.http.Json;
 import io.sillreel.pipeline.ActiveJob;
+import io.sillreel.pipeline.Checkpointing;
 import io.sillreel.pipeline.IgnoringListener;
 import io.sillreel.pipeline.JobSpec;
+import io.sillreel.pipeline.PlacementConstraints;
 import io.sillreel.pipeline.PriorityClass;
+import io.sillreel.pipeline.TaskSpec;
+import io.sillreel.pipeline.Urgency;
 import io.sillreel.placement.Planner.Assignment;
 import io.sillreel.placement.Planner.Plan;
 import io.sillreel.settings.Settings.Team;
@@ -66,22 +70,10 @@
                 "job-%06d".formatted(++jobs),
                 "l",
                 team,
-                rank,
+                new Urgency(rank, -1),
                 pieces,
-                cpus,
-                0,
-                1,
-                "img",
-                1,
-                null,
-                null,
-                false,
-                false,
-                true,
-                20 * SECOND,
-                saves ? 5 * SECOND : 0,
-                SECOND,
-                -1,
+                new TaskSpec(cpus, 0, 1, "img", 1, 20 * SECOND, new Checkpointing(saves ? 5 * SECOND : 0, SECOND)),
+                new PlacementConstraints(null, null, false, false, true),
                 List.of());
         ActiveJob job =
                 new ActiveJob(spec, jobs, nowMicros - ageMicros, ValueLimits.fixed(8_192), new IgnoringListener());
--- a/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
+++ b/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
@@ -4,10 +4,14 @@
 
 import io.sillreel.cluster.Cluster;
 import io.sillreel.pipeline.ActiveJob;
+import io.sillreel.pipeline.Checkpointing;
 import io.sillreel.pipeline.DependencyGraph;
 import io.sillreel.pipeline.IgnoringListener;
 import io.sillreel.pipeline.JobSpec;
+import io.sillreel.pipeline.PlacementConstraints;
 import io.sillreel.pipeline.PriorityClass;
+import io.sillreel.pipeline.TaskSpec;
+import io.sillreel.pipeline.Urgency;
 import io.sillreel.settings.Settings.Team;
 import io.sillreel.settings.ValueLimits;
 import java.util.ArrayList;
@@ -53,22 +57,10 @@
                 uid,
                 "l",
                 "t",
-                rank,
+                new Urgency(rank, dueMicros),
                 4,
-                1,
-                0,
-                1,
-                "img",
-                1,
-                null,
-                null,
-                false,
-                false,
-                true,
-                20 * SECOND,
-                0,
-                0,
-                dueMicros,
+                new TaskSpec(1, 0, 1, "img", 1, 20 * SECOND, new Checkpointing(0, 0)),
+                new PlacementConstraints(null, null, false, false, true),
                 List.of(awaits));
         return new ActiveJob(spec, 1, NOW, ValueLimits.fixed(8_192), new IgnoringListener());
     }
