--- a/src/main/java/io/sillreel/cloud/CloudClient.java
+++ b/src/main/java/io/sillreel/cloud/CloudClient.java
@@ -25,17 +25,17 @@
     }
 
     /** A machine as the cloud lists it. */
-    public record Listed(
+    public record ListedMachine(
             String name, String address, String machineType, String zone, boolean spot, String stage, long ageMicros) {}
 
     /** The machine types as the cloud lists them. */
     public record MachineTypeList(Outcome outcome, JsonNode body) {}
 
     /** The machines that a rental request obtained. */
-    public record Rented(Outcome outcome, List<String> machines) {}
+    public record ProvisioningResult(Outcome outcome, List<String> machines) {}
 
     /** The list of machines, and when the request for it was sent. */
-    public record Machines(Outcome outcome, List<Listed> machines, long askedMicros) {}
+    public record MachineList(Outcome outcome, List<ListedMachine> machines, long askedMicros) {}
 
     /** A request without an answer is given up after so long. */
     public static final long TIMEOUT_MICROS = 6_000_000;
@@ -51,9 +51,9 @@
     private static final long PAGE_RETRY_MICROS = 1_000_000;
     private static final int MAX_PAGE_FAILURES = 2;
     /** The most machines that one request may give back. */
-    public static final int MAX_RETURNED = 100;
+    public static final int MAX_MACHINES_PER_RETURN = 100;
     /** The most machines that one request may rent. */
-    public static final int MAX_RENTED = 50;
+    public static final int MAX_MACHINES_PER_REQUEST = 50;
 
     private final HttpClient httpClient;
     private final EventLoop eventLoop;
@@ -68,13 +68,13 @@
         this.pacer = pacer;
     }
 
-    public CompletableFuture<MachineTypeList> machineTypes() {
+    public CompletableFuture<MachineTypeList> listMachineTypes() {
         return send(HttpRequest.get("/flavors"))
                 .thenApply(response -> new MachineTypeList(outcome(response), response.json()));
     }
 
     /** Rents up to {@code count} machines under a request name that is never used for anything else. */
-    public CompletableFuture<Rented> rentMachines(
+    public CompletableFuture<ProvisioningResult> provisionMachines(
             String request, String machineType, String zone, boolean spot, int count) {
         ObjectNode body = Json.object()
                 .put("hire", request)
@@ -87,14 +87,14 @@
             response.json().path("hoppers").forEach(name -> names.add(name.asText()));
             boolean full = response.status() == 503
                     && response.json().path("error").asText().equals("no capacity");
-            return new Rented(full ? Outcome.NO_CAPACITY : outcome(response), names);
+            return new ProvisioningResult(full ? Outcome.NO_CAPACITY : outcome(response), names);
         });
     }
 
     /** When OK comes back the machines, and all that was on them, are gone. */
     public CompletableFuture<Outcome> returnMachines(Collection<String> machines) {
         ArrayNode names = Json.array();
-        machines.stream().limit(MAX_RETURNED).forEach(names::add);
+        machines.stream().limit(MAX_MACHINES_PER_RETURN).forEach(names::add);
         ObjectNode body = Json.object();
         body.set("hoppers", names);
         return send(HttpRequest.post("/machines/return", body)).thenApply(this::outcome);
@@ -105,7 +105,7 @@
      * once, so pages wait for their turn and leave part of the rate to rentals and returns, unless they have waited for
      * long. A page that is refused or lost is asked for again by itself.
      */
-    public CompletableFuture<Machines> machines() {
+    public CompletableFuture<MachineList> listMachines() {
         ListRequest list = new ListRequest(eventLoop.nowMicros());
         page(list);
         return list.result;
@@ -114,8 +114,8 @@
     /** A list that is being read. */
     private static final class ListRequest {
         final long askedMicros;
-        final List<Listed> machines = new ArrayList<>();
-        final CompletableFuture<Machines> result = new CompletableFuture<>();
+        final List<ListedMachine> machines = new ArrayList<>();
+        final CompletableFuture<MachineList> result = new CompletableFuture<>();
         String since = "";
         long pageDueMicros;
         int failures;
@@ -130,7 +130,7 @@
         }
 
         void finish(Outcome outcome) {
-            result.complete(new Machines(outcome, outcome == Outcome.OK ? machines : List.of(), askedMicros));
+            result.complete(new MachineList(outcome, outcome == Outcome.OK ? machines : List.of(), askedMicros));
         }
     }
 
@@ -165,8 +165,8 @@
         }
     }
 
-    private static Listed listed(JsonNode node) {
-        return new Listed(
+    private static ListedMachine listed(JsonNode node) {
+        return new ListedMachine(
                 node.path("uid").asText(),
                 node.path("addr").asText(),
                 node.path("build").asText(),
--- a/src/main/java/io/sillreel/cloud/MachineTypeCatalog.java
+++ b/src/main/java/io/sillreel/cloud/MachineTypeCatalog.java
@@ -53,7 +53,7 @@
     }
 
     private void ask(long revision, boolean storable) {
-        cloud.machineTypes().thenAccept(answer -> {
+        cloud.listMachineTypes().thenAccept(answer -> {
             if (answer.outcome() != CloudClient.Outcome.OK
                     || MachineType.readAll(answer.body()).isEmpty()) {
                 return;
--- a/src/main/java/io/sillreel/fleet/CloudListReconciler.java
+++ b/src/main/java/io/sillreel/fleet/CloudListReconciler.java
@@ -1,7 +1,7 @@
 package io.sillreel.fleet;
 
 import io.sillreel.cloud.CloudClient;
-import io.sillreel.cloud.CloudClient.Listed;
+import io.sillreel.cloud.CloudClient.ListedMachine;
 import io.sillreel.cloud.CloudClient.Outcome;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
@@ -67,7 +67,7 @@
     private void list() {
         listing = true;
         long asked = eventLoop.nowMicros();
-        cloud.machines().thenAccept(answer -> {
+        cloud.listMachines().thenAccept(answer -> {
             listing = false;
             listedMicros = eventLoop.nowMicros();
             listPauseMicros = Math.max(MIN_LIST_PAUSE_MICROS, LIST_PAUSE_FACTOR * (listedMicros - asked));
@@ -79,9 +79,9 @@
         });
     }
 
-    private void compare(List<Listed> listed, long asked) {
+    private void compare(List<ListedMachine> listed, long asked) {
         Set<String> present = new HashSet<>();
-        for (Listed entry : listed) {
+        for (ListedMachine entry : listed) {
             present.add(entry.name());
             Machine machine = cluster.machine(entry.name());
             if (machine == null) {
@@ -111,7 +111,7 @@
         strangers.keySet().retainAll(present);
     }
 
-    private void stranger(Listed entry, long asked) {
+    private void stranger(ListedMachine entry, long asked) {
         if (registry.wasReturned(entry.name())) {
             return;
         }
--- a/src/main/java/io/sillreel/fleet/FleetManager.java
+++ b/src/main/java/io/sillreel/fleet/FleetManager.java
@@ -134,7 +134,7 @@
                         machine.state() == Machine.State.DRAINING || machine.state() == Machine.State.RETURNING;
                 if (leaving
                         && (machine.isReturnScheduled() || machine.isEmpty())
-                        && empty.size() < CloudClient.MAX_RETURNED) {
+                        && empty.size() < CloudClient.MAX_MACHINES_PER_RETURN) {
                     empty.add(machine);
                 }
             }
--- a/src/main/java/io/sillreel/fleet/FleetThresholds.java
+++ b/src/main/java/io/sillreel/fleet/FleetThresholds.java
@@ -34,7 +34,8 @@
     public static FleetThresholds of(Settings settings) {
         double calls = settings.cloud().requestsPerSecond() * settings.workers().leaseMicros() / MICROS;
         int rented = ScaleOutRequest.maxMachines(settings.state().values().announcedBytes());
-        double callsOfAMachine = 1.0 / CloudClient.MAX_RETURNED + 1.0 / Math.min(rented, CloudClient.MAX_RENTED);
+        double callsOfAMachine = 1.0 / CloudClient.MAX_MACHINES_PER_RETURN
+                + 1.0 / Math.min(rented, CloudClient.MAX_MACHINES_PER_REQUEST);
         return new FleetThresholds((int) (calls / callsOfAMachine));
     }
 
--- a/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
@@ -82,7 +82,7 @@
         }
         retireLost(now);
         retireUnheard(now);
-        for (Machine machine : capacity.surplus(operator.idleMicros(), now, eventLoop.wallMicros())) {
+        for (Machine machine : capacity.surplusMachines(operator.idleMicros(), now, eventLoop.wallMicros())) {
             leave(machine, "it has no work");
         }
     }
--- a/src/main/java/io/sillreel/fleet/ScaleOut.java
+++ b/src/main/java/io/sillreel/fleet/ScaleOut.java
@@ -92,7 +92,7 @@
 
     private void storeRequest(ScaleOutProposal request, int count) {
         ScaleOutRequest scaleOutRequest =
-                new ScaleOutRequest(registry.newName(), request.type().name(), request.zone(), request.spot(), count);
+                new ScaleOutRequest(registry.newName(), request.type().name(), request.zone(), request.isSpot(), count);
         registry.add(scaleOutRequest);
         scaleOutRequest.onStored(() -> sendRequest(scaleOutRequest));
         writeQueue.enqueue(scaleOutRequest);
@@ -155,7 +155,7 @@
             return;
         }
         scaleOutRequest.askedMicros(eventLoop.nowMicros());
-        cloud.rentMachines(
+        cloud.provisionMachines(
                         scaleOutRequest.name(),
                         scaleOutRequest.machineType(),
                         scaleOutRequest.zone(),
@@ -168,7 +168,7 @@
                 });
     }
 
-    private void handleResult(ScaleOutRequest scaleOutRequest, CloudClient.Rented rented) {
+    private void handleResult(ScaleOutRequest scaleOutRequest, CloudClient.ProvisioningResult rented) {
         long now = eventLoop.nowMicros();
         if (scaleOutRequest.answered() || scaleOutRequest.isDiscarded()) {
             // Asked twice, since an answer seemed lost: the first one counts, and what it brought may be at work.
--- a/src/main/java/io/sillreel/fleet/SpotInterruptionDrain.java
+++ b/src/main/java/io/sillreel/fleet/SpotInterruptionDrain.java
@@ -59,6 +59,6 @@
 
     private long remainingMicros(Allocation allocation, long now) {
         long ran = allocation.runningSinceMicros() < 0 ? 0 : now - allocation.runningSinceMicros();
-        return runtimeEstimator.expectedMicros(allocation.job()) - ran;
+        return runtimeEstimator.expectedRuntimeMicros(allocation.job()) - ran;
     }
 }
--- a/src/main/java/io/sillreel/fleet/StragglerDetector.java
+++ b/src/main/java/io/sillreel/fleet/StragglerDetector.java
@@ -33,7 +33,7 @@
                         && allocation.runningSinceMicros() >= 0
                         && now - allocation.runningSinceMicros()
                                 > MachineHealth.SLOW_RATIO
-                                        * runtimeEstimator.expectedMicros(
+                                        * runtimeEstimator.expectedRuntimeMicros(
                                                 allocation.job().spec())) {
                     late++;
                     lateJobs.add(allocation.uid());
--- a/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
+++ b/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
@@ -128,7 +128,8 @@
                 if (allocation.runningSinceMicros() >= 0) {
                     long ran = now - allocation.runningSinceMicros();
                     machine.health()
-                            .recordRuntimeRatio((double) ran / runtimeEstimator.expectedMicros(job.spec()), job.uid());
+                            .recordRuntimeRatio(
+                                    (double) ran / runtimeEstimator.expectedRuntimeMicros(job.spec()), job.uid());
                     runtimeEstimator.recordRuntime(job, ran);
                 }
                 machine.health().clearSuspicion(job.uid());
--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -108,7 +108,7 @@
         List<ActiveJob> unfinished = new ArrayList<>();
         state.unfinished().forEach(stored -> unfinished.add(inherit(stored)));
         dependencies.restore(unfinished, state.done()::contains, uid -> cancelledUids.contains(uid));
-        unfinished.forEach(inheritance::jobAdded);
+        unfinished.forEach(inheritance::propagateUrgency);
     }
 
     /** Follows from then on what becomes of plans and cancellations. */
@@ -173,7 +173,7 @@
                     ActiveJob job = create(complete.get(), revision);
                     add(job);
                     dependencies.add(job, cancelledUids::contains);
-                    inheritance.jobAdded(job);
+                    inheritance.propagateUrgency(job);
                 }
             }
         });
@@ -311,7 +311,7 @@
                 job.cancel();
                 changed.run();
                 onCancelled.accept(job);
-                inheritance.jobsRemoved(List.of(job));
+                inheritance.recomputeAfterCancellation(List.of(job));
             }
         }
     }
--- a/src/main/java/io/sillreel/leadership/LeaderStatus.java
+++ b/src/main/java/io/sillreel/leadership/LeaderStatus.java
@@ -80,8 +80,8 @@
             gauges.put("sillreel.cpus.up", cpus);
             gauges.put("sillreel.cpus.busy", capacity.busyCpus());
             gauges.put("sillreel.cpus.starting", capacity.startingCpus());
-            gauges.put("sillreel.cpus.wanted", capacity.wantedCpus(eventLoop.wallMicros()));
-            gauges.put("sillreel.cpus.standing", capacity.standingCpus(eventLoop.wallMicros()));
+            gauges.put("sillreel.cpus.wanted", capacity.requiredCpus(eventLoop.wallMicros()));
+            gauges.put("sillreel.cpus.standing", capacity.steadyDemandCpus(eventLoop.wallMicros()));
             gauges.put("sillreel.writes.waiting", (double) writeQueue.backlog());
             gauges.put("sillreel.machines.unheard", (double)
                     cluster.unreconciledMachines().size());
--- a/src/main/java/io/sillreel/placement/CapacityPlanner.java
+++ b/src/main/java/io/sillreel/placement/CapacityPlanner.java
@@ -34,7 +34,7 @@
     private final MachineOfferSelector offers;
     private final Map<PriorityClass, DemandEstimator> demand = new EnumMap<>(PriorityClass.class);
     /** What arrives for ordinary machines alone; it is part of the demand of its rank as well. */
-    private final DemandEstimator ordinaryDemand = new DemandEstimator();
+    private final DemandEstimator onDemandOnlyDemand = new DemandEstimator();
 
     private long shortSinceMicros = -1;
 
@@ -60,7 +60,7 @@
         demand.computeIfAbsent(spec.priorityClass(), rank -> new DemandEstimator())
                 .recordArrival(readyWallMicros, cpuMicros);
         if (!spec.spotAllowed()) {
-            ordinaryDemand.recordArrival(readyWallMicros, cpuMicros);
+            onDemandOnlyDemand.recordArrival(readyWallMicros, cpuMicros);
         }
     }
 
@@ -96,7 +96,7 @@
     }
 
     /** Processors with which all unfinished work would end in time. */
-    public double wantedCpus(long wallMicros) {
+    public double requiredCpus(long wallMicros) {
         double sum = 0;
         double wanted = 0;
         for (Load load : loads(wallMicros, 0)) {
@@ -107,7 +107,7 @@
     }
 
     /** Processors that arriving work keeps busy on the long run. */
-    public double standingCpus(long wallMicros) {
+    public double steadyDemandCpus(long wallMicros) {
         return demand.values().stream()
                 .mapToDouble(each -> each.cpus(wallMicros))
                 .sum();
@@ -157,21 +157,21 @@
         offers.refresh();
         double have = rentingCpus;
         for (Machine machine : cluster.machines()) {
-            if (counts(machine, nowMicros)) {
+            if (isAvailableSoon(machine, nowMicros)) {
                 have += machine.type().cpus();
             }
         }
         long boot = types.stream().mapToLong(MachineType::bootMicros).min().orElse(0);
         double urgent = urgentCpus(have, boot, nowMicros, wallMicros);
-        double standing = standingCpus(wallMicros) - have;
+        double standing = steadyDemandCpus(wallMicros) - have;
         List<ScaleOutProposal> rentalRequests = new ArrayList<>();
-        double ordinary = confined(types, rentingOrdinaryCpus, nowMicros, wallMicros, rentalRequests);
+        double ordinary = proposeOnDemandMachines(types, rentingOrdinaryCpus, nowMicros, wallMicros, rentalRequests);
         urgent -= ordinary;
         double missing = Math.max(urgent, standing - ordinary);
         while (missing > SMALLEST_MISSING && rentalRequests.size() < 3) {
             // Ordinary machines cost a multiple: they are for work that would be late, not for the standing demand.
-            ScaleOutProposal rentalRequest =
-                    offers.cheapest(types, missing, null, urgent > SMALLEST_MISSING, true, rentalRequests, nowMicros);
+            ScaleOutProposal rentalRequest = offers.selectCheapest(
+                    types, missing, null, urgent > SMALLEST_MISSING, true, rentalRequests, nowMicros);
             if (rentalRequest == null) {
                 break;
             }
@@ -180,7 +180,7 @@
             urgent -= rentalRequest.count() * rentalRequest.type().cpus();
         }
         if (rentalRequests.isEmpty() && rentingCpus == 0) {
-            stranded(types, nowMicros, wallMicros, rentalRequests);
+            proposeForUnhostedJob(types, nowMicros, wallMicros, rentalRequests);
         }
         return rentalRequests;
     }
@@ -191,7 +191,7 @@
      *
      * @return the processors that were added to the wishes
      */
-    private double confined(
+    private double proposeOnDemandMachines(
             Collection<MachineType> types,
             long rentingOrdinaryCpus,
             long nowMicros,
@@ -200,7 +200,7 @@
         double free = rentingOrdinaryCpus;
         double have = rentingOrdinaryCpus;
         for (Machine machine : cluster.machines()) {
-            if (!machine.spot() && counts(machine, nowMicros)) {
+            if (!machine.spot() && isAvailableSoon(machine, nowMicros)) {
                 have += machine.type().cpus();
                 free += machine.state() == Machine.State.UP
                         ? Math.max(0, machine.freeCpus())
@@ -217,12 +217,12 @@
                 }
             }
         }
-        double missing = Math.max(waiting - free, ordinaryDemand.cpus(wallMicros) - have);
+        double missing = Math.max(waiting - free, onDemandOnlyDemand.cpus(wallMicros) - have);
         if (missing <= SMALLEST_MISSING) {
             return 0;
         }
         ScaleOutProposal rentalRequest =
-                offers.cheapest(types, missing, largest, true, false, rentalRequests, nowMicros);
+                offers.selectCheapest(types, missing, largest, true, false, rentalRequests, nowMicros);
         if (rentalRequest == null) {
             return 0;
         }
@@ -231,20 +231,20 @@
     }
 
     /** Waiting jobs that no machine of the fleet could ever take get one that can. */
-    private void stranded(
+    private void proposeForUnhostedJob(
             Collection<MachineType> types, long nowMicros, long wallMicros, List<ScaleOutProposal> rentalRequests) {
         for (ActiveJob job : cluster.jobs()) {
             if (!cluster.isLaunchable(job, wallMicros) || job.waitingCount() == 0 || job.allocatedCount() > 0) {
                 continue;
             }
             boolean hosted = cluster.machines().stream()
-                    .anyMatch(machine -> counts(machine, nowMicros)
+                    .anyMatch(machine -> isAvailableSoon(machine, nowMicros)
                             && Cluster.isEligible(job.spec(), machine)
                             && !job.failedOn().contains(machine.name())
                             && Machine.fitsEmptyMachine(job.spec(), machine.type()));
             if (!hosted) {
-                ScaleOutProposal rentalRequest =
-                        offers.cheapest(types, job.spec().cpus(), job.spec(), true, true, rentalRequests, nowMicros);
+                ScaleOutProposal rentalRequest = offers.selectCheapest(
+                        types, job.spec().cpus(), job.spec(), true, true, rentalRequests, nowMicros);
                 if (rentalRequest != null) {
                     rentalRequests.add(rentalRequest);
                     return;
@@ -254,9 +254,9 @@
     }
 
     /** True if the machine is, or will soon be, there to work. */
-    private static boolean counts(Machine machine, long nowMicros) {
+    private static boolean isAvailableSoon(Machine machine, long nowMicros) {
         return switch (machine.state()) {
-            case UP -> !machine.isInterrupted() && !machine.health().isSuspect() && !isAway(machine, nowMicros);
+            case UP -> !machine.isInterrupted() && !machine.health().isSuspect() && !isLeaseExpired(machine, nowMicros);
             case PROVISIONING ->
                 nowMicros - machine.requestedMicros()
                         < (machine.isInherited() ? 1 : LATE_BOOT_FACTOR)
@@ -266,7 +266,7 @@
     }
 
     /** True if it is silent beyond its lease: it may come back, but until then others have to do its work. */
-    private static boolean isAway(Machine machine, long nowMicros) {
+    private static boolean isLeaseExpired(Machine machine, long nowMicros) {
         return machine.leaseExpiryMicros() < nowMicros;
     }
 
@@ -274,11 +274,11 @@
      * Machines that neither the queued work nor the standing demand needs: idle ones, and ordinary ones that are to
      * empty, the dearest first.
      */
-    public List<Machine> surplus(long idleMicros, long nowMicros, long wallMicros) {
+    public List<Machine> surplusMachines(long idleMicros, long nowMicros, long wallMicros) {
         double have = 0;
         List<Machine> candidates = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
-            if (machine.state() == Machine.State.UP && machine.isReconciled() && !isAway(machine, nowMicros)) {
+            if (machine.state() == Machine.State.UP && machine.isReconciled() && !isLeaseExpired(machine, nowMicros)) {
                 have += machine.type().cpus();
                 boolean idle = nowMicros - machine.idleSinceMicros(nowMicros) > idleMicros;
                 boolean settled = nowMicros - machine.upMicros() > SETTLED_MICROS;
@@ -287,9 +287,9 @@
                 }
             }
         }
-        double needed = Math.max(busyCpus(), standingCpus(wallMicros));
-        double spare = have - Math.max(wantedCpus(wallMicros), needed);
-        double ordinarySpare = -ordinaryDemand.cpus(wallMicros);
+        double needed = Math.max(busyCpus(), steadyDemandCpus(wallMicros));
+        double spare = have - Math.max(requiredCpus(wallMicros), needed);
+        double ordinarySpare = -onDemandOnlyDemand.cpus(wallMicros);
         for (Machine machine : cluster.machines()) {
             ordinarySpare += !machine.spot() && machine.state() == Machine.State.UP
                     ? machine.type().cpus()
@@ -301,7 +301,7 @@
         List<Machine> surplus = new ArrayList<>();
         for (Machine machine : candidates) {
             boolean kept = !machine.spot()
-                    && ordinaryDemand.cpus(wallMicros) > 0
+                    && onDemandOnlyDemand.cpus(wallMicros) > 0
                     && machine.type().cpus() > ordinarySpare + 0.01;
             if (machine.type().cpus() <= spare + 0.01 && !kept) {
                 surplus.add(machine);
--- a/src/main/java/io/sillreel/placement/MachineOfferSelector.java
+++ b/src/main/java/io/sillreel/placement/MachineOfferSelector.java
@@ -65,7 +65,7 @@
      * @param only a job that has to fit, or null
      * @param already what is asked for anyway, and not to be asked for twice
      */
-    ScaleOutProposal cheapest(
+    ScaleOutProposal selectCheapest(
             Collection<MachineType> types,
             double missing,
             JobSpec only,
@@ -95,7 +95,8 @@
                     if (cost < bestCost) {
                         bestCost = cost;
                         int count = (int) Math.max(1, Math.floor(missing / type.cpus()));
-                        best = new ScaleOutProposal(type, zone, spot, Math.min(count, CloudClient.MAX_RENTED));
+                        best = new ScaleOutProposal(
+                                type, zone, spot, Math.min(count, CloudClient.MAX_MACHINES_PER_REQUEST));
                     }
                 }
             }
@@ -107,7 +108,7 @@
         return already.stream()
                 .anyMatch(rentalRequest -> rentalRequest.type() == type
                         && rentalRequest.zone().equals(zone)
-                        && rentalRequest.spot() == spot);
+                        && rentalRequest.isSpot() == spot);
     }
 
     /** The part of the spot fleet that one wave in this place could take. */
--- a/src/main/java/io/sillreel/placement/PlacementIndex.java
+++ b/src/main/java/io/sillreel/placement/PlacementIndex.java
@@ -131,10 +131,10 @@
     /** Takes the places for a job one after the other, the best first. */
     interface Taker {
         /** True if no more places are wanted. */
-        boolean satisfied();
+        boolean isSatisfied();
 
         /** True if no machine of the zone may take a task of the job. */
-        boolean zoneClosed(String zone);
+        boolean isZoneExcluded(String zone);
 
         /** Takes what is to be taken of the place; true if it took anything. */
         boolean take(FreeCapacity space);
@@ -171,9 +171,9 @@
     void offer(JobSpec spec, int wanted, boolean onlyWithImage, Taker taker) {
         PriorityQueue<Run> runs = runs(spec, wanted, onlyWithImage);
         Map<FreeCapacity, Group> taken = new LinkedHashMap<>();
-        while (!runs.isEmpty() && !taker.satisfied()) {
+        while (!runs.isEmpty() && !taker.isSatisfied()) {
             Run best = runs.poll();
-            if (taker.zoneClosed(best.group.offer.zone())) {
+            if (taker.isZoneExcluded(best.group.offer.zone())) {
                 continue;
             }
             steps++;
--- a/src/main/java/io/sillreel/placement/Planner.java
+++ b/src/main/java/io/sillreel/placement/Planner.java
@@ -224,12 +224,12 @@
         }
 
         @Override
-        public boolean satisfied() {
+        public boolean isSatisfied() {
             return wanted == 0;
         }
 
         @Override
-        public boolean zoneClosed(String zone) {
+        public boolean isZoneExcluded(String zone) {
             return spec.zoneAffinity() && onlyZone != null && !onlyZone.equals(zone) || room(zone) <= 0;
         }
 
--- a/src/main/java/io/sillreel/placement/PriorityInheritance.java
+++ b/src/main/java/io/sillreel/placement/PriorityInheritance.java
@@ -20,7 +20,7 @@
     }
 
     /** The job has joined a chain, or jobs that it is needed by have told it something new. */
-    public void jobAdded(ActiveJob job) {
+    public void propagateUrgency(ActiveJob job) {
         Deque<ActiveJob> open = new ArrayDeque<>();
         open.add(job);
         while (!open.isEmpty()) {
@@ -29,7 +29,7 @@
                 continue;
             }
             for (ActiveJob awaited : dependencies.dependencies(needing)) {
-                if (awaited.inheritUrgency(needing.effectivePriority(), startBy(needing))) {
+                if (awaited.inheritUrgency(needing.effectivePriority(), latestEndOfDependencies(needing))) {
                     open.add(awaited);
                 }
             }
@@ -37,7 +37,7 @@
     }
 
     /** Jobs that needed others are cancelled: what they awaited is only as urgent as those that still need it. */
-    public void jobsRemoved(Collection<ActiveJob> cancelled) {
+    public void recomputeAfterCancellation(Collection<ActiveJob> cancelled) {
         Deque<ActiveJob> open = new ArrayDeque<>();
         cancelled.forEach(job -> open.addAll(dependencies.dependencies(job)));
         while (!open.isEmpty()) {
@@ -50,7 +50,7 @@
             job.resetInheritedUrgency();
             for (ActiveJob needing : dependencies.dependents(job)) {
                 if (!needing.isCancelled()) {
-                    job.inheritUrgency(needing.effectivePriority(), startBy(needing));
+                    job.inheritUrgency(needing.effectivePriority(), latestEndOfDependencies(needing));
                 }
             }
             if (rank != job.effectivePriority() || before != job.inheritedDeadlineMicros()) {
@@ -60,8 +60,8 @@
     }
 
     /** When all that the job awaits has to be done so that it ends in time; time of day. */
-    private long startBy(ActiveJob job) {
+    private long latestEndOfDependencies(ActiveJob job) {
         long end = job.effectiveDeadlineMicros();
-        return end == Long.MAX_VALUE ? end : end - runtimeEstimator.jobSpanMicros(job);
+        return end == Long.MAX_VALUE ? end : end - runtimeEstimator.makespanMicros(job);
     }
 }
--- a/src/main/java/io/sillreel/placement/RuntimeEstimator.java
+++ b/src/main/java/io/sillreel/placement/RuntimeEstimator.java
@@ -45,12 +45,12 @@
 
     /** How long a task is expected to keep its place: with its part of the image fetch, and the reports around it. */
     public long occupancyMicros(JobSpec spec) {
-        return expectedMicros(spec) + overheadMicros(spec);
+        return expectedRuntimeMicros(spec) + overheadMicros(spec);
     }
 
     /** The same, with what the job's own tasks have shown. */
     public long occupancyMicros(ActiveJob job) {
-        return expectedMicros(job) + overheadMicros(job.spec());
+        return expectedRuntimeMicros(job) + overheadMicros(job.spec());
     }
 
     private static long overheadMicros(JobSpec spec) {
@@ -60,26 +60,26 @@
     /**
      * From the end of what a job awaits to its own: its slowest task, the image, and the reports and plans around it.
      */
-    public long jobSpanMicros(ActiveJob job) {
-        return slowestMicros(job) + START_MICROS + Math.round(job.spec().imageGb() * WHOLE_FETCH_MICROS_PER_GB);
+    public long makespanMicros(ActiveJob job) {
+        return slowestTaskMicros(job) + START_MICROS + Math.round(job.spec().imageGb() * WHOLE_FETCH_MICROS_PER_GB);
     }
 
     /** How long a task like the job's is expected to run, without its image fetch. */
-    public synchronized long expectedMicros(JobSpec spec) {
+    public synchronized long expectedRuntimeMicros(JobSpec spec) {
         return Math.max(1_000_000, Math.round(spec.estimatedMicros() * ratios.getOrDefault(spec.jobClass(), 1.0)));
     }
 
     /** How long a task of the job is expected to run, from its class and from its own tasks that have ended. */
-    public long expectedMicros(ActiveJob job) {
-        return (CLASS_TASKS * expectedMicros(job.spec()) + job.measuredMicros())
+    public long expectedRuntimeMicros(ActiveJob job) {
+        return (CLASS_TASKS * expectedRuntimeMicros(job.spec()) + job.measuredMicros())
                 / (CLASS_TASKS + job.measuredTaskCount());
     }
 
     /** How long the slowest of the job's tasks is expected to run: the job is not done before. */
-    public synchronized long slowestMicros(ActiveJob job) {
+    public synchronized long slowestTaskMicros(ActiveJob job) {
         double tail = job.spec().tasks() < MIN_TASKS_OF_A_TAIL
                 ? 1
                 : tails.getOrDefault(job.spec().jobClass(), FIRST_TAIL);
-        return Math.round(expectedMicros(job) * tail);
+        return Math.round(expectedRuntimeMicros(job) * tail);
     }
 }
--- a/src/main/java/io/sillreel/placement/ServiceLevelObjectives.java
+++ b/src/main/java/io/sillreel/placement/ServiceLevelObjectives.java
@@ -35,7 +35,7 @@
     /** The same for tasks that can only start after a delay. */
     public long deadlineMicros(ActiveJob job, long wallMicros, long delayMicros) {
         JobSpec spec = job.spec();
-        long reachable = wallMicros + delayMicros + runtimeEstimator.slowestMicros(job);
+        long reachable = wallMicros + delayMicros + runtimeEstimator.slowestTaskMicros(job);
         long needed = job.inheritedDeadlineMicros();
         if (spec.deadlineMicros() >= 0) {
             long due = job.admittedWallMicros() + spec.deadlineMicros();
@@ -48,7 +48,7 @@
                 // An aim for starting leaves the whole run after it; all count from when the job was ready.
                 long at = job.readyWallMicros()
                         + aim.withinMicros()
-                        + (aim.kind().equals("wait") ? runtimeEstimator.slowestMicros(job) : 0);
+                        + (aim.kind().equals("wait") ? runtimeEstimator.slowestTaskMicros(job) : 0);
                 last = Math.max(last, at);
                 if (at >= reachable) {
                     first = Math.min(first, at);
@@ -63,6 +63,6 @@
 
     /** How long the job's last tasks may still wait to be started; negative once the deadline can't be met. */
     public long slackMicros(ActiveJob job, long wallMicros) {
-        return deadlineMicros(job, wallMicros) - wallMicros - runtimeEstimator.slowestMicros(job);
+        return deadlineMicros(job, wallMicros) - wallMicros - runtimeEstimator.slowestTaskMicros(job);
     }
 }
--- a/src/test/java/io/sillreel/cloud/CloudClientTest.java
+++ b/src/test/java/io/sillreel/cloud/CloudClientTest.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.netty.handler.codec.http.QueryStringDecoder;
-import io.sillreel.cloud.CloudClient.Machines;
+import io.sillreel.cloud.CloudClient.MachineList;
 import io.sillreel.cloud.CloudClient.Outcome;
 import io.sillreel.http.HttpRequest;
 import io.sillreel.http.HttpResponse;
@@ -57,7 +57,7 @@
     /** Guards the list of a large fleet: a page beyond the rate ended it, so that beyond some 500 it never came. */
     @Test
     void theListOfALargeFleetComesAtALowRate() {
-        CompletableFuture<Machines> list = cloud.machines();
+        CompletableFuture<MachineList> list = cloud.listMachines();
         time.runFor(12 * SECOND);
         assertThat(list).isCompletedWithValueMatching(machines -> machines.outcome() == Outcome.OK);
         assertThat(list.join().machines()).hasSize(MACHINES);
@@ -66,7 +66,7 @@
 
     @Test
     void aListLeavesRoomForReturnsAndEndsThoughTheyTakeAllThatIsThere() {
-        CompletableFuture<Machines> list = cloud.machines();
+        CompletableFuture<MachineList> list = cloud.listMachines();
         int served = 0;
         for (int second = 0; second < 60; second++) {
             CompletableFuture<Outcome> given = cloud.returnMachines(List.of("host-000001"));
@@ -94,12 +94,12 @@
     @Test
     void aRefusedPageIsAskedForAgainAndAnOutageEndsTheList() {
         network.add((from, to, request) -> requests++ % 3 == 0 ? Fate.REFUSE : null);
-        CompletableFuture<Machines> list = cloud.machines();
+        CompletableFuture<MachineList> list = cloud.listMachines();
         time.runFor(60 * SECOND);
         assertThat(list.join().machines()).hasSize(MACHINES);
         network.add((from, to, request) -> Fate.REFUSE);
         network.silence("cloud:1");
-        CompletableFuture<Machines> refused = cloud.machines();
+        CompletableFuture<MachineList> refused = cloud.listMachines();
         time.runFor(60 * SECOND);
         assertThat(refused.join().outcome()).isNotEqualTo(Outcome.OK);
     }
--- a/src/test/java/io/sillreel/placement/PlacementIndexTest.java
+++ b/src/test/java/io/sillreel/placement/PlacementIndexTest.java
@@ -42,12 +42,12 @@
         }
 
         @Override
-        public boolean satisfied() {
+        public boolean isSatisfied() {
             return wanted == 0;
         }
 
         @Override
-        public boolean zoneClosed(String zone) {
+        public boolean isZoneExcluded(String zone) {
             return false;
         }
 
@@ -77,7 +77,7 @@
                         space -> space.hasImage(spec) ? space.cpus : -Math.min(space.fittingTasks(spec), spec.tasks()))
                 .thenComparing(space -> space.machine.name()));
         Recorder recorder = new Recorder(spec);
-        fitting.stream().takeWhile(space -> !recorder.satisfied()).forEach(recorder::take);
+        fitting.stream().takeWhile(space -> !recorder.isSatisfied()).forEach(recorder::take);
         return recorder.taken;
     }
 
--- a/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
+++ b/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
@@ -77,7 +77,7 @@
         ActiveJob job = job(uid, rank, dueMicros, awaits);
         cluster.add(job);
         dependencies.add(job, cancelled::contains);
-        inheritance.jobAdded(job);
+        inheritance.propagateUrgency(job);
         return job;
     }
 
@@ -92,19 +92,19 @@
         assertThat(List.of(first.effectivePriority(), second.effectivePriority()))
                 .containsOnly(PriorityClass.HIGH);
         assertThat(second.effectiveDeadlineMicros())
-                .isEqualTo(NOW + 300 * SECOND - runtimeEstimator.jobSpanMicros(last));
+                .isEqualTo(NOW + 300 * SECOND - runtimeEstimator.makespanMicros(last));
         assertThat(first.effectiveDeadlineMicros())
-                .isEqualTo(second.effectiveDeadlineMicros() - runtimeEstimator.jobSpanMicros(second));
+                .isEqualTo(second.effectiveDeadlineMicros() - runtimeEstimator.makespanMicros(second));
         ActiveJob sooner = joined("job-000004", PriorityClass.NORMAL, 60 * SECOND, "job-000001");
         assertThat(first.effectiveDeadlineMicros())
-                .isEqualTo(NOW + 60 * SECOND - runtimeEstimator.jobSpanMicros(sooner));
+                .isEqualTo(NOW + 60 * SECOND - runtimeEstimator.makespanMicros(sooner));
         assertThat(first.effectivePriority()).isEqualTo(PriorityClass.HIGH);
         last.cancel();
-        inheritance.jobsRemoved(List.of(last));
+        inheritance.recomputeAfterCancellation(List.of(last));
         assertThat(second.effectivePriority()).isEqualTo(PriorityClass.BEST_EFFORT);
         assertThat(first.effectivePriority()).isEqualTo(PriorityClass.NORMAL);
         sooner.cancel();
-        inheritance.jobsRemoved(List.of(sooner));
+        inheritance.recomputeAfterCancellation(List.of(sooner));
         assertThat(first.effectivePriority()).isEqualTo(PriorityClass.BEST_EFFORT);
         assertThat(first.effectiveDeadlineMicros()).isEqualTo(Long.MAX_VALUE);
     }
