--- a/src/main/java/io/sillreel/cloud/MachineType.java
+++ b/src/main/java/io/sillreel/cloud/MachineType.java
@@ -1,47 +1,49 @@
 package io.sillreel.cloud;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 
-/** A machine type that the cloud rents. */
+/**
+ * A machine type that the cloud offers. The resources are those of an empty machine.
+ *
+ * @param cpus processors
+ * @param gpus accelerator cards
+ * @param ramGb memory in gigabytes
+ * @param bootMicros how long a machine usually takes from the request to its first heartbeat, in microseconds
+ * @param zones names of the zones in which the type is offered
+ */
 public record MachineType(
         String name,
         double cpus,
         double gpus,
         double ramGb,
-        double cacheGb,
-        double pullGbPerSecond,
-        double price,
-        double spotPrice,
+        ImageStorage imageStorage,
+        Pricing pricing,
         long bootMicros,
         List<String> zones) {
 
-    /** Reads the cloud's answer, which is also the form in which it is kept in the state service. */
-    public static Map<String, MachineType> readAll(JsonNode machineTypes) {
-        Map<String, MachineType> types = new LinkedHashMap<>();
-        for (JsonNode node : machineTypes.path("builds")) {
-            List<String> zones = new ArrayList<>();
-            node.path("yards").forEach(zone -> zones.add(zone.asText()));
-            MachineType type = new MachineType(
-                    node.path("sku").asText(),
-                    node.path("vcpus").asDouble(),
-                    node.path("cards").asDouble(),
-                    node.path("ram_gb").asDouble(),
-                    node.path("cache_gb").asDouble(),
-                    node.path("pull_gb_per_s").asDouble(),
-                    node.path("price").asDouble(),
-                    node.path("spot_price").asDouble(),
-                    Math.round(node.path("boot_s").asDouble() * 1_000_000),
-                    List.copyOf(zones));
-            types.put(type.name(), type);
-        }
-        return types;
+    /**
+     * How a machine fetches and keeps the images of its tasks.
+     *
+     * @param cacheGb size of the image cache in gigabytes
+     * @param pullGbPerSecond rate at which images are fetched, in gigabytes per second
+     */
+    public record ImageStorage(double cacheGb, double pullGbPerSecond) {}
+
+    /** Price of an on-demand and nominal price of a spot machine, per hour. */
+    public record Pricing(double onDemand, double spot) {}
+
+    /** Returns the size of the image cache in gigabytes. */
+    public double cacheGb() {
+        return imageStorage.cacheGb();
+    }
+
+    /** Returns the rate at which images are fetched, in gigabytes per second. */
+    public double pullGbPerSecond() {
+        return imageStorage.pullGbPerSecond();
     }
 
-    public double priceOf(boolean spot) {
-        return spot ? spotPrice : price;
+    /** Returns the price per hour of a spot machine, or else of an on-demand machine. */
+    public double priceOf(boolean isSpot) {
+        return isSpot ? pricing.spot() : pricing.onDemand();
     }
 }
--- a/src/main/java/io/sillreel/cloud/MachineTypeCatalog.java
+++ b/src/main/java/io/sillreel/cloud/MachineTypeCatalog.java
@@ -1,86 +1,74 @@
 package io.sillreel.cloud;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import io.sillreel.http.EventLoop;
-import io.sillreel.http.Json;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Transaction;
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The machine types. The lease leader asks the cloud and stores the answer, so that a controller that starts while the
- * cloud is down can still judge submissions.
+ * The machine types that the cloud offers. The leader requests them from the cloud and stores the answer, so that a
+ * controller that starts while the cloud is unavailable can still check submissions. The catalog is replaced as a whole
+ * and may be read by any thread.
  */
 public final class MachineTypeCatalog {
-    public static final String KEY = "flavors";
     private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
     private static final long RETRY_MICROS = 1_000_000;
     private static final long REFRESH_MICROS = 60_000_000;
 
-    private final StateStore store;
+    private final MachineTypeStore store;
     private final CloudClient cloud;
     private final EventLoop eventLoop;
-    private final BooleanSupplier holdsLease;
+    private final BooleanSupplier isLeader;
     private volatile Map<String, MachineType> types = Map.of();
 
-    /** @param holdsLease true while this controller may update the stored machine types */
-    public MachineTypeCatalog(StateStore store, CloudClient cloud, EventLoop eventLoop, BooleanSupplier holdsLease) {
-        this.store = store;
+    /** @param isLeader true while this controller may update the stored machine types */
+    public MachineTypeCatalog(StateStore store, CloudClient cloud, EventLoop eventLoop, BooleanSupplier isLeader) {
+        this.store = new MachineTypeStore(store);
         this.cloud = cloud;
         this.eventLoop = eventLoop;
-        this.holdsLease = holdsLease;
+        this.isLeader = isLeader;
     }
 
+    /** Returns the machine types by name; empty until they have first been read. */
     public Map<String, MachineType> types() {
         return types;
     }
 
-    /** Begins to look: in the store first, in the cloud if nothing is stored, and for prices now and then. */
+    /**
+     * Starts to keep the catalog current: reads the store, and asks the cloud while the catalog is empty or this
+     * controller leads. Repeats every second until the catalog is filled, then every minute.
+     */
     public void start() {
-        store.get(KEY).thenAccept(read -> {
-            if (read.outcome() == Outcome.OK) {
-                learn(read.entry().value());
-            }
-            if (types.isEmpty() || holdsLease.getAsBoolean()) {
-                ask(read.revision(), read.isDecided());
+        store.read().thenAccept(stored -> {
+            update(stored.types());
+            if (types.isEmpty() || isLeader.getAsBoolean()) {
+                requestFromCloud(stored);
             }
             eventLoop.schedule(types.isEmpty() ? RETRY_MICROS : REFRESH_MICROS, this::start);
         });
     }
 
-    private void ask(long revision, boolean storable) {
+    private void requestFromCloud(MachineTypeStore.StoredTypes stored) {
         cloud.listMachineTypes().thenAccept(answer -> {
-            if (answer.outcome() != CloudClient.Outcome.OK
-                    || MachineType.readAll(answer.body()).isEmpty()) {
+            if (answer.outcome() != CloudClient.Outcome.OK || answer.list().isEmpty()) {
                 return;
             }
-            learn(answer.body());
-            if (storable) {
-                store.commit(new Transaction().requireRevision(KEY, revision).set(KEY, answer.body()))
-                        .thenAccept(commit -> {
-                            if (commit.outcome() == Outcome.TOO_LARGE) {
-                                LOG.error(
-                                        "{} is refused by the state service with {} bytes; controllers that start "
-                                                + "while the cloud is down will not know the machine types",
-                                        KEY,
-                                        Json.bytes(answer.body()).length);
-                            }
-                        });
+            update(answer.list());
+            if (stored.isDecided()) {
+                store.write(answer.list(), stored.revision());
             }
         });
     }
 
-    private void learn(JsonNode machineTypes) {
-        Map<String, MachineType> read = MachineType.readAll(machineTypes);
-        if (types.isEmpty() && !read.isEmpty()) {
-            LOG.info("machine types: {}", String.join(", ", read.keySet()));
+    private void update(MachineTypeList list) {
+        if (list.isEmpty()) {
+            return;
         }
-        if (!read.isEmpty()) {
-            types = read;
+        if (types.isEmpty()) {
+            LOG.info("machine types: {}", String.join(", ", list.types().keySet()));
         }
+        types = list.types();
     }
 }
--- /dev/null
+++ b/src/main/java/io/sillreel/cloud/MachineTypeList.java
@@ -0,0 +1,32 @@
+package io.sillreel.cloud;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.Map;
+
+/**
+ * The machine types as the cloud or the state store lists them. Keeps the document it was read from, because the store
+ * holds the cloud's answer unchanged, including fields that this version does not know.
+ */
+final class MachineTypeList {
+    private final Map<String, MachineType> types;
+    private final JsonNode document;
+
+    MachineTypeList(Map<String, MachineType> types, JsonNode document) {
+        this.types = types;
+        this.document = document;
+    }
+
+    /** Returns the machine types by name, in the order of the list; not to be modified. */
+    Map<String, MachineType> types() {
+        return types;
+    }
+
+    boolean isEmpty() {
+        return types.isEmpty();
+    }
+
+    /** Returns the document to store. */
+    JsonNode document() {
+        return document;
+    }
+}
--- /dev/null
+++ b/src/main/java/io/sillreel/cloud/MachineTypeStore.java
@@ -0,0 +1,53 @@
+package io.sillreel.cloud;
+
+import io.sillreel.http.Json;
+import io.sillreel.statestore.StateStore;
+import io.sillreel.statestore.StateStore.Outcome;
+import io.sillreel.statestore.StateStore.Transaction;
+import java.util.concurrent.CompletableFuture;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** The machine types as they are kept in the state store, under one key. */
+final class MachineTypeStore {
+    static final String KEY = "flavors";
+    private static final Logger LOG = LoggerFactory.getLogger(MachineTypeStore.class);
+
+    /**
+     * The stored machine types.
+     *
+     * @param types empty if none are stored or the store gave no answer
+     * @param revision revision of the key, for the compare-and-swap that replaces it
+     * @param isDecided true if the store answered, so that the revision is known
+     */
+    record StoredTypes(MachineTypeList types, long revision, boolean isDecided) {}
+
+    private final StateStore store;
+
+    MachineTypeStore(StateStore store) {
+        this.store = store;
+    }
+
+    CompletableFuture<StoredTypes> read() {
+        return store.get(KEY)
+                .thenApply(read -> new StoredTypes(
+                        CloudCodec.readMachineTypes(
+                                read.outcome() == Outcome.OK ? read.entry().value() : Json.object()),
+                        read.revision(),
+                        read.isDecided()));
+    }
+
+    /** Replaces the stored list if it still has the revision; a write that loses the comparison is dropped. */
+    void write(MachineTypeList types, long revision) {
+        store.commit(new Transaction().requireRevision(KEY, revision).set(KEY, types.document()))
+                .thenAccept(commit -> {
+                    if (commit.outcome() == Outcome.TOO_LARGE) {
+                        LOG.error(
+                                "the state store refuses {} with {} bytes as too large; controllers that start "
+                                        + "while the cloud is unavailable will not know the machine types",
+                                KEY,
+                                Json.bytes(types.document()).length);
+                    }
+                });
+    }
+}
--- a/src/main/java/io/sillreel/fleet/CloudListReconciler.java
+++ b/src/main/java/io/sillreel/fleet/CloudListReconciler.java
@@ -23,7 +23,6 @@
     private static final long LIST_PAUSE_FACTOR = 2;
 
     private static final long PENDING_RENTAL_MICROS = 30_000_000;
-    private static final String FAILED = "failed";
 
     private final EventLoop eventLoop;
     private final Cluster cluster;
@@ -91,7 +90,7 @@
             strangers.remove(entry.name());
             machine.recordListed(eventLoop.nowMicros());
             machine.address(entry.address());
-            if (entry.stage().equals(FAILED)) {
+            if (entry.hasFailed()) {
                 LOG.info("machine {} has failed", machine.name());
                 clear.accept(machine);
                 machine.drain("it has failed");
@@ -121,11 +120,11 @@
         if (first == null || pending && asked - first < PENDING_RENTAL_MICROS) {
             return;
         }
-        Machine machine = registry.adopt(entry.name(), entry.machineType(), entry.zone(), entry.spot());
+        Machine machine = registry.adopt(entry.name(), entry.machineType(), entry.zone(), entry.isSpot());
         if (machine != null) {
             machine.address(entry.address());
             machine.recordListed(asked);
-            if (entry.stage().equals(FAILED)) {
+            if (entry.hasFailed()) {
                 machine.drain("it has failed");
             }
         }
--- a/src/test/java/io/sillreel/fleet/FleetRegistryTest.java
+++ b/src/test/java/io/sillreel/fleet/FleetRegistryTest.java
@@ -3,6 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.sillreel.cloud.MachineType;
+import io.sillreel.cloud.MachineType.ImageStorage;
+import io.sillreel.cloud.MachineType.Pricing;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
 import io.sillreel.settings.ValueLimits;
@@ -28,7 +30,9 @@
             cluster,
             new WriteQueue(store, process, "leader", 1, 4, () -> {}),
             ValueLimits.fixed(2_048),
-            () -> Map.of("c4", new MachineType("c4", 4, 0, 16, 50, 1, 1, 0.5, 1, List.of("a"))),
+            () -> Map.of(
+                    "c4",
+                    new MachineType("c4", 4, 0, 16, new ImageStorage(50, 1), new Pricing(1, 0.5), 1, List.of("a"))),
             Machine::clearAllocations);
 
     private void comeAndGo(String name) {
--- a/src/test/java/io/sillreel/placement/PlacementIndexTest.java
+++ b/src/test/java/io/sillreel/placement/PlacementIndexTest.java
@@ -3,6 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.sillreel.cloud.MachineType;
+import io.sillreel.cloud.MachineType.ImageStorage;
+import io.sillreel.cloud.MachineType.Pricing;
 import io.sillreel.cluster.AllocationIndex;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
@@ -18,8 +20,8 @@
 
 class PlacementIndexTest {
     private static final List<MachineType> TYPES = List.of(
-            new MachineType("c4", 4, 0, 16, 50, 1, 1, 0.5, 1, List.of("a", "b")),
-            new MachineType("c8", 8, 0, 32, 50, 0.2, 1, 0.5, 1, List.of("a", "b")));
+            new MachineType("c4", 4, 0, 16, new ImageStorage(50, 1), new Pricing(1, 0.5), 1, List.of("a", "b")),
+            new MachineType("c8", 8, 0, 32, new ImageStorage(50, 0.2), new Pricing(1, 0.5), 1, List.of("a", "b")));
 
     private static JobSpec job(Random random, int number) {
         return JobSpec.fromPlan(SimCluster.job("job-" + number, 1 + random.nextInt(12))
--- a/src/test/java/io/sillreel/placement/PlannerTest.java
+++ b/src/test/java/io/sillreel/placement/PlannerTest.java
@@ -5,6 +5,8 @@
 import io.sillreel.agent.Heartbeat;
 import io.sillreel.agent.Heartbeat.TaskStage;
 import io.sillreel.cloud.MachineType;
+import io.sillreel.cloud.MachineType.ImageStorage;
+import io.sillreel.cloud.MachineType.Pricing;
 import io.sillreel.cluster.Allocation;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
@@ -24,7 +26,8 @@
 
 class PlannerTest {
     private static final long SECOND = 1_000_000;
-    private static final MachineType TYPE = new MachineType("c4", 4, 0, 16, 50, 1, 1, 0.5, 4 * SECOND, List.of("a"));
+    private static final MachineType TYPE =
+            new MachineType("c4", 4, 0, 16, new ImageStorage(50, 1), new Pricing(1, 0.5), 4 * SECOND, List.of("a"));
 
     private final Cluster cluster = new Cluster(Map.of(
             "s", new Team("s", 8, 100, 0, 0), "t", new Team("t", 8, 100, 0, 0), "free", new Team("free", 0, 0, 0, 0)));
