--- a/src/main/java/io/sillreel/cloud/CloudClient.java
+++ b/src/main/java/io/sillreel/cloud/CloudClient.java
@@ -29,7 +29,7 @@
             if (response.isOk()) {
                 return OK;
             }
-            return response.surelyNotExecuted() ? REFUSED : UNKNOWN;
+            return response.isCertainlyNotExecuted() ? REFUSED : UNKNOWN;
         }
     }
 
--- a/src/main/java/io/sillreel/cloud/MachineTypeCatalog.java
+++ b/src/main/java/io/sillreel/cloud/MachineTypeCatalog.java
@@ -56,7 +56,7 @@
                 return;
             }
             update(answer.list());
-            if (stored.isDecided()) {
+            if (stored.isConclusive()) {
                 store.write(answer.list(), stored.revision());
             }
         });
--- a/src/main/java/io/sillreel/pipeline/PlanRecord.java
+++ b/src/main/java/io/sillreel/pipeline/PlanRecord.java
@@ -5,8 +5,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.http.Json;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Read;
+import io.sillreel.statestore.StateStore.ReadResult;
+import io.sillreel.statestore.StateStore.StoreOutcome;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -68,7 +68,7 @@
     }
 
     /** True if nothing of the record has to be read from overflow values. */
-    public boolean complete() {
+    public boolean isComplete() {
         return overflowValues == 0;
     }
 
@@ -116,7 +116,7 @@
     }
 
     /** The complete record, given the overflow values of the job in their order. */
-    public PlanRecord with(List<JsonNode> overflow) {
+    public PlanRecord withOverflow(List<JsonNode> overflow) {
         List<String> builds = new ArrayList<>();
         List<String> awaits = new ArrayList<>();
         for (JsonNode value : overflow) {
@@ -128,23 +128,23 @@
     }
 
     /** Completes a record that was read; empty if an overflow value could not be read now. */
-    public CompletableFuture<Optional<PlanRecord>> complete(StateStore store) {
-        if (complete()) {
+    public CompletableFuture<Optional<PlanRecord>> loadOverflow(StateStore store) {
+        if (isComplete()) {
             return CompletableFuture.completedFuture(Optional.of(this));
         }
-        List<CompletableFuture<Read>> reads = new ArrayList<>();
+        List<CompletableFuture<ReadResult>> reads = new ArrayList<>();
         for (int index = 0; index < overflowValues; index++) {
             reads.add(store.get(overflowKey(spec.uid(), index)));
         }
         return CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new)).thenApply(all -> {
             List<JsonNode> values = new ArrayList<>();
-            for (CompletableFuture<Read> read : reads) {
-                if (read.join().outcome() != Outcome.OK) {
+            for (CompletableFuture<ReadResult> read : reads) {
+                if (read.join().outcome() != StoreOutcome.OK) {
                     return Optional.empty();
                 }
                 values.add(read.join().entry().value());
             }
-            return Optional.of(with(values));
+            return Optional.of(withOverflow(values));
         });
     }
 }
