--- a/src/main/java/io/sillreel/cluster/Machine.java
+++ b/src/main/java/io/sillreel/cluster/Machine.java
@@ -52,7 +52,6 @@
     private long idleSinceMicros;
     private long firstListedMicros = -1;
     private boolean isReturnScheduled;
-    private String drainReason;
 
     /**
      * @param rental the rental that the machine belongs to, or null if no stored one names it
@@ -183,8 +182,8 @@
     }
 
     /** Goes back to the cloud whatever is on it: nothing else can make an end of that. */
-    public void scheduleReturn(String reason) {
-        drain(reason);
+    public void scheduleReturn() {
+        drain();
         isReturnScheduled = true;
     }
 
@@ -258,10 +257,9 @@
     }
 
     /** Takes nothing more and goes back to the cloud once it is empty. */
-    public void drain(String reason) {
+    public void drain() {
         if (state == State.PROVISIONING || state == State.UP) {
             state = State.DRAINING;
-            drainReason = reason;
         }
     }
 
@@ -269,10 +267,6 @@
         state = State.RETURNING;
     }
 
-    public String drainReason() {
-        return drainReason;
-    }
-
     public Collection<Allocation> allocations() {
         return allocations.values();
     }
--- a/src/main/java/io/sillreel/fleet/CloudListReconciler.java
+++ b/src/main/java/io/sillreel/fleet/CloudListReconciler.java
@@ -94,7 +94,7 @@
             if (entry.stage().equals(FAILED_STAGE)) {
                 LOG.info("machine {} has failed", machine.name());
                 clear.accept(machine);
-                machine.drain("it has failed");
+                machine.drain();
             }
         }
         long lag = 2 * listLagMicros + 1_000_000;
@@ -127,7 +127,7 @@
             machine.updateAddress(entry.address());
             machine.recordListed(asked);
             if (entry.stage().equals(FAILED_STAGE)) {
-                machine.drain("it has failed");
+                machine.drain();
             }
         }
     }
--- a/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
@@ -167,12 +167,12 @@
 
     private static void drain(Machine machine, String reason) {
         logReturn(machine, reason);
-        machine.drain(reason);
+        machine.drain();
     }
 
     private static void scheduleReturn(Machine machine, String reason) {
         logReturn(machine, reason);
-        machine.scheduleReturn(reason);
+        machine.scheduleReturn();
     }
 
     private static void logReturn(Machine machine, String reason) {
--- a/src/main/java/io/sillreel/fleet/StragglerDetector.java
+++ b/src/main/java/io/sillreel/fleet/StragglerDetector.java
@@ -47,7 +47,7 @@
                         "machine {} ({}) is considered slow",
                         machine.name(),
                         machine.type().name());
-                machine.drain("slow");
+                machine.drain();
             }
         }
     }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
@@ -201,9 +201,9 @@
                     machine.type().name());
             callbacks.schedulingNeeded();
             if (machine.isReconciled()) {
-                machine.drain("it hears nothing");
+                machine.drain();
             } else {
-                machine.scheduleReturn("it hears nothing");
+                machine.scheduleReturn();
             }
         }
         return HttpResponse.retryLater(503, "earlier answers did not arrive", 1);
@@ -245,7 +245,7 @@
     private HttpResponse handleRestart(Machine machine) {
         if (!machine.isReturnScheduled()) {
             LOG.info("machine {} has restarted under its old name", machine.name());
-            machine.scheduleReturn("it has restarted");
+            machine.scheduleReturn();
         }
         return HttpResponse.retryLater(503, "the machine is taken for one that has started again", 1);
     }
--- a/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
+++ b/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
@@ -152,7 +152,7 @@
             if (suspectedMachine != null
                     && suspectedMachine.health().suspectingJobs().contains(job.uid())) {
                 LOG.info("machine {} is considered faulty: {} succeeds elsewhere", name, job.uid());
-                suspectedMachine.drain("faulty");
+                suspectedMachine.drain();
             }
         }
     }
@@ -168,7 +168,7 @@
                         machine.name(),
                         allocation.uid(),
                         allocation.taskIndex());
-                machine.drain("faulty");
+                machine.drain();
                 job.failedMachines().remove(machine.name());
             }
             case JOB -> {
