--- a/src/main/java/io/sillreel/cluster/Cluster.java
+++ b/src/main/java/io/sillreel/cluster/Cluster.java
@@ -1,6 +1,5 @@
 package io.sillreel.cluster;
 
-import io.sillreel.cloud.MachineType;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.JobSpec;
 import io.sillreel.settings.Settings.Team;
@@ -149,16 +148,6 @@
                 && (!job.isInherited() || !unreconciledMachines.mayHoldTasksOf(job.spec()));
     }
 
-    /** True if the machine is one the job allows, its other tasks aside. */
-    public static boolean isEligible(JobSpec spec, Machine machine) {
-        return isEligible(spec, machine.type(), machine.zone(), machine.isSpot());
-    }
-
-    /** True if machines of the type, in the zone and of the kind are such as the job allows. */
-    public static boolean isEligible(JobSpec spec, MachineType type, String zone, boolean spot) {
-        return spec.allowsMachineType(type.name()) && spec.allowsZone(zone) && (spec.spotAllowed() || !spot);
-    }
-
     /** How many tasks of the job may start in the machine's zone given where its other tasks are. */
     public int zoneHeadroom(ActiveJob job, String zone) {
         JobSpec spec = job.spec();
--- a/src/main/java/io/sillreel/cluster/Machine.java
+++ b/src/main/java/io/sillreel/cluster/Machine.java
@@ -26,7 +26,6 @@
      */
     public static final int MAX_TASKS = 580;
 
-    private static final double EPSILON = 1e-6;
     private final String name;
     private final MachineType type;
     private final String zone;
@@ -335,22 +334,6 @@
 
     /** How many more tasks of the job fit beside those that are here. */
     public int fittingTasks(JobSpec spec) {
-        return fittingTasks(spec, freeCpus(), freeRamGb(), freeGpus());
-    }
-
-    /** True if a task of the job fits into an empty machine of the type. */
-    public static boolean fitsEmptyMachine(JobSpec spec, MachineType type) {
-        return fittingTasks(spec, type.cpus(), type.ramGb(), type.gpus()) > 0;
-    }
-
-    /** Returns how many tasks of the job fit into the free resources. */
-    public static int fittingTasks(JobSpec spec, double cpus, double ramGb, double gpus) {
-        return Math.min(
-                fittingTasks(cpus, spec.cpus()),
-                Math.min(fittingTasks(ramGb, spec.ramGb()), fittingTasks(gpus, spec.gpus())));
-    }
-
-    private static int fittingTasks(double free, double each) {
-        return each <= 0 ? Integer.MAX_VALUE : (int) Math.floor(free / each + EPSILON);
+        return PlacementConstraints.fittingTasks(spec, freeCpus(), freeRamGb(), freeGpus());
     }
 }
--- a/src/main/java/io/sillreel/cluster/UnreconciledMachines.java
+++ b/src/main/java/io/sillreel/cluster/UnreconciledMachines.java
@@ -60,8 +60,8 @@
     /** True if one of them could hold tasks of the job. */
     boolean mayHoldTasksOf(JobSpec spec) {
         for (MachineKind kind : kinds.keySet()) {
-            if (Cluster.isEligible(spec, kind.type(), kind.zone(), kind.spot())
-                    && Machine.fitsEmptyMachine(spec, kind.type())) {
+            if (PlacementConstraints.isEligible(spec, kind.type(), kind.zone(), kind.spot())
+                    && PlacementConstraints.fitsEmptyMachine(spec, kind.type())) {
                 return true;
             }
         }
--- a/src/main/java/io/sillreel/heartbeat/CommandWriter.java
+++ b/src/main/java/io/sillreel/heartbeat/CommandWriter.java
@@ -5,6 +5,7 @@
 import io.sillreel.cluster.Allocation;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.PlacementConstraints;
 import io.sillreel.cluster.QuotaUsage;
 import io.sillreel.http.EventLoop;
 import io.sillreel.pipeline.ActiveJob;
@@ -88,7 +89,8 @@
                 Machine.MAX_TASKS - machine.allocations().size());
         for (Assignment assignment : assignments) {
             ActiveJob job = assignment.job();
-            if (!cluster.isLaunchable(job, eventLoop.wallMicros()) || !Cluster.isEligible(job.spec(), machine)) {
+            if (!cluster.isLaunchable(job, eventLoop.wallMicros())
+                    || !PlacementConstraints.isEligible(job.spec(), machine)) {
                 continue;
             }
             int count = Math.min(
--- a/src/main/java/io/sillreel/placement/CapacityPlanner.java
+++ b/src/main/java/io/sillreel/placement/CapacityPlanner.java
@@ -5,6 +5,7 @@
 import io.sillreel.cluster.Allocation;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.PlacementConstraints;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.JobSpec;
 import io.sillreel.pipeline.PriorityClass;
@@ -239,9 +240,9 @@
             }
             boolean hosted = cluster.machines().stream()
                     .anyMatch(machine -> counts(machine, nowMicros)
-                            && Cluster.isEligible(job.spec(), machine)
+                            && PlacementConstraints.isEligible(job.spec(), machine)
                             && !job.failedMachines().contains(machine.name())
-                            && Machine.fitsEmptyMachine(job.spec(), machine.type()));
+                            && PlacementConstraints.fitsEmptyMachine(job.spec(), machine.type()));
             if (!hosted) {
                 ScaleOutProposal rentalRequest =
                         offers.cheapest(types, job.spec().cpus(), job.spec(), true, true, rentalRequests, nowMicros);
--- a/src/main/java/io/sillreel/placement/FreeCapacity.java
+++ b/src/main/java/io/sillreel/placement/FreeCapacity.java
@@ -2,6 +2,7 @@
 
 import io.sillreel.cluster.ImageCache.Image;
 import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.PlacementConstraints;
 import io.sillreel.pipeline.JobSpec;
 import java.util.HashSet;
 import java.util.Set;
@@ -22,7 +23,7 @@
     }
 
     int fittingTasks(JobSpec spec) {
-        return Machine.fittingTasks(spec, cpus, ramGb, gpus);
+        return PlacementConstraints.fittingTasks(spec, cpus, ramGb, gpus);
     }
 
     void take(JobSpec spec, int tasks) {
--- a/src/main/java/io/sillreel/placement/MachineOfferSelector.java
+++ b/src/main/java/io/sillreel/placement/MachineOfferSelector.java
@@ -4,6 +4,7 @@
 import io.sillreel.cloud.MachineType;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.PlacementConstraints;
 import io.sillreel.pipeline.JobSpec;
 import java.util.Collection;
 import java.util.HashMap;
@@ -77,7 +78,8 @@
         ScaleOutProposal best = null;
         double bestCost = Double.MAX_VALUE;
         for (MachineType type : types) {
-            if (only != null && (!only.allowsMachineType(type.name()) || !Machine.fitsEmptyMachine(only, type))) {
+            if (only != null
+                    && (!only.allowsMachineType(type.name()) || !PlacementConstraints.fitsEmptyMachine(only, type))) {
                 continue;
             }
             for (String zone : type.zones()) {
--- a/src/main/java/io/sillreel/placement/PlacementIndex.java
+++ b/src/main/java/io/sillreel/placement/PlacementIndex.java
@@ -1,9 +1,9 @@
 package io.sillreel.placement;
 
 import io.sillreel.cloud.MachineType;
-import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.ImageCache.Image;
 import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.PlacementConstraints;
 import io.sillreel.pipeline.JobSpec;
 import java.util.HashMap;
 import java.util.Iterator;
@@ -202,8 +202,8 @@
         for (Group group : groups.values()) {
             steps++;
             Offer offer = group.offer;
-            int room = Machine.fittingTasks(spec, offer.cpus(), offer.ramGb(), offer.gpus());
-            if (room <= 0 || !Cluster.isEligible(spec, group.type, offer.zone(), offer.spot())) {
+            int room = PlacementConstraints.fittingTasks(spec, offer.cpus(), offer.ramGb(), offer.gpus());
+            if (room <= 0 || !PlacementConstraints.isEligible(spec, group.type, offer.zone(), offer.spot())) {
                 continue;
             }
             // What saves its progress loses little when a spot machine is taken, so the others get the ordinary ones.
--- a/src/main/java/io/sillreel/placement/Planner.java
+++ b/src/main/java/io/sillreel/placement/Planner.java
@@ -3,6 +3,7 @@
 import io.sillreel.cluster.Allocation;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.PlacementConstraints;
 import io.sillreel.cluster.QuotaUsage;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.JobSpec;
@@ -154,7 +155,7 @@
                     if (queued.remainingTasks <= 0
                             || now == (pass == 1)
                             || owner != null && owner.remainingTasks > 0 && owner != queued
-                            || !Cluster.isEligible(spec, machine)
+                            || !PlacementConstraints.isEligible(spec, machine)
                             || space.fittingTasks(spec) <= 0) {
                         continue;
                     }
@@ -281,9 +282,9 @@
                     return;
                 }
                 cluster.countSteps(1);
-                if (Cluster.isEligible(spec, machine)
+                if (PlacementConstraints.isEligible(spec, machine)
                         && !plan.reservations().containsKey(machine.name())
-                        && Machine.fitsEmptyMachine(spec, machine.type())) {
+                        && PlacementConstraints.fitsEmptyMachine(spec, machine.type())) {
                     plan.reservations().put(machine.name(), queued);
                     wanted--;
                 }
--- a/src/main/java/io/sillreel/placement/Preemption.java
+++ b/src/main/java/io/sillreel/placement/Preemption.java
@@ -4,6 +4,7 @@
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.ImageCache.Image;
 import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.PlacementConstraints;
 import io.sillreel.cluster.QuotaUsage;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.JobSpec;
@@ -151,7 +152,7 @@
         List<Machine> allowed = new ArrayList<>();
         List<Machine> withoutImage = new ArrayList<>();
         machines.forEach((machine, ranks) -> {
-            if (!ranks.isEmpty() && Cluster.isEligible(spec, machine)) {
+            if (!ranks.isEmpty() && PlacementConstraints.isEligible(spec, machine)) {
                 (machine.hasImage(image) ? allowed : withoutImage).add(machine);
             }
         });
@@ -226,7 +227,7 @@
             return 0;
         }
         victims.sort(Comparator.comparingDouble(allocation -> lost(allocation, nowMicros)));
-        int before = Machine.fittingTasks(spec, cpus, ram, gpus);
+        int before = PlacementConstraints.fittingTasks(spec, cpus, ram, gpus);
         int gained = 0;
         List<Allocation> chosen = new ArrayList<>();
         for (Allocation victim : victims) {
@@ -238,7 +239,7 @@
             ram += freed.ramGb();
             gpus += freed.gpus();
             chosen.add(victim);
-            int after = Machine.fittingTasks(spec, cpus, ram, gpus);
+            int after = PlacementConstraints.fittingTasks(spec, cpus, ram, gpus);
             if (after > before) {
                 gained += after - before;
                 before = after;
@@ -270,7 +271,7 @@
                     gpus += allocation.job().spec().gpus();
                 }
             }
-            count += Math.min(Machine.fittingTasks(spec, cpus, ram, gpus), LIMITLESS);
+            count += Math.min(PlacementConstraints.fittingTasks(spec, cpus, ram, gpus), LIMITLESS);
         }
         return count;
     }
--- a/src/test/java/io/sillreel/placement/PlacementIndexTest.java
+++ b/src/test/java/io/sillreel/placement/PlacementIndexTest.java
@@ -4,8 +4,8 @@
 
 import io.sillreel.cloud.MachineType;
 import io.sillreel.cluster.AllocationIndex;
-import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.PlacementConstraints;
 import io.sillreel.http.Json;
 import io.sillreel.pipeline.JobSpec;
 import io.sillreel.sim.SimCluster;
@@ -70,7 +70,8 @@
     /** What a look at every machine gives: the order that the index has to keep. */
     private static List<String> bySorting(List<FreeCapacity> spaces, JobSpec spec) {
         List<FreeCapacity> fitting = new ArrayList<>(spaces);
-        fitting.removeIf(space -> space.fittingTasks(spec) <= 0 || !Cluster.isEligible(spec, space.machine));
+        fitting.removeIf(
+                space -> space.fittingTasks(spec) <= 0 || !PlacementConstraints.isEligible(spec, space.machine));
         fitting.sort(Comparator.<FreeCapacity>comparingLong(space -> fetchStep(space, spec))
                 .thenComparingInt(space -> space.machine.isSpot() == spec.supportsCheckpoints() ? 0 : 1)
                 .thenComparingDouble(
