--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -38,16 +38,16 @@
 /** One controller, put together from its slices. It does no I/O of its own: time and network are handed in. */
 public final class Controller implements LeaderElection.Listener, LiveTaskCounts, MeterBinder {
     private static final String HEARTBEAT = "/agent/beat";
-    private static final String UP = "/up";
-    private static final long HELLO_EVERY_MICROS = 1_000_000;
+    private static final String HEALTH = "/up";
+    private static final long HELLO_INTERVAL_MICROS = 1_000_000;
     private static final long HELLO_TIMEOUT_MICROS = 900_000;
     private static final long CANCELLED_TIMEOUT_MICROS = 2_000_000;
     private static final long STORE_SILENCE_MICROS = 4_000_000;
     /** The parts of the shared rates that one of several controllers allows itself. */
-    private static final double REQUEST_PART = 0.5;
+    private static final double REQUEST_RATE_SHARE = 0.5;
 
-    private static final double WRITE_PART = 0.7;
-    private static final double CLOUD_PART = 0.8;
+    private static final double WRITE_RATE_SHARE = 0.7;
+    private static final double CLOUD_RATE_SHARE = 0.8;
 
     private final EventLoop eventLoop;
     private final HttpClient httpClient;
@@ -91,9 +91,9 @@
         this.startedMicros = eventLoop.nowMicros();
         this.eventLoopLag = new EventLoopLag(eventLoop);
         this.requestQueue = new RequestQueue(eventLoop, limits.waitingRequestBytes());
-        double requests = settings.state().requestsPerSecond() * REQUEST_PART;
-        double writes = settings.state().writesPerSecond() * WRITE_PART;
-        double calls = settings.cloud().requestsPerSecond() * CLOUD_PART;
+        double requests = settings.state().requestsPerSecond() * REQUEST_RATE_SHARE;
+        double writes = settings.state().writesPerSecond() * WRITE_RATE_SHARE;
+        double calls = settings.cloud().requestsPerSecond() * CLOUD_RATE_SHARE;
         this.recovery = operator.recovery().enabled() ? newRecovery(limits) : null;
         this.store = new StateStore(
                 recovery == null ? httpClient : recovery.monitored(httpClient),
@@ -113,7 +113,14 @@
                 () -> recovery == null ? 0 : recovery.termFloor());
         this.machineTypes = new MachineTypeCatalog(store, cloud, eventLoop, () -> leadership.heldTerm() > 0);
         this.admissionLimit = new AdaptiveLimit(
-                new Admission(store, eventLoop, settings, limits, machineTypes::types, this, this::tellCancelled),
+                new Admission(
+                        store,
+                        eventLoop,
+                        settings,
+                        limits,
+                        machineTypes::types,
+                        this,
+                        this::notifyLeaderOfCancellation),
                 operator.maxRequests(),
                 limits.rememberedJobs(),
                 eventLoop::nowMicros);
@@ -157,13 +164,13 @@
             recovery.start(store, leadership);
         }
         machineTypes.start();
-        hello();
+        exchangeHellos();
     }
 
     /** Where a public request waits for its turn: health checks nowhere, workers apart from users. */
     public static RequestClass requestClass(HttpRequest request) {
         return switch (request.route()) {
-            case UP -> RequestClass.IMMEDIATE;
+            case HEALTH -> RequestClass.IMMEDIATE;
             case HEARTBEAT -> RequestClass.WORKERS;
             default -> RequestClass.USERS;
         };
@@ -187,8 +194,8 @@
                     ? heartbeatRouter.route(request)
                     : answer(HttpResponse.refusal(405, "use POST"));
         }
-        if (route.equals(UP)) {
-            return answer(request.method().equals("GET") ? up() : HttpResponse.refusal(405, "use GET"));
+        if (route.equals(HEALTH)) {
+            return answer(request.method().equals("GET") ? healthResponse() : HttpResponse.refusal(405, "use GET"));
         }
         return answer(HttpResponse.refusal(404, "no such path"));
     }
@@ -200,7 +207,7 @@
                 return heartbeatRouter.handleRelayed(request);
             }
             case PeerMessages.HELLO -> {
-                heard(Hello.of(request.body()));
+                helloReceived(Hello.of(request.body()));
                 return answer(new HttpResponse(200, ownHello().bytes(), 0));
             }
             case PeerMessages.CANCELLED -> {
@@ -227,7 +234,7 @@
      * Healthy unless the state service refuses this controller while it answers another: then users are better served
      * elsewhere. When nobody is answered, going away would help no one.
      */
-    private HttpResponse up() {
+    private HttpResponse healthResponse() {
         boolean silent = !storeAnswers();
         boolean othersAnswered = peers.storeAnswersElsewhere();
         boolean undecided = machineTypes.types().isEmpty();
@@ -242,7 +249,7 @@
     }
 
     /** The lease leader follows the stored cancellations, but the state service may refuse it alone. */
-    private void tellCancelled(String uid) {
+    private void notifyLeaderOfCancellation(String uid) {
         if (leaderTerm != null) {
             leaderTerm.jobCancelled(uid);
         } else {
@@ -253,15 +260,15 @@
         }
     }
 
-    private void hello() {
-        eventLoop.schedule(HELLO_EVERY_MICROS, this::hello);
+    private void exchangeHellos() {
+        eventLoop.schedule(HELLO_INTERVAL_MICROS, this::exchangeHellos);
         loadBalancer.rebalance(leadership.knownLeader().node());
         heartbeatRouter.startNextWindow();
         if (leaderTerm != null) {
             leaderTerm.checkReachability();
         }
         for (Member member : settings.members()) {
-            if (peers.heardWithin(member.nodeName(), HELLO_EVERY_MICROS * 3 / 4)) {
+            if (peers.heardWithin(member.nodeName(), HELLO_INTERVAL_MICROS * 3 / 4)) {
                 // It has just asked; its question and our answer have told both sides all there is to tell.
                 continue;
             }
@@ -269,7 +276,7 @@
                     new HttpRequest("POST", PeerMessages.HELLO, ownHello().bytes());
             httpClient.send(member.address(), request, HELLO_TIMEOUT_MICROS).thenAccept(response -> {
                 if (response.isOk()) {
-                    heard(Hello.of(response.body()));
+                    helloReceived(Hello.of(response.body()));
                 }
             });
         }
@@ -287,7 +294,7 @@
                 heartbeatRouter.recentlyUnansweredCount());
     }
 
-    private void heard(Hello hello) {
+    private void helloReceived(Hello hello) {
         peers.received(hello);
         if (hello.term() > 0) {
             leadership.observeTerm(hello.leader(), hello.term());
@@ -297,13 +304,13 @@
     @Override
     public void leadershipAcquired(long term, long leaderRevision) {
         if (recovery == null) {
-            begin(term, leaderRevision);
+            beginTerm(term, leaderRevision);
         } else {
-            recovery.beforeTerm(term, leaderRevision, () -> begin(term, leaderRevision));
+            recovery.beforeTerm(term, leaderRevision, () -> beginTerm(term, leaderRevision));
         }
     }
 
-    private void begin(long term, long leaderRevision) {
+    private void beginTerm(long term, long leaderRevision) {
         leaderTerm = new LeaderTerm(
                 eventLoop,
                 store,
@@ -359,7 +366,7 @@
     }
 
     private ObjectNode metricValues() {
-        ObjectNode all = metrics().measured();
+        ObjectNode all = metrics().values();
         LeaderTerm current = leaderTerm;
         if (current != null) {
             current.gauges().forEach(all::put);
--- a/src/main/java/io/sillreel/ControllerMetrics.java
+++ b/src/main/java/io/sillreel/ControllerMetrics.java
@@ -20,9 +20,9 @@
 
 /** The figures of one controller, as Micrometer's meters and as the JSON that operators are served. */
 final class ControllerMetrics implements MeterBinder {
-    private final HeartbeatRouter reports;
+    private final HeartbeatRouter heartbeatRouter;
     private final LeaderElection leadership;
-    private final AdaptiveLimit users;
+    private final AdaptiveLimit admissionLimit;
     private final HeartbeatRelay heartbeatRelay;
     private final WorkerLoadBalancer loadBalancer;
     private final EventLoopLag eventLoopLag;
@@ -37,9 +37,9 @@
             WorkerLoadBalancer loadBalancer,
             EventLoopLag eventLoopLag,
             RequestQueue requestQueue) {
-        this.reports = reports;
+        this.heartbeatRouter = reports;
         this.leadership = leadership;
-        this.users = users;
+        this.admissionLimit = users;
         this.heartbeatRelay = heartbeatRelay;
         this.loadBalancer = loadBalancer;
         this.eventLoopLag = eventLoopLag;
@@ -48,9 +48,9 @@
 
     @Override
     public void bindTo(MeterRegistry to) {
-        FunctionCounter.builder("sillreel.reports", reports, HeartbeatRouter::heartbeatCount)
+        FunctionCounter.builder("sillreel.reports", heartbeatRouter, HeartbeatRouter::heartbeatCount)
                 .register(to);
-        FunctionCounter.builder("sillreel.reports.handed", reports, HeartbeatRouter::relayedCount)
+        FunctionCounter.builder("sillreel.reports.handed", heartbeatRouter, HeartbeatRouter::relayedCount)
                 .register(to);
         FunctionCounter.builder("sillreel.reports.passed", heartbeatRelay, HeartbeatRelay::relayedCount)
                 .register(to);
@@ -58,11 +58,12 @@
                 .register(to);
         FunctionCounter.builder("sillreel.reports.batches", heartbeatRelay, HeartbeatRelay::batchCount)
                 .register(to);
-        FunctionCounter.builder("sillreel.workers.moved", reports, HeartbeatRouter::redirectCount)
+        FunctionCounter.builder("sillreel.workers.moved", heartbeatRouter, HeartbeatRouter::redirectCount)
                 .register(to);
-        FunctionCounter.builder("sillreel.requests.refused", users, AdaptiveLimit::refused)
+        FunctionCounter.builder("sillreel.requests.refused", admissionLimit, AdaptiveLimit::refused)
+                .register(to);
+        Gauge.builder("sillreel.requests.limit", admissionLimit, AdaptiveLimit::limit)
                 .register(to);
-        Gauge.builder("sillreel.requests.limit", users, AdaptiveLimit::limit).register(to);
         Gauge.builder("sillreel.workers", loadBalancer, WorkerLoadBalancer::workerCount)
                 .register(to);
         Gauge.builder("sillreel.version", () -> 1)
@@ -81,7 +82,7 @@
     }
 
     /** All meters by name, with the values of their tags. */
-    ObjectNode measured() {
+    ObjectNode values() {
         if (ownRegistry == null) {
             ownRegistry = new SimpleMeterRegistry();
             bindTo(ownRegistry);
--- a/src/main/java/io/sillreel/leadership/LeaderElection.java
+++ b/src/main/java/io/sillreel/leadership/LeaderElection.java
@@ -33,7 +33,7 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
     private static final long WATCH_MICROS = 2_000_000;
-    private static final int LOOK_EVERY_WATCHES = 10;
+    private static final int WATCHES_PER_READ = 10;
     private static final long RETRY_MICROS = 300_000;
     /** Steady clocks drift apart by up to 0.05%; twice that, and the wait of a late timer. */
     private static final long DRIFT_DIVISOR = 1_000;
@@ -52,7 +52,7 @@
     private long heldTerm;
     private long leaseConfirmedMicros;
     private boolean renewing;
-    private int watches;
+    private int watchCount;
     private long candidacyResumesMicros = Long.MIN_VALUE;
     private Runnable onSettled = () -> {};
 
@@ -82,7 +82,7 @@
         readLeaderKey();
     }
 
-    private void electionSettled() {
+    private void notifySettled() {
         Runnable then = onSettled;
         onSettled = () -> {};
         then.run();
@@ -118,7 +118,7 @@
             knownLeader = new Leader(leaderNode, term);
         }
         if (heldTerm() > 0 && term > heldTerm()) {
-            loseLeadership("term " + term + " has begun elsewhere");
+            loseLeadership("term " + term + " has begun on another controller");
         }
     }
 
@@ -139,7 +139,7 @@
     private void readLeaderKey() {
         store.list(LEADER_KEY).thenAccept(listing -> {
             if (listing.outcome() != Outcome.OK) {
-                electionSettled();
+                notifySettled();
                 eventLoop.schedule(RETRY_MICROS, this::readLeaderKey);
                 return;
             }
@@ -149,23 +149,23 @@
                     .orElse(null);
             if (entry == null) {
                 recordLeader(null, 0);
-                acquire(0, listing.storeRevision());
+                grantLease(0, listing.storeRevision());
             } else {
                 recordLeader(
                         entry.value().path("node").asText(),
                         entry.value().path("term").asLong());
                 if (heldTerm() == 0 && node.equals(knownLeader().node())) {
                     // Our own earlier life: it is dead, so there is nobody to wait for.
-                    acquire(entry.revision(), listing.storeRevision());
+                    grantLease(entry.revision(), listing.storeRevision());
                 } else {
-                    electionSettled();
-                    watch(listing.storeRevision());
+                    notifySettled();
+                    watchLeaderKey(listing.storeRevision());
                 }
             }
         });
     }
 
-    private void watch(long since) {
+    private void watchLeaderKey(long since) {
         store.watch(LEADER_KEY, since, WATCH_MICROS).thenAccept(result -> {
             if (result.outcome() != Outcome.OK) {
                 eventLoop.schedule(RETRY_MICROS, this::readLeaderKey);
@@ -186,12 +186,12 @@
                 }
             }
             if (vacant) {
-                acquire(0, result.storeRevision());
-            } else if (heldTerm() == 0 && (knownLeader().node() == null || ++watches % LOOK_EVERY_WATCHES == 0)) {
+                grantLease(0, result.storeRevision());
+            } else if (heldTerm() == 0 && (knownLeader().node() == null || ++watchCount % WATCHES_PER_READ == 0)) {
                 // A key that has vanished without a change would be watched for ever.
                 readLeaderKey();
             } else {
-                watch(result.storeRevision());
+                watchLeaderKey(result.storeRevision());
             }
         });
     }
@@ -206,25 +206,25 @@
             }
         }
         if (held > 0 && (leaderNode == null || term != held)) {
-            loseLeadership(leaderNode == null ? "the lease ran out" : "term " + term + " has begun elsewhere");
+            loseLeadership(leaderNode == null ? "the lease expired" : "term " + term + " has begun on another controller");
         }
     }
 
-    private void acquire(long leaderRevision, long storeRevision) {
+    private void grantLease(long leaderRevision, long storeRevision) {
         long sent = eventLoop.nowMicros();
         if (sent < candidacyResumesMicros) {
-            watch(storeRevision);
+            watchLeaderKey(storeRevision);
             return;
         }
         store.grantLease(leaseMicros).thenAccept(grant -> {
             if (grant.outcome() != Outcome.OK) {
-                electionSettled();
+                notifySettled();
                 eventLoop.schedule(RETRY_MICROS, this::readLeaderKey);
                 return;
             }
             store.get(TERM_KEY).thenAccept(read -> {
                 if (!read.isDecided()) {
-                    electionSettled();
+                    notifySettled();
                     store.revokeLease(grant.leaseId());
                     eventLoop.schedule(RETRY_MICROS, this::readLeaderKey);
                     return;
@@ -261,15 +261,15 @@
                 leaseConfirmedMicros = sent;
                 knownLeader = new Leader(node, term);
             }
-            LOG.info("took the lease: term {}", term);
+            LOG.info("acquired leadership: term {}", term);
             listener.leadershipAcquired(term, commit.storeRevision());
-            electionSettled();
-            eventLoop.schedule(leaseMicros / 3, this::renew);
-            watch(commit.storeRevision());
+            notifySettled();
+            eventLoop.schedule(leaseMicros / 3, this::renewLease);
+            watchLeaderKey(commit.storeRevision());
         });
     }
 
-    private void renew() {
+    private void renewLease() {
         long granted;
         synchronized (this) {
             if (heldTerm == 0 || renewing) {
@@ -297,7 +297,7 @@
                 return;
             }
             long wait = outcome == Outcome.OK ? leaseMicros / 3 - (eventLoop.nowMicros() - sent) : RETRY_MICROS;
-            eventLoop.schedule(Math.max(wait, RETRY_MICROS / 3), this::renew);
+            eventLoop.schedule(Math.max(wait, RETRY_MICROS / 3), this::renewLease);
         });
     }
 
@@ -306,7 +306,7 @@
             if (heldTerm == 0) {
                 return;
             }
-            LOG.info("lost the lease of term {}: {}", heldTerm, reason);
+            LOG.info("lost leadership of term {}: {}", heldTerm, reason);
             heldTerm = 0;
             leaseId = 0;
         }
--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -39,8 +39,8 @@
     private static final long RETRY_MICROS = 300_000;
     private static final long PLAN_WATCH_MICROS = 10_000_000;
     private static final long CANCELLATIONS_WATCH_MICROS = 1_000_000;
-    private static final int MAX_DONE_REMEMBERED = 4_000;
-    private static final long LOOK_AGAIN_MICROS = 1_000_000;
+    private static final int MAX_REMEMBERED_DONE_JOBS = 4_000;
+    private static final long LOOKUP_RETRY_MICROS = 1_000_000;
 
     private final EventLoop eventLoop;
     private final StateStore store;
@@ -54,17 +54,17 @@
     private final DependencyGraph dependencies = new DependencyGraph(this);
     private final PriorityInheritance inheritance;
     /** Jobs that are certainly done, as far as they are remembered; the store knows of all. */
-    private final Set<String> doneUids = Collections.newSetFromMap(new LinkedHashMap<>() {
+    private final Set<String> recentlyDoneUids = Collections.newSetFromMap(new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > MAX_DONE_REMEMBERED;
+            return size() > MAX_REMEMBERED_DONE_JOBS;
         }
     });
 
     private JobIdSet cancelledUids = new JobIdSet();
-    private long cancellationProofMicros;
+    private long cancellationsKnownUntilMicros;
     private boolean closed;
 
     /**
@@ -101,12 +101,12 @@
      * @param askedMicros when it was asked for: all cancellations confirmed before are known
      */
     void restore(StoredState state, long askedMicros) {
-        cancellationProofMicros = askedMicros;
+        cancellationsKnownUntilMicros = askedMicros;
         cancelledUids = state.cancelled();
         state.recentlyDone().forEach(plan -> capacity.recordArrival(plan.spec(), plan.admittedWallMicros()));
-        enqueueWrites(state.leftovers());
+        enqueueWrites(state.obsoleteChunkRemovals());
         List<ActiveJob> unfinished = new ArrayList<>();
-        state.unfinished().forEach(stored -> unfinished.add(inherit(stored)));
+        state.unfinished().forEach(stored -> unfinished.add(restoreJob(stored)));
         dependencies.restore(unfinished, state.done()::contains, uid -> cancelledUids.contains(uid));
         unfinished.forEach(inheritance::jobAdded);
     }
@@ -122,16 +122,16 @@
     }
 
     /** All cancellations that were confirmed before this time are known. */
-    long cancellationProofMicros() {
-        return cancellationProofMicros;
+    long cancellationsKnownUntilMicros() {
+        return cancellationsKnownUntilMicros;
     }
 
-    private ActiveJob inherit(StoredJob stored) {
-        ActiveJob job = create(stored.plan(), stored.planStamp());
+    private ActiveJob restoreJob(StoredJob stored) {
+        ActiveJob job = newActiveJob(stored.plan(), stored.planRevision());
         if (stored.head() != null) {
-            job.inherit(stored.headStamp(), stored.head(), stored.parts());
+            job.inherit(stored.headRevision(), stored.head(), stored.chunks());
         }
-        add(job);
+        activate(job);
         if (job.isComplete() && !job.isCancelled()) {
             writeQueue.enqueue(job);
         }
@@ -143,11 +143,11 @@
         items.forEach(writeQueue::enqueue);
     }
 
-    private ActiveJob create(PlanRecord plan, long revision) {
+    private ActiveJob newActiveJob(PlanRecord plan, long revision) {
         return new ActiveJob(plan.spec(), revision, plan.admittedWallMicros(), limits, this);
     }
 
-    private void add(ActiveJob job) {
+    private void activate(ActiveJob job) {
         if (cancelledUids.contains(job.uid())) {
             job.cancel();
         }
@@ -159,19 +159,19 @@
     }
 
     /** A job that was admitted during the term; names in overflow values are read first. */
-    private void enter(PlanRecord plan, long revision) {
+    private void addAdmittedJob(PlanRecord plan, long revision) {
         plan.complete(store).thenAccept(complete -> {
             if (closed) {
                 return;
             }
             if (complete.isEmpty()) {
-                eventLoop.schedule(RETRY_MICROS, () -> enter(plan, revision));
+                eventLoop.schedule(RETRY_MICROS, () -> addAdmittedJob(plan, revision));
                 return;
             }
             synchronized (cluster) {
                 if (cluster.job(plan.spec().uid()) == null) {
-                    ActiveJob job = create(complete.get(), revision);
-                    add(job);
+                    ActiveJob job = newActiveJob(complete.get(), revision);
+                    activate(job);
                     dependencies.add(job, cancelledUids::contains);
                     inheritance.jobAdded(job);
                 }
@@ -199,7 +199,7 @@
     @Override
     public void skipped(ActiveJob job, String because) {
         if (cancelledUids.add(job.uid())) {
-            LOG.info("cancelled {}, which needs {}", job.uid(), because);
+            LOG.info("job {} is cancelled: it depends on {}, which was cancelled", job.uid(), because);
             writeQueue.enqueue(new CascadingCancellation(job.uid(), because, eventLoop.wallMicros()));
         }
         cancellationFound(job);
@@ -210,7 +210,7 @@
         if (closed || !dependencies.isAwaitingLookup(uid)) {
             return;
         }
-        if (doneUids.contains(uid)) {
+        if (recentlyDoneUids.contains(uid)) {
             dependencies.lookupSucceeded(uid);
             return;
         }
@@ -218,13 +218,13 @@
             synchronized (cluster) {
                 if (read.outcome() == Outcome.OK
                         && RunRecord.Head.fromJson(read.entry().value()).isDone()) {
-                    doneUids.add(uid);
+                    recentlyDoneUids.add(uid);
                     dependencies.lookupSucceeded(uid);
                     return;
                 }
             }
             // Not read, or not done though nobody drives it: its plan may yet be seen.
-            eventLoop.schedule(LOOK_AGAIN_MICROS, () -> {
+            eventLoop.schedule(LOOKUP_RETRY_MICROS, () -> {
                 synchronized (cluster) {
                     lookUp(uid);
                 }
@@ -239,7 +239,7 @@
                 PLAN_WATCH_MICROS,
                 change -> {
                     if (change.value() != null) {
-                        enter(PlanRecord.fromJson(change.value()), change.revision());
+                        addAdmittedJob(PlanRecord.fromJson(change.value()), change.revision());
                     }
                 },
                 sent -> {});
@@ -251,7 +251,7 @@
                 since,
                 CANCELLATIONS_WATCH_MICROS,
                 change -> jobCancelled(change.key().substring(CancellationRecord.PREFIX.length())),
-                sent -> cancellationProofMicros = Math.max(cancellationProofMicros, sent));
+                sent -> cancellationsKnownUntilMicros = Math.max(cancellationsKnownUntilMicros, sent));
     }
 
     /** A cancellation has been stored: seen there, or heard of from the controller that stored it. */
@@ -297,8 +297,8 @@
             dependencies.markReleased(job);
             if (job.isCompletionStored()) {
                 cluster.remove(job);
-                doneUids.add(job.uid());
-                LOG.info("done {}", job.uid());
+                recentlyDoneUids.add(job.uid());
+                LOG.info("job {} is done", job.uid());
                 dependencies.markDone(job);
             }
         }
@@ -317,7 +317,7 @@
     }
 
     /** A cancelled job is kept for as long as one of its tasks may be anywhere. */
-    void removeCancelled() {
+    void removeCancelledJobs() {
         synchronized (cluster) {
             if (!cluster.allReconciled()) {
                 return;
--- a/src/main/java/io/sillreel/leadership/LeaderReachability.java
+++ b/src/main/java/io/sillreel/leadership/LeaderReachability.java
@@ -20,18 +20,18 @@
 
     private static final long CANDIDACY_PAUSE_MICROS = 10_000_000;
     /** A worker finds another controller within two time-outs and a report. */
-    private static final long DETOURS_OVER_MICROS = 15_000_000;
+    private static final long REROUTING_MICROS = 15_000_000;
 
     private final EventLoop eventLoop;
     private final Settings settings;
     private final LeaderElection leadership;
     private final Peers peers;
     private final Cluster cluster;
-    private final Set<String> probedElsewhere = new HashSet<>();
+    private final Set<String> redirectedMachines = new HashSet<>();
     private boolean stateLoaded;
     private long loadedMicros;
-    private long heartbeatMicros;
-    private long disturbedMicros;
+    private long lastHeartbeatMicros;
+    private long lastDisruptionMicros;
 
     LeaderReachability(
             EventLoop eventLoop, Settings settings, LeaderElection leadership, Peers peers, Cluster cluster) {
@@ -50,7 +50,7 @@
 
     /** A worker's report has reached this leader. */
     void heartbeatReceived() {
-        heartbeatMicros = eventLoop.nowMicros();
+        lastHeartbeatMicros = eventLoop.nowMicros();
     }
 
     /**
@@ -64,7 +64,7 @@
         if (peers.storeAnswersElsewhere()) {
             return true;
         }
-        return settings.controllers() > 1 && peers.areSilent() && probedElsewhere.add(machine);
+        return settings.controllers() > 1 && peers.areSilent() && redirectedMachines.add(machine);
     }
 
     /**
@@ -74,7 +74,7 @@
      * @param cancellationProofMicros all cancellations that were confirmed before are known
      * @param writesStuck true if writes do not come to an end
      */
-    void check(long cancellationProofMicros, boolean writesStuck) {
+    void resignIfUnreachable(long cancellationProofMicros, boolean writesStuck) {
         long now = eventLoop.nowMicros();
         boolean expected;
         synchronized (cluster) {
@@ -83,7 +83,7 @@
                             .anyMatch(machine -> machine.isReconciled() || machine.mayHoldInheritedTasks());
         }
         if (leadership.isLeaseValid()) {
-            probedElsewhere.clear();
+            redirectedMachines.clear();
             boolean cancellationsUnknown = stateLoaded && now - cancellationProofMicros > CANCELLATIONS_UNKNOWN_MICROS;
             if (cancellationsUnknown || writesStuck) {
                 // The lease is held and nothing comes of it; whoever begins anew from what is stored is better off.
@@ -91,28 +91,28 @@
                     leadership.pauseCandidacy(CANDIDACY_PAUSE_MICROS);
                 }
                 leadership.resign(
-                        cancellationsUnknown ? "cancellations can't be followed" : "writes do not come to an end");
+                        cancellationsUnknown ? "the watch of cancellations makes no progress" : "the write queue makes no progress");
                 return;
             }
         }
         boolean heardElsewhere = peers.fresh().stream().anyMatch(peer -> peer.unanswered() > 0);
         if (heardElsewhere || peers.fresh().size() < settings.controllers() - 1 || !leadership.isLeaseValid()) {
-            disturbedMicros = now;
+            lastDisruptionMicros = now;
         }
         if (settings.controllers() == 1 || !heardElsewhere && !peers.areSilent()) {
             // Nobody else could lead, or nobody hears a worker, so there is none to hear.
             return;
         }
         long patience = heardElsewhere ? UNREACHED_MICROS : ISOLATED_MICROS;
-        if (expected && now - Math.max(heartbeatMicros, loadedMicros) > patience) {
+        if (expected && now - Math.max(lastHeartbeatMicros, loadedMicros) > patience) {
             // Whoever can be reached may lead instead; tasks die if nobody answers for them.
             leadership.pauseCandidacy(CANDIDACY_PAUSE_MICROS);
-            leadership.resign("no worker reaches this controller");
+            leadership.resign("no heartbeats reach this controller");
         }
     }
 
     /** True if no worker has had to look for another controller lately: then a silent one is not on its way to one. */
-    boolean isUndisturbed() {
-        return eventLoop.nowMicros() - Math.max(disturbedMicros, loadedMicros) > DETOURS_OVER_MICROS;
+    boolean isRoutingStable() {
+        return eventLoop.nowMicros() - Math.max(lastDisruptionMicros, loadedMicros) > REROUTING_MICROS;
     }
 }
--- a/src/main/java/io/sillreel/leadership/LeaderStatus.java
+++ b/src/main/java/io/sillreel/leadership/LeaderStatus.java
@@ -14,14 +14,14 @@
 /** The state of a term in figures, for the log and for metrics. */
 final class LeaderStatus {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderStatus.class);
-    private static final long STATUS_MICROS = 10_000_000;
+    private static final long LOG_INTERVAL_MICROS = 10_000_000;
 
     private final EventLoop eventLoop;
     private final long term;
     private final Cluster cluster;
     private final CapacityPlanner capacity;
     private final WriteQueue writeQueue;
-    private long statusMicros;
+    private long loggedMicros;
 
     LeaderStatus(EventLoop eventLoop, long term, Cluster cluster, CapacityPlanner capacity, WriteQueue writeQueue) {
         this.eventLoop = eventLoop;
@@ -34,15 +34,15 @@
     /** Every so often one line that tells an on-call reader how things stand. */
     void logPeriodically() {
         long now = eventLoop.nowMicros();
-        if (now - statusMicros < STATUS_MICROS
+        if (now - loggedMicros < LOG_INTERVAL_MICROS
                 || cluster.jobs().isEmpty() && cluster.machines().isEmpty()) {
             return;
         }
-        statusMicros = now;
+        loggedMicros = now;
         Map<String, Double> gauges = gauges();
         LOG.info(
-                "term {}: {} jobs unfinished, {} tasks wait; cpus: {} up, {} busy, {} starting, {} wanted, "
-                        + "{} standing; {} machines, {} ordinary",
+                "term {}: {} unfinished jobs, {} waiting tasks; cpus: {} up, {} busy, {} starting, {} wanted, "
+                        + "{} standing; {} machines, {} on demand",
                 term,
                 count(gauges, "sillreel.jobs.unfinished"),
                 count(gauges, "sillreel.tasks.waiting"),
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -41,20 +41,20 @@
 public final class LeaderTerm implements HeartbeatProcessor.Callbacks, LiveTaskCounts {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
     private static final long TICK_MICROS = 100_000;
-    private static final long FLEET_MICROS = 1_000_000;
+    private static final long FLEET_CYCLE_MICROS = 1_000_000;
     private static final long RETRY_MICROS = 300_000;
     /** Launches need to have asked for cancellations this recently. */
     private static final long CANCELLATIONS_STALE_MICROS = 4_000_000;
 
     private static final long GRACE_MARGIN_MICROS = 1_500_000;
-    private static final long ASK_TIMEOUT_MICROS = 3_000_000;
+    private static final long STATUS_TIMEOUT_MICROS = 3_000_000;
     private final EventLoop eventLoop;
     private final StateStore store;
     private final HttpClient httpClient;
     private final Settings settings;
     private final LeaderElection leadership;
     private final long term;
-    private final Supplier<Map<String, MachineType>> types;
+    private final Supplier<Map<String, MachineType>> machineTypes;
     private final Cluster cluster;
     private final WriteQueue writeQueue;
     private final RuntimeEstimator runtimeEstimator = new RuntimeEstimator();
@@ -69,7 +69,7 @@
 
     private boolean loaded;
     private boolean closed;
-    private long fleetMicros;
+    private long fleetCycleMicros;
 
     /** Creates the state of one term; {@link #start} begins to read what is stored. */
     public LeaderTerm(
@@ -91,7 +91,7 @@
         this.settings = settings;
         this.leadership = leadership;
         this.term = term;
-        this.types = types;
+        this.machineTypes = types;
         this.cluster = new Cluster(settings.teams());
         this.writeQueue = new WriteQueue(
                 store,
@@ -99,7 +99,7 @@
                 LeaderElection.LEADER_KEY,
                 leaderRevision,
                 settings.state().maxTransactionChanges(),
-                () -> leadership.resign("the leader key has changed"));
+                () -> leadership.resign("the leader key was overwritten"));
         ServiceLevelObjectives objectives = new ServiceLevelObjectives(settings.objectives(), runtimeEstimator);
         Planner planner = new Planner(cluster, settings.workers().heartbeatIntervalMicros(), objectives);
         this.capacity = new CapacityPlanner(cluster, objectives, runtimeEstimator);
@@ -113,9 +113,9 @@
                 settings.state().values(),
                 this::schedulingNeeded,
                 this::stopTasks,
-                prefix -> leadership.resign("the changes under " + prefix + " were missed"));
+                prefix -> leadership.resign("the watch of " + prefix + " was compacted"));
         this.status = new LeaderStatus(eventLoop, term, cluster, capacity, writeQueue);
-        this.heartbeatProcessor = newReportProcessor(operator, planner);
+        this.heartbeatProcessor = newHeartbeatProcessor(operator, planner);
         this.stragglerDetector = new StragglerDetector(cluster, runtimeEstimator);
         this.reachability = new LeaderReachability(eventLoop, settings, leadership, peers, cluster);
         this.schedulingCycle = new SchedulingCycle(
@@ -130,7 +130,7 @@
         this.fleet = newFleet(cloud, operator, fleetCapacity);
     }
 
-    private HeartbeatProcessor newReportProcessor(OperatorProperties operator, Planner planner) {
+    private HeartbeatProcessor newHeartbeatProcessor(OperatorProperties operator, Planner planner) {
         return new HeartbeatProcessor(
                 eventLoop,
                 term,
@@ -138,7 +138,7 @@
                 writeQueue,
                 settings.workers(),
                 FleetThresholds.of(settings),
-                retries(operator),
+                retrySchedule(operator),
                 runtimeEstimator,
                 planner,
                 this,
@@ -156,17 +156,17 @@
                 operator,
                 fleetCapacity,
                 capacity,
-                types,
+                machineTypes,
                 this::mayAct,
-                reachability::isUndisturbed,
+                reachability::isRoutingStable,
                 heartbeatProcessor::clearTasks);
     }
 
     private void stopTasks(ActiveJob job) {
-        schedulingCycle.stopTasks(job);
+        schedulingCycle.requestStops(job);
     }
 
-    private static RetrySchedule retries(OperatorProperties operator) {
+    private static RetrySchedule retrySchedule(OperatorProperties operator) {
         return new RetrySchedule(operator.retryInitialMicros(), operator.retryMaximumMicros(), operator.parkedMicros());
     }
 
@@ -193,7 +193,7 @@
                 && loaded
                 && leadership.isLeaseValid()
                 && leadership.heldTerm() == term
-                && eventLoop.nowMicros() - jobs.cancellationProofMicros() < CANCELLATIONS_STALE_MICROS;
+                && eventLoop.nowMicros() - jobs.cancellationsKnownUntilMicros() < CANCELLATIONS_STALE_MICROS;
     }
 
     /**
@@ -206,7 +206,7 @@
     }
 
     private boolean mayKeepAlive() {
-        long proof = Math.min(leadership.leaseConfirmedMicros(), jobs.cancellationProofMicros());
+        long proof = Math.min(leadership.leaseConfirmedMicros(), jobs.cancellationsKnownUntilMicros());
         return eventLoop.nowMicros() < proof + gracePeriodMicros();
     }
 
@@ -216,7 +216,7 @@
         if (closed) {
             return;
         }
-        if (types.get().isEmpty()) {
+        if (machineTypes.get().isEmpty()) {
             eventLoop.schedule(RETRY_MICROS, this::readStoredState);
             return;
         }
@@ -242,13 +242,13 @@
             long bound = heartbeatProcessor.leaseExpiryMicros(eventLoop.nowMicros())
                     + gracePeriodMicros()
                     + GRACE_MARGIN_MICROS / 3;
-            state.rentals().forEach(scaleOutRequest -> fleet.inherit(scaleOutRequest, bound));
+            state.scaleOutRequests().forEach(scaleOutRequest -> fleet.inherit(scaleOutRequest, bound));
             loaded = true;
             reachability.stateLoaded();
             schedulingCycle.markDirty();
         }
         LOG.info(
-                "term {} begins with {} unfinished jobs and {} machines",
+                "term {} starts with {} unfinished jobs and {} machines",
                 term,
                 cluster.jobs().size(),
                 cluster.machines().size());
@@ -285,10 +285,10 @@
     /** Looks, about once a second, whether another controller had better lead. */
     public void checkReachability() {
         if (heartbeatProcessor.isOutOfAttemptIds()) {
-            leadership.resign("the term has no attempt ids left");
+            leadership.resign("the attempt ids of the term are used up");
             return;
         }
-        reachability.check(jobs.cancellationProofMicros(), writeQueue.isStuck());
+        reachability.resignIfUnreachable(jobs.cancellationsKnownUntilMicros(), writeQueue.isStuck());
     }
 
     @Override
@@ -324,7 +324,7 @@
         long epoch = machine.heartbeatOrder().epoch();
         long sequence = machine.heartbeatOrder().sequence();
         httpClient
-                .send(machine.address(), HttpRequest.get("/status"), ASK_TIMEOUT_MICROS)
+                .send(machine.address(), HttpRequest.get("/status"), STATUS_TIMEOUT_MICROS)
                 .thenAccept(response -> {
                     Heartbeat heartbeat = !closed && response.isOk() ? Heartbeat.read(response.body()) : null;
                     if (heartbeat != null && heartbeat.machine().equals(machine.name())) {
@@ -342,13 +342,13 @@
         eventLoop.schedule(TICK_MICROS, this::tick);
         long now = eventLoop.nowMicros();
         schedulingCycle.tick(now);
-        if (mayAct() && now - fleetMicros > FLEET_MICROS) {
-            fleetMicros = now;
+        if (mayAct() && now - fleetCycleMicros > FLEET_CYCLE_MICROS) {
+            fleetCycleMicros = now;
             synchronized (cluster) {
                 stragglerDetector.drainStragglers(now);
             }
             fleet.runCycle();
-            jobs.removeCancelled();
+            jobs.removeCancelledJobs();
             status.logPeriodically();
         }
     }
@@ -368,8 +368,8 @@
     /** For metrics. */
     public Map<String, Double> gauges() {
         Map<String, Double> gauges = status.gauges();
-        gauges.put("sillreel.plans", (double) schedulingCycle.plans());
-        gauges.put("sillreel.plans.ms", schedulingCycle.planMicros() / 1_000.0);
+        gauges.put("sillreel.plans", (double) schedulingCycle.planCount());
+        gauges.put("sillreel.plans.ms", schedulingCycle.totalPlanMicros() / 1_000.0);
         return gauges;
     }
 }
--- a/src/main/java/io/sillreel/leadership/SchedulingCycle.java
+++ b/src/main/java/io/sillreel/leadership/SchedulingCycle.java
@@ -25,10 +25,10 @@
     private static final Logger LOG = LoggerFactory.getLogger(SchedulingCycle.class);
     private static final long MIN_PLAN_INTERVAL_MICROS = 200_000;
     private static final long MAX_PLAN_INTERVAL_MICROS = 2_000_000;
-    private static final long PLAN_REST_FACTOR = 8;
-    private static final int MAX_PUSHES = 6;
-    private static final long DO_TIMEOUT_MICROS = 3_000_000;
-    private static final long COMMAND_MICROS = 1_000_000;
+    private static final long PLAN_INTERVAL_FACTOR = 8;
+    private static final int MAX_COMMANDS_PER_TICK = 6;
+    private static final long COMMAND_TIMEOUT_MICROS = 3_000_000;
+    private static final long COMMAND_DELIVERY_MICROS = 1_000_000;
 
     private final EventLoop eventLoop;
     private final long term;
@@ -41,10 +41,10 @@
     private final Set<Machine> pendingStops = new LinkedHashSet<>();
     private boolean closed;
     private boolean dirty = true;
-    private long plannedMicros;
-    private long planCostMicros;
-    private long planMicros;
-    private long plans;
+    private long plannedAtMicros;
+    private long lastPlanMicros;
+    private long totalPlanMicros;
+    private long planCount;
 
     /** @param mayAct true while launches are allowed */
     SchedulingCycle(
@@ -75,13 +75,13 @@
         dirty = true;
     }
 
-    long plans() {
-        return plans;
+    long planCount() {
+        return planCount;
     }
 
     /** The time that all plans took. */
-    long planMicros() {
-        return planMicros;
+    long totalPlanMicros() {
+        return totalPlanMicros;
     }
 
     /** Lets what is over expire, plans if that is due, and sends out what can't wait. */
@@ -89,12 +89,12 @@
         List<Machine> toPush = new ArrayList<>();
         synchronized (cluster) {
             heartbeatProcessor.expireLeases();
-            dirty |= now - plannedMicros > MAX_PLAN_INTERVAL_MICROS;
+            dirty |= now - plannedAtMicros > MAX_PLAN_INTERVAL_MICROS;
             planIfDue();
             pendingStops.addAll(interruptionDrain.stopInterruptedTasks(now));
             // A few at a time: what is not pushed is told in answer to the machine's next report anyway.
             var due = pendingStops.iterator();
-            while (due.hasNext() && toPush.size() < MAX_PUSHES) {
+            while (due.hasNext() && toPush.size() < MAX_COMMANDS_PER_TICK) {
                 toPush.add(due.next());
                 due.remove();
             }
@@ -110,25 +110,25 @@
         long now = eventLoop.nowMicros();
         if (!dirty
                 || !mayAct.getAsBoolean()
-                || now - plannedMicros < Math.max(MIN_PLAN_INTERVAL_MICROS, PLAN_REST_FACTOR * planCostMicros)) {
+                || now - plannedAtMicros < Math.max(MIN_PLAN_INTERVAL_MICROS, PLAN_INTERVAL_FACTOR * lastPlanMicros)) {
             return;
         }
         dirty = false;
-        plannedMicros = now;
+        plannedAtMicros = now;
         Planner.Plan plan = planner.plan(now, eventLoop.wallMicros());
         heartbeatProcessor.plan(plan);
         for (Allocation allocation : plan.preemptions()) {
-            LOG.debug("stopping {}/{} to make room", allocation.uid(), allocation.taskIndex());
-            allocation.stop(allocation.job().spec().checkpointDurationMicros() + COMMAND_MICROS);
+            LOG.debug("preempting task {}/{}", allocation.uid(), allocation.taskIndex());
+            allocation.stop(allocation.job().spec().checkpointDurationMicros() + COMMAND_DELIVERY_MICROS);
             pendingStops.add(allocation.machine());
         }
-        planCostMicros = eventLoop.nowMicros() - now;
-        plans++;
-        planMicros += planCostMicros;
+        lastPlanMicros = eventLoop.nowMicros() - now;
+        planCount++;
+        totalPlanMicros += lastPlanMicros;
     }
 
     /** The tasks of the job are to be stopped as soon as their machines can be told. */
-    void stopTasks(ActiveJob job) {
+    void requestStops(ActiveJob job) {
         for (Allocation allocation : cluster.allocationIndex().ofJob(job)) {
             pendingStops.add(allocation.machine());
         }
@@ -147,7 +147,7 @@
         HttpRequest request = HttpRequest.post(
                 "/do",
                 commands.toJson(term).put("shift", machine.heartbeatOrder().epoch()));
-        httpClient.send(machine.address(), request, DO_TIMEOUT_MICROS).thenAccept(response -> {
+        httpClient.send(machine.address(), request, COMMAND_TIMEOUT_MICROS).thenAccept(response -> {
             if (!closed && (response.status() == 200 || response.status() == 409)) {
                 Heartbeat heartbeat = Heartbeat.read(response.body());
                 if (heartbeat != null) {
--- a/src/main/java/io/sillreel/leadership/StoredJobsReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredJobsReader.java
@@ -1,6 +1,6 @@
 package io.sillreel.leadership;
 
-import static io.sillreel.leadership.StoredStateReader.after;
+import static io.sillreel.leadership.StoredStateReader.keySuffix;
 
 import io.sillreel.cluster.ScaleOutRequest;
 import io.sillreel.leadership.StoredState.StoredJob;
@@ -25,20 +25,20 @@
  * the next page of plans is taken only then, so that no more than a page of them waits.
  */
 final class StoredJobsReader {
-    private record Head(RunRecord.Head head, long stamp) {}
+    private record StoredHead(RunRecord.Head head, long revision) {}
 
     private final int previousVersionChunkTasks;
     private final LongPredicate countsAsDemand;
     private final JobIdSet done = new JobIdSet();
-    private final Map<String, Head> heads = new HashMap<>();
-    private final Map<String, RunRecord.StoredChunks> parts = new HashMap<>();
+    private final Map<String, StoredHead> heads = new HashMap<>();
+    private final Map<String, RunRecord.StoredChunks> chunks = new HashMap<>();
     private final List<StoredJob> unfinished = new ArrayList<>();
     private final List<PlanRecord> recentlyDone = new ArrayList<>();
-    private final Deque<Entry> plansToJudge = new ArrayDeque<>();
-    private CompletableFuture<Boolean> nextPlans = CompletableFuture.completedFuture(true);
-    private String runsReadUpTo = "";
-    private boolean allRunsRead;
-    private boolean runsFailed;
+    private final Deque<Entry> unclassifiedPlans = new ArrayDeque<>();
+    private CompletableFuture<Boolean> pageClassified = CompletableFuture.completedFuture(true);
+    private String lastRunRecordUid = "";
+    private boolean allRunRecordsRead;
+    private boolean runRecordsFailed;
 
     /**
      * @param previousVersionChunkTasks how many tasks the previous version put into one part of a done set
@@ -50,77 +50,80 @@
     }
 
     /** Adds a page of records. */
-    void addRuns(List<Entry> page) {
+    void addRunRecords(List<Entry> page) {
         for (Entry entry : page) {
-            String rest = after(RunRecord.PREFIX, entry);
+            String rest = keySuffix(RunRecord.PREFIX, entry);
             int slash = rest.indexOf('/');
             if (slash >= 0) {
-                addPart(rest.substring(0, slash), entry);
+                addChunk(rest.substring(0, slash), entry);
             } else if (RunRecord.isDone(entry.value())) {
                 done.add(rest);
             } else {
-                heads.put(rest, new Head(RunRecord.Head.fromJson(entry.value()), entry.revision()));
+                heads.put(rest, new StoredHead(RunRecord.Head.fromJson(entry.value()), entry.revision()));
             }
-            runsReadUpTo = rest;
+            lastRunRecordUid = rest;
         }
-        judge();
+        classifyReadyPlans();
     }
 
     /** No more records come: all of them have been read, or their list has failed. */
-    void runsRead(boolean complete) {
+    void endRunRecords(boolean complete) {
         if (complete) {
-            allRunsRead = true;
-            judge();
+            allRunRecordsRead = true;
+            classifyReadyPlans();
         } else {
-            runsFailed = true;
-            nextPlans.complete(false);
+            runRecordsFailed = true;
+            pageClassified.complete(false);
         }
     }
 
     /** Adds a page of plans; completes with true once all of it has been judged, with false if that can't be. */
     CompletableFuture<Boolean> addPlans(List<Entry> page) {
         // Without the records nothing can be judged, now or ever: a plan that waited for them would wait for ever.
-        if (runsFailed) {
+        if (runRecordsFailed) {
             return CompletableFuture.completedFuture(false);
         }
-        nextPlans = new CompletableFuture<>();
-        CompletableFuture<Boolean> judged = nextPlans;
-        plansToJudge.addAll(page);
-        judge();
+        pageClassified = new CompletableFuture<>();
+        CompletableFuture<Boolean> judged = pageClassified;
+        unclassifiedPlans.addAll(page);
+        classifyReadyPlans();
         return judged;
     }
 
     /** Adds a page of parts of done sets. */
-    void addParts(List<Entry> page) {
-        page.forEach(entry -> addPart(RunRecord.uidOfChunk(entry.key()), entry));
+    void addChunks(List<Entry> page) {
+        page.forEach(entry -> addChunk(RunRecord.uidOfChunk(entry.key()), entry));
     }
 
-    private void addPart(String uid, Entry entry) {
-        parts.computeIfAbsent(
+    private void addChunk(String uid, Entry entry) {
+        chunks.computeIfAbsent(
                         uid,
                         each -> new RunRecord.StoredChunks(new HashMap<>(), new HashMap<>(), previousVersionChunkTasks))
                 .add(entry);
     }
 
-    private void judge() {
-        while (!plansToJudge.isEmpty()
-                && (allRunsRead || after(PlanRecord.PREFIX, plansToJudge.peek()).compareTo(runsReadUpTo) <= 0)) {
-            judge(plansToJudge.poll());
+    private void classifyReadyPlans() {
+        while (!unclassifiedPlans.isEmpty()
+                && (allRunRecordsRead
+                        || keySuffix(PlanRecord.PREFIX, unclassifiedPlans.peek())
+                                        .compareTo(lastRunRecordUid)
+                                <= 0)) {
+            classify(unclassifiedPlans.poll());
         }
-        if (plansToJudge.isEmpty()) {
-            nextPlans.complete(true);
+        if (unclassifiedPlans.isEmpty()) {
+            pageClassified.complete(true);
         }
     }
 
-    private void judge(Entry plan) {
-        String uid = after(PlanRecord.PREFIX, plan);
+    private void classify(Entry plan) {
+        String uid = keySuffix(PlanRecord.PREFIX, plan);
         if (!done.contains(uid)) {
-            Head head = heads.remove(uid);
+            StoredHead head = heads.remove(uid);
             unfinished.add(new StoredJob(
                     PlanRecord.fromJson(plan.value()),
                     plan.revision(),
                     head == null ? null : head.head(),
-                    head == null ? 0 : head.stamp(),
+                    head == null ? 0 : head.revision(),
                     RunRecord.StoredChunks.NONE));
         } else if (countsAsDemand.test(PlanRecord.admittedWallMicros(plan.value()))) {
             recentlyDone.add(PlanRecord.fromJson(plan.value()));
@@ -128,15 +131,15 @@
     }
 
     /** Everything that was read, once all lists have come to their ends. */
-    StoredState state(
+    StoredState toStoredState(
             JobIdSet cancelled, List<ScaleOutRequest> rentals, long plansRevision, long cancellationsRevision) {
-        unfinished.sort(Comparator.comparingLong(StoredJob::planStamp));
+        unfinished.sort(Comparator.comparingLong(StoredJob::planRevision));
         // Demand forgets the oldest first, so it is told of them first.
         recentlyDone.sort(Comparator.comparingLong(PlanRecord::admittedWallMicros));
         unfinished.replaceAll(
-                job -> job.with(parts.getOrDefault(job.plan().spec().uid(), RunRecord.StoredChunks.NONE)));
+                job -> job.with(chunks.getOrDefault(job.plan().spec().uid(), RunRecord.StoredChunks.NONE)));
         List<PendingWrite> leftovers = new ArrayList<>();
-        parts.forEach((uid, stored) -> {
+        chunks.forEach((uid, stored) -> {
             if (done.contains(uid)) {
                 leftovers.addAll(stored.removals());
             }
--- a/src/main/java/io/sillreel/leadership/StoredState.java
+++ b/src/main/java/io/sillreel/leadership/StoredState.java
@@ -23,9 +23,9 @@
         List<StoredJob> unfinished,
         JobIdSet done,
         List<PlanRecord> recentlyDone,
-        List<PendingWrite> leftovers,
+        List<PendingWrite> obsoleteChunkRemovals,
         JobIdSet cancelled,
-        List<ScaleOutRequest> rentals,
+        List<ScaleOutRequest> scaleOutRequests,
         long plansRevision,
         long cancellationsRevision) {
 
@@ -35,13 +35,13 @@
      * @param head what is stored of its progress, or null if it has not been released
      */
     record StoredJob(
-            PlanRecord plan, long planStamp, RunRecord.Head head, long headStamp, RunRecord.StoredChunks parts) {
+            PlanRecord plan, long planRevision, RunRecord.Head head, long headRevision, RunRecord.StoredChunks chunks) {
         StoredJob with(RunRecord.StoredChunks newParts) {
-            return new StoredJob(plan, planStamp, head, headStamp, newParts);
+            return new StoredJob(plan, planRevision, head, headRevision, newParts);
         }
 
         StoredJob with(PlanRecord newPlan) {
-            return new StoredJob(newPlan, planStamp, head, headStamp, parts);
+            return new StoredJob(newPlan, planRevision, head, headRevision, chunks);
         }
     }
 }
--- a/src/main/java/io/sillreel/leadership/StoredStateReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredStateReader.java
@@ -26,7 +26,7 @@
     private final StateStore store;
     private final int previousVersionChunkTasks;
     private final LongPredicate countsAsDemand;
-    private final BooleanSupplier wanted;
+    private final BooleanSupplier isStillNeeded;
 
     /**
      * @param presentValueBytes the largest value by which the previous version cut done sets
@@ -37,7 +37,7 @@
         this.store = store;
         this.previousVersionChunkTasks = RunRecord.chunkTasks(presentValueBytes);
         this.countsAsDemand = countsAsDemand;
-        this.wanted = wanted;
+        this.isStillNeeded = wanted;
     }
 
     /** Reads everything; empty if the state service did not answer all of it. */
@@ -46,30 +46,31 @@
         JobIdSet cancelled = new JobIdSet();
         List<ScaleOutRequest> rentals = new ArrayList<>();
         CompletableFuture<Scan> runs = store.scan(RunRecord.PREFIX, page -> {
-            jobs.addRuns(page);
-            return next();
+            jobs.addRunRecords(page);
+            return continueScan();
         });
         CompletableFuture<Scan> plans = store.scan(
-                PlanRecord.PREFIX, page -> jobs.addPlans(page).thenApply(judged -> judged && wanted.getAsBoolean()));
+                PlanRecord.PREFIX,
+                page -> jobs.addPlans(page).thenApply(judged -> judged && isStillNeeded.getAsBoolean()));
         CompletableFuture<Scan> parts = store.scan(RunRecord.chunksPrefix(), page -> {
-            jobs.addParts(page);
-            return next();
+            jobs.addChunks(page);
+            return continueScan();
         });
         CompletableFuture<Scan> cancellations = store.scan(CancellationRecord.PREFIX, page -> {
-            page.forEach(entry -> cancelled.add(after(CancellationRecord.PREFIX, entry)));
-            return next();
+            page.forEach(entry -> cancelled.add(keySuffix(CancellationRecord.PREFIX, entry)));
+            return continueScan();
         });
         CompletableFuture<Scan> hired = store.scan(ScaleOutRequest.PREFIX, page -> {
             page.forEach(entry -> rentals.add(ScaleOutRequest.of(entry.key(), entry.value(), entry.revision())));
-            return next();
+            return continueScan();
         });
-        runs.thenAccept(scan -> jobs.runsRead(scan.outcome() == Outcome.OK));
+        runs.thenAccept(scan -> jobs.endRunRecords(scan.outcome() == Outcome.OK));
         List<CompletableFuture<Scan>> all = List.of(plans, runs, cancellations, hired, parts);
         return CompletableFuture.allOf(all.toArray(CompletableFuture[]::new)).thenCompose(done -> {
             if (all.stream().anyMatch(scan -> scan.join().outcome() != Outcome.OK)) {
                 return CompletableFuture.completedFuture(Optional.empty());
             }
-            return complete(jobs.state(
+            return readOverflowValues(jobs.toStoredState(
                     cancelled,
                     rentals,
                     plans.join().storeRevision(),
@@ -77,16 +78,16 @@
         });
     }
 
-    private CompletableFuture<Boolean> next() {
-        return CompletableFuture.completedFuture(wanted.getAsBoolean());
+    private CompletableFuture<Boolean> continueScan() {
+        return CompletableFuture.completedFuture(isStillNeeded.getAsBoolean());
     }
 
-    static String after(String prefix, Entry entry) {
+    static String keySuffix(String prefix, Entry entry) {
         return entry.key().substring(prefix.length());
     }
 
     /** Adds what lies in overflow values, which few plans have. */
-    private CompletableFuture<Optional<StoredState>> complete(StoredState state) {
+    private CompletableFuture<Optional<StoredState>> readOverflowValues(StoredState state) {
         List<CompletableFuture<Optional<PlanRecord>>> plans = new ArrayList<>();
         state.unfinished().forEach(job -> plans.add(job.plan().complete(store)));
         return CompletableFuture.allOf(plans.toArray(CompletableFuture[]::new)).thenApply(done -> {
