--- a/src/main/java/io/sillreel/ControllerMetrics.java
+++ b/src/main/java/io/sillreel/ControllerMetrics.java
@@ -60,7 +60,7 @@
                 .register(to);
         FunctionCounter.builder("sillreel.workers.moved", heartbeatRouter, HeartbeatRouter::redirectCount)
                 .register(to);
-        FunctionCounter.builder("sillreel.requests.refused", admissionLimit, AdaptiveLimit::refused)
+        FunctionCounter.builder("sillreel.requests.refused", admissionLimit, AdaptiveLimit::refusedCount)
                 .register(to);
         Gauge.builder("sillreel.requests.limit", admissionLimit, AdaptiveLimit::limit)
                 .register(to);
--- a/src/main/java/io/sillreel/leadership/LeaderReachability.java
+++ b/src/main/java/io/sillreel/leadership/LeaderReachability.java
@@ -91,7 +91,9 @@
                     leadership.pauseCandidacy(CANDIDACY_PAUSE_MICROS);
                 }
                 leadership.resign(
-                        cancellationsUnknown ? "the watch of cancellations makes no progress" : "the write queue makes no progress");
+                        cancellationsUnknown
+                                ? "the watch of cancellations makes no progress"
+                                : "the write queue makes no progress");
                 return;
             }
         }
--- a/src/main/java/io/sillreel/leadership/StoredJobsReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredJobsReader.java
@@ -8,7 +8,7 @@
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.statestore.PendingWrite;
-import io.sillreel.statestore.StateStore.Entry;
+import io.sillreel.statestore.StateStore.StoredEntry;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -34,7 +34,7 @@
     private final Map<String, RunRecord.StoredChunks> chunks = new HashMap<>();
     private final List<StoredJob> unfinished = new ArrayList<>();
     private final List<PlanRecord> recentlyDone = new ArrayList<>();
-    private final Deque<Entry> unclassifiedPlans = new ArrayDeque<>();
+    private final Deque<StoredEntry> unclassifiedPlans = new ArrayDeque<>();
     private CompletableFuture<Boolean> pageClassified = CompletableFuture.completedFuture(true);
     private String lastRunRecordUid = "";
     private boolean allRunRecordsRead;
@@ -50,8 +50,8 @@
     }
 
     /** Adds a page of records. */
-    void addRunRecords(List<Entry> page) {
-        for (Entry entry : page) {
+    void addRunRecords(List<StoredEntry> page) {
+        for (StoredEntry entry : page) {
             String rest = keySuffix(RunRecord.PREFIX, entry);
             int slash = rest.indexOf('/');
             if (slash >= 0) {
@@ -78,7 +78,7 @@
     }
 
     /** Adds a page of plans; completes with true once all of it has been judged, with false if that can't be. */
-    CompletableFuture<Boolean> addPlans(List<Entry> page) {
+    CompletableFuture<Boolean> addPlans(List<StoredEntry> page) {
         // Without the records nothing can be judged, now or ever: a plan that waited for them would wait for ever.
         if (runRecordsFailed) {
             return CompletableFuture.completedFuture(false);
@@ -91,11 +91,11 @@
     }
 
     /** Adds a page of parts of done sets. */
-    void addChunks(List<Entry> page) {
+    void addChunks(List<StoredEntry> page) {
         page.forEach(entry -> addChunk(RunRecord.uidOfChunk(entry.key()), entry));
     }
 
-    private void addChunk(String uid, Entry entry) {
+    private void addChunk(String uid, StoredEntry entry) {
         chunks.computeIfAbsent(
                         uid,
                         each -> new RunRecord.StoredChunks(new HashMap<>(), new HashMap<>(), previousVersionChunkTasks))
@@ -115,7 +115,7 @@
         }
     }
 
-    private void classify(Entry plan) {
+    private void classify(StoredEntry plan) {
         String uid = keySuffix(PlanRecord.PREFIX, plan);
         if (!done.contains(uid)) {
             StoredHead head = heads.remove(uid);
--- a/src/main/java/io/sillreel/leadership/StoredStateReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredStateReader.java
@@ -6,9 +6,9 @@
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Entry;
-import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Scan;
+import io.sillreel.statestore.StateStore.ScanResult;
+import io.sillreel.statestore.StateStore.StoreOutcome;
+import io.sillreel.statestore.StateStore.StoredEntry;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -45,29 +45,29 @@
         StoredJobsReader jobs = new StoredJobsReader(previousVersionChunkTasks, countsAsDemand);
         JobIdSet cancelled = new JobIdSet();
         List<ScaleOutRequest> rentals = new ArrayList<>();
-        CompletableFuture<Scan> runs = store.scan(RunRecord.PREFIX, page -> {
+        CompletableFuture<ScanResult> runs = store.scan(RunRecord.PREFIX, page -> {
             jobs.addRunRecords(page);
             return continueScan();
         });
-        CompletableFuture<Scan> plans = store.scan(
+        CompletableFuture<ScanResult> plans = store.scan(
                 PlanRecord.PREFIX,
                 page -> jobs.addPlans(page).thenApply(judged -> judged && isStillNeeded.getAsBoolean()));
-        CompletableFuture<Scan> parts = store.scan(RunRecord.chunksPrefix(), page -> {
+        CompletableFuture<ScanResult> parts = store.scan(RunRecord.chunksPrefix(), page -> {
             jobs.addChunks(page);
             return continueScan();
         });
-        CompletableFuture<Scan> cancellations = store.scan(CancellationRecord.PREFIX, page -> {
+        CompletableFuture<ScanResult> cancellations = store.scan(CancellationRecord.PREFIX, page -> {
             page.forEach(entry -> cancelled.add(keySuffix(CancellationRecord.PREFIX, entry)));
             return continueScan();
         });
-        CompletableFuture<Scan> hired = store.scan(ScaleOutRequest.PREFIX, page -> {
+        CompletableFuture<ScanResult> hired = store.scan(ScaleOutRequest.PREFIX, page -> {
             page.forEach(entry -> rentals.add(ScaleOutRequest.of(entry.key(), entry.value(), entry.revision())));
             return continueScan();
         });
-        runs.thenAccept(scan -> jobs.endRunRecords(scan.outcome() == Outcome.OK));
-        List<CompletableFuture<Scan>> all = List.of(plans, runs, cancellations, hired, parts);
+        runs.thenAccept(scan -> jobs.endRunRecords(scan.outcome() == StoreOutcome.OK));
+        List<CompletableFuture<ScanResult>> all = List.of(plans, runs, cancellations, hired, parts);
         return CompletableFuture.allOf(all.toArray(CompletableFuture[]::new)).thenCompose(done -> {
-            if (all.stream().anyMatch(scan -> scan.join().outcome() != Outcome.OK)) {
+            if (all.stream().anyMatch(scan -> scan.join().outcome() != StoreOutcome.OK)) {
                 return CompletableFuture.completedFuture(Optional.empty());
             }
             return readOverflowValues(jobs.toStoredState(
@@ -82,7 +82,7 @@
         return CompletableFuture.completedFuture(isStillNeeded.getAsBoolean());
     }
 
-    static String keySuffix(String prefix, Entry entry) {
+    static String keySuffix(String prefix, StoredEntry entry) {
         return entry.key().substring(prefix.length());
     }
 
