--- a/src/main/java/io/sillreel/leadership/StoredJobsReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredJobsReader.java
@@ -141,7 +141,7 @@
         List<PendingWrite> leftovers = new ArrayList<>();
         chunks.forEach((uid, stored) -> {
             if (done.contains(uid)) {
-                leftovers.addAll(stored.removals());
+                leftovers.addAll(stored.removeAll());
             }
         });
         return new StoredState(
