--- a/src/main/java/io/sillreel/fleet/CloudListReconciler.java
+++ b/src/main/java/io/sillreel/fleet/CloudListReconciler.java
@@ -93,7 +93,7 @@
             if (entry.hasFailed()) {
                 LOG.info("machine {} has failed", machine.name());
                 clear.accept(machine);
-                machine.drain("it has failed");
+                machine.drain();
             }
         }
         long lag = 2 * listLagMicros + 1_000_000;
@@ -126,7 +126,7 @@
             machine.updateAddress(entry.address());
             machine.recordListed(asked);
             if (entry.hasFailed()) {
-                machine.drain("it has failed");
+                machine.drain();
             }
         }
     }
