--- a/src/main/java/io/sillreel/fleet/CloudListReconciler.java
+++ b/src/main/java/io/sillreel/fleet/CloudListReconciler.java
@@ -1,7 +1,7 @@
 package io.sillreel.fleet;
 
 import io.sillreel.cloud.CloudClient;
-import io.sillreel.cloud.CloudClient.Listed;
+import io.sillreel.cloud.CloudClient.ListedMachine;
 import io.sillreel.cloud.CloudClient.Outcome;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
@@ -23,7 +23,6 @@
     private static final long LIST_PAUSE_FACTOR = 2;
 
     private static final long PENDING_REQUEST_MICROS = 30_000_000;
-    private static final String FAILED_STAGE = "failed";
 
     private final EventLoop eventLoop;
     private final Cluster cluster;
@@ -67,7 +66,7 @@
     private void list() {
         isListing = true;
         long asked = eventLoop.nowMicros();
-        cloud.machines().thenAccept(answer -> {
+        cloud.listMachines().thenAccept(answer -> {
             isListing = false;
             listedMicros = eventLoop.nowMicros();
             listPauseMicros = Math.max(MIN_LIST_PAUSE_MICROS, LIST_PAUSE_FACTOR * (listedMicros - asked));
@@ -79,9 +78,9 @@
         });
     }
 
-    private void compare(List<Listed> listed, long asked) {
+    private void compare(List<ListedMachine> listed, long asked) {
         Set<String> present = new HashSet<>();
-        for (Listed entry : listed) {
+        for (ListedMachine entry : listed) {
             present.add(entry.name());
             Machine machine = cluster.machine(entry.name());
             if (machine == null) {
@@ -91,10 +90,10 @@
             unknownMachines.remove(entry.name());
             machine.recordListed(eventLoop.nowMicros());
             machine.updateAddress(entry.address());
-            if (entry.stage().equals(FAILED_STAGE)) {
+            if (entry.hasFailed()) {
                 LOG.info("machine {} has failed", machine.name());
                 clear.accept(machine);
-                machine.drain("it has failed");
+                machine.drain();
             }
         }
         long lag = 2 * listLagMicros + 1_000_000;
@@ -111,7 +110,7 @@
         unknownMachines.keySet().retainAll(present);
     }
 
-    private void adoptIfUnknown(Listed entry, long asked) {
+    private void adoptIfUnknown(ListedMachine entry, long asked) {
         if (registry.wasReturned(entry.name())) {
             return;
         }
@@ -122,12 +121,12 @@
         if (first == null || pending && asked - first < PENDING_REQUEST_MICROS) {
             return;
         }
-        Machine machine = registry.adopt(entry.name(), entry.machineType(), entry.zone(), entry.spot());
+        Machine machine = registry.adopt(entry.name(), entry.machineType(), entry.zone(), entry.isSpot());
         if (machine != null) {
             machine.updateAddress(entry.address());
             machine.recordListed(asked);
-            if (entry.stage().equals(FAILED_STAGE)) {
-                machine.drain("it has failed");
+            if (entry.hasFailed()) {
+                machine.drain();
             }
         }
     }
--- a/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
@@ -82,7 +82,7 @@
         }
         returnLost(now);
         returnUnreconciled(now);
-        for (Machine machine : capacity.surplus(operator.idleMicros(), now, eventLoop.wallMicros())) {
+        for (Machine machine : capacity.surplusMachines(operator.idleMicros(), now, eventLoop.wallMicros())) {
             drain(machine, "it has no work");
         }
     }
@@ -167,12 +167,12 @@
 
     private static void drain(Machine machine, String reason) {
         logReturn(machine, reason);
-        machine.drain(reason);
+        machine.drain();
     }
 
     private static void scheduleReturn(Machine machine, String reason) {
         logReturn(machine, reason);
-        machine.scheduleReturn(reason);
+        machine.scheduleReturn();
     }
 
     private static void logReturn(Machine machine, String reason) {
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -42,20 +42,20 @@
 public final class LeaderTerm implements LeaderHeartbeats, HeartbeatProcessor.Callbacks, LiveTaskCounts {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
     private static final long TICK_MICROS = 100_000;
-    private static final long FLEET_MICROS = 1_000_000;
+    private static final long FLEET_CYCLE_MICROS = 1_000_000;
     private static final long RETRY_MICROS = 300_000;
     /** Launches need to have asked for cancellations this recently. */
     private static final long CANCELLATIONS_STALE_MICROS = 4_000_000;
 
     private static final long GRACE_MARGIN_MICROS = 1_500_000;
-    private static final long ASK_TIMEOUT_MICROS = 3_000_000;
+    private static final long STATUS_TIMEOUT_MICROS = 3_000_000;
     private final EventLoop eventLoop;
     private final StateStore store;
     private final HttpClient httpClient;
     private final Settings settings;
     private final LeaderElection leadership;
     private final long term;
-    private final Supplier<Map<String, MachineType>> types;
+    private final Supplier<Map<String, MachineType>> machineTypes;
     private final Cluster cluster;
     private final WriteQueue writeQueue;
     private final RuntimeEstimator runtimeEstimator = new RuntimeEstimator();
@@ -70,7 +70,7 @@
 
     private boolean loaded;
     private boolean closed;
-    private long fleetMicros;
+    private long fleetCycleMicros;
 
     /** Creates the state of one term; {@link #start} begins to read what is stored. */
     public LeaderTerm(
@@ -92,7 +92,7 @@
         this.settings = settings;
         this.leadership = leadership;
         this.term = term;
-        this.types = types;
+        this.machineTypes = types;
         this.cluster = new Cluster(settings.teams());
         this.writeQueue = new WriteQueue(
                 store,
@@ -100,7 +100,7 @@
                 LeaderElection.LEADER_KEY,
                 leaderRevision,
                 settings.state().maxTransactionChanges(),
-                () -> leadership.resign("the leader key has changed"));
+                () -> leadership.resign("the leader key was overwritten"));
         ServiceLevelObjectives objectives = new ServiceLevelObjectives(settings.objectives(), runtimeEstimator);
         Planner planner = new Planner(cluster, settings.workers().heartbeatIntervalMicros(), objectives);
         this.capacity = new CapacityPlanner(cluster, objectives, runtimeEstimator);
@@ -114,9 +114,9 @@
                 settings.state().values(),
                 this::schedulingNeeded,
                 this::stopTasks,
-                prefix -> leadership.resign("the changes under " + prefix + " were missed"));
+                prefix -> leadership.resign("the watch of " + prefix + " was compacted"));
         this.status = new LeaderStatus(eventLoop, term, cluster, capacity, writeQueue);
-        this.heartbeatProcessor = newReportProcessor(operator, planner);
+        this.heartbeatProcessor = newHeartbeatProcessor(operator, planner);
         this.stragglerDetector = new StragglerDetector(cluster, runtimeEstimator);
         this.reachability = new LeaderReachability(eventLoop, settings, leadership, peers, cluster);
         this.schedulingCycle = new SchedulingCycle(
@@ -131,7 +131,7 @@
         this.fleet = newFleet(cloud, operator, fleetCapacity);
     }
 
-    private HeartbeatProcessor newReportProcessor(OperatorProperties operator, Planner planner) {
+    private HeartbeatProcessor newHeartbeatProcessor(OperatorProperties operator, Planner planner) {
         return new HeartbeatProcessor(
                 eventLoop,
                 term,
@@ -139,7 +139,7 @@
                 writeQueue,
                 settings.workers(),
                 FleetThresholds.of(settings),
-                retries(operator),
+                retrySchedule(operator),
                 runtimeEstimator,
                 planner,
                 this,
@@ -157,17 +157,17 @@
                 operator,
                 fleetCapacity,
                 capacity,
-                types,
+                machineTypes,
                 this::mayAct,
-                reachability::isUndisturbed,
+                reachability::isRoutingStable,
                 heartbeatProcessor::clearTasks);
     }
 
     private void stopTasks(ActiveJob job) {
-        schedulingCycle.stopTasks(job);
+        schedulingCycle.requestStops(job);
     }
 
-    private static RetrySchedule retries(OperatorProperties operator) {
+    private static RetrySchedule retrySchedule(OperatorProperties operator) {
         return new RetrySchedule(operator.retryInitialMicros(), operator.retryMaximumMicros(), operator.parkedMicros());
     }
 
@@ -195,7 +195,7 @@
                 && loaded
                 && leadership.isLeaseValid()
                 && leadership.heldTerm() == term
-                && eventLoop.nowMicros() - jobs.cancellationProofMicros() < CANCELLATIONS_STALE_MICROS;
+                && eventLoop.nowMicros() - jobs.cancellationsKnownUntilMicros() < CANCELLATIONS_STALE_MICROS;
     }
 
     /**
@@ -208,7 +208,7 @@
     }
 
     private boolean mayKeepAlive() {
-        long proof = Math.min(leadership.leaseConfirmedMicros(), jobs.cancellationProofMicros());
+        long proof = Math.min(leadership.leaseConfirmedMicros(), jobs.cancellationsKnownUntilMicros());
         return eventLoop.nowMicros() < proof + gracePeriodMicros();
     }
 
@@ -218,7 +218,7 @@
         if (closed) {
             return;
         }
-        if (types.get().isEmpty()) {
+        if (machineTypes.get().isEmpty()) {
             eventLoop.schedule(RETRY_MICROS, this::readStoredState);
             return;
         }
@@ -244,13 +244,13 @@
             long bound = heartbeatProcessor.leaseExpiryMicros(eventLoop.nowMicros())
                     + gracePeriodMicros()
                     + GRACE_MARGIN_MICROS / 3;
-            state.rentals().forEach(scaleOutRequest -> fleet.inherit(scaleOutRequest, bound));
+            state.scaleOutRequests().forEach(scaleOutRequest -> fleet.inherit(scaleOutRequest, bound));
             loaded = true;
             reachability.stateLoaded();
             schedulingCycle.markDirty();
         }
         LOG.info(
-                "term {} begins with {} unfinished jobs and {} machines",
+                "term {} starts with {} unfinished jobs and {} machines",
                 term,
                 cluster.jobs().size(),
                 cluster.machines().size());
@@ -288,10 +288,10 @@
     /** Looks, about once a second, whether another controller had better lead. */
     public void checkReachability() {
         if (heartbeatProcessor.isOutOfAttemptIds()) {
-            leadership.resign("the term has no attempt ids left");
+            leadership.resign("the attempt ids of the term are used up");
             return;
         }
-        reachability.check(jobs.cancellationProofMicros(), writeQueue.isStuck());
+        reachability.resignIfUnreachable(jobs.cancellationsKnownUntilMicros(), writeQueue.isStuck());
     }
 
     @Override
@@ -327,7 +327,7 @@
         long epoch = machine.heartbeatOrder().epoch();
         long sequence = machine.heartbeatOrder().sequence();
         httpClient
-                .send(machine.address(), HttpRequest.get("/status"), ASK_TIMEOUT_MICROS)
+                .send(machine.address(), HttpRequest.get("/status"), STATUS_TIMEOUT_MICROS)
                 .thenAccept(response -> {
                     Heartbeat heartbeat = !closed && response.isOk() ? Heartbeat.read(response.body()) : null;
                     if (heartbeat != null && heartbeat.machine().equals(machine.name())) {
@@ -345,13 +345,13 @@
         eventLoop.schedule(TICK_MICROS, this::tick);
         long now = eventLoop.nowMicros();
         schedulingCycle.tick(now);
-        if (mayAct() && now - fleetMicros > FLEET_MICROS) {
-            fleetMicros = now;
+        if (mayAct() && now - fleetCycleMicros > FLEET_CYCLE_MICROS) {
+            fleetCycleMicros = now;
             synchronized (cluster) {
                 stragglerDetector.drainStragglers(now);
             }
             fleet.runCycle();
-            jobs.removeCancelled();
+            jobs.removeCancelledJobs();
             status.logPeriodically();
         }
     }
@@ -371,8 +371,8 @@
     /** For metrics. */
     public Map<String, Double> gauges() {
         Map<String, Double> gauges = status.gauges();
-        gauges.put("sillreel.plans", (double) schedulingCycle.plans());
-        gauges.put("sillreel.plans.ms", schedulingCycle.planMicros() / 1_000.0);
+        gauges.put("sillreel.plans", (double) schedulingCycle.planCount());
+        gauges.put("sillreel.plans.ms", schedulingCycle.totalPlanMicros() / 1_000.0);
         return gauges;
     }
 }
