--- a/src/main/java/io/sillreel/cluster/Cluster.java
+++ b/src/main/java/io/sillreel/cluster/Cluster.java
@@ -1,6 +1,5 @@
 package io.sillreel.cluster;
 
-import io.sillreel.cloud.MachineType;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.JobSpec;
 import io.sillreel.settings.Settings.Team;
@@ -128,10 +127,12 @@
             return 0;
         }
         QuotaUsage.Amount used = usage.ofTeam(spec.team());
-        return Math.min(left(team.cpusMax(), used.cpus(), spec.cpus()), left(team.gpusMax(), used.gpus(), spec.gpus()));
+        return Math.min(
+                remainingTasks(team.cpusMax(), used.cpus(), spec.cpus()),
+                remainingTasks(team.gpusMax(), used.gpus(), spec.gpus()));
     }
 
-    private static int left(double most, long used, double each) {
+    private static int remainingTasks(double most, long used, double each) {
         if (most <= 0 || each <= 0) {
             return Integer.MAX_VALUE;
         }
@@ -147,16 +148,6 @@
                 && (!job.isInherited() || !unreconciledMachines.mayHoldTasksOf(job.spec()));
     }
 
-    /** True if the machine is one the job allows, its other tasks aside. */
-    public static boolean isEligible(JobSpec spec, Machine machine) {
-        return isEligible(spec, machine.type(), machine.zone(), machine.spot());
-    }
-
-    /** True if machines of the type, in the zone and of the kind are such as the job allows. */
-    public static boolean isEligible(JobSpec spec, MachineType type, String zone, boolean spot) {
-        return spec.allowsMachineType(type.name()) && spec.allowsZone(zone) && (spec.spotAllowed() || !spot);
-    }
-
     /** How many tasks of the job may start in the machine's zone given where its other tasks are. */
     public int zoneHeadroom(ActiveJob job, String zone) {
         JobSpec spec = job.spec();
--- a/src/main/java/io/sillreel/cluster/Machine.java
+++ b/src/main/java/io/sillreel/cluster/Machine.java
@@ -26,11 +26,10 @@
      */
     public static final int MAX_TASKS = 580;
 
-    private static final double EPSILON = 1e-6;
     private final String name;
     private final MachineType type;
     private final String zone;
-    private final boolean spot;
+    private final boolean isSpot;
     private final ScaleOutRequest scaleOutRequest;
     private final long requestedMicros;
     private final AllocationIndex allocationIndex;
@@ -52,7 +51,6 @@
     private long idleSinceMicros;
     private long firstListedMicros = -1;
     private boolean isReturnScheduled;
-    private String drainReason;
 
     /**
      * @param rental the rental that the machine belongs to, or null if no stored one names it
@@ -69,7 +67,7 @@
         this.name = name;
         this.type = type;
         this.zone = zone;
-        this.spot = spot;
+        this.isSpot = spot;
         this.scaleOutRequest = scaleOutRequest;
         this.requestedMicros = rentedMicros;
         this.idleSinceMicros = rentedMicros;
@@ -94,8 +92,8 @@
         return zone;
     }
 
-    public boolean spot() {
-        return spot;
+    public boolean isSpot() {
+        return isSpot;
     }
 
     public ScaleOutRequest scaleOutRequest() {
@@ -115,7 +113,7 @@
     }
 
     /** Takes over the address under which the machine accepts commands, if there is one. */
-    public void address(String newAddress) {
+    public void updateAddress(String newAddress) {
         if (newAddress != null && !newAddress.isEmpty()) {
             address = newAddress;
         }
@@ -162,11 +160,11 @@
         if (!heartbeatOrder.isNew(heartbeat)) {
             return false;
         }
-        responsiveness.heartbeatReceived(
+        responsiveness.recordHeartbeat(
                 heartbeatOrder.startsEpoch(heartbeat), state == State.UP, lastHeartbeatMicros, nowMicros);
         heartbeatOrder.accept(heartbeat, direct, nowMicros);
         lastHeartbeatMicros = nowMicros;
-        address(heartbeat.address());
+        updateAddress(heartbeat.address());
         interruptionAtMicros = heartbeat.interruptionMicros() < 0 ? -1 : nowMicros + heartbeat.interruptionMicros();
         if (state == State.PROVISIONING) {
             state = State.UP;
@@ -177,14 +175,14 @@
     }
 
     /** It is answered 200, which keeps its tasks alive if it hears that. */
-    public void heartbeatAnswered(long boundMicros) {
-        responsiveness.heartbeatAnswered();
+    public void recordHeartbeatAnswered(long boundMicros) {
+        responsiveness.recordHeartbeatAnswered();
         extendLease(boundMicros);
     }
 
     /** Goes back to the cloud whatever is on it: nothing else can make an end of that. */
-    public void scheduleReturn(String reason) {
-        drain(reason);
+    public void scheduleReturn() {
+        drain();
         isReturnScheduled = true;
     }
 
@@ -258,10 +256,9 @@
     }
 
     /** Takes nothing more and goes back to the cloud once it is empty. */
-    public void drain(String reason) {
+    public void drain() {
         if (state == State.PROVISIONING || state == State.UP) {
             state = State.DRAINING;
-            drainReason = reason;
         }
     }
 
@@ -269,10 +266,6 @@
         state = State.RETURNING;
     }
 
-    public String drainReason() {
-        return drainReason;
-    }
-
     public Collection<Allocation> allocations() {
         return allocations.values();
     }
@@ -291,7 +284,7 @@
         invalidateUsage();
         allocation.bindTo(this);
         if (allocation.job() != null) {
-            images.use(Image.of(allocation.job().spec()));
+            images.markUsed(Image.of(allocation.job().spec()));
         }
     }
 
@@ -313,7 +306,7 @@
     }
 
     public boolean hasImage(Image image) {
-        return images.has(image);
+        return images.contains(image);
     }
 
     /** Processors that are free; none on a machine whose report holds no more tasks. */
@@ -341,22 +334,6 @@
 
     /** How many more tasks of the job fit beside those that are here. */
     public int fittingTasks(JobSpec spec) {
-        return fittingTasks(spec, freeCpus(), freeRamGb(), freeGpus());
-    }
-
-    /** True if a task of the job fits into an empty machine of the type. */
-    public static boolean fitsEmptyMachine(JobSpec spec, MachineType type) {
-        return fittingTasks(spec, type.cpus(), type.ramGb(), type.gpus()) > 0;
-    }
-
-    /** Returns how many tasks of the job fit into the free resources. */
-    public static int fittingTasks(JobSpec spec, double cpus, double ramGb, double gpus) {
-        return Math.min(
-                fittingTasks(cpus, spec.cpus()),
-                Math.min(fittingTasks(ramGb, spec.ramGb()), fittingTasks(gpus, spec.gpus())));
-    }
-
-    private static int fittingTasks(double free, double each) {
-        return each <= 0 ? Integer.MAX_VALUE : (int) Math.floor(free / each + EPSILON);
+        return PlacementConstraints.fittingTasks(spec, freeCpus(), freeRamGb(), freeGpus());
     }
 }
--- a/src/main/java/io/sillreel/heartbeat/CommandWriter.java
+++ b/src/main/java/io/sillreel/heartbeat/CommandWriter.java
@@ -5,6 +5,7 @@
 import io.sillreel.cluster.Allocation;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.PlacementConstraints;
 import io.sillreel.cluster.QuotaUsage;
 import io.sillreel.http.EventLoop;
 import io.sillreel.pipeline.ActiveJob;
@@ -43,7 +44,8 @@
             if (allocation.hasEnded()) {
                 // The worker is the only one to know of a completion until the store does.
                 if (idle || !job.isTaskDone(allocation.taskIndex()) || job.isTaskStored(allocation.taskIndex())) {
-                    allocation.acknowledgementSent(machine.heartbeatOrder().sequence());
+                    allocation.recordAcknowledgementSent(
+                            machine.heartbeatOrder().sequence());
                     commands.acknowledge(allocation.uid(), allocation.taskIndex(), allocation.attempt());
                 }
             } else if (allocation.isUnconfirmed()) {
@@ -87,7 +89,8 @@
                 Machine.MAX_TASKS - machine.allocations().size());
         for (Assignment assignment : assignments) {
             ActiveJob job = assignment.job();
-            if (!cluster.isLaunchable(job, eventLoop.wallMicros()) || !Cluster.isEligible(job.spec(), machine)) {
+            if (!cluster.isLaunchable(job, eventLoop.wallMicros())
+                    || !PlacementConstraints.isEligible(job.spec(), machine)) {
                 continue;
             }
             int count = Math.min(
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
@@ -128,7 +128,7 @@
             if (isIsolatedUnresponsive(machine)) {
                 return refuseUnresponsive(machine);
             }
-            machine.heartbeatAnswered(leaseExpiryMicros(now));
+            machine.recordHeartbeatAnswered(leaseExpiryMicros(now));
             AgentCommands commands = new AgentCommands();
             commandWriter.addCommands(machine, commands);
             if (mayAct.getAsBoolean()) {
@@ -158,7 +158,7 @@
      */
     private HttpResponse handleStaleHeartbeat(Machine machine, Heartbeat heartbeat, long now) {
         if (machine.heartbeatOrder().isOvertakenByCommand(heartbeat, Heartbeat.RESPONSE_TIMEOUT_MICROS, now)) {
-            machine.heartbeatAnswered(leaseExpiryMicros(now));
+            machine.recordHeartbeatAnswered(leaseExpiryMicros(now));
             return noCommands;
         }
         if (machine.heartbeatOrder().suggestsRestart(heartbeat)) {
@@ -174,8 +174,8 @@
         if (isIsolatedUnresponsive(machine)) {
             return refuseUnresponsive(machine);
         }
-        machine.responsiveness().staleTokenShown(now);
-        machine.heartbeatAnswered(leaseExpiryMicros(now));
+        machine.responsiveness().recordStaleToken(now);
+        machine.recordHeartbeatAnswered(leaseExpiryMicros(now));
         return noCommands;
     }
 
@@ -201,9 +201,9 @@
                     machine.type().name());
             callbacks.schedulingNeeded();
             if (machine.isReconciled()) {
-                machine.drain("it hears nothing");
+                machine.drain();
             } else {
-                machine.scheduleReturn("it hears nothing");
+                machine.scheduleReturn();
             }
         }
         return HttpResponse.retryLater(503, "earlier answers did not arrive", 1);
@@ -245,7 +245,7 @@
     private HttpResponse handleRestart(Machine machine) {
         if (!machine.isReturnScheduled()) {
             LOG.info("machine {} has restarted under its old name", machine.name());
-            machine.scheduleReturn("it has restarted");
+            machine.scheduleReturn();
         }
         return HttpResponse.retryLater(503, "the machine is taken for one that has started again", 1);
     }
--- a/src/main/java/io/sillreel/placement/Planner.java
+++ b/src/main/java/io/sillreel/placement/Planner.java
@@ -3,6 +3,7 @@
 import io.sillreel.cluster.Allocation;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.PlacementConstraints;
 import io.sillreel.cluster.QuotaUsage;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.JobSpec;
@@ -154,7 +155,7 @@
                     if (queued.remainingTasks <= 0
                             || now == (pass == 1)
                             || owner != null && owner.remainingTasks > 0 && owner != queued
-                            || !Cluster.isEligible(spec, machine)
+                            || !PlacementConstraints.isEligible(spec, machine)
                             || space.fittingTasks(spec) <= 0) {
                         continue;
                     }
@@ -178,7 +179,7 @@
 
     /** How many tasks of the job the rules let start on the machine now, its room aside. */
     private int startableTasks(ActiveJob job, Machine machine, QuotaUsage usage, long wallMicros) {
-        if (!cluster.isLaunchable(job, wallMicros) || job.failedOn().contains(machine.name()) || isProbing(job)) {
+        if (!cluster.isLaunchable(job, wallMicros) || job.failedMachines().contains(machine.name()) || isProbing(job)) {
             return 0;
         }
         return Math.min(
@@ -188,7 +189,7 @@
 
     /** True while it isn't known whether the job fails everywhere: then one task at a time is tried. */
     private static boolean isProbing(ActiveJob job) {
-        return !job.hasSucceededOnce() && !job.failedOn().isEmpty();
+        return !job.hasSucceededOnce() && !job.failedMachines().isEmpty();
     }
 
     /** Assigns what fits and returns how many tasks are left over for lack of room. */
@@ -241,7 +242,7 @@
         public boolean take(FreeCapacity space) {
             String machine = space.machine.name();
             QueuedJob owner = plan.reservations().get(machine);
-            if (owner != null && owner != queued || queued.job.failedOn().contains(machine)) {
+            if (owner != null && owner != queued || queued.job.failedMachines().contains(machine)) {
                 return false;
             }
             String zone = space.machine.zone();
@@ -281,9 +282,9 @@
                     return;
                 }
                 cluster.countSteps(1);
-                if (Cluster.isEligible(spec, machine)
+                if (PlacementConstraints.isEligible(spec, machine)
                         && !plan.reservations().containsKey(machine.name())
-                        && Machine.fitsEmptyMachine(spec, machine.type())) {
+                        && PlacementConstraints.fitsEmptyMachine(spec, machine.type())) {
                     plan.reservations().put(machine.name(), queued);
                     wanted--;
                 }
