--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -21,6 +21,7 @@
 import io.sillreel.http.RequestQueue.RequestClass;
 import io.sillreel.leadership.LeaderElection;
 import io.sillreel.leadership.LeaderTerm;
+import io.sillreel.leadership.TermGrant;
 import io.sillreel.limits.FleetCapacity;
 import io.sillreel.limits.ProcessLimits;
 import io.sillreel.overload.AdaptiveLimit;
@@ -113,7 +114,6 @@
                 eventLoop,
                 settings.nodeName(),
                 operator.stateLeaseMicros(),
-                this,
                 () -> recovery == null ? 0 : recovery.termFloor());
         this.machineTypes = new MachineTypeCatalog(store, cloud, eventLoop, () -> leadership.heldTerm() > 0);
         this.admissionLimit = new AdaptiveLimit(
@@ -175,7 +175,7 @@
      */
     public void start(Runnable open) {
         eventLoopLag.start();
-        leadership.start(open);
+        leadership.start(this, open);
         if (recovery != null) {
             recovery.start(store, leadership);
         }
@@ -318,15 +318,15 @@
     }
 
     @Override
-    public void leadershipAcquired(long term, long leaderRevision) {
+    public void leadershipAcquired(TermGrant grant) {
         if (recovery == null) {
-            beginTerm(term, leaderRevision);
+            beginTerm(grant);
         } else {
-            recovery.beforeTerm(term, leaderRevision, () -> beginTerm(term, leaderRevision));
+            recovery.beforeTerm(grant.term(), grant.leaderRevision(), () -> beginTerm(grant));
         }
     }
 
-    private void beginTerm(long term, long leaderRevision) {
+    private void beginTerm(TermGrant grant) {
         leaderTerm = new LeaderTerm(
                 eventLoop,
                 store,
@@ -336,8 +336,8 @@
                 operator,
                 fleetCapacity,
                 leadership,
-                term,
-                leaderRevision,
+                grant.term(),
+                grant.leaderRevision(),
                 machineTypes::types,
                 peers);
         leaderTerm.start();
--- a/src/main/java/io/sillreel/leadership/LeaderElection.java
+++ b/src/main/java/io/sillreel/leadership/LeaderElection.java
@@ -1,83 +1,93 @@
 package io.sillreel.leadership;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.http.EventLoop;
-import io.sillreel.http.Json;
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.StateStore.ReadResult;
 import io.sillreel.statestore.StateStore.StoreOutcome;
 import io.sillreel.statestore.StateStore.StoredEntry;
 import io.sillreel.statestore.StateStore.Transaction;
 import io.sillreel.statestore.StateStore.WatchEvent;
+import io.sillreel.statestore.StateStore.WatchResult;
 import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The one lease that lets a controller drive the pipelines. The {@code leader} key sits on a lease of the state
- * service, the {@code term} key counts how often it was taken; both are written in one transaction.
+ * Elects the one controller that leads. The {@code leader} key is bound to a lease of the state store, so that it
+ * vanishes when the leader no longer renews the lease; the {@code term} key counts the elections. Both are written in
+ * one transaction, which at most one candidate can commit. All times are microseconds of the steady clock; methods are
+ * called on the event loop, and the queries from other threads as well.
  */
 public final class LeaderElection {
+    /** The key that names the leader; all writes of a term depend on its revision. */
     public static final String LEADER_KEY = "leader";
+    /** The key that holds the number of the last term. */
     public static final String TERM_KEY = "term";
 
-    /** Who leads as far as this controller has heard; the name is null if nobody. */
+    /**
+     * The leader as far as this controller knows.
+     *
+     * @param node the name of the leading controller, or null if none is known
+     * @param term the highest term that is known
+     */
     public record Leader(String node, long term) {}
 
-    /** Told in the loop when the lease is taken and when it is lost. */
+    /** Told on the event loop when this controller gains or loses leadership. */
     public interface Listener {
-        void leadershipAcquired(long term, long leaderRevision);
+        /** This controller has been elected. */
+        void leadershipAcquired(TermGrant grant);
 
+        /** The term has ended for this controller; nothing may be written or launched under it any more. */
         void leadershipLost(String reason);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
     private static final long WATCH_MICROS = 2_000_000;
+    /** A follower reads the key again after so many watches, in case it vanished without a change. */
     private static final int WATCHES_PER_READ = 10;
-    private static final long RETRY_MICROS = 300_000;
-    /** Steady clocks drift apart by up to 0.05%; twice that, and the wait of a late timer. */
-    private static final long DRIFT_DIVISOR = 1_000;
 
-    private static final long TIMER_MARGIN_MICROS = 50_000;
+    private static final long RETRY_MICROS = 300_000;
 
     private final StateStore store;
     private final EventLoop eventLoop;
     private final String node;
     private final long leaseMicros;
-    private final Listener listener;
     private final LongSupplier termFloor;
+    private final HeldLease lease;
 
+    private Listener listener;
+    private Runnable onSettled = () -> {};
+    /** Guarded by this. */
     private Leader knownLeader = new Leader(null, 0);
-    private long leaseId;
-    private long heldTerm;
-    private long leaseConfirmedMicros;
+    /** Guarded by this. */
     private boolean renewing;
+
     private int watchCount;
+    /** Guarded by this. */
     private long candidacyResumesMicros = Long.MIN_VALUE;
-    private Runnable onSettled = () -> {};
 
     /**
-     * @param leaseMicros the lifetime of the lease in the state service
-     * @param listener told when this controller gains or loses the lease
+     * @param leaseMicros the time after which a lease that is not renewed expires in the state store
      * @param termFloor a term that the next one has to lie above, whatever is stored
      */
     public LeaderElection(
-            StateStore store,
-            EventLoop eventLoop,
-            String node,
-            long leaseMicros,
-            Listener listener,
-            LongSupplier termFloor) {
+            StateStore store, EventLoop eventLoop, String node, long leaseMicros, LongSupplier termFloor) {
         this.store = store;
         this.eventLoop = eventLoop;
         this.node = node;
         this.leaseMicros = leaseMicros;
-        this.listener = listener;
         this.termFloor = termFloor;
+        this.lease = new HeldLease(eventLoop, leaseMicros);
     }
 
-    /** @param settled done once it is known who leads, or that this can't be known now */
-    public void start(Runnable settled) {
+    /**
+     * Starts to take part in elections.
+     *
+     * @param leadershipListener told when this controller gains or loses leadership
+     * @param settled called once, when the leader is known or can't be known now
+     */
+    public void start(Listener leadershipListener, Runnable settled) {
+        listener = leadershipListener;
         onSettled = settled;
         readLeaderKey();
     }
@@ -88,28 +98,31 @@
         then.run();
     }
 
+    /** The leader as far as this controller knows; safe on any thread. */
     public synchronized Leader knownLeader() {
         return knownLeader;
     }
 
-    /** The term held, or 0; holding is not yet being allowed to act. */
-    public synchronized long heldTerm() {
-        return heldTerm;
+    /** The term held, or 0; holding a term does not imply that its lease is still valid. */
+    public long heldTerm() {
+        return lease.term();
     }
 
-    /** When the last renewal that was granted had been sent. */
-    public synchronized long leaseConfirmedMicros() {
-        return leaseConfirmedMicros;
+    /** When the last request that granted or renewed the lease was sent, by the steady clock. */
+    public long leaseConfirmedMicros() {
+        return lease.confirmedMicros();
     }
 
-    /** True while nobody else can have taken the lease. */
-    public synchronized boolean isLeaseValid() {
-        return heldTerm > 0
-                && eventLoop.nowMicros()
-                        < leaseConfirmedMicros + leaseMicros - leaseMicros / DRIFT_DIVISOR - TIMER_MARGIN_MICROS;
+    /** True while no other controller can have acquired leadership. */
+    public boolean isLeaseValid() {
+        return lease.isValid();
     }
 
-    /** Another controller or a worker has shown a term; a higher one than ours ends our holding. */
+    /**
+     * Takes note of a term that another controller or an agent has shown. A term above the held one ends it.
+     *
+     * @param leaderNode the leader of that term, or null if it is not known
+     */
     public void observeTerm(String leaderNode, long term) {
         synchronized (this) {
             if (term <= knownLeader.term()) {
@@ -122,20 +135,24 @@
         }
     }
 
-    /** Gives the lease up, so that another controller can take it at once. */
+    /** Gives up leadership, if it is held, and revokes the lease, so that another controller can be elected at once. */
     public void resign(String reason) {
-        long granted = leaseId;
+        long granted = lease.leaseId();
         if (heldTerm() > 0) {
             loseLeadership(reason);
             store.revokeLease(granted);
         }
     }
 
-    /** Does not try to take the lease for so long, so that another controller can. */
+    /** Takes part in no election for the given time, so that another controller can be elected. */
     public synchronized void pauseCandidacy(long forMicros) {
         candidacyResumesMicros = eventLoop.nowMicros() + forMicros;
     }
 
+    private synchronized boolean isCandidacyPaused(long nowMicros) {
+        return nowMicros < candidacyResumesMicros;
+    }
+
     private void readLeaderKey() {
         store.list(LEADER_KEY).thenAccept(listing -> {
             if (listing.outcome() != StoreOutcome.OK) {
@@ -148,19 +165,17 @@
                     .findFirst()
                     .orElse(null);
             if (entry == null) {
-                recordLeader(null, 0);
+                recordVacancy();
                 grantLease(0, listing.storeRevision());
+                return;
+            }
+            recordLeader(LeaderKeyCodec.readLeader(entry.value()));
+            if (heldTerm() == 0 && node.equals(knownLeader().node())) {
+                // An earlier process of this controller held it and has ended, so nobody has to be waited for.
+                grantLease(entry.revision(), listing.storeRevision());
             } else {
-                recordLeader(
-                        entry.value().path("node").asText(),
-                        entry.value().path("term").asLong());
-                if (heldTerm() == 0 && node.equals(knownLeader().node())) {
-                    // Our own earlier life: it is dead, so there is nobody to wait for.
-                    grantLease(entry.revision(), listing.storeRevision());
-                } else {
-                    notifySettled();
-                    watchLeaderKey(listing.storeRevision());
-                }
+                notifySettled();
+                watchLeaderKey(listing.storeRevision());
             }
         });
     }
@@ -171,24 +186,10 @@
                 eventLoop.schedule(RETRY_MICROS, this::readLeaderKey);
                 return;
             }
-            boolean vacant = false;
-            for (WatchEvent change : result.events()) {
-                if (!change.key().equals(LEADER_KEY)) {
-                    continue;
-                }
-                vacant = change.value() == null;
-                if (vacant) {
-                    recordLeader(null, 0);
-                } else {
-                    recordLeader(
-                            change.value().path("node").asText(),
-                            change.value().path("term").asLong());
-                }
-            }
-            if (vacant) {
+            if (recordChanges(result)) {
                 grantLease(0, result.storeRevision());
             } else if (heldTerm() == 0 && (knownLeader().node() == null || ++watchCount % WATCHES_PER_READ == 0)) {
-                // A key that has vanished without a change would be watched for ever.
+                // A key that vanished without a change, as in a restored store, would be watched without end.
                 readLeaderKey();
             } else {
                 watchLeaderKey(result.storeRevision());
@@ -196,24 +197,45 @@
         });
     }
 
-    private void recordLeader(String leaderNode, long term) {
+    /** Takes over changes of the leader key; true if the last one removed it. */
+    private boolean recordChanges(WatchResult result) {
+        boolean vacant = false;
+        for (WatchEvent change : result.events()) {
+            if (!change.key().equals(LEADER_KEY)) {
+                continue;
+            }
+            vacant = change.value() == null;
+            if (vacant) {
+                recordVacancy();
+            } else {
+                recordLeader(LeaderKeyCodec.readLeader(change.value()));
+            }
+        }
+        return vacant;
+    }
+
+    private void recordVacancy() {
+        synchronized (this) {
+            knownLeader = new Leader(null, knownLeader.term());
+        }
+        loseLeadership("the lease expired");
+    }
+
+    private void recordLeader(Leader leader) {
         long held = heldTerm();
         synchronized (this) {
-            if (leaderNode == null) {
-                knownLeader = new Leader(null, knownLeader.term());
-            } else if (term >= knownLeader.term()) {
-                knownLeader = new Leader(leaderNode, term);
+            if (leader.term() >= knownLeader.term()) {
+                knownLeader = leader;
             }
         }
-        if (held > 0 && (leaderNode == null || term != held)) {
-            loseLeadership(
-                    leaderNode == null ? "the lease expired" : "term " + term + " has begun on another controller");
+        if (leader.term() != held) {
+            loseLeadership("term " + leader.term() + " has begun on another controller");
         }
     }
 
     private void grantLease(long leaderRevision, long storeRevision) {
         long sent = eventLoop.nowMicros();
-        if (sent < candidacyResumesMicros) {
+        if (isCandidacyPaused(sent)) {
             watchLeaderKey(storeRevision);
             return;
         }
@@ -230,40 +252,43 @@
                     eventLoop.schedule(RETRY_MICROS, this::readLeaderKey);
                     return;
                 }
-                long term = 1 + Math.max(storedTerm(read), termFloor.getAsLong());
-                claimLeadership(grant.leaseId(), sent, leaderRevision, read.revision(), term, storeRevision);
+                claimLeadership(grant.leaseId(), sent, leaderRevision, read);
             });
         });
     }
 
     /** The last term that was taken, as it was read under {@link #TERM_KEY}; 0 before the first one. */
     public static long storedTerm(ReadResult read) {
-        return read.entry() == null ? 0 : read.entry().value().path("term").asLong();
+        return read.entry() == null ? 0 : LeaderKeyCodec.readTerm(read.entry().value());
     }
 
-    private void claimLeadership(
-            long granted, long sent, long leaderRevision, long termRevision, long term, long storeRevision) {
-        ObjectNode leader = Json.object().put("node", node).put("term", term);
+    /**
+     * Writes the leader key and the next term in one transaction.
+     *
+     * @param sentMicros when the lease was requested
+     * @param leaderRevision the revision that the leader key has to have still, 0 if it has to be absent
+     */
+    private void claimLeadership(long leaseId, long sentMicros, long leaderRevision, ReadResult termRead) {
+        long term = 1 + Math.max(storedTerm(termRead), termFloor.getAsLong());
+        Leader self = new Leader(node, term);
         Transaction transaction = new Transaction()
                 .requireRevision(LEADER_KEY, leaderRevision)
-                .requireRevision(TERM_KEY, termRevision)
-                .set(LEADER_KEY, leader, granted)
-                .set(TERM_KEY, Json.object().put("term", term));
+                .requireRevision(TERM_KEY, termRead.revision())
+                .set(LEADER_KEY, LeaderKeyCodec.writeLeader(self), leaseId)
+                .set(TERM_KEY, LeaderKeyCodec.writeTerm(term));
         store.commit(transaction).thenAccept(commit -> {
             if (commit.outcome() != StoreOutcome.OK) {
-                // Lost the race, or can't know: the lease is ended so that a late success does not linger.
-                store.revokeLease(granted);
+                // Lost the race, or the outcome is unknown: without the lease a late success does not last.
+                store.revokeLease(leaseId);
                 eventLoop.schedule(commit.outcome() == StoreOutcome.CONFLICT ? 0 : RETRY_MICROS, this::readLeaderKey);
                 return;
             }
             synchronized (this) {
-                leaseId = granted;
-                heldTerm = term;
-                leaseConfirmedMicros = sent;
-                knownLeader = new Leader(node, term);
+                lease.acquired(leaseId, term, sentMicros);
+                knownLeader = self;
             }
             LOG.info("acquired leadership: term {}", term);
-            listener.leadershipAcquired(term, commit.storeRevision());
+            listener.leadershipAcquired(new TermGrant(term, commit.storeRevision()));
             notifySettled();
             eventLoop.schedule(leaseMicros / 3, this::renewLease);
             watchLeaderKey(commit.storeRevision());
@@ -271,46 +296,40 @@
     }
 
     private void renewLease() {
-        long granted;
+        long leaseId = lease.leaseId();
         synchronized (this) {
-            if (heldTerm == 0 || renewing) {
+            if (heldTerm() == 0 || renewing) {
                 return;
             }
             renewing = true;
-            granted = leaseId;
         }
-        long sent = eventLoop.nowMicros();
-        store.renewLease(granted).thenAccept(outcome -> {
-            boolean ours;
+        long sentMicros = eventLoop.nowMicros();
+        store.renewLease(leaseId).thenAccept(outcome -> {
             synchronized (this) {
                 renewing = false;
-                ours = heldTerm > 0 && leaseId == granted;
-                if (ours && outcome == StoreOutcome.OK) {
-                    leaseConfirmedMicros = Math.max(leaseConfirmedMicros, sent);
-                }
             }
-            if (!ours) {
+            if (!lease.isHeld(leaseId)) {
                 return;
             }
             if (outcome == StoreOutcome.NOT_FOUND) {
-                // Whether the end of the key is seen by a watch or not: nobody leads as far as is known here.
-                recordLeader(null, 0);
+                // The watch may not show that the key is gone: this controller knows of no leader.
+                recordVacancy();
                 return;
             }
-            long wait = outcome == StoreOutcome.OK ? leaseMicros / 3 - (eventLoop.nowMicros() - sent) : RETRY_MICROS;
+            if (outcome == StoreOutcome.OK) {
+                lease.renewed(sentMicros);
+            }
+            long wait =
+                    outcome == StoreOutcome.OK ? leaseMicros / 3 - (eventLoop.nowMicros() - sentMicros) : RETRY_MICROS;
             eventLoop.schedule(Math.max(wait, RETRY_MICROS / 3), this::renewLease);
         });
     }
 
     private void loseLeadership(String reason) {
-        synchronized (this) {
-            if (heldTerm == 0) {
-                return;
-            }
-            LOG.info("lost leadership of term {}: {}", heldTerm, reason);
-            heldTerm = 0;
-            leaseId = 0;
+        long term = lease.release();
+        if (term > 0) {
+            LOG.info("lost leadership of term {}: {}", term, reason);
+            listener.leadershipLost(reason);
         }
-        listener.leadershipLost(reason);
     }
 }
