--- a/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
+++ b/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
@@ -128,7 +128,8 @@
                 if (allocation.runningSinceMicros() >= 0) {
                     long ran = now - allocation.runningSinceMicros();
                     machine.health()
-                            .recordRuntimeRatio((double) ran / runtimeEstimator.expectedMicros(job.spec()), job.uid());
+                            .recordRuntimeRatio(
+                                    (double) ran / runtimeEstimator.expectedRuntimeMicros(job.spec()), job.uid());
                     runtimeEstimator.recordRuntime(job, ran);
                 }
                 machine.health().clearSuspicion(job.uid());
@@ -152,7 +153,7 @@
             if (suspectedMachine != null
                     && suspectedMachine.health().suspectingJobs().contains(job.uid())) {
                 LOG.info("machine {} is considered faulty: {} succeeds elsewhere", name, job.uid());
-                suspectedMachine.drain("faulty");
+                suspectedMachine.drain();
             }
         }
     }
@@ -168,7 +169,7 @@
                         machine.name(),
                         allocation.uid(),
                         allocation.taskIndex());
-                machine.drain("faulty");
+                machine.drain();
                 job.failedMachines().remove(machine.name());
             }
             case JOB -> {
--- a/src/main/java/io/sillreel/placement/MachineOfferSelector.java
+++ b/src/main/java/io/sillreel/placement/MachineOfferSelector.java
@@ -4,6 +4,7 @@
 import io.sillreel.cloud.MachineType;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.PlacementConstraints;
 import io.sillreel.pipeline.JobSpec;
 import java.util.Collection;
 import java.util.HashMap;
@@ -65,7 +66,7 @@
      * @param only a job that has to fit, or null
      * @param already what is asked for anyway, and not to be asked for twice
      */
-    ScaleOutProposal cheapest(
+    ScaleOutProposal selectCheapest(
             Collection<MachineType> types,
             double missing,
             JobSpec only,
@@ -77,7 +78,8 @@
         ScaleOutProposal best = null;
         double bestCost = Double.MAX_VALUE;
         for (MachineType type : types) {
-            if (only != null && (!only.allowsMachineType(type.name()) || !Machine.fitsEmptyMachine(only, type))) {
+            if (only != null
+                    && (!only.allowsMachineType(type.name()) || !PlacementConstraints.fitsEmptyMachine(only, type))) {
                 continue;
             }
             for (String zone : type.zones()) {
@@ -95,7 +97,8 @@
                     if (cost < bestCost) {
                         bestCost = cost;
                         int count = (int) Math.max(1, Math.floor(missing / type.cpus()));
-                        best = new ScaleOutProposal(type, zone, spot, Math.min(count, CloudClient.MAX_RENTED));
+                        best = new ScaleOutProposal(
+                                type, zone, spot, Math.min(count, CloudClient.MAX_MACHINES_PER_REQUEST));
                     }
                 }
             }
@@ -107,7 +110,7 @@
         return already.stream()
                 .anyMatch(rentalRequest -> rentalRequest.type() == type
                         && rentalRequest.zone().equals(zone)
-                        && rentalRequest.spot() == spot);
+                        && rentalRequest.isSpot() == spot);
     }
 
     /** The part of the spot fleet that one wave in this place could take. */
--- a/src/test/java/io/sillreel/placement/PlacementIndexTest.java
+++ b/src/test/java/io/sillreel/placement/PlacementIndexTest.java
@@ -3,9 +3,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.sillreel.cloud.MachineType;
+import io.sillreel.cloud.MachineType.ImageStorage;
+import io.sillreel.cloud.MachineType.Pricing;
 import io.sillreel.cluster.AllocationIndex;
-import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.PlacementConstraints;
 import io.sillreel.http.Json;
 import io.sillreel.pipeline.JobSpec;
 import io.sillreel.sim.SimCluster;
@@ -18,8 +20,8 @@
 
 class PlacementIndexTest {
     private static final List<MachineType> TYPES = List.of(
-            new MachineType("c4", 4, 0, 16, 50, 1, 1, 0.5, 1, List.of("a", "b")),
-            new MachineType("c8", 8, 0, 32, 50, 0.2, 1, 0.5, 1, List.of("a", "b")));
+            new MachineType("c4", 4, 0, 16, new ImageStorage(50, 1), new Pricing(1, 0.5), 1, List.of("a", "b")),
+            new MachineType("c8", 8, 0, 32, new ImageStorage(50, 0.2), new Pricing(1, 0.5), 1, List.of("a", "b")));
 
     private static JobSpec job(Random random, int number) {
         return JobSpec.fromPlan(SimCluster.job("job-" + number, 1 + random.nextInt(12))
@@ -42,12 +44,12 @@
         }
 
         @Override
-        public boolean satisfied() {
+        public boolean isSatisfied() {
             return wanted == 0;
         }
 
         @Override
-        public boolean zoneClosed(String zone) {
+        public boolean isZoneExcluded(String zone) {
             return false;
         }
 
@@ -70,14 +72,15 @@
     /** What a look at every machine gives: the order that the index has to keep. */
     private static List<String> bySorting(List<FreeCapacity> spaces, JobSpec spec) {
         List<FreeCapacity> fitting = new ArrayList<>(spaces);
-        fitting.removeIf(space -> space.fittingTasks(spec) <= 0 || !Cluster.isEligible(spec, space.machine));
+        fitting.removeIf(
+                space -> space.fittingTasks(spec) <= 0 || !PlacementConstraints.isEligible(spec, space.machine));
         fitting.sort(Comparator.<FreeCapacity>comparingLong(space -> fetchStep(space, spec))
                 .thenComparingInt(space -> space.machine.isSpot() == spec.supportsCheckpoints() ? 0 : 1)
                 .thenComparingDouble(
                         space -> space.hasImage(spec) ? space.cpus : -Math.min(space.fittingTasks(spec), spec.tasks()))
                 .thenComparing(space -> space.machine.name()));
         Recorder recorder = new Recorder(spec);
-        fitting.stream().takeWhile(space -> !recorder.satisfied()).forEach(recorder::take);
+        fitting.stream().takeWhile(space -> !recorder.isSatisfied()).forEach(recorder::take);
         return recorder.taken;
     }
 
