--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -245,7 +245,7 @@
      */
     private HttpResponse up() {
         boolean silent = !storeAnswers();
-        boolean othersAnswered = peers.storeAnswersElsewhere();
+        boolean othersAnswered = peers.isStoreReachableElsewhere();
         boolean undecided = machineTypes.types().isEmpty();
         if (silent && othersAnswered || undecided && othersAnswered) {
             return HttpResponse.retryLater(503, "the state service can't be asked from here", 1);
@@ -272,12 +272,12 @@
     private void hello() {
         eventLoop.schedule(HELLO_EVERY_MICROS, this::hello);
         loadBalancer.rebalance(leadership.knownLeader().node());
-        heartbeatRouter.startNextWindow();
+        heartbeatRouter.startNextUnansweredWindow();
         if (leaderTerm != null) {
             leaderTerm.checkReachability();
         }
         for (Member member : settings.members()) {
-            if (peers.heardWithin(member.nodeName(), HELLO_EVERY_MICROS * 3 / 4)) {
+            if (peers.wasHeardWithin(member.nodeName(), HELLO_EVERY_MICROS * 3 / 4)) {
                 // It has just asked; its question and our answer have told both sides all there is to tell.
                 continue;
             }
@@ -304,7 +304,7 @@
     }
 
     private void heard(Hello hello) {
-        peers.received(hello);
+        peers.recordHello(hello);
         if (hello.term() > 0) {
             leadership.observeTerm(hello.leader(), hello.term());
         }
--- a/src/main/java/io/sillreel/heartbeat/CommandWriter.java
+++ b/src/main/java/io/sillreel/heartbeat/CommandWriter.java
@@ -28,7 +28,7 @@
     }
 
     /** The proposal from which the next launches are taken. */
-    void plan(Planner.Plan newPlan) {
+    void usePlan(Planner.Plan newPlan) {
         plan = newPlan;
     }
 
--- a/src/main/java/io/sillreel/heartbeat/FaultAttribution.java
+++ b/src/main/java/io/sillreel/heartbeat/FaultAttribution.java
@@ -16,7 +16,7 @@
     }
 
     /** So many machines, none of them known to be faulty, must have failed a job before it is blamed. */
-    private static final int MACHINES_THAT_FAIL_A_JOB = 2;
+    private static final int MIN_FAILED_MACHINES = 2;
 
     private FaultAttribution() {}
 
@@ -30,6 +30,6 @@
         if (machine.health().suspectingJobs().size() > 1) {
             return Fault.MACHINE;
         }
-        return job.failedOn().size() >= MACHINES_THAT_FAIL_A_JOB ? Fault.JOB : Fault.UNKNOWN;
+        return job.failedOn().size() >= MIN_FAILED_MACHINES ? Fault.JOB : Fault.UNKNOWN;
     }
 }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatBatch.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatBatch.java
@@ -14,43 +14,44 @@
  * the renewal of the lease nor the other controllers wait for a whole batch.
  */
 final class HeartbeatBatch {
-    static final int MAX_DECIDED_AT_ONCE = 12;
+    static final int MAX_HEARTBEATS_PER_CHUNK = 12;
     /** What the answers to one batch may take; those that find no room are to be asked for again. */
-    static final int MAX_ANSWER_BYTES = 1 << 20;
+    static final int MAX_RESPONSE_BYTES = 1 << 20;
 
     private static final HttpResponse FULL = HttpResponse.retryLater(503, "too much is to be told at once", 1);
 
     private final EventLoop eventLoop;
-    private final List<Heartbeat> reports;
+    private final List<Heartbeat> heartbeats;
     private final Function<Heartbeat, HttpResponse> decide;
-    private final List<HttpResponse> replies = new ArrayList<>();
-    private final CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
-    private int bytes;
+    private final List<HttpResponse> responses = new ArrayList<>();
+    private final CompletableFuture<HttpResponse> result = new CompletableFuture<>();
+    private int responseBytes;
 
     /** @param decide decides about one report */
-    HeartbeatBatch(EventLoop eventLoop, List<Heartbeat> reports, Function<Heartbeat, HttpResponse> decide) {
+    HeartbeatBatch(EventLoop eventLoop, List<Heartbeat> heartbeats, Function<Heartbeat, HttpResponse> decide) {
         this.eventLoop = eventLoop;
-        this.reports = reports;
+        this.heartbeats = heartbeats;
         this.decide = decide;
     }
 
     /** Begins to decide; completes with the answers to all reports, in their order. */
     CompletableFuture<HttpResponse> start() {
-        decideSome();
-        return answer;
+        decideNextChunk();
+        return result;
     }
 
-    private void decideSome() {
-        int upTo = Math.min(reports.size(), replies.size() + MAX_DECIDED_AT_ONCE);
-        while (replies.size() < upTo) {
-            HttpResponse response = bytes > MAX_ANSWER_BYTES ? FULL : decide.apply(reports.get(replies.size()));
-            bytes += response.body().length;
-            replies.add(response);
+    private void decideNextChunk() {
+        int upTo = Math.min(heartbeats.size(), responses.size() + MAX_HEARTBEATS_PER_CHUNK);
+        while (responses.size() < upTo) {
+            HttpResponse response =
+                    responseBytes > MAX_RESPONSE_BYTES ? FULL : decide.apply(heartbeats.get(responses.size()));
+            responseBytes += response.body().length;
+            responses.add(response);
         }
-        if (replies.size() == reports.size()) {
-            answer.complete(new HttpResponse(200, PeerMessages.encodeResponses(replies), 0));
+        if (responses.size() == heartbeats.size()) {
+            result.complete(new HttpResponse(200, PeerMessages.encodeResponses(responses), 0));
         } else {
-            eventLoop.schedule(1, this::decideSome);
+            eventLoop.schedule(1, this::decideNextChunk);
         }
     }
 }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatObserver.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatObserver.java
@@ -7,7 +7,7 @@
     /** Sees nothing. */
     HeartbeatObserver NONE = new HeartbeatObserver() {
         @Override
-        public void heartbeatReceived(Heartbeat heartbeat) {}
+        public void observeHeartbeat(Heartbeat heartbeat) {}
 
         @Override
         public boolean mayAnswer(Heartbeat heartbeat, long term) {
@@ -16,7 +16,7 @@
     };
 
     /** A report has come from its worker itself. */
-    void heartbeatReceived(Heartbeat heartbeat);
+    void observeHeartbeat(Heartbeat heartbeat);
 
     /** False if the leader of the term must not answer the report. */
     boolean mayAnswer(Heartbeat heartbeat, long term);
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
@@ -25,21 +25,21 @@
     /** What the processing of reports needs from the rest of the term. */
     public interface Callbacks {
         /** A machine that nobody rented under a known name has reported. */
-        Machine adopt(Heartbeat heartbeat);
+        Machine adoptMachine(Heartbeat heartbeat);
 
         /** True if the machine was returned or taken; it can't be there any more. */
-        boolean isGone(String machine);
+        boolean isMachineGone(String machine);
 
         /** The machine has reported for the first time. */
-        void machineUp(Machine machine);
+        void markMachineUp(Machine machine);
 
         /** Nothing that was on the machine can be alive any more, and it has not been heard since. */
-        void machineDown(Machine machine);
+        void markMachineDown(Machine machine);
 
-        void schedulingNeeded();
+        void requestScheduling();
 
         /** Asks the machine itself how far it counts. */
-        void queryStatus(Machine machine);
+        void queryMachineStatus(Machine machine);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatProcessor.class);
@@ -80,18 +80,18 @@
         this.mayAct = mayAct;
         this.noCommands = new AgentCommands().toResponse(term);
         this.reconciler = new TaskReconciler(
-                eventLoop, cluster, writeQueue, retries, runtimeEstimator, callbacks::schedulingNeeded);
+                eventLoop, cluster, writeQueue, retries, runtimeEstimator, callbacks::requestScheduling);
         this.attemptIds = new AttemptIds(term);
         this.commandWriter = new CommandWriter(eventLoop, attemptIds, cluster, planner);
     }
 
     /** The proposal from which the next responses are filled. */
-    public void plan(Planner.Plan plan) {
-        commandWriter.plan(plan);
+    public void usePlan(Planner.Plan plan) {
+        commandWriter.usePlan(plan);
     }
 
     /** True if this term can launch nothing more, so that another one has to begin. */
-    public boolean isOutOfAttemptIds() {
+    public boolean hasExhaustedAttemptIds() {
         return attemptIds.isExhausted();
     }
 
@@ -120,7 +120,7 @@
                 return handleStaleHeartbeat(machine, heartbeat, now);
             }
             cluster.countSteps(heartbeat.tasks().size() + 1);
-            callbacks.machineUp(machine);
+            callbacks.markMachineUp(machine);
             if (heartbeat.fencingToken() != term) {
                 return handleStaleToken(machine, now);
             }
@@ -143,10 +143,10 @@
      * of an old report, of a machine that was returned since, never does.
      */
     private HttpResponse handleUnknownMachine(Heartbeat heartbeat) {
-        if (callbacks.isGone(heartbeat.machine())) {
+        if (callbacks.isMachineGone(heartbeat.machine())) {
             return HttpResponse.retryLater(503, "the machine was returned", 1);
         }
-        if (heartbeat.fencingToken() == term && callbacks.adopt(heartbeat) == null) {
+        if (heartbeat.fencingToken() == term && callbacks.adoptMachine(heartbeat) == null) {
             return HttpResponse.retryLater(503, "machine type " + heartbeat.machineType() + " is not known", 1);
         }
         return noCommands;
@@ -162,7 +162,7 @@
             return noCommands;
         }
         if (machine.heartbeatOrder().suggestsRestart(heartbeat)) {
-            callbacks.queryStatus(machine);
+            callbacks.queryMachineStatus(machine);
         }
         return HttpResponse.retryLater(503, "a newer report was seen", 1);
     }
@@ -199,7 +199,7 @@
                     "machine {} ({}) does not react to its commands",
                     machine.name(),
                     machine.type().name());
-            callbacks.schedulingNeeded();
+            callbacks.requestScheduling();
             if (machine.isReconciled()) {
                 machine.drain("it hears nothing");
             } else {
@@ -263,7 +263,7 @@
                 machine.heartbeatOrder().endEpoch();
                 cluster.markReconciled(machine);
                 if (mayAct.getAsBoolean()) {
-                    callbacks.machineDown(machine);
+                    callbacks.markMachineDown(machine);
                 }
                 if (!machine.allocations().isEmpty()) {
                     LOG.info(
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatRouter.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatRouter.java
@@ -19,12 +19,12 @@
     private final LeaderLocator leaderLocator;
     private final HeartbeatRelay heartbeatRelay;
     private final WorkerLoadBalancer loadBalancer;
-    private final HeartbeatObserver watcher;
+    private final HeartbeatObserver observer;
     private long heartbeatCount;
-    private long relayed;
-    private long redirected;
-    private int unanswered;
-    private int unansweredBefore;
+    private long relayedCount;
+    private long redirectCount;
+    private int unansweredCount;
+    private int previousUnansweredCount;
 
     public HeartbeatRouter(
             EventLoop eventLoop,
@@ -36,7 +36,7 @@
         this.leaderLocator = leaderLocator;
         this.heartbeatRelay = heartbeatRelay;
         this.loadBalancer = loadBalancer;
-        this.watcher = watcher;
+        this.observer = watcher;
     }
 
     /** A worker's report: decided here, handed on to the lease leader, or sent to where it can be. */
@@ -46,16 +46,16 @@
         Optional<Member> leader = current != null ? Optional.empty() : leaderLocator.remoteLeader();
         if (current == null && leader.isEmpty()) {
             // Not even read: right after a start hundreds ask, and the election can't wait for that.
-            unanswered++;
+            unansweredCount++;
             return answer(NOBODY_LEADS);
         }
         Heartbeat heartbeat = Heartbeat.read(request.body());
         if (heartbeat == null) {
             return answer(HttpResponse.refusal(400, "hopper: is missing"));
         }
-        watcher.heartbeatReceived(heartbeat);
-        loadBalancer.heartbeatReceived(heartbeat.machine());
-        String elsewhere = loadBalancer.redirectTarget(heartbeat.machine());
+        observer.observeHeartbeat(heartbeat);
+        loadBalancer.recordHeartbeat(heartbeat.machine());
+        String elsewhere = loadBalancer.takeRedirectTarget(heartbeat.machine());
         if (elsewhere == null
                 && current == null
                 && !heartbeatRelay.isReachable(leader.get().address())
@@ -63,8 +63,8 @@
             elsewhere = leader.get().nodeName();
         }
         if (elsewhere != null) {
-            redirected++;
-            loadBalancer.redirected(heartbeat.machine());
+            redirectCount++;
+            loadBalancer.recordRedirect(heartbeat.machine());
             return answer(elsewhere(elsewhere));
         }
         if (current != null) {
@@ -72,7 +72,7 @@
         }
         return heartbeatRelay.relay(heartbeat, leader.get().address()).thenApply(response -> {
             if (!response.isOk()) {
-                unanswered++;
+                unansweredCount++;
             }
             return response;
         });
@@ -85,12 +85,12 @@
             return answer(HttpResponse.retryLater(503, "not the leader", 1));
         }
         List<Heartbeat> reports = PeerMessages.decodeHeartbeats(request.body());
-        relayed += reports.size();
+        relayedCount += reports.size();
         return new HeartbeatBatch(eventLoop, reports, heartbeat -> decide(current, heartbeat)).start();
     }
 
     private HttpResponse decide(LeaderHeartbeats current, Heartbeat heartbeat) {
-        return watcher.mayAnswer(heartbeat, current.term()) ? current.handleHeartbeat(heartbeat) : NOBODY_LEADS;
+        return observer.mayAnswer(heartbeat, current.term()) ? current.handleHeartbeat(heartbeat) : NOBODY_LEADS;
     }
 
     private static HttpResponse elsewhere(String node) {
@@ -107,14 +107,14 @@
     }
 
     /** A second or so has passed; what went unanswered is remembered for one more. */
-    public void startNextWindow() {
-        unansweredBefore = unanswered;
-        unanswered = 0;
+    public void startNextUnansweredWindow() {
+        previousUnansweredCount = unansweredCount;
+        unansweredCount = 0;
     }
 
     /** Reports that could not be answered within the last two seconds or so. */
     public int recentlyUnansweredCount() {
-        return unanswered + unansweredBefore;
+        return unansweredCount + previousUnansweredCount;
     }
 
     /** Reports that came from workers. */
@@ -124,12 +124,12 @@
 
     /** Reports that other controllers handed on. */
     public long relayedCount() {
-        return relayed;
+        return relayedCount;
     }
 
     /** Workers that were sent to another controller. */
     public long redirectCount() {
-        return redirected;
+        return redirectCount;
     }
 
     private static CompletableFuture<HttpResponse> answer(HttpResponse response) {
--- a/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
+++ b/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
@@ -25,7 +25,7 @@
     private final WriteQueue writeQueue;
     private final RetrySchedule retries;
     private final RuntimeEstimator runtimeEstimator;
-    private final Runnable schedulingNeeded;
+    private final Runnable requestScheduling;
 
     /** @param progressed called when there may be something new to plan */
     TaskReconciler(
@@ -40,7 +40,7 @@
         this.writeQueue = writeQueue;
         this.retries = retries;
         this.runtimeEstimator = runtimeEstimator;
-        this.schedulingNeeded = progressed;
+        this.requestScheduling = progressed;
     }
 
     /**
@@ -59,7 +59,7 @@
                     machine.type().name(),
                     machine.zone(),
                     heartbeat.tasks().size());
-            schedulingNeeded.run();
+            requestScheduling.run();
         }
         Set<Allocation> shown = new HashSet<>();
         boolean heeded = false;
@@ -118,7 +118,7 @@
 
     private void handleEnd(Machine machine, Allocation allocation, String cause, long now) {
         ActiveJob job = allocation.job();
-        schedulingNeeded.run();
+        requestScheduling.run();
         if (job == null) {
             return;
         }
@@ -193,12 +193,12 @@
     private void removeAllocation(Machine machine, Allocation allocation) {
         machine.remove(allocation);
         allocation.release();
-        schedulingNeeded.run();
+        requestScheduling.run();
     }
 
     /** All tasks of the machine are certainly gone. */
     void clearTasks(Machine machine) {
         machine.clearAllocations().forEach(Allocation::release);
-        schedulingNeeded.run();
+        requestScheduling.run();
     }
 }
--- a/src/main/java/io/sillreel/leadership/LeaderReachability.java
+++ b/src/main/java/io/sillreel/leadership/LeaderReachability.java
@@ -61,10 +61,10 @@
      * the tasks.
      */
     boolean shouldRedirect(String machine) {
-        if (peers.storeAnswersElsewhere()) {
+        if (peers.isStoreReachableElsewhere()) {
             return true;
         }
-        return settings.controllers() > 1 && peers.areSilent() && probedElsewhere.add(machine);
+        return settings.controllers() > 1 && peers.isNoneHeard() && probedElsewhere.add(machine);
     }
 
     /**
@@ -95,11 +95,11 @@
                 return;
             }
         }
-        boolean heardElsewhere = peers.fresh().stream().anyMatch(peer -> peer.unanswered() > 0);
-        if (heardElsewhere || peers.fresh().size() < settings.controllers() - 1 || !leadership.isLeaseValid()) {
+        boolean heardElsewhere = peers.recentHellos().stream().anyMatch(peer -> peer.unansweredHeartbeats() > 0);
+        if (heardElsewhere || peers.recentHellos().size() < settings.controllers() - 1 || !leadership.isLeaseValid()) {
             disturbedMicros = now;
         }
-        if (settings.controllers() == 1 || !heardElsewhere && !peers.areSilent()) {
+        if (settings.controllers() == 1 || !heardElsewhere && !peers.isNoneHeard()) {
             // Nobody else could lead, or nobody hears a worker, so there is none to hear.
             return;
         }
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -112,7 +112,7 @@
                 capacity,
                 runtimeEstimator,
                 settings.state().values(),
-                this::schedulingNeeded,
+                this::requestScheduling,
                 this::stopTasks,
                 prefix -> leadership.resign("the changes under " + prefix + " were missed"));
         this.status = new LeaderStatus(eventLoop, term, cluster, capacity, writeQueue);
@@ -287,7 +287,7 @@
 
     /** Looks, about once a second, whether another controller had better lead. */
     public void checkReachability() {
-        if (heartbeatProcessor.isOutOfAttemptIds()) {
+        if (heartbeatProcessor.hasExhaustedAttemptIds()) {
             leadership.resign("the term has no attempt ids left");
             return;
         }
@@ -295,32 +295,32 @@
     }
 
     @Override
-    public Machine adopt(Heartbeat heartbeat) {
+    public Machine adoptMachine(Heartbeat heartbeat) {
         return fleet.adopt(heartbeat.machine(), heartbeat.machineType(), heartbeat.zone(), heartbeat.spot());
     }
 
     @Override
-    public boolean isGone(String machine) {
+    public boolean isMachineGone(String machine) {
         return fleet.isGone(machine);
     }
 
     @Override
-    public void machineUp(Machine machine) {
+    public void markMachineUp(Machine machine) {
         fleet.machineUp(machine);
     }
 
     @Override
-    public void machineDown(Machine machine) {
+    public void markMachineDown(Machine machine) {
         fleet.machineDown(machine);
     }
 
     @Override
-    public void schedulingNeeded() {
+    public void requestScheduling() {
         schedulingCycle.markDirty();
     }
 
     @Override
-    public void queryStatus(Machine machine) {
+    public void queryMachineStatus(Machine machine) {
         if (machine.address() == null) {
             return;
         }
--- a/src/main/java/io/sillreel/leadership/SchedulingCycle.java
+++ b/src/main/java/io/sillreel/leadership/SchedulingCycle.java
@@ -116,7 +116,7 @@
         dirty = false;
         plannedMicros = now;
         Planner.Plan plan = planner.plan(now, eventLoop.wallMicros());
-        heartbeatProcessor.plan(plan);
+        heartbeatProcessor.usePlan(plan);
         for (Allocation allocation : plan.preemptions()) {
             LOG.debug("stopping {}/{} to make room", allocation.uid(), allocation.taskIndex());
             allocation.stop(allocation.job().spec().checkpointDurationMicros() + COMMAND_MICROS);
--- a/src/main/java/io/sillreel/peer/PeerMessages.java
+++ b/src/main/java/io/sillreel/peer/PeerMessages.java
@@ -20,9 +20,9 @@
     public static final String HEARTBEATS = "/peer/beats";
     public static final String HELLO = "/peer/hello";
     public static final String CANCELLED = "/peer/withdrawn";
-    private static final CBORFactory STREAM = new CBORFactory();
+    private static final CBORFactory CBOR = new CBORFactory();
     private static final Heartbeat.TaskStage[] STAGES = Heartbeat.TaskStage.values();
-    private static final int REPORT_BYTES = 120;
+    private static final int HEARTBEAT_BYTES = 120;
     private static final int TASK_BYTES = 48;
 
     /**
@@ -30,19 +30,25 @@
      * it can have their reports answered, and how many lately went unanswered.
      */
     public record Hello(
-            String node, String leader, long term, boolean storeAnswers, int workers, boolean serves, int unanswered) {
+            String node,
+            String leader,
+            long term,
+            boolean isStoreReachable,
+            int workerCount,
+            boolean isServing,
+            int unansweredHeartbeats) {
         /** Encodes the greeting. */
         public byte[] bytes() {
             ByteArrayOutputStream bytes = new ByteArrayOutputStream(64);
-            try (CBORGenerator out = STREAM.createGenerator(bytes)) {
+            try (CBORGenerator out = CBOR.createGenerator(bytes)) {
                 out.writeStartArray(null, 7);
                 out.writeString(node);
                 out.writeString(leader);
                 out.writeNumber(term);
-                out.writeBoolean(storeAnswers);
-                out.writeNumber(workers);
-                out.writeBoolean(serves);
-                out.writeNumber(unanswered);
+                out.writeBoolean(isStoreReachable);
+                out.writeNumber(workerCount);
+                out.writeBoolean(isServing);
+                out.writeNumber(unansweredHeartbeats);
                 out.writeEndArray();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
@@ -52,7 +58,7 @@
 
         /** @throws UncheckedIOException if that is not what {@link #bytes} wrote */
         public static Hello of(byte[] body) {
-            try (CBORParser in = STREAM.createParser(body)) {
+            try (CBORParser in = CBOR.createParser(body)) {
                 in.nextToken();
                 String node = in.nextTextValue();
                 if (node == null) {
@@ -77,7 +83,7 @@
     /** A job whose cancellation has been stored. */
     public static HttpRequest cancelled(String uid) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(32);
-        try (CBORGenerator out = STREAM.createGenerator(bytes)) {
+        try (CBORGenerator out = CBOR.createGenerator(bytes)) {
             out.writeStartArray(null, 1);
             out.writeString(uid);
             out.writeEndArray();
@@ -90,7 +96,7 @@
     /** @throws UncheckedIOException if that is not what {@link #cancelled} wrote */
     public static List<String> cancelled(byte[] body) {
         List<String> uids = new ArrayList<>();
-        try (CBORParser in = STREAM.createParser(body)) {
+        try (CBORParser in = CBOR.createParser(body)) {
             in.nextToken();
             for (String uid = in.nextTextValue(); uid != null; uid = in.nextTextValue()) {
                 uids.add(uid);
@@ -104,10 +110,10 @@
     /** Workers' reports, handed on together. */
     public static HttpRequest heartbeats(List<Heartbeat> reports) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(512 * reports.size());
-        try (CBORGenerator out = STREAM.createGenerator(bytes)) {
+        try (CBORGenerator out = CBOR.createGenerator(bytes)) {
             out.writeStartArray(null, reports.size());
             for (Heartbeat heartbeat : reports) {
-                write(out, heartbeat);
+                writeHeartbeat(out, heartbeat);
             }
             out.writeEndArray();
         } catch (IOException e) {
@@ -118,10 +124,10 @@
 
     /** About what a report takes in a batch. */
     public static int approximateBytes(Heartbeat heartbeat) {
-        return REPORT_BYTES + TASK_BYTES * heartbeat.tasks().size();
+        return HEARTBEAT_BYTES + TASK_BYTES * heartbeat.tasks().size();
     }
 
-    private static void write(CBORGenerator out, Heartbeat heartbeat) throws IOException {
+    private static void writeHeartbeat(CBORGenerator out, Heartbeat heartbeat) throws IOException {
         out.writeStartArray(null, 10);
         out.writeString(heartbeat.machine());
         out.writeString(heartbeat.address());
@@ -149,10 +155,10 @@
     /** @throws UncheckedIOException if that is not what {@link #heartbeats} wrote */
     public static List<Heartbeat> decodeHeartbeats(byte[] body) {
         List<Heartbeat> reports = new ArrayList<>();
-        try (CBORParser in = STREAM.createParser(body)) {
+        try (CBORParser in = CBOR.createParser(body)) {
             in.nextToken();
             while (in.nextToken() == JsonToken.START_ARRAY) {
-                reports.add(report(in));
+                reports.add(readHeartbeat(in));
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -160,7 +166,7 @@
         return reports;
     }
 
-    private static Heartbeat report(CBORParser in) throws IOException {
+    private static Heartbeat readHeartbeat(CBORParser in) throws IOException {
         String machine = in.nextTextValue();
         String address = in.nextTextValue();
         String machineType = in.nextTextValue();
@@ -188,7 +194,7 @@
     /** The lease leader's answers to reports, in their order. */
     public static byte[] encodeResponses(List<HttpResponse> replies) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64 * replies.size());
-        try (CBORGenerator out = STREAM.createGenerator(bytes)) {
+        try (CBORGenerator out = CBOR.createGenerator(bytes)) {
             out.writeStartArray(null, replies.size());
             for (HttpResponse response : replies) {
                 out.writeStartArray(null, 3);
@@ -207,7 +213,7 @@
     /** The answers, or none if they can't be read. */
     public static List<HttpResponse> decodeResponses(byte[] body) {
         List<HttpResponse> replies = new ArrayList<>();
-        try (CBORParser in = STREAM.createParser(body)) {
+        try (CBORParser in = CBOR.createParser(body)) {
             in.nextToken();
             while (in.nextToken() == JsonToken.START_ARRAY) {
                 int status = in.nextIntValue(0);
--- a/src/main/java/io/sillreel/peer/Peers.java
+++ b/src/main/java/io/sillreel/peer/Peers.java
@@ -10,32 +10,32 @@
 
 /** The other controllers as they last said they were; what is older than a few seconds does not count. */
 public final class Peers {
-    private static final long FRESH_MICROS = 3_000_000;
+    private static final long RECENT_MICROS = 3_000_000;
 
     private final EventLoop eventLoop;
     private final Map<String, Hello> hellos = new HashMap<>();
-    private final Map<String, Long> heardMicros = new HashMap<>();
+    private final Map<String, Long> receivedMicros = new HashMap<>();
 
     public Peers(EventLoop eventLoop) {
         this.eventLoop = eventLoop;
     }
 
-    public synchronized void received(Hello hello) {
+    public synchronized void recordHello(Hello hello) {
         hellos.put(hello.node(), hello);
-        heardMicros.put(hello.node(), eventLoop.nowMicros());
+        receivedMicros.put(hello.node(), eventLoop.nowMicros());
     }
 
     /** True if the controller was heard within the time that has just passed. */
-    public synchronized boolean heardWithin(String node, long micros) {
-        Long at = heardMicros.get(node);
+    public synchronized boolean wasHeardWithin(String node, long micros) {
+        Long at = receivedMicros.get(node);
         return at != null && eventLoop.nowMicros() - at < micros;
     }
 
     /** Those that were heard lately. */
-    public synchronized Collection<Hello> fresh() {
+    public synchronized Collection<Hello> recentHellos() {
         List<Hello> fresh = new ArrayList<>();
         hellos.forEach((node, hello) -> {
-            if (eventLoop.nowMicros() - heardMicros.get(node) < FRESH_MICROS) {
+            if (eventLoop.nowMicros() - receivedMicros.get(node) < RECENT_MICROS) {
                 fresh.add(hello);
             }
         });
@@ -43,12 +43,12 @@
     }
 
     /** True if nobody else is heard at all, though there are others. */
-    public boolean areSilent() {
-        return fresh().isEmpty();
+    public boolean isNoneHeard() {
+        return recentHellos().isEmpty();
     }
 
     /** True if the state service answers another controller: then an outage is not for all. */
-    public boolean storeAnswersElsewhere() {
-        return fresh().stream().anyMatch(Hello::storeAnswers);
+    public boolean isStoreReachableElsewhere() {
+        return recentHellos().stream().anyMatch(Hello::isStoreReachable);
     }
 }
--- a/src/main/java/io/sillreel/recovery/Recovery.java
+++ b/src/main/java/io/sillreel/recovery/Recovery.java
@@ -164,7 +164,7 @@
     }
 
     @Override
-    public void heartbeatReceived(Heartbeat heartbeat) {
+    public void observeHeartbeat(Heartbeat heartbeat) {
         long shown = TermEvidence.shownBy(heartbeat);
         if (!suspended && shown > shownTerm()) {
             terms.shown(shown, heartbeat.machine());
--- a/src/test/java/io/sillreel/heartbeat/HeartbeatBatchTest.java
+++ b/src/test/java/io/sillreel/heartbeat/HeartbeatBatchTest.java
@@ -30,12 +30,12 @@
     @Test
     void otherWorkGoesOnBetweenTheReportsOfABatch() {
         List<Heartbeat> decided = new ArrayList<>();
-        CompletableFuture<HttpResponse> answer = start(3 * HeartbeatBatch.MAX_DECIDED_AT_ONCE, 10, decided);
-        assertThat(decided).hasSize(HeartbeatBatch.MAX_DECIDED_AT_ONCE);
+        CompletableFuture<HttpResponse> answer = start(3 * HeartbeatBatch.MAX_HEARTBEATS_PER_CHUNK, 10, decided);
+        assertThat(decided).hasSize(HeartbeatBatch.MAX_HEARTBEATS_PER_CHUNK);
         assertThat(answer).isNotDone();
         time.runFor(1_000);
         assertThat(PeerMessages.decodeResponses(answer.join().body()))
-                .hasSize(3 * HeartbeatBatch.MAX_DECIDED_AT_ONCE)
+                .hasSize(3 * HeartbeatBatch.MAX_HEARTBEATS_PER_CHUNK)
                 .allMatch(HttpResponse::isOk);
     }
 
@@ -43,7 +43,7 @@
     @Test
     void reportsWhoseAnswersFindNoRoomAreRefusedUndecided() {
         List<Heartbeat> decided = new ArrayList<>();
-        CompletableFuture<HttpResponse> answer = start(40, HeartbeatBatch.MAX_ANSWER_BYTES / 10, decided);
+        CompletableFuture<HttpResponse> answer = start(40, HeartbeatBatch.MAX_RESPONSE_BYTES / 10, decided);
         time.runFor(1_000);
         List<HttpResponse> replies = PeerMessages.decodeResponses(answer.join().body());
         assertThat(replies).hasSize(40);
