--- a/src/main/java/io/sillreel/heartbeat/FaultAttribution.java
+++ b/src/main/java/io/sillreel/heartbeat/FaultAttribution.java
@@ -26,10 +26,10 @@
             return Fault.MACHINE;
         }
         machine.health().addSuspicion(job.uid());
-        job.failedOn().add(machine.name());
+        job.failedMachines().add(machine.name());
         if (machine.health().suspectingJobs().size() > 1) {
             return Fault.MACHINE;
         }
-        return job.failedOn().size() >= MIN_FAILED_MACHINES ? Fault.JOB : Fault.UNKNOWN;
+        return job.failedMachines().size() >= MIN_FAILED_MACHINES ? Fault.JOB : Fault.UNKNOWN;
     }
 }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatRelay.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatRelay.java
@@ -157,7 +157,7 @@
                 if (replies.size() != batch.size()) {
                     lostCount += batch.size();
                     boolean broken =
-                            response.status() != HttpResponse.NO_ANSWER || ++consecutiveLateBatches > MAX_LATE_BATCHES;
+                            response.status() != HttpResponse.NO_RESPONSE || ++consecutiveLateBatches > MAX_LATE_BATCHES;
                     if (broken && to.equals(currentLeader)) {
                         unreachableUntilMicros = eventLoop.nowMicros() + UNREACHABLE_MICROS;
                     }
--- a/src/main/java/io/sillreel/leadership/LeaderStatus.java
+++ b/src/main/java/io/sillreel/leadership/LeaderStatus.java
@@ -75,14 +75,14 @@
             gauges.put("sillreel.tasks.waiting", (double) waiting);
             gauges.put("sillreel.machines", (double) cluster.machines().size());
             gauges.put("sillreel.machines.ordinary", (double) cluster.machines().stream()
-                    .filter(machine -> !machine.spot())
+                    .filter(machine -> !machine.isSpot())
                     .count());
             gauges.put("sillreel.cpus.up", cpus);
             gauges.put("sillreel.cpus.busy", capacity.busyCpus());
             gauges.put("sillreel.cpus.starting", capacity.startingCpus());
             gauges.put("sillreel.cpus.wanted", capacity.wantedCpus(eventLoop.wallMicros()));
             gauges.put("sillreel.cpus.standing", capacity.standingCpus(eventLoop.wallMicros()));
-            gauges.put("sillreel.writes.waiting", (double) writeQueue.backlog());
+            gauges.put("sillreel.writes.waiting", (double) writeQueue.pendingCount());
             gauges.put("sillreel.machines.unheard", (double)
                     cluster.unreconciledMachines().size());
             gauges.put("sillreel.work", (double) cluster.stepCount());
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -301,17 +301,17 @@
 
     @Override
     public boolean isMachineGone(String machine) {
-        return fleet.isGone(machine);
+        return fleet.wasReturned(machine);
     }
 
     @Override
     public void markMachineUp(Machine machine) {
-        fleet.machineUp(machine);
+        fleet.recordMachineUp(machine);
     }
 
     @Override
     public void markMachineDown(Machine machine) {
-        fleet.machineDown(machine);
+        fleet.recordMachineDown(machine);
     }
 
     @Override
@@ -359,7 +359,7 @@
     // --- For display -----------------------------------------------------------------------------------------------
 
     @Override
-    public Counts of(String uid) {
+    public Counts countsOf(String uid) {
         synchronized (cluster) {
             ActiveJob job = cluster.job(uid);
             return job == null || job.isComplete()
