--- a/src/main/java/io/sillreel/cluster/Machine.java
+++ b/src/main/java/io/sillreel/cluster/Machine.java
@@ -26,7 +26,6 @@
      */
     public static final int MAX_TASKS = 580;
 
-    private static final double EPSILON = 1e-6;
     private final String name;
     private final MachineType type;
     private final String zone;
@@ -52,7 +51,6 @@
     private long idleSinceMicros;
     private long firstListedMicros = -1;
     private boolean isReturnScheduled;
-    private String drainReason;
 
     /**
      * @param rental the rental that the machine belongs to, or null if no stored one names it
@@ -183,8 +181,8 @@
     }
 
     /** Goes back to the cloud whatever is on it: nothing else can make an end of that. */
-    public void scheduleReturn(String reason) {
-        drain(reason);
+    public void scheduleReturn() {
+        drain();
         isReturnScheduled = true;
     }
 
@@ -258,10 +256,9 @@
     }
 
     /** Takes nothing more and goes back to the cloud once it is empty. */
-    public void drain(String reason) {
+    public void drain() {
         if (state == State.PROVISIONING || state == State.UP) {
             state = State.DRAINING;
-            drainReason = reason;
         }
     }
 
@@ -269,10 +266,6 @@
         state = State.RETURNING;
     }
 
-    public String drainReason() {
-        return drainReason;
-    }
-
     public Collection<Allocation> allocations() {
         return allocations.values();
     }
@@ -341,22 +334,6 @@
 
     /** How many more tasks of the job fit beside those that are here. */
     public int fittingTasks(JobSpec spec) {
-        return fittingTasks(spec, freeCpus(), freeRamGb(), freeGpus());
-    }
-
-    /** True if a task of the job fits into an empty machine of the type. */
-    public static boolean fitsEmptyMachine(JobSpec spec, MachineType type) {
-        return fittingTasks(spec, type.cpus(), type.ramGb(), type.gpus()) > 0;
-    }
-
-    /** Returns how many tasks of the job fit into the free resources. */
-    public static int fittingTasks(JobSpec spec, double cpus, double ramGb, double gpus) {
-        return Math.min(
-                fittingTasks(cpus, spec.cpus()),
-                Math.min(fittingTasks(ramGb, spec.ramGb()), fittingTasks(gpus, spec.gpus())));
-    }
-
-    private static int fittingTasks(double free, double each) {
-        return each <= 0 ? Integer.MAX_VALUE : (int) Math.floor(free / each + EPSILON);
+        return PlacementConstraints.fittingTasks(spec, freeCpus(), freeRamGb(), freeGpus());
     }
 }
