--- a/src/main/java/io/sillreel/cluster/ScaleOutRequest.java
+++ b/src/main/java/io/sillreel/cluster/ScaleOutRequest.java
@@ -1,12 +1,9 @@
 package io.sillreel.cluster;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Json;
 import io.sillreel.statestore.KeyChange;
 import io.sillreel.statestore.PendingWrite;
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
@@ -47,25 +44,18 @@
         this.machineCount = count;
     }
 
-    /** Reads a stored rental. */
-    public static ScaleOutRequest of(String key, JsonNode value, long revision) {
-        ScaleOutRequest scaleOutRequest = new ScaleOutRequest(
-                key.substring(PREFIX.length()),
-                value.path("build").asText(),
-                value.path("yard").asText(),
-                value.path("spot").asBoolean(),
-                value.path("count").asInt());
-        scaleOutRequest.revision = revision;
-        scaleOutRequest.isAnswered = value.has("machines");
-        scaleOutRequest.mayHaveExecuted = true;
-        value.path("machines").forEach(machine -> scaleOutRequest.machines.add(machine.asText()));
-        if (value.has("up")) {
-            value.path("up").forEach(machine -> scaleOutRequest.upMachines.add(machine.asText()));
-        } else {
-            scaleOutRequest.upMachines.addAll(scaleOutRequest.machines);
-        }
-        scaleOutRequest.storedUpMachines.addAll(scaleOutRequest.upMachines);
-        return scaleOutRequest;
+    /**
+     * Takes over what is stored of the rental.
+     *
+     * @param answered true if the cloud has said which machines it rented
+     */
+    void restore(long storedRevision, boolean answered, Collection<String> names, Collection<String> upNames) {
+        revision = storedRevision;
+        isAnswered = answered;
+        mayHaveExecuted = true;
+        machines.addAll(names);
+        upMachines.addAll(upNames);
+        storedUpMachines.addAll(upNames);
     }
 
     /** How many machines fit into a value of that size, each of them named twice. */
@@ -123,6 +113,11 @@
         return machines;
     }
 
+    /** The machines that have reported, whether that is stored or not. */
+    Set<String> upMachines() {
+        return upMachines;
+    }
+
     /**
      * True once the machine stands as up in the stored rental, so that a successor knows to look there. Machines that
      * have not reported yet don't, so that those that boot or never come up hold up no takeover.
@@ -208,24 +203,7 @@
         sentUpMachines.addAll(upMachines);
         // From the moment it is sent, what the write lacks may be missing from the store.
         storedUpMachines.retainAll(sentUpMachines);
-        return isDiscarded ? KeyChange.REMOVAL : KeyChange.put(json());
-    }
-
-    private ObjectNode json() {
-        ObjectNode value = Json.object()
-                .put("build", machineType)
-                .put("yard", zone)
-                .put("spot", isSpot)
-                .put("count", machineCount);
-        if (isAnswered) {
-            ArrayNode names = Json.array();
-            machines.forEach(names::add);
-            value.set("machines", names);
-            ArrayNode reporting = Json.array();
-            upMachines.forEach(reporting::add);
-            value.set("up", reporting);
-        }
-        return value;
+        return isDiscarded ? KeyChange.REMOVAL : KeyChange.put(ScaleOutRequestCodec.encode(this));
     }
 
     @Override
--- a/src/main/java/io/sillreel/leadership/StoredStateReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredStateReader.java
@@ -1,6 +1,7 @@
 package io.sillreel.leadership;
 
 import io.sillreel.cluster.ScaleOutRequest;
+import io.sillreel.cluster.ScaleOutRequestCodec;
 import io.sillreel.pipeline.CancellationRecord;
 import io.sillreel.pipeline.JobIdSet;
 import io.sillreel.pipeline.PlanRecord;
@@ -61,7 +62,8 @@
             return continueScan();
         });
         CompletableFuture<ScanResult> hired = store.scan(ScaleOutRequest.PREFIX, page -> {
-            page.forEach(entry -> rentals.add(ScaleOutRequest.of(entry.key(), entry.value(), entry.revision())));
+            page.forEach(
+                    entry -> rentals.add(ScaleOutRequestCodec.decode(entry.key(), entry.value(), entry.revision())));
             return continueScan();
         });
         runs.thenAccept(scan -> jobs.endRunRecords(scan.outcome() == StoreOutcome.OK));
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -8,6 +8,7 @@
 import io.sillreel.agent.AgentCommands;
 import io.sillreel.agent.Heartbeat;
 import io.sillreel.cluster.ScaleOutRequest;
+import io.sillreel.cluster.ScaleOutRequestCodec;
 import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
 import io.sillreel.peer.PeerMessages;
@@ -117,7 +118,7 @@
         assertThat(job.hasUnmetDependencies()).isFalse();
         assertThat(Head.fromJson(json(DONE)).isDone()).isTrue();
         assertThat(Head.fromJson(json(FAILED)).reason()).startsWith("attempt 1 failed");
-        ScaleOutRequest scaleOutRequest = ScaleOutRequest.of("hire/r-5-12", json(RENTAL), 9);
+        ScaleOutRequest scaleOutRequest = ScaleOutRequestCodec.decode("hire/r-5-12", json(RENTAL), 9);
         assertThat(scaleOutRequest.machines()).containsExactly("host-000231", "host-000232");
         assertThat(scaleOutRequest.isStoredAsUp("host-000231")).isTrue();
         assertThat(scaleOutRequest.isStoredAsUp("host-000232")).isFalse();
@@ -238,7 +239,7 @@
         }
         JsonNode stored = json("{\"build\":\"c4\",\"yard\":\"a\",\"spot\":true,\"count\":50,\"machines\":[" + names
                 + "],\"up\":[" + names + "]}");
-        ScaleOutRequest scaleOutRequest = ScaleOutRequest.of("hire/r-5-12", stored, 9);
+        ScaleOutRequest scaleOutRequest = ScaleOutRequestCodec.decode("hire/r-5-12", stored, 9);
         int most = ScaleOutRequest.maxMachines(1_024);
         List<ScaleOutRequest> parts = scaleOutRequest.split(most, again -> {});
         assertThat(scaleOutRequest.prerequisites()).hasSameSizeAs(parts);
--- a/src/test/java/io/sillreel/placement/PlannerTest.java
+++ b/src/test/java/io/sillreel/placement/PlannerTest.java
@@ -8,7 +8,7 @@
 import io.sillreel.cluster.Allocation;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
-import io.sillreel.cluster.ScaleOutRequest;
+import io.sillreel.cluster.ScaleOutRequestCodec;
 import io.sillreel.http.Json;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.IgnoringListener;
@@ -51,7 +51,7 @@
                 TYPE,
                 "a",
                 spot,
-                ScaleOutRequest.of("hire/" + name, value, 1),
+                ScaleOutRequestCodec.decode("hire/" + name, value, 1),
                 nowMicros,
                 cluster.allocationIndex());
         cluster.add(machine);
