--- a/src/test/java/io/sillreel/placement/PlannerTest.java
+++ b/src/test/java/io/sillreel/placement/PlannerTest.java
@@ -10,7 +10,7 @@
 import io.sillreel.cluster.Allocation;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
-import io.sillreel.cluster.ScaleOutRequest;
+import io.sillreel.cluster.ScaleOutRequestCodec;
 import io.sillreel.http.Json;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.Checkpointing;
@@ -58,7 +58,7 @@
                 TYPE,
                 "a",
                 spot,
-                ScaleOutRequest.of("hire/" + name, value, 1),
+                ScaleOutRequestCodec.decode("hire/" + name, value, 1),
                 nowMicros,
                 cluster.allocationIndex());
         cluster.add(machine);
