--- a/src/main/java/io/sillreel/admission/JobStatusService.java
+++ b/src/main/java/io/sillreel/admission/JobStatusService.java
@@ -4,9 +4,10 @@
 import io.sillreel.pipeline.CancellationRecord;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
+import io.sillreel.statestore.CommitResult;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.StoreOutcome;
-import io.sillreel.statestore.StateStore.Transaction;
+import io.sillreel.statestore.StoreOutcome;
+import io.sillreel.statestore.Transaction;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -230,8 +231,8 @@
     }
 
     /** Compares in as many transactions as it takes: a cancellation is for ever, so they need not be one moment's. */
-    private CompletableFuture<StateStore.CommitResult> compare(Map<String, Long> conditions) {
-        List<CompletableFuture<StateStore.CommitResult>> parts = new ArrayList<>();
+    private CompletableFuture<CommitResult> compare(Map<String, Long> conditions) {
+        List<CompletableFuture<CommitResult>> parts = new ArrayList<>();
         Transaction transaction = new Transaction();
         int size = 0;
         for (Map.Entry<String, Long> condition : conditions.entrySet()) {
@@ -248,17 +249,17 @@
         return CompletableFuture.allOf(parts.toArray(CompletableFuture[]::new)).thenApply(all -> {
             StoreOutcome outcome = StoreOutcome.OK;
             List<String> failed = new ArrayList<>();
-            for (CompletableFuture<StateStore.CommitResult> part : parts) {
+            for (CompletableFuture<CommitResult> part : parts) {
                 failed.addAll(part.join().failedKeys());
                 if (part.join().outcome() != StoreOutcome.OK && outcome != StoreOutcome.CONFLICT) {
                     outcome = part.join().outcome();
                 }
             }
-            return new StateStore.CommitResult(outcome, 0, failed);
+            return new CommitResult(outcome, 0, failed);
         });
     }
 
-    private void settle(List<Compared> batch, StateStore.CommitResult commit) {
+    private void settle(List<Compared> batch, CommitResult commit) {
         for (Compared compared : batch) {
             Question question = compared.question();
             switch (commit.outcome()) {
--- a/src/main/java/io/sillreel/leadership/StoredJobsReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredJobsReader.java
@@ -8,7 +8,7 @@
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.statestore.PendingWrite;
-import io.sillreel.statestore.StateStore.StoredEntry;
+import io.sillreel.statestore.StoredEntry;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/io/sillreel/pipeline/RunRecord.java
+++ b/src/main/java/io/sillreel/pipeline/RunRecord.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.http.Json;
 import io.sillreel.statestore.PendingWrite;
-import io.sillreel.statestore.StateStore;
+import io.sillreel.statestore.StoredEntry;
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.BitSet;
@@ -58,7 +58,7 @@
         }
 
         /** Adds a stored entry. */
-        public void add(StateStore.StoredEntry entry) {
+        public void add(StoredEntry entry) {
             values.put(entry.key(), entry.value().path("bits").asText());
             revisions.put(entry.key(), entry.revision());
         }
--- a/src/main/java/io/sillreel/recovery/ChangeRestorer.java
+++ b/src/main/java/io/sillreel/recovery/ChangeRestorer.java
@@ -1,10 +1,10 @@
 package io.sillreel.recovery;
 
 import com.fasterxml.jackson.databind.node.MissingNode;
-import io.sillreel.statestore.StateStore.CommitResult;
-import io.sillreel.statestore.StateStore.ReadResult;
-import io.sillreel.statestore.StateStore.StoreOutcome;
-import io.sillreel.statestore.StateStore.Transaction;
+import io.sillreel.statestore.CommitResult;
+import io.sillreel.statestore.ReadResult;
+import io.sillreel.statestore.StoreOutcome;
+import io.sillreel.statestore.Transaction;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
--- a/src/main/java/io/sillreel/recovery/RebuildLease.java
+++ b/src/main/java/io/sillreel/recovery/RebuildLease.java
@@ -2,10 +2,10 @@
 
 import io.sillreel.http.EventLoop;
 import io.sillreel.leadership.LeaderElection;
+import io.sillreel.statestore.CommitResult;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.CommitResult;
-import io.sillreel.statestore.StateStore.StoreOutcome;
-import io.sillreel.statestore.StateStore.Transaction;
+import io.sillreel.statestore.StoreOutcome;
+import io.sillreel.statestore.Transaction;
 
 /** The term of the lease under which writes are put back: every write is conditional on it. */
 final class RebuildLease {
--- a/src/main/java/io/sillreel/recovery/Recovery.java
+++ b/src/main/java/io/sillreel/recovery/Recovery.java
@@ -11,7 +11,7 @@
 import io.sillreel.recovery.RecoveryMessages.Greeting;
 import io.sillreel.settings.Settings;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.StoreOutcome;
+import io.sillreel.statestore.StoreOutcome;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
--- a/src/main/java/io/sillreel/recovery/RecoveryGenerationStore.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryGenerationStore.java
@@ -2,8 +2,8 @@
 
 import io.sillreel.http.EventLoop;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.StoreOutcome;
-import io.sillreel.statestore.StateStore.Transaction;
+import io.sillreel.statestore.StoreOutcome;
+import io.sillreel.statestore.Transaction;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import java.util.function.Supplier;
--- a/src/main/java/io/sillreel/recovery/RecoveryRecord.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryRecord.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.http.Json;
-import io.sillreel.statestore.StateStore.ReadResult;
+import io.sillreel.statestore.ReadResult;
 
 /**
  * The stored verdict that the state service has lost writes, and what became of it.
--- a/src/main/java/io/sillreel/recovery/StoreRebuild.java
+++ b/src/main/java/io/sillreel/recovery/StoreRebuild.java
@@ -1,8 +1,8 @@
 package io.sillreel.recovery;
 
 import io.sillreel.settings.Settings;
-import io.sillreel.statestore.StateStore.StoreOutcome;
-import io.sillreel.statestore.StateStore.Transaction;
+import io.sillreel.statestore.StoreOutcome;
+import io.sillreel.statestore.Transaction;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
--- a/src/main/java/io/sillreel/statestore/KeyChange.java
+++ b/src/main/java/io/sillreel/statestore/KeyChange.java
@@ -2,7 +2,6 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.sillreel.http.Json;
-import io.sillreel.statestore.StateStore.Transaction;
 
 /** What a write does to its key: it stores a value, removes the key, or has nothing left to do. */
 public final class KeyChange {
--- /dev/null
+++ b/src/main/java/io/sillreel/statestore/PrefixScan.java
@@ -0,0 +1,114 @@
+package io.sillreel.statestore;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import io.sillreel.http.EventLoop;
+import io.sillreel.http.HttpRequest;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Reads the entries under a prefix one page after the other. Only one page is requested at a time, so the fields need
+ * no lock.
+ */
+final class PrefixScan {
+    private static final Logger LOG = LoggerFactory.getLogger(PrefixScan.class);
+    private static final long PAGE_TIMEOUT_MICROS = 1_500_000;
+    /** A page is processed in one task of the event loop, and lease renewal has to wait for its end. */
+    private static final int PAGE_SIZE = 200;
+    /** Delay until a page is requested again if the request rate did not allow it. */
+    private static final long RATE_LIMITED_DELAY_MICROS = 20_000;
+
+    private static final long RETRY_DELAY_MICROS = 300_000;
+    private static final int MAX_RETRIES = 3;
+    private static final long UNKNOWN_REVISION = -1;
+
+    private final StateStoreTransport transport;
+    private final EventLoop eventLoop;
+    private final String prefix;
+    private final boolean retries;
+    private final PageConsumer consumer;
+    private final CompletableFuture<ScanResult> result = new CompletableFuture<>();
+    private String lastKey = "";
+    private long firstPageRevision = UNKNOWN_REVISION;
+    private int failures;
+
+    /** @param retries whether a page that was refused or lost is requested again */
+    PrefixScan(
+            StateStoreTransport transport, EventLoop eventLoop, String prefix, boolean retries, PageConsumer consumer) {
+        this.transport = transport;
+        this.eventLoop = eventLoop;
+        this.prefix = prefix;
+        this.retries = retries;
+        this.consumer = consumer;
+    }
+
+    /** Starts the scan; called once. */
+    CompletableFuture<ScanResult> start() {
+        requestPage();
+        return result;
+    }
+
+    private void requestPage() {
+        if (transport.tryAcquireRequest()) {
+            HttpRequest request = StateStoreCodec.pageRequest(prefix, lastKey, PAGE_SIZE);
+            transport.sendAcquired(request, PAGE_TIMEOUT_MICROS).thenAccept(response -> {
+                StoreOutcome outcome = transport.recordOutcome(response);
+                if (outcome == StoreOutcome.OK) {
+                    handlePage(response.json());
+                } else {
+                    handleFailure(outcome);
+                }
+            });
+        } else if (retries) {
+            eventLoop.schedule(RATE_LIMITED_DELAY_MICROS, this::requestPage);
+        } else {
+            finish(StoreOutcome.REFUSED, 0);
+        }
+    }
+
+    private void handleFailure(StoreOutcome outcome) {
+        if (retries && failures < MAX_RETRIES) {
+            failures++;
+            eventLoop.schedule(RETRY_DELAY_MICROS, this::requestPage);
+        } else {
+            finish(outcome, 0);
+        }
+    }
+
+    private void handlePage(JsonNode body) {
+        List<StoredEntry> entries = StateStoreCodec.entries(body);
+        failures = 0;
+        if (firstPageRevision == UNKNOWN_REVISION) {
+            // Keys of an earlier page may change while later pages are read. A watch from the first page's revision
+            // reports those changes.
+            firstPageRevision = StateStoreCodec.storeRevision(body);
+        }
+        boolean hasMore = StateStoreCodec.isTruncated(body) && !entries.isEmpty();
+        passToConsumer(entries).thenAccept(mayContinue -> {
+            if (!mayContinue) {
+                finish(StoreOutcome.REFUSED, 0);
+            } else if (hasMore) {
+                lastKey = entries.get(entries.size() - 1).key();
+                requestPage();
+            } else {
+                finish(StoreOutcome.OK, firstPageRevision);
+            }
+        });
+    }
+
+    /** A consumer that fails ends the scan, so that the caller's future completes. */
+    private CompletableFuture<Boolean> passToConsumer(List<StoredEntry> entries) {
+        try {
+            return consumer.accept(entries);
+        } catch (RuntimeException e) {
+            LOG.error("a page of the keys under {} could not be processed", prefix, e);
+            return CompletableFuture.completedFuture(false);
+        }
+    }
+
+    private void finish(StoreOutcome outcome, long storeRevision) {
+        result.complete(new ScanResult(outcome, storeRevision));
+    }
+}
--- /dev/null
+++ b/src/main/java/io/sillreel/statestore/ReadResult.java
@@ -0,0 +1,18 @@
+package io.sillreel.statestore;
+
+/**
+ * The result of reading one key.
+ *
+ * @param entry the entry, or null unless the outcome is {@link StoreOutcome#OK}
+ */
+public record ReadResult(StoreOutcome outcome, StoredEntry entry) {
+    /** The revision of the key, 0 if it does not exist or could not be read. */
+    public long revision() {
+        return entry == null ? 0 : entry.revision();
+    }
+
+    /** True if the read established that the key exists or that it does not. */
+    public boolean isConclusive() {
+        return outcome == StoreOutcome.OK || outcome == StoreOutcome.NOT_FOUND;
+    }
+}
--- a/src/main/java/io/sillreel/statestore/WriteBatch.java
+++ b/src/main/java/io/sillreel/statestore/WriteBatch.java
@@ -1,6 +1,5 @@
 package io.sillreel.statestore;
 
-import io.sillreel.statestore.StateStore.Transaction;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
--- a/src/main/java/io/sillreel/statestore/WriteQueue.java
+++ b/src/main/java/io/sillreel/statestore/WriteQueue.java
@@ -1,9 +1,6 @@
 package io.sillreel.statestore;
 
 import io.sillreel.http.EventLoop;
-import io.sillreel.statestore.StateStore.CommitResult;
-import io.sillreel.statestore.StateStore.ReadResult;
-import io.sillreel.statestore.StateStore.StoreOutcome;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/src/test/java/io/sillreel/admission/JobStatusServiceTest.java
+++ b/src/test/java/io/sillreel/admission/JobStatusServiceTest.java
@@ -9,7 +9,7 @@
 import io.sillreel.sim.SimStateStore;
 import io.sillreel.sim.SimTime;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Transaction;
+import io.sillreel.statestore.Transaction;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/io/sillreel/statestore/ScanTest.java
+++ b/src/test/java/io/sillreel/statestore/ScanTest.java
@@ -9,10 +9,6 @@
 import io.sillreel.sim.SimNetwork.Fate;
 import io.sillreel.sim.SimStateStore;
 import io.sillreel.sim.SimTime;
-import io.sillreel.statestore.StateStore.ScanResult;
-import io.sillreel.statestore.StateStore.StoreOutcome;
-import io.sillreel.statestore.StateStore.StoredEntry;
-import io.sillreel.statestore.StateStore.Transaction;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -85,12 +81,12 @@
     @Test
     void aLookThatIsRefusedOrUnansweredIsToldAtOnce() {
         state.outage(true);
-        CompletableFuture<StateStore.ListResult> refused = store.list("k/");
+        CompletableFuture<ListResult> refused = store.list("k/");
         time.runFor(200_000);
         assertThat(refused).isCompletedWithValueMatching(listing -> listing.outcome() == StoreOutcome.REFUSED);
         state.outage(false);
         network.add((from, to, request) -> Fate.LOSE);
-        CompletableFuture<StateStore.ListResult> unanswered = store.list("k/");
+        CompletableFuture<ListResult> unanswered = store.list("k/");
         time.runFor(1_600_000);
         assertThat(unanswered).isCompletedWithValueMatching(listing -> listing.outcome() == StoreOutcome.UNKNOWN);
     }
--- a/src/test/java/io/sillreel/statestore/WriteQueueTest.java
+++ b/src/test/java/io/sillreel/statestore/WriteQueueTest.java
@@ -9,8 +9,6 @@
 import io.sillreel.sim.SimNetwork.Rule;
 import io.sillreel.sim.SimStateStore;
 import io.sillreel.sim.SimTime;
-import io.sillreel.statestore.StateStore.StoreOutcome;
-import io.sillreel.statestore.StateStore.Transaction;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -153,8 +151,8 @@
         var refused = spent.get("leader");
         var renewed = spent.renewLease(leaseId);
         time.runFor(100_000);
-        assertThat(refused.join().outcome()).isEqualTo(StateStore.StoreOutcome.REFUSED);
-        assertThat(renewed.join()).isNotEqualTo(StateStore.StoreOutcome.REFUSED);
+        assertThat(refused.join().outcome()).isEqualTo(StoreOutcome.REFUSED);
+        assertThat(renewed.join()).isNotEqualTo(StoreOutcome.REFUSED);
     }
 
     /** Guards against ends of jobs that wait behind progress when the store takes less than there is to write. */
