--- a/src/main/java/io/sillreel/leadership/LeaderElection.java
+++ b/src/main/java/io/sillreel/leadership/LeaderElection.java
@@ -1,13 +1,13 @@
 package io.sillreel.leadership;
 
 import io.sillreel.http.EventLoop;
+import io.sillreel.statestore.ReadResult;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.ReadResult;
-import io.sillreel.statestore.StateStore.StoreOutcome;
-import io.sillreel.statestore.StateStore.StoredEntry;
-import io.sillreel.statestore.StateStore.Transaction;
-import io.sillreel.statestore.StateStore.WatchEvent;
-import io.sillreel.statestore.StateStore.WatchResult;
+import io.sillreel.statestore.StoreOutcome;
+import io.sillreel.statestore.StoredEntry;
+import io.sillreel.statestore.Transaction;
+import io.sillreel.statestore.WatchEvent;
+import io.sillreel.statestore.WatchResult;
 import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
