--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -95,7 +95,7 @@
         this.fleetCapacity = new FleetCapacity(limits);
         this.startedMicros = eventLoop.nowMicros();
         this.eventLoopLag = new EventLoopLag(eventLoop);
-        this.requestQueue = new RequestQueue(eventLoop, limits.waitingRequestBytes());
+        this.requestQueue = new RequestQueue(eventLoop, limits.queuedRequestBytes());
         double requests = settings.state().requestsPerSecond() * REQUEST_RATE_SHARE;
         double writes = settings.state().writesPerSecond() * WRITE_RATE_SHARE;
         double calls = settings.cloud().requestsPerSecond() * CLOUD_RATE_SHARE;
@@ -113,7 +113,7 @@
                 store,
                 eventLoop,
                 settings.nodeName(),
-                operator.stateLeaseMicros(),
+                operator.leaderLeaseMicros(),
                 () -> recovery == null ? 0 : recovery.termFloor());
         this.machineTypes = new MachineTypeCatalog(store, cloud, eventLoop, () -> leadership.heldTerm() > 0);
         this.admissionLimit = new AdaptiveLimit(
@@ -125,8 +125,8 @@
                         machineTypes::types,
                         this,
                         this::notifyLeaderOfCancellation),
-                operator.maxRequests(),
-                limits.rememberedJobs(),
+                operator.maxRequestsInProgress(),
+                limits.cachedJobStatuses(),
                 eventLoop::nowMicros);
         this.peers = new Peers(eventLoop);
         this.loadBalancer = new WorkerLoadBalancer(
--- a/src/main/java/io/sillreel/admission/Admission.java
+++ b/src/main/java/io/sillreel/admission/Admission.java
@@ -48,10 +48,10 @@
     private final StateStore store;
     private final EventLoop eventLoop;
     private final Settings settings;
-    private final Supplier<Map<String, MachineType>> types;
-    private final LiveTaskCounts live;
-    private final Consumer<String> onCancelled;
-    private final JobStatusService views;
+    private final Supplier<Map<String, MachineType>> machineTypes;
+    private final LiveTaskCounts liveTaskCounts;
+    private final Consumer<String> cancellationListener;
+    private final JobStatusService statuses;
 
     /** @param onCancelled told of each cancellation that is stored here, before its user is */
     public Admission(
@@ -65,60 +65,60 @@
         this.store = store;
         this.eventLoop = eventLoop;
         this.settings = settings;
-        this.types = types;
-        this.live = live;
-        this.onCancelled = onCancelled;
-        this.views = new JobStatusService(
-                store, eventLoop, settings.state().maxTransactionChanges(), limits.rememberedJobs());
+        this.machineTypes = types;
+        this.liveTaskCounts = live;
+        this.cancellationListener = onCancelled;
+        this.statuses = new JobStatusService(
+                store, eventLoop, settings.state().maxTransactionChanges(), limits.cachedJobStatuses());
     }
 
     @Override
     public CompletableFuture<HttpResponse> handle(HttpRequest request) {
         String route = request.route();
         if (route.equals(RUNS)) {
-            return request.method().equals("POST") ? submit(request) : done(HttpResponse.error(405, "use POST"));
+            return request.method().equals("POST") ? submit(request) : completed(HttpResponse.error(405, "use POST"));
         }
         String rest = route.substring(RUNS.length() + 1);
         boolean cancel = rest.endsWith("/withdraw");
         String uid = cancel ? rest.substring(0, rest.length() - "/withdraw".length()) : rest;
         if (uid.contains("/")) {
-            return done(HttpResponse.error(404, "no such path"));
+            return completed(HttpResponse.error(404, "no such path"));
         }
         if (!request.method().equals(cancel ? "POST" : "GET")) {
-            return done(HttpResponse.error(405, cancel ? "use POST" : "use GET"));
+            return completed(HttpResponse.error(405, cancel ? "use POST" : "use GET"));
         }
         if (!SubmissionDecoder.isUid(uid)) {
-            return done(HttpResponse.error(404, "no such job"));
+            return completed(HttpResponse.error(404, "no such job"));
         }
         return cancel ? cancel(uid, MAX_TRIES) : poll(uid);
     }
 
     private CompletableFuture<HttpResponse> poll(String uid) {
-        return views.fresh(uid).thenApply(status -> {
+        return statuses.query(uid).thenApply(status -> {
             if (status == null) {
                 return cannotRead();
             }
-            return status.accepted() ? HttpResponse.of(200, answer(status)) : HttpResponse.error(404, "no such job");
+            return status.isAccepted() ? HttpResponse.of(200, answer(status)) : HttpResponse.error(404, "no such job");
         });
     }
 
     private CompletableFuture<HttpResponse> submit(HttpRequest request) {
         JsonNode body = Json.parse(request.body());
         if (!body.isObject()) {
-            return done(HttpResponse.error(400, "the body is not a JSON object"));
+            return completed(HttpResponse.error(400, "the body is not a JSON object"));
         }
         JsonNode named = body.path("uid");
         if (!named.isTextual() || !SubmissionDecoder.isUid(named.asText())) {
-            return done(HttpResponse.error(400, "uid: is not of the form job-000412"));
+            return completed(HttpResponse.error(400, "uid: is not of the form job-000412"));
         }
         String uid = named.asText();
         JobSpec spec;
         try {
             spec = SubmissionDecoder.read(body);
-        } catch (SubmissionDecoder.Malformed e) {
+        } catch (SubmissionDecoder.MalformedSubmissionException e) {
             return unlessKnown(uid, HttpResponse.error(400, e.getMessage()));
         }
-        Map<String, MachineType> known = types.get();
+        Map<String, MachineType> known = machineTypes.get();
         if (known.isEmpty()) {
             return unlessKnown(uid, HttpResponse.retryLater(503, "the machine types are not known yet", 2));
         }
@@ -127,7 +127,7 @@
         if (never.isPresent()) {
             return unlessKnown(uid, HttpResponse.error(422, never.get()));
         }
-        if (views.remembered(uid).accepted()) {
+        if (statuses.cached(uid).isAccepted()) {
             return unlessKnown(uid, cannotRead());
         }
         return admit(spec, MAX_TRIES);
@@ -135,7 +135,7 @@
 
     private CompletableFuture<HttpResponse> admit(JobSpec spec, int tries) {
         if (store.isUnresponsive()) {
-            return done(cannotRead());
+            return completed(cannotRead());
         }
         if (spec.dependencies().isEmpty()) {
             return store(spec, List.of(), tries);
@@ -144,12 +144,12 @@
             return unlessKnown(spec.uid(), tooLarge(spec));
         }
         // Once accepted a job stays so, and that may be remembered; that it never was, only the store can say.
-        return views.fresh(spec.dependencies()).thenCompose(awaited -> {
+        return statuses.query(spec.dependencies()).thenCompose(awaited -> {
             if (awaited.contains(null)) {
-                return done(cannotRead());
+                return completed(cannotRead());
             }
             for (JobStatus each : awaited) {
-                if (!each.accepted()) {
+                if (!each.isAccepted()) {
                     return unlessKnown(
                             spec.uid(), HttpResponse.error(422, "awaits: " + each.uid() + " was never accepted"));
                 }
@@ -205,7 +205,7 @@
         } else {
             // As far as there is room: what is cancelled in this very moment closes the job all the same.
             awaited.stream()
-                    .filter(each -> !each.done())
+                    .filter(each -> !each.isDone())
                     .limit(4L * settings.state().maxTransactionChanges() - 1)
                     .forEach(each -> transaction.requireRevision(CancellationRecord.key(each.uid()), 0));
         }
@@ -213,7 +213,7 @@
     }
 
     private static Optional<JobStatus> firstCancelled(List<JobStatus> awaited) {
-        return awaited.stream().filter(JobStatus::cancelled).findFirst();
+        return awaited.stream().filter(JobStatus::isCancelled).findFirst();
     }
 
     private CompletableFuture<HttpResponse> stored(
@@ -221,11 +221,12 @@
         String uid = spec.uid();
         switch (commit.outcome()) {
             case OK -> {
-                return done(admitted(
+                return completed(admitted(
                         spec, commit.storeRevision(), firstCancelled(awaited).isPresent()));
             }
             case REFUSED -> {
-                return done(HttpResponse.retryLater(503, "the state service does not take the job now", RETRY_SECONDS));
+                return completed(
+                        HttpResponse.retryLater(503, "the state service does not take the job now", RETRY_SECONDS));
             }
             case TOO_LARGE -> {
                 return unlessKnown(uid, tooLarge(spec));
@@ -245,9 +246,9 @@
     }
 
     private HttpResponse admitted(JobSpec spec, long planRevision, boolean cancelled) {
-        JobStatus planned = JobStatusReader.planned(spec.uid(), planRevision, spec);
-        JobStatus status = cancelled ? planned.closedBy() : planned;
-        views.remember(status);
+        JobStatus planned = JobStatusReader.statusOfPlan(spec.uid(), planRevision, spec);
+        JobStatus status = cancelled ? planned.withDependencyCancelled() : planned;
+        statuses.cache(status);
         LOG.info(
                 "admitted {}: {} x {} cpus, {} of {}, rank {}{}",
                 spec.uid(),
@@ -257,7 +258,7 @@
                 spec.team(),
                 spec.priorityClass().wireName(),
                 after(spec.dependencies()));
-        String stage = status.cancelled() ? "withdrawn" : "queued";
+        String stage = status.isCancelled() ? "withdrawn" : "queued";
         return HttpResponse.of(201, Json.object().put("uid", spec.uid()).put("stage", stage));
     }
 
@@ -276,52 +277,52 @@
 
     /** A job that was accepted is answered as such before anything else is held against the request. */
     private CompletableFuture<HttpResponse> unlessKnown(String uid, HttpResponse otherwise) {
-        return views.fresh(uid).thenApply(status -> {
+        return statuses.query(uid).thenApply(status -> {
             if (status == null) {
                 return cannotRead();
             }
-            return status.accepted() ? HttpResponse.of(200, answer(status)) : otherwise;
+            return status.isAccepted() ? HttpResponse.of(200, answer(status)) : otherwise;
         });
     }
 
     private CompletableFuture<HttpResponse> cancel(String uid, int tries) {
         if (tries == 0) {
-            return done(HttpResponse.retryLater(503, "the job is changing too fast", RETRY_SECONDS));
+            return completed(HttpResponse.retryLater(503, "the job is changing too fast", RETRY_SECONDS));
         }
-        return views.fresh(uid).thenCompose(status -> {
+        return statuses.query(uid).thenCompose(status -> {
             if (status == null) {
-                return done(cannotRead());
+                return completed(cannotRead());
             }
-            if (!status.accepted()) {
-                return done(HttpResponse.error(404, "no such job"));
+            if (!status.isAccepted()) {
+                return completed(HttpResponse.error(404, "no such job"));
             }
-            if (status.terminal()) {
-                return done(HttpResponse.of(200, answer(status)));
+            if (status.isTerminal()) {
+                return completed(HttpResponse.of(200, answer(status)));
             }
             String key = CancellationRecord.key(uid);
             // Conditional on the record as read: done and cancelled exclude each other.
             Transaction transaction = new Transaction()
                     .requireRevision(key, 0)
-                    .requireRevision(RunRecord.key(uid), status.runStamp())
+                    .requireRevision(RunRecord.key(uid), status.runRevision())
                     .set(key, Json.object().put("at_us", eventLoop.wallMicros()));
             return store.commit(transaction).thenCompose(commit -> {
                 if (commit.outcome() == StoreOutcome.OK) {
                     JobStatus cancelled = new JobStatus(
                             uid,
-                            status.planStamp(),
+                            status.planRevision(),
                             status.tasks(),
-                            status.awaits(),
-                            status.runStamp(),
-                            status.head(),
+                            status.dependencies(),
+                            status.runRevision(),
+                            status.runHead(),
                             commit.storeRevision(),
                             false);
-                    views.remember(cancelled);
+                    statuses.cache(cancelled);
                     LOG.info("cancelled {}", uid);
-                    onCancelled.accept(uid);
-                    return done(HttpResponse.of(200, answer(cancelled)));
+                    cancellationListener.accept(uid);
+                    return completed(HttpResponse.of(200, answer(cancelled)));
                 }
                 if (commit.outcome() == StoreOutcome.REFUSED) {
-                    return done(cannotRead());
+                    return completed(cannotRead());
                 }
                 return cancel(uid, tries - 1);
             });
@@ -329,14 +330,14 @@
     }
 
     private ObjectNode answer(JobStatus status) {
-        return status.answer(status.terminal() ? null : live.countsOf(status.uid()));
+        return status.answer(status.isTerminal() ? null : liveTaskCounts.countsOf(status.uid()));
     }
 
     private static HttpResponse cannotRead() {
         return HttpResponse.retryLater(503, "the state service can't be asked now", RETRY_SECONDS);
     }
 
-    private static CompletableFuture<HttpResponse> done(HttpResponse response) {
+    private static CompletableFuture<HttpResponse> completed(HttpResponse response) {
         return CompletableFuture.completedFuture(response);
     }
 }
--- a/src/main/java/io/sillreel/admission/JobStatus.java
+++ b/src/main/java/io/sillreel/admission/JobStatus.java
@@ -7,79 +7,81 @@
 import java.util.List;
 
 /**
- * What this controller last read of a job; stamps are 0 for keys that did not exist then.
+ * What this controller last read of a job; revisions are 0 for keys that did not exist then.
  *
- * @param awaits the jobs that have to be done before this one
- * @param closed something that it awaits, directly or through others, is cancelled
+ * @param dependencies the jobs that have to be done before this one
+ * @param dependencyCancelled true if a job that it depends on, directly or transitively, is cancelled
  */
 record JobStatus(
         String uid,
-        long planStamp,
+        long planRevision,
         int tasks,
-        List<String> awaits,
-        long runStamp,
-        RunRecord.Head head,
-        long cancellationStamp,
-        boolean closed) {
+        List<String> dependencies,
+        long runRevision,
+        RunRecord.Head runHead,
+        long cancellationRevision,
+        boolean dependencyCancelled) {
     static JobStatus unknown(String uid) {
         return new JobStatus(uid, 0, 0, List.of(), 0, null, 0, false);
     }
 
-    boolean accepted() {
-        return planStamp > 0;
+    boolean isAccepted() {
+        return planRevision > 0;
     }
 
-    boolean done() {
-        return head != null && head.isDone();
+    boolean isDone() {
+        return runHead != null && runHead.isDone();
     }
 
     /** Cancelled by itself, or with what it needs: whatever follows a cancelled job is never released. */
-    boolean cancelled() {
-        return cancellationStamp > 0 || closed;
+    boolean isCancelled() {
+        return cancellationRevision > 0 || dependencyCancelled;
     }
 
     /** A stored terminal state never changes, so it may be told without asking the store again. */
-    boolean terminal() {
-        return done() || cancelled();
+    boolean isTerminal() {
+        return isDone() || isCancelled();
     }
 
     /** True if its state depends on that of other jobs: once it has been released, all of them are done. */
-    boolean awaitsOthers() {
-        return !awaits.isEmpty() && runStamp == 0 && !cancelled();
+    boolean isWaitingForDependencies() {
+        return !dependencies.isEmpty() && runRevision == 0 && !isCancelled();
     }
 
-    JobStatus closedBy() {
-        return new JobStatus(uid, planStamp, tasks, awaits, runStamp, head, cancellationStamp, true);
+    JobStatus withDependencyCancelled() {
+        return new JobStatus(uid, planRevision, tasks, dependencies, runRevision, runHead, cancellationRevision, true);
     }
 
     /** What both know together; neither can be newer than the other in everything. */
-    JobStatus with(JobStatus old) {
-        boolean runOlder = runStamp < old.runStamp();
+    JobStatus mergedWith(JobStatus old) {
+        boolean runOlder = runRevision < old.runRevision();
         return new JobStatus(
                 uid,
-                Math.max(planStamp, old.planStamp()),
+                Math.max(planRevision, old.planRevision()),
                 Math.max(tasks, old.tasks()),
-                awaits.isEmpty() ? old.awaits() : awaits,
-                Math.max(runStamp, old.runStamp()),
-                runOlder ? old.head() : head,
-                Math.max(cancellationStamp, old.cancellationStamp()),
-                closed || old.closed());
+                dependencies.isEmpty() ? old.dependencies() : dependencies,
+                Math.max(runRevision, old.runRevision()),
+                runOlder ? old.runHead() : runHead,
+                Math.max(cancellationRevision, old.cancellationRevision()),
+                dependencyCancelled || old.dependencyCancelled());
     }
 
     /** The users' picture of the job; live counts, if there are any, are newer than the record's. */
     ObjectNode answer(LiveTaskCounts.Counts live) {
         ObjectNode node = Json.object().put("uid", uid);
-        if (cancelled()) {
+        if (isCancelled()) {
             return node.put("stage", "withdrawn")
-                    .put("done", head == null ? 0 : head.doneTasks())
+                    .put("done", runHead == null ? 0 : runHead.doneTasks())
                     .put("running", 0);
         }
-        if (done()) {
-            return node.put("stage", RunRecord.DONE).put("done", head.tasks()).put("running", 0);
+        if (isDone()) {
+            return node.put("stage", RunRecord.DONE)
+                    .put("done", runHead.tasks())
+                    .put("running", 0);
         }
-        int running = live != null ? live.running() : head == null ? 0 : head.runningTasks();
-        int done = live != null ? live.done() : head == null ? 0 : head.doneTasks();
-        String reason = live != null ? live.reason() : head == null ? null : head.reason();
+        int running = live != null ? live.running() : runHead == null ? 0 : runHead.runningTasks();
+        int done = live != null ? live.done() : runHead == null ? 0 : runHead.doneTasks();
+        String reason = live != null ? live.reason() : runHead == null ? null : runHead.reason();
         node.put("stage", running > 0 ? "running" : "queued").put("done", done).put("running", running);
         if (reason != null) {
             node.put("reason", reason);
--- a/src/main/java/io/sillreel/admission/JobStatusReader.java
+++ b/src/main/java/io/sillreel/admission/JobStatusReader.java
@@ -26,23 +26,23 @@
 /** Reads what is stored of jobs into the views that {@link JobStatusService} remembers. */
 final class JobStatusReader {
     /** What a view of a job that awaits others takes from its plan, which never changes. */
-    private record ChainPlan(long stamp, int tasks, List<String> awaits) {}
+    private record DependentPlan(long revision, int tasks, List<String> dependencies) {}
 
     private final StateStore store;
     private final JobStatusService views;
-    private final int maxChainPlans;
+    private final int maxDependentPlans;
     /** The reading of all plans that is under way; whoever asks meanwhile is answered from it. */
-    private CompletableFuture<Optional<Map<String, ChainPlan>>> allPlans;
+    private CompletableFuture<Optional<Map<String, DependentPlan>>> pendingScan;
 
     /** @param maxChainPlans how many plans of jobs that await others may be held at once */
     JobStatusReader(StateStore store, JobStatusService views, int maxChainPlans) {
         this.store = store;
         this.views = views;
-        this.maxChainPlans = maxChainPlans;
+        this.maxDependentPlans = maxChainPlans;
     }
 
     /** Reads all plans once, and what the given jobs need from them; the beginnings of chains are read one by one. */
-    CompletableFuture<Boolean> learnFromAllPlans(Set<String> uids) {
+    CompletableFuture<Boolean> loadFromAllPlans(Set<String> uids) {
         return readAllPlans().thenCompose(plans -> {
             if (plans.isEmpty()) {
                 return CompletableFuture.completedFuture(false);
@@ -52,49 +52,49 @@
             Set<String> seen = new HashSet<>(uids);
             while (!open.isEmpty()) {
                 String uid = open.poll();
-                ChainPlan plan = plans.get().get(uid);
+                DependentPlan plan = plans.get().get(uid);
                 if (plan == null) {
                     toRead.add(uid);
-                } else if (!views.remembered(uid).accepted()) {
-                    views.remember(planned(uid, plan));
-                    plan.awaits().stream().filter(seen::add).forEach(open::add);
+                } else if (!views.cached(uid).isAccepted()) {
+                    views.cache(statusOfPlan(uid, plan));
+                    plan.dependencies().stream().filter(seen::add).forEach(open::add);
                 }
             }
-            return learn(toRead);
+            return load(toRead);
         });
     }
 
     /** Completes with the plans of jobs that await others, or with nothing if they could not be read or held. */
-    private synchronized CompletableFuture<Optional<Map<String, ChainPlan>>> readAllPlans() {
-        if (allPlans != null) {
-            return allPlans;
+    private synchronized CompletableFuture<Optional<Map<String, DependentPlan>>> readAllPlans() {
+        if (pendingScan != null) {
+            return pendingScan;
         }
-        Map<String, ChainPlan> plans = new HashMap<>();
-        CompletableFuture<Optional<Map<String, ChainPlan>>> reading = new CompletableFuture<>();
-        allPlans = reading;
+        Map<String, DependentPlan> plans = new HashMap<>();
+        CompletableFuture<Optional<Map<String, DependentPlan>>> reading = new CompletableFuture<>();
+        pendingScan = reading;
         store.scan(PlanRecord.PREFIX, page -> {
-                    page.forEach(entry -> addChainPlan(plans, entry));
-                    return CompletableFuture.completedFuture(plans.size() <= maxChainPlans);
+                    page.forEach(entry -> addDependentPlan(plans, entry));
+                    return CompletableFuture.completedFuture(plans.size() <= maxDependentPlans);
                 })
                 .thenAccept(scan -> {
                     synchronized (this) {
-                        allPlans = null;
+                        pendingScan = null;
                     }
                     reading.complete(scan.outcome() == StoreOutcome.OK ? Optional.of(plans) : Optional.empty());
                 });
         return reading;
     }
 
-    private static void addChainPlan(Map<String, ChainPlan> plans, StoredEntry entry) {
+    private static void addDependentPlan(Map<String, DependentPlan> plans, StoredEntry entry) {
         PlanRecord plan = PlanRecordCodec.decode(entry.value());
         JobSpec spec = plan.spec();
         if (plan.isComplete() && !spec.dependencies().isEmpty()) {
-            plans.put(spec.uid(), new ChainPlan(entry.revision(), spec.tasks(), spec.dependencies()));
+            plans.put(spec.uid(), new DependentPlan(entry.revision(), spec.tasks(), spec.dependencies()));
         }
     }
 
     /** Reads what is stored of the jobs; false if that can't be said of one of them. */
-    CompletableFuture<Boolean> learn(Collection<String> uids) {
+    CompletableFuture<Boolean> load(Collection<String> uids) {
         List<CompletableFuture<Boolean>> each = new ArrayList<>();
         uids.forEach(uid -> each.add(read(uid)));
         return CompletableFuture.allOf(each.toArray(CompletableFuture[]::new))
@@ -112,11 +112,11 @@
             }
             JobStatus status = planned.join().get();
             StoredEntry head = run.join().entry();
-            views.remember(new JobStatus(
+            views.cache(new JobStatus(
                     uid,
-                    status.planStamp(),
+                    status.planRevision(),
                     status.tasks(),
-                    status.awaits(),
+                    status.dependencies(),
                     run.join().revision(),
                     head == null ? null : RunRecord.Head.fromJson(head.value()),
                     cancel.join().revision(),
@@ -127,8 +127,8 @@
 
     /** What the plan says of a job, read unless it is remembered; empty if that can't be said. */
     private CompletableFuture<Optional<JobStatus>> readPlan(String uid) {
-        JobStatus old = views.remembered(uid);
-        if (old.accepted()) {
+        JobStatus old = views.cached(uid);
+        if (old.isAccepted()) {
             return CompletableFuture.completedFuture(Optional.of(old));
         }
         return store.get(PlanRecord.key(uid)).thenCompose(read -> {
@@ -139,16 +139,16 @@
                 return CompletableFuture.completedFuture(Optional.of(old));
             }
             return PlanOverflow.load(PlanRecordCodec.decode(read.entry().value()), store)
-                    .thenApply(plan -> plan.map(whole -> planned(uid, read.revision(), whole.spec())));
+                    .thenApply(plan -> plan.map(whole -> statusOfPlan(uid, read.revision(), whole.spec())));
         });
     }
 
-    private static JobStatus planned(String uid, ChainPlan plan) {
-        return new JobStatus(uid, plan.stamp(), plan.tasks(), plan.awaits(), 0, null, 0, false);
+    private static JobStatus statusOfPlan(String uid, DependentPlan plan) {
+        return new JobStatus(uid, plan.revision(), plan.tasks(), plan.dependencies(), 0, null, 0, false);
     }
 
     /** What is known of a job by its plan alone. */
-    static JobStatus planned(String uid, long planRevision, JobSpec spec) {
-        return planned(uid, new ChainPlan(planRevision, spec.tasks(), spec.dependencies()));
+    static JobStatus statusOfPlan(String uid, long planRevision, JobSpec spec) {
+        return statusOfPlan(uid, new DependentPlan(planRevision, spec.tasks(), spec.dependencies()));
     }
 }
--- a/src/main/java/io/sillreel/admission/JobStatusService.java
+++ b/src/main/java/io/sillreel/admission/JobStatusService.java
@@ -30,50 +30,50 @@
  * cancelled.
  */
 final class JobStatusService {
-    private static final long GATHER_MICROS = 4_000;
+    private static final long MIN_BATCH_DELAY_MICROS = 4_000;
     /** What takes many transactions, as long chains do, is asked for the more questions together, the longer it is. */
-    private static final long GATHER_PER_PART_MICROS = 40_000;
+    private static final long BATCH_DELAY_PER_TRANSACTION_MICROS = 40_000;
 
-    private static final long MAX_GATHER_MICROS = 800_000;
-    private static final int BATCHES_AT_ONCE = 2;
-    private static final int MAX_PER_BATCH = 40;
+    private static final long MAX_BATCH_DELAY_MICROS = 800_000;
+    private static final int MAX_BATCHES_IN_FLIGHT = 2;
+    private static final int MAX_QUERIES_PER_BATCH = 40;
     /** How many steps of a chain are read one by one. */
-    private static final int MAX_STEPS = 4;
+    private static final int MAX_SINGLE_READ_ROUNDS = 4;
     /** What is kept of a plan while all of them are read takes less than a view, and is kept for seconds. */
-    private static final int MAX_CHAIN_PLANS_FACTOR = 4;
+    private static final int DEPENDENT_PLANS_PER_CACHED_STATUS = 4;
     /** A user who polls waits for 2 s. */
-    private static final long GIVE_UP_MICROS = 1_900_000;
+    private static final long QUERY_TIMEOUT_MICROS = 1_900_000;
 
-    private record Question(String uid, long askedMicros, int rounds, CompletableFuture<JobStatus> answer) {
-        Question again() {
-            return new Question(uid, askedMicros, rounds + 1, answer);
+    private record Query(String uid, long askedMicros, int rounds, CompletableFuture<JobStatus> answer) {
+        Query again() {
+            return new Query(uid, askedMicros, rounds + 1, answer);
         }
     }
 
     /** A question that is being confirmed: what was thought of its job, and the keys that this rests on. */
-    private record Compared(Question question, JobStatus view, Set<String> keys) {}
+    private record ComparedStatus(Query question, JobStatus view, Set<String> keys) {}
 
     private final StateStore store;
     private final EventLoop eventLoop;
-    private final int mostConditions;
+    private final int maxConditions;
     private final JobStatusReader reader;
     /**
      * The views that were used last; one that is forgotten costs three reads, one that is kept a part of a comparison.
      */
-    private final Map<String, JobStatus> views;
+    private final Map<String, JobStatus> statuses;
 
-    private final Deque<Question> questions = new ArrayDeque<>();
-    private int batches;
-    private boolean gathering;
-    private long gatherMicros = GATHER_MICROS;
+    private final Deque<Query> pendingQueries = new ArrayDeque<>();
+    private int batchesInFlight;
+    private boolean isBatchScheduled;
+    private long batchDelayMicros = MIN_BATCH_DELAY_MICROS;
 
     /** @param maxRemembered how many views are kept */
     JobStatusService(StateStore store, EventLoop eventLoop, int txnOps, int maxRemembered) {
         this.store = store;
         this.eventLoop = eventLoop;
-        this.mostConditions = 4 * txnOps;
-        this.reader = new JobStatusReader(store, this, MAX_CHAIN_PLANS_FACTOR * maxRemembered);
-        this.views = new LinkedHashMap<>(64, 0.75f, true) {
+        this.maxConditions = 4 * txnOps;
+        this.reader = new JobStatusReader(store, this, DEPENDENT_PLANS_PER_CACHED_STATUS * maxRemembered);
+        this.statuses = new LinkedHashMap<>(64, 0.75f, true) {
             private static final long serialVersionUID = 1L;
 
             @Override
@@ -83,24 +83,24 @@
         };
     }
 
-    synchronized JobStatus remembered(String uid) {
-        JobStatus status = views.get(uid);
+    synchronized JobStatus cached(String uid) {
+        JobStatus status = statuses.get(uid);
         return status == null ? JobStatus.unknown(uid) : status;
     }
 
     /** Remembers a view unless what is remembered is newer. */
-    synchronized void remember(JobStatus status) {
-        JobStatus merged = status.with(remembered(status.uid()));
-        if (merged.accepted()) {
-            views.put(status.uid(), merged);
+    synchronized void cache(JobStatus status) {
+        JobStatus merged = status.mergedWith(cached(status.uid()));
+        if (merged.isAccepted()) {
+            statuses.put(status.uid(), merged);
         }
     }
 
     /** A view read after this call, or a terminal one; null if the store could not be asked. */
-    CompletableFuture<JobStatus> fresh(String uid) {
+    CompletableFuture<JobStatus> query(String uid) {
         synchronized (this) {
-            JobStatus status = remembered(uid);
-            if (status.terminal()) {
+            JobStatus status = cached(uid);
+            if (status.isTerminal()) {
                 return CompletableFuture.completedFuture(status);
             }
             if (store.isUnresponsive()) {
@@ -108,32 +108,32 @@
             }
         }
         CompletableFuture<JobStatus> answer = new CompletableFuture<>();
-        ask(new Question(uid, eventLoop.nowMicros(), 0, answer));
+        ask(new Query(uid, eventLoop.nowMicros(), 0, answer));
         return answer;
     }
 
     /** Views of several jobs, in their order; null for each that the store could not be asked about. */
-    CompletableFuture<List<JobStatus>> fresh(Collection<String> uids) {
+    CompletableFuture<List<JobStatus>> query(Collection<String> uids) {
         List<CompletableFuture<JobStatus>> each = new ArrayList<>();
-        uids.forEach(uid -> each.add(fresh(uid)));
+        uids.forEach(uid -> each.add(query(uid)));
         return CompletableFuture.allOf(each.toArray(CompletableFuture[]::new))
                 .thenApply(all -> each.stream().map(CompletableFuture::join).toList());
     }
 
-    private void ask(Question question) {
+    private void ask(Query question) {
         synchronized (this) {
-            questions.add(question);
-            if (gathering || batches >= BATCHES_AT_ONCE) {
+            pendingQueries.add(question);
+            if (isBatchScheduled || batchesInFlight >= MAX_BATCHES_IN_FLIGHT) {
                 return;
             }
-            gathering = true;
+            isBatchScheduled = true;
         }
-        eventLoop.schedule(gatherMicros, this::ask);
+        eventLoop.schedule(batchDelayMicros, this::ask);
     }
 
     /** Once more, with what has been learnt since, unless whoever asked has given up. */
-    private void askAgain(Question question) {
-        if (eventLoop.nowMicros() - question.askedMicros() > GIVE_UP_MICROS) {
+    private void retry(Query question) {
+        if (eventLoop.nowMicros() - question.askedMicros() > QUERY_TIMEOUT_MICROS) {
             question.answer().complete(null);
         } else {
             ask(question.again());
@@ -141,35 +141,35 @@
     }
 
     private void ask() {
-        List<Compared> batch = new ArrayList<>();
+        List<ComparedStatus> batch = new ArrayList<>();
         Map<String, Long> conditions = new LinkedHashMap<>();
-        Map<Question, Set<String>> toLearn = new LinkedHashMap<>();
-        List<Question> closed = new ArrayList<>();
+        Map<Query, Set<String>> toLearn = new LinkedHashMap<>();
+        List<Query> closed = new ArrayList<>();
         synchronized (this) {
-            gathering = false;
-            while (!questions.isEmpty() && batch.size() < MAX_PER_BATCH) {
-                Question question = questions.peek();
-                JobStatus status = remembered(question.uid());
-                Map<String, Long> own = own(status);
+            isBatchScheduled = false;
+            while (!pendingQueries.isEmpty() && batch.size() < MAX_QUERIES_PER_BATCH) {
+                Query question = pendingQueries.peek();
+                JobStatus status = cached(question.uid());
+                Map<String, Long> own = conditionsOf(status);
                 Set<String> unknown = new LinkedHashSet<>();
-                if (status.awaitsOthers() && !addAwaited(status, own, unknown)) {
-                    remember(status.closedBy());
-                    closed.add(questions.poll());
+                if (status.isWaitingForDependencies() && !addDependencyConditions(status, own, unknown)) {
+                    cache(status.withDependencyCancelled());
+                    closed.add(pendingQueries.poll());
                 } else if (!unknown.isEmpty()) {
-                    toLearn.put(questions.poll(), unknown);
-                } else if (batch.isEmpty() || conditions.size() + own.size() <= mostConditions) {
+                    toLearn.put(pendingQueries.poll(), unknown);
+                } else if (batch.isEmpty() || conditions.size() + own.size() <= maxConditions) {
                     conditions.putAll(own);
-                    batch.add(new Compared(questions.poll(), status, own.keySet()));
+                    batch.add(new ComparedStatus(pendingQueries.poll(), status, own.keySet()));
                 } else {
                     break;
                 }
             }
-            batches += batch.isEmpty() ? 0 : 1;
+            batchesInFlight += batch.isEmpty() ? 0 : 1;
         }
-        closed.forEach(question -> question.answer().complete(remembered(question.uid())));
-        toLearn.forEach((question, uids) -> learnAwaited(question, uids).thenAccept(learnt -> {
+        closed.forEach(question -> question.answer().complete(cached(question.uid())));
+        toLearn.forEach((question, uids) -> loadDependencies(question, uids).thenAccept(learnt -> {
             if (learnt) {
-                askAgain(question);
+                retry(question);
             } else {
                 question.answer().complete(null);
             }
@@ -177,33 +177,33 @@
         if (!batch.isEmpty()) {
             compare(conditions).thenAccept(commit -> {
                 synchronized (this) {
-                    batches--;
+                    batchesInFlight--;
                 }
-                settle(batch, commit);
-                askForMore();
+                answerBatch(batch, commit);
+                scheduleNextBatch();
             });
         } else {
-            askForMore();
+            scheduleNextBatch();
         }
     }
 
-    private void askForMore() {
+    private void scheduleNextBatch() {
         synchronized (this) {
-            if (questions.isEmpty() || gathering || batches >= BATCHES_AT_ONCE) {
+            if (pendingQueries.isEmpty() || isBatchScheduled || batchesInFlight >= MAX_BATCHES_IN_FLIGHT) {
                 return;
             }
-            gathering = true;
+            isBatchScheduled = true;
         }
-        eventLoop.schedule(gatherMicros > GATHER_MICROS ? gatherMicros : 0, this::ask);
+        eventLoop.schedule(batchDelayMicros > MIN_BATCH_DELAY_MICROS ? batchDelayMicros : 0, this::ask);
     }
 
-    private static Map<String, Long> own(JobStatus status) {
+    private static Map<String, Long> conditionsOf(JobStatus status) {
         Map<String, Long> own = new LinkedHashMap<>();
-        if (!status.accepted()) {
+        if (!status.isAccepted()) {
             own.put(PlanRecord.key(status.uid()), 0L);
         }
-        own.put(RunRecord.key(status.uid()), status.runStamp());
-        own.put(CancellationRecord.key(status.uid()), status.cancellationStamp());
+        own.put(RunRecord.key(status.uid()), status.runRevision());
+        own.put(CancellationRecord.key(status.uid()), status.cancellationRevision());
         return own;
     }
 
@@ -211,19 +211,19 @@
      * Adds the absence of cancellations of all unfinished jobs that this one needs; false if one of them is known to be
      * cancelled. Who has been released needs nobody any more, and who is done can't be cancelled.
      */
-    private boolean addAwaited(JobStatus status, Map<String, Long> conditions, Set<String> unknown) {
-        Deque<String> open = new ArrayDeque<>(status.awaits());
+    private boolean addDependencyConditions(JobStatus status, Map<String, Long> conditions, Set<String> unknown) {
+        Deque<String> open = new ArrayDeque<>(status.dependencies());
         Set<String> seen = new HashSet<>(open);
         while (!open.isEmpty()) {
-            JobStatus awaited = remembered(open.poll());
-            if (!awaited.accepted()) {
+            JobStatus awaited = cached(open.poll());
+            if (!awaited.isAccepted()) {
                 unknown.add(awaited.uid());
-            } else if (awaited.cancelled()) {
+            } else if (awaited.isCancelled()) {
                 return false;
-            } else if (!awaited.done()) {
+            } else if (!awaited.isDone()) {
                 conditions.put(CancellationRecord.key(awaited.uid()), 0L);
-                if (awaited.awaitsOthers()) {
-                    awaited.awaits().stream().filter(seen::add).forEach(open::add);
+                if (awaited.isWaitingForDependencies()) {
+                    awaited.dependencies().stream().filter(seen::add).forEach(open::add);
                 }
             }
         }
@@ -236,7 +236,7 @@
         Transaction transaction = new Transaction();
         int size = 0;
         for (Map.Entry<String, Long> condition : conditions.entrySet()) {
-            if (size == mostConditions) {
+            if (size == maxConditions) {
                 parts.add(store.commit(transaction));
                 transaction = new Transaction();
                 size = 0;
@@ -245,7 +245,9 @@
             size++;
         }
         parts.add(store.commit(transaction));
-        gatherMicros = Math.min(MAX_GATHER_MICROS, GATHER_MICROS + GATHER_PER_PART_MICROS * (parts.size() - 1));
+        batchDelayMicros = Math.min(
+                MAX_BATCH_DELAY_MICROS,
+                MIN_BATCH_DELAY_MICROS + BATCH_DELAY_PER_TRANSACTION_MICROS * (parts.size() - 1));
         return CompletableFuture.allOf(parts.toArray(CompletableFuture[]::new)).thenApply(all -> {
             StoreOutcome outcome = StoreOutcome.OK;
             List<String> failed = new ArrayList<>();
@@ -259,9 +261,9 @@
         });
     }
 
-    private void settle(List<Compared> batch, CommitResult commit) {
-        for (Compared compared : batch) {
-            Question question = compared.question();
+    private void answerBatch(List<ComparedStatus> batch, CommitResult commit) {
+        for (ComparedStatus compared : batch) {
+            Query question = compared.question();
             switch (commit.outcome()) {
                 case OK -> question.answer().complete(compared.view());
                 case CONFLICT -> {
@@ -272,10 +274,11 @@
                         }
                     }
                     if (moved.isEmpty()) {
-                        askAgain(question);
+                        retry(question);
                     } else {
-                        reader.learn(moved)
-                                .thenAccept(learnt -> answerFrom(question, learnt, moved.contains(question.uid())));
+                        reader.load(moved)
+                                .thenAccept(
+                                        learnt -> answerAfterRead(question, learnt, moved.contains(question.uid())));
                     }
                 }
                 case UNKNOWN -> {
@@ -283,7 +286,8 @@
                     if (store.isUnresponsive()) {
                         question.answer().complete(null);
                     } else {
-                        reader.learn(Set.of(question.uid())).thenAccept(learnt -> answerFrom(question, learnt, true));
+                        reader.load(Set.of(question.uid()))
+                                .thenAccept(learnt -> answerAfterRead(question, learnt, true));
                     }
                 }
                 default -> question.answer().complete(null);
@@ -292,14 +296,14 @@
     }
 
     /** Answers with what has just been read, if that was of the job itself and is all there is to know. */
-    private void answerFrom(Question question, boolean read, boolean ofItself) {
-        JobStatus status = remembered(question.uid());
+    private void answerAfterRead(Query question, boolean read, boolean ofItself) {
+        JobStatus status = cached(question.uid());
         if (!read) {
             question.answer().complete(null);
-        } else if (ofItself && !status.awaitsOthers()) {
+        } else if (ofItself && !status.isWaitingForDependencies()) {
             question.answer().complete(status);
         } else {
-            askAgain(question);
+            retry(question);
         }
     }
 
@@ -308,13 +312,13 @@
      * of a longer one is found in one list of all plans, since a request for each step would take longer than users
      * wait.
      */
-    private CompletableFuture<Boolean> learnAwaited(Question question, Set<String> uids) {
-        if (question.rounds() < MAX_STEPS) {
-            return reader.learn(uids);
+    private CompletableFuture<Boolean> loadDependencies(Query question, Set<String> uids) {
+        if (question.rounds() < MAX_SINGLE_READ_ROUNDS) {
+            return reader.load(uids);
         }
         // Reading all plans may take longer than users wait; what was learnt is there when they ask again.
-        long left = question.askedMicros() + GIVE_UP_MICROS - eventLoop.nowMicros();
+        long left = question.askedMicros() + QUERY_TIMEOUT_MICROS - eventLoop.nowMicros();
         eventLoop.schedule(Math.max(0, left), () -> question.answer().complete(null));
-        return reader.learnFromAllPlans(uids);
+        return reader.loadFromAllPlans(uids);
     }
 }
--- a/src/main/java/io/sillreel/admission/SubmissionDecoder.java
+++ b/src/main/java/io/sillreel/admission/SubmissionDecoder.java
@@ -25,10 +25,10 @@
     private static final double MICROS = 1_000_000;
 
     /** A submission that is malformed; the message says why in plain words. */
-    static final class Malformed extends Exception {
+    static final class MalformedSubmissionException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Malformed(String reason) {
+        MalformedSubmissionException(String reason) {
             super(reason);
         }
     }
@@ -39,19 +39,19 @@
         return UID.matcher(text).matches();
     }
 
-    static JobSpec read(JsonNode body) throws Malformed {
+    static JobSpec read(JsonNode body) throws MalformedSubmissionException {
         String uid = text(body, "uid");
         if (!isUid(uid)) {
-            throw new Malformed("uid: is not of the form job-000412");
+            throw new MalformedSubmissionException("uid: is not of the form job-000412");
         }
         if (!"sweep".equals(text(body, "form"))) {
-            throw new Malformed("form: only sweep is known");
+            throw new MalformedSubmissionException("form: only sweep is known");
         }
         PriorityClass rank = PriorityClass.fromWireName(text(body, "rank"))
-                .orElseThrow(() -> new Malformed("rank: is not a known rank"));
+                .orElseThrow(() -> new MalformedSubmissionException("rank: is not a known rank"));
         JsonNode tasks = field(body, "pieces");
         if (!tasks.isIntegralNumber() || !tasks.canConvertToInt() || tasks.asInt() < 1 || tasks.asInt() > MAX_TASKS) {
-            throw new Malformed("pieces: is not a whole number from 1 to " + MAX_TASKS);
+            throw new MalformedSubmissionException("pieces: is not a whole number from 1 to " + MAX_TASKS);
         }
         // The first field that is wrong is the one that is told: the order of reading is part of the answer.
         String jobClass = text(body, "lot");
@@ -69,7 +69,7 @@
         return new JobSpec(uid, jobClass, team, urgency, tasks.asInt(), task, placement, awaits(body));
     }
 
-    private static PlacementConstraints placement(JsonNode body) throws Malformed {
+    private static PlacementConstraints placement(JsonNode body) throws MalformedSubmissionException {
         return new PlacementConstraints(
                 texts(body, "builds"),
                 optionalText(body, "yard"),
@@ -79,14 +79,14 @@
     }
 
     /** The jobs to be done first; a name that stands twice counts once. */
-    private static List<String> awaits(JsonNode body) throws Malformed {
+    private static List<String> awaits(JsonNode body) throws MalformedSubmissionException {
         List<String> names = texts(body, "awaits");
         if (names == null) {
             return List.of();
         }
         for (String name : names) {
             if (!isUid(name)) {
-                throw new Malformed("awaits: is not a list of job ids");
+                throw new MalformedSubmissionException("awaits: is not a list of job ids");
             }
         }
         return List.copyOf(new LinkedHashSet<>(names));
@@ -97,7 +97,7 @@
         if (team == null) {
             return Optional.of("crew: there is no team " + spec.team());
         }
-        if (team.cpusMax() > 0 && spec.cpus() > team.cpusMax() || team.gpusMax() > 0 && spec.gpus() > team.gpusMax()) {
+        if (team.maxCpus() > 0 && spec.cpus() > team.maxCpus() || team.maxGpus() > 0 && spec.gpus() > team.maxGpus()) {
             return Optional.of("one task needs more than the limit of team " + spec.team());
         }
         if (spec.zoneAffinity() && spec.maxTasksPerZone() < spec.tasks()) {
@@ -112,27 +112,27 @@
         return fits ? Optional.empty() : Optional.of("a task fits no allowed machine type");
     }
 
-    private static JsonNode field(JsonNode body, String name) throws Malformed {
+    private static JsonNode field(JsonNode body, String name) throws MalformedSubmissionException {
         JsonNode value = body.path(name);
         if (value.isMissingNode() || value.isNull()) {
-            throw new Malformed(name + ": is missing");
+            throw new MalformedSubmissionException(name + ": is missing");
         }
         return value;
     }
 
-    private static String text(JsonNode body, String name) throws Malformed {
+    private static String text(JsonNode body, String name) throws MalformedSubmissionException {
         JsonNode value = field(body, name);
         if (!value.isTextual() || value.asText().isEmpty() || value.asText().length() > LONGEST_TEXT) {
-            throw new Malformed(name + ": is not a text of 1 to " + LONGEST_TEXT + " characters");
+            throw new MalformedSubmissionException(name + ": is not a text of 1 to " + LONGEST_TEXT + " characters");
         }
         return value.asText();
     }
 
-    private static String optionalText(JsonNode body, String name) throws Malformed {
+    private static String optionalText(JsonNode body, String name) throws MalformedSubmissionException {
         return body.hasNonNull(name) ? text(body, name) : null;
     }
 
-    private static List<String> texts(JsonNode body, String name) throws Malformed {
+    private static List<String> texts(JsonNode body, String name) throws MalformedSubmissionException {
         if (!body.hasNonNull(name)) {
             return null;
         }
@@ -140,34 +140,34 @@
         List<String> texts = new ArrayList<>();
         for (JsonNode element : value) {
             if (!element.isTextual()) {
-                throw new Malformed(name + ": is not a list of texts");
+                throw new MalformedSubmissionException(name + ": is not a list of texts");
             }
             texts.add(element.asText());
         }
         if (!value.isArray()) {
-            throw new Malformed(name + ": is not a list of texts");
+            throw new MalformedSubmissionException(name + ": is not a list of texts");
         }
         return List.copyOf(texts);
     }
 
-    private static boolean flag(JsonNode body, String name) throws Malformed {
+    private static boolean flag(JsonNode body, String name) throws MalformedSubmissionException {
         JsonNode value = field(body, name);
         if (!value.isBoolean()) {
-            throw new Malformed(name + ": is not true or false");
+            throw new MalformedSubmissionException(name + ": is not true or false");
         }
         return value.asBoolean();
     }
 
-    private static double amount(JsonNode body, String name) throws Malformed {
+    private static double amount(JsonNode body, String name) throws MalformedSubmissionException {
         JsonNode value = field(body, name);
         double amount = value.asDouble();
         if (!value.isNumber() || !Double.isFinite(amount) || amount < 0 || amount > MAX_AMOUNT) {
-            throw new Malformed(name + ": is not an amount of at least 0");
+            throw new MalformedSubmissionException(name + ": is not an amount of at least 0");
         }
         return amount;
     }
 
-    private static long micros(JsonNode body, String name) throws Malformed {
+    private static long micros(JsonNode body, String name) throws MalformedSubmissionException {
         return Math.round(amount(body, name) * MICROS);
     }
 }
--- a/src/main/java/io/sillreel/cli/Main.java
+++ b/src/main/java/io/sillreel/cli/Main.java
@@ -76,7 +76,7 @@
             names = "--tasks-per-machine",
             paramLabel = "N",
             description = "With --machines: how many tasks run on a machine at once (${DEFAULT-VALUE}).")
-    private double tasksPerMachine = FleetCapacity.USUAL_TASKS;
+    private double tasksPerMachine = FleetCapacity.DEFAULT_TASKS_PER_MACHINE;
 
     @Option(names = "--rehearse", hidden = true, description = "Starts, talks to itself and ends (used by the build).")
     private boolean rehearse;
@@ -151,13 +151,13 @@
     /** Says what the settings allow, under the heap of this very process. */
     private int check(Settings settings) {
         FleetCapacity capacity = new FleetCapacity(limits(settings));
-        if (machines > capacity.machines(tasksPerMachine)) {
+        if (machines > capacity.maxMachines(tasksPerMachine)) {
             throw new SettingsException(
                     "params.resources",
-                    "carry no fleet of " + machines + " machines, but " + capacity.explain(tasksPerMachine));
+                    "carry no fleet of " + machines + " machines, but " + capacity.describe(tasksPerMachine));
         }
         System.out.println("settings are good: " + settings.nodeName() + " in " + settings.area() + ", for "
-                + capacity.explain(tasksPerMachine));
+                + capacity.describe(tasksPerMachine));
         return 0;
     }
 
@@ -178,17 +178,17 @@
         EventLoopGroup group =
                 new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop"), NioIoHandler.newFactory());
         NettyEventLoop loop = new NettyEventLoop(group.next());
-        NettyHttpClient client = new NettyHttpClient(group.next(), CONNECTIONS_PER_ADDRESS, limits.maxAnswerBytes());
-        NettyHttpClient leaseClient = new NettyHttpClient(group.next(), LEASE_CONNECTIONS, limits.maxAnswerBytes());
+        NettyHttpClient client = new NettyHttpClient(group.next(), CONNECTIONS_PER_ADDRESS, limits.maxResponseBytes());
+        NettyHttpClient leaseClient = new NettyHttpClient(group.next(), LEASE_CONNECTIONS, limits.maxResponseBytes());
         Controller controller = new Controller(loop, client, leaseClient, settings, operator, limits);
         NettyHttpServer users = new NettyHttpServer(
                 group,
                 NettyHttpServer.MAX_BODY_BYTES,
-                limits.publicConnections(),
+                limits.maxPublicConnections(),
                 Controller::requestClass,
                 controller.requestQueue(),
-                limits.workerConnections());
-        new NettyHttpServer(group, MAX_BATCH_BYTES, limits.internalConnections())
+                limits.maxWorkerConnections());
+        new NettyHttpServer(group, MAX_BATCH_BYTES, limits.maxInternalConnections())
                 .listen(settings.internalAddress(), controller::handleInternal);
         loop.execute(() -> controller.start(() -> users.bind(settings.publicAddress(), controller::handlePublic)
                 .addListener(bound -> {
--- a/src/main/java/io/sillreel/cluster/Cluster.java
+++ b/src/main/java/io/sillreel/cluster/Cluster.java
@@ -128,8 +128,8 @@
         }
         QuotaUsage.Amount used = usage.ofTeam(spec.team());
         return Math.min(
-                remainingTasks(team.cpusMax(), used.cpus(), spec.cpus()),
-                remainingTasks(team.gpusMax(), used.gpus(), spec.gpus()));
+                remainingTasks(team.maxCpus(), used.cpus(), spec.cpus()),
+                remainingTasks(team.maxGpus(), used.gpus(), spec.gpus()));
     }
 
     private static int remainingTasks(double most, long used, double each) {
--- a/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
@@ -82,7 +82,7 @@
         }
         returnLost(now);
         returnUnreconciled(now);
-        for (Machine machine : capacity.surplusMachines(operator.idleMicros(), now, eventLoop.wallMicros())) {
+        for (Machine machine : capacity.surplusMachines(operator.idleTimeoutMicros(), now, eventLoop.wallMicros())) {
             drain(machine, "it has no work");
         }
     }
--- a/src/main/java/io/sillreel/fleet/ScaleOut.java
+++ b/src/main/java/io/sillreel/fleet/ScaleOut.java
@@ -126,14 +126,15 @@
         for (Machine machine : cluster.machines()) {
             tasks += machine.allocations().size();
         }
-        double tasksPerMachine = Math.max(FleetCapacity.USUAL_TASKS, (double) tasks / Math.max(1, machines));
-        int room = fleetCapacity.machines(tasksPerMachine) - machines - open.machines();
+        double tasksPerMachine =
+                Math.max(FleetCapacity.DEFAULT_TASKS_PER_MACHINE, (double) tasks / Math.max(1, machines));
+        int room = fleetCapacity.maxMachines(tasksPerMachine) - machines - open.machines();
         if (room <= 0 && now - lastFullWarningMicros > FULL_WARNING_INTERVAL_MICROS) {
             lastFullWarningMicros = now;
             LOG.warn(
                     "no more machines are rented: {} are there or asked for, and the controllers carry {}",
                     machines + open.machines(),
-                    fleetCapacity.explain(tasksPerMachine));
+                    fleetCapacity.describe(tasksPerMachine));
         }
         return room;
     }
--- a/src/main/java/io/sillreel/leadership/LeaderReachability.java
+++ b/src/main/java/io/sillreel/leadership/LeaderReachability.java
@@ -64,7 +64,7 @@
         if (peers.isStoreReachableElsewhere()) {
             return true;
         }
-        return settings.controllers() > 1 && peers.isNoneHeard() && redirectedMachines.add(machine);
+        return settings.controllerCount() > 1 && peers.isNoneHeard() && redirectedMachines.add(machine);
     }
 
     /**
@@ -87,7 +87,7 @@
             boolean cancellationsUnknown = stateLoaded && now - cancellationProofMicros > CANCELLATIONS_UNKNOWN_MICROS;
             if (cancellationsUnknown || writesStuck) {
                 // The lease is held and nothing comes of it; whoever begins anew from what is stored is better off.
-                if (settings.controllers() > 1) {
+                if (settings.controllerCount() > 1) {
                     leadership.pauseCandidacy(CANDIDACY_PAUSE_MICROS);
                 }
                 leadership.resign(
@@ -98,10 +98,12 @@
             }
         }
         boolean heardElsewhere = peers.recentHellos().stream().anyMatch(peer -> peer.unansweredHeartbeats() > 0);
-        if (heardElsewhere || peers.recentHellos().size() < settings.controllers() - 1 || !leadership.isLeaseValid()) {
+        if (heardElsewhere
+                || peers.recentHellos().size() < settings.controllerCount() - 1
+                || !leadership.isLeaseValid()) {
             lastDisruptionMicros = now;
         }
-        if (settings.controllers() == 1 || !heardElsewhere && !peers.isNoneHeard()) {
+        if (settings.controllerCount() == 1 || !heardElsewhere && !peers.isNoneHeard()) {
             // Nobody else could lead, or nobody hears a worker, so there is none to hear.
             return;
         }
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -168,7 +168,10 @@
     }
 
     private static RetrySchedule retrySchedule(OperatorProperties operator) {
-        return new RetrySchedule(operator.retryInitialMicros(), operator.retryMaximumMicros(), operator.parkedMicros());
+        return new RetrySchedule(
+                operator.retryInitialDelayMicros(),
+                operator.retryMaxDelayMicros(),
+                operator.parkedRetryIntervalMicros());
     }
 
     /** Begins to read what is stored. */
--- a/src/main/java/io/sillreel/limits/FleetCapacity.java
+++ b/src/main/java/io/sillreel/limits/FleetCapacity.java
@@ -8,7 +8,7 @@
  */
 public record FleetCapacity(ProcessLimits limits) {
     /** A machine type of unknown size is thought to run so many tasks. */
-    public static final double USUAL_TASKS = 8;
+    public static final double DEFAULT_TASKS_PER_MACHINE = 8;
 
     /** What is in the heap whatever the fleet is, and the part of the rest that lasting objects may take. */
     private static final long BASE_BYTES = 5 << 20;
@@ -22,32 +22,32 @@
     private static final long CONNECTION_BYTES = 4_000;
 
     /** How many workers can report while one of several controllers is away. */
-    public int bySockets() {
-        return limits.workerConnections() * Math.max(1, limits.peers());
+    public int maxMachinesBySockets() {
+        return limits.maxWorkerConnections() * Math.max(1, limits.otherControllers());
     }
 
     /** How many machines a leader that is left alone can hold, with so many tasks on each. */
-    public int byMemory(double tasksPerMachine) {
-        double usable = (limits.heapBytes() - BASE_BYTES) * USABLE_PART;
+    public int maxMachinesByMemory(double tasksPerMachine) {
+        double usable = (limits.maxHeapBytes() - BASE_BYTES) * USABLE_PART;
         return (int) (usable / (MACHINE_BYTES + CONNECTION_BYTES + TASK_BYTES * tasksPerMachine));
     }
 
     /** The most machines that both allow. */
-    public int machines(double tasksPerMachine) {
-        return Math.min(bySockets(), byMemory(tasksPerMachine));
+    public int maxMachines(double tasksPerMachine) {
+        return Math.min(maxMachinesBySockets(), maxMachinesByMemory(tasksPerMachine));
     }
 
     /** Says in one line what bounds the fleet, with the numbers. */
-    public String explain(double tasksPerMachine) {
+    public String describe(double tasksPerMachine) {
         String text = "%d machines: %d by sockets (max_sockets %d, %d controllers of which one may be away), "
                 + "%d by memory (heap of %d MB, %.0f tasks on each)";
         return text.formatted(
-                machines(tasksPerMachine),
-                bySockets(),
+                maxMachines(tasksPerMachine),
+                maxMachinesBySockets(),
                 limits.maxSockets(),
-                limits.peers() + 1,
-                byMemory(tasksPerMachine),
-                limits.heapBytes() >> 20,
+                limits.otherControllers() + 1,
+                maxMachinesByMemory(tasksPerMachine),
+                limits.maxHeapBytes() >> 20,
                 tasksPerMachine);
     }
 }
--- a/src/main/java/io/sillreel/limits/ProcessLimits.java
+++ b/src/main/java/io/sillreel/limits/ProcessLimits.java
@@ -7,11 +7,11 @@
  * the number of jobs is bounded by a constant: what there is to hold decides, and {@code docs/scale.md} lists each
  * bound with what happens beyond it.
  *
- * @param heapBytes what the heap may grow to
+ * @param maxHeapBytes size that the heap may grow to, in bytes
  * @param maxSockets open sockets that the platform allows
- * @param peers the other controllers
+ * @param otherControllers number of the other controllers of the deployment
  */
-public record ProcessLimits(long heapBytes, int maxSockets, int peers) {
+public record ProcessLimits(long maxHeapBytes, int maxSockets, int otherControllers) {
     /** The part of the heap that remembered jobs may take. */
     private static final int REMEMBERED_PART = 8;
     /** A remembered job with its texts and its place in the map. */
@@ -46,37 +46,37 @@
     }
 
     /** How many jobs a controller remembers as it last saw them. */
-    public int rememberedJobs() {
-        return (int) Math.max(MIN_REMEMBERED_JOBS, heapBytes / REMEMBERED_PART / REMEMBERED_JOB_BYTES);
+    public int cachedJobStatuses() {
+        return (int) Math.max(MIN_REMEMBERED_JOBS, maxHeapBytes / REMEMBERED_PART / REMEMBERED_JOB_BYTES);
     }
 
     /** What the requests that wait for their turn may hold in all. */
-    public long waitingRequestBytes() {
-        return Math.max(MIN_WAITING_BYTES, heapBytes / WAITING_PART);
+    public long queuedRequestBytes() {
+        return Math.max(MIN_WAITING_BYTES, maxHeapBytes / WAITING_PART);
     }
 
     /** What the last changes of the state service may take that a controller remembers. */
     public long recentChangeBytes() {
-        return heapBytes / RECENT_CHANGES_PART;
+        return maxHeapBytes / RECENT_CHANGES_PART;
     }
 
     /** The largest answer that is taken in. */
-    public int maxAnswerBytes() {
-        return (int) Math.min(Integer.MAX_VALUE / 2, Math.max(MIN_ANSWER_BYTES, heapBytes / ANSWER_PART));
+    public int maxResponseBytes() {
+        return (int) Math.min(Integer.MAX_VALUE / 2, Math.max(MIN_ANSWER_BYTES, maxHeapBytes / ANSWER_PART));
     }
 
     /** Connections of users, workers and health checks. */
-    public int publicConnections() {
+    public int maxPublicConnections() {
         return (int) (maxSockets * PUBLIC_PART);
     }
 
     /** Of the public connections those that workers may have. */
-    public int workerConnections() {
-        return (int) (publicConnections() * WORKERS_PART);
+    public int maxWorkerConnections() {
+        return (int) (maxPublicConnections() * WORKERS_PART);
     }
 
     /** Connections of other controllers and of operators. */
-    public int internalConnections() {
-        return Math.max(MIN_INTERNAL_CONNECTIONS, CONNECTIONS_PER_PEER * peers);
+    public int maxInternalConnections() {
+        return Math.max(MIN_INTERNAL_CONNECTIONS, CONNECTIONS_PER_PEER * otherControllers);
     }
 }
--- a/src/main/java/io/sillreel/placement/Preemption.java
+++ b/src/main/java/io/sillreel/placement/Preemption.java
@@ -189,7 +189,7 @@
                         - QuotaUsage.toMilli(
                                 cluster.team(name) == null
                                         ? 0
-                                        : cluster.team(name).cpus()));
+                                        : cluster.team(name).guaranteedCpus()));
     }
 
     private int stop(JobSpec spec, int needed, List<Machine> allowed, Predicate<Allocation> may) {
--- a/src/main/java/io/sillreel/placement/QueueOrder.java
+++ b/src/main/java/io/sillreel/placement/QueueOrder.java
@@ -121,7 +121,8 @@
             }
             claimed.add(job.spec(), job.spec().tasks());
             QuotaUsage.Amount sum = claimed.ofTeam(job.spec().team());
-            if (sum.cpus() <= QuotaUsage.toMilli(team.cpus()) && sum.gpus() <= QuotaUsage.toMilli(team.gpus())) {
+            if (sum.cpus() <= QuotaUsage.toMilli(team.guaranteedCpus())
+                    && sum.gpus() <= QuotaUsage.toMilli(team.guaranteedGpus())) {
                 within.add(job);
             }
         }
--- a/src/main/java/io/sillreel/recovery/StoreRebuild.java
+++ b/src/main/java/io/sillreel/recovery/StoreRebuild.java
@@ -204,7 +204,7 @@
 
     private void judge() {
         Optional<String> reason = survivors
-                .incomplete(members(), restorer.kept(), history.peaks(), 2 * settings.skewMicros())
+                .incomplete(members(), restorer.kept(), history.peaks(), 2 * settings.clockSkewMicros())
                 .or(() -> restorer.tooLarge().map(key -> key + " is larger than the state service takes now"));
         if (reason.isEmpty() || lossAccepted) {
             close();
--- a/src/main/java/io/sillreel/settings/OperatorProperties.java
+++ b/src/main/java/io/sillreel/settings/OperatorProperties.java
@@ -12,21 +12,21 @@
  * The operators' own settings: Java properties, all optional, durations in whole milliseconds. A key that isn't known
  * is an error, since a misspelt one would otherwise be believed to work.
  *
- * @param stateLeaseMicros life of the lease that the leader key sits on
- * @param idleMicros how long a machine may be without work before it is returned
- * @param retryInitialMicros first backoff after an attempt that the job caused
- * @param retryMaximumMicros longest backoff of the stored schedule
- * @param parkedMicros interval at which a parked job is tried again
- * @param maxRequests upper bound of the adaptive limit on requests in progress
+ * @param leaderLeaseMicros time to live of the lease that the leader key is bound to
+ * @param idleTimeoutMicros how long a machine may be without work before it is returned
+ * @param retryInitialDelayMicros first backoff after an attempt that the job caused
+ * @param retryMaxDelayMicros longest backoff of the stored schedule
+ * @param parkedRetryIntervalMicros interval at which a parked job is tried again
+ * @param maxRequestsInProgress upper bound of the adaptive limit on requests in progress
  * @param recovery what is done about a state service that has lost writes
  */
 public record OperatorProperties(
-        long stateLeaseMicros,
-        long idleMicros,
-        long retryInitialMicros,
-        long retryMaximumMicros,
-        long parkedMicros,
-        int maxRequests,
+        long leaderLeaseMicros,
+        long idleTimeoutMicros,
+        long retryInitialDelayMicros,
+        long retryMaxDelayMicros,
+        long parkedRetryIntervalMicros,
+        int maxRequestsInProgress,
         RecoveryProperties recovery) {
 
     /**
--- a/src/main/java/io/sillreel/settings/Settings.java
+++ b/src/main/java/io/sillreel/settings/Settings.java
@@ -15,7 +15,7 @@
         String cloudAddress,
         String stateAddress,
         List<String> zones,
-        long skewMicros,
+        long clockSkewMicros,
         Map<String, Team> teams,
         List<Objective> objectives,
         WorkerTimes workers,
@@ -27,7 +27,7 @@
     public record Member(String nodeName, String area, String address) {}
 
     /** A team's guarantee and limit; a maximum of 0 means no limit. */
-    public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
+    public record Team(String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {}
 
     /** One of the users' aims for starting or finishing, as far as it steers the order of work. */
     public record Objective(String kind, String jobClass, long withinMicros, double share) {}
@@ -39,7 +39,7 @@
      * What the state service takes. It may lower its limits at any moment to what was announced, so what is written is
      * never larger than both allow; rates are the present ones, and follow what is refused.
      *
-     * @param txnOps the smaller of the present limit and the announced one
+     * @param maxTransactionChanges the smaller of the present limit and the announced one
      */
     public record StateLimits(
             double requestsPerSecond, double writesPerSecond, ValueLimits values, int maxTransactionChanges) {}
@@ -51,7 +51,7 @@
     public record Resources(double cores, double memoryMb, int maxSockets) {}
 
     /** All controllers, this one included. */
-    public int controllers() {
+    public int controllerCount() {
         return members.size() + 1;
     }
 
--- a/src/main/java/io/sillreel/settings/SettingsReader.java
+++ b/src/main/java/io/sillreel/settings/SettingsReader.java
@@ -119,10 +119,10 @@
                     section.amountOr("cpus_max", 0),
                     section.amountOr("gpus", 0),
                     section.amountOr("gpus_max", 0));
-            if (team.cpusMax() > 0 && team.cpusMax() < team.cpus()) {
+            if (team.maxCpus() > 0 && team.maxCpus() < team.guaranteedCpus()) {
                 throw new SettingsException(section.name("cpus_max"), "is below cpus");
             }
-            if (team.gpusMax() > 0 && team.gpusMax() < team.gpus()) {
+            if (team.maxGpus() > 0 && team.maxGpus() < team.guaranteedGpus()) {
                 throw new SettingsException(section.name("gpus_max"), "is below gpus");
             }
             teams.put(team.name(), team);
--- a/src/test/java/io/sillreel/admission/JobStatusServiceTest.java
+++ b/src/test/java/io/sillreel/admission/JobStatusServiceTest.java
@@ -25,7 +25,7 @@
     private final StateStore store;
     private int jobs;
 
-    JobStatusServiceTest() throws SubmissionDecoder.Malformed {
+    JobStatusServiceTest() throws SubmissionDecoder.MalformedSubmissionException {
         network.listen("state:1", new SimStateStore(time, 100, 8192, 10_000));
         store = network.stateStore(process, 1_000, 10_000);
         for (int step = 0; step < CHAIN; step++) {
@@ -34,7 +34,7 @@
     }
 
     /** Stores the plan of one more job, which awaits the one before or nothing. */
-    private void addJob(boolean awaits) throws SubmissionDecoder.Malformed {
+    private void addJob(boolean awaits) throws SubmissionDecoder.MalformedSubmissionException {
         ObjectNode job = SimCluster.job("job-%06d".formatted(++jobs), 1);
         if (awaits) {
             job.putArray("awaits").add("job-%06d".formatted(jobs - 1));
@@ -46,15 +46,15 @@
 
     private CompletableFuture<JobStatus> askForTheEndOfTheChain() {
         CompletableFuture<JobStatus> answer =
-                new JobStatusService(store, process, 20, REMEMBERED).fresh("job-%06d".formatted(CHAIN));
+                new JobStatusService(store, process, 20, REMEMBERED).query("job-%06d".formatted(CHAIN));
         time.runFor(2_000_000);
         return answer;
     }
 
     /** Guards memory: plans are read all at once for a long chain, and no more of them are held than there is room. */
     @Test
-    void moreChainsThanCanBeHeldAreRefusedInTime() throws SubmissionDecoder.Malformed {
-        assertThat(askForTheEndOfTheChain()).isCompletedWithValueMatching(JobStatus::accepted);
+    void moreChainsThanCanBeHeldAreRefusedInTime() throws SubmissionDecoder.MalformedSubmissionException {
+        assertThat(askForTheEndOfTheChain()).isCompletedWithValueMatching(JobStatus::isAccepted);
         for (int other = 0; other <= MAX_CHAIN_PLANS; other++) {
             addJob(true);
         }
--- a/src/test/java/io/sillreel/limits/FleetCapacityTest.java
+++ b/src/test/java/io/sillreel/limits/FleetCapacityTest.java
@@ -9,9 +9,9 @@
 
     @Test
     void socketsCountWithOneControllerAway() {
-        assertThat(new FleetCapacity(new ProcessLimits(50 * MB, 2_000, 2)).bySockets())
+        assertThat(new FleetCapacity(new ProcessLimits(50 * MB, 2_000, 2)).maxMachinesBySockets())
                 .isEqualTo(2 * 1_350);
-        assertThat(new FleetCapacity(new ProcessLimits(50 * MB, 2_000, 0)).bySockets())
+        assertThat(new FleetCapacity(new ProcessLimits(50 * MB, 2_000, 0)).maxMachinesBySockets())
                 .isEqualTo(1_350);
     }
 
@@ -19,14 +19,14 @@
     void theUsualHeapCarriesFourThousandMachinesAndTwiceTheHeapEightThousand() {
         FleetCapacity usual = new FleetCapacity(new ProcessLimits(50 * MB, 20_000, 2));
         FleetCapacity twice = new FleetCapacity(new ProcessLimits(100 * MB, 20_000, 2));
-        assertThat(usual.machines(FleetCapacity.USUAL_TASKS)).isBetween(4_000, 5_000);
-        assertThat(twice.machines(FleetCapacity.USUAL_TASKS)).isGreaterThan(8_000);
-        assertThat(usual.machines(32)).isLessThan(usual.machines(1));
+        assertThat(usual.maxMachines(FleetCapacity.DEFAULT_TASKS_PER_MACHINE)).isBetween(4_000, 5_000);
+        assertThat(twice.maxMachines(FleetCapacity.DEFAULT_TASKS_PER_MACHINE)).isGreaterThan(8_000);
+        assertThat(usual.maxMachines(32)).isLessThan(usual.maxMachines(1));
     }
 
     @Test
     void theExplanationNamesEveryNumber() {
-        assertThat(new FleetCapacity(new ProcessLimits(50 * MB, 2_000, 2)).explain(4))
+        assertThat(new FleetCapacity(new ProcessLimits(50 * MB, 2_000, 2)).describe(4))
                 .isEqualTo("2700 machines: 2700 by sockets (max_sockets 2000, 3 controllers of which one may be away), "
                         + "5444 by memory (heap of 50 MB, 4 tasks on each)");
     }
--- a/src/test/java/io/sillreel/settings/SettingsTest.java
+++ b/src/test/java/io/sillreel/settings/SettingsTest.java
@@ -46,8 +46,8 @@
         Settings settings = SettingsReader.parse(GOOD);
         assertThat(settings.workers().heartbeatIntervalMicros()).isEqualTo(1_500_000);
         assertThat(settings.state().values().announcedBytes()).isEqualTo(8192);
-        assertThat(settings.teams().get("t").cpusMax()).isEqualTo(4.0);
-        assertThat(settings.controllers()).isEqualTo(1);
+        assertThat(settings.teams().get("t").maxCpus()).isEqualTo(4.0);
+        assertThat(settings.controllerCount()).isEqualTo(1);
     }
 
     @Test
@@ -102,7 +102,7 @@
     void operatorsPropertiesKnowTheirKeys() {
         Properties properties = new Properties();
         properties.setProperty("leader.lease.ms", "5000");
-        assertThat(OperatorProperties.of(properties).stateLeaseMicros()).isEqualTo(5_000_000);
+        assertThat(OperatorProperties.of(properties).leaderLeaseMicros()).isEqualTo(5_000_000);
         properties.setProperty("leader.lease.ms", "soon");
         assertThatThrownBy(() -> OperatorProperties.of(properties)).hasMessageContaining("leader.lease.ms");
         properties.setProperty("leader.lease.ms", "5000");
--- a/src/test/java/io/sillreel/sim/InvariantChecker.java
+++ b/src/test/java/io/sillreel/sim/InvariantChecker.java
@@ -184,7 +184,7 @@
             }
         }
         startedOn.get(piece).add(worker);
-        double most = world.settings().teams().get("t").cpusMax();
+        double most = world.settings().teams().get("t").maxCpus();
         if (most > 0 && world.running() > most) {
             broken.add("quota at " + piece);
         }
