--- a/src/main/java/io/sillreel/heartbeat/CommandWriter.java
+++ b/src/main/java/io/sillreel/heartbeat/CommandWriter.java
@@ -9,8 +9,9 @@
 import io.sillreel.cluster.QuotaUsage;
 import io.sillreel.http.EventLoop;
 import io.sillreel.pipeline.ActiveJob;
+import io.sillreel.placement.PlacementPlan;
 import io.sillreel.placement.Planner;
-import io.sillreel.placement.Planner.Assignment;
+import io.sillreel.placement.TaskAssignment;
 import java.util.List;
 
 /** Tells a machine what to do: what to reap, what to stop and, in answer to a report alone, what to launch. */
@@ -19,7 +20,7 @@
     private final AttemptIds attemptIds;
     private final Cluster cluster;
     private final Planner planner;
-    private Planner.Plan plan = Planner.Plan.EMPTY;
+    private PlacementPlan plan = PlacementPlan.EMPTY;
 
     CommandWriter(EventLoop eventLoop, AttemptIds attemptIds, Cluster cluster, Planner planner) {
         this.eventLoop = eventLoop;
@@ -29,7 +30,7 @@
     }
 
     /** The proposal from which the next launches are taken. */
-    void plan(Planner.Plan newPlan) {
+    void plan(PlacementPlan newPlan) {
         plan = newPlan;
     }
 
@@ -65,7 +66,7 @@
      * Gives the machine what the plan has for it, and what it had no room for elsewhere as far as there is room here.
      */
     void addLaunches(Machine machine, Heartbeat heartbeat, AgentCommands commands, long now) {
-        List<Assignment> planned = plan.launches().remove(machine.name());
+        List<TaskAssignment> planned = plan.launches().remove(machine.name());
         if (!planner.acceptsLaunches(machine, now)) {
             return;
         }
@@ -73,7 +74,7 @@
             addLaunches(machine, planned, heartbeat, commands, now);
         }
         if (machine.freeCpus() > 0) {
-            List<Assignment> left = planner.planMachine(plan, machine, now, eventLoop.wallMicros());
+            List<TaskAssignment> left = planner.planMachine(plan, machine, now, eventLoop.wallMicros());
             if (!left.isEmpty()) {
                 addLaunches(machine, left, heartbeat, commands, now);
             }
@@ -81,13 +82,13 @@
     }
 
     private void addLaunches(
-            Machine machine, List<Assignment> assignments, Heartbeat heartbeat, AgentCommands commands, long now) {
+            Machine machine, List<TaskAssignment> assignments, Heartbeat heartbeat, AgentCommands commands, long now) {
         QuotaUsage usage = cluster.quotaUsage();
         // A machine that has not heeded its last answer is tried with one task, not with all that it has room for.
         int most = Math.min(
                 machine.responsiveness().ignoredCommandCount() > 0 ? 1 : Integer.MAX_VALUE,
                 Machine.MAX_TASKS - machine.allocations().size());
-        for (Assignment assignment : assignments) {
+        for (TaskAssignment assignment : assignments) {
             ActiveJob job = assignment.job();
             if (!cluster.isLaunchable(job, eventLoop.wallMicros())
                     || !PlacementConstraints.isEligible(job.spec(), machine)) {
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
@@ -8,6 +8,7 @@
 import io.sillreel.http.EventLoop;
 import io.sillreel.http.HttpResponse;
 import io.sillreel.pipeline.RetrySchedule;
+import io.sillreel.placement.PlacementPlan;
 import io.sillreel.placement.Planner;
 import io.sillreel.placement.RuntimeEstimator;
 import io.sillreel.settings.Settings.WorkerTimes;
@@ -86,7 +87,7 @@
     }
 
     /** The proposal from which the next responses are filled. */
-    public void plan(Planner.Plan plan) {
+    public void plan(PlacementPlan plan) {
         commandWriter.plan(plan);
     }
 
--- a/src/main/java/io/sillreel/leadership/SchedulingCycle.java
+++ b/src/main/java/io/sillreel/leadership/SchedulingCycle.java
@@ -11,6 +11,7 @@
 import io.sillreel.http.HttpClient;
 import io.sillreel.http.HttpRequest;
 import io.sillreel.pipeline.ActiveJob;
+import io.sillreel.placement.PlacementPlan;
 import io.sillreel.placement.Planner;
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -115,7 +116,7 @@
         }
         dirty = false;
         plannedAtMicros = now;
-        Planner.Plan plan = planner.plan(now, eventLoop.wallMicros());
+        PlacementPlan plan = planner.plan(now, eventLoop.wallMicros());
         heartbeatProcessor.plan(plan);
         for (Allocation allocation : plan.preemptions()) {
             LOG.debug("preempting task {}/{}", allocation.uid(), allocation.taskIndex());
--- a/src/main/java/io/sillreel/placement/FreeCapacity.java
+++ b/src/main/java/io/sillreel/placement/FreeCapacity.java
@@ -7,13 +7,15 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What is free on a machine while a plan is made. */
+/** The free resources of a machine while a plan is made, less what the plan has placed there. */
 final class FreeCapacity {
-    final Machine machine;
-    final Set<String> images = new HashSet<>();
-    double cpus;
-    double ramGb;
-    double gpus;
+    private final Machine machine;
+    /** Names of the images that tasks placed by the plan will bring. */
+    private final Set<String> plannedImages = new HashSet<>();
+
+    private double cpus;
+    private double ramGb;
+    private double gpus;
 
     FreeCapacity(Machine machine) {
         this.machine = machine;
@@ -22,22 +24,41 @@
         gpus = machine.freeGpus();
     }
 
+    Machine machine() {
+        return machine;
+    }
+
+    double cpus() {
+        return cpus;
+    }
+
+    /** Returns the free memory in gigabytes. */
+    double ramGb() {
+        return ramGb;
+    }
+
+    double gpus() {
+        return gpus;
+    }
+
     int fittingTasks(JobSpec spec) {
         return PlacementConstraints.fittingTasks(spec, cpus, ramGb, gpus);
     }
 
-    void take(JobSpec spec, int tasks) {
+    /** Takes the resources of so many tasks of the job. */
+    void allocate(JobSpec spec, int tasks) {
         cpus -= tasks * spec.cpus();
         ramGb -= tasks * spec.ramGb();
         gpus -= tasks * spec.gpus();
-        images.add(spec.image());
+        plannedImages.add(spec.image());
     }
 
     boolean hasImage(JobSpec spec) {
         return hasImage(Image.of(spec));
     }
 
+    /** Returns true if the machine has the image, or will have fetched it for a task that the plan has placed. */
     boolean hasImage(Image image) {
-        return images.contains(image.name()) || machine.hasImage(image);
+        return plannedImages.contains(image.name()) || machine.hasImage(image);
     }
 }
--- /dev/null
+++ b/src/main/java/io/sillreel/placement/JobPlacer.java
@@ -0,0 +1,93 @@
+package io.sillreel.placement;
+
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.QuotaUsage;
+import io.sillreel.pipeline.JobSpec;
+import java.util.HashMap;
+import java.util.Map;
+
+/** Places tasks of waiting jobs on the machines of one plan. Guarded by the lock of the cluster. */
+final class JobPlacer {
+    private final Cluster cluster;
+    private final PlacementIndex index;
+    private final PlacementPlan plan;
+    /** What the teams use, with the tasks that the plan has placed. */
+    private final QuotaUsage usage;
+
+    JobPlacer(Cluster cluster, PlacementIndex index, PlacementPlan plan) {
+        this.cluster = cluster;
+        this.index = index;
+        this.plan = plan;
+        this.usage = cluster.quotaUsage();
+    }
+
+    /**
+     * Places as many of the job's remaining tasks as its quota, its zones and the free capacity allow.
+     *
+     * @param onlyWithImage true to use only machines that have the job's image
+     * @return how many tasks found no capacity; tasks that the quota keeps waiting are not counted
+     */
+    int place(QueuedJob queued, boolean onlyWithImage) {
+        int wanted = Math.min(
+                queued.remainingTasks(), cluster.quotaHeadroom(queued.job().spec(), usage));
+        if (queued.isProbing()) {
+            wanted = Math.min(wanted, queued.job().allocatedCount() == 0 ? 1 : 0);
+        }
+        if (wanted <= 0) {
+            return 0;
+        }
+        TaskPlacement placement = new TaskPlacement(queued, wanted);
+        index.visitMachines(queued.job().spec(), queued.remainingTasks(), onlyWithImage, placement);
+        return queued.isProbing() ? 0 : placement.wantedTasks;
+    }
+
+    /** Places tasks of one job, as far as its zones and the plan's reservations allow. */
+    private final class TaskPlacement implements PlacementIndex.MachineVisitor {
+        private final QueuedJob queued;
+        private final JobSpec spec;
+        private final Map<String, Integer> zoneHeadroom = new HashMap<>();
+        private int wantedTasks;
+        /** The zone of the first task placed: with zone affinity the others have to follow. */
+        private String zoneOfTasks;
+
+        TaskPlacement(QueuedJob queued, int wantedTasks) {
+            this.queued = queued;
+            this.spec = queued.job().spec();
+            this.wantedTasks = wantedTasks;
+        }
+
+        @Override
+        public boolean isSatisfied() {
+            return wantedTasks == 0;
+        }
+
+        @Override
+        public boolean isZoneExcluded(String zone) {
+            return spec.zoneAffinity() && zoneOfTasks != null && !zoneOfTasks.equals(zone) || headroom(zone) <= 0;
+        }
+
+        private int headroom(String zone) {
+            return zoneHeadroom.computeIfAbsent(zone, name -> cluster.zoneHeadroom(queued.job(), name));
+        }
+
+        @Override
+        public boolean place(FreeCapacity capacity) {
+            String machine = capacity.machine().name();
+            if (plan.isReservedForOther(machine, queued)
+                    || queued.job().failedMachines().contains(machine)) {
+                return false;
+            }
+            String zone = capacity.machine().zone();
+            int headroom = headroom(zone);
+            int count = Math.min(wantedTasks, Math.min(capacity.fittingTasks(spec), headroom));
+            zoneOfTasks = zone;
+            zoneHeadroom.put(zone, headroom == Integer.MAX_VALUE ? headroom : headroom - count);
+            capacity.allocate(spec, count);
+            usage.add(spec, count);
+            wantedTasks -= count;
+            queued.recordPlaced(count);
+            plan.addLaunch(machine, new TaskAssignment(queued.job(), count));
+            return true;
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/io/sillreel/placement/LaunchEligibility.java
@@ -0,0 +1,30 @@
+package io.sillreel.placement;
+
+import io.sillreel.cluster.Machine;
+
+/** Decides whether a machine may be given new tasks. */
+final class LaunchEligibility {
+    /** A machine is given nothing once it has missed this many heartbeats. */
+    private static final long MAX_MISSED_HEARTBEATS = 3;
+
+    private final long heartbeatIntervalMicros;
+
+    LaunchEligibility(long heartbeatIntervalMicros) {
+        this.heartbeatIntervalMicros = heartbeatIntervalMicros;
+    }
+
+    /** Returns true if the machine is up, reconciled, responsive, stored as up and stays with this operator. */
+    boolean acceptsLaunches(Machine machine, long nowMicros) {
+        return machine.state() == Machine.State.UP
+                && machine.isReconciled()
+                && !machine.isInterrupted()
+                && !machine.responsiveness().isUnresponsive()
+                && machine.scaleOutRequest().isStoredAsUp(machine.name())
+                && nowMicros - machine.lastHeartbeatMicros() < MAX_MISSED_HEARTBEATS * heartbeatIntervalMicros;
+    }
+
+    /** Returns true if the machine accepts launches and is not suspected of failing the tasks it is given. */
+    boolean isTrusted(Machine machine, long nowMicros) {
+        return acceptsLaunches(machine, nowMicros) && !machine.health().isSuspect();
+    }
+}
--- /dev/null
+++ b/src/main/java/io/sillreel/placement/MachineFill.java
@@ -0,0 +1,106 @@
+package io.sillreel.placement;
+
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.PlacementConstraints;
+import io.sillreel.cluster.QuotaUsage;
+import io.sillreel.pipeline.ActiveJob;
+import io.sillreel.pipeline.JobSpec;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Fills one machine with tasks that the last plan had no capacity for, in the order of the queue. Used once. Guarded by
+ * the lock of the cluster.
+ */
+final class MachineFill {
+    /** Bounds the cost of a heartbeat. */
+    private static final int MAX_EXAMINED_JOBS = 64;
+
+    private static final double MIN_FREE_CPUS = 1e-6;
+
+    private final Cluster cluster;
+    private final PlacementPlan plan;
+    private final Machine machine;
+    private final long wallMicros;
+    private final FreeCapacity capacity;
+    /** The job that the machine is reserved for, or null. */
+    private final QueuedJob reservedFor;
+
+    private final List<TaskAssignment> assignments = new ArrayList<>();
+    /** What the teams use; null until a job is found that fits, because counting it looks at all teams. */
+    private QuotaUsage usage;
+
+    private int examinedJobs;
+
+    MachineFill(Cluster cluster, PlacementPlan plan, Machine machine, long wallMicros) {
+        this.cluster = cluster;
+        this.plan = plan;
+        this.machine = machine;
+        this.wallMicros = wallMicros;
+        this.capacity = new FreeCapacity(machine);
+        this.reservedFor = plan.reservations().get(machine.name());
+    }
+
+    List<TaskAssignment> fill() {
+        List<QueuedJob> unplaced = plan.unplaced();
+        int from = 0;
+        while (from < unplaced.size() && examinedJobs < MAX_EXAMINED_JOBS && capacity.cpus() > MIN_FREE_CPUS) {
+            int to = QueueOrder.endOfBand(unplaced, from, MAX_EXAMINED_JOBS);
+            List<QueuedJob> band = unplaced.subList(from, to);
+            assignBand(band, true);
+            assignBand(band, false);
+            from = to;
+        }
+        cluster.countSteps(examinedJobs);
+        return assignments;
+    }
+
+    /** @param isFirstPass true to assign the jobs that are urgent or whose image is here, false to assign the others */
+    private void assignBand(List<QueuedJob> band, boolean isFirstPass) {
+        for (QueuedJob queued : band) {
+            examinedJobs++;
+            JobSpec spec = queued.job().spec();
+            boolean isPreferred = queued.isUrgent() || capacity.hasImage(spec);
+            if (isPreferred == isFirstPass && mayUseMachine(queued)) {
+                assign(queued);
+            }
+        }
+    }
+
+    private boolean mayUseMachine(QueuedJob queued) {
+        JobSpec spec = queued.job().spec();
+        boolean isReservedForOther = reservedFor != null && reservedFor.remainingTasks() > 0 && reservedFor != queued;
+        return queued.remainingTasks() > 0
+                && !isReservedForOther
+                && PlacementConstraints.isEligible(spec, machine)
+                && capacity.fittingTasks(spec) > 0;
+    }
+
+    private void assign(QueuedJob queued) {
+        if (usage == null) {
+            usage = cluster.quotaUsage();
+        }
+        JobSpec spec = queued.job().spec();
+        int count = Math.min(Math.min(queued.remainingTasks(), capacity.fittingTasks(spec)), startableTasks(queued));
+        if (count > 0) {
+            capacity.allocate(spec, count);
+            usage.add(spec, count);
+            queued.recordPlaced(count);
+            assignments.add(new TaskAssignment(queued.job(), count));
+        }
+    }
+
+    /** Returns how many tasks of the job may start on the machine now, whatever its free capacity. */
+    private int startableTasks(QueuedJob queued) {
+        ActiveJob job = queued.job();
+        if (!cluster.isLaunchable(job, wallMicros)
+                || job.failedMachines().contains(machine.name())
+                || queued.isProbing()) {
+            return 0;
+        }
+        return Math.min(
+                job.waitingCount(),
+                Math.min(cluster.quotaHeadroom(job.spec(), usage), cluster.zoneHeadroom(job, machine.zone())));
+    }
+}
--- /dev/null
+++ b/src/main/java/io/sillreel/placement/MachineGroup.java
@@ -0,0 +1,71 @@
+package io.sillreel.placement;
+
+import io.sillreel.cloud.MachineType;
+import io.sillreel.cluster.ImageCache.Image;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.SortedMap;
+import java.util.TreeMap;
+
+/**
+ * Machines of one capacity profile by name, and for each image that has been asked for those that have it. The lists by
+ * image are built when first asked for and kept current afterwards.
+ */
+final class MachineGroup {
+    private final CapacityProfile profile;
+    private final MachineType type;
+    private final SortedMap<String, FreeCapacity> machines = new TreeMap<>();
+    private final Map<Image, SortedMap<String, FreeCapacity>> machinesByImage = new HashMap<>();
+
+    MachineGroup(CapacityProfile profile, MachineType type) {
+        this.profile = profile;
+        this.type = type;
+    }
+
+    CapacityProfile profile() {
+        return profile;
+    }
+
+    MachineType type() {
+        return type;
+    }
+
+    boolean isEmpty() {
+        return machines.isEmpty();
+    }
+
+    /** Returns all machines of the group in the order of their names; not to be modified. */
+    SortedMap<String, FreeCapacity> machines() {
+        return machines;
+    }
+
+    /** Returns the machines that have the image in the order of their names; not to be modified. */
+    SortedMap<String, FreeCapacity> machinesWithImage(Image image) {
+        return machinesByImage.computeIfAbsent(image, asked -> {
+            SortedMap<String, FreeCapacity> withImage = new TreeMap<>();
+            for (FreeCapacity capacity : machines.values()) {
+                addIfHasImage(asked, withImage, capacity);
+            }
+            return withImage;
+        });
+    }
+
+    void add(FreeCapacity capacity) {
+        machines.put(capacity.machine().name(), capacity);
+        machinesByImage.forEach((image, withImage) -> addIfHasImage(image, withImage, capacity));
+    }
+
+    void remove(FreeCapacity capacity) {
+        String name = capacity.machine().name();
+        machines.remove(name);
+        for (SortedMap<String, FreeCapacity> withImage : machinesByImage.values()) {
+            withImage.remove(name);
+        }
+    }
+
+    private static void addIfHasImage(Image image, Map<String, FreeCapacity> withImage, FreeCapacity capacity) {
+        if (capacity.hasImage(image)) {
+            withImage.put(capacity.machine().name(), capacity);
+        }
+    }
+}
--- a/src/main/java/io/sillreel/placement/PlacementIndex.java
+++ b/src/main/java/io/sillreel/placement/PlacementIndex.java
@@ -2,233 +2,141 @@
 
 import io.sillreel.cloud.MachineType;
 import io.sillreel.cluster.ImageCache.Image;
-import io.sillreel.cluster.Machine;
 import io.sillreel.cluster.PlacementConstraints;
 import io.sillreel.pipeline.JobSpec;
-import java.util.HashMap;
-import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.PriorityQueue;
-import java.util.TreeMap;
+import java.util.SortedMap;
 
 /**
- * The machines with free room, grouped by what they offer. Thousands of idle machines are a few groups, so the places
- * for a job are found without a look at every machine, in the order that a sort of all of them would give.
+ * The machines with free capacity, grouped by their capacity profile. Thousands of idle machines form a few groups, so
+ * the machines for a job are found without a look at each of them, in the order that a sort of all machines would give.
  */
 final class PlacementIndex {
     private static final double EPSILON = 1e-6;
-    /** Fetches that differ by less are taken as equally long. */
-    private static final long FETCH_STEP_MICROS = 2_000_000;
+    /** Fetches of an image whose durations differ by less, in microseconds, are taken as equally long. */
+    private static final long IMAGE_PULL_STEP_MICROS = 2_000_000;
 
-    private static final double MIN_FETCH_RATE = 0.01;
+    private static final double MIN_PULL_GB_PER_SECOND = 0.01;
+    private static final double MICROS_PER_SECOND = 1_000_000;
 
-    /** What machines offer that are interchangeable but for their names and images. */
-    private record Offer(String type, String zone, boolean spot, double cpus, double ramGb, double gpus) {
-        static Offer of(FreeCapacity space) {
-            Machine machine = space.machine;
-            return new Offer(
-                    machine.type().name(), machine.zone(), machine.isSpot(), space.cpus, space.ramGb, space.gpus);
-        }
-
-        // Written out: the compiler would leave it to be linked at run time, which costs a takeover milliseconds.
-        @Override
-        public boolean equals(Object other) {
-            return other instanceof Offer offer
-                    && offer.type.equals(type)
-                    && offer.zone.equals(zone)
-                    && offer.spot == spot
-                    && offer.cpus == cpus
-                    && offer.ramGb == ramGb
-                    && offer.gpus == gpus;
-        }
-
-        @Override
-        public int hashCode() {
-            int room = Double.hashCode(cpus) + 31 * Double.hashCode(ramGb) + 7 * Double.hashCode(gpus);
-            return 31 * (31 * type.hashCode() + zone.hashCode()) + room + (spot ? 1 : 0);
-        }
-    }
-
-    /** Machines with the same offer by name, and of those the ones that have an image, once somebody has asked. */
-    private static final class Group {
-        final Offer offer;
-        final MachineType type;
-        final TreeMap<String, FreeCapacity> spaces = new TreeMap<>();
-        final Map<Image, TreeMap<String, FreeCapacity>> holders = new HashMap<>();
-
-        Group(Offer offer, MachineType type) {
-            this.offer = offer;
-            this.type = type;
-        }
-
-        void add(FreeCapacity space) {
-            spaces.put(space.machine.name(), space);
-            holders.forEach((image, having) -> addHolder(image, having, space));
-        }
-
-        void remove(FreeCapacity space) {
-            spaces.remove(space.machine.name());
-            holders.values().forEach(having -> having.remove(space.machine.name()));
-        }
-
-        TreeMap<String, FreeCapacity> having(Image image) {
-            return holders.computeIfAbsent(image, asked -> {
-                TreeMap<String, FreeCapacity> having = new TreeMap<>();
-                spaces.values().forEach(space -> addHolder(asked, having, space));
-                return having;
-            });
-        }
-
-        private static void addHolder(Image image, Map<String, FreeCapacity> having, FreeCapacity space) {
-            if (space.hasImage(image)) {
-                having.put(space.machine.name(), space);
-            }
-        }
-    }
-
-    /** Machines of one group that are equally good for a job, in the order of their names. */
-    private static final class Run implements Comparable<Run> {
-        final Group group;
-        final long fetch;
-        final int wrongKind;
-        final double packing;
-        final Iterator<FreeCapacity> machines;
-        final Map<String, FreeCapacity> excluded;
-        FreeCapacity next;
-
-        Run(
-                Group group,
-                long fetch,
-                int wrongKind,
-                double packing,
-                Map<String, FreeCapacity> machines,
-                Map<String, FreeCapacity> excluded) {
-            this.group = group;
-            this.fetch = fetch;
-            this.wrongKind = wrongKind;
-            this.packing = packing;
-            this.machines = machines.values().iterator();
-            this.excluded = excluded;
-        }
-
-        boolean advance() {
-            do {
-                next = machines.hasNext() ? machines.next() : null;
-            } while (next != null && excluded.containsKey(next.machine.name()));
-            return next != null;
-        }
-
-        @Override
-        public int compareTo(Run other) {
-            int order = Long.compare(fetch, other.fetch);
-            order = order != 0 ? order : Integer.compare(wrongKind, other.wrongKind);
-            order = order != 0 ? order : Double.compare(packing, other.packing);
-            return order != 0 ? order : next.machine.name().compareTo(other.next.machine.name());
-        }
-    }
-
-    /** Takes the places for a job one after the other, the best first. */
-    interface Taker {
-        /** True if no more places are wanted. */
+    /** Visits machines for a job one after the other, the best one first. */
+    interface MachineVisitor {
+        /** Returns true if no more machines are wanted. */
         boolean isSatisfied();
 
-        /** True if no machine of the zone may take a task of the job. */
+        /** Returns true if no machine of the zone may take a task of the job. */
         boolean isZoneExcluded(String zone);
 
-        /** Takes what is to be taken of the place; true if it took anything. */
-        boolean take(FreeCapacity space);
+        /** Places tasks on the machine; true if that has changed its capacity. */
+        boolean place(FreeCapacity capacity);
     }
 
-    private final double leastCpus;
-    private final Map<Offer, Group> groups = new LinkedHashMap<>();
+    private final double smallestTaskCpus;
+    private final Map<CapacityProfile, MachineGroup> groups = new LinkedHashMap<>();
     private long steps;
 
-    /** @param leastCpus what the smallest waiting task needs: machines with less room are left out */
-    PlacementIndex(double leastCpus) {
-        this.leastCpus = leastCpus;
+    /** @param smallestTaskCpus processors of the smallest waiting task: machines with less are left out */
+    PlacementIndex(double smallestTaskCpus) {
+        this.smallestTaskCpus = smallestTaskCpus;
     }
 
-    void add(FreeCapacity space) {
-        if (space.cpus >= leastCpus - EPSILON) {
-            Offer offer = Offer.of(space);
-            groups.computeIfAbsent(offer, each -> new Group(each, space.machine.type()))
-                    .add(space);
+    void add(FreeCapacity capacity) {
+        if (capacity.cpus() >= smallestTaskCpus - EPSILON) {
+            CapacityProfile profile = CapacityProfile.of(capacity);
+            groups.computeIfAbsent(
+                            profile,
+                            missing ->
+                                    new MachineGroup(missing, capacity.machine().type()))
+                    .add(capacity);
         }
     }
 
-    /** Groups and machines that were looked at so far. */
+    /** Returns how many groups and machines have been looked at. */
     long steps() {
         return steps;
     }
 
     /**
-     * Offers the places that fit the job to the taker: first where its image is, or is soonest, then by kind, then the
-     * fullest place that has the image or the emptiest that has not, then by name.
+     * Visits the machines on which tasks of the job fit: first those where its image is ready soonest, then those of
+     * the preferred kind, then the fullest that has the image or the one that takes most tasks and has not, then by
+     * name.
      *
-     * @param wanted how many tasks there are to place
+     * @param wantedTasks how many tasks there are to place
      */
-    void offer(JobSpec spec, int wanted, boolean onlyWithImage, Taker taker) {
-        PriorityQueue<Run> runs = runs(spec, wanted, onlyWithImage);
-        Map<FreeCapacity, Group> taken = new LinkedHashMap<>();
-        while (!runs.isEmpty() && !taker.isSatisfied()) {
-            Run best = runs.poll();
-            if (taker.isZoneExcluded(best.group.offer.zone())) {
+    void visitMachines(JobSpec spec, int wantedTasks, boolean onlyWithImage, MachineVisitor visitor) {
+        PriorityQueue<MachineCandidates> candidates = candidates(spec, wantedTasks, onlyWithImage);
+        Map<FreeCapacity, MachineGroup> changed = new LinkedHashMap<>();
+        while (!candidates.isEmpty() && !visitor.isSatisfied()) {
+            MachineCandidates best = candidates.poll();
+            if (visitor.isZoneExcluded(best.group().profile().zone())) {
                 continue;
             }
             steps++;
-            if (taker.take(best.next)) {
-                taken.put(best.next, best.group);
+            if (visitor.place(best.next())) {
+                changed.put(best.next(), best.group());
             }
             if (best.advance()) {
-                runs.add(best);
+                candidates.add(best);
             }
         }
-        taken.forEach(this::move);
+        // Regrouped only now: the candidates iterate over the groups.
+        changed.forEach(this::regroup);
     }
 
-    /** What was taken of a machine has changed what it offers. */
-    private void move(FreeCapacity space, Group from) {
-        from.remove(space);
-        if (from.spaces.isEmpty()) {
-            groups.remove(from.offer);
+    private void regroup(FreeCapacity capacity, MachineGroup from) {
+        from.remove(capacity);
+        if (from.isEmpty()) {
+            groups.remove(from.profile());
         }
-        add(space);
+        add(capacity);
     }
 
-    private PriorityQueue<Run> runs(JobSpec spec, int wanted, boolean onlyWithImage) {
-        PriorityQueue<Run> runs = new PriorityQueue<>();
+    private PriorityQueue<MachineCandidates> candidates(JobSpec spec, int wantedTasks, boolean onlyWithImage) {
+        PriorityQueue<MachineCandidates> candidates = new PriorityQueue<>();
         Image image = Image.of(spec);
-        for (Group group : groups.values()) {
+        for (MachineGroup group : groups.values()) {
             steps++;
-            Offer offer = group.offer;
-            int room = PlacementConstraints.fittingTasks(spec, offer.cpus(), offer.ramGb(), offer.gpus());
-            if (room <= 0 || !PlacementConstraints.isEligible(spec, group.type, offer.zone(), offer.spot())) {
+            CapacityProfile profile = group.profile();
+            int fitting = PlacementConstraints.fittingTasks(spec, profile.cpus(), profile.ramGb(), profile.gpus());
+            if (fitting <= 0
+                    || !PlacementConstraints.isEligible(spec, group.type(), profile.zone(), profile.isSpot())) {
                 continue;
             }
-            // What saves its progress loses little when a spot machine is taken, so the others get the ordinary ones.
-            int wrongKind = offer.spot() == spec.supportsCheckpoints() ? 0 : 1;
-            TreeMap<String, FreeCapacity> having = group.having(image);
-            if (!having.isEmpty()) {
-                // Where the image is, the fullest place first, so that others empty.
-                addRun(runs, new Run(group, 0, wrongKind, offer.cpus(), having, Map.of()));
+            // A task with checkpoints loses little when a spot machine is interrupted, so on-demand machines are left
+            // to the others.
+            int kindMismatch = profile.isSpot() == spec.supportsCheckpoints() ? 0 : 1;
+            SortedMap<String, FreeCapacity> withImage = group.machinesWithImage(image);
+            if (!withImage.isEmpty()) {
+                // The fullest machine first, so that others become empty and can be returned.
+                addIfAny(
+                        candidates, new MachineCandidates(group, 0, kindMismatch, profile.cpus(), withImage, Map.of()));
             }
-            if (!onlyWithImage && having.size() < group.spaces.size()) {
-                // Where it isn't, one fetch for many tasks.
-                long fetch = fetchMicros(spec, group.type) / FETCH_STEP_MICROS;
-                addRun(runs, new Run(group, fetch, wrongKind, -Math.min(room, wanted), group.spaces, having));
+            if (!onlyWithImage && withImage.size() < group.machines().size()) {
+                // The machine that takes most tasks first, so that they share one fetch of the image.
+                addIfAny(
+                        candidates,
+                        new MachineCandidates(
+                                group,
+                                imagePullMicros(spec, group.type()) / IMAGE_PULL_STEP_MICROS,
+                                kindMismatch,
+                                -Math.min(fitting, wantedTasks),
+                                group.machines(),
+                                withImage));
             }
         }
-        return runs;
+        return candidates;
     }
 
-    private static void addRun(PriorityQueue<Run> runs, Run run) {
-        if (run.advance()) {
-            runs.add(run);
+    private static void addIfAny(PriorityQueue<MachineCandidates> all, MachineCandidates candidates) {
+        if (candidates.advance()) {
+            all.add(candidates);
         }
     }
 
-    private static long fetchMicros(JobSpec spec, MachineType type) {
-        return Math.round(spec.imageGb() / Math.max(MIN_FETCH_RATE, type.pullGbPerSecond()) * 1_000_000);
+    private static long imagePullMicros(JobSpec spec, MachineType type) {
+        double gbPerSecond = Math.max(MIN_PULL_GB_PER_SECOND, type.pullGbPerSecond());
+        return Math.round(spec.imageGb() / gbPerSecond * MICROS_PER_SECOND);
     }
 }
--- a/src/main/java/io/sillreel/placement/Preemption.java
+++ b/src/main/java/io/sillreel/placement/Preemption.java
@@ -2,284 +2,197 @@
 
 import io.sillreel.cluster.Allocation;
 import io.sillreel.cluster.Cluster;
-import io.sillreel.cluster.ImageCache.Image;
 import io.sillreel.cluster.Machine;
-import io.sillreel.cluster.PlacementConstraints;
-import io.sillreel.cluster.QuotaUsage;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.JobSpec;
 import io.sillreel.pipeline.PriorityClass;
 import java.util.ArrayList;
 import java.util.Comparator;
-import java.util.EnumSet;
-import java.util.HashMap;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** What is stopped in favour of others, within one plan. What it needs to know of all tasks is gathered once. */
+/** Selects the running tasks that one plan stops in favour of waiting jobs. Guarded by the lock of the cluster. */
 final class Preemption {
-    private static final int LIMITLESS = Integer.MAX_VALUE / 1_000;
-    /** Work of normal rank stops other work only if it would be late otherwise, and only what saves its progress. */
-    private static final long LAST_CHANCE_MICROS = 6_000_000;
-
-    private final Planner planner;
     private final Cluster cluster;
+    private final LaunchEligibility eligibility;
     private final ServiceLevelObjectives objectives;
-    private final Planner.Plan plan;
-    private final Set<ActiveJob> guaranteed;
+    private final PlacementPlan plan;
+    private final TeamGuarantees guarantees;
     private final long nowMicros;
-    private final Set<Allocation> halting = new HashSet<>();
-    /** Machines that take launches, by their names, and the ranks of the work on them that could be stopped. */
-    private final Map<Machine, Set<PriorityClass>> machines = new LinkedHashMap<>();
-
-    private final List<Machine> freeing = new ArrayList<>();
-    /** How much each team runs beyond its guarantee, in thousandths of processors. */
-    private final Map<String, Long> beyond = new HashMap<>();
-
-    private boolean gathered;
+    private final Set<Allocation> selected = new HashSet<>();
+    /** Free on the machine that is being looked at, once the tasks selected there are gone. */
+    private final ResourceAmounts available = new ResourceAmounts();
+    /** Null until the first job that may preempt, because gathering them looks at all tasks. */
+    private PreemptionCandidates candidates;
 
     Preemption(
-            Planner planner,
             Cluster cluster,
+            LaunchEligibility eligibility,
             ServiceLevelObjectives objectives,
-            Planner.Plan plan,
-            Set<ActiveJob> guaranteed,
+            PlacementPlan plan,
+            TeamGuarantees guarantees,
             long nowMicros) {
-        this.planner = planner;
         this.cluster = cluster;
+        this.eligibility = eligibility;
         this.objectives = objectives;
         this.plan = plan;
-        this.guaranteed = guaranteed;
+        this.guarantees = guarantees;
         this.nowMicros = nowMicros;
     }
 
-    private void gather() {
-        if (gathered) {
-            return;
-        }
-        gathered = true;
-        List<Machine> usable = new ArrayList<>();
-        for (Machine machine : cluster.machines()) {
-            if (planner.acceptsLaunches(machine, nowMicros)) {
-                usable.add(machine);
-            }
-        }
-        usable.sort(Comparator.comparing(Machine::name));
-        for (Machine machine : usable) {
-            if (!machine.health().isSuspect()) {
-                machines.put(machine, stoppableRanks(machine));
-            }
-            if (machine.allocations().stream()
-                    .anyMatch(allocation -> allocation.isStopping() && !allocation.hasEnded())) {
-                freeing.add(machine);
-            }
-            cluster.countSteps(machine.allocations().size());
+    /**
+     * Adds tasks to the plan's preemptions where stopping them lets tasks of the job fit.
+     *
+     * @param lackingTasks how many tasks of the job found no capacity
+     * @return false if the job may not preempt
+     */
+    boolean preemptFor(QueuedJob queued, int lackingTasks, long wallMicros) {
+        PreemptionGrounds grounds = new PreemptionGrounds(queued, guarantees, objectives, wallMicros);
+        if (!grounds.exist()) {
+            return false;
         }
-    }
-
-    private static Set<PriorityClass> stoppableRanks(Machine machine) {
-        Set<PriorityClass> ranks = EnumSet.noneOf(PriorityClass.class);
-        for (Allocation allocation : machine.allocations()) {
-            if (isStoppable(allocation)) {
-                ranks.add(allocation.job().effectivePriority());
-            }
+        if (candidates == null) {
+            candidates = new PreemptionCandidates(cluster, eligibility, nowMicros);
         }
-        return ranks;
-    }
-
-    private static boolean isStoppable(Allocation allocation) {
-        return allocation.job() != null
-                && !allocation.hasEnded()
-                && !allocation.isUnconfirmed()
-                && !allocation.isStopping();
-    }
-
-    /** Stops tasks where that really makes room for the job; false if the job may have none stopped. */
-    boolean preemptFor(QueuedJob queued, int lacking, long wallMicros) {
-        JobSpec spec = queued.job.spec();
-        // Stopping others costs work, so it waits until the aim is in danger; work that is lost once it is missed
-        // would be lost for nothing.
-        long waited = wallMicros - queued.job.readyWallMicros();
-        boolean owed = guaranteed.contains(queued.job)
-                && waited > objectives.guaranteedStartMicros() / 2
-                && QueueOrder.isOwedBand(queued);
-        boolean missed = waited > objectives.guaranteedStartMicros();
-        PriorityClass own = queued.job.effectivePriority();
-        boolean urgent = own.isAbove(PriorityClass.NORMAL);
-        long slack = objectives.slackMicros(queued.job, wallMicros);
-        boolean lastChance = own != PriorityClass.BEST_EFFORT && slack >= 0 && slack <= LAST_CHANCE_MICROS;
-        if (!owed && !urgent && !lastChance) {
-            return false;
+        ActiveJob job = queued.job();
+        int needed = lackingTasks - candidates.tasksBeingFreed(job.spec());
+        if (needed <= 0) {
+            return true;
         }
-        gather();
-        int needed = lacking - beingFreed(spec);
-        List<Machine> allowed = needed > 0 ? allowed(spec) : List.of();
-        if (urgent || lastChance) {
-            // The lowest rank everywhere before the next one anywhere: what only fetches loses its place, no work.
-            PriorityClass[] ranks = PriorityClass.values();
-            for (int each = ranks.length - 1; each > own.ordinal() && needed > 0; each--) {
-                PriorityClass rank = ranks[each];
-                needed -= stop(
-                        spec,
-                        needed,
-                        having(rank, allowed),
-                        allocation -> allocation.job().effectivePriority() == rank
-                                && (urgent
-                                        || allocation.job().spec().supportsCheckpoints()
-                                                && !guaranteed.contains(allocation.job())));
-            }
+        List<Machine> machines = candidates.eligibleMachines(job.spec());
+        if (grounds.allowLowerPriority()) {
+            needed -= preemptLowerPriority(job, grounds.hasHighPriority(), needed, machines);
         }
-        if (owed && needed > 0) {
-            needed -= stop(
-                    spec,
-                    needed,
-                    allowed,
-                    allocation -> allocation.job().spec().supportsCheckpoints() && isBeyond(allocation, queued.job));
-            if (needed > 0 && !missed) {
-                stop(spec, needed, allowed, allocation -> isBeyond(allocation, queued.job));
-            }
+        if (grounds.isGuaranteeInDanger() && needed > 0) {
+            preemptBeyondGuarantees(job, grounds.isGuaranteeMissed(), needed, machines);
         }
         return true;
     }
 
-    /** Machines with work that could be stopped and where the job may run, first those that have its image. */
-    private List<Machine> allowed(JobSpec spec) {
-        Image image = Image.of(spec);
-        List<Machine> allowed = new ArrayList<>();
-        List<Machine> withoutImage = new ArrayList<>();
-        machines.forEach((machine, ranks) -> {
-            if (!ranks.isEmpty() && PlacementConstraints.isEligible(spec, machine)) {
-                (machine.hasImage(image) ? allowed : withoutImage).add(machine);
-            }
-        });
-        cluster.countSteps(machines.size());
-        allowed.addAll(withoutImage);
-        return allowed;
+    /**
+     * Preempts the lowest priority class on all machines before the next one on any.
+     *
+     * @param mayLoseWork true to stop tasks without checkpoints and within guarantees as well
+     * @return how many more tasks of the job will fit
+     */
+    private int preemptLowerPriority(ActiveJob job, boolean mayLoseWork, int needed, List<Machine> machines) {
+        PriorityClass[] priorityClasses = PriorityClass.values();
+        int gained = 0;
+        for (int each = priorityClasses.length - 1;
+                each > job.effectivePriority().ordinal() && gained < needed;
+                each--) {
+            PriorityClass lower = priorityClasses[each];
+            gained += preemptOnAll(
+                    candidates.withTasksOf(lower, machines),
+                    job.spec(),
+                    needed - gained,
+                    allocation -> allocation.job().effectivePriority() == lower
+                            && (mayLoseWork
+                                    || allocation.job().spec().supportsCheckpoints()
+                                            && !guarantees.covers(allocation.job())));
+        }
+        return gained;
     }
 
-    private List<Machine> having(PriorityClass rank, List<Machine> allowed) {
-        return allowed.stream()
-                .filter(machine -> machines.get(machine).contains(rank))
-                .toList();
+    /** Preempts what other teams run beyond their guarantees, tasks with checkpoints first. */
+    private void preemptBeyondGuarantees(ActiveJob job, boolean isGuaranteeMissed, int needed, List<Machine> machines) {
+        int gained = preemptOnAll(
+                machines,
+                job.spec(),
+                needed,
+                allocation -> allocation.job().spec().supportsCheckpoints() && isBeyondGuarantee(allocation, job));
+        if (gained < needed && !isGuaranteeMissed) {
+            preemptOnAll(machines, job.spec(), needed - gained, allocation -> isBeyondGuarantee(allocation, job));
+        }
     }
 
     /**
-     * True if the task is part of what another team runs beyond its own guarantee. High ranks are left alone: they go
-     * first in the order, and would take the place back at once.
+     * Returns true if the task is part of what another team runs beyond its guarantee. High priority is left alone by
+     * normal priority: it goes first in the queue, and would take the capacity back at once.
      */
-    private boolean isBeyond(Allocation allocation, ActiveJob forWhom) {
-        JobSpec spec = allocation.job().spec();
-        if (spec.team().equals(forWhom.spec().team())
-                || guaranteed.contains(allocation.job())
-                || allocation.job().effectivePriority().isAbove(PriorityClass.NORMAL)
-                        && !forWhom.effectivePriority().isAbove(PriorityClass.NORMAL)) {
-            return false;
-        }
-        return left(spec.team()) >= QuotaUsage.toMilli(spec.cpus());
-    }
-
-    private long left(String team) {
-        return beyond.computeIfAbsent(
-                team,
-                name -> cluster.allocationIndex().usage().ofTeam(name).cpus()
-                        - QuotaUsage.toMilli(
-                                cluster.team(name) == null
-                                        ? 0
-                                        : cluster.team(name).cpus()));
+    private boolean isBeyondGuarantee(Allocation allocation, ActiveJob waiting) {
+        ActiveJob running = allocation.job();
+        boolean isAboveWaiting = running.effectivePriority().isAbove(PriorityClass.NORMAL)
+                && !waiting.effectivePriority().isAbove(PriorityClass.NORMAL);
+        return !running.spec().team().equals(waiting.spec().team())
+                && !guarantees.covers(running)
+                && !isAboveWaiting
+                && guarantees.isExcess(running.spec());
     }
 
-    private int stop(JobSpec spec, int needed, List<Machine> allowed, Predicate<Allocation> may) {
+    private int preemptOnAll(List<Machine> machines, JobSpec spec, int needed, Predicate<Allocation> mayStop) {
         int gained = 0;
-        for (Machine machine : allowed) {
+        for (Machine machine : machines) {
             if (gained >= needed) {
                 break;
             }
-            gained += stop(spec, needed - gained, machine, may);
+            gained += preemptOn(machine, spec, needed - gained, mayStop);
         }
         return gained;
     }
 
-    /** Stops tasks on the machine, the least work first, and returns how many of the job's will fit for it. */
-    private int stop(JobSpec spec, int needed, Machine machine, Predicate<Allocation> may) {
-        List<Allocation> victims = new ArrayList<>();
-        double cpus = machine.freeCpus();
-        double ram = machine.freeRamGb();
-        double gpus = machine.freeGpus();
-        for (Allocation allocation : machine.allocations()) {
-            if (allocation.job() == null || allocation.hasEnded()) {
-                continue;
-            }
-            JobSpec running = allocation.job().spec();
-            if (halting.contains(allocation)) {
-                cpus += running.cpus();
-                ram += running.ramGb();
-                gpus += running.gpus();
-            } else if (isStoppable(allocation) && may.test(allocation)) {
-                victims.add(allocation);
-            }
-        }
-        cluster.countSteps(machine.allocations().size());
+    /** Selects tasks on the machine, the least lost work first, and returns how many more of the job's will fit. */
+    private int preemptOn(Machine machine, JobSpec spec, int needed, Predicate<Allocation> mayStop) {
+        List<Allocation> victims = findVictims(machine, mayStop);
         if (victims.isEmpty()) {
             return 0;
         }
-        victims.sort(Comparator.comparingDouble(allocation -> lost(allocation, nowMicros)));
-        int before = PlacementConstraints.fittingTasks(spec, cpus, ram, gpus);
+        victims.sort(Comparator.comparingDouble(allocation -> lostCpuMicros(allocation, nowMicros)));
+        int fitting = available.fittingTasks(spec);
         int gained = 0;
-        List<Allocation> chosen = new ArrayList<>();
+        List<Allocation> pending = new ArrayList<>();
         for (Allocation victim : victims) {
-            if (gained >= needed || !may.test(victim)) {
+            // Asked again: each selected task leaves its team with less beyond its guarantee.
+            if (gained >= needed || !mayStop.test(victim)) {
                 break;
             }
-            JobSpec freed = victim.job().spec();
-            cpus += freed.cpus();
-            ram += freed.ramGb();
-            gpus += freed.gpus();
-            chosen.add(victim);
-            int after = PlacementConstraints.fittingTasks(spec, cpus, ram, gpus);
-            if (after > before) {
-                gained += after - before;
-                before = after;
-                chosen.forEach(this::halt);
-                chosen.clear();
+            available.addTask(victim.job().spec());
+            pending.add(victim);
+            int fittingWithout = available.fittingTasks(spec);
+            if (fittingWithout > fitting) {
+                gained += fittingWithout - fitting;
+                fitting = fittingWithout;
+                pending.forEach(this::select);
+                pending.clear();
             }
         }
         return gained;
     }
 
-    private void halt(Allocation allocation) {
-        JobSpec spec = allocation.job().spec();
-        halting.add(allocation);
-        plan.preemptions().add(allocation);
-        beyond.put(spec.team(), left(spec.team()) - QuotaUsage.toMilli(spec.cpus()));
-    }
-
-    /** Tasks of the job that will fit where others are being stopped already. */
-    private int beingFreed(JobSpec spec) {
-        int count = 0;
-        for (Machine machine : freeing) {
-            double cpus = 0;
-            double ram = 0;
-            double gpus = 0;
-            for (Allocation allocation : machine.allocations()) {
-                if (allocation.isStopping() && !allocation.hasEnded() && allocation.job() != null) {
-                    cpus += allocation.job().spec().cpus();
-                    ram += allocation.job().spec().ramGb();
-                    gpus += allocation.job().spec().gpus();
-                }
+    /** Finds the tasks that may be stopped on the machine, and sets {@link #available} for it. */
+    private List<Allocation> findVictims(Machine machine, Predicate<Allocation> mayStop) {
+        List<Allocation> victims = new ArrayList<>();
+        available.setToFree(machine);
+        for (Allocation allocation : machine.allocations()) {
+            if (allocation.job() == null || allocation.hasEnded()) {
+                continue;
+            }
+            if (selected.contains(allocation)) {
+                available.addTask(allocation.job().spec());
+            } else if (PreemptionCandidates.isStoppable(allocation) && mayStop.test(allocation)) {
+                victims.add(allocation);
             }
-            count += Math.min(PlacementConstraints.fittingTasks(spec, cpus, ram, gpus), LIMITLESS);
         }
-        return count;
+        cluster.countSteps(machine.allocations().size());
+        return victims;
     }
 
-    /** Work that is lost when the task is stopped: what it has done so far, or the time it takes to save that. */
-    private static double lost(Allocation allocation, long nowMicros) {
+    private void select(Allocation allocation) {
+        selected.add(allocation);
+        plan.preemptions().add(allocation);
+        guarantees.recordPreempted(allocation.job().spec());
+    }
+
+    /**
+     * Returns the work that is lost when the task is stopped, in processor-microseconds: what it has done so far, or
+     * the time that its checkpoint takes.
+     */
+    private static double lostCpuMicros(Allocation allocation, long nowMicros) {
         JobSpec spec = allocation.job().spec();
-        long ran = allocation.runningSinceMicros() < 0 ? 0 : nowMicros - allocation.runningSinceMicros();
-        return spec.cpus() * (spec.supportsCheckpoints() ? Math.min(ran, spec.checkpointDurationMicros()) : ran);
+        long ranMicros = allocation.runningSinceMicros() < 0 ? 0 : nowMicros - allocation.runningSinceMicros();
+        return spec.cpus()
+                * (spec.supportsCheckpoints() ? Math.min(ranMicros, spec.checkpointDurationMicros()) : ranMicros);
     }
 }
--- /dev/null
+++ b/src/main/java/io/sillreel/placement/PreemptionCandidates.java
@@ -0,0 +1,117 @@
+package io.sillreel.placement;
+
+import io.sillreel.cluster.Allocation;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.ImageCache.Image;
+import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.PlacementConstraints;
+import io.sillreel.pipeline.JobSpec;
+import io.sillreel.pipeline.PriorityClass;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.EnumSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * The machines on which tasks could be stopped, or are being stopped, during one plan. Gathered once for all jobs that
+ * preempt. Guarded by the lock of the cluster.
+ */
+final class PreemptionCandidates {
+    /** Keeps the sum over machines from overflowing: a job without a demand for a resource fits without limit. */
+    private static final int MAX_FITTING_TASKS = Integer.MAX_VALUE / 1_000;
+
+    private final Cluster cluster;
+    /** Trusted machines in the order of their names, and the priority classes of the tasks on them that could stop. */
+    private final Map<Machine, Set<PriorityClass>> machines = new LinkedHashMap<>();
+    /** Machines on which tasks are being stopped already. */
+    private final List<Machine> machinesBeingFreed = new ArrayList<>();
+
+    private final ResourceAmounts beingFreed = new ResourceAmounts();
+
+    PreemptionCandidates(Cluster cluster, LaunchEligibility eligibility, long nowMicros) {
+        this.cluster = cluster;
+        List<Machine> usable = new ArrayList<>();
+        for (Machine machine : cluster.machines()) {
+            if (eligibility.acceptsLaunches(machine, nowMicros)) {
+                usable.add(machine);
+            }
+        }
+        usable.sort(Comparator.comparing(Machine::name));
+        usable.forEach(this::add);
+    }
+
+    private void add(Machine machine) {
+        if (!machine.health().isSuspect()) {
+            machines.put(machine, stoppablePriorityClasses(machine));
+        }
+        for (Allocation allocation : machine.allocations()) {
+            if (allocation.isStopping() && !allocation.hasEnded()) {
+                machinesBeingFreed.add(machine);
+                break;
+            }
+        }
+        cluster.countSteps(machine.allocations().size());
+    }
+
+    private static Set<PriorityClass> stoppablePriorityClasses(Machine machine) {
+        Set<PriorityClass> priorityClasses = EnumSet.noneOf(PriorityClass.class);
+        for (Allocation allocation : machine.allocations()) {
+            if (isStoppable(allocation)) {
+                priorityClasses.add(allocation.job().effectivePriority());
+            }
+        }
+        return priorityClasses;
+    }
+
+    /** Returns true if the task is known to run and is not being stopped yet. */
+    static boolean isStoppable(Allocation allocation) {
+        return allocation.job() != null
+                && !allocation.hasEnded()
+                && !allocation.isUnconfirmed()
+                && !allocation.isStopping();
+    }
+
+    /** Returns machines with stoppable tasks that the job allows, first those that have its image. */
+    List<Machine> eligibleMachines(JobSpec spec) {
+        Image image = Image.of(spec);
+        List<Machine> eligible = new ArrayList<>();
+        List<Machine> withoutImage = new ArrayList<>();
+        machines.forEach((machine, priorityClasses) -> {
+            if (!priorityClasses.isEmpty() && PlacementConstraints.isEligible(spec, machine)) {
+                (machine.hasImage(image) ? eligible : withoutImage).add(machine);
+            }
+        });
+        cluster.countSteps(machines.size());
+        eligible.addAll(withoutImage);
+        return eligible;
+    }
+
+    /** Returns those of the machines that have stoppable tasks of the priority class. */
+    List<Machine> withTasksOf(PriorityClass priorityClass, List<Machine> eligible) {
+        List<Machine> withTasks = new ArrayList<>();
+        for (Machine machine : eligible) {
+            if (machines.get(machine).contains(priorityClass)) {
+                withTasks.add(machine);
+            }
+        }
+        return withTasks;
+    }
+
+    /** Returns how many tasks of the job will fit where others are being stopped already. */
+    int tasksBeingFreed(JobSpec spec) {
+        int tasks = 0;
+        for (Machine machine : machinesBeingFreed) {
+            beingFreed.clear();
+            for (Allocation allocation : machine.allocations()) {
+                if (allocation.isStopping() && !allocation.hasEnded() && allocation.job() != null) {
+                    beingFreed.addTask(allocation.job().spec());
+                }
+            }
+            tasks += Math.min(beingFreed.fittingTasks(spec), MAX_FITTING_TASKS);
+        }
+        return tasks;
+    }
+}
--- a/src/main/java/io/sillreel/placement/QueueOrder.java
+++ b/src/main/java/io/sillreel/placement/QueueOrder.java
@@ -1,41 +1,35 @@
 package io.sillreel.placement;
 
 import io.sillreel.cluster.Cluster;
-import io.sillreel.cluster.QuotaUsage;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.PriorityClass;
-import io.sillreel.settings.Settings.Team;
+import io.sillreel.placement.PriorityBand.Timeliness;
 import java.util.ArrayList;
 import java.util.Comparator;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 
 /**
- * The order in which waiting jobs are served: the compiled one, earlier-admitted pipelines first, with ranks,
- * guarantees and age as the exceptions.
+ * The order in which waiting jobs are served. The ordinary order is that of the compiled plans, pipelines that were
+ * admitted earlier first (ADR 0006); priority classes, deadlines, guarantees and age are the exceptions, expressed as
+ * {@link PriorityBand}s. Guarded by the lock of the cluster.
  */
 final class QueueOrder {
-    /** How long guaranteed work waits on others before it goes ahead of them. */
-    private static final long GUARANTEE_PATIENCE_MICROS = 2_000_000;
-
-    private static final int BANDS_PER_PRIORITY = 3;
-    private static final int PRESSING = 0;
-    private static final int IN_TIME = 1;
-    private static final int LATE = 2;
-    /** A low rank yields until its work has so little time left to start. */
-    private static final long URGENT_MICROS = 20_000_000;
-    /** Work with less time than this does not wait for a place that has its image. */
-    private static final long PRESSING_MICROS = 15_000_000;
-    /** No exception holds a job up for longer: one that has not begun by then goes before all others. */
-    private static final long BEGIN_BY_MICROS = 120_000_000;
+    /** Work within a team's guarantee that has waited for longer is served before lower bands. */
+    private static final long GUARANTEE_WAIT_MICROS = 2_000_000;
+    /** Best-effort work that has to be started within this time is served together with late normal work. */
+    private static final long BEST_EFFORT_URGENT_MICROS = 20_000_000;
+    /** A job that has not started by this age is served before all others. */
+    private static final long MAX_START_AGE_MICROS = 120_000_000;
+    /** From this age on, a job of any priority class is served no later than urgent work of normal priority. */
+    private static final long RAISED_PRIORITY_AGE_MICROS = 150_000_000;
+    /** A job of this age is served before all others although it has started. */
+    private static final long MAX_AGE_MICROS = 300_000_000;
     /**
-     * Nor keeps one that has begun from its end: from some age on it is served like normal work, at last before all.
+     * The band of work that its team's guarantee entitles to start. It comes after what high priority can still do in
+     * time: else each of the two would preempt the other's tasks in turn.
      */
-    private static final long YIELD_UNTIL_MICROS = 150_000_000;
-
-    private static final long END_BY_MICROS = 300_000_000;
-    private static final int OWED_BAND = bandOf(PriorityClass.HIGH, LATE);
+    private static final PriorityBand GUARANTEED_BAND = PriorityBand.HIGH_LATE;
 
     private final Cluster cluster;
     private final ServiceLevelObjectives objectives;
@@ -45,86 +39,75 @@
         this.objectives = objectives;
     }
 
-    /** Waiting jobs in the order in which they are served. */
+    /**
+     * Returns the jobs with waiting tasks in the order in which they are served.
+     *
+     * @param guaranteed jobs within their team's guarantee
+     */
     List<QueuedJob> queue(Set<ActiveJob> guaranteed, long wallMicros) {
         List<QueuedJob> queue = new ArrayList<>();
         for (ActiveJob job : cluster.jobs()) {
             if (job.waitingCount() > 0 && cluster.isLaunchable(job, wallMicros)) {
-                long slack = objectives.slackMicros(job, wallMicros);
-                boolean aged = isAged(job, wallMicros);
-                queue.add(new QueuedJob(
-                        job,
-                        aged ? 0 : priorityBand(job, slack, guaranteed.contains(job), wallMicros),
-                        aged || slack >= 0 && slack < PRESSING_MICROS,
-                        aged));
+                queue.add(queuedJob(job, guaranteed.contains(job), wallMicros));
             }
         }
-        queue.sort(Comparator.<QueuedJob>comparingInt(queued -> queued.priorityBand)
-                .thenComparingLong(queued -> queued.job.planRevision()));
+        queue.sort(Comparator.comparing(QueuedJob::priorityBand)
+                .thenComparingLong(queued -> queued.job().planRevision()));
         return queue;
     }
 
-    /** No exception from the order of admission lasts for ever: such a job goes before all that came after it. */
+    private QueuedJob queuedJob(ActiveJob job, boolean isGuaranteed, long wallMicros) {
+        if (isAged(job, wallMicros)) {
+            return new QueuedJob(job, PriorityBand.AGED, true);
+        }
+        long slackMicros = objectives.slackMicros(job, wallMicros);
+        return new QueuedJob(
+                job,
+                priorityBand(job, slackMicros, isGuaranteed, wallMicros),
+                Timeliness.ofSlack(slackMicros) == Timeliness.URGENT);
+    }
+
     private static boolean isAged(ActiveJob job, long wallMicros) {
-        long age = wallMicros - job.readyWallMicros();
-        return age > END_BY_MICROS || hasNotStarted(job) && age > BEGIN_BY_MICROS;
+        long ageMicros = wallMicros - job.readyWallMicros();
+        return ageMicros > MAX_AGE_MICROS || hasNotStarted(job) && ageMicros > MAX_START_AGE_MICROS;
     }
 
     private static boolean hasNotStarted(ActiveJob job) {
         return job.allocatedCount() == 0 && job.doneCount() == 0;
     }
 
-    /**
-     * The exceptions from the order of admission: ranks; guaranteed work that waits too long; within a rank, work that
-     * is about to miss its time, before the rest, and work that has missed it, after the rest; work of a low rank that
-     * would miss its time if it yielded any longer. Level 0 is for what has waited too long.
-     */
-    private int priorityBand(ActiveJob job, long slack, boolean guaranteed, long wallMicros) {
-        PriorityClass rank = job.effectivePriority();
-        long age = wallMicros - job.readyWallMicros();
-        int level = bandOf(rank, slack < 0 ? LATE : slack < PRESSING_MICROS ? PRESSING : IN_TIME);
-        if (guaranteed
-                && age > GUARANTEE_PATIENCE_MICROS
-                && (hasNotStarted(job) || age < 2 * objectives.guaranteedStartMicros())) {
-            return Math.min(level, OWED_BAND);
+    private PriorityBand priorityBand(ActiveJob job, long slackMicros, boolean isGuaranteed, long wallMicros) {
+        PriorityClass priorityClass = job.effectivePriority();
+        long ageMicros = wallMicros - job.readyWallMicros();
+        PriorityBand band = PriorityBand.of(priorityClass, Timeliness.ofSlack(slackMicros));
+        if (isGuaranteed
+                && ageMicros > GUARANTEE_WAIT_MICROS
+                && (hasNotStarted(job) || ageMicros < 2 * objectives.guaranteedStartMicros())) {
+            return band.orBefore(GUARANTEED_BAND);
         }
-        if (age > YIELD_UNTIL_MICROS) {
-            return Math.min(level, bandOf(PriorityClass.NORMAL, PRESSING));
+        if (ageMicros > RAISED_PRIORITY_AGE_MICROS) {
+            return band.orBefore(PriorityBand.NORMAL_URGENT);
         }
-        return rank == PriorityClass.BEST_EFFORT && slack >= 0 && slack < URGENT_MICROS
-                ? bandOf(PriorityClass.NORMAL, LATE)
-                : level;
+        boolean isUrgentBestEffort = priorityClass == PriorityClass.BEST_EFFORT
+                && slackMicros >= 0
+                && slackMicros < BEST_EFFORT_URGENT_MICROS;
+        return isUrgentBestEffort ? PriorityBand.NORMAL_LATE : band;
     }
 
-    /**
-     * True if the job is served no later than owed work is, which stands behind what the high rank can still do in
-     * time: else each would stop the other's tasks in turn.
-     */
-    static boolean isOwedBand(QueuedJob queued) {
-        return queued.priorityBand <= OWED_BAND;
-    }
-
-    private static int bandOf(PriorityClass rank, int time) {
-        return 1 + BANDS_PER_PRIORITY * rank.ordinal() + time;
+    /** Returns true if the job is served no later than work that its team's guarantee entitles to start. */
+    static boolean isServedAsGuaranteed(QueuedJob queued) {
+        return queued.priorityBand().isAtOrBefore(GUARANTEED_BAND);
     }
 
-    /** Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs. */
-    Set<ActiveJob> guaranteed() {
-        QuotaUsage claimed = new QuotaUsage();
-        Set<ActiveJob> within = new HashSet<>();
-        List<ActiveJob> jobs = new ArrayList<>(cluster.jobs());
-        jobs.sort(Comparator.comparingLong(ActiveJob::planRevision));
-        for (ActiveJob job : jobs) {
-            Team team = cluster.team(job.spec().team());
-            if (job.isCancelled() || job.hasUnmetDependencies() || team == null) {
-                continue;
-            }
-            claimed.add(job.spec(), job.spec().tasks());
-            QuotaUsage.Amount sum = claimed.ofTeam(job.spec().team());
-            if (sum.cpus() <= QuotaUsage.toMilli(team.cpus()) && sum.gpus() <= QuotaUsage.toMilli(team.gpus())) {
-                within.add(job);
-            }
+    /**
+     * Returns the index after the last of the at most {@code maxJobs} jobs that share the band of the job at the index.
+     */
+    static int endOfBand(List<QueuedJob> queue, int from, int maxJobs) {
+        PriorityBand band = queue.get(from).priorityBand();
+        int to = from;
+        while (to < queue.size() && queue.get(to).priorityBand() == band && to - from < maxJobs) {
+            to++;
         }
-        return within;
+        return to;
     }
 }
--- a/src/main/java/io/sillreel/placement/QueuedJob.java
+++ b/src/main/java/io/sillreel/placement/QueuedJob.java
@@ -2,19 +2,57 @@
 
 import io.sillreel.pipeline.ActiveJob;
 
-/** A waiting job with its place in the order, and how many of its tasks have no place yet. */
+/**
+ * A waiting job in the queue of one plan, and how many of its tasks the plan has not placed yet. Guarded by the lock of
+ * the cluster.
+ */
 final class QueuedJob {
-    final ActiveJob job;
-    final int priorityBand;
-    final boolean isUrgent;
-    final boolean isAged;
-    int remainingTasks;
+    private final ActiveJob job;
+    private final PriorityBand priorityBand;
+    private final boolean isUrgent;
+    private int remainingTasks;
 
-    QueuedJob(ActiveJob job, int level, boolean pressing, boolean aged) {
+    /** @param isUrgent true if the job does not wait for a machine that has its image */
+    QueuedJob(ActiveJob job, PriorityBand priorityBand, boolean isUrgent) {
         this.job = job;
-        this.priorityBand = level;
-        this.isUrgent = pressing;
-        this.isAged = aged;
+        this.priorityBand = priorityBand;
+        this.isUrgent = isUrgent;
         this.remainingTasks = job.waitingCount();
     }
+
+    ActiveJob job() {
+        return job;
+    }
+
+    PriorityBand priorityBand() {
+        return priorityBand;
+    }
+
+    /** Returns true if the job does not wait for a machine that has its image. */
+    boolean isUrgent() {
+        return isUrgent;
+    }
+
+    /** Returns true if the job has waited so long that machines may be reserved for it. */
+    boolean isAged() {
+        return priorityBand == PriorityBand.AGED;
+    }
+
+    /**
+     * Returns true while tasks of the job have failed and none has succeeded: then one task at a time is tried, because
+     * the job may fail on every machine.
+     */
+    boolean isProbing() {
+        return !job.hasSucceededOnce() && !job.failedMachines().isEmpty();
+    }
+
+    /** Returns how many of the job's tasks the plan has not placed yet. */
+    int remainingTasks() {
+        return remainingTasks;
+    }
+
+    /** Records that the plan has placed tasks of the job. */
+    void recordPlaced(int tasks) {
+        remainingTasks -= tasks;
+    }
 }
--- /dev/null
+++ b/src/main/java/io/sillreel/placement/ResourceAmounts.java
@@ -0,0 +1,36 @@
+package io.sillreel.placement;
+
+import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.PlacementConstraints;
+import io.sillreel.pipeline.JobSpec;
+
+/** A sum of processors, memory and accelerator cards; reusable, so that a loop over machines allocates nothing. */
+final class ResourceAmounts {
+    private double cpus;
+    private double ramGb;
+    private double gpus;
+
+    void clear() {
+        cpus = 0;
+        ramGb = 0;
+        gpus = 0;
+    }
+
+    /** Replaces the amounts by what is free on the machine. */
+    void setToFree(Machine machine) {
+        cpus = machine.freeCpus();
+        ramGb = machine.freeRamGb();
+        gpus = machine.freeGpus();
+    }
+
+    /** Adds what one task of the job takes. */
+    void addTask(JobSpec spec) {
+        cpus += spec.cpus();
+        ramGb += spec.ramGb();
+        gpus += spec.gpus();
+    }
+
+    int fittingTasks(JobSpec spec) {
+        return PlacementConstraints.fittingTasks(spec, cpus, ramGb, gpus);
+    }
+}
--- /dev/null
+++ b/src/main/java/io/sillreel/placement/TeamGuarantees.java
@@ -0,0 +1,82 @@
+package io.sillreel.placement;
+
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.QuotaUsage;
+import io.sillreel.pipeline.ActiveJob;
+import io.sillreel.pipeline.JobSpec;
+import io.sillreel.settings.Settings.Team;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * The teams' guaranteed shares during one plan: which jobs are within them, and how much each team runs beyond its own.
+ * Guarded by the lock of the cluster.
+ */
+final class TeamGuarantees {
+    private final Cluster cluster;
+    /** Processors that each team runs beyond its guarantee, in thousandths; teams are added when first asked for. */
+    private final Map<String, Long> excessMilliCpus = new HashMap<>();
+
+    private final Set<ActiveJob> coveredJobs;
+
+    TeamGuarantees(Cluster cluster) {
+        this.cluster = cluster;
+        this.coveredJobs = coveredJobs(cluster);
+    }
+
+    /** Finds the jobs that fit into their team's guarantee together with the team's earlier unfinished jobs. */
+    private static Set<ActiveJob> coveredJobs(Cluster cluster) {
+        QuotaUsage claimed = new QuotaUsage();
+        Set<ActiveJob> covered = new HashSet<>();
+        List<ActiveJob> jobs = new ArrayList<>(cluster.jobs());
+        jobs.sort(Comparator.comparingLong(ActiveJob::planRevision));
+        for (ActiveJob job : jobs) {
+            Team team = cluster.team(job.spec().team());
+            if (job.isCancelled() || job.hasUnmetDependencies() || team == null) {
+                continue;
+            }
+            claimed.add(job.spec(), job.spec().tasks());
+            QuotaUsage.Amount sum = claimed.ofTeam(job.spec().team());
+            if (sum.cpus() <= QuotaUsage.toMilli(team.cpus()) && sum.gpus() <= QuotaUsage.toMilli(team.gpus())) {
+                covered.add(job);
+            }
+        }
+        return covered;
+    }
+
+    /** Returns the jobs that are within their team's guarantee; not to be modified. */
+    Set<ActiveJob> coveredJobs() {
+        return coveredJobs;
+    }
+
+    /** Returns true if the job is within its team's guarantee. */
+    boolean covers(ActiveJob job) {
+        return coveredJobs.contains(job);
+    }
+
+    /** Returns true if the team still runs beyond its guarantee once it has one task of the job less. */
+    boolean isExcess(JobSpec spec) {
+        return excessMilliCpus(spec.team()) >= QuotaUsage.toMilli(spec.cpus());
+    }
+
+    /** Records that a task of the job will be stopped. */
+    void recordPreempted(JobSpec spec) {
+        excessMilliCpus.put(spec.team(), excessMilliCpus(spec.team()) - QuotaUsage.toMilli(spec.cpus()));
+    }
+
+    private long excessMilliCpus(String team) {
+        Long known = excessMilliCpus.get(team);
+        if (known == null) {
+            Team settings = cluster.team(team);
+            known = cluster.allocationIndex().usage().ofTeam(team).cpus()
+                    - QuotaUsage.toMilli(settings == null ? 0 : settings.cpus());
+            excessMilliCpus.put(team, known);
+        }
+        return known;
+    }
+}
--- a/src/test/java/io/sillreel/placement/PlacementIndexTest.java
+++ b/src/test/java/io/sillreel/placement/PlacementIndexTest.java
@@ -33,7 +33,7 @@
     }
 
     /** Takes all tasks of a job that fit, and notes where. */
-    private static final class Recorder implements PlacementIndex.Taker {
+    private static final class Recorder implements PlacementIndex.MachineVisitor {
         private final JobSpec spec;
         private final List<String> taken = new ArrayList<>();
         private int wanted;
@@ -54,11 +54,11 @@
         }
 
         @Override
-        public boolean take(FreeCapacity space) {
+        public boolean place(FreeCapacity space) {
             int count = Math.min(wanted, space.fittingTasks(spec));
             wanted -= count;
-            space.take(spec, count);
-            taken.add(space.machine.name() + " x " + count);
+            space.allocate(spec, count);
+            taken.add(space.machine().name() + " x " + count);
             return count > 0;
         }
     }
@@ -66,21 +66,21 @@
     private static long fetchStep(FreeCapacity space, JobSpec spec) {
         return space.hasImage(spec)
                 ? 0
-                : (long) (spec.imageGb() / space.machine.type().pullGbPerSecond()) / 2;
+                : (long) (spec.imageGb() / space.machine().type().pullGbPerSecond()) / 2;
     }
 
     /** What a look at every machine gives: the order that the index has to keep. */
     private static List<String> bySorting(List<FreeCapacity> spaces, JobSpec spec) {
         List<FreeCapacity> fitting = new ArrayList<>(spaces);
         fitting.removeIf(
-                space -> space.fittingTasks(spec) <= 0 || !PlacementConstraints.isEligible(spec, space.machine));
+                space -> space.fittingTasks(spec) <= 0 || !PlacementConstraints.isEligible(spec, space.machine()));
         fitting.sort(Comparator.<FreeCapacity>comparingLong(space -> fetchStep(space, spec))
-                .thenComparingInt(space -> space.machine.isSpot() == spec.supportsCheckpoints() ? 0 : 1)
-                .thenComparingDouble(
-                        space -> space.hasImage(spec) ? space.cpus : -Math.min(space.fittingTasks(spec), spec.tasks()))
-                .thenComparing(space -> space.machine.name()));
+                .thenComparingInt(space -> space.machine().isSpot() == spec.supportsCheckpoints() ? 0 : 1)
+                .thenComparingDouble(space ->
+                        space.hasImage(spec) ? space.cpus() : -Math.min(space.fittingTasks(spec), spec.tasks()))
+                .thenComparing(space -> space.machine().name()));
         Recorder recorder = new Recorder(spec);
-        fitting.stream().takeWhile(space -> !recorder.isSatisfied()).forEach(recorder::take);
+        fitting.stream().takeWhile(space -> !recorder.isSatisfied()).forEach(recorder::place);
         return recorder.taken;
     }
 
@@ -105,7 +105,7 @@
         for (int number = 0; number < 60; number++) {
             JobSpec spec = job(random, number);
             Recorder recorder = new Recorder(spec);
-            index.offer(spec, spec.tasks(), false, recorder);
+            index.visitMachines(spec, spec.tasks(), false, recorder);
             assertThat(recorder.taken)
                     .as(Json.parse(Json.bytes(spec.toJson())).toString())
                     .isEqualTo(bySorting(sorted, spec));
--- a/src/test/java/io/sillreel/placement/PlannerTest.java
+++ b/src/test/java/io/sillreel/placement/PlannerTest.java
@@ -16,8 +16,6 @@
 import io.sillreel.pipeline.IgnoringListener;
 import io.sillreel.pipeline.JobSpec;
 import io.sillreel.pipeline.PriorityClass;
-import io.sillreel.placement.Planner.Assignment;
-import io.sillreel.placement.Planner.Plan;
 import io.sillreel.settings.Settings.Team;
 import io.sillreel.settings.ValueLimits;
 import java.util.List;
@@ -101,7 +99,7 @@
         }
     }
 
-    private Plan plan() {
+    private PlacementPlan plan() {
         return planner.plan(nowMicros, nowMicros);
     }
 
@@ -114,7 +112,7 @@
         for (int i = 0; i < waitingJobs; i++) {
             job("free", PriorityClass.NORMAL, 10, 1, 0, false);
         }
-        Plan plan = plan();
+        PlacementPlan plan = plan();
         Machine reporting = cluster.machine("host-000001");
         Allocation ended = reporting.allocations().iterator().next();
         ended.updateStage(TaskStage.ENDED, nowMicros);
@@ -180,7 +178,7 @@
             allocation.updateStage(TaskStage.ENDED, nowMicros);
             allocation.release();
         });
-        assertThat(plan().launches().get("host-000001")).containsExactly(new Assignment(high, 4));
+        assertThat(plan().launches().get("host-000001")).containsExactly(new TaskAssignment(high, 4));
     }
 
     /** Guards the other teams' guarantees: what is within them stays, however long somebody waits. */
@@ -200,7 +198,7 @@
         ActiveJob small = job("free", PriorityClass.NORMAL, 20, 1, 0, false);
         Machine one = machine(1);
         run(small, one, 4);
-        Plan plan = plan();
+        PlacementPlan plan = plan();
         Allocation ended = one.allocations().iterator().next();
         ended.updateStage(TaskStage.ENDED, nowMicros);
         ended.release();
@@ -210,7 +208,7 @@
             allocation.updateStage(TaskStage.ENDED, nowMicros);
             allocation.release();
         });
-        assertThat(planner.planMachine(plan, one, nowMicros, nowMicros)).containsExactly(new Assignment(large, 1));
+        assertThat(planner.planMachine(plan, one, nowMicros, nowMicros)).containsExactly(new TaskAssignment(large, 1));
     }
 
     @Test
@@ -218,12 +216,12 @@
         ActiveJob low = job("free", PriorityClass.BEST_EFFORT, 1, 4, 60 * SECOND, false);
         ActiveJob high = job("free", PriorityClass.HIGH, 1, 4, 0, false);
         machine(1);
-        assertThat(plan().launches().get("host-000001")).containsExactly(new Assignment(high, 1));
+        assertThat(plan().launches().get("host-000001")).containsExactly(new TaskAssignment(high, 1));
         nowMicros += 61 * SECOND;
         cluster.machine("host-000001")
                 .acceptHeartbeat(
                         new Heartbeat("host-000001", "", "c4", "a", true, 1, 2, 1, -1, List.of()), false, nowMicros);
-        assertThat(plan().launches().get("host-000001")).containsExactly(new Assignment(low, 1));
+        assertThat(plan().launches().get("host-000001")).containsExactly(new TaskAssignment(low, 1));
     }
 
     /**
@@ -235,8 +233,8 @@
         Machine ordinary = machine(2, false);
         ActiveJob other = job("free", PriorityClass.NORMAL, 4, 1, 0, false);
         ActiveJob saving = job("free", PriorityClass.NORMAL, 4, 1, 0, true);
-        Map<String, List<Assignment>> launches = plan().launches();
-        assertThat(launches.get(spot.name())).containsExactly(new Assignment(saving, 4));
-        assertThat(launches.get(ordinary.name())).containsExactly(new Assignment(other, 4));
+        Map<String, List<TaskAssignment>> launches = plan().launches();
+        assertThat(launches.get(spot.name())).containsExactly(new TaskAssignment(saving, 4));
+        assertThat(launches.get(ordinary.name())).containsExactly(new TaskAssignment(other, 4));
     }
 }
--- a/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
+++ b/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
@@ -116,8 +116,9 @@
         ActiveJob waiting = joined("job-000002", PriorityClass.NORMAL, -1, "job-000001");
         ActiveJob behind = joined("job-000003", PriorityClass.NORMAL, -1);
         ActiveJob beyond = joined("job-000004", PriorityClass.NORMAL, -1);
-        QueueOrder order = new QueueOrder(cluster, new ServiceLevelObjectives(List.of(), runtimeEstimator));
-        assertThat(order.guaranteed()).contains(first, behind).doesNotContain(waiting, beyond);
+        assertThat(new TeamGuarantees(cluster).coveredJobs())
+                .contains(first, behind)
+                .doesNotContain(waiting, beyond);
     }
 
     /**
