--- a/src/main/java/io/sillreel/fleet/CloudListReconciler.java
+++ b/src/main/java/io/sillreel/fleet/CloudListReconciler.java
@@ -11,7 +11,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -29,7 +28,7 @@
     private final CloudClient cloud;
     private final FleetRegistry registry;
     private final long listLagMicros;
-    private final Consumer<Machine> clear;
+    private final FleetCallbacks callbacks;
     /** Listed machines that no rental names, and when they were first seen. */
     private final Map<String, Long> unknownMachines = new HashMap<>();
 
@@ -37,23 +36,20 @@
     private long listPauseMicros = MIN_LIST_PAUSE_MICROS;
     private boolean isListing;
 
-    /**
-     * @param listLagMicros how far the list usually lags behind
-     * @param clear told of a machine whose tasks are certainly gone
-     */
+    /** @param listLagMicros how far the list usually lags behind */
     CloudListReconciler(
             EventLoop eventLoop,
             Cluster cluster,
             CloudClient cloud,
             FleetRegistry registry,
             long listLagMicros,
-            Consumer<Machine> clear) {
+            FleetCallbacks callbacks) {
         this.eventLoop = eventLoop;
         this.cluster = cluster;
         this.cloud = cloud;
         this.registry = registry;
         this.listLagMicros = listLagMicros;
-        this.clear = clear;
+        this.callbacks = callbacks;
     }
 
     /** Asks for the list if that is due. */
@@ -92,7 +88,7 @@
             machine.updateAddress(entry.address());
             if (entry.hasFailed()) {
                 LOG.info("machine {} has failed", machine.name());
-                clear.accept(machine);
+                callbacks.clearTasks(machine);
                 machine.drain();
             }
         }
--- a/src/main/java/io/sillreel/fleet/FleetRegistry.java
+++ b/src/main/java/io/sillreel/fleet/FleetRegistry.java
@@ -30,14 +30,14 @@
     private final WriteQueue writeQueue;
     private final ValueLimits limits;
     private final Supplier<Map<String, MachineType>> types;
-    private final Consumer<Machine> clear;
+    private final Consumer<Machine> clearTasks;
     private final Map<String, ScaleOutRequest> scaleOutRequests = new LinkedHashMap<>();
     /** Machines that were given back, the earliest first, and when. */
     private final Map<String, Long> returnedMicros = new LinkedHashMap<>();
 
     private long lastNameNumber;
 
-    /** @param clear told of a machine whose tasks are certainly gone */
+    /** @param clearTasks told of a machine whose tasks are certainly gone */
     FleetRegistry(
             EventLoop eventLoop,
             long term,
@@ -45,14 +45,14 @@
             WriteQueue writeQueue,
             ValueLimits limits,
             Supplier<Map<String, MachineType>> types,
-            Consumer<Machine> clear) {
+            Consumer<Machine> clearTasks) {
         this.eventLoop = eventLoop;
         this.term = term;
         this.cluster = cluster;
         this.writeQueue = writeQueue;
         this.limits = limits;
         this.types = types;
-        this.clear = clear;
+        this.clearTasks = clearTasks;
     }
 
     Collection<ScaleOutRequest> scaleOutRequests() {
@@ -155,7 +155,7 @@
 
     /** The machine no longer exists. */
     void remove(Machine machine) {
-        clear.accept(machine);
+        clearTasks.accept(machine);
         cluster.remove(machine);
         returnedMicros.put(machine.name(), eventLoop.nowMicros());
         forgetOldReturns();
--- /dev/null
+++ b/src/main/java/io/sillreel/fleet/MachineReturner.java
@@ -0,0 +1,68 @@
+package io.sillreel.fleet;
+
+import io.sillreel.cloud.CloudClient;
+import io.sillreel.cloud.CloudClient.Outcome;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
+import java.util.ArrayList;
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Returns drained machines to the cloud, one request at a time. Used by the event loop alone. */
+final class MachineReturner {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineReturner.class);
+
+    private final Cluster cluster;
+    private final CloudClient cloud;
+    private final FleetRegistry registry;
+    private final FleetCallbacks callbacks;
+    private boolean isReturnPending;
+
+    MachineReturner(Cluster cluster, CloudClient cloud, FleetRegistry registry, FleetCallbacks callbacks) {
+        this.cluster = cluster;
+        this.cloud = cloud;
+        this.registry = registry;
+        this.callbacks = callbacks;
+    }
+
+    /**
+     * Returns the machines that are draining and empty, and those whose return is scheduled whatever is on them. A
+     * request whose outcome is unknown is repeated by a later call.
+     */
+    void returnDrainedMachines() {
+        List<Machine> returnable = findReturnableMachines();
+        if (returnable.isEmpty() || isReturnPending || !callbacks.mayAct()) {
+            return;
+        }
+        isReturnPending = true;
+        List<String> names = returnable.stream().map(Machine::name).toList();
+        returnable.forEach(Machine::markReturning);
+        cloud.returnMachines(names).thenAccept(outcome -> {
+            isReturnPending = false;
+            if (outcome == Outcome.OK) {
+                synchronized (cluster) {
+                    returnable.forEach(registry::remove);
+                }
+                LOG.info("returned {}", names);
+            }
+        });
+    }
+
+    private List<Machine> findReturnableMachines() {
+        List<Machine> returnable = new ArrayList<>();
+        synchronized (cluster) {
+            for (Machine machine : cluster.machines()) {
+                if (isReturnable(machine) && returnable.size() < CloudClient.MAX_MACHINES_PER_RETURN) {
+                    returnable.add(machine);
+                }
+            }
+        }
+        return returnable;
+    }
+
+    private static boolean isReturnable(Machine machine) {
+        boolean isLeaving = machine.state() == Machine.State.DRAINING || machine.state() == Machine.State.RETURNING;
+        return isLeaving && (machine.isReturnScheduled() || machine.isEmpty());
+    }
+}
--- a/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
@@ -8,7 +8,6 @@
 import io.sillreel.settings.Settings.WorkerTimes;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.BooleanSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -33,29 +32,28 @@
     private final Cluster cluster;
     private final WorkerTimes times;
     private final OperatorProperties operator;
-    private final CapacityPlanner capacity;
+    private final CapacityPlanner capacityPlanner;
     private final FleetThresholds thresholds;
-    private final BooleanSupplier isUndisturbed;
+    private final FleetCallbacks callbacks;
     private final List<Long> lostAtMicros = new ArrayList<>();
     private final long termStartMicros;
     private long lastMassSilenceMicros = Long.MIN_VALUE / 2;
 
-    /** @param undisturbed true if no worker has had to look for another controller lately */
     ScaleInPolicy(
             EventLoop eventLoop,
             Cluster cluster,
             WorkerTimes times,
             OperatorProperties operator,
-            CapacityPlanner capacity,
+            CapacityPlanner capacityPlanner,
             FleetThresholds thresholds,
-            BooleanSupplier undisturbed) {
+            FleetCallbacks callbacks) {
         this.eventLoop = eventLoop;
         this.cluster = cluster;
         this.times = times;
         this.operator = operator;
-        this.capacity = capacity;
+        this.capacityPlanner = capacityPlanner;
         this.thresholds = thresholds;
-        this.isUndisturbed = undisturbed;
+        this.callbacks = callbacks;
         this.termStartMicros = eventLoop.nowMicros();
     }
 
@@ -82,7 +80,7 @@
         }
         returnLost(now);
         returnUnreconciled(now);
-        for (Machine machine : capacity.surplusMachines(operator.idleMicros(), now, eventLoop.wallMicros())) {
+        for (Machine machine : capacityPlanner.surplusMachines(operator.idleMicros(), now, eventLoop.wallMicros())) {
             drain(machine, "it has no work");
         }
     }
@@ -108,7 +106,7 @@
      */
     private void returnLost(long now) {
         long patience = times.heartbeatIntervalMicros() * 3 / 2
-                + (isUndisturbed.getAsBoolean() ? SECOND_HEARTBEAT_MICROS : CONTROLLER_CHANGE_MICROS);
+                + (callbacks.isRoutingStable() ? SECOND_HEARTBEAT_MICROS : CONTROLLER_CHANGE_MICROS);
         long usual = times.heartbeatIntervalMicros() * 5 / 4 + HEARTBEAT_DELAY_MICROS;
         List<Machine> lost = new ArrayList<>();
         int overdue = 0;
--- a/src/main/java/io/sillreel/fleet/ScaleOut.java
+++ b/src/main/java/io/sillreel/fleet/ScaleOut.java
@@ -11,9 +11,6 @@
 import io.sillreel.placement.ScaleOutProposal;
 import io.sillreel.statestore.WriteQueue;
 import java.util.List;
-import java.util.Map;
-import java.util.function.BooleanSupplier;
-import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -30,72 +27,63 @@
     private final CloudClient cloud;
     private final WriteQueue writeQueue;
     private final FleetRegistry registry;
-    private final CapacityPlanner capacity;
-    private final FleetCapacity fleetCapacity;
-    private final Supplier<Map<String, MachineType>> types;
-    private final BooleanSupplier mayAct;
-    private final int maxTransactionChanges;
+    private final CapacityPlanner capacityPlanner;
+    private final FleetConfiguration configuration;
+    private final FleetCallbacks callbacks;
     private long lastFullWarningMicros = Long.MIN_VALUE / 2;
 
-    /**
-     * @param mayAct true while rentals are allowed
-     * @param txnOps changes that fit into one transaction of the state service
-     */
     ScaleOut(
             EventLoop eventLoop,
             Cluster cluster,
             CloudClient cloud,
             WriteQueue writeQueue,
             FleetRegistry registry,
-            CapacityPlanner capacity,
-            FleetCapacity fleetCapacity,
-            Supplier<Map<String, MachineType>> types,
-            BooleanSupplier mayAct,
-            int txnOps) {
+            CapacityPlanner capacityPlanner,
+            FleetConfiguration configuration,
+            FleetCallbacks callbacks) {
         this.eventLoop = eventLoop;
         this.cluster = cluster;
         this.cloud = cloud;
         this.writeQueue = writeQueue;
         this.registry = registry;
-        this.capacity = capacity;
-        this.fleetCapacity = fleetCapacity;
-        this.types = types;
-        this.mayAct = mayAct;
-        this.maxTransactionChanges = txnOps;
+        this.capacityPlanner = capacityPlanner;
+        this.configuration = configuration;
+        this.callbacks = callbacks;
     }
 
     /** Asks for what the capacity planner wants, unless more urgent writes wait. */
     void requestMachines(long now) {
         // A rental is stored before the cloud is asked, so it waits while as urgent writes are behind.
-        if (!mayAct.getAsBoolean() || writeQueue.urgentCount() > maxTransactionChanges) {
+        if (!callbacks.mayAct()
+                || writeQueue.urgentCount() > configuration.settings().state().maxTransactionChanges()) {
             return;
         }
-        List<ScaleOutProposal> rentalRequests;
-        int room;
+        List<ScaleOutProposal> proposals;
+        int headroom;
         synchronized (cluster) {
             OpenRequests open = openRequests();
             if (open.count() >= MAX_OPEN_REQUESTS) {
                 return;
             }
-            rentalRequests = capacity.scaleOutProposals(
-                    types.get().values(), open.cpus(), open.ordinaryCpus(), now, eventLoop.wallMicros());
-            room = rentalRequests.isEmpty() ? 0 : machineHeadroom(open, now);
+            proposals = capacityPlanner.scaleOutProposals(
+                    configuration.allMachineTypes(), open.cpus(), open.ordinaryCpus(), now, eventLoop.wallMicros());
+            headroom = proposals.isEmpty() ? 0 : machineHeadroom(open, now);
         }
-        for (ScaleOutProposal rentalRequest : rentalRequests) {
-            int count = Math.min(room, Math.min(rentalRequest.count(), registry.maxMachinesPerRequest()));
+        for (ScaleOutProposal proposal : proposals) {
+            int count = Math.min(headroom, Math.min(proposal.count(), registry.maxMachinesPerRequest()));
             if (count > 0) {
-                room -= count;
-                storeRequest(rentalRequest, count);
+                headroom -= count;
+                storeRequest(proposal, count);
             }
         }
     }
 
-    private void storeRequest(ScaleOutProposal request, int count) {
-        ScaleOutRequest scaleOutRequest = new ScaleOutRequest(
-                registry.nextRequestName(), request.type().name(), request.zone(), request.isSpot(), count);
-        registry.add(scaleOutRequest);
-        scaleOutRequest.whenStored(() -> sendRequest(scaleOutRequest));
-        writeQueue.enqueue(scaleOutRequest);
+    private void storeRequest(ScaleOutProposal proposal, int count) {
+        ScaleOutRequest request = new ScaleOutRequest(
+                registry.nextRequestName(), proposal.type().name(), proposal.zone(), proposal.isSpot(), count);
+        registry.add(request);
+        request.whenStored(() -> sendRequest(request));
+        writeQueue.enqueue(request);
     }
 
     /** Rentals that the cloud has yet to answer: how many, and what they may bring. */
@@ -106,14 +94,14 @@
         int machines = 0;
         long cpus = 0;
         long ordinaryCpus = 0;
-        for (ScaleOutRequest scaleOutRequest : registry.scaleOutRequests()) {
-            if (!scaleOutRequest.isAnswered()) {
-                MachineType type = types.get().get(scaleOutRequest.machineType());
-                long each = type == null ? 0 : Math.round(type.cpus() * scaleOutRequest.machineCount());
+        for (ScaleOutRequest request : registry.scaleOutRequests()) {
+            if (!request.isAnswered()) {
+                MachineType type = configuration.machineType(request.machineType());
+                long requestedCpus = type == null ? 0 : Math.round(type.cpus() * request.machineCount());
                 count++;
-                machines += scaleOutRequest.machineCount();
-                cpus += each;
-                ordinaryCpus += scaleOutRequest.isSpot() ? 0 : each;
+                machines += request.machineCount();
+                cpus += requestedCpus;
+                ordinaryCpus += request.isSpot() ? 0 : requestedCpus;
             }
         }
         return new OpenRequests(count, machines, cpus, ordinaryCpus);
@@ -126,109 +114,108 @@
         for (Machine machine : cluster.machines()) {
             tasks += machine.allocations().size();
         }
+        FleetCapacity fleetCapacity = configuration.fleetCapacity();
         double tasksPerMachine = Math.max(FleetCapacity.USUAL_TASKS, (double) tasks / Math.max(1, machines));
-        int room = fleetCapacity.machines(tasksPerMachine) - machines - open.machines();
-        if (room <= 0 && now - lastFullWarningMicros > FULL_WARNING_INTERVAL_MICROS) {
+        int headroom = fleetCapacity.machines(tasksPerMachine) - machines - open.machines();
+        if (headroom <= 0 && now - lastFullWarningMicros > FULL_WARNING_INTERVAL_MICROS) {
             lastFullWarningMicros = now;
             LOG.warn(
                     "no more machines are rented: {} are there or asked for, and the controllers carry {}",
                     machines + open.machines(),
                     fleetCapacity.explain(tasksPerMachine));
         }
-        return room;
+        return headroom;
     }
 
     /** Asks once more for what got no answer. */
     void retryUnanswered(long now) {
-        for (ScaleOutRequest scaleOutRequest : List.copyOf(registry.scaleOutRequests())) {
-            if (!scaleOutRequest.isAnswered()
-                    && !scaleOutRequest.isDiscarded()
-                    && scaleOutRequest.revision() > 0
-                    && now - scaleOutRequest.lastSentMicros() > RETRY_MICROS + CloudClient.TIMEOUT_MICROS) {
-                sendRequest(scaleOutRequest);
+        for (ScaleOutRequest request : List.copyOf(registry.scaleOutRequests())) {
+            if (!request.isAnswered()
+                    && !request.isDiscarded()
+                    && request.revision() > 0
+                    && now - request.lastSentMicros() > RETRY_MICROS + CloudClient.TIMEOUT_MICROS) {
+                sendRequest(request);
             }
         }
     }
 
-    private void sendRequest(ScaleOutRequest scaleOutRequest) {
-        if (!mayAct.getAsBoolean() || scaleOutRequest.isAnswered() || scaleOutRequest.isDiscarded()) {
+    private void sendRequest(ScaleOutRequest request) {
+        if (!callbacks.mayAct() || request.isAnswered() || request.isDiscarded()) {
             return;
         }
-        scaleOutRequest.recordSent(eventLoop.nowMicros());
+        request.recordSent(eventLoop.nowMicros());
         cloud.provisionMachines(
-                        scaleOutRequest.name(),
-                        scaleOutRequest.machineType(),
-                        scaleOutRequest.zone(),
-                        scaleOutRequest.isSpot(),
-                        scaleOutRequest.machineCount())
-                .thenAccept(rented -> {
+                        request.name(), request.machineType(), request.zone(), request.isSpot(), request.machineCount())
+                .thenAccept(result -> {
                     synchronized (cluster) {
-                        handleResult(scaleOutRequest, rented);
+                        handleResult(request, result);
                     }
                 });
     }
 
-    private void handleResult(ScaleOutRequest scaleOutRequest, CloudClient.ProvisioningResult rented) {
+    private void handleResult(ScaleOutRequest request, CloudClient.ProvisioningResult result) {
         long now = eventLoop.nowMicros();
-        if (scaleOutRequest.isAnswered() || scaleOutRequest.isDiscarded()) {
+        if (request.isAnswered() || request.isDiscarded()) {
             // Asked twice, since an answer seemed lost: the first one counts, and what it brought may be at work.
             return;
         }
-        switch (rented.outcome()) {
-            case OK -> {
-                LOG.info(
-                        "rented {} of {} {} in {}{} as {}",
-                        rented.machines().size(),
-                        scaleOutRequest.machineCount(),
-                        scaleOutRequest.machineType(),
-                        scaleOutRequest.zone(),
-                        scaleOutRequest.isSpot() ? ", spot" : "",
-                        scaleOutRequest.name());
-                List<String> fresh = rented.machines().stream()
-                        .filter(name -> cluster.machine(name) == null && !registry.wasReturned(name))
-                        .toList();
-                scaleOutRequest.recordAnswer(fresh);
-                fresh.forEach(name -> registry.addMachine(name, scaleOutRequest, now));
-                if (rented.machines().size() < scaleOutRequest.machineCount()) {
-                    capacity.markUnavailable(
-                            scaleOutRequest.machineType(),
-                            scaleOutRequest.zone(),
-                            scaleOutRequest.isSpot(),
-                            now + UNAVAILABLE_MICROS);
-                }
-                if (fresh.isEmpty()) {
-                    registry.discard(scaleOutRequest);
-                }
-                writeQueue.enqueue(scaleOutRequest);
-            }
-            case NO_CAPACITY -> {
-                capacity.markUnavailable(
-                        scaleOutRequest.machineType(),
-                        scaleOutRequest.zone(),
-                        scaleOutRequest.isSpot(),
-                        now + UNAVAILABLE_MICROS);
-                registry.discard(scaleOutRequest);
-                writeQueue.enqueue(scaleOutRequest);
-            }
-            case REFUSED -> {
-                if (scaleOutRequest.mayHaveExecuted()) {
-                    scaleOutRequest.recordSent(now - CloudClient.TIMEOUT_MICROS);
-                } else {
-                    // Surely rented nothing; the request is formed anew when the cloud answers again.
-                    capacity.markUnavailable(
-                            scaleOutRequest.machineType(),
-                            scaleOutRequest.zone(),
-                            scaleOutRequest.isSpot(),
-                            now + RETRY_MICROS);
-                    registry.discard(scaleOutRequest);
-                    writeQueue.enqueue(scaleOutRequest);
-                }
-            }
+        switch (result.outcome()) {
+            case OK -> addRentedMachines(request, result.machines(), now);
+            case NO_CAPACITY -> abandon(request, now + UNAVAILABLE_MICROS);
+            case REFUSED -> handleRefusal(request, now);
             default -> {
-                LOG.info("the rental {} got no answer, asking again under the same name", scaleOutRequest.name());
-                scaleOutRequest.markPossiblyExecuted();
-                scaleOutRequest.recordSent(now - CloudClient.TIMEOUT_MICROS);
+                LOG.info("the rental {} got no answer, asking again under the same name", request.name());
+                request.markPossiblyExecuted();
+                retryWithoutTimeout(request, now);
             }
         }
     }
+
+    private void addRentedMachines(ScaleOutRequest request, List<String> rentedNames, long now) {
+        LOG.info(
+                "rented {} of {} {} in {}{} as {}",
+                rentedNames.size(),
+                request.machineCount(),
+                request.machineType(),
+                request.zone(),
+                request.isSpot() ? ", spot" : "",
+                request.name());
+        List<String> newNames = rentedNames.stream()
+                .filter(name -> cluster.machine(name) == null && !registry.wasReturned(name))
+                .toList();
+        request.recordAnswer(newNames);
+        newNames.forEach(name -> registry.addMachine(name, request, now));
+        if (rentedNames.size() < request.machineCount()) {
+            markUnavailable(request, now + UNAVAILABLE_MICROS);
+        }
+        if (newNames.isEmpty()) {
+            registry.discard(request);
+        }
+        writeQueue.enqueue(request);
+    }
+
+    private void handleRefusal(ScaleOutRequest request, long now) {
+        if (request.mayHaveExecuted()) {
+            retryWithoutTimeout(request, now);
+        } else {
+            // Surely rented nothing; the request is formed anew when the cloud answers again.
+            abandon(request, now + RETRY_MICROS);
+        }
+    }
+
+    /** The cloud has rented nothing: the request is given up, and its kind of machine not asked for until then. */
+    private void abandon(ScaleOutRequest request, long unavailableUntilMicros) {
+        markUnavailable(request, unavailableUntilMicros);
+        registry.discard(request);
+        writeQueue.enqueue(request);
+    }
+
+    private void markUnavailable(ScaleOutRequest request, long untilMicros) {
+        capacityPlanner.markUnavailable(request.machineType(), request.zone(), request.isSpot(), untilMicros);
+    }
+
+    /** The exchange has ended, so that the retry need not wait for its time-out. */
+    private static void retryWithoutTimeout(ScaleOutRequest request, long now) {
+        request.recordSent(now - CloudClient.TIMEOUT_MICROS);
+    }
 }
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -5,6 +5,8 @@
 import io.sillreel.cloud.MachineType;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
+import io.sillreel.fleet.FleetCallbacks;
+import io.sillreel.fleet.FleetConfiguration;
 import io.sillreel.fleet.FleetManager;
 import io.sillreel.fleet.FleetThresholds;
 import io.sillreel.fleet.SpotInterruptionDrain;
@@ -147,20 +149,31 @@
     }
 
     private FleetManager newFleet(CloudClient cloud, OperatorProperties operator, FleetCapacity fleetCapacity) {
+        FleetCallbacks callbacks = new FleetCallbacks() {
+            @Override
+            public boolean mayAct() {
+                return LeaderTerm.this.mayAct();
+            }
+
+            @Override
+            public boolean isRoutingStable() {
+                return reachability.isRoutingStable();
+            }
+
+            @Override
+            public void clearTasks(Machine machine) {
+                heartbeatProcessor.clearTasks(machine);
+            }
+        };
         return new FleetManager(
                 eventLoop,
                 term,
                 cluster,
                 cloud,
                 writeQueue,
-                settings,
-                operator,
-                fleetCapacity,
                 capacity,
-                machineTypes,
-                this::mayAct,
-                reachability::isRoutingStable,
-                heartbeatProcessor::clearTasks);
+                new FleetConfiguration(settings, operator, fleetCapacity, machineTypes),
+                callbacks);
     }
 
     private void stopTasks(ActiveJob job) {
