--- a/src/main/java/io/sillreel/leadership/StoredJobsReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredJobsReader.java
@@ -6,9 +6,10 @@
 import io.sillreel.leadership.StoredState.StoredJob;
 import io.sillreel.pipeline.JobIdSet;
 import io.sillreel.pipeline.PlanRecord;
+import io.sillreel.pipeline.PlanRecordCodec;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.statestore.PendingWrite;
-import io.sillreel.statestore.StateStore.StoredEntry;
+import io.sillreel.statestore.StoredEntry;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -120,13 +121,13 @@
         if (!done.contains(uid)) {
             StoredHead head = heads.remove(uid);
             unfinished.add(new StoredJob(
-                    PlanRecord.fromJson(plan.value()),
+                    PlanRecordCodec.decode(plan.value()),
                     plan.revision(),
                     head == null ? null : head.head(),
                     head == null ? 0 : head.revision(),
                     RunRecord.StoredChunks.NONE));
-        } else if (countsAsDemand.test(PlanRecord.admittedWallMicros(plan.value()))) {
-            recentlyDone.add(PlanRecord.fromJson(plan.value()));
+        } else if (countsAsDemand.test(PlanRecordCodec.admittedWallMicros(plan.value()))) {
+            recentlyDone.add(PlanRecordCodec.decode(plan.value()));
         }
     }
 
