--- a/src/main/java/io/sillreel/heartbeat/CommandWriter.java
+++ b/src/main/java/io/sillreel/heartbeat/CommandWriter.java
@@ -30,7 +30,7 @@
     }
 
     /** The proposal from which the next launches are taken. */
-    void plan(PlacementPlan newPlan) {
+    void usePlan(PlacementPlan newPlan) {
         plan = newPlan;
     }
 
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -5,6 +5,8 @@
 import io.sillreel.cloud.MachineType;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
+import io.sillreel.fleet.FleetCallbacks;
+import io.sillreel.fleet.FleetConfiguration;
 import io.sillreel.fleet.FleetManager;
 import io.sillreel.fleet.FleetThresholds;
 import io.sillreel.fleet.SpotInterruptionDrain;
@@ -112,7 +114,7 @@
                 capacity,
                 runtimeEstimator,
                 settings.state().values(),
-                this::schedulingNeeded,
+                this::requestScheduling,
                 this::stopTasks,
                 prefix -> leadership.resign("the watch of " + prefix + " was compacted"));
         this.status = new LeaderStatus(eventLoop, term, cluster, capacity, writeQueue);
@@ -147,20 +149,31 @@
     }
 
     private FleetManager newFleet(CloudClient cloud, OperatorProperties operator, FleetCapacity fleetCapacity) {
+        FleetCallbacks callbacks = new FleetCallbacks() {
+            @Override
+            public boolean mayAct() {
+                return LeaderTerm.this.mayAct();
+            }
+
+            @Override
+            public boolean isRoutingStable() {
+                return reachability.isRoutingStable();
+            }
+
+            @Override
+            public void clearTasks(Machine machine) {
+                heartbeatProcessor.clearTasks(machine);
+            }
+        };
         return new FleetManager(
                 eventLoop,
                 term,
                 cluster,
                 cloud,
                 writeQueue,
-                settings,
-                operator,
-                fleetCapacity,
                 capacity,
-                machineTypes,
-                this::mayAct,
-                reachability::isRoutingStable,
-                heartbeatProcessor::clearTasks);
+                new FleetConfiguration(settings, operator, fleetCapacity, machineTypes),
+                callbacks);
     }
 
     private void stopTasks(ActiveJob job) {
@@ -287,7 +300,7 @@
 
     /** Looks, about once a second, whether another controller had better lead. */
     public void checkReachability() {
-        if (heartbeatProcessor.isOutOfAttemptIds()) {
+        if (heartbeatProcessor.hasExhaustedAttemptIds()) {
             leadership.resign("the attempt ids of the term are used up");
             return;
         }
@@ -295,32 +308,32 @@
     }
 
     @Override
-    public Machine adopt(Heartbeat heartbeat) {
+    public Machine adoptMachine(Heartbeat heartbeat) {
         return fleet.adopt(heartbeat.machine(), heartbeat.machineType(), heartbeat.zone(), heartbeat.spot());
     }
 
     @Override
-    public boolean isGone(String machine) {
+    public boolean isMachineGone(String machine) {
         return fleet.wasReturned(machine);
     }
 
     @Override
-    public void machineUp(Machine machine) {
+    public void markMachineUp(Machine machine) {
         fleet.recordMachineUp(machine);
     }
 
     @Override
-    public void machineDown(Machine machine) {
+    public void markMachineDown(Machine machine) {
         fleet.recordMachineDown(machine);
     }
 
     @Override
-    public void schedulingNeeded() {
+    public void requestScheduling() {
         schedulingCycle.markDirty();
     }
 
     @Override
-    public void queryStatus(Machine machine) {
+    public void queryMachineStatus(Machine machine) {
         if (machine.address() == null) {
             return;
         }
