--- a/src/main/java/io/sillreel/admission/JobStatusReader.java
+++ b/src/main/java/io/sillreel/admission/JobStatusReader.java
@@ -109,14 +109,14 @@
                 return false;
             }
             JobStatus status = planned.join().get();
-            StoredEntry head = run.join().entry();
+            Optional<StoredEntry> head = run.join().entry();
             views.remember(new JobStatus(
                     uid,
                     status.planStamp(),
                     status.tasks(),
                     status.awaits(),
                     run.join().revision(),
-                    head == null ? null : RunRecord.Head.fromJson(head.value()),
+                    head.isEmpty() ? null : RunRecord.Head.fromJson(head.get().value()),
                     cancel.join().revision(),
                     false));
             return true;
@@ -133,10 +133,10 @@
             if (!read.isConclusive()) {
                 return CompletableFuture.completedFuture(Optional.empty());
             }
-            if (read.entry() == null) {
+            if (read.entry().isEmpty()) {
                 return CompletableFuture.completedFuture(Optional.of(old));
             }
-            return PlanRecord.fromJson(read.entry().value())
+            return PlanRecord.fromJson(read.entry().get().value())
                     .loadOverflow(store)
                     .thenApply(plan -> plan.map(whole -> planned(uid, read.revision(), whole.spec())));
         });
--- a/src/main/java/io/sillreel/cloud/MachineTypeStore.java
+++ b/src/main/java/io/sillreel/cloud/MachineTypeStore.java
@@ -32,7 +32,7 @@
         return store.get(KEY)
                 .thenApply(read -> new StoredTypes(
                         CloudCodec.readMachineTypes(
-                                read.outcome() == StoreOutcome.OK ? read.entry().value() : Json.object()),
+                                read.entry().isPresent() ? read.entry().get().value() : Json.object()),
                         read.revision(),
                         read.isConclusive()));
     }
--- a/src/main/java/io/sillreel/leadership/LeaderElection.java
+++ b/src/main/java/io/sillreel/leadership/LeaderElection.java
@@ -259,7 +259,9 @@
 
     /** The last term that was taken, as it was read under {@link #TERM_KEY}; 0 before the first one. */
     public static long storedTerm(ReadResult read) {
-        return read.entry() == null ? 0 : LeaderKeyCodec.readTerm(read.entry().value());
+        return read.entry().isEmpty()
+                ? 0
+                : LeaderKeyCodec.readTerm(read.entry().get().value());
     }
 
     /**
--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -217,7 +217,8 @@
         store.get(RunRecord.key(uid)).thenAccept(read -> {
             synchronized (cluster) {
                 if (read.outcome() == StoreOutcome.OK
-                        && RunRecord.Head.fromJson(read.entry().value()).isDone()) {
+                        && RunRecord.Head.fromJson(read.entry().orElseThrow().value())
+                                .isDone()) {
                     recentlyDoneUids.add(uid);
                     dependencies.lookupSucceeded(uid);
                     return;
--- a/src/main/java/io/sillreel/pipeline/ActiveJob.java
+++ b/src/main/java/io/sillreel/pipeline/ActiveJob.java
@@ -7,6 +7,7 @@
 import java.util.BitSet;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import org.agrona.collections.Int2IntCounterMap;
 
@@ -335,8 +336,8 @@
     }
 
     @Override
-    public String requiredAbsentKey() {
-        return CancellationRecord.key(spec.uid());
+    public Optional<String> requiredAbsentKey() {
+        return Optional.of(CancellationRecord.key(spec.uid()));
     }
 
     @Override
--- a/src/main/java/io/sillreel/pipeline/PlanRecord.java
+++ b/src/main/java/io/sillreel/pipeline/PlanRecord.java
@@ -142,7 +142,7 @@
                 if (read.join().outcome() != StoreOutcome.OK) {
                     return Optional.empty();
                 }
-                values.add(read.join().entry().value());
+                values.add(read.join().entry().orElseThrow().value());
             }
             return Optional.of(withOverflow(values));
         });
--- a/src/main/java/io/sillreel/recovery/ChangeFollower.java
+++ b/src/main/java/io/sillreel/recovery/ChangeFollower.java
@@ -109,7 +109,7 @@
         if (thisRun != run) {
             return;
         }
-        Stream<StoredEntry> landmarks = Stream.concat(stored.stream(), Stream.ofNullable(term.entry()));
+        Stream<StoredEntry> landmarks = Stream.concat(stored.stream(), term.entry().stream());
         Optional<StoredEntry> latest = landmarks.max(Comparator.comparingLong(StoredEntry::revision));
         long since = fromLandmark
                 ? latest.map(StoredEntry::revision).orElse(verdict.storeRevision())
--- a/src/main/java/io/sillreel/recovery/ChangeRestorer.java
+++ b/src/main/java/io/sillreel/recovery/ChangeRestorer.java
@@ -191,8 +191,9 @@
     }
 
     private void add(Transaction transaction, RecentChange change, ReadResult read) {
-        var current =
-                read.entry() == null ? MissingNode.getInstance() : read.entry().value();
+        var current = read.entry().isEmpty()
+                ? MissingNode.getInstance()
+                : read.entry().get().value();
         if (!RestorePolicy.restores(change, current, read.revision(), history.returnedAt())) {
             return;
         }
--- a/src/main/java/io/sillreel/recovery/RecoveryRecord.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryRecord.java
@@ -29,7 +29,7 @@
 
     /** What was read under the key; one that does not exist means that no loss was ever noticed. */
     static RecoveryRecord of(ReadResult read) {
-        return read.entry() == null ? NONE : of(read.entry().value());
+        return read.entry().isEmpty() ? NONE : of(read.entry().get().value());
     }
 
     /** Reads the stored record. */
--- a/src/main/java/io/sillreel/statestore/PendingWrite.java
+++ b/src/main/java/io/sillreel/statestore/PendingWrite.java
@@ -1,6 +1,7 @@
 package io.sillreel.statestore;
 
 import java.util.List;
+import java.util.Optional;
 
 /**
  * A change of one key that waits in a {@link WriteQueue}. The write is a compare-and-swap: it succeeds only if the key
@@ -26,9 +27,9 @@
         return WriteUrgency.JOB_START;
     }
 
-    /** Another key that must not exist for the write to succeed, or null if there is none. */
-    default String requiredAbsentKey() {
-        return null;
+    /** Another key that must not exist for the write to succeed, if there is one. */
+    default Optional<String> requiredAbsentKey() {
+        return Optional.empty();
     }
 
     /** The change last asked for is stored under the given revision. */
--- a/src/main/java/io/sillreel/statestore/StateStore.java
+++ b/src/main/java/io/sillreel/statestore/StateStore.java
@@ -6,6 +6,7 @@
 import io.sillreel.overload.RateLimiter;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
 /**
@@ -73,7 +74,11 @@
     public CompletableFuture<ReadResult> get(String key) {
         return transport.send(StateStoreCodec.readRequest(key), TIMEOUT_MICROS).thenApply(response -> {
             StoreOutcome outcome = transport.recordOutcome(response);
-            return new ReadResult(outcome, outcome == StoreOutcome.OK ? StateStoreCodec.entry(response.json()) : null);
+            return new ReadResult(
+                    outcome,
+                    outcome == StoreOutcome.OK
+                            ? Optional.of(StateStoreCodec.entry(response.json()))
+                            : Optional.empty());
         });
     }
 
--- a/src/main/java/io/sillreel/statestore/WriteBatch.java
+++ b/src/main/java/io/sillreel/statestore/WriteBatch.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Predicate;
 
 /** Items that are written in one transaction, each conditional on its own key's stamp and all on the leader's. */
@@ -43,8 +44,9 @@
         bytes += size;
         writes.add(item);
         transaction.requireRevision(item.key(), item.revision());
-        if (item.requiredAbsentKey() != null) {
-            transaction.requireRevision(item.requiredAbsentKey(), 0);
+        Optional<String> requiredAbsentKey = item.requiredAbsentKey();
+        if (requiredAbsentKey.isPresent()) {
+            transaction.requireRevision(requiredAbsentKey.get(), 0);
         }
         change.addTo(transaction, item.key());
         return true;
--- a/src/main/java/io/sillreel/statestore/WriteQueue.java
+++ b/src/main/java/io/sillreel/statestore/WriteQueue.java
@@ -218,7 +218,9 @@
         if (commit.outcome() == StoreOutcome.CONFLICT) {
             List<PendingWrite> moved = new ArrayList<>();
             for (PendingWrite item : batch) {
-                if (item.requiredAbsentKey() != null && commit.failedKeys().contains(item.requiredAbsentKey())) {
+                if (item.requiredAbsentKey()
+                        .filter(commit.failedKeys()::contains)
+                        .isPresent()) {
                     notifyWrite(item, PendingWrite::onPreconditionFailed);
                 } else if (commit.failedKeys().contains(item.key())) {
                     moved.add(item);
