--- a/src/main/java/io/sillreel/heartbeat/CommandWriter.java
+++ b/src/main/java/io/sillreel/heartbeat/CommandWriter.java
@@ -14,14 +14,15 @@
 import java.util.List;
 
 /** Tells a machine what to do: what to reap, what to stop and, in answer to a report alone, what to launch. */
-final class CommandWriter {
+public final class CommandWriter {
     private final EventLoop eventLoop;
     private final AttemptIds attemptIds;
     private final Cluster cluster;
     private final Planner planner;
     private Planner.Plan plan = Planner.Plan.EMPTY;
 
-    CommandWriter(EventLoop eventLoop, AttemptIds attemptIds, Cluster cluster, Planner planner) {
+    /** @param attemptIds the ids of the launches of this term */
+    public CommandWriter(EventLoop eventLoop, AttemptIds attemptIds, Cluster cluster, Planner planner) {
         this.eventLoop = eventLoop;
         this.attemptIds = attemptIds;
         this.cluster = cluster;
@@ -33,6 +34,11 @@
         plan = newPlan;
     }
 
+    /** True if this term can launch nothing more. */
+    boolean hasExhaustedAttemptIds() {
+        return attemptIds.isExhausted();
+    }
+
     /** Reaps what is settled and stops what must not run; both are repeated until the reports show them done. */
     void addCommands(Machine machine, AgentCommands commands) {
         for (Allocation allocation : machine.allocations()) {
--- a/src/main/java/io/sillreel/heartbeat/FaultAttribution.java
+++ b/src/main/java/io/sillreel/heartbeat/FaultAttribution.java
@@ -7,9 +7,9 @@
  * Whose fault a failed task is. A task that fails says nothing by itself: a faulty machine fails tasks of every job, a
  * mistaken job fails on every machine. Until it is known, the machine gets nothing new and the job one task elsewhere.
  */
-public final class FaultAttribution {
+final class FaultAttribution {
     /** Who is at fault for a failed task. */
-    public enum Fault {
+    enum Fault {
         UNKNOWN,
         MACHINE,
         JOB
@@ -21,7 +21,7 @@
     private FaultAttribution() {}
 
     /** Judges a task of the job that failed on the machine. */
-    public static Fault attribute(ActiveJob job, Machine machine) {
+    static Fault attribute(ActiveJob job, Machine machine) {
         if (job.hasSucceededOnce()) {
             return Fault.MACHINE;
         }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
@@ -4,103 +4,69 @@
 import io.sillreel.agent.Heartbeat;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
-import io.sillreel.fleet.FleetThresholds;
 import io.sillreel.http.EventLoop;
 import io.sillreel.http.HttpResponse;
-import io.sillreel.pipeline.RetrySchedule;
 import io.sillreel.placement.Planner;
-import io.sillreel.placement.RuntimeEstimator;
-import io.sillreel.settings.Settings.WorkerTimes;
-import io.sillreel.statestore.WriteQueue;
-import java.util.function.BooleanSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes workers' reports while this controller holds the lease, and answers with what the machine is to do. Launches
- * are given in no other way: a worker drops a response that comes late, so a launch that the next report does not show
- * has not happened and never will.
+ * Processes the heartbeats of workers while this controller leads a term, and answers each with the commands for its
+ * machine. Tasks are launched in no other way: a worker drops a response that comes late, so a launch that the next
+ * heartbeat does not show has not happened and never will. All state is guarded by the lock of the cluster.
  */
 public final class HeartbeatProcessor {
-    /** What the processing of reports needs from the rest of the term. */
-    public interface Callbacks {
-        /** A machine that nobody rented under a known name has reported. */
-        Machine adoptMachine(Heartbeat heartbeat);
-
-        /** True if the machine was returned or taken; it can't be there any more. */
-        boolean isMachineGone(String machine);
-
-        /** The machine has reported for the first time. */
-        void markMachineUp(Machine machine);
-
-        /** Nothing that was on the machine can be alive any more, and it has not been heard since. */
-        void markMachineDown(Machine machine);
-
-        void requestScheduling();
-
-        /** Asks the machine itself how far it counts. */
-        void queryMachineStatus(Machine machine);
-    }
-
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatProcessor.class);
-    private static final long DRIFT_DIVISOR = 1_000;
-    private static final long BOUND_MARGIN_MICROS = 500_000;
 
     private final EventLoop eventLoop;
     private final long term;
     private final Cluster cluster;
-    private final WorkerTimes times;
-    private final FleetThresholds thresholds;
-    private final Callbacks callbacks;
-    private final BooleanSupplier mayAct;
-    private final HttpResponse noCommands;
     private final TaskReconciler reconciler;
     private final CommandWriter commandWriter;
-    private final AttemptIds attemptIds;
+    private final MachineLeases leases;
+    private final UnresponsiveMachines unresponsiveMachines;
+    private final TermOperations operations;
+    private final HttpResponse noCommands;
 
-    /** @param mayAct true while the lease and the cancellations are known well enough to launch tasks */
+    /** @param term the term that is led, which is the fencing token of all commands */
     public HeartbeatProcessor(
             EventLoop eventLoop,
             long term,
             Cluster cluster,
-            WriteQueue writeQueue,
-            WorkerTimes times,
-            FleetThresholds thresholds,
-            RetrySchedule retries,
-            RuntimeEstimator runtimeEstimator,
-            Planner planner,
-            Callbacks callbacks,
-            BooleanSupplier mayAct) {
+            TaskReconciler reconciler,
+            CommandWriter commandWriter,
+            MachineLeases leases,
+            UnresponsiveMachines unresponsiveMachines,
+            TermOperations operations) {
         this.eventLoop = eventLoop;
         this.term = term;
         this.cluster = cluster;
-        this.times = times;
-        this.thresholds = thresholds;
-        this.callbacks = callbacks;
-        this.mayAct = mayAct;
+        this.reconciler = reconciler;
+        this.commandWriter = commandWriter;
+        this.leases = leases;
+        this.unresponsiveMachines = unresponsiveMachines;
+        this.operations = operations;
         this.noCommands = new AgentCommands().toResponse(term);
-        this.reconciler = new TaskReconciler(
-                eventLoop, cluster, writeQueue, retries, runtimeEstimator, callbacks::requestScheduling);
-        this.attemptIds = new AttemptIds(term);
-        this.commandWriter = new CommandWriter(eventLoop, attemptIds, cluster, planner);
     }
 
-    /** The proposal from which the next responses are filled. */
+    /** Sets the plan from which the next launches are taken. */
     public void usePlan(Planner.Plan plan) {
         commandWriter.usePlan(plan);
     }
 
     /** True if this term can launch nothing more, so that another one has to begin. */
     public boolean hasExhaustedAttemptIds() {
-        return attemptIds.isExhausted();
+        return commandWriter.hasExhaustedAttemptIds();
     }
 
-    /** The longest that tasks live on a machine whose report is answered now. */
+    /**
+     * The latest time, in microseconds, to which tasks live on a machine whose heartbeat is answered at the given time.
+     */
     public long leaseExpiryMicros(long nowMicros) {
-        return nowMicros + times.leaseMicros() + times.leaseMicros() / DRIFT_DIVISOR + BOUND_MARGIN_MICROS;
+        return leases.leaseExpiryMicros(nowMicros);
     }
 
-    /** A report that came by itself, here or through another controller. */
+    /** Processes a heartbeat that its worker sent by itself, here or through another controller. */
     public HttpResponse process(Heartbeat heartbeat) {
         synchronized (cluster) {
             long now = eventLoop.nowMicros();
@@ -113,25 +79,25 @@
                     && heartbeat.isNewerThan(
                             machine.heartbeatOrder().epoch(),
                             machine.heartbeatOrder().sequence())) {
-                // Within one life neither the token nor the numbers fall.
+                // Neither the fencing token nor the sequence decreases while a worker runs, so it has restarted.
                 return handleRestart(machine);
             }
             if (!machine.acceptHeartbeat(heartbeat, false, now)) {
                 return handleStaleHeartbeat(machine, heartbeat, now);
             }
             cluster.countSteps(heartbeat.tasks().size() + 1);
-            callbacks.markMachineUp(machine);
+            operations.markMachineUp(machine);
             if (heartbeat.fencingToken() != term) {
                 return handleStaleToken(machine, now);
             }
             reconciler.reconcile(machine, heartbeat, true, now);
-            if (isIsolatedUnresponsive(machine)) {
-                return refuseUnresponsive(machine);
+            if (unresponsiveMachines.isIsolatedUnresponsive(machine)) {
+                return unresponsiveMachines.refuseHeartbeat(machine);
             }
-            machine.recordHeartbeatAnswered(leaseExpiryMicros(now));
+            machine.recordHeartbeatAnswered(leases.leaseExpiryMicros(now));
             AgentCommands commands = new AgentCommands();
             commandWriter.addCommands(machine, commands);
-            if (mayAct.getAsBoolean()) {
+            if (operations.mayAct()) {
                 commandWriter.addLaunches(machine, heartbeat, commands, now);
             }
             return commands.isEmpty() ? noCommands : commands.toResponse(term);
@@ -139,77 +105,51 @@
     }
 
     /**
-     * A machine that no stored rental names holds nothing of ours. It is used once it shows the current token: a copy
-     * of an old report, of a machine that was returned since, never does.
+     * Answers a machine that no stored scale-out request names; it holds no tasks of this fleet. It is adopted once it
+     * shows the current fencing token: a copy of an old heartbeat, of a machine that was returned since, never does.
      */
     private HttpResponse handleUnknownMachine(Heartbeat heartbeat) {
-        if (callbacks.isMachineGone(heartbeat.machine())) {
+        if (operations.isMachineGone(heartbeat.machine())) {
             return HttpResponse.retryLater(503, "the machine was returned", 1);
         }
-        if (heartbeat.fencingToken() == term && callbacks.adoptMachine(heartbeat) == null) {
+        if (heartbeat.fencingToken() == term && !operations.adoptMachine(heartbeat)) {
             return HttpResponse.retryLater(503, "machine type " + heartbeat.machineType() + " is not known", 1);
         }
         return noCommands;
     }
 
     /**
-     * An older message, or a copy, says nothing new and must extend no bound, so it is not answered 200. The exception
-     * is a report that the answer to a direct command has just overtaken: its worker still waits.
+     * Refuses an older heartbeat or a copy: it must not extend the lease, so it is not answered 200. The exception is a
+     * heartbeat that the answer to a direct command has just overtaken: its worker still waits for the response.
      */
     private HttpResponse handleStaleHeartbeat(Machine machine, Heartbeat heartbeat, long now) {
         if (machine.heartbeatOrder().isOvertakenByCommand(heartbeat, Heartbeat.RESPONSE_TIMEOUT_MICROS, now)) {
-            machine.recordHeartbeatAnswered(leaseExpiryMicros(now));
+            machine.recordHeartbeatAnswered(leases.leaseExpiryMicros(now));
             return noCommands;
         }
         if (machine.heartbeatOrder().suggestsRestart(heartbeat)) {
-            callbacks.queryMachineStatus(machine);
+            operations.queryMachineStatus(machine);
         }
         return HttpResponse.retryLater(503, "a newer report was seen", 1);
     }
 
     /**
-     * The machine does not know this term yet: it may still obey an earlier leader. It is told, but not without end.
+     * Tells a machine with an older fencing token of this term. It gets no launches, since it may still obey an earlier
+     * leader, and is refused once it has ignored several responses.
      */
     private HttpResponse handleStaleToken(Machine machine, long now) {
-        if (isIsolatedUnresponsive(machine)) {
-            return refuseUnresponsive(machine);
+        if (unresponsiveMachines.isIsolatedUnresponsive(machine)) {
+            return unresponsiveMachines.refuseHeartbeat(machine);
         }
         machine.responsiveness().recordStaleToken(now);
-        machine.recordHeartbeatAnswered(leaseExpiryMicros(now));
+        machine.recordHeartbeatAnswered(leases.leaseExpiryMicros(now));
         return noCommands;
     }
 
-    /** True if the machine alone, or with few others, hears nothing; if many do, the fault is on this side. */
-    private boolean isIsolatedUnresponsive(Machine machine) {
-        if (!machine.responsiveness().isUnresponsive()) {
-            return false;
-        }
-        int most = thresholds.maxUnresponsive(cluster.machines().size());
-        long unresponsive = cluster.machines().stream()
-                .filter(each -> each.responsiveness().isUnresponsive())
-                .limit(most + 1L)
-                .count();
-        return unresponsive <= most;
-    }
-
-    /** It hears nothing: not answering lets its lease, and with it its tasks, run out; then it goes back. */
-    private HttpResponse refuseUnresponsive(Machine machine) {
-        if (machine.state() == Machine.State.UP) {
-            LOG.info(
-                    "machine {} ({}) does not react to its commands",
-                    machine.name(),
-                    machine.type().name());
-            callbacks.requestScheduling();
-            if (machine.isReconciled()) {
-                machine.drain();
-            } else {
-                machine.scheduleReturn();
-            }
-        }
-        return HttpResponse.retryLater(503, "earlier answers did not arrive", 1);
-    }
-
-    /** The report in the answer to a direct command. It can't show that a launch did not happen. */
+    /**
+     * Processes the heartbeat in the answer to a direct command. It does not show that a launch did not happen, since
+     * the launch may still be under way.
+     */
     public void processCommandResponse(Heartbeat heartbeat) {
         synchronized (cluster) {
             Machine machine = cluster.machine(heartbeat.machine());
@@ -222,61 +162,45 @@
     }
 
     /**
-     * What the machine said when it was asked how far it counts: less than it had counted when it was asked means that
-     * it is a new life of it. If reports have been taken since, the answer is older than they are and says nothing.
+     * Processes the answer to a status query. A sequence that is not beyond the one before the query means that the
+     * worker has restarted. If heartbeats were accepted since the query, the answer is older and is ignored.
      */
-    public void processStatusResponse(Heartbeat heartbeat, long sessionBefore, long sequenceBefore) {
+    public void processStatusResponse(Heartbeat heartbeat, long epochBefore, long sequenceBefore) {
         synchronized (cluster) {
             Machine machine = cluster.machine(heartbeat.machine());
             if (machine != null
-                    && machine.heartbeatOrder().epoch() == sessionBefore
+                    && machine.heartbeatOrder().epoch() == epochBefore
                     && machine.heartbeatOrder().sequence() == sequenceBefore
-                    && !heartbeat.isNewerThan(sessionBefore, sequenceBefore)) {
+                    && !heartbeat.isNewerThan(epochBefore, sequenceBefore)) {
                 handleRestart(machine);
             }
         }
     }
 
     /**
-     * The machine has started again under its name. It goes back to the cloud: copies of reports from its old life
-     * could not be told from later ones of the new. What it was given stays counted until the cloud has taken it, or
-     * its lease has run out, since the new life may have been given some of it.
+     * Returns a machine whose worker has restarted under the same name to the cloud: copies of heartbeats from before
+     * the restart could not be told from later ones. Its tasks stay allocated until the cloud has taken it or its lease
+     * has expired, since the restarted worker may have received some of them.
      */
     private HttpResponse handleRestart(Machine machine) {
         if (!machine.isReturnScheduled()) {
-            LOG.info("machine {} has restarted under its old name", machine.name());
+            LOG.info("machine {} restarted under the same name", machine.name());
             machine.scheduleReturn();
         }
         return HttpResponse.retryLater(503, "the machine is taken for one that has started again", 1);
     }
 
-    /** Adds what the machine is to reap and to stop; both are repeated until its reports show them done. */
+    /** Adds the acknowledgements and stops for the machine; they are repeated until its heartbeats show the effect. */
     public void addCommands(Machine machine, AgentCommands commands) {
         commandWriter.addCommands(machine, commands);
     }
 
-    /** Clears what can't be alive any more on machines that were not heard for longer than their lease. */
+    /** Queues the tasks of machines whose leases have expired again. The caller holds the lock of the cluster. */
     public void expireLeases() {
-        long now = eventLoop.nowMicros();
-        for (Machine machine : cluster.machines()) {
-            if (machine.leaseExpiryMicros() <= now) {
-                machine.heartbeatOrder().endEpoch();
-                cluster.markReconciled(machine);
-                if (mayAct.getAsBoolean()) {
-                    callbacks.markMachineDown(machine);
-                }
-                if (!machine.allocations().isEmpty()) {
-                    LOG.info(
-                            "machine {} is silent beyond its lease, {} tasks are queued again",
-                            machine.name(),
-                            machine.allocations().size());
-                    clearTasks(machine);
-                }
-            }
-        }
+        leases.expireLeases();
     }
 
-    /** All tasks of the machine are certainly gone. */
+    /** Queues all tasks of a machine again, which are certainly gone. The caller holds the lock of the cluster. */
     public void clearTasks(Machine machine) {
         reconciler.clearTasks(machine);
     }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatRelay.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatRelay.java
@@ -156,8 +156,8 @@
                 pendingBatches--;
                 if (replies.size() != batch.size()) {
                     lostCount += batch.size();
-                    boolean broken =
-                            response.status() != HttpResponse.NO_RESPONSE || ++consecutiveLateBatches > MAX_LATE_BATCHES;
+                    boolean broken = response.status() != HttpResponse.NO_RESPONSE
+                            || ++consecutiveLateBatches > MAX_LATE_BATCHES;
                     if (broken && to.equals(currentLeader)) {
                         unreachableUntilMicros = eventLoop.nowMicros() + UNREACHABLE_MICROS;
                     }
--- /dev/null
+++ b/src/main/java/io/sillreel/heartbeat/MachineLeases.java
@@ -0,0 +1,70 @@
+package io.sillreel.heartbeat;
+
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
+import io.sillreel.http.EventLoop;
+import io.sillreel.settings.Settings.WorkerTimes;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The leases of the machines. A worker kills its tasks when its lease expires; this class computes the latest moment at
+ * which that can happen, and gives the tasks free from then on. Guarded by the lock of the cluster.
+ */
+public final class MachineLeases {
+    private static final Logger LOG = LoggerFactory.getLogger(MachineLeases.class);
+    /** The clocks of a worker and of a controller drift apart by at most one part in so many. */
+    private static final long DRIFT_DIVISOR = 1_000;
+
+    private static final long EXPIRY_MARGIN_MICROS = 500_000;
+
+    private final EventLoop eventLoop;
+    private final Cluster cluster;
+    private final WorkerTimes times;
+    private final TaskReconciler reconciler;
+    private final TermOperations operations;
+
+    /** @param times the length of a lease */
+    public MachineLeases(
+            EventLoop eventLoop,
+            Cluster cluster,
+            WorkerTimes times,
+            TaskReconciler reconciler,
+            TermOperations operations) {
+        this.eventLoop = eventLoop;
+        this.cluster = cluster;
+        this.times = times;
+        this.reconciler = reconciler;
+        this.operations = operations;
+    }
+
+    /** The latest time, in microseconds, at which the lease expires if a heartbeat is answered at the given time. */
+    long leaseExpiryMicros(long nowMicros) {
+        return nowMicros + times.leaseMicros() + times.leaseMicros() / DRIFT_DIVISOR + EXPIRY_MARGIN_MICROS;
+    }
+
+    /** Queues the tasks of all machines whose leases have expired again: none of them can be alive any more. */
+    void expireLeases() {
+        long now = eventLoop.nowMicros();
+        for (Machine machine : cluster.machines()) {
+            if (machine.leaseExpiryMicros() <= now) {
+                expireLease(machine);
+            }
+        }
+    }
+
+    private void expireLease(Machine machine) {
+        machine.heartbeatOrder().endEpoch();
+        cluster.markReconciled(machine);
+        if (operations.mayAct()) {
+            operations.markMachineDown(machine);
+        }
+        if (!machine.allocations().isEmpty()) {
+            LOG.info(
+                    "lease of machine {} expired, {} tasks are queued again",
+                    machine.name(),
+                    machine.allocations().size());
+            reconciler.clearTasks(machine);
+        }
+    }
+}
--- a/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
+++ b/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
@@ -5,203 +5,145 @@
 import io.sillreel.cluster.Allocation;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
-import io.sillreel.http.EventLoop;
 import io.sillreel.pipeline.ActiveJob;
-import io.sillreel.pipeline.RetrySchedule;
-import io.sillreel.placement.RuntimeEstimator;
-import io.sillreel.statestore.WriteQueue;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Brings what is known of a machine's tasks in line with its report, and settles what has ended. */
-final class TaskReconciler {
+/**
+ * Reconciles the allocations of a machine with the tasks that its heartbeats show. Guarded by the lock of the cluster.
+ */
+public final class TaskReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(TaskReconciler.class);
+    /** Flags of what a heartbeat shows of the commands before it; ints, since there is one set for each heartbeat. */
+    private static final int COMMAND_OBEYED = 1;
+
+    private static final int COMMAND_IGNORED = 2;
 
-    private final EventLoop eventLoop;
     private final Cluster cluster;
-    private final WriteQueue writeQueue;
-    private final RetrySchedule retries;
-    private final RuntimeEstimator runtimeEstimator;
-    private final Runnable requestScheduling;
+    private final TaskEndHandler endHandler;
+    private final TermOperations operations;
 
-    /** @param progressed called when there may be something new to plan */
-    TaskReconciler(
-            EventLoop eventLoop,
-            Cluster cluster,
-            WriteQueue writeQueue,
-            RetrySchedule retries,
-            RuntimeEstimator runtimeEstimator,
-            Runnable progressed) {
-        this.eventLoop = eventLoop;
+    /** @param endHandler records how tasks ended */
+    public TaskReconciler(Cluster cluster, TaskEndHandler endHandler, TermOperations operations) {
         this.cluster = cluster;
-        this.writeQueue = writeQueue;
-        this.retries = retries;
-        this.runtimeEstimator = runtimeEstimator;
-        this.requestScheduling = progressed;
+        this.endHandler = endHandler;
+        this.operations = operations;
     }
 
     /**
-     * Takes a new report.
+     * Takes over what a new heartbeat shows.
      *
-     * @param ownReport it came by itself: only such a one shows that a launch has not happened
+     * @param isPeriodic true if the worker sent the heartbeat by itself, false if it came in the answer to a direct
+     *     command: only a periodic one that lacks a launched task shows that the launch did not happen
      */
-    void reconcile(Machine machine, Heartbeat heartbeat, boolean ownReport, long now) {
+    void reconcile(Machine machine, Heartbeat heartbeat, boolean isPeriodic, long nowMicros) {
         if (!machine.isReconciled()) {
-            machine.markReconciled();
-            machine.responsiveness().recordCommandObeyed();
-            cluster.markReconciled(machine);
-            LOG.debug(
-                    "machine {} ({}, {}) heard with {} tasks",
-                    machine.name(),
-                    machine.type().name(),
-                    machine.zone(),
-                    heartbeat.tasks().size());
-            requestScheduling.run();
+            markReconciled(machine, heartbeat);
         }
         Set<Allocation> shown = new HashSet<>();
-        boolean heeded = false;
-        boolean unheeded = false;
+        int commandEffects = updateShownTasks(machine, heartbeat, isPeriodic, nowMicros, shown);
+        if (shown.size() < machine.allocations().size()) {
+            commandEffects |= removeMissingTasks(machine, heartbeat, isPeriodic, shown);
+        }
+        if ((commandEffects & COMMAND_OBEYED) != 0) {
+            machine.responsiveness().recordCommandObeyed();
+        } else if ((commandEffects & COMMAND_IGNORED) != 0) {
+            machine.responsiveness().recordCommandIgnored(nowMicros);
+        }
+    }
+
+    private void markReconciled(Machine machine, Heartbeat heartbeat) {
+        machine.markReconciled();
+        machine.responsiveness().recordCommandObeyed();
+        cluster.markReconciled(machine);
+        LOG.debug(
+                "machine {} ({}, {}) reconciled with {} tasks",
+                machine.name(),
+                machine.type().name(),
+                machine.zone(),
+                heartbeat.tasks().size());
+        operations.requestScheduling();
+    }
+
+    /** Updates the allocations of the tasks in the heartbeat, adds them to the given set and returns the flags. */
+    private int updateShownTasks(
+            Machine machine, Heartbeat heartbeat, boolean isPeriodic, long nowMicros, Set<Allocation> shown) {
+        int commandEffects = 0;
         for (TaskStatus task : heartbeat.tasks()) {
             Allocation allocation = machine.allocation(task.uid(), task.index(), task.attempt());
             if (allocation == null) {
-                allocation = discover(machine, task, now);
+                allocation = addDiscoveredTask(machine, task, nowMicros);
             } else if (!allocation.hasEnded()) {
-                heeded |= allocation.isUnconfirmed();
-                allocation.updateStage(task.stage(), now);
+                commandEffects |= allocation.isUnconfirmed() ? COMMAND_OBEYED : 0;
+                allocation.updateStage(task.stage(), nowMicros);
                 if (allocation.hasEnded()) {
-                    handleEnd(machine, allocation, task.cause(), now);
+                    handleEnd(machine, allocation, task.cause(), nowMicros);
                 }
-            } else if (ownReport
+            } else if (isPeriodic
                     && allocation.acknowledgementSequence() > 0
                     && allocation.acknowledgementSequence() < heartbeat.sequence()) {
-                unheeded = true;
+                commandEffects |= COMMAND_IGNORED;
             }
             shown.add(allocation);
         }
-        if (shown.size() < machine.allocations().size()) {
-            for (Allocation allocation : List.copyOf(machine.allocations())) {
-                boolean neverStarted =
-                        allocation.isUnconfirmed() && ownReport && allocation.launchSequence() < heartbeat.sequence();
-                if (!shown.contains(allocation) && (neverStarted || !allocation.isUnconfirmed())) {
-                    unheeded |= neverStarted;
-                    heeded |= !neverStarted;
-                    removeAllocation(machine, allocation);
-                }
+        return commandEffects;
+    }
+
+    /** Removes the allocations that the heartbeat shows to be gone, or never to have started, and returns the flags. */
+    private int removeMissingTasks(Machine machine, Heartbeat heartbeat, boolean isPeriodic, Set<Allocation> shown) {
+        int commandEffects = 0;
+        for (Allocation allocation : List.copyOf(machine.allocations())) {
+            boolean neverStarted =
+                    allocation.isUnconfirmed() && isPeriodic && allocation.launchSequence() < heartbeat.sequence();
+            if (!shown.contains(allocation) && (neverStarted || !allocation.isUnconfirmed())) {
+                commandEffects |= neverStarted ? COMMAND_IGNORED : COMMAND_OBEYED;
+                removeAllocation(machine, allocation);
             }
         }
-        if (heeded) {
-            machine.responsiveness().recordCommandObeyed();
-        } else if (unheeded) {
-            machine.responsiveness().recordCommandIgnored(now);
-        }
+        return commandEffects;
     }
 
-    private Allocation discover(Machine machine, TaskStatus task, long now) {
+    /** Adds a task that an earlier leader launched, and stops it if the job has it on another machine too. */
+    private Allocation addDiscoveredTask(Machine machine, TaskStatus task, long nowMicros) {
         ActiveJob job = cluster.job(task.uid());
         if (job != null && (task.index() < 0 || task.index() >= job.spec().tasks())) {
             job = null;
         }
-        boolean elsewhere = job != null && job.isAllocated(task.index());
+        boolean isAllocatedElsewhere = job != null && job.isAllocated(task.index());
         Allocation allocation = Allocation.discovered(job, task.uid(), task.index(), task.attempt(), task.stage());
         machine.add(allocation);
         if (allocation.hasEnded()) {
-            handleEnd(machine, allocation, task.cause(), now);
-        } else if (elsewhere) {
-            LOG.error("{}/{} is on {} and elsewhere, stopping it here", task.uid(), task.index(), machine.name());
+            handleEnd(machine, allocation, task.cause(), nowMicros);
+        } else if (isAllocatedElsewhere) {
+            LOG.error(
+                    "task {}/{} is on machine {} and on another machine, stopping it here",
+                    task.uid(),
+                    task.index(),
+                    machine.name());
             allocation.stop(0);
         }
         return allocation;
     }
 
-    private void handleEnd(Machine machine, Allocation allocation, String cause, long now) {
-        ActiveJob job = allocation.job();
-        requestScheduling.run();
-        if (job == null) {
-            return;
-        }
-        allocation.release();
-        switch (cause) {
-            case "done" -> {
-                if (allocation.runningSinceMicros() >= 0) {
-                    long ran = now - allocation.runningSinceMicros();
-                    machine.health()
-                            .recordRuntimeRatio(
-                                    (double) ran / runtimeEstimator.expectedRuntimeMicros(job.spec()), job.uid());
-                    runtimeEstimator.recordRuntime(job, ran);
-                }
-                machine.health().clearSuspicion(job.uid());
-                attributeEarlierFailures(job);
-                if (job.markTaskDone(allocation.taskIndex()) && !job.isCancelled()) {
-                    writeQueue.enqueue(job);
-                }
-            }
-            case "error" -> handleFailure(machine, job, allocation);
-            case "no_room", "busy", "no_such" ->
-                LOG.info("{} refused {}/{}: {}", machine.name(), allocation.uid(), allocation.taskIndex(), cause);
-            default ->
-                LOG.debug("{}/{} ended on {}: {}", allocation.uid(), allocation.taskIndex(), machine.name(), cause);
-        }
-    }
-
-    /** A job that succeeds is no mistake: the machines that failed it before are the faulty ones. */
-    private void attributeEarlierFailures(ActiveJob job) {
-        for (String name : job.failedMachines()) {
-            Machine suspectedMachine = cluster.machine(name);
-            if (suspectedMachine != null
-                    && suspectedMachine.health().suspectingJobs().contains(job.uid())) {
-                LOG.info("machine {} is considered faulty: {} succeeds elsewhere", name, job.uid());
-                suspectedMachine.drain();
-            }
-        }
-    }
-
-    private void handleFailure(Machine machine, ActiveJob job, Allocation allocation) {
-        if (job.isCancelled() || machine.state() == Machine.State.DRAINING) {
-            return;
-        }
-        switch (FaultAttribution.attribute(job, machine)) {
-            case MACHINE -> {
-                LOG.info(
-                        "machine {} is considered faulty: it failed {}/{}",
-                        machine.name(),
-                        allocation.uid(),
-                        allocation.taskIndex());
-                machine.drain();
-                job.failedMachines().remove(machine.name());
-            }
-            case JOB -> {
-                for (Machine suspectedMachine : cluster.machines()) {
-                    suspectedMachine.health().clearSuspicion(job.uid());
-                }
-                job.recordFailedAttempt(
-                        retries,
-                        eventLoop.wallMicros(),
-                        "its tasks failed on " + String.join(" and ", job.failedMachines()));
-                job.failedMachines().clear();
-                LOG.info("job {}: {}", job.uid(), job.reason());
-                writeQueue.enqueue(job);
-            }
-            default ->
-                LOG.info(
-                        "{}/{} failed on {}, trying it elsewhere",
-                        allocation.uid(),
-                        allocation.taskIndex(),
-                        machine.name());
+    private void handleEnd(Machine machine, Allocation allocation, String cause, long nowMicros) {
+        operations.requestScheduling();
+        if (allocation.job() != null) {
+            endHandler.handleEnd(machine, allocation, cause, nowMicros);
         }
     }
 
     private void removeAllocation(Machine machine, Allocation allocation) {
         machine.remove(allocation);
         allocation.release();
-        requestScheduling.run();
+        operations.requestScheduling();
     }
 
-    /** All tasks of the machine are certainly gone. */
-    void clearTasks(Machine machine) {
+    /** Removes all allocations of a machine whose tasks are certainly gone, so that they are queued again. */
+    public void clearTasks(Machine machine) {
         machine.clearAllocations().forEach(Allocation::release);
-        requestScheduling.run();
+        operations.requestScheduling();
     }
 }
--- /dev/null
+++ b/src/main/java/io/sillreel/heartbeat/UnresponsiveMachines.java
@@ -0,0 +1,63 @@
+package io.sillreel.heartbeat;
+
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
+import io.sillreel.fleet.FleetThresholds;
+import io.sillreel.http.HttpResponse;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Machines whose heartbeats arrive but which carry out no command, because the responses do not reach them. Guarded by
+ * the lock of the cluster.
+ */
+public final class UnresponsiveMachines {
+    private static final Logger LOG = LoggerFactory.getLogger(UnresponsiveMachines.class);
+
+    private final Cluster cluster;
+    private final FleetThresholds thresholds;
+    private final TermOperations operations;
+
+    /** @param thresholds how many unresponsive machines are still a fault of the machines */
+    public UnresponsiveMachines(Cluster cluster, FleetThresholds thresholds, TermOperations operations) {
+        this.cluster = cluster;
+        this.thresholds = thresholds;
+        this.operations = operations;
+    }
+
+    /**
+     * True if the machine is unresponsive and only few others are. If many are, the fault lies with this controller or
+     * the network, and replacing the machines would not help.
+     */
+    boolean isIsolatedUnresponsive(Machine machine) {
+        if (!machine.responsiveness().isUnresponsive()) {
+            return false;
+        }
+        int most = thresholds.maxUnresponsive(cluster.machines().size());
+        long unresponsive = cluster.machines().stream()
+                .filter(each -> each.responsiveness().isUnresponsive())
+                .limit(most + 1L)
+                .count();
+        return unresponsive <= most;
+    }
+
+    /**
+     * Returns a refusal of the heartbeat, so that the lease of the machine and its tasks expire, and has the machine
+     * returned to the cloud: drained if its tasks are known, at once otherwise.
+     */
+    HttpResponse refuseHeartbeat(Machine machine) {
+        if (machine.state() == Machine.State.UP) {
+            LOG.info(
+                    "machine {} ({}) does not respond to commands",
+                    machine.name(),
+                    machine.type().name());
+            operations.requestScheduling();
+            if (machine.isReconciled()) {
+                machine.drain();
+            } else {
+                machine.scheduleReturn();
+            }
+        }
+        return HttpResponse.retryLater(503, "earlier answers did not arrive", 1);
+    }
+}
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -9,8 +9,15 @@
 import io.sillreel.fleet.FleetThresholds;
 import io.sillreel.fleet.SpotInterruptionDrain;
 import io.sillreel.fleet.StragglerDetector;
+import io.sillreel.heartbeat.AttemptIds;
+import io.sillreel.heartbeat.CommandWriter;
 import io.sillreel.heartbeat.HeartbeatProcessor;
 import io.sillreel.heartbeat.LeaderHeartbeats;
+import io.sillreel.heartbeat.MachineLeases;
+import io.sillreel.heartbeat.TaskEndHandler;
+import io.sillreel.heartbeat.TaskReconciler;
+import io.sillreel.heartbeat.TermOperations;
+import io.sillreel.heartbeat.UnresponsiveMachines;
 import io.sillreel.http.EventLoop;
 import io.sillreel.http.HttpClient;
 import io.sillreel.http.HttpRequest;
@@ -39,7 +46,7 @@
  * Everything a controller holds while it leads one term: built from the stored plans, records and fleet and from the
  * machines' reports, thrown away with the term. A deposed leader has nothing left to act on.
  */
-public final class LeaderTerm implements LeaderHeartbeats, HeartbeatProcessor.Callbacks, LiveTaskCounts {
+public final class LeaderTerm implements LeaderHeartbeats, TermOperations, LiveTaskCounts {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
     private static final long TICK_MICROS = 100_000;
     private static final long FLEET_CYCLE_MICROS = 1_000_000;
@@ -132,18 +139,18 @@
     }
 
     private HeartbeatProcessor newHeartbeatProcessor(OperatorProperties operator, Planner planner) {
+        TaskEndHandler endHandler =
+                new TaskEndHandler(eventLoop, cluster, writeQueue, retrySchedule(operator), runtimeEstimator);
+        TaskReconciler reconciler = new TaskReconciler(cluster, endHandler, this);
         return new HeartbeatProcessor(
                 eventLoop,
                 term,
                 cluster,
-                writeQueue,
-                settings.workers(),
-                FleetThresholds.of(settings),
-                retrySchedule(operator),
-                runtimeEstimator,
-                planner,
-                this,
-                this::mayAct);
+                reconciler,
+                new CommandWriter(eventLoop, new AttemptIds(term), cluster, planner),
+                new MachineLeases(eventLoop, cluster, settings.workers(), reconciler, this),
+                new UnresponsiveMachines(cluster, FleetThresholds.of(settings), this),
+                this);
     }
 
     private FleetManager newFleet(CloudClient cloud, OperatorProperties operator, FleetCapacity fleetCapacity) {
@@ -190,7 +197,8 @@
     }
 
     /** Launches, rentals and returns need proof of holding the lease and of knowing the cancellations. */
-    private boolean mayAct() {
+    @Override
+    public boolean mayAct() {
         return !closed
                 && loaded
                 && leadership.isLeaseValid()
@@ -295,8 +303,8 @@
     }
 
     @Override
-    public Machine adoptMachine(Heartbeat heartbeat) {
-        return fleet.adopt(heartbeat.machine(), heartbeat.machineType(), heartbeat.zone(), heartbeat.spot());
+    public boolean adoptMachine(Heartbeat heartbeat) {
+        return fleet.adopt(heartbeat.machine(), heartbeat.machineType(), heartbeat.zone(), heartbeat.spot()) != null;
     }
 
     @Override
