--- a/src/main/java/io/sillreel/cloud/MachineTypeStore.java
+++ b/src/main/java/io/sillreel/cloud/MachineTypeStore.java
@@ -2,8 +2,8 @@
 
 import io.sillreel.http.Json;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.StoreOutcome;
-import io.sillreel.statestore.StateStore.Transaction;
+import io.sillreel.statestore.StoreOutcome;
+import io.sillreel.statestore.Transaction;
 import java.util.concurrent.CompletableFuture;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -8,7 +8,9 @@
 import io.sillreel.pipeline.CascadingCancellation;
 import io.sillreel.pipeline.DependencyGraph;
 import io.sillreel.pipeline.JobIdSet;
+import io.sillreel.pipeline.PlanOverflow;
 import io.sillreel.pipeline.PlanRecord;
+import io.sillreel.pipeline.PlanRecordCodec;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.placement.CapacityPlanner;
 import io.sillreel.placement.PriorityInheritance;
@@ -16,8 +18,8 @@
 import io.sillreel.settings.ValueLimits;
 import io.sillreel.statestore.PendingWrite;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.StoreOutcome;
-import io.sillreel.statestore.StateStore.WatchEvent;
+import io.sillreel.statestore.StoreOutcome;
+import io.sillreel.statestore.WatchEvent;
 import io.sillreel.statestore.WriteQueue;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -160,7 +162,7 @@
 
     /** A job that was admitted during the term; names in overflow values are read first. */
     private void addAdmittedJob(PlanRecord plan, long revision) {
-        plan.loadOverflow(store).thenAccept(complete -> {
+        PlanOverflow.load(plan, store).thenAccept(complete -> {
             if (closed) {
                 return;
             }
@@ -239,7 +241,7 @@
                 PLAN_WATCH_MICROS,
                 change -> {
                     if (change.value() != null) {
-                        addAdmittedJob(PlanRecord.fromJson(change.value()), change.revision());
+                        addAdmittedJob(PlanRecordCodec.decode(change.value()), change.revision());
                     }
                 },
                 sent -> {});
