--- a/src/main/java/io/sillreel/admission/JobStatusReader.java
+++ b/src/main/java/io/sillreel/admission/JobStatusReader.java
@@ -111,14 +111,14 @@
                 return false;
             }
             JobStatus status = planned.join().get();
-            StoredEntry head = run.join().entry();
+            Optional<StoredEntry> head = run.join().entry();
             views.cache(new JobStatus(
                     uid,
                     status.planRevision(),
                     status.tasks(),
                     status.dependencies(),
                     run.join().revision(),
-                    head == null ? null : RunRecord.Head.fromJson(head.value()),
+                    head.isEmpty() ? null : RunRecord.Head.fromJson(head.get().value()),
                     cancel.join().revision(),
                     false));
             return true;
@@ -135,10 +135,10 @@
             if (!read.isConclusive()) {
                 return CompletableFuture.completedFuture(Optional.empty());
             }
-            if (read.entry() == null) {
+            if (read.entry().isEmpty()) {
                 return CompletableFuture.completedFuture(Optional.of(old));
             }
-            return PlanOverflow.load(PlanRecordCodec.decode(read.entry().value()), store)
+            return PlanOverflow.load(PlanRecordCodec.decode(read.entry().get().value()), store)
                     .thenApply(plan -> plan.map(whole -> statusOfPlan(uid, read.revision(), whole.spec())));
         });
     }
