--- a/src/main/java/io/sillreel/admission/SubmissionDecoder.java
+++ b/src/main/java/io/sillreel/admission/SubmissionDecoder.java
@@ -4,7 +4,7 @@
 import io.sillreel.cloud.MachineType;
 import io.sillreel.pipeline.Checkpointing;
 import io.sillreel.pipeline.JobSpec;
-import io.sillreel.pipeline.PlacementConstraints;
+import io.sillreel.pipeline.PlacementRequirements;
 import io.sillreel.pipeline.PriorityClass;
 import io.sillreel.pipeline.TaskSpec;
 import io.sillreel.pipeline.Urgency;
@@ -61,7 +61,7 @@
         double ramGb = amount(body, "ram_gb");
         String image = text(body, "reel");
         double imageGb = amount(body, "image_gb");
-        PlacementConstraints placement = placement(body);
+        PlacementRequirements placement = placement(body);
         long estimatedMicros = micros(body, "guess_s");
         Checkpointing checkpointing = new Checkpointing(micros(body, "mark_every_s"), micros(body, "stash_s"));
         Urgency urgency = new Urgency(rank, body.hasNonNull("due_s") ? micros(body, "due_s") : -1);
@@ -69,8 +69,8 @@
         return new JobSpec(uid, jobClass, team, urgency, tasks.asInt(), task, placement, awaits(body));
     }
 
-    private static PlacementConstraints placement(JsonNode body) throws Malformed {
-        return new PlacementConstraints(
+    private static PlacementRequirements placement(JsonNode body) throws Malformed {
+        return new PlacementRequirements(
                 texts(body, "builds"),
                 optionalText(body, "yard"),
                 flag(body, "one_zone"),
--- a/src/main/java/io/sillreel/pipeline/JobSpec.java
+++ b/src/main/java/io/sillreel/pipeline/JobSpec.java
@@ -19,7 +19,7 @@
         Urgency urgency,
         int tasks,
         TaskSpec task,
-        PlacementConstraints placement,
+        PlacementRequirements placement,
         List<String> dependencies) {
 
     /** The priority class of the job itself. */
--- a/src/main/java/io/sillreel/pipeline/JobSpecCodec.java
+++ b/src/main/java/io/sillreel/pipeline/JobSpecCodec.java
@@ -38,7 +38,7 @@
     /** Returns the stored form. Previous versions read it, so the order of the fields stays as it is. */
     public static ObjectNode encode(JobSpec spec) {
         TaskSpec task = spec.task();
-        PlacementConstraints placement = spec.placement();
+        PlacementRequirements placement = spec.placement();
         ObjectNode node = Json.object();
         node.put(UID, spec.uid())
                 .put(JOB_CLASS, spec.jobClass())
@@ -95,9 +95,9 @@
                         node.path(CHECKPOINT_DURATION_MICROS).asLong()));
     }
 
-    private static PlacementConstraints decodePlacement(JsonNode node) {
+    private static PlacementRequirements decodePlacement(JsonNode node) {
         JsonNode zone = node.path(ZONE);
-        return new PlacementConstraints(
+        return new PlacementRequirements(
                 node.has(MACHINE_TYPES) ? names(node.path(MACHINE_TYPES)) : null,
                 zone.isTextual() ? zone.asText() : null,
                 node.path(ZONE_AFFINITY).asBoolean(),
--- a/src/main/java/io/sillreel/pipeline/PlacementConstraints.java
+++ b/src/main/java/io/sillreel/pipeline/PlacementRequirements.java
@@ -11,7 +11,7 @@
  * @param zoneAntiAffinity true if at most half of the tasks, rounded up, may be in the same zone
  * @param spotAllowed true if tasks may run on spot instances
  */
-public record PlacementConstraints(
+public record PlacementRequirements(
         List<String> machineTypes, String zone, boolean zoneAffinity, boolean zoneAntiAffinity, boolean spotAllowed) {
 
     /** True if tasks may run on machines of the type of that name. */
@@ -25,7 +25,7 @@
     }
 
     /** The same constraints with other machine types; null allows any. */
-    PlacementConstraints withMachineTypes(List<String> otherMachineTypes) {
-        return new PlacementConstraints(otherMachineTypes, zone, zoneAffinity, zoneAntiAffinity, spotAllowed);
+    PlacementRequirements withMachineTypes(List<String> otherMachineTypes) {
+        return new PlacementRequirements(otherMachineTypes, zone, zoneAffinity, zoneAntiAffinity, spotAllowed);
     }
 }
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -18,7 +18,7 @@
 import io.sillreel.pipeline.IgnoringListener;
 import io.sillreel.pipeline.JobSpec;
 import io.sillreel.pipeline.JobSpecCodec;
-import io.sillreel.pipeline.PlacementConstraints;
+import io.sillreel.pipeline.PlacementRequirements;
 import io.sillreel.pipeline.PriorityClass;
 import io.sillreel.pipeline.RetrySchedule;
 import io.sillreel.pipeline.RunRecord;
@@ -85,7 +85,7 @@
                 new Urgency(PriorityClass.HIGH, 900_000_000L),
                 pieces,
                 new TaskSpec(8.0, 1.0, 64.0, "img-07", 6.2, 240_000_000L, new Checkpointing(30_000_000L, 4_000_000L)),
-                new PlacementConstraints(List.of("g8", "c4"), "a", true, false, true),
+                new PlacementRequirements(List.of("g8", "c4"), "a", true, false, true),
                 List.of());
     }
 
--- a/src/test/java/io/sillreel/load/StoredJobs.java
+++ b/src/test/java/io/sillreel/load/StoredJobs.java
@@ -7,7 +7,7 @@
 import io.sillreel.http.Json;
 import io.sillreel.pipeline.Checkpointing;
 import io.sillreel.pipeline.JobSpec;
-import io.sillreel.pipeline.PlacementConstraints;
+import io.sillreel.pipeline.PlacementRequirements;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.PlanRecordCodec;
 import io.sillreel.pipeline.PriorityClass;
@@ -75,7 +75,7 @@
                 new Urgency(PriorityClass.BEST_EFFORT, -1L),
                 60,
                 new TaskSpec(1.0, 0.0, 1.6, "img-07", 1.0, 25_000_000L, new Checkpointing(0L, 0L)),
-                new PlacementConstraints(builds, null, false, false, true),
+                new PlacementRequirements(builds, null, false, false, true),
                 awaits);
     }
 }
--- a/src/test/java/io/sillreel/pipeline/PipelineTest.java
+++ b/src/test/java/io/sillreel/pipeline/PipelineTest.java
@@ -155,7 +155,7 @@
                 new Urgency(PriorityClass.NORMAL, -1),
                 pieces,
                 new TaskSpec(1, 0, 1, "img", 1, 1, new Checkpointing(0, 0)),
-                new PlacementConstraints(null, null, false, false, true),
+                new PlacementRequirements(null, null, false, false, true),
                 List.of());
     }
 }
--- a/src/test/java/io/sillreel/pipeline/PlanRecordTest.java
+++ b/src/test/java/io/sillreel/pipeline/PlanRecordTest.java
@@ -29,7 +29,7 @@
                 new Urgency(PriorityClass.HIGH, 900_000_000L),
                 16,
                 new TaskSpec(8.0, 1.0, 64.0, "img-07", 6.2, 240_000_000L, new Checkpointing(30_000_000L, 4_000_000L)),
-                new PlacementConstraints(builds, "a", true, false, true),
+                new PlacementRequirements(builds, "a", true, false, true),
                 awaits);
         return new PlanRecord(1_700_000_123_456_789L, spec);
     }
--- a/src/test/java/io/sillreel/placement/PlannerTest.java
+++ b/src/test/java/io/sillreel/placement/PlannerTest.java
@@ -16,7 +16,7 @@
 import io.sillreel.pipeline.Checkpointing;
 import io.sillreel.pipeline.IgnoringListener;
 import io.sillreel.pipeline.JobSpec;
-import io.sillreel.pipeline.PlacementConstraints;
+import io.sillreel.pipeline.PlacementRequirements;
 import io.sillreel.pipeline.PriorityClass;
 import io.sillreel.pipeline.TaskSpec;
 import io.sillreel.pipeline.Urgency;
@@ -76,7 +76,7 @@
                 new Urgency(rank, -1),
                 pieces,
                 new TaskSpec(cpus, 0, 1, "img", 1, 20 * SECOND, new Checkpointing(saves ? 5 * SECOND : 0, SECOND)),
-                new PlacementConstraints(null, null, false, false, true),
+                new PlacementRequirements(null, null, false, false, true),
                 List.of());
         ActiveJob job =
                 new ActiveJob(spec, jobs, nowMicros - ageMicros, ValueLimits.fixed(8_192), new IgnoringListener());
--- a/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
+++ b/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
@@ -8,7 +8,7 @@
 import io.sillreel.pipeline.DependencyGraph;
 import io.sillreel.pipeline.IgnoringListener;
 import io.sillreel.pipeline.JobSpec;
-import io.sillreel.pipeline.PlacementConstraints;
+import io.sillreel.pipeline.PlacementRequirements;
 import io.sillreel.pipeline.PriorityClass;
 import io.sillreel.pipeline.TaskSpec;
 import io.sillreel.pipeline.Urgency;
@@ -60,7 +60,7 @@
                 new Urgency(rank, dueMicros),
                 4,
                 new TaskSpec(1, 0, 1, "img", 1, 20 * SECOND, new Checkpointing(0, 0)),
-                new PlacementConstraints(null, null, false, false, true),
+                new PlacementRequirements(null, null, false, false, true),
                 List.of(awaits));
         return new ActiveJob(spec, 1, NOW, ValueLimits.fixed(8_192), new IgnoringListener());
     }
