--- a/src/main/java/io/sillreel/admission/JobStatus.java
+++ b/src/main/java/io/sillreel/admission/JobStatus.java
@@ -18,7 +18,7 @@
         int tasks,
         List<String> awaits,
         long runStamp,
-        RunRecord.Head head,
+        RunRecord head,
         long cancellationStamp,
         boolean closed) {
     static JobStatus unknown(String uid) {
--- a/src/main/java/io/sillreel/admission/JobStatusReader.java
+++ b/src/main/java/io/sillreel/admission/JobStatusReader.java
@@ -6,6 +6,7 @@
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.PlanRecordCodec;
 import io.sillreel.pipeline.RunRecord;
+import io.sillreel.pipeline.RunRecordCodec;
 import io.sillreel.statestore.ReadResult;
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.StoreOutcome;
@@ -118,7 +119,7 @@
                     status.tasks(),
                     status.awaits(),
                     run.join().revision(),
-                    head == null ? null : RunRecord.Head.fromJson(head.value()),
+                    head == null ? null : RunRecordCodec.decode(head.value()),
                     cancel.join().revision(),
                     false));
             return true;
--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -12,6 +12,7 @@
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.PlanRecordCodec;
 import io.sillreel.pipeline.RunRecord;
+import io.sillreel.pipeline.RunRecordCodec;
 import io.sillreel.placement.CapacityPlanner;
 import io.sillreel.placement.PriorityInheritance;
 import io.sillreel.placement.RuntimeEstimator;
@@ -219,7 +220,7 @@
         store.get(RunRecord.key(uid)).thenAccept(read -> {
             synchronized (cluster) {
                 if (read.outcome() == StoreOutcome.OK
-                        && RunRecord.Head.fromJson(read.entry().value()).isDone()) {
+                        && RunRecordCodec.decode(read.entry().value()).isDone()) {
                     recentlyDoneUids.add(uid);
                     dependencies.lookupSucceeded(uid);
                     return;
--- a/src/main/java/io/sillreel/leadership/StoredJobsReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredJobsReader.java
@@ -4,10 +4,13 @@
 
 import io.sillreel.cluster.ScaleOutRequest;
 import io.sillreel.leadership.StoredState.StoredJob;
+import io.sillreel.pipeline.ChunkKey;
 import io.sillreel.pipeline.JobIdSet;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.PlanRecordCodec;
 import io.sillreel.pipeline.RunRecord;
+import io.sillreel.pipeline.RunRecordCodec;
+import io.sillreel.pipeline.StoredChunks;
 import io.sillreel.statestore.PendingWrite;
 import io.sillreel.statestore.StoredEntry;
 import java.util.ArrayDeque;
@@ -26,13 +29,13 @@
  * the next page of plans is taken only then, so that no more than a page of them waits.
  */
 final class StoredJobsReader {
-    private record StoredHead(RunRecord.Head head, long revision) {}
+    private record StoredHead(RunRecord head, long revision) {}
 
     private final int previousVersionChunkTasks;
     private final LongPredicate countsAsDemand;
     private final JobIdSet done = new JobIdSet();
     private final Map<String, StoredHead> heads = new HashMap<>();
-    private final Map<String, RunRecord.StoredChunks> chunks = new HashMap<>();
+    private final Map<String, StoredChunks> chunks = new HashMap<>();
     private final List<StoredJob> unfinished = new ArrayList<>();
     private final List<PlanRecord> recentlyDone = new ArrayList<>();
     private final Deque<StoredEntry> unclassifiedPlans = new ArrayDeque<>();
@@ -57,10 +60,10 @@
             int slash = rest.indexOf('/');
             if (slash >= 0) {
                 addChunk(rest.substring(0, slash), entry);
-            } else if (RunRecord.isDone(entry.value())) {
+            } else if (RunRecordCodec.isDone(entry.value())) {
                 done.add(rest);
             } else {
-                heads.put(rest, new StoredHead(RunRecord.Head.fromJson(entry.value()), entry.revision()));
+                heads.put(rest, new StoredHead(RunRecordCodec.decode(entry.value()), entry.revision()));
             }
             lastRunRecordUid = rest;
         }
@@ -93,13 +96,12 @@
 
     /** Adds a page of parts of done sets. */
     void addChunks(List<StoredEntry> page) {
-        page.forEach(entry -> addChunk(RunRecord.uidOfChunk(entry.key()), entry));
+        page.forEach(entry -> addChunk(ChunkKey.uid(entry.key()), entry));
     }
 
     private void addChunk(String uid, StoredEntry entry) {
         chunks.computeIfAbsent(
-                        uid,
-                        each -> new RunRecord.StoredChunks(new HashMap<>(), new HashMap<>(), previousVersionChunkTasks))
+                        uid, each -> new StoredChunks(new HashMap<>(), new HashMap<>(), previousVersionChunkTasks))
                 .add(entry);
     }
 
@@ -125,7 +127,7 @@
                     plan.revision(),
                     head == null ? null : head.head(),
                     head == null ? 0 : head.revision(),
-                    RunRecord.StoredChunks.NONE));
+                    StoredChunks.NONE));
         } else if (countsAsDemand.test(PlanRecordCodec.admittedWallMicros(plan.value()))) {
             recentlyDone.add(PlanRecordCodec.decode(plan.value()));
         }
@@ -138,11 +140,11 @@
         // Demand forgets the oldest first, so it is told of them first.
         recentlyDone.sort(Comparator.comparingLong(PlanRecord::admittedWallMicros));
         unfinished.replaceAll(
-                job -> job.with(chunks.getOrDefault(job.plan().spec().uid(), RunRecord.StoredChunks.NONE)));
+                job -> job.with(chunks.getOrDefault(job.plan().spec().uid(), StoredChunks.NONE)));
         List<PendingWrite> leftovers = new ArrayList<>();
         chunks.forEach((uid, stored) -> {
             if (done.contains(uid)) {
-                leftovers.addAll(stored.removeAll());
+                leftovers.addAll(stored.removals());
             }
         });
         return new StoredState(
--- a/src/main/java/io/sillreel/leadership/StoredState.java
+++ b/src/main/java/io/sillreel/leadership/StoredState.java
@@ -4,6 +4,7 @@
 import io.sillreel.pipeline.JobIdSet;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
+import io.sillreel.pipeline.StoredChunks;
 import io.sillreel.statestore.PendingWrite;
 import java.util.List;
 
@@ -34,9 +35,8 @@
      *
      * @param head what is stored of its progress, or null if it has not been released
      */
-    record StoredJob(
-            PlanRecord plan, long planRevision, RunRecord.Head head, long headRevision, RunRecord.StoredChunks chunks) {
-        StoredJob with(RunRecord.StoredChunks newParts) {
+    record StoredJob(PlanRecord plan, long planRevision, RunRecord head, long headRevision, StoredChunks chunks) {
+        StoredJob with(StoredChunks newParts) {
             return new StoredJob(plan, planRevision, head, headRevision, newParts);
         }
 
--- a/src/main/java/io/sillreel/leadership/StoredStateReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredStateReader.java
@@ -3,6 +3,8 @@
 import io.sillreel.cluster.ScaleOutRequest;
 import io.sillreel.cluster.ScaleOutRequestCodec;
 import io.sillreel.pipeline.CancellationRecord;
+import io.sillreel.pipeline.ChunkKey;
+import io.sillreel.pipeline.CompletionBitmapCodec;
 import io.sillreel.pipeline.JobIdSet;
 import io.sillreel.pipeline.PlanOverflow;
 import io.sillreel.pipeline.PlanRecord;
@@ -37,7 +39,7 @@
      */
     StoredStateReader(StateStore store, int presentValueBytes, LongPredicate countsAsDemand, BooleanSupplier wanted) {
         this.store = store;
-        this.previousVersionChunkTasks = RunRecord.tasksPerChunk(presentValueBytes);
+        this.previousVersionChunkTasks = CompletionBitmapCodec.tasksPerChunk(presentValueBytes);
         this.countsAsDemand = countsAsDemand;
         this.isStillNeeded = wanted;
     }
@@ -54,7 +56,7 @@
         CompletableFuture<ScanResult> plans = store.scan(
                 PlanRecord.PREFIX,
                 page -> jobs.addPlans(page).thenApply(judged -> judged && isStillNeeded.getAsBoolean()));
-        CompletableFuture<ScanResult> parts = store.scan(RunRecord.chunksPrefix(), page -> {
+        CompletableFuture<ScanResult> parts = store.scan(ChunkKey.PREFIX, page -> {
             jobs.addChunks(page);
             return continueScan();
         });
--- a/src/main/java/io/sillreel/pipeline/ActiveJob.java
+++ b/src/main/java/io/sillreel/pipeline/ActiveJob.java
@@ -52,10 +52,8 @@
     private boolean doneSent;
     private boolean isCompletionStored;
     private boolean isCancelled;
-    private int failedAttempts;
+    private RetryState retry = RetryState.NONE;
     private int sentFailedAttempts;
-    private long nextAttemptWallMicros;
-    private String reason;
     private boolean hasSucceededOnce;
 
     /**
@@ -76,19 +74,17 @@
     }
 
     /** Takes over what an earlier leader stored: the job may have tasks anywhere in the stored fleet. */
-    public void inherit(long revision, RunRecord.Head head, RunRecord.StoredChunks storedParts) {
+    public void inherit(long revision, RunRecord record, StoredChunks storedChunks) {
         runRevision = revision;
         isReleased = true;
         isInherited = true;
         markReady = true;
-        if (head.readyWallMicros() > 0) {
-            readyWallMicros = head.readyWallMicros();
+        if (record.readyWallMicros() > 0) {
+            readyWallMicros = record.readyWallMicros();
         }
-        failedAttempts = head.failedAttempts();
-        sentFailedAttempts = failedAttempts;
-        nextAttemptWallMicros = head.nextAttemptWallMicros();
-        reason = head.reason();
-        done.inherit(head, storedParts);
+        retry = record.retry();
+        sentFailedAttempts = retry.failedAttempts();
+        done.inherit(record.bitmap(), storedChunks);
         done.copyInto(occupied);
         occupiedCount = done.count();
         hasSucceededOnce = done.count() > 0;
@@ -210,9 +206,7 @@
         }
         hasSucceededOnce = true;
         failedMachines.clear();
-        failedAttempts = 0;
-        nextAttemptWallMicros = 0;
-        reason = null;
+        retry = RetryState.NONE;
         return true;
     }
 
@@ -286,11 +280,11 @@
     }
 
     public long nextAttemptWallMicros() {
-        return nextAttemptWallMicros;
+        return retry.nextAttemptWallMicros();
     }
 
     public String reason() {
-        return reason;
+        return retry.reason();
     }
 
     /** True once a task of it has completed: its description can't be the mistake. */
@@ -304,11 +298,7 @@
 
     /** An attempt that the job itself failed: the next one is scheduled, or the job is parked. */
     public void recordFailedAttempt(RetrySchedule schedule, long wallMicros, String why) {
-        failedAttempts++;
-        nextAttemptWallMicros = schedule.nextAttemptMicros(failedAttempts, wallMicros);
-        reason = schedule.isExhausted(failedAttempts)
-                ? "parked after " + failedAttempts + " failed attempts: " + why
-                : "attempt " + failedAttempts + " failed: " + why;
+        retry = retry.afterFailure(schedule, wallMicros, why);
     }
 
     /** What is stored beside the head, once nobody needs it any more. */
@@ -331,7 +321,9 @@
         if (isComplete()) {
             return WriteUrgency.JOB_END;
         }
-        return isReleased && failedAttempts == sentFailedAttempts ? WriteUrgency.PROGRESS : WriteUrgency.JOB_START;
+        return isReleased && retry.failedAttempts() == sentFailedAttempts
+                ? WriteUrgency.PROGRESS
+                : WriteUrgency.JOB_START;
     }
 
     @Override
@@ -346,24 +338,18 @@
 
     @Override
     public KeyChange change() {
-        sentFailedAttempts = failedAttempts;
+        sentFailedAttempts = retry.failedAttempts();
         doneSent = isComplete();
-        StoredCompletionBitmap.InHead inHead = done.write();
-        int running = allocatedCount;
-        String stage = doneSent ? RunRecord.DONE : running > 0 ? "running" : "queued";
-        return KeyChange.put(new RunRecord.Head(
-                        spec.tasks(),
-                        done.count(),
-                        running,
-                        failedAttempts,
-                        nextAttemptWallMicros,
-                        stage,
-                        reason,
-                        inHead.bits(),
-                        spec.dependencies().isEmpty() ? 0 : readyWallMicros,
-                        inHead.per(),
-                        inHead.generations())
-                .toJson());
+        BitmapReference bitmap = done.write();
+        String stage = doneSent ? RunRecord.DONE : allocatedCount > 0 ? RunRecord.RUNNING : RunRecord.QUEUED;
+        return KeyChange.put(RunRecordCodec.encode(new RunRecord(
+                spec.tasks(),
+                done.count(),
+                allocatedCount,
+                stage,
+                retry,
+                bitmap,
+                spec.dependencies().isEmpty() ? 0 : readyWallMicros)));
     }
 
     @Override
@@ -371,7 +357,7 @@
         runRevision = revision;
         isReleased = true;
         isCompletionStored |= doneSent;
-        List<PendingWrite> unneeded = done.headStored(isCompletionStored);
+        List<PendingWrite> unneeded = done.recordStored(isCompletionStored);
         if (!unneeded.isEmpty()) {
             listener.enqueueWrites(unneeded);
         }
--- a/src/main/java/io/sillreel/pipeline/CompletionBitmapChunks.java
+++ b/src/main/java/io/sillreel/pipeline/CompletionBitmapChunks.java
@@ -1,6 +1,5 @@
 package io.sillreel.pipeline;
 
-import io.sillreel.http.Json;
 import io.sillreel.statestore.KeyChange;
 import io.sillreel.statestore.PendingWrite;
 import io.sillreel.statestore.SingleKeyWrite;
@@ -13,60 +12,57 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.function.Consumer;
 
 /**
- * A done set that is too large for one value. Each part lies under a key of its own generation, and the head names the
- * generations that count: so parts may be written one after the other, and readers see either all of a new set or all
- * of the old one. What no head names any more is removed.
+ * A completion bitmap that is too large for one value. Each generation of a chunk has a key of its own, and the record
+ * of the job refers to the generations that count. So chunks may be written one after the other, and readers see either
+ * all of a new bitmap or all of the old one. Generations to which no record refers are removed.
  */
 final class CompletionBitmapChunks {
-    static final String PREFIX = "bits/";
-
     private final String uid;
     private final int tasksPerChunk;
+    /** Generations to which the stored record refers, by the index of the chunk. */
     private final long[] referencedGenerations;
+
     private final Set<Integer> changedChunks = new HashSet<>();
-    private final Map<Integer, Chunk> pending = new LinkedHashMap<>();
-    /** Stamps of what is stored, by key; what is not named by the next head is removed after it. */
+    /** Chunks that are being written or are stored, and to which the next record will refer; by index. */
+    private final Map<Integer, ChunkWrite> pending = new LinkedHashMap<>();
+    /** Revisions of stored chunks by key; those to which the next record does not refer are removed after it. */
     private final Map<String, Long> storedRevisions = new HashMap<>();
 
-    private final Consumer<CompletionBitmapChunks> onAllStored;
+    private final Runnable onAllStored;
     private long lastGeneration;
 
-    /** @param onStored told when all parts that the next head is to name are stored */
-    CompletionBitmapChunks(String uid, int tasks, int per, Consumer<CompletionBitmapChunks> onStored) {
+    /** @param onAllStored run when all chunks to which the next record is to refer are stored */
+    CompletionBitmapChunks(String uid, int tasks, int tasksPerChunk, Runnable onAllStored) {
         this.uid = uid;
-        this.tasksPerChunk = per;
-        this.referencedGenerations = new long[(tasks + per - 1) / per];
-        this.onAllStored = onStored;
-    }
-
-    static String key(String uid, int index, long generation) {
-        return PREFIX + uid + "/" + index + "/" + generation;
-    }
-
-    /** The job that a part belongs to. */
-    static String uidOf(String key) {
-        return key.substring(PREFIX.length(), key.indexOf('/', PREFIX.length()));
+        this.tasksPerChunk = tasksPerChunk;
+        this.referencedGenerations = new long[(tasks + tasksPerChunk - 1) / tasksPerChunk];
+        this.onAllStored = onAllStored;
     }
 
-    /** Takes over what the head names, if it was cut alike; else everything is written anew. */
-    void inherit(RunRecord.Head head, Map<String, Long> stamps, BitSet done) {
-        storedRevisions.putAll(stamps);
-        for (String key : stamps.keySet()) {
-            if (key.startsWith(PREFIX)) {
-                lastGeneration = Math.max(lastGeneration, Long.parseLong(key.substring(key.lastIndexOf('/') + 1)));
+    /** Takes over the chunks to which the record refers if they have the same size; else all are written again. */
+    void inherit(BitmapReference reference, Map<String, Long> revisions, BitSet completed) {
+        storedRevisions.putAll(revisions);
+        for (String key : revisions.keySet()) {
+            if (key.startsWith(ChunkKey.PREFIX)) {
+                lastGeneration = Math.max(lastGeneration, ChunkKey.generation(key));
             }
         }
-        if (head.tasksPerChunk() == tasksPerChunk && head.chunkGenerations().length == referencedGenerations.length) {
-            System.arraycopy(head.chunkGenerations(), 0, referencedGenerations, 0, referencedGenerations.length);
+        long[] generations = reference.chunkGenerations();
+        if (reference.tasksPerChunk() == tasksPerChunk && generations.length == referencedGenerations.length) {
+            System.arraycopy(generations, 0, referencedGenerations, 0, generations.length);
         } else {
-            for (int task = done.nextSetBit(0);
-                    task >= 0;
-                    task = done.nextSetBit((task / tasksPerChunk + 1) * tasksPerChunk)) {
-                changedChunks.add(task / tasksPerChunk);
-            }
+            markAllChanged(completed);
+        }
+    }
+
+    private void markAllChanged(BitSet completed) {
+        int task = completed.nextSetBit(0);
+        while (task >= 0) {
+            int index = task / tasksPerChunk;
+            changedChunks.add(index);
+            task = completed.nextSetBit((index + 1) * tasksPerChunk);
         }
     }
 
@@ -78,93 +74,108 @@
         changedChunks.add(task / tasksPerChunk);
     }
 
-    /** Parts to be written before the next head; none once all that it is to name are stored. */
-    List<PendingWrite> pendingWrites(BitSet done) {
-        changedChunks.removeIf(index -> {
-            Chunk older = pending.get(index);
-            if (older != null && !older.isStored()) {
-                // One generation at a time: what has come since goes with the next.
-                return false;
-            }
-            if (older != null) {
-                storedRevisions.put(older.key(), older.revision());
-            }
-            pending.put(
-                    index,
-                    new Chunk(index, ++lastGeneration, done.get(index * tasksPerChunk, (index + 1) * tasksPerChunk)));
-            return true;
-        });
+    /** Chunks to be written before the next record; none once all to which it is to refer are stored. */
+    List<PendingWrite> pendingWrites(BitSet completed) {
+        changedChunks.removeIf(index -> startWrite(index, completed));
         return pending.values().stream()
-                .filter(part -> !part.isStored())
+                .filter(chunk -> !chunk.isStored())
                 .map(PendingWrite.class::cast)
                 .toList();
     }
 
-    /** The generations that the head is to name now. */
+    /** Starts to write the next generation of a chunk; false while the one before is being written. */
+    private boolean startWrite(int index, BitSet completed) {
+        ChunkWrite older = pending.get(index);
+        if (older != null && !older.isStored()) {
+            return false;
+        }
+        if (older != null) {
+            storedRevisions.put(older.key(), older.revision());
+        }
+        BitSet tasks = completed.get(index * tasksPerChunk, (index + 1) * tasksPerChunk);
+        pending.put(index, new ChunkWrite(index, ++lastGeneration, tasks));
+        return true;
+    }
+
+    /** The generations to which the record is to refer now. */
     long[] generations() {
-        long[] next = referencedGenerations.clone();
-        pending.values().stream().filter(Chunk::isStored).forEach(part -> next[part.index] = part.generation);
-        return next;
+        long[] generations = referencedGenerations.clone();
+        for (ChunkWrite chunk : pending.values()) {
+            if (chunk.isStored()) {
+                generations[chunk.index] = chunk.generation;
+            }
+        }
+        return generations;
     }
 
-    /** Marks in the set what the named parts hold besides what was named before. */
-    void copyInto(BitSet set) {
-        for (Chunk part : pending.values()) {
-            if (part.isStored()) {
-                part.bits.stream().forEach(bit -> set.set(part.index * tasksPerChunk + bit));
+    /** Adds the tasks of chunks that are stored and to which the stored record does not refer yet. */
+    void copyInto(BitSet completed) {
+        for (ChunkWrite chunk : pending.values()) {
+            if (chunk.isStored()) {
+                chunk.tasks.stream().forEach(bit -> completed.set(chunk.index * tasksPerChunk + bit));
             }
         }
     }
 
-    /** The head with those generations is stored: what it does not name is to be removed. */
-    List<PendingWrite> headStored(long[] generations) {
+    /**
+     * The record that refers to those generations is stored.
+     *
+     * @return removals of the generations to which it does not refer
+     */
+    List<PendingWrite> recordStored(long[] generations) {
         System.arraycopy(generations, 0, referencedGenerations, 0, referencedGenerations.length);
-        pending.values().removeIf(part -> {
-            if (part.isStored() && referencedGenerations[part.index] == part.generation) {
-                storedRevisions.put(part.key(), part.revision());
+        pending.values().removeIf(chunk -> {
+            if (chunk.isStored() && referencedGenerations[chunk.index] == chunk.generation) {
+                storedRevisions.put(chunk.key(), chunk.revision());
                 return true;
             }
             return false;
         });
         Set<String> kept = new HashSet<>();
         for (int index = 0; index < referencedGenerations.length; index++) {
-            kept.add(key(uid, index, referencedGenerations[index]));
+            kept.add(ChunkKey.of(uid, index, referencedGenerations[index]));
         }
-        pending.values().forEach(part -> kept.add(part.key()));
-        return remove(kept);
+        pending.values().forEach(chunk -> kept.add(chunk.key()));
+        return removeExcept(kept);
     }
 
-    /** The job is over: nothing of it is needed any more. */
+    /** Removals of all chunks, of a job that is over. */
     List<PendingWrite> removeAll() {
-        pending.values().forEach(part -> storedRevisions.put(part.key(), part.revision()));
+        pending.values().forEach(chunk -> storedRevisions.put(chunk.key(), chunk.revision()));
         pending.clear();
-        return remove(Set.of());
+        return removeExcept(Set.of());
     }
 
-    private List<PendingWrite> remove(Set<String> kept) {
+    private List<PendingWrite> removeExcept(Set<String> kept) {
         List<PendingWrite> removals = new ArrayList<>();
         storedRevisions.entrySet().removeIf(entry -> {
             if (kept.contains(entry.getKey())) {
                 return false;
             }
-            removals.add(new Removal(entry.getKey(), entry.getValue()));
+            removals.add(new KeyRemoval(entry.getKey(), entry.getValue()));
             return true;
         });
         return removals;
     }
 
-    /** One part of the set as it was when it was cut. */
-    private final class Chunk extends SingleKeyWrite {
+    private void chunkStored() {
+        if (pending.values().stream().allMatch(ChunkWrite::isStored)) {
+            onAllStored.run();
+        }
+    }
+
+    /** The write of one generation of a chunk, with the tasks that were done when it was created. */
+    private final class ChunkWrite extends SingleKeyWrite {
         final int index;
         final long generation;
-        final BitSet bits;
+        final BitSet tasks;
         private boolean isStored;
 
-        Chunk(int index, long generation, BitSet bits) {
-            super(CompletionBitmapChunks.key(uid, index, generation), 0);
+        ChunkWrite(int index, long generation, BitSet tasks) {
+            super(ChunkKey.of(uid, index, generation), 0);
             this.index = index;
             this.generation = generation;
-            this.bits = bits;
+            this.tasks = tasks;
         }
 
         boolean isStored() {
@@ -180,38 +191,14 @@
         public KeyChange change() {
             return pending.get(index) != this
                     ? KeyChange.NONE
-                    : KeyChange.put(Json.object().put("bits", RunRecord.encodeBitmap(bits)));
+                    : KeyChange.put(CompletionBitmapCodec.encodeChunk(tasks));
         }
 
         @Override
         public void onStored(long newRevision) {
             super.onStored(newRevision);
             isStored = true;
-            if (pending.values().stream().allMatch(Chunk::isStored)) {
-                onAllStored.accept(CompletionBitmapChunks.this);
-            }
-        }
-    }
-
-    /** The end of a key that nobody needs any more. */
-    static final class Removal extends SingleKeyWrite {
-        Removal(String key, long revision) {
-            super(key, revision);
-        }
-
-        @Override
-        public WriteUrgency urgency() {
-            return WriteUrgency.PROGRESS;
-        }
-
-        @Override
-        public KeyChange change() {
-            return revision() > 0 ? KeyChange.REMOVAL : KeyChange.NONE;
-        }
-
-        @Override
-        public void onStored(long newRevision) {
-            super.onStored(0);
+            chunkStored();
         }
     }
 }
--- /dev/null
+++ b/src/main/java/io/sillreel/pipeline/KeyRemoval.java
@@ -0,0 +1,28 @@
+package io.sillreel.pipeline;
+
+import io.sillreel.statestore.KeyChange;
+import io.sillreel.statestore.SingleKeyWrite;
+import io.sillreel.statestore.WriteUrgency;
+
+/** The removal of a key that no record refers to any more. */
+final class KeyRemoval extends SingleKeyWrite {
+    /** @param revision the revision that the key is known to have */
+    KeyRemoval(String key, long revision) {
+        super(key, revision);
+    }
+
+    @Override
+    public WriteUrgency urgency() {
+        return WriteUrgency.PROGRESS;
+    }
+
+    @Override
+    public KeyChange change() {
+        return revision() > 0 ? KeyChange.REMOVAL : KeyChange.NONE;
+    }
+
+    @Override
+    public void onStored(long newRevision) {
+        super.onStored(0);
+    }
+}
--- a/src/main/java/io/sillreel/pipeline/StoredCompletionBitmap.java
+++ b/src/main/java/io/sillreel/pipeline/StoredCompletionBitmap.java
@@ -7,21 +7,18 @@
 import java.util.List;
 
 /**
- * Which tasks of a job are done, and which of those the state service knows of. A set that is small enough lies in the
- * job's head; a larger one lies in parts ({@link CompletionBitmapChunks}), and the head names the parts that count.
+ * Which tasks of a job are done, and which of those the state store knows of. A bitmap that is small enough is stored
+ * in the job's record; a larger one is stored in chunks ({@link CompletionBitmapChunks}) to which the record refers.
  */
 final class StoredCompletionBitmap {
-    /** What the head says of the set; {@code bits} is null if the head's stage or its parts say it. */
-    record InHead(String bits, int per, long[] generations) {}
-
     private final String uid;
     private final int tasks;
-    /** Null if the set fits into the head under all limits. */
+    /** Null if the bitmap fits into the record under all limits. */
     private final CompletionBitmapChunks chunks;
     /**
-     * False while the set is written into the head though it will not fit there under the announced limits. The
-     * previous version reads no parts; it would start tasks again that are done. Once the state service refuses the
-     * head for its size the announced limits are in force, which they are only after the upgrade.
+     * False while the bitmap is written into the record though it will not fit there under the announced limits. The
+     * previous version reads no chunks; it would start tasks again that are done. Once the state store refuses the
+     * record for its size, the announced limits are in force, which they are only after the upgrade.
      */
     private boolean usesChunks;
 
@@ -30,32 +27,33 @@
     private final BitSet sent = new BitSet();
     private int count;
     private long[] sentGenerations = {};
-    /** What another version stored beside the head and this one does not: removed once the head says all. */
+    /** Removals of chunks that only another version writes; made once this version's record is stored. */
     private final List<PendingWrite> obsoleteChunks = new ArrayList<>();
 
-    /** @param partsStored run when all parts that the next head is to name are stored */
-    StoredCompletionBitmap(String uid, int tasks, ValueLimits limits, Runnable partsStored) {
+    /** @param onChunksStored run when all chunks to which the next record is to refer are stored */
+    StoredCompletionBitmap(String uid, int tasks, ValueLimits limits, Runnable onChunksStored) {
         this.uid = uid;
         this.tasks = tasks;
-        int per = RunRecord.tasksPerChunk(limits.announcedBytes());
-        this.chunks = tasks <= per ? null : new CompletionBitmapChunks(uid, tasks, per, all -> partsStored.run());
-        this.usesChunks = tasks > RunRecord.tasksPerChunk(limits.presentBytes());
+        int tasksPerChunk = CompletionBitmapCodec.tasksPerChunk(limits.announcedBytes());
+        this.chunks =
+                tasks <= tasksPerChunk ? null : new CompletionBitmapChunks(uid, tasks, tasksPerChunk, onChunksStored);
+        this.usesChunks = tasks > CompletionBitmapCodec.tasksPerChunk(limits.presentBytes());
     }
 
     /** Takes over what is stored. */
-    void inherit(RunRecord.Head head, RunRecord.StoredChunks storedParts) {
-        done.or(storedParts.read(uid, head));
+    void inherit(BitmapReference reference, StoredChunks storedChunks) {
+        done.or(storedChunks.completedTasks(uid, reference));
         stored.or(done);
         count = done.cardinality();
-        usesChunks |= head.tasksPerChunk() > 0;
+        usesChunks |= reference.isChunked();
         if (chunks != null) {
-            chunks.inherit(head, storedParts.revisions(), done);
-        } else if (!storedParts.revisions().isEmpty()) {
-            obsoleteChunks.addAll(storedParts.removeAll());
+            chunks.inherit(reference, storedChunks.revisions(), done);
+        } else if (!storedChunks.revisions().isEmpty()) {
+            obsoleteChunks.addAll(storedChunks.removals());
         }
     }
 
-    /** Adds the task; true if it is one of the job's and was not in the set. */
+    /** Adds the task; true if it is one of the job's and was not done before. */
     boolean add(int task) {
         if (task < 0 || task >= tasks || done.get(task)) {
             return false;
@@ -72,67 +70,70 @@
         return done.get(task);
     }
 
+    /** True once a record is stored that says that the task is done. */
     boolean isStored(int task) {
         return stored.get(task);
     }
 
+    /** How many tasks are done. */
     int count() {
         return count;
     }
 
+    /** True if all tasks are done. */
     boolean isComplete() {
         return count == tasks;
     }
 
-    /** Adds all tasks of the set to another one. */
+    /** Adds all tasks that are done to another set. */
     void copyInto(BitSet other) {
         other.or(done);
     }
 
-    /** What has to be stored before the head. */
+    /** Chunks that have to be stored before the record. */
     List<PendingWrite> prerequisites() {
         return writesChunks() ? chunks.pendingWrites(done) : List.of();
     }
 
-    /** What the head that is written now says of the set. */
-    InHead write() {
+    /** Returns what the record that is written now says of the bitmap, and remembers it for {@link #recordStored}. */
+    BitmapReference write() {
         sent.clear();
         if (writesChunks()) {
             sent.or(stored);
             chunks.copyInto(sent);
             sentGenerations = chunks.generations();
-            return new InHead(null, chunks.tasksPerChunk(), sentGenerations);
+            return BitmapReference.chunks(chunks.tasksPerChunk(), sentGenerations);
         }
         sent.or(done);
-        return new InHead(isComplete() ? null : RunRecord.encodeBitmap(done), 0, RunRecord.NO_CHUNKS);
+        return BitmapReference.inline(isComplete() ? null : CompletionBitmapCodec.encode(done));
     }
 
     /**
-     * The head last written is stored.
+     * The record last written is stored.
      *
-     * @param doneStored true if a head is stored that says that the whole job is done
-     * @return removals of what no head needs any more
+     * @param isCompletionStored true if a record is stored that says that the whole job is done
+     * @return removals of the chunks to which no record refers any more
      */
-    List<PendingWrite> headStored(boolean doneStored) {
+    List<PendingWrite> recordStored(boolean isCompletionStored) {
         stored.or(sent);
-        List<PendingWrite> unneeded = new ArrayList<>(obsoleteChunks);
+        List<PendingWrite> removals = new ArrayList<>(obsoleteChunks);
         obsoleteChunks.clear();
-        if (doneStored && chunks != null) {
-            unneeded.addAll(chunks.removeAll());
+        if (isCompletionStored && chunks != null) {
+            removals.addAll(chunks.removeAll());
         } else if (usesChunks) {
-            unneeded.addAll(chunks.headStored(sentGenerations));
+            removals.addAll(chunks.recordStored(sentGenerations));
         }
-        return unneeded;
+        return removals;
     }
 
-    /** The head with the set in it was refused for its size; true if the set can be stored in parts instead. */
+    /** The record was refused for its size; true if the bitmap can be stored in chunks instead. */
     boolean moveToChunks() {
-        boolean movable = chunks != null && !usesChunks;
-        usesChunks |= movable;
-        return movable;
+        boolean isMovable = chunks != null && !usesChunks;
+        usesChunks |= isMovable;
+        return isMovable;
     }
 
-    /** Removals of everything that is stored beside the head. */
+    /** Removals of everything that is stored beside the record. */
     List<PendingWrite> removalsOfChunks() {
         return chunks == null ? List.copyOf(obsoleteChunks) : chunks.removeAll();
     }
--- a/src/main/java/io/sillreel/recovery/RestorePolicy.java
+++ b/src/main/java/io/sillreel/recovery/RestorePolicy.java
@@ -5,6 +5,7 @@
 import io.sillreel.pipeline.CancellationRecord;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
+import io.sillreel.pipeline.RunRecordCodec;
 import java.util.List;
 import java.util.Set;
 
@@ -47,7 +48,8 @@
         }
         if (change.key().startsWith(RunRecord.PREFIX)) {
             // An end that was stored stays one, whatever a leader that did not know of it has written since.
-            return !RunRecord.isDone(current) && (RunRecord.isDone(change.json()) || currentStamp <= returnedAt);
+            return !RunRecordCodec.isDone(current)
+                    && (RunRecordCodec.isDone(change.json()) || currentStamp <= returnedAt);
         }
         return currentStamp <= returnedAt;
     }
--- a/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
+++ b/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
@@ -9,10 +9,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.sillreel.http.Json;
 import io.sillreel.pipeline.ActiveJob;
+import io.sillreel.pipeline.CompletionBitmapCodec;
 import io.sillreel.pipeline.IgnoringListener;
 import io.sillreel.pipeline.JobSpec;
-import io.sillreel.pipeline.RunRecord;
-import io.sillreel.pipeline.RunRecord.Head;
+import io.sillreel.pipeline.RunRecordCodec;
+import io.sillreel.pipeline.StoredChunks;
 import io.sillreel.settings.ValueLimits;
 import io.sillreel.sim.PreviousVersion;
 import io.sillreel.sim.SimNetwork;
@@ -48,7 +49,9 @@
         assertThat(job.prerequisites()).isEmpty();
         JsonNode head = storedValue(job, "run/job-000412");
         assertThat(PreviousVersion.understood("run/job-000412", head)).isEqualTo(head);
-        assertThat(RunRecord.decodeBitmap(Head.fromJson(head).bitmap()).stream())
+        assertThat(CompletionBitmapCodec.decode(
+                        RunRecordCodec.decode(head).bitmap().inline())
+                        .stream())
                 .containsExactly(0, 3, 6_999);
         assertThat(head.toString().length()).isGreaterThan(1_024);
 
@@ -103,9 +106,9 @@
                     stamps.put(key, 101L);
                 }
             });
-            RunRecord.StoredChunks stored = new RunRecord.StoredChunks(values, stamps, RunRecord.tasksPerChunk(64));
+            StoredChunks stored = new StoredChunks(values, stamps, CompletionBitmapCodec.tasksPerChunk(64));
             ActiveJob job = new ActiveJob(spec, 7, 0, ValueLimits.fixed(32), watcher);
-            job.inherit(101, Head.fromJson(json(CHUNKED.get("run/job-000413"))), stored);
+            job.inherit(101, RunRecordCodec.decode(json(CHUNKED.get("run/job-000413"))), stored);
             return job;
         }
 
@@ -118,8 +121,8 @@
             ActiveJob job = new ActiveJob(spec, 7, 0, ValueLimits.fixed(32), watcher);
             job.inherit(
                     102,
-                    Head.fromJson(state.value("run/job-000413")),
-                    new RunRecord.StoredChunks(values, new HashMap<>(), 0));
+                    RunRecordCodec.decode(state.value("run/job-000413")),
+                    new StoredChunks(values, new HashMap<>(), 0));
             return job;
         }
 
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -21,8 +21,8 @@
 import io.sillreel.pipeline.PlacementRequirements;
 import io.sillreel.pipeline.PriorityClass;
 import io.sillreel.pipeline.RetrySchedule;
-import io.sillreel.pipeline.RunRecord;
-import io.sillreel.pipeline.RunRecord.Head;
+import io.sillreel.pipeline.RunRecordCodec;
+import io.sillreel.pipeline.StoredChunks;
 import io.sillreel.pipeline.TaskSpec;
 import io.sillreel.pipeline.Urgency;
 import io.sillreel.settings.ValueLimits;
@@ -105,12 +105,12 @@
     void whatItStoredIsRead() {
         assertThat(JobSpecCodec.decode(json(PLAN).path("job"))).isEqualTo(spec("job-000412", 16));
         ActiveJob job = job(16);
-        job.inherit(9, Head.fromJson(json(RUNNING)), RunRecord.StoredChunks.NONE);
+        job.inherit(9, RunRecordCodec.decode(json(RUNNING)), StoredChunks.NONE);
         assertThat(job.doneCount()).isEqualTo(3);
         assertThat(job.isTaskStored(15)).isTrue();
         assertThat(job.hasUnmetDependencies()).isFalse();
-        assertThat(Head.fromJson(json(DONE)).isDone()).isTrue();
-        assertThat(Head.fromJson(json(FAILED)).reason()).startsWith("attempt 1 failed");
+        assertThat(RunRecordCodec.decode(json(DONE)).isDone()).isTrue();
+        assertThat(RunRecordCodec.decode(json(FAILED)).reason()).startsWith("attempt 1 failed");
         ScaleOutRequest scaleOutRequest = ScaleOutRequestCodec.decode("hire/r-5-12", json(RENTAL), 9);
         assertThat(scaleOutRequest.machines()).containsExactly("host-000231", "host-000232");
         assertThat(scaleOutRequest.isStoredAsUp("host-000231")).isTrue();
--- a/src/test/java/io/sillreel/pipeline/PipelineTest.java
+++ b/src/test/java/io/sillreel/pipeline/PipelineTest.java
@@ -100,7 +100,8 @@
         // The parts first, one after the other, then the head that names them: each a value and a change of its own.
         List<PendingWrite> parts = List.copyOf(job.prerequisites());
         assertThat(parts)
-                .hasSize((100_000 + RunRecord.tasksPerChunk(valueBytes) - 1) / RunRecord.tasksPerChunk(valueBytes));
+                .hasSize((100_000 + CompletionBitmapCodec.tasksPerChunk(valueBytes) - 1)
+                        / CompletionBitmapCodec.tasksPerChunk(valueBytes));
         Map<String, String> values = new HashMap<>();
         for (PendingWrite part : parts) {
             JsonNode value = storedValue(part, part.key());
@@ -115,15 +116,15 @@
         assertThat(job.isTaskStored(99_998)).isTrue();
 
         ActiveJob again = new ActiveJob(spec, 7, 0, ValueLimits.fixed(valueBytes), new IgnoringListener());
-        again.inherit(9, RunRecord.Head.fromJson(head), pieces(values));
+        again.inherit(9, RunRecordCodec.decode(head), pieces(values));
         assertThat(again.doneCount()).isEqualTo(50_000);
         assertThat(again.nextWaitingTask()).isEqualTo(1);
     }
 
-    private static RunRecord.StoredChunks pieces(Map<String, String> values) {
+    private static StoredChunks pieces(Map<String, String> values) {
         Map<String, Long> stamps = new HashMap<>();
         values.keySet().forEach(key -> stamps.put(key, 8L));
-        return new RunRecord.StoredChunks(values, stamps, RunRecord.tasksPerChunk(8 * 1024));
+        return new StoredChunks(values, stamps, CompletionBitmapCodec.tasksPerChunk(8 * 1024));
     }
 
     /** Guards against freeing a piece that a second live task still holds. */
@@ -143,8 +144,9 @@
         BitSet set = new BitSet();
         set.set(3);
         set.set(70);
-        assertThat(RunRecord.decodeBitmap(RunRecord.encodeBitmap(set))).isEqualTo(set);
-        assertThat(RunRecord.decodeBitmap(null)).isEqualTo(new BitSet());
+        assertThat(CompletionBitmapCodec.decode(CompletionBitmapCodec.encode(set)))
+                .isEqualTo(set);
+        assertThat(CompletionBitmapCodec.decode(null)).isEqualTo(new BitSet());
     }
 
     private static JobSpec spec(int pieces) {
