--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -220,7 +220,8 @@
         store.get(RunRecord.key(uid)).thenAccept(read -> {
             synchronized (cluster) {
                 if (read.outcome() == StoreOutcome.OK
-                        && RunRecordCodec.decode(read.entry().value()).isDone()) {
+                        && RunRecordCodec.decode(read.entry().orElseThrow().value())
+                                .isDone()) {
                     recentlyDoneUids.add(uid);
                     dependencies.lookupSucceeded(uid);
                     return;
