--- a/src/main/java/io/sillreel/admission/JobStatus.java
+++ b/src/main/java/io/sillreel/admission/JobStatus.java
@@ -18,7 +18,7 @@
         int tasks,
         List<String> dependencies,
         long runRevision,
-        RunRecord.Head runHead,
+        RunRecord runHead,
         long cancellationRevision,
         boolean dependencyCancelled) {
     static JobStatus unknown(String uid) {
