--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -21,7 +21,9 @@
 import io.sillreel.http.RequestQueue.RequestClass;
 import io.sillreel.leadership.LeaderElection;
 import io.sillreel.leadership.LeaderTerm;
+import io.sillreel.leadership.TermConfiguration;
 import io.sillreel.leadership.TermGrant;
+import io.sillreel.leadership.TermServices;
 import io.sillreel.limits.FleetCapacity;
 import io.sillreel.limits.ProcessLimits;
 import io.sillreel.overload.AdaptiveLimit;
@@ -329,17 +331,12 @@
     private void beginTerm(TermGrant grant) {
         leaderTerm = new LeaderTerm(
                 eventLoop,
-                store,
-                cloud,
-                httpClient,
-                settings,
-                operator,
-                fleetCapacity,
-                leadership,
-                grant.term(),
-                grant.leaderRevision(),
+                new TermServices(store, cloud, httpClient),
+                new TermConfiguration(settings, operator, fleetCapacity),
                 machineTypes::types,
-                peers);
+                peers,
+                leadership,
+                grant);
         leaderTerm.start();
     }
 
--- /dev/null
+++ b/src/main/java/io/sillreel/leadership/AgentClient.java
@@ -0,0 +1,77 @@
+package io.sillreel.leadership;
+
+import io.sillreel.agent.AgentCommands;
+import io.sillreel.agent.Heartbeat;
+import io.sillreel.cluster.Machine;
+import io.sillreel.heartbeat.HeartbeatProcessor;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
+
+/**
+ * Sends requests to the agents of machines, without waiting for their next heartbeats. A request that is lost needs no
+ * repetition: its content is told again in answer to a heartbeat. Runs on the event loop.
+ */
+final class AgentClient {
+    private static final long COMMAND_TIMEOUT_MICROS = 3_000_000;
+    private static final long STATUS_TIMEOUT_MICROS = 3_000_000;
+
+    private final HttpClient httpClient;
+    private final long term;
+    private boolean closed;
+
+    AgentClient(HttpClient httpClient, long term) {
+        this.httpClient = httpClient;
+        this.term = term;
+    }
+
+    /** Responses that come later are ignored. */
+    void close() {
+        closed = true;
+    }
+
+    /** Sends a reconciled machine its commands, if there are any, and has the heartbeat in the response processed. */
+    void sendCommands(Machine machine, HeartbeatProcessor processor) {
+        if (machine.address() == null || !machine.isReconciled()) {
+            return;
+        }
+        AgentCommands commands = new AgentCommands();
+        processor.addCommands(machine, commands);
+        if (commands.isEmpty()) {
+            return;
+        }
+        HttpRequest request = HttpRequest.post(
+                "/do",
+                commands.toJson(term).put("shift", machine.heartbeatOrder().epoch()));
+        httpClient.send(machine.address(), request, COMMAND_TIMEOUT_MICROS).thenAccept(response -> {
+            // With 409 the agent has executed nothing, since the token or the epoch is old; its heartbeat counts.
+            if (!closed && (response.status() == 200 || response.status() == 409)) {
+                processCommandResponse(response, processor);
+            }
+        });
+    }
+
+    private static void processCommandResponse(HttpResponse response, HeartbeatProcessor processor) {
+        Heartbeat heartbeat = Heartbeat.read(response.body());
+        if (heartbeat != null) {
+            processor.processCommandResponse(heartbeat);
+        }
+    }
+
+    /** Asks the machine for its heartbeat sequence, which tells whether its agent has restarted. */
+    void queryStatus(Machine machine, HeartbeatProcessor processor) {
+        if (machine.address() == null) {
+            return;
+        }
+        long epoch = machine.heartbeatOrder().epoch();
+        long sequence = machine.heartbeatOrder().sequence();
+        httpClient
+                .send(machine.address(), HttpRequest.get("/status"), STATUS_TIMEOUT_MICROS)
+                .thenAccept(response -> {
+                    Heartbeat heartbeat = !closed && response.isOk() ? Heartbeat.read(response.body()) : null;
+                    if (heartbeat != null && heartbeat.machine().equals(machine.name())) {
+                        processor.processStatusResponse(heartbeat, epoch, sequence);
+                    }
+                });
+    }
+}
--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -4,28 +4,19 @@
 import io.sillreel.http.EventLoop;
 import io.sillreel.leadership.StoredState.StoredJob;
 import io.sillreel.pipeline.ActiveJob;
-import io.sillreel.pipeline.CancellationRecord;
 import io.sillreel.pipeline.CascadingCancellation;
 import io.sillreel.pipeline.DependencyGraph;
 import io.sillreel.pipeline.JobIdSet;
 import io.sillreel.pipeline.PlanRecord;
-import io.sillreel.pipeline.RunRecord;
 import io.sillreel.placement.CapacityPlanner;
 import io.sillreel.placement.PriorityInheritance;
 import io.sillreel.placement.RuntimeEstimator;
 import io.sillreel.settings.ValueLimits;
 import io.sillreel.statestore.PendingWrite;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.StoreOutcome;
-import io.sillreel.statestore.StateStore.WatchEvent;
 import io.sillreel.statestore.WriteQueue;
 import java.util.ArrayList;
-import java.util.Collections;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
-import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -37,10 +28,6 @@
 final class LeaderJobs implements ActiveJob.Listener, DependencyGraph.Callbacks {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderJobs.class);
     private static final long RETRY_MICROS = 300_000;
-    private static final long PLAN_WATCH_MICROS = 10_000_000;
-    private static final long CANCELLATIONS_WATCH_MICROS = 1_000_000;
-    private static final int MAX_REMEMBERED_DONE_JOBS = 4_000;
-    private static final long LOOKUP_RETRY_MICROS = 1_000_000;
 
     private final EventLoop eventLoop;
     private final StateStore store;
@@ -48,30 +35,13 @@
     private final WriteQueue writeQueue;
     private final CapacityPlanner capacity;
     private final ValueLimits limits;
-    private final Runnable changed;
-    private final Consumer<ActiveJob> onCancelled;
-    private final Consumer<String> missedChanges;
+    private final SchedulingRequests scheduling;
     private final DependencyGraph dependencies = new DependencyGraph(this);
+    private final DependencyLookup dependencyLookup;
     private final PriorityInheritance inheritance;
-    /** Jobs that are certainly done, as far as they are remembered; the store knows of all. */
-    private final Set<String> recentlyDoneUids = Collections.newSetFromMap(new LinkedHashMap<>() {
-        private static final long serialVersionUID = 1L;
-
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > MAX_REMEMBERED_DONE_JOBS;
-        }
-    });
-
     private JobIdSet cancelledUids = new JobIdSet();
-    private long cancellationsKnownUntilMicros;
     private boolean closed;
 
-    /**
-     * @param changed called when there may be something new to plan
-     * @param onCancelled told of each job that turns out to be cancelled, once
-     * @param missedChanges told of a prefix whose changes can't be followed any more
-     */
     LeaderJobs(
             EventLoop eventLoop,
             StateStore store,
@@ -80,28 +50,20 @@
             CapacityPlanner capacity,
             RuntimeEstimator runtimeEstimator,
             ValueLimits limits,
-            Runnable changed,
-            Consumer<ActiveJob> onCancelled,
-            Consumer<String> missedChanges) {
+            SchedulingRequests scheduling) {
         this.eventLoop = eventLoop;
         this.store = store;
         this.cluster = cluster;
         this.writeQueue = writeQueue;
         this.capacity = capacity;
         this.limits = limits;
-        this.changed = changed;
-        this.onCancelled = onCancelled;
-        this.missedChanges = missedChanges;
+        this.scheduling = scheduling;
+        this.dependencyLookup = new DependencyLookup(eventLoop, store, cluster, dependencies);
         this.inheritance = new PriorityInheritance(dependencies, runtimeEstimator);
     }
 
-    /**
-     * Takes over what is stored.
-     *
-     * @param askedMicros when it was asked for: all cancellations confirmed before are known
-     */
-    void restore(StoredState state, long askedMicros) {
-        cancellationsKnownUntilMicros = askedMicros;
+    /** Takes over what is stored. */
+    void restore(StoredState state) {
         cancelledUids = state.cancelled();
         state.recentlyDone().forEach(plan -> capacity.recordArrival(plan.spec(), plan.admittedWallMicros()));
         enqueueWrites(state.obsoleteChunkRemovals());
@@ -111,19 +73,9 @@
         unfinished.forEach(inheritance::propagateUrgency);
     }
 
-    /** Follows from then on what becomes of plans and cancellations. */
-    void follow(StoredState state) {
-        watchPlans(state.plansRevision());
-        watchCancellations(state.cancellationsRevision());
-    }
-
     void close() {
         closed = true;
-    }
-
-    /** All cancellations that were confirmed before this time are known. */
-    long cancellationsKnownUntilMicros() {
-        return cancellationsKnownUntilMicros;
+        dependencyLookup.close();
     }
 
     private ActiveJob restoreJob(StoredJob stored) {
@@ -155,11 +107,11 @@
             capacity.recordArrival(job.spec(), job.readyWallMicros());
         }
         cluster.add(job);
-        changed.run();
+        scheduling.requestPlan();
     }
 
     /** A job that was admitted during the term; names in overflow values are read first. */
-    private void addAdmittedJob(PlanRecord plan, long revision) {
+    void addAdmittedJob(PlanRecord plan, long revision) {
         plan.loadOverflow(store).thenAccept(complete -> {
             if (closed) {
                 return;
@@ -207,51 +159,7 @@
 
     @Override
     public void lookUpCompletion(String uid) {
-        if (closed || !dependencies.isAwaitingLookup(uid)) {
-            return;
-        }
-        if (recentlyDoneUids.contains(uid)) {
-            dependencies.lookupSucceeded(uid);
-            return;
-        }
-        store.get(RunRecord.key(uid)).thenAccept(read -> {
-            synchronized (cluster) {
-                if (read.outcome() == StoreOutcome.OK
-                        && RunRecord.Head.fromJson(read.entry().value()).isDone()) {
-                    recentlyDoneUids.add(uid);
-                    dependencies.lookupSucceeded(uid);
-                    return;
-                }
-            }
-            // Not read, or not done though nobody drives it: its plan may yet be seen.
-            eventLoop.schedule(LOOKUP_RETRY_MICROS, () -> {
-                synchronized (cluster) {
-                    lookUpCompletion(uid);
-                }
-            });
-        });
-    }
-
-    private void watchPlans(long since) {
-        follow(
-                PlanRecord.PREFIX,
-                since,
-                PLAN_WATCH_MICROS,
-                change -> {
-                    if (change.value() != null) {
-                        addAdmittedJob(PlanRecord.fromJson(change.value()), change.revision());
-                    }
-                },
-                sent -> {});
-    }
-
-    private void watchCancellations(long since) {
-        follow(
-                CancellationRecord.PREFIX,
-                since,
-                CANCELLATIONS_WATCH_MICROS,
-                change -> jobCancelled(change.key().substring(CancellationRecord.PREFIX.length())),
-                sent -> cancellationsKnownUntilMicros = Math.max(cancellationsKnownUntilMicros, sent));
+        dependencyLookup.lookUp(uid);
     }
 
     /** A cancellation has been stored: seen there, or heard of from the controller that stored it. */
@@ -266,38 +174,14 @@
         }
     }
 
-    /** Follows the changes under a prefix for as long as the term lasts. */
-    private void follow(String prefix, long since, long blockMicros, Consumer<WatchEvent> each, Consumer<Long> proven) {
-        if (closed) {
-            return;
-        }
-        long sent = eventLoop.nowMicros();
-        store.watch(prefix, since, blockMicros).thenAccept(result -> {
-            if (closed) {
-                return;
-            }
-            switch (result.outcome()) {
-                case OK -> {
-                    synchronized (cluster) {
-                        result.events().forEach(each);
-                    }
-                    proven.accept(sent);
-                    follow(prefix, result.storeRevision(), blockMicros, each, proven);
-                }
-                case COMPACTED -> missedChanges.accept(prefix);
-                default -> eventLoop.schedule(RETRY_MICROS, () -> follow(prefix, since, blockMicros, each, proven));
-            }
-        });
-    }
-
     @Override
     public void recordStored(ActiveJob job) {
         synchronized (cluster) {
-            changed.run();
+            scheduling.requestPlan();
             dependencies.markReleased(job);
             if (job.isCompletionStored()) {
                 cluster.remove(job);
-                recentlyDoneUids.add(job.uid());
+                dependencyLookup.recordDone(job.uid());
                 LOG.info("job {} is done", job.uid());
                 dependencies.markDone(job);
             }
@@ -309,8 +193,8 @@
         synchronized (cluster) {
             if (!job.isCancelled()) {
                 job.cancel();
-                changed.run();
-                onCancelled.accept(job);
+                scheduling.requestPlan();
+                scheduling.requestStops(job);
                 inheritance.recomputeAfterCancellation(List.of(job));
             }
         }
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -1,7 +1,6 @@
 package io.sillreel.leadership;
 
 import io.sillreel.agent.Heartbeat;
-import io.sillreel.cloud.CloudClient;
 import io.sillreel.cloud.MachineType;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
@@ -12,10 +11,7 @@
 import io.sillreel.heartbeat.HeartbeatProcessor;
 import io.sillreel.heartbeat.LeaderHeartbeats;
 import io.sillreel.http.EventLoop;
-import io.sillreel.http.HttpClient;
-import io.sillreel.http.HttpRequest;
 import io.sillreel.http.HttpResponse;
-import io.sillreel.limits.FleetCapacity;
 import io.sillreel.peer.Peers;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.LiveTaskCounts;
@@ -36,75 +32,89 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Everything a controller holds while it leads one term: built from the stored plans, records and fleet and from the
- * machines' reports, thrown away with the term. A deposed leader has nothing left to act on.
+ * Everything a controller holds while it leads one term. It is built from what is stored and from the heartbeats of
+ * machines, and discarded when the term ends, so that a former leader has no state left to act on. Runs on the event
+ * loop; jobs, machines and allocations are guarded by the lock of the cluster, since status requests read them too.
  */
-public final class LeaderTerm implements LeaderHeartbeats, HeartbeatProcessor.Callbacks, LiveTaskCounts {
+public final class LeaderTerm implements LeaderHeartbeats, LiveTaskCounts {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
     private static final long TICK_MICROS = 100_000;
     private static final long FLEET_CYCLE_MICROS = 1_000_000;
     private static final long RETRY_MICROS = 300_000;
-    /** Launches need to have asked for cancellations this recently. */
-    private static final long CANCELLATIONS_STALE_MICROS = 4_000_000;
 
-    private static final long GRACE_MARGIN_MICROS = 1_500_000;
-    private static final long STATUS_TIMEOUT_MICROS = 3_000_000;
     private final EventLoop eventLoop;
     private final StateStore store;
-    private final HttpClient httpClient;
     private final Settings settings;
-    private final LeaderElection leadership;
+    private final LeaderElection election;
     private final long term;
     private final Supplier<Map<String, MachineType>> machineTypes;
     private final Cluster cluster;
-    private final WriteQueue writeQueue;
     private final RuntimeEstimator runtimeEstimator = new RuntimeEstimator();
+    private final WriteQueue writeQueue;
     private final CapacityPlanner capacity;
-    private final HeartbeatProcessor heartbeatProcessor;
-    private final FleetManager fleet;
+    private final SchedulingRequests scheduling;
     private final LeaderJobs jobs;
+    private final StoredChangeWatcher changes;
+    private final LeaderAuthority authority;
     private final LeaderStatus status;
     private final LeaderReachability reachability;
+    private final AgentClient agentClient;
+    private final HeartbeatProcessor heartbeatProcessor;
+    private final FleetManager fleet;
     private final SchedulingCycle schedulingCycle;
     private final StragglerDetector stragglerDetector;
-
-    private boolean loaded;
-    private boolean closed;
     private long fleetCycleMicros;
 
-    /** Creates the state of one term; {@link #start} begins to read what is stored. */
+    /**
+     * Creates the state of one term; {@link #start} begins to read what is stored.
+     *
+     * @param machineTypes the machine types that the cloud offers, empty until they are known
+     * @param peers the other controllers
+     */
     public LeaderTerm(
             EventLoop eventLoop,
-            StateStore store,
-            CloudClient cloud,
-            HttpClient httpClient,
-            Settings settings,
-            OperatorProperties operator,
-            FleetCapacity fleetCapacity,
-            LeaderElection leadership,
-            long term,
-            long leaderRevision,
-            Supplier<Map<String, MachineType>> types,
-            Peers peers) {
+            TermServices services,
+            TermConfiguration configuration,
+            Supplier<Map<String, MachineType>> machineTypes,
+            Peers peers,
+            LeaderElection election,
+            TermGrant grant) {
         this.eventLoop = eventLoop;
-        this.store = store;
-        this.httpClient = httpClient;
-        this.settings = settings;
-        this.leadership = leadership;
-        this.term = term;
-        this.machineTypes = types;
+        this.store = services.store();
+        this.settings = configuration.settings();
+        this.election = election;
+        this.term = grant.term();
+        this.machineTypes = machineTypes;
         this.cluster = new Cluster(settings.teams());
-        this.writeQueue = new WriteQueue(
+        this.writeQueue = newWriteQueue(grant);
+        ServiceLevelObjectives objectives = new ServiceLevelObjectives(settings.objectives(), runtimeEstimator);
+        Planner planner = new Planner(cluster, settings.workers().heartbeatIntervalMicros(), objectives);
+        this.capacity = new CapacityPlanner(cluster, objectives, runtimeEstimator);
+        this.scheduling = new SchedulingRequests(cluster);
+        this.jobs = newJobs();
+        this.changes = new StoredChangeWatcher(eventLoop, store, cluster, election, jobs);
+        this.authority = new LeaderAuthority(eventLoop, election, changes, settings.workers(), term);
+        this.status = new LeaderStatus(eventLoop, term, cluster, capacity, writeQueue);
+        this.reachability = new LeaderReachability(eventLoop, settings, election, peers, cluster);
+        this.agentClient = new AgentClient(services.agents(), term);
+        this.heartbeatProcessor = newHeartbeatProcessor(configuration.operator(), planner);
+        this.fleet = newFleet(services, configuration);
+        this.schedulingCycle = newSchedulingCycle(planner);
+        this.stragglerDetector = new StragglerDetector(cluster, runtimeEstimator);
+    }
+
+    private WriteQueue newWriteQueue(TermGrant grant) {
+        return new WriteQueue(
                 store,
                 eventLoop,
                 LeaderElection.LEADER_KEY,
-                leaderRevision,
+                grant.leaderRevision(),
                 settings.state().maxTransactionChanges(),
-                () -> leadership.resign("the leader key was overwritten"));
-        ServiceLevelObjectives objectives = new ServiceLevelObjectives(settings.objectives(), runtimeEstimator);
-        Planner planner = new Planner(cluster, settings.workers().heartbeatIntervalMicros(), objectives);
-        this.capacity = new CapacityPlanner(cluster, objectives, runtimeEstimator);
-        this.jobs = new LeaderJobs(
+                () -> election.resign("the leader key was overwritten"));
+    }
+
+    private LeaderJobs newJobs() {
+        return new LeaderJobs(
                 eventLoop,
                 store,
                 cluster,
@@ -112,23 +122,7 @@
                 capacity,
                 runtimeEstimator,
                 settings.state().values(),
-                this::schedulingNeeded,
-                this::stopTasks,
-                prefix -> leadership.resign("the watch of " + prefix + " was compacted"));
-        this.status = new LeaderStatus(eventLoop, term, cluster, capacity, writeQueue);
-        this.heartbeatProcessor = newHeartbeatProcessor(operator, planner);
-        this.stragglerDetector = new StragglerDetector(cluster, runtimeEstimator);
-        this.reachability = new LeaderReachability(eventLoop, settings, leadership, peers, cluster);
-        this.schedulingCycle = new SchedulingCycle(
-                eventLoop,
-                term,
-                cluster,
-                httpClient,
-                planner,
-                heartbeatProcessor,
-                new SpotInterruptionDrain(cluster, runtimeEstimator),
-                this::mayAct);
-        this.fleet = newFleet(cloud, operator, fleetCapacity);
+                scheduling);
     }
 
     private HeartbeatProcessor newHeartbeatProcessor(OperatorProperties operator, Planner planner) {
@@ -139,47 +133,53 @@
                 writeQueue,
                 settings.workers(),
                 FleetThresholds.of(settings),
-                retrySchedule(operator),
+                new RetrySchedule(
+                        operator.retryInitialMicros(), operator.retryMaximumMicros(), operator.parkedMicros()),
                 runtimeEstimator,
                 planner,
-                this,
-                this::mayAct);
+                new MachineEvents(),
+                authority::mayAct);
     }
 
-    private FleetManager newFleet(CloudClient cloud, OperatorProperties operator, FleetCapacity fleetCapacity) {
+    private FleetManager newFleet(TermServices services, TermConfiguration configuration) {
         return new FleetManager(
                 eventLoop,
                 term,
                 cluster,
-                cloud,
+                services.cloud(),
                 writeQueue,
                 settings,
-                operator,
-                fleetCapacity,
+                configuration.operator(),
+                configuration.fleetCapacity(),
                 capacity,
                 machineTypes,
-                this::mayAct,
+                authority::mayAct,
                 reachability::isRoutingStable,
                 heartbeatProcessor::clearTasks);
     }
 
-    private void stopTasks(ActiveJob job) {
-        schedulingCycle.requestStops(job);
-    }
-
-    private static RetrySchedule retrySchedule(OperatorProperties operator) {
-        return new RetrySchedule(operator.retryInitialMicros(), operator.retryMaximumMicros(), operator.parkedMicros());
+    private SchedulingCycle newSchedulingCycle(Planner planner) {
+        return new SchedulingCycle(
+                eventLoop,
+                cluster,
+                planner,
+                heartbeatProcessor,
+                agentClient,
+                scheduling,
+                new SpotInterruptionDrain(cluster, runtimeEstimator),
+                authority::mayAct);
     }
 
-    /** Begins to read what is stored. */
+    /** Begins to read what is stored; heartbeats are answered once that is done. */
     public void start() {
         readStoredState();
     }
 
-    /** Ends the term here: nothing is written or launched any more. */
+    /** Ends the term on this controller: nothing is written or launched any more, and late responses are ignored. */
     public void close() {
-        closed = true;
-        schedulingCycle.close();
+        authority.close();
+        agentClient.close();
+        changes.close();
         jobs.close();
         writeQueue.close();
     }
@@ -189,163 +189,93 @@
         return term;
     }
 
-    /** Launches, rentals and returns need proof of holding the lease and of knowing the cancellations. */
-    private boolean mayAct() {
-        return !closed
-                && loaded
-                && leadership.isLeaseValid()
-                && leadership.heldTerm() == term
-                && eventLoop.nowMicros() - jobs.cancellationsKnownUntilMicros() < CANCELLATIONS_STALE_MICROS;
-    }
-
-    /**
-     * How long after the last proof reports are still answered. A cancellation that this leader can't hear of is told
-     * to a user after that proof; tasks answered until then plus the lease are gone before cancel_s is over.
-     */
-    private long gracePeriodMicros() {
-        return Math.max(
-                0, settings.workers().cancelMicros() - settings.workers().leaseMicros() - GRACE_MARGIN_MICROS);
-    }
-
-    private boolean mayKeepAlive() {
-        long proof = Math.min(leadership.leaseConfirmedMicros(), jobs.cancellationsKnownUntilMicros());
-        return eventLoop.nowMicros() < proof + gracePeriodMicros();
-    }
-
-    // --- Taking over -----------------------------------------------------------------------------------------------
-
     private void readStoredState() {
-        if (closed) {
+        if (authority.isClosed()) {
             return;
         }
         if (machineTypes.get().isEmpty()) {
             eventLoop.schedule(RETRY_MICROS, this::readStoredState);
             return;
         }
-        long asked = eventLoop.nowMicros();
+        long sentMicros = eventLoop.nowMicros();
         LongPredicate countsAsDemand = admitted -> DemandEstimator.isWithinWindow(admitted, eventLoop.wallMicros());
-        new StoredStateReader(store, settings.state().values().presentBytes(), countsAsDemand, () -> !closed)
+        new StoredStateReader(
+                        store, settings.state().values().presentBytes(), countsAsDemand, () -> !authority.isClosed())
                 .read()
                 .thenAccept(state -> {
-                    if (closed) {
+                    if (authority.isClosed()) {
                         return;
                     }
                     if (state.isEmpty()) {
                         eventLoop.schedule(RETRY_MICROS, this::readStoredState);
                         return;
                     }
-                    beginLeading(state.get(), asked);
+                    beginLeading(state.get(), sentMicros);
                 });
     }
 
-    private void beginLeading(StoredState state, long askedMicros) {
+    /** @param sentMicros when the stored state was requested */
+    private void beginLeading(StoredState state, long sentMicros) {
         synchronized (cluster) {
-            jobs.restore(state, askedMicros);
-            long bound = heartbeatProcessor.leaseExpiryMicros(eventLoop.nowMicros())
-                    + gracePeriodMicros()
-                    + GRACE_MARGIN_MICROS / 3;
-            state.scaleOutRequests().forEach(scaleOutRequest -> fleet.inherit(scaleOutRequest, bound));
-            loaded = true;
+            changes.cancellationsListed(sentMicros);
+            jobs.restore(state);
+            long aliveUntilMicros =
+                    heartbeatProcessor.leaseExpiryMicros(eventLoop.nowMicros()) + authority.predecessorGraceMicros();
+            state.scaleOutRequests().forEach(request -> fleet.inherit(request, aliveUntilMicros));
+            authority.stateLoaded();
             reachability.stateLoaded();
-            schedulingCycle.markDirty();
+            scheduling.requestPlan();
         }
         LOG.info(
                 "term {} starts with {} unfinished jobs and {} machines",
                 term,
                 cluster.jobs().size(),
                 cluster.machines().size());
-        jobs.follow(state);
+        changes.start(state);
         eventLoop.schedule(0, this::tick);
     }
 
-    /** A cancellation has been stored: heard of from the controller that stored it. */
+    /** Another controller has stored a cancellation and says so, before the watch of cancellations shows it. */
     public void jobCancelled(String uid) {
         jobs.jobCancelled(uid);
     }
 
-    // --- Reports ---------------------------------------------------------------------------------------------------
-
-    /** Answers a worker's report, or says that this controller may not. */
     @Override
     public HttpResponse handleHeartbeat(Heartbeat heartbeat) {
         if (heartbeat.fencingToken() > term) {
-            leadership.observeTerm(null, heartbeat.fencingToken());
+            election.observeTerm(null, heartbeat.fencingToken());
             return HttpResponse.retryLater(503, "a later term has begun", 1);
         }
-        if (closed || !loaded) {
+        if (!authority.isServing()) {
             return HttpResponse.retryLater(503, "the term is only beginning", 1);
         }
         reachability.heartbeatReceived();
-        if (!mayKeepAlive()) {
+        if (!authority.mayExtendMachineLeases()) {
             return HttpResponse.retryLater(503, "the state service has not confirmed the lease for too long", 1);
         }
-        if (!leadership.isLeaseValid() && reachability.shouldRedirect(heartbeat.machine())) {
+        if (!election.isLeaseValid() && reachability.shouldRedirect(heartbeat.machine())) {
             return HttpResponse.retryLater(503, "another controller may hold the lease by now", 1);
         }
         return heartbeatProcessor.process(heartbeat);
     }
 
-    /** Looks, about once a second, whether another controller had better lead. */
+    /** Resigns if this controller can't lead on, or another one would do better. Called about once a second. */
     public void checkReachability() {
         if (heartbeatProcessor.isOutOfAttemptIds()) {
-            leadership.resign("the attempt ids of the term are used up");
+            election.resign("the attempt ids of the term are used up");
             return;
         }
-        reachability.resignIfUnreachable(jobs.cancellationsKnownUntilMicros(), writeQueue.isStuck());
+        reachability.resignIfUnreachable(changes.cancellationsKnownUntilMicros(), writeQueue.isStuck());
     }
 
-    @Override
-    public Machine adopt(Heartbeat heartbeat) {
-        return fleet.adopt(heartbeat.machine(), heartbeat.machineType(), heartbeat.zone(), heartbeat.spot());
-    }
-
-    @Override
-    public boolean isGone(String machine) {
-        return fleet.wasReturned(machine);
-    }
-
-    @Override
-    public void machineUp(Machine machine) {
-        fleet.recordMachineUp(machine);
-    }
-
-    @Override
-    public void machineDown(Machine machine) {
-        fleet.recordMachineDown(machine);
-    }
-
-    @Override
-    public void schedulingNeeded() {
-        schedulingCycle.markDirty();
-    }
-
-    @Override
-    public void queryStatus(Machine machine) {
-        if (machine.address() == null) {
-            return;
-        }
-        long epoch = machine.heartbeatOrder().epoch();
-        long sequence = machine.heartbeatOrder().sequence();
-        httpClient
-                .send(machine.address(), HttpRequest.get("/status"), STATUS_TIMEOUT_MICROS)
-                .thenAccept(response -> {
-                    Heartbeat heartbeat = !closed && response.isOk() ? Heartbeat.read(response.body()) : null;
-                    if (heartbeat != null && heartbeat.machine().equals(machine.name())) {
-                        heartbeatProcessor.processStatusResponse(heartbeat, epoch, sequence);
-                    }
-                });
-    }
-
-    // --- Ticking ---------------------------------------------------------------------------------------------------
-
     private void tick() {
-        if (closed) {
+        if (authority.isClosed()) {
             return;
         }
         eventLoop.schedule(TICK_MICROS, this::tick);
         long now = eventLoop.nowMicros();
         schedulingCycle.tick(now);
-        if (mayAct() && now - fleetCycleMicros > FLEET_CYCLE_MICROS) {
+        if (authority.mayAct() && now - fleetCycleMicros > FLEET_CYCLE_MICROS) {
             fleetCycleMicros = now;
             synchronized (cluster) {
                 stragglerDetector.drainStragglers(now);
@@ -356,8 +286,6 @@
         }
     }
 
-    // --- For display -----------------------------------------------------------------------------------------------
-
     @Override
     public Counts countsOf(String uid) {
         synchronized (cluster) {
@@ -368,11 +296,44 @@
         }
     }
 
-    /** For metrics. */
+    /** The values of the term's metrics by their names. */
     public Map<String, Double> gauges() {
         Map<String, Double> gauges = status.gauges();
         gauges.put("sillreel.plans", (double) schedulingCycle.planCount());
         gauges.put("sillreel.plans.ms", schedulingCycle.totalPlanMicros() / 1_000.0);
         return gauges;
     }
+
+    /** Hands what heartbeats show of machines on to the fleet, the scheduling cycle and the client of agents. */
+    private final class MachineEvents implements HeartbeatProcessor.Callbacks {
+        @Override
+        public Machine adopt(Heartbeat heartbeat) {
+            return fleet.adopt(heartbeat.machine(), heartbeat.machineType(), heartbeat.zone(), heartbeat.spot());
+        }
+
+        @Override
+        public boolean isGone(String machine) {
+            return fleet.wasReturned(machine);
+        }
+
+        @Override
+        public void machineUp(Machine machine) {
+            fleet.recordMachineUp(machine);
+        }
+
+        @Override
+        public void machineDown(Machine machine) {
+            fleet.recordMachineDown(machine);
+        }
+
+        @Override
+        public void schedulingNeeded() {
+            scheduling.requestPlan();
+        }
+
+        @Override
+        public void queryStatus(Machine machine) {
+            agentClient.queryStatus(machine, heartbeatProcessor);
+        }
+    }
 }
--- /dev/null
+++ b/src/main/java/io/sillreel/leadership/StoredChangeWatcher.java
@@ -0,0 +1,126 @@
+package io.sillreel.leadership;
+
+import io.sillreel.cluster.Cluster;
+import io.sillreel.http.EventLoop;
+import io.sillreel.pipeline.CancellationRecord;
+import io.sillreel.pipeline.PlanRecord;
+import io.sillreel.statestore.StateStore;
+import io.sillreel.statestore.StateStore.WatchEvent;
+
+/**
+ * Follows the plans and cancellations that other controllers store, for as long as a term lasts. Runs on the event
+ * loop; changes are applied under the lock of the cluster.
+ */
+final class StoredChangeWatcher {
+    private static final long RETRY_MICROS = 300_000;
+    private static final long PLAN_WATCH_MICROS = 10_000_000;
+    /** Short, since each answer proves that all cancellations up to its request are known. */
+    private static final long CANCELLATION_WATCH_MICROS = 1_000_000;
+
+    private final EventLoop eventLoop;
+    private final StateStore store;
+    private final Cluster cluster;
+    private final LeaderElection election;
+    private final LeaderJobs jobs;
+    private long cancellationsKnownUntilMicros;
+    private boolean closed;
+
+    StoredChangeWatcher(
+            EventLoop eventLoop, StateStore store, Cluster cluster, LeaderElection election, LeaderJobs jobs) {
+        this.eventLoop = eventLoop;
+        this.store = store;
+        this.cluster = cluster;
+        this.election = election;
+        this.jobs = jobs;
+    }
+
+    /** All cancellations have been listed; the request was sent at the given time of the steady clock. */
+    void cancellationsListed(long sentMicros) {
+        cancellationsKnownUntilMicros = sentMicros;
+    }
+
+    /** Follows the changes since the state was read. */
+    void start(StoredState state) {
+        new PlanWatch().run(state.plansRevision());
+        new CancellationWatch().run(state.cancellationsRevision());
+    }
+
+    void close() {
+        closed = true;
+    }
+
+    /** All cancellations that were confirmed to a user before this time of the steady clock are known here. */
+    long cancellationsKnownUntilMicros() {
+        return cancellationsKnownUntilMicros;
+    }
+
+    /** Follows the changes under one prefix by one watch after the other. */
+    private abstract class PrefixWatch {
+        private final String prefix;
+        private final long blockMicros;
+
+        /** @param blockMicros how long the state store may hold back an answer while nothing changes */
+        PrefixWatch(String prefix, long blockMicros) {
+            this.prefix = prefix;
+            this.blockMicros = blockMicros;
+        }
+
+        abstract void apply(WatchEvent change);
+
+        /** All changes before the given time have been applied. */
+        void caughtUp(long sentMicros) {}
+
+        void run(long since) {
+            if (closed) {
+                return;
+            }
+            long sentMicros = eventLoop.nowMicros();
+            store.watch(prefix, since, blockMicros).thenAccept(result -> {
+                if (closed) {
+                    return;
+                }
+                switch (result.outcome()) {
+                    case OK -> {
+                        synchronized (cluster) {
+                            result.events().forEach(this::apply);
+                        }
+                        caughtUp(sentMicros);
+                        run(result.storeRevision());
+                    }
+                    // What was missed can't be told any more; the next term reads everything anew.
+                    case COMPACTED -> election.resign("the watch of " + prefix + " was compacted");
+                    default -> eventLoop.schedule(RETRY_MICROS, () -> run(since));
+                }
+            });
+        }
+    }
+
+    private final class PlanWatch extends PrefixWatch {
+        PlanWatch() {
+            super(PlanRecord.PREFIX, PLAN_WATCH_MICROS);
+        }
+
+        @Override
+        void apply(WatchEvent change) {
+            if (change.value() != null) {
+                jobs.addAdmittedJob(PlanRecord.fromJson(change.value()), change.revision());
+            }
+        }
+    }
+
+    private final class CancellationWatch extends PrefixWatch {
+        CancellationWatch() {
+            super(CancellationRecord.PREFIX, CANCELLATION_WATCH_MICROS);
+        }
+
+        @Override
+        void apply(WatchEvent change) {
+            jobs.jobCancelled(change.key().substring(CancellationRecord.PREFIX.length()));
+        }
+
+        @Override
+        void caughtUp(long sentMicros) {
+            cancellationsKnownUntilMicros = Math.max(cancellationsKnownUntilMicros, sentMicros);
+        }
+    }
+}
