--- a/src/main/java/io/sillreel/leadership/DependencyLookup.java
+++ b/src/main/java/io/sillreel/leadership/DependencyLookup.java
@@ -5,7 +5,7 @@
 import io.sillreel.pipeline.DependencyGraph;
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.StoreOutcome;
+import io.sillreel.statestore.StoreOutcome;
 import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -7,6 +7,7 @@
 import io.sillreel.pipeline.CascadingCancellation;
 import io.sillreel.pipeline.DependencyGraph;
 import io.sillreel.pipeline.JobIdSet;
+import io.sillreel.pipeline.PlanOverflow;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.placement.CapacityPlanner;
 import io.sillreel.placement.PriorityInheritance;
@@ -112,7 +113,7 @@
 
     /** A job that was admitted during the term; names in overflow values are read first. */
     void addAdmittedJob(PlanRecord plan, long revision) {
-        plan.loadOverflow(store).thenAccept(complete -> {
+        PlanOverflow.load(plan, store).thenAccept(complete -> {
             if (closed) {
                 return;
             }
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -4,12 +4,21 @@
 import io.sillreel.cloud.MachineType;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
+import io.sillreel.fleet.FleetCallbacks;
+import io.sillreel.fleet.FleetConfiguration;
 import io.sillreel.fleet.FleetManager;
 import io.sillreel.fleet.FleetThresholds;
 import io.sillreel.fleet.SpotInterruptionDrain;
 import io.sillreel.fleet.StragglerDetector;
+import io.sillreel.heartbeat.AttemptIds;
+import io.sillreel.heartbeat.CommandWriter;
 import io.sillreel.heartbeat.HeartbeatProcessor;
 import io.sillreel.heartbeat.LeaderHeartbeats;
+import io.sillreel.heartbeat.MachineLeases;
+import io.sillreel.heartbeat.TaskEndHandler;
+import io.sillreel.heartbeat.TaskReconciler;
+import io.sillreel.heartbeat.TermOperations;
+import io.sillreel.heartbeat.UnresponsiveMachines;
 import io.sillreel.http.EventLoop;
 import io.sillreel.http.HttpResponse;
 import io.sillreel.peer.Peers;
@@ -63,6 +72,7 @@
     private final FleetManager fleet;
     private final SchedulingCycle schedulingCycle;
     private final StragglerDetector stragglerDetector;
+    private final Operations operations = new Operations();
     private long fleetCycleMicros;
 
     /**
@@ -126,19 +136,19 @@
     }
 
     private HeartbeatProcessor newHeartbeatProcessor(OperatorProperties operator, Planner planner) {
+        RetrySchedule retries = new RetrySchedule(
+                operator.retryInitialMicros(), operator.retryMaximumMicros(), operator.parkedMicros());
+        TaskEndHandler endHandler = new TaskEndHandler(eventLoop, cluster, writeQueue, retries, runtimeEstimator);
+        TaskReconciler reconciler = new TaskReconciler(cluster, endHandler, operations);
         return new HeartbeatProcessor(
                 eventLoop,
                 term,
                 cluster,
-                writeQueue,
-                settings.workers(),
-                FleetThresholds.of(settings),
-                new RetrySchedule(
-                        operator.retryInitialMicros(), operator.retryMaximumMicros(), operator.parkedMicros()),
-                runtimeEstimator,
-                planner,
-                new MachineEvents(),
-                authority::mayAct);
+                reconciler,
+                new CommandWriter(eventLoop, new AttemptIds(term), cluster, planner),
+                new MachineLeases(eventLoop, cluster, settings.workers(), reconciler, operations),
+                new UnresponsiveMachines(cluster, FleetThresholds.of(settings), operations),
+                operations);
     }
 
     private FleetManager newFleet(TermServices services, TermConfiguration configuration) {
@@ -148,14 +158,10 @@
                 cluster,
                 services.cloud(),
                 writeQueue,
-                settings,
-                configuration.operator(),
-                configuration.fleetCapacity(),
                 capacity,
-                machineTypes,
-                authority::mayAct,
-                reachability::isRoutingStable,
-                heartbeatProcessor::clearTasks);
+                new FleetConfiguration(
+                        settings, configuration.operator(), configuration.fleetCapacity(), machineTypes),
+                operations);
     }
 
     private SchedulingCycle newSchedulingCycle(Planner planner) {
@@ -261,7 +267,7 @@
 
     /** Resigns if this controller can't lead on, or another one would do better. Called about once a second. */
     public void checkReachability() {
-        if (heartbeatProcessor.isOutOfAttemptIds()) {
+        if (heartbeatProcessor.hasExhaustedAttemptIds()) {
             election.resign("the attempt ids of the term are used up");
             return;
         }
@@ -304,35 +310,51 @@
         return gauges;
     }
 
-    /** Hands what heartbeats show of machines on to the fleet, the scheduling cycle and the client of agents. */
-    private final class MachineEvents implements HeartbeatProcessor.Callbacks {
+    /** What the processing of heartbeats and the fleet need from each other and from the term. */
+    private final class Operations implements TermOperations, FleetCallbacks {
+        @Override
+        public boolean mayAct() {
+            return authority.mayAct();
+        }
+
         @Override
-        public Machine adopt(Heartbeat heartbeat) {
-            return fleet.adopt(heartbeat.machine(), heartbeat.machineType(), heartbeat.zone(), heartbeat.spot());
+        public boolean isRoutingStable() {
+            return reachability.isRoutingStable();
         }
 
         @Override
-        public boolean isGone(String machine) {
+        public boolean adoptMachine(Heartbeat heartbeat) {
+            return fleet.adopt(heartbeat.machine(), heartbeat.machineType(), heartbeat.zone(), heartbeat.spot())
+                    != null;
+        }
+
+        @Override
+        public boolean isMachineGone(String machine) {
             return fleet.wasReturned(machine);
         }
 
         @Override
-        public void machineUp(Machine machine) {
+        public void markMachineUp(Machine machine) {
             fleet.recordMachineUp(machine);
         }
 
         @Override
-        public void machineDown(Machine machine) {
+        public void markMachineDown(Machine machine) {
             fleet.recordMachineDown(machine);
         }
 
         @Override
-        public void schedulingNeeded() {
+        public void clearTasks(Machine machine) {
+            heartbeatProcessor.clearTasks(machine);
+        }
+
+        @Override
+        public void requestScheduling() {
             scheduling.requestPlan();
         }
 
         @Override
-        public void queryStatus(Machine machine) {
+        public void queryMachineStatus(Machine machine) {
             agentClient.queryStatus(machine, heartbeatProcessor);
         }
     }
--- a/src/main/java/io/sillreel/leadership/SchedulingCycle.java
+++ b/src/main/java/io/sillreel/leadership/SchedulingCycle.java
@@ -95,7 +95,7 @@
         requests.planStarted();
         plannedAtMicros = now;
         Planner.Plan plan = planner.plan(now, eventLoop.wallMicros());
-        heartbeatProcessor.plan(plan);
+        heartbeatProcessor.usePlan(plan);
         for (Allocation allocation : plan.preemptions()) {
             LOG.debug("preempting task {}/{}", allocation.uid(), allocation.taskIndex());
             allocation.stop(allocation.job().spec().checkpointDurationMicros() + COMMAND_DELIVERY_MICROS);
--- a/src/main/java/io/sillreel/leadership/StoredChangeWatcher.java
+++ b/src/main/java/io/sillreel/leadership/StoredChangeWatcher.java
@@ -4,8 +4,9 @@
 import io.sillreel.http.EventLoop;
 import io.sillreel.pipeline.CancellationRecord;
 import io.sillreel.pipeline.PlanRecord;
+import io.sillreel.pipeline.PlanRecordCodec;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.WatchEvent;
+import io.sillreel.statestore.WatchEvent;
 
 /**
  * Follows the plans and cancellations that other controllers store, for as long as a term lasts. Runs on the event
@@ -103,7 +104,7 @@
         @Override
         void apply(WatchEvent change) {
             if (change.value() != null) {
-                jobs.addAdmittedJob(PlanRecord.fromJson(change.value()), change.revision());
+                jobs.addAdmittedJob(PlanRecordCodec.decode(change.value()), change.revision());
             }
         }
     }
--- a/src/main/java/io/sillreel/leadership/StoredStateReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredStateReader.java
@@ -1,14 +1,16 @@
 package io.sillreel.leadership;
 
 import io.sillreel.cluster.ScaleOutRequest;
+import io.sillreel.cluster.ScaleOutRequestCodec;
 import io.sillreel.pipeline.CancellationRecord;
 import io.sillreel.pipeline.JobIdSet;
+import io.sillreel.pipeline.PlanOverflow;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
+import io.sillreel.statestore.ScanResult;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.ScanResult;
-import io.sillreel.statestore.StateStore.StoreOutcome;
-import io.sillreel.statestore.StateStore.StoredEntry;
+import io.sillreel.statestore.StoreOutcome;
+import io.sillreel.statestore.StoredEntry;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -61,7 +63,8 @@
             return continueScan();
         });
         CompletableFuture<ScanResult> hired = store.scan(ScaleOutRequest.PREFIX, page -> {
-            page.forEach(entry -> rentals.add(ScaleOutRequest.of(entry.key(), entry.value(), entry.revision())));
+            page.forEach(
+                    entry -> rentals.add(ScaleOutRequestCodec.decode(entry.key(), entry.value(), entry.revision())));
             return continueScan();
         });
         runs.thenAccept(scan -> jobs.endRunRecords(scan.outcome() == StoreOutcome.OK));
@@ -89,7 +92,7 @@
     /** Adds what lies in overflow values, which few plans have. */
     private CompletableFuture<Optional<StoredState>> readOverflowValues(StoredState state) {
         List<CompletableFuture<Optional<PlanRecord>>> plans = new ArrayList<>();
-        state.unfinished().forEach(job -> plans.add(job.plan().loadOverflow(store)));
+        state.unfinished().forEach(job -> plans.add(PlanOverflow.load(job.plan(), store)));
         return CompletableFuture.allOf(plans.toArray(CompletableFuture[]::new)).thenApply(done -> {
             for (int index = 0; index < plans.size(); index++) {
                 Optional<PlanRecord> plan = plans.get(index).join();
--- a/src/main/java/io/sillreel/recovery/Recovery.java
+++ b/src/main/java/io/sillreel/recovery/Recovery.java
@@ -11,7 +11,7 @@
 import io.sillreel.recovery.RecoveryMessages.Greeting;
 import io.sillreel.settings.Settings;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.StoreOutcome;
+import io.sillreel.statestore.StoreOutcome;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
@@ -164,7 +164,7 @@
     }
 
     @Override
-    public void heartbeatReceived(Heartbeat heartbeat) {
+    public void observeHeartbeat(Heartbeat heartbeat) {
         long shown = TermEvidence.shownBy(heartbeat);
         if (!suspended && shown > shownTerm()) {
             terms.shown(shown, heartbeat.machine());
