--- a/src/main/java/io/sillreel/leadership/DependencyLookup.java
+++ b/src/main/java/io/sillreel/leadership/DependencyLookup.java
@@ -63,7 +63,7 @@
         store.get(RunRecord.key(uid)).thenAccept(read -> {
             synchronized (cluster) {
                 if (read.outcome() == StoreOutcome.OK
-                        && RunRecord.isDone(read.entry().value())) {
+                        && RunRecord.isDone(read.entry().orElseThrow().value())) {
                     recordDone(uid);
                     dependencies.lookupSucceeded(uid);
                     return;
