--- a/src/main/java/io/sillreel/leadership/SchedulingCycle.java
+++ b/src/main/java/io/sillreel/leadership/SchedulingCycle.java
@@ -6,6 +6,7 @@
 import io.sillreel.fleet.SpotInterruptionDrain;
 import io.sillreel.heartbeat.HeartbeatProcessor;
 import io.sillreel.http.EventLoop;
+import io.sillreel.placement.PlacementPlan;
 import io.sillreel.placement.Planner;
 import java.util.List;
 import java.util.function.BooleanSupplier;
@@ -94,7 +95,7 @@
         }
         requests.planStarted();
         plannedAtMicros = now;
-        Planner.Plan plan = planner.plan(now, eventLoop.wallMicros());
+        PlacementPlan plan = planner.plan(now, eventLoop.wallMicros());
         heartbeatProcessor.usePlan(plan);
         for (Allocation allocation : plan.preemptions()) {
             LOG.debug("preempting task {}/{}", allocation.uid(), allocation.taskIndex());
