--- a/src/main/java/io/sillreel/leadership/DependencyLookup.java
+++ b/src/main/java/io/sillreel/leadership/DependencyLookup.java
@@ -4,6 +4,7 @@
 import io.sillreel.http.EventLoop;
 import io.sillreel.pipeline.DependencyGraph;
 import io.sillreel.pipeline.RunRecord;
+import io.sillreel.pipeline.RunRecordCodec;
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.StoreOutcome;
 import java.util.Collections;
@@ -63,7 +64,7 @@
         store.get(RunRecord.key(uid)).thenAccept(read -> {
             synchronized (cluster) {
                 if (read.outcome() == StoreOutcome.OK
-                        && RunRecord.isDone(read.entry().orElseThrow().value())) {
+                        && RunRecordCodec.isDone(read.entry().orElseThrow().value())) {
                     recordDone(uid);
                     dependencies.lookupSucceeded(uid);
                     return;
