--- a/src/main/java/io/sillreel/statestore/WriteBatch.java
+++ b/src/main/java/io/sillreel/statestore/WriteBatch.java
@@ -3,22 +3,22 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import java.util.function.Predicate;
 
-/** Items that are written in one transaction, each conditional on its own key's stamp and all on the leader's. */
+/**
+ * Writes that are sent in one transaction, which succeeds only if each key and the leader key have their expected
+ * revisions.
+ */
 final class WriteBatch {
     private static final int MAX_BYTES = 48 * 1024;
-    /** What a change takes beside its value: its key, its conditions and their names. */
-    private static final int CHANGE_BYTES = 300;
+    /** Estimated size of a change without its value: the key, its conditions and the field names. */
+    private static final int CHANGE_OVERHEAD_BYTES = 300;
 
-    private final Predicate<PendingWrite> writtenAlone;
     private final List<PendingWrite> writes = new ArrayList<>();
     private final Transaction transaction = new Transaction();
     private int bytes;
+    private boolean exclusive;
 
-    /** @param writtenAlone true for an item that shares its transaction with no other */
-    WriteBatch(String leaderKey, long leaderRevision, Predicate<PendingWrite> writtenAlone) {
-        this.writtenAlone = writtenAlone;
+    WriteBatch(String leaderKey, long leaderRevision) {
         transaction.requireRevision(leaderKey, leaderRevision);
     }
 
@@ -31,28 +31,29 @@
     }
 
     /**
-     * Adds the item unless there is no room for it.
+     * Adds a write unless there is no room for it. The first write is added whatever its size.
      *
-     * @param room how many changes the transaction may hold with it
-     * @return whether the item was added
+     * @param exclusive true if the write must not share its transaction with another
+     * @param maxChanges how many changes the transaction may have, this one included
+     * @return whether the write was added
      */
-    boolean add(PendingWrite item, KeyChange change, double room) {
-        int size = change.value() == null ? 0 : change.bytes() + CHANGE_BYTES;
-        if (transaction.size() + 1 > room || !writes.isEmpty() && isFull(item, size)) {
+    boolean tryAdd(PendingWrite write, KeyChange change, boolean exclusive, double maxChanges) {
+        int size = change.value() == null ? 0 : change.bytes() + CHANGE_OVERHEAD_BYTES;
+        if (transaction.size() + 1 > maxChanges) {
+            return false;
+        }
+        if (!writes.isEmpty() && (this.exclusive || exclusive || bytes + size > MAX_BYTES)) {
             return false;
         }
         bytes += size;
-        writes.add(item);
-        transaction.requireRevision(item.key(), item.revision());
-        Optional<String> requiredAbsentKey = item.requiredAbsentKey();
+        this.exclusive = exclusive;
+        writes.add(write);
+        transaction.requireRevision(write.key(), write.revision());
+        Optional<String> requiredAbsentKey = write.requiredAbsentKey();
         if (requiredAbsentKey.isPresent()) {
             transaction.requireRevision(requiredAbsentKey.get(), 0);
         }
-        change.addTo(transaction, item.key());
+        change.addTo(transaction, write.key());
         return true;
     }
-
-    private boolean isFull(PendingWrite item, int size) {
-        return bytes + size > MAX_BYTES || writtenAlone.test(item) || writtenAlone.test(writes.get(0));
-    }
 }
--- a/src/main/java/io/sillreel/statestore/WriteQueue.java
+++ b/src/main/java/io/sillreel/statestore/WriteQueue.java
@@ -2,38 +2,32 @@
 
 import io.sillreel.http.EventLoop;
 import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The lease leader's only way to write: changes merged into one transaction at a time, each conditional on the leader
- * key's revision and on the changed key's own. So neither a former leader's late transaction nor an own one whose
- * answer was lost can undo what was written after it.
+ * Writes the leader's state to the store, in one transaction at a time. Each transaction requires the revision of the
+ * leader key, so that a former leader's late transaction fails, and the known revision of each changed key, so that an
+ * own transaction whose response was lost cannot undo a later one. Thread-safe; all state is guarded by this.
  */
 public final class WriteQueue {
     private static final Logger LOG = LoggerFactory.getLogger(WriteQueue.class);
+    /** How long a write waits so that more are sent in the same transaction. */
     private static final long BATCHING_DELAY_MICROS = 5_000;
+
     private static final long RETRY_DELAY_MICROS = 250_000;
+    /** Delay until the next attempt if nothing may be written within the rate. */
     private static final long RATE_LIMITED_DELAY_MICROS = 50_000;
+
     private static final long STUCK_AFTER_MICROS = 15_000_000;
-    /**
-     * Writes left over for cancellations and admissions on this controller, and the most of a low rate that this may
-     * be.
-     */
+    /** Writes left to cancellations and admissions on this controller, which do not pass through the queue. */
     private static final double RESERVED_WRITES = 2;
-
+    /** The largest part of the burst that {@link #RESERVED_WRITES} may take. */
     private static final double MAX_RESERVED_FRACTION = 0.25;
-    /** Progress waits so long for more of its kind, and leaves so much of the rate to what can't wait. */
-    private static final long PROGRESS_BATCHING_DELAY_MICROS = 2_000_000;
-
+    /** The part of the burst that progress leaves to more urgent writes. */
     private static final double PROGRESS_RESERVED_FRACTION = 0.3;
 
     private final StateStore store;
@@ -41,78 +35,65 @@
     private final String leaderKey;
     private final long leaderRevision;
     private final int maxChangesPerTransaction;
-    private final Runnable leadershipListener;
-    private final Map<String, PendingWrite> pending = new LinkedHashMap<>();
-    private final Map<String, Long> queuedAtMicros = new HashMap<>();
-    /** Written one by one, since together they were too large. */
-    private final Set<String> writtenAlone = new HashSet<>();
-
+    private final Runnable onLeadershipLost;
+    private final WriteBacklog backlog = new WriteBacklog();
     private boolean writeInProgress;
     private long writeStartedAtMicros;
     private boolean closed;
 
     /**
-     * @param leaderStamp the stamp under which this controller became the leader
-     * @param deposed called once a write shows that another controller leads
+     * @param leaderRevision the revision that the leader key got when this controller became the leader
+     * @param onLeadershipLost called when a write shows that the leader key has changed; nothing is written after it
      */
     public WriteQueue(
             StateStore store,
             EventLoop eventLoop,
             String leaderKey,
             long leaderRevision,
-            int txnOps,
-            Runnable deposed) {
+            int maxChangesPerTransaction,
+            Runnable onLeadershipLost) {
         this.store = store;
         this.eventLoop = eventLoop;
         this.leaderKey = leaderKey;
         this.leaderRevision = leaderRevision;
-        this.maxChangesPerTransaction = txnOps;
-        this.leadershipListener = deposed;
+        this.maxChangesPerTransaction = maxChangesPerTransaction;
+        this.onLeadershipLost = onLeadershipLost;
     }
 
-    /** Queues the item unless it waits already. */
-    public synchronized void enqueue(PendingWrite item) {
-        add(item);
+    /** Queues the write unless one of the same key waits already. */
+    public synchronized void enqueue(PendingWrite write) {
+        add(write);
         scheduleWrite(BATCHING_DELAY_MICROS);
     }
 
-    private synchronized void add(PendingWrite item) {
-        if (pending.putIfAbsent(item.key(), item) == null) {
-            queuedAtMicros.putIfAbsent(item.key(), eventLoop.nowMicros());
-        }
-    }
-
-    private void remove(PendingWrite item) {
-        pending.remove(item.key());
-        queuedAtMicros.remove(item.key());
-    }
-
-    /** Ends all writing; what waits is dropped. */
+    /** Stops writing and discards what waits; the results of a transaction in progress are not reported. */
     public synchronized void close() {
         closed = true;
-        pending.clear();
-        queuedAtMicros.clear();
+        backlog.clear();
     }
 
+    /** The number of writes that wait. */
     public synchronized int pendingCount() {
-        return pending.size();
+        return backlog.size();
     }
 
     /**
-     * Changes that go before progress, which gathers on purpose and says nothing about how far the store has fallen
-     * behind.
+     * The number of waiting writes other than progress. Progress waits on purpose, so that it does not show whether the
+     * store falls behind.
      */
-    public synchronized long urgentCount() {
-        return pending.values().stream()
-                .filter(item -> item.urgency() != WriteUrgency.PROGRESS)
-                .count();
+    public synchronized int urgentCount() {
+        return backlog.countUrgent();
     }
 
-    /** True if one write has been under way for longer than any takes: something here has gone wrong. */
+    /** True if one transaction has been in progress for longer than its timeouts allow, which means a defect. */
     public synchronized boolean isStuck() {
         return writeInProgress && eventLoop.nowMicros() - writeStartedAtMicros > STUCK_AFTER_MICROS;
     }
 
+    private synchronized void add(PendingWrite write) {
+        backlog.add(write, eventLoop.nowMicros());
+    }
+
     private synchronized void scheduleWrite(long delayMicros) {
         if (!writeInProgress && !closed) {
             writeInProgress = true;
@@ -121,175 +102,155 @@
         }
     }
 
+    private void scheduleNextWrite(long delayMicros) {
+        synchronized (this) {
+            writeInProgress = false;
+            if (backlog.isEmpty()) {
+                return;
+            }
+        }
+        scheduleWrite(delayMicros);
+    }
+
     private void write() {
         WriteBatch batch;
         synchronized (this) {
-            if (closed || pending.isEmpty()) {
+            if (closed || backlog.isEmpty()) {
                 writeInProgress = false;
                 return;
             }
-            batch = fillBatch();
+            batch = takeBatch();
         }
         if (batch.writes().isEmpty()) {
-            scheduleNext(RATE_LIMITED_DELAY_MICROS);
+            scheduleNextWrite(RATE_LIMITED_DELAY_MICROS);
             return;
         }
         store.commit(batch.transaction()).thenAccept(commit -> handleResult(batch.writes(), commit));
     }
 
-    /** Takes as much of what waits as may be written now, in the order of its urgency. */
-    private WriteBatch fillBatch() {
-        WriteBatch batch = new WriteBatch(leaderKey, leaderRevision, item -> writtenAlone.contains(item.key()));
+    /** Removes as many due writes as may be sent now from the backlog. */
+    private WriteBatch takeBatch() {
+        WriteBatch batch = new WriteBatch(leaderKey, leaderRevision);
         double burst = store.maxWriteBurst();
         double available = store.availableWrites() - Math.min(RESERVED_WRITES, MAX_RESERVED_FRACTION * burst);
-        for (PendingWrite item : dueByUrgency()) {
-            // Asked for before the changes, which count what is urgent about the item as sent.
-            boolean progress = item.urgency() == WriteUrgency.PROGRESS;
-            double room = Math.min(
-                    maxChangesPerTransaction, progress ? available - PROGRESS_RESERVED_FRACTION * burst : available);
-            List<PendingWrite> first = item.prerequisites();
-            if (!first.isEmpty()) {
-                remove(item);
-                first.forEach(this::add);
-                continue;
-            }
-            KeyChange change = item.change();
-            if (change.isNone()) {
-                remove(item);
+        for (PendingWrite write : backlog.dueByUrgency(eventLoop.nowMicros())) {
+            // Read before change(), by which the write counts its urgent part as sent.
+            boolean isProgress = write.urgency() == WriteUrgency.PROGRESS;
+            double allowed = isProgress ? available - PROGRESS_RESERVED_FRACTION * burst : available;
+            List<PendingWrite> prerequisites = write.prerequisites();
+            if (!prerequisites.isEmpty()) {
+                backlog.remove(write);
+                prerequisites.forEach(this::add);
                 continue;
             }
-            if (!batch.add(item, change, room)) {
+            KeyChange change = write.change();
+            if (!change.isNone()
+                    && !batch.tryAdd(
+                            write, change, backlog.isExclusive(write), Math.min(maxChangesPerTransaction, allowed))) {
                 break;
             }
-            remove(item);
+            backlog.remove(write);
         }
         return batch;
     }
 
-    /** What is due, the most urgent first; among equals what has waited longest. */
-    private List<PendingWrite> dueByUrgency() {
-        List<List<PendingWrite>> byUrgency = new ArrayList<>();
-        for (int i = 0; i < WriteUrgency.values().length; i++) {
-            byUrgency.add(new ArrayList<>());
-        }
-        long now = eventLoop.nowMicros();
-        for (PendingWrite item : pending.values()) {
-            WriteUrgency urgency = item.urgency();
-            if (urgency != WriteUrgency.PROGRESS
-                    || now - queuedAtMicros.get(item.key()) >= PROGRESS_BATCHING_DELAY_MICROS) {
-                byUrgency.get(urgency.ordinal()).add(item);
-            }
-        }
-        List<PendingWrite> due = new ArrayList<>();
-        byUrgency.forEach(due::addAll);
-        return due;
-    }
-
-    private void scheduleNext(long delayMicros) {
-        synchronized (this) {
-            writeInProgress = false;
-            if (pending.isEmpty()) {
-                return;
-            }
-        }
-        scheduleWrite(delayMicros);
-    }
-
     private synchronized boolean isClosed() {
         return closed;
     }
 
-    private void handleResult(List<PendingWrite> batch, CommitResult commit) {
+    private void handleResult(List<PendingWrite> writes, CommitResult commit) {
         if (isClosed()) {
             return;
         }
-        if (commit.outcome() == StoreOutcome.OK) {
-            synchronized (this) {
-                batch.forEach(item -> writtenAlone.remove(item.key()));
+        switch (commit.outcome()) {
+            case OK -> handleStored(writes, commit.storeRevision());
+            case CONFLICT -> handleConflict(writes, commit.failedKeys());
+            case TOO_LARGE -> handleTooLarge(writes);
+            case UNKNOWN -> {
+                LOG.info("a transaction of {} keys got no response, reading their revisions again", writes.size());
+                rereadRevisions(writes);
             }
-            batch.forEach(item -> notifyWrite(item, each -> each.onStored(commit.storeRevision())));
-            scheduleNext(BATCHING_DELAY_MICROS);
-            return;
-        }
-        if (commit.outcome() == StoreOutcome.CONFLICT && commit.failedKeys().contains(leaderKey)) {
-            leadershipListener.run();
-            return;
-        }
-        if (commit.outcome() == StoreOutcome.CONFLICT) {
-            List<PendingWrite> moved = new ArrayList<>();
-            for (PendingWrite item : batch) {
-                if (item.requiredAbsentKey()
-                        .filter(commit.failedKeys()::contains)
-                        .isPresent()) {
-                    notifyWrite(item, PendingWrite::onPreconditionFailed);
-                } else if (commit.failedKeys().contains(item.key())) {
-                    moved.add(item);
-                } else {
-                    add(item);
-                }
+            default -> {
+                writes.forEach(this::add);
+                scheduleNextWrite(RETRY_DELAY_MICROS);
             }
-            rereadRevisions(moved);
-            return;
         }
-        if (commit.outcome() == StoreOutcome.TOO_LARGE) {
-            handleTooLarge(batch);
-            scheduleNext(BATCHING_DELAY_MICROS);
+    }
+
+    private void handleStored(List<PendingWrite> writes, long revision) {
+        setExclusive(writes, false);
+        writes.forEach(write -> notifyResult(write, stored -> stored.onStored(revision)));
+        scheduleNextWrite(BATCHING_DELAY_MICROS);
+    }
+
+    private void handleConflict(List<PendingWrite> writes, List<String> failedKeys) {
+        if (failedKeys.contains(leaderKey)) {
+            onLeadershipLost.run();
             return;
         }
-        if (commit.outcome() == StoreOutcome.UNKNOWN) {
-            LOG.info("a write of {} keys got no answer, reading them again", batch.size());
-            rereadRevisions(batch);
-            return;
+        List<PendingWrite> changedElsewhere = new ArrayList<>();
+        for (PendingWrite write : writes) {
+            if (write.requiredAbsentKey().filter(failedKeys::contains).isPresent()) {
+                notifyResult(write, PendingWrite::onPreconditionFailed);
+            } else if (failedKeys.contains(write.key())) {
+                changedElsewhere.add(write);
+            } else {
+                add(write);
+            }
         }
-        batch.forEach(this::add);
-        scheduleNext(RETRY_DELAY_MICROS);
+        rereadRevisions(changedElsewhere);
     }
 
-    /** The same is never sent again: what was refused together goes one by one, and what was refused alone waits. */
-    private void handleTooLarge(List<PendingWrite> batch) {
-        if (batch.size() > 1) {
-            batch.forEach(item -> {
-                synchronized (this) {
-                    writtenAlone.add(item.key());
-                }
-                add(item);
-            });
-            return;
+    /** Writes that are too large together are sent one by one; a write that is too large alone is not sent again. */
+    private void handleTooLarge(List<PendingWrite> writes) {
+        if (writes.size() > 1) {
+            setExclusive(writes, true);
+            writes.forEach(this::add);
+        } else {
+            PendingWrite write = writes.get(0);
+            int bytes = write.change().bytes();
+            LOG.error(
+                    "the state service refuses {} for its size of {} bytes, it is not written again unchanged",
+                    write.key(),
+                    bytes);
+            notifyResult(write, PendingWrite::onTooLarge);
         }
-        PendingWrite item = batch.get(0);
-        int bytes = item.change().bytes();
-        LOG.error(
-                "{} is refused by the state service with {} bytes, and is not written again as it is",
-                item.key(),
-                bytes);
-        notifyWrite(item, PendingWrite::onTooLarge);
+        scheduleNextWrite(BATCHING_DELAY_MICROS);
+    }
+
+    private synchronized void setExclusive(List<PendingWrite> writes, boolean exclusive) {
+        writes.forEach(write -> backlog.setExclusive(write, exclusive));
     }
 
-    /** One item that can't take what became of its write must not keep all others from being written. */
-    private static void notifyWrite(PendingWrite item, Consumer<PendingWrite> result) {
+    /** A write whose callback fails must not keep the others from being written. */
+    private static void notifyResult(PendingWrite write, Consumer<PendingWrite> callback) {
         try {
-            result.accept(item);
+            callback.accept(write);
         } catch (RuntimeException e) {
-            LOG.error("{} could not take what became of its write", item.key(), e);
+            LOG.error("the result of the write of {} could not be processed", write.key(), e);
         }
     }
 
-    /** After an unknown outcome the stamps are read anew; a late success then fails the next write, not the data. */
-    private void rereadRevisions(List<PendingWrite> items) {
-        if (items.isEmpty()) {
-            scheduleNext(BATCHING_DELAY_MICROS);
+    /**
+     * Reads the keys' revisions and queues the writes again. If a transaction without a response is carried out after
+     * that, the next write of the same key fails instead of undoing it.
+     */
+    private void rereadRevisions(List<PendingWrite> writes) {
+        if (writes.isEmpty()) {
+            scheduleNextWrite(BATCHING_DELAY_MICROS);
             return;
         }
         List<CompletableFuture<ReadResult>> reads = new ArrayList<>();
-        items.forEach(item -> reads.add(store.get(item.key())));
+        writes.forEach(write -> reads.add(store.get(write.key())));
         CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new)).thenRun(() -> {
-            for (int i = 0; i < items.size(); i++) {
-                if (reads.get(i).join().isConclusive()) {
-                    items.get(i).onConflict(reads.get(i).join().revision());
+            for (int i = 0; i < writes.size(); i++) {
+                ReadResult read = reads.get(i).join();
+                if (read.isConclusive()) {
+                    writes.get(i).onConflict(read.revision());
                 }
-                add(items.get(i));
+                add(writes.get(i));
             }
-            scheduleNext(RETRY_DELAY_MICROS);
+            scheduleNextWrite(RETRY_DELAY_MICROS);
         });
     }
 }
