--- a/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
@@ -6,7 +6,7 @@
 import io.sillreel.cluster.Machine;
 import io.sillreel.http.EventLoop;
 import io.sillreel.http.HttpResponse;
-import io.sillreel.placement.Planner;
+import io.sillreel.placement.PlacementPlan;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -50,7 +50,7 @@
     }
 
     /** Sets the plan from which the next launches are taken. */
-    public void usePlan(Planner.Plan plan) {
+    public void usePlan(PlacementPlan plan) {
         commandWriter.usePlan(plan);
     }
 
--- a/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
+++ b/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
@@ -8,7 +8,7 @@
 import io.sillreel.pipeline.DependencyGraph;
 import io.sillreel.pipeline.IgnoringListener;
 import io.sillreel.pipeline.JobSpec;
-import io.sillreel.pipeline.PlacementConstraints;
+import io.sillreel.pipeline.PlacementRequirements;
 import io.sillreel.pipeline.PriorityClass;
 import io.sillreel.pipeline.TaskSpec;
 import io.sillreel.pipeline.Urgency;
@@ -60,7 +60,7 @@
                 new Urgency(rank, dueMicros),
                 4,
                 new TaskSpec(1, 0, 1, "img", 1, 20 * SECOND, new Checkpointing(0, 0)),
-                new PlacementConstraints(null, null, false, false, true),
+                new PlacementRequirements(null, null, false, false, true),
                 List.of(awaits));
         return new ActiveJob(spec, 1, NOW, ValueLimits.fixed(8_192), new IgnoringListener());
     }
@@ -108,8 +108,9 @@
         ActiveJob waiting = joined("job-000002", PriorityClass.NORMAL, -1, "job-000001");
         ActiveJob behind = joined("job-000003", PriorityClass.NORMAL, -1);
         ActiveJob beyond = joined("job-000004", PriorityClass.NORMAL, -1);
-        QueueOrder order = new QueueOrder(cluster, new ServiceLevelObjectives(List.of(), runtimeEstimator));
-        assertThat(order.guaranteed()).contains(first, behind).doesNotContain(waiting, beyond);
+        assertThat(new TeamGuarantees(cluster).coveredJobs())
+                .contains(first, behind)
+                .doesNotContain(waiting, beyond);
     }
 
     /**
