--- a/src/main/java/io/sillreel/admission/Admission.java
+++ b/src/main/java/io/sillreel/admission/Admission.java
@@ -250,23 +250,24 @@
         JobStatus status = cancelled ? planned.withDependencyCancelled() : planned;
         statuses.cache(status);
         LOG.info(
-                "admitted {}: {} x {} cpus, {} of {}, rank {}{}",
+                "admitted job {}: {} tasks of {} cpus each, class {}, team {}, priority class {}{}",
                 spec.uid(),
                 spec.tasks(),
                 spec.cpus(),
                 spec.jobClass(),
                 spec.team(),
                 spec.priorityClass().wireName(),
-                after(spec.dependencies()));
+                dependenciesText(spec.dependencies()));
         String stage = status.isCancelled() ? "withdrawn" : "queued";
         return HttpResponse.of(201, Json.object().put("uid", spec.uid()).put("stage", stage));
     }
 
-    private static String after(List<String> awaits) {
-        if (awaits.isEmpty()) {
+    private static String dependenciesText(List<String> dependencies) {
+        if (dependencies.isEmpty()) {
             return "";
         }
-        return ", after " + (awaits.size() > MAX_LOGGED ? awaits.size() + " jobs" : String.join(", ", awaits));
+        return ", depends on "
+                + (dependencies.size() > MAX_LOGGED ? dependencies.size() + " jobs" : String.join(", ", dependencies));
     }
 
     private static HttpResponse tooLarge(JobSpec spec) {
@@ -317,7 +318,7 @@
                             commit.storeRevision(),
                             false);
                     statuses.cache(cancelled);
-                    LOG.info("cancelled {}", uid);
+                    LOG.info("cancelled job {}", uid);
                     cancellationListener.accept(uid);
                     return completed(HttpResponse.of(200, answer(cancelled)));
                 }
