--- a/src/main/java/io/sillreel/admission/JobStatus.java
+++ b/src/main/java/io/sillreel/admission/JobStatus.java
@@ -1,28 +1,35 @@
 package io.sillreel.admission;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Json;
-import io.sillreel.pipeline.LiveTaskCounts;
 import io.sillreel.pipeline.RunRecord;
 import java.util.List;
 
 /**
- * What this controller last read of a job; revisions are 0 for keys that did not exist then.
+ * What this controller last read of a job. A revision is 0 if its key did not exist then. Immutable.
  *
- * @param dependencies the jobs that have to be done before this one
+ * @param planRevision revision of the job's plan; 0 if the job has not been accepted
+ * @param dependencies ids of the jobs that have to be done before this one is released
+ * @param runRevision revision of the job's run record; 0 if the job has not been released
+ * @param runRecord the run record of that revision, or null if there is none
+ * @param cancellationRevision revision of the job's own cancellation; 0 if it has none
  * @param dependencyCancelled true if a job that it depends on, directly or transitively, is cancelled
  */
 record JobStatus(
         String uid,
         long planRevision,
-        int tasks,
         List<String> dependencies,
         long runRevision,
-        RunRecord runHead,
+        RunRecord runRecord,
         long cancellationRevision,
         boolean dependencyCancelled) {
+
+    /** The status of a job of which nothing is known. */
     static JobStatus unknown(String uid) {
-        return new JobStatus(uid, 0, 0, List.of(), 0, null, 0, false);
+        return ofPlan(uid, 0, List.of());
+    }
+
+    /** The status of a job of which only the plan is known. */
+    static JobStatus ofPlan(String uid, long planRevision, List<String> dependencies) {
+        return new JobStatus(uid, planRevision, dependencies, 0, null, 0, false);
     }
 
     boolean isAccepted() {
@@ -30,62 +37,50 @@
     }
 
     boolean isDone() {
-        return runHead != null && runHead.isDone();
+        return runRecord != null && runRecord.isDone();
     }
 
-    /** Cancelled by itself, or with what it needs: whatever follows a cancelled job is never released. */
+    /** True if the job itself is cancelled, or one of its dependencies, without which it is never released. */
     boolean isCancelled() {
         return cancellationRevision > 0 || dependencyCancelled;
     }
 
-    /** A stored terminal state never changes, so it may be told without asking the store again. */
+    /** True if the stored state is final: it may be told without asking the store again. */
     boolean isTerminal() {
         return isDone() || isCancelled();
     }
 
-    /** True if its state depends on that of other jobs: once it has been released, all of them are done. */
+    /** True if a cancellation of other jobs may still cancel this one; once it is released, all of them are done. */
     boolean isWaitingForDependencies() {
         return !dependencies.isEmpty() && runRevision == 0 && !isCancelled();
     }
 
+    /** The same status with what was read of the job's run record and cancellation. */
+    JobStatus withRun(long newRunRevision, RunRecord newRunRecord, long newCancellationRevision) {
+        return new JobStatus(
+                uid, planRevision, dependencies, newRunRevision, newRunRecord, newCancellationRevision, false);
+    }
+
+    /** The same status with the job's own cancellation. */
+    JobStatus withCancellation(long revision) {
+        return withRun(runRevision, runRecord, revision);
+    }
+
+    /** The same status with a cancelled dependency. */
     JobStatus withDependencyCancelled() {
-        return new JobStatus(uid, planRevision, tasks, dependencies, runRevision, runHead, cancellationRevision, true);
+        return new JobStatus(uid, planRevision, dependencies, runRevision, runRecord, cancellationRevision, true);
     }
 
-    /** What both know together; neither can be newer than the other in everything. */
-    JobStatus mergedWith(JobStatus old) {
-        boolean runOlder = runRevision < old.runRevision();
+    /** The newest of each key from both: the keys are not read in one transaction, so neither is newer in all. */
+    JobStatus mergedWith(JobStatus other) {
+        boolean otherRunNewer = runRevision < other.runRevision();
         return new JobStatus(
                 uid,
-                Math.max(planRevision, old.planRevision()),
-                Math.max(tasks, old.tasks()),
-                dependencies.isEmpty() ? old.dependencies() : dependencies,
-                Math.max(runRevision, old.runRevision()),
-                runOlder ? old.runHead() : runHead,
-                Math.max(cancellationRevision, old.cancellationRevision()),
-                dependencyCancelled || old.dependencyCancelled());
-    }
-
-    /** The users' picture of the job; live counts, if there are any, are newer than the record's. */
-    ObjectNode answer(LiveTaskCounts.Counts live) {
-        ObjectNode node = Json.object().put("uid", uid);
-        if (isCancelled()) {
-            return node.put("stage", "withdrawn")
-                    .put("done", runHead == null ? 0 : runHead.doneTasks())
-                    .put("running", 0);
-        }
-        if (isDone()) {
-            return node.put("stage", RunRecord.DONE)
-                    .put("done", runHead.tasks())
-                    .put("running", 0);
-        }
-        int running = live != null ? live.running() : runHead == null ? 0 : runHead.runningTasks();
-        int done = live != null ? live.done() : runHead == null ? 0 : runHead.doneTasks();
-        String reason = live != null ? live.reason() : runHead == null ? null : runHead.reason();
-        node.put("stage", running > 0 ? "running" : "queued").put("done", done).put("running", running);
-        if (reason != null) {
-            node.put("reason", reason);
-        }
-        return node;
+                Math.max(planRevision, other.planRevision()),
+                dependencies.isEmpty() ? other.dependencies() : dependencies,
+                Math.max(runRevision, other.runRevision()),
+                otherRunNewer ? other.runRecord() : runRecord,
+                Math.max(cancellationRevision, other.cancellationRevision()),
+                dependencyCancelled || other.dependencyCancelled());
     }
 }
--- a/src/main/java/io/sillreel/admission/JobStatusReader.java
+++ b/src/main/java/io/sillreel/admission/JobStatusReader.java
@@ -24,55 +24,65 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
-/** Reads what is stored of jobs into the views that {@link JobStatusService} remembers. */
+/**
+ * Reads what is stored of jobs into the cache. Its methods complete with false if something could not be read, for
+ * instance because the store does not respond. Thread-safe.
+ */
 final class JobStatusReader {
-    /** What a view of a job that awaits others takes from its plan, which never changes. */
-    private record DependentPlan(long revision, int tasks, List<String> dependencies) {}
+    /** What a status needs of the plan of a job with dependencies; plans never change. */
+    private record DependentPlan(long revision, List<String> dependencies) {}
 
     private final StateStore store;
-    private final JobStatusService views;
+    private final JobStatusCache cache;
     private final int maxDependentPlans;
-    /** The reading of all plans that is under way; whoever asks meanwhile is answered from it. */
+    /** The scan of all plans in progress, which all callers share, or null. Guarded by {@code this}. */
     private CompletableFuture<Optional<Map<String, DependentPlan>>> pendingScan;
 
-    /** @param maxChainPlans how many plans of jobs that await others may be held at once */
-    JobStatusReader(StateStore store, JobStatusService views, int maxChainPlans) {
+    /** @param maxDependentPlans number of plans of jobs with dependencies that may be held during a scan */
+    JobStatusReader(StateStore store, JobStatusCache cache, int maxDependentPlans) {
         this.store = store;
-        this.views = views;
-        this.maxDependentPlans = maxChainPlans;
+        this.cache = cache;
+        this.maxDependentPlans = maxDependentPlans;
     }
 
-    /** Reads all plans once, and what the given jobs need from them; the beginnings of chains are read one by one. */
+    /**
+     * Scans all plans for those of the given jobs and their transitive dependencies; the other jobs are read singly.
+     */
     CompletableFuture<Boolean> loadFromAllPlans(Set<String> uids) {
-        return readAllPlans().thenCompose(plans -> {
+        return scanDependentPlans().thenCompose(plans -> {
             if (plans.isEmpty()) {
                 return CompletableFuture.completedFuture(false);
             }
-            Set<String> toRead = new LinkedHashSet<>();
-            Deque<String> open = new ArrayDeque<>(uids);
-            Set<String> seen = new HashSet<>(uids);
-            while (!open.isEmpty()) {
-                String uid = open.poll();
-                DependentPlan plan = plans.get().get(uid);
-                if (plan == null) {
-                    toRead.add(uid);
-                } else if (!views.cached(uid).isAccepted()) {
-                    views.cache(statusOfPlan(uid, plan));
-                    plan.dependencies().stream().filter(seen::add).forEach(open::add);
-                }
-            }
-            return load(toRead);
+            return load(cacheDependentPlans(uids, plans.get()));
         });
     }
 
-    /** Completes with the plans of jobs that await others, or with nothing if they could not be read or held. */
-    private synchronized CompletableFuture<Optional<Map<String, DependentPlan>>> readAllPlans() {
+    /** Caches the plans of the jobs and of their transitive dependencies; returns the jobs without such a plan. */
+    private Set<String> cacheDependentPlans(Set<String> uids, Map<String, DependentPlan> plans) {
+        Set<String> withoutPlan = new LinkedHashSet<>();
+        Deque<String> open = new ArrayDeque<>(uids);
+        Set<String> seen = new HashSet<>(uids);
+        while (!open.isEmpty()) {
+            String uid = open.poll();
+            DependentPlan plan = plans.get(uid);
+            if (plan == null) {
+                withoutPlan.add(uid);
+            } else if (!cache.get(uid).isAccepted()) {
+                cache.merge(JobStatus.ofPlan(uid, plan.revision(), plan.dependencies()));
+                plan.dependencies().stream().filter(seen::add).forEach(open::add);
+            }
+        }
+        return withoutPlan;
+    }
+
+    /** Completes with the plans of jobs with dependencies, or empty if they could not be read or are too many. */
+    private synchronized CompletableFuture<Optional<Map<String, DependentPlan>>> scanDependentPlans() {
         if (pendingScan != null) {
             return pendingScan;
         }
         Map<String, DependentPlan> plans = new HashMap<>();
-        CompletableFuture<Optional<Map<String, DependentPlan>>> reading = new CompletableFuture<>();
-        pendingScan = reading;
+        CompletableFuture<Optional<Map<String, DependentPlan>>> result = new CompletableFuture<>();
+        pendingScan = result;
         store.scan(PlanRecord.PREFIX, page -> {
                     page.forEach(entry -> addDependentPlan(plans, entry));
                     return CompletableFuture.completedFuture(plans.size() <= maxDependentPlans);
@@ -81,75 +91,62 @@
                     synchronized (this) {
                         pendingScan = null;
                     }
-                    reading.complete(scan.outcome() == StoreOutcome.OK ? Optional.of(plans) : Optional.empty());
+                    result.complete(scan.outcome() == StoreOutcome.OK ? Optional.of(plans) : Optional.empty());
                 });
-        return reading;
+        return result;
     }
 
     private static void addDependentPlan(Map<String, DependentPlan> plans, StoredEntry entry) {
         PlanRecord plan = PlanRecordCodec.decode(entry.value());
         JobSpec spec = plan.spec();
         if (plan.isComplete() && !spec.dependencies().isEmpty()) {
-            plans.put(spec.uid(), new DependentPlan(entry.revision(), spec.tasks(), spec.dependencies()));
+            plans.put(spec.uid(), new DependentPlan(entry.revision(), spec.dependencies()));
         }
     }
 
-    /** Reads what is stored of the jobs; false if that can't be said of one of them. */
+    /** Reads what is stored of the jobs. */
     CompletableFuture<Boolean> load(Collection<String> uids) {
-        List<CompletableFuture<Boolean>> each = new ArrayList<>();
-        uids.forEach(uid -> each.add(read(uid)));
-        return CompletableFuture.allOf(each.toArray(CompletableFuture[]::new))
-                .thenApply(all -> each.stream().allMatch(CompletableFuture::join));
+        List<CompletableFuture<Boolean>> reads = new ArrayList<>();
+        uids.forEach(uid -> reads.add(load(uid)));
+        return CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new))
+                .thenApply(all -> reads.stream().allMatch(CompletableFuture::join));
     }
 
-    private CompletableFuture<Boolean> read(String uid) {
+    private CompletableFuture<Boolean> load(String uid) {
         CompletableFuture<Optional<JobStatus>> planned = readPlan(uid);
         CompletableFuture<ReadResult> run = store.get(RunRecord.key(uid));
-        CompletableFuture<ReadResult> cancel = store.get(CancellationRecord.key(uid));
-        return CompletableFuture.allOf(planned, run, cancel).thenApply(ignored -> {
-            boolean decided = run.join().isConclusive() && cancel.join().isConclusive();
-            if (planned.join().isEmpty() || !decided) {
-                return false;
-            }
-            JobStatus status = planned.join().get();
-            Optional<StoredEntry> head = run.join().entry();
-            views.cache(new JobStatus(
-                    uid,
-                    status.planRevision(),
-                    status.tasks(),
-                    status.dependencies(),
-                    run.join().revision(),
-                    head.isEmpty() ? null : RunRecordCodec.decode(head.get().value()),
-                    cancel.join().revision(),
-                    false));
-            return true;
-        });
+        CompletableFuture<ReadResult> cancellation = store.get(CancellationRecord.key(uid));
+        return CompletableFuture.allOf(planned, run, cancellation)
+                .thenApply(all -> cacheIfConclusive(planned.join(), run.join(), cancellation.join()));
     }
 
-    /** What the plan says of a job, read unless it is remembered; empty if that can't be said. */
+    private boolean cacheIfConclusive(Optional<JobStatus> planned, ReadResult run, ReadResult cancellation) {
+        if (planned.isEmpty() || !run.isConclusive() || !cancellation.isConclusive()) {
+            return false;
+        }
+        RunRecord runRecord = run.entry().isEmpty()
+                ? null
+                : RunRecordCodec.decode(run.entry().get().value());
+        cache.merge(planned.get().withRun(run.revision(), runRecord, cancellation.revision()));
+        return true;
+    }
+
+    /** Completes with the status by the plan, which is read unless it is cached; empty if it could not be read. */
     private CompletableFuture<Optional<JobStatus>> readPlan(String uid) {
-        JobStatus old = views.cached(uid);
-        if (old.isAccepted()) {
-            return CompletableFuture.completedFuture(Optional.of(old));
+        JobStatus cached = cache.get(uid);
+        if (cached.isAccepted()) {
+            return CompletableFuture.completedFuture(Optional.of(cached));
         }
         return store.get(PlanRecord.key(uid)).thenCompose(read -> {
             if (!read.isConclusive()) {
                 return CompletableFuture.completedFuture(Optional.empty());
             }
             if (read.entry().isEmpty()) {
-                return CompletableFuture.completedFuture(Optional.of(old));
+                return CompletableFuture.completedFuture(Optional.of(cached));
             }
             return PlanOverflow.load(PlanRecordCodec.decode(read.entry().get().value()), store)
-                    .thenApply(plan -> plan.map(whole -> statusOfPlan(uid, read.revision(), whole.spec())));
+                    .thenApply(plan -> plan.map(whole ->
+                            JobStatus.ofPlan(uid, read.revision(), whole.spec().dependencies())));
         });
     }
-
-    private static JobStatus statusOfPlan(String uid, DependentPlan plan) {
-        return new JobStatus(uid, plan.revision(), plan.tasks(), plan.dependencies(), 0, null, 0, false);
-    }
-
-    /** What is known of a job by its plan alone. */
-    static JobStatus statusOfPlan(String uid, long planRevision, JobSpec spec) {
-        return statusOfPlan(uid, new DependentPlan(planRevision, spec.tasks(), spec.dependencies()));
-    }
 }
--- a/src/main/java/io/sillreel/admission/JobStatusService.java
+++ b/src/main/java/io/sillreel/admission/JobStatusService.java
@@ -1,324 +1,291 @@
 package io.sillreel.admission;
 
 import io.sillreel.http.EventLoop;
-import io.sillreel.pipeline.CancellationRecord;
-import io.sillreel.pipeline.PlanRecord;
-import io.sillreel.pipeline.RunRecord;
 import io.sillreel.statestore.CommitResult;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StoreOutcome;
-import io.sillreel.statestore.Transaction;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Deque;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Fresh pictures of jobs. Remembered stamps are confirmed by a comparing transaction, many jobs at a time; what has
- * moved is read again. Either way the store was asked after the question came in, so no answer is older than one given
- * before.
+ * Answers queries for the status of jobs. Cached revisions are confirmed by a comparing transaction, for many jobs at a
+ * time; what has changed is read again. Either way the store is asked after the query arrived, so that no answer is
+ * older than one given before.
  *
- * <p>A job that awaits others is cancelled as soon as one of those is, whether or not anybody has written that down: so
- * the same transaction confirms that none of the unfinished jobs that it needs, directly or through others, is
+ * <p>A job with dependencies counts as cancelled as soon as one of these is, whether or not its own cancellation has
+ * been stored yet. So the same transaction confirms that none of its unfinished dependencies, direct or transitive, is
  * cancelled.
+ *
+ * <p>Thread-safe.
  */
 final class JobStatusService {
     private static final long MIN_BATCH_DELAY_MICROS = 4_000;
-    /** What takes many transactions, as long chains do, is asked for the more questions together, the longer it is. */
+    /**
+     * Long dependency chains take many transactions. The delay before the next batch grows with their number, so that
+     * more queries share them.
+     */
     private static final long BATCH_DELAY_PER_TRANSACTION_MICROS = 40_000;
 
     private static final long MAX_BATCH_DELAY_MICROS = 800_000;
     private static final int MAX_BATCHES_IN_FLIGHT = 2;
     private static final int MAX_QUERIES_PER_BATCH = 40;
-    /** How many steps of a chain are read one by one. */
+    /** Levels of a dependency chain that are read job by job before all plans are scanned. */
     private static final int MAX_SINGLE_READ_ROUNDS = 4;
-    /** What is kept of a plan while all of them are read takes less than a view, and is kept for seconds. */
+    /** A plan held during a scan is smaller than a cached status, and is held for seconds only. */
     private static final int DEPENDENT_PLANS_PER_CACHED_STATUS = 4;
-    /** A user who polls waits for 2 s. */
+    /** Just below the 2 s that users wait for an answer. */
     private static final long QUERY_TIMEOUT_MICROS = 1_900_000;
 
-    private record Query(String uid, long askedMicros, int rounds, CompletableFuture<JobStatus> answer) {
-        Query again() {
-            return new Query(uid, askedMicros, rounds + 1, answer);
+    /** @param rounds how often the query has been retried */
+    private record Query(String uid, long startMicros, int rounds, CompletableFuture<Optional<JobStatus>> result) {
+        Query nextRound() {
+            return new Query(uid, startMicros, rounds + 1, result);
+        }
+
+        void answer(JobStatus status) {
+            result.complete(Optional.of(status));
+        }
+
+        void fail() {
+            result.complete(Optional.empty());
         }
     }
 
-    /** A question that is being confirmed: what was thought of its job, and the keys that this rests on. */
-    private record ComparedStatus(Query question, JobStatus view, Set<String> keys) {}
+    /** A query with the cached status that is being confirmed, and the keys whose revisions it depends on. */
+    private record ComparedStatus(Query query, JobStatus status, Set<String> keys) {}
+
+    /** Queries taken from the queue at a time, by what has to be done for them. */
+    private static final class Batch {
+        final List<ComparedStatus> compared = new ArrayList<>();
+        final Map<String, Long> revisions = new LinkedHashMap<>();
+        final Map<Query, Set<String>> unknownDependencies = new LinkedHashMap<>();
+        final List<Query> cancelled = new ArrayList<>();
+    }
 
     private final StateStore store;
     private final EventLoop eventLoop;
-    private final int maxConditions;
+    private final JobStatusCache cache;
     private final JobStatusReader reader;
-    /**
-     * The views that were used last; one that is forgotten costs three reads, one that is kept a part of a comparison.
-     */
-    private final Map<String, JobStatus> statuses;
+    private final RevisionComparison comparison;
 
+    /** Guarded by {@code this}. */
     private final Deque<Query> pendingQueries = new ArrayDeque<>();
+    /** Guarded by {@code this}. */
     private int batchesInFlight;
+    /** Guarded by {@code this}. */
     private boolean isBatchScheduled;
+    /** Guarded by {@code this}. */
     private long batchDelayMicros = MIN_BATCH_DELAY_MICROS;
 
-    /** @param maxRemembered how many views are kept */
-    JobStatusService(StateStore store, EventLoop eventLoop, int txnOps, int maxRemembered) {
+    /** @param maxTransactionChanges number of changes that the store takes in one transaction */
+    JobStatusService(StateStore store, EventLoop eventLoop, int maxTransactionChanges, int maxCachedStatuses) {
         this.store = store;
         this.eventLoop = eventLoop;
-        this.maxConditions = 4 * txnOps;
-        this.reader = new JobStatusReader(store, this, DEPENDENT_PLANS_PER_CACHED_STATUS * maxRemembered);
-        this.statuses = new LinkedHashMap<>(64, 0.75f, true) {
-            private static final long serialVersionUID = 1L;
+        this.cache = new JobStatusCache(maxCachedStatuses);
+        this.reader = new JobStatusReader(store, cache, DEPENDENT_PLANS_PER_CACHED_STATUS * maxCachedStatuses);
+        this.comparison = new RevisionComparison(store, maxTransactionChanges);
+    }
 
-            @Override
-            protected boolean removeEldestEntry(Map.Entry<String, JobStatus> eldest) {
-                return size() > maxRemembered;
-            }
-        };
+    /** Returns what was last read of the job, however old. */
+    JobStatus cached(String uid) {
+        return cache.get(uid);
     }
 
-    synchronized JobStatus cached(String uid) {
-        JobStatus status = statuses.get(uid);
-        return status == null ? JobStatus.unknown(uid) : status;
+    /** Adds what this controller has just stored of a job. */
+    void cache(JobStatus status) {
+        cache.merge(status);
     }
 
-    /** Remembers a view unless what is remembered is newer. */
-    synchronized void cache(JobStatus status) {
-        JobStatus merged = status.mergedWith(cached(status.uid()));
-        if (merged.isAccepted()) {
-            statuses.put(status.uid(), merged);
+    /** Completes with a status that is final or was read after this call; empty if the store could not be asked. */
+    CompletableFuture<Optional<JobStatus>> query(String uid) {
+        JobStatus cached = cache.get(uid);
+        if (cached.isTerminal()) {
+            return CompletableFuture.completedFuture(Optional.of(cached));
+        }
+        if (store.isUnresponsive()) {
+            return CompletableFuture.completedFuture(Optional.empty());
         }
+        CompletableFuture<Optional<JobStatus>> result = new CompletableFuture<>();
+        enqueue(new Query(uid, eventLoop.nowMicros(), 0, result));
+        return result;
     }
 
-    /** A view read after this call, or a terminal one; null if the store could not be asked. */
-    CompletableFuture<JobStatus> query(String uid) {
-        synchronized (this) {
-            JobStatus status = cached(uid);
-            if (status.isTerminal()) {
-                return CompletableFuture.completedFuture(status);
-            }
-            if (store.isUnresponsive()) {
-                return CompletableFuture.completedFuture(null);
-            }
-        }
-        CompletableFuture<JobStatus> answer = new CompletableFuture<>();
-        ask(new Query(uid, eventLoop.nowMicros(), 0, answer));
-        return answer;
+    /** Completes with the statuses in the order of the ids; empty if the store could not be asked about one of them. */
+    CompletableFuture<Optional<List<JobStatus>>> queryAll(Collection<String> uids) {
+        List<CompletableFuture<Optional<JobStatus>>> queries = new ArrayList<>();
+        uids.forEach(uid -> queries.add(query(uid)));
+        return CompletableFuture.allOf(queries.toArray(CompletableFuture[]::new))
+                .thenApply(all -> combine(queries));
     }
 
-    /** Views of several jobs, in their order; null for each that the store could not be asked about. */
-    CompletableFuture<List<JobStatus>> query(Collection<String> uids) {
-        List<CompletableFuture<JobStatus>> each = new ArrayList<>();
-        uids.forEach(uid -> each.add(query(uid)));
-        return CompletableFuture.allOf(each.toArray(CompletableFuture[]::new))
-                .thenApply(all -> each.stream().map(CompletableFuture::join).toList());
+    private static Optional<List<JobStatus>> combine(List<CompletableFuture<Optional<JobStatus>>> queries) {
+        List<JobStatus> statuses = new ArrayList<>(queries.size());
+        for (CompletableFuture<Optional<JobStatus>> query : queries) {
+            if (query.join().isEmpty()) {
+                return Optional.empty();
+            }
+            statuses.add(query.join().get());
+        }
+        return Optional.of(statuses);
     }
 
-    private void ask(Query question) {
+    private void enqueue(Query query) {
+        long delayMicros;
         synchronized (this) {
-            pendingQueries.add(question);
+            pendingQueries.add(query);
             if (isBatchScheduled || batchesInFlight >= MAX_BATCHES_IN_FLIGHT) {
                 return;
             }
             isBatchScheduled = true;
+            delayMicros = batchDelayMicros;
         }
-        eventLoop.schedule(batchDelayMicros, this::ask);
+        eventLoop.schedule(delayMicros, this::processBatch);
     }
 
-    /** Once more, with what has been learnt since, unless whoever asked has given up. */
-    private void retry(Query question) {
-        if (eventLoop.nowMicros() - question.askedMicros() > QUERY_TIMEOUT_MICROS) {
-            question.answer().complete(null);
+    /** Queues the query once more, to be answered with what has been read since, unless it has timed out. */
+    private void retry(Query query) {
+        if (eventLoop.nowMicros() - query.startMicros() > QUERY_TIMEOUT_MICROS) {
+            query.fail();
         } else {
-            ask(question.again());
+            enqueue(query.nextRound());
         }
     }
 
-    private void ask() {
-        List<ComparedStatus> batch = new ArrayList<>();
-        Map<String, Long> conditions = new LinkedHashMap<>();
-        Map<Query, Set<String>> toLearn = new LinkedHashMap<>();
-        List<Query> closed = new ArrayList<>();
-        synchronized (this) {
-            isBatchScheduled = false;
-            while (!pendingQueries.isEmpty() && batch.size() < MAX_QUERIES_PER_BATCH) {
-                Query question = pendingQueries.peek();
-                JobStatus status = cached(question.uid());
-                Map<String, Long> own = conditionsOf(status);
-                Set<String> unknown = new LinkedHashSet<>();
-                if (status.isWaitingForDependencies() && !addDependencyConditions(status, own, unknown)) {
-                    cache(status.withDependencyCancelled());
-                    closed.add(pendingQueries.poll());
-                } else if (!unknown.isEmpty()) {
-                    toLearn.put(pendingQueries.poll(), unknown);
-                } else if (batch.isEmpty() || conditions.size() + own.size() <= maxConditions) {
-                    conditions.putAll(own);
-                    batch.add(new ComparedStatus(pendingQueries.poll(), status, own.keySet()));
-                } else {
-                    break;
-                }
-            }
-            batchesInFlight += batch.isEmpty() ? 0 : 1;
+    private void processBatch() {
+        Batch batch = takeBatch();
+        batch.cancelled.forEach(query -> query.answer(cache.get(query.uid())));
+        batch.unknownDependencies.forEach(this::loadDependenciesAndRetry);
+        if (batch.compared.isEmpty()) {
+            scheduleNextBatch();
+            return;
         }
-        closed.forEach(question -> question.answer().complete(cached(question.uid())));
-        toLearn.forEach((question, uids) -> loadDependencies(question, uids).thenAccept(learnt -> {
-            if (learnt) {
-                retry(question);
-            } else {
-                question.answer().complete(null);
+        comparison.compare(batch.revisions).thenAccept(result -> {
+            synchronized (this) {
+                batchesInFlight--;
             }
-        }));
-        if (!batch.isEmpty()) {
-            compare(conditions).thenAccept(commit -> {
-                synchronized (this) {
-                    batchesInFlight--;
-                }
-                answerBatch(batch, commit);
-                scheduleNextBatch();
-            });
-        } else {
+            batch.compared.forEach(compared -> answer(compared, result));
             scheduleNextBatch();
+        });
+    }
+
+    /** Takes as many queries as fit; one that needs more conditions than a transaction has is compared alone. */
+    private synchronized Batch takeBatch() {
+        Batch batch = new Batch();
+        isBatchScheduled = false;
+        while (!pendingQueries.isEmpty() && batch.compared.size() < MAX_QUERIES_PER_BATCH) {
+            Query query = pendingQueries.peek();
+            JobStatus status = cache.get(query.uid());
+            JobStatusConditions conditions = JobStatusConditions.of(status, cache);
+            if (conditions.isDependencyCancelled()) {
+                cache.merge(status.withDependencyCancelled());
+                batch.cancelled.add(pendingQueries.poll());
+            } else if (!conditions.unknownDependencies().isEmpty()) {
+                batch.unknownDependencies.put(pendingQueries.poll(), conditions.unknownDependencies());
+            } else if (batch.compared.isEmpty()
+                    || batch.revisions.size() + conditions.revisions().size() <= comparison.maxConditions()) {
+                batch.revisions.putAll(conditions.revisions());
+                batch.compared.add(new ComparedStatus(
+                        pendingQueries.poll(), status, conditions.revisions().keySet()));
+            } else {
+                break;
+            }
+        }
+        if (!batch.compared.isEmpty()) {
+            batchesInFlight++;
+            int furtherTransactions = comparison.transactionsFor(batch.revisions.size()) - 1;
+            batchDelayMicros = Math.min(
+                    MAX_BATCH_DELAY_MICROS,
+                    MIN_BATCH_DELAY_MICROS + BATCH_DELAY_PER_TRANSACTION_MICROS * furtherTransactions);
         }
+        return batch;
     }
 
     private void scheduleNextBatch() {
+        long delayMicros;
         synchronized (this) {
             if (pendingQueries.isEmpty() || isBatchScheduled || batchesInFlight >= MAX_BATCHES_IN_FLIGHT) {
                 return;
             }
             isBatchScheduled = true;
+            delayMicros = batchDelayMicros > MIN_BATCH_DELAY_MICROS ? batchDelayMicros : 0;
         }
-        eventLoop.schedule(batchDelayMicros > MIN_BATCH_DELAY_MICROS ? batchDelayMicros : 0, this::ask);
+        eventLoop.schedule(delayMicros, this::processBatch);
     }
 
-    private static Map<String, Long> conditionsOf(JobStatus status) {
-        Map<String, Long> own = new LinkedHashMap<>();
-        if (!status.isAccepted()) {
-            own.put(PlanRecord.key(status.uid()), 0L);
-        }
-        own.put(RunRecord.key(status.uid()), status.runRevision());
-        own.put(CancellationRecord.key(status.uid()), status.cancellationRevision());
-        return own;
-    }
-
-    /**
-     * Adds the absence of cancellations of all unfinished jobs that this one needs; false if one of them is known to be
-     * cancelled. Who has been released needs nobody any more, and who is done can't be cancelled.
-     */
-    private boolean addDependencyConditions(JobStatus status, Map<String, Long> conditions, Set<String> unknown) {
-        Deque<String> open = new ArrayDeque<>(status.dependencies());
-        Set<String> seen = new HashSet<>(open);
-        while (!open.isEmpty()) {
-            JobStatus awaited = cached(open.poll());
-            if (!awaited.isAccepted()) {
-                unknown.add(awaited.uid());
-            } else if (awaited.isCancelled()) {
-                return false;
-            } else if (!awaited.isDone()) {
-                conditions.put(CancellationRecord.key(awaited.uid()), 0L);
-                if (awaited.isWaitingForDependencies()) {
-                    awaited.dependencies().stream().filter(seen::add).forEach(open::add);
+    private void answer(ComparedStatus compared, CommitResult result) {
+        Query query = compared.query();
+        switch (result.outcome()) {
+            case OK -> query.answer(compared.status());
+            case CONFLICT -> readChangedAndAnswer(compared, result.failedKeys());
+            case UNKNOWN -> {
+                // Transactions may get no response while single reads still do.
+                if (store.isUnresponsive()) {
+                    query.fail();
+                } else {
+                    reader.load(Set.of(query.uid())).thenAccept(loaded -> answerAfterRead(query, loaded, true));
                 }
             }
+            default -> query.fail();
         }
-        return true;
     }
 
-    /** Compares in as many transactions as it takes: a cancellation is for ever, so they need not be one moment's. */
-    private CompletableFuture<CommitResult> compare(Map<String, Long> conditions) {
-        List<CompletableFuture<CommitResult>> parts = new ArrayList<>();
-        Transaction transaction = new Transaction();
-        int size = 0;
-        for (Map.Entry<String, Long> condition : conditions.entrySet()) {
-            if (size == maxConditions) {
-                parts.add(store.commit(transaction));
-                transaction = new Transaction();
-                size = 0;
+    /** Reads the jobs of the failed keys that the status depends on; without such keys, others made it fail. */
+    private void readChangedAndAnswer(ComparedStatus compared, List<String> failedKeys) {
+        Query query = compared.query();
+        Set<String> changed = new LinkedHashSet<>();
+        for (String key : failedKeys) {
+            if (compared.keys().contains(key)) {
+                changed.add(JobStatusConditions.uidOf(key));
             }
-            transaction.requireRevision(condition.getKey(), condition.getValue());
-            size++;
         }
-        parts.add(store.commit(transaction));
-        batchDelayMicros = Math.min(
-                MAX_BATCH_DELAY_MICROS,
-                MIN_BATCH_DELAY_MICROS + BATCH_DELAY_PER_TRANSACTION_MICROS * (parts.size() - 1));
-        return CompletableFuture.allOf(parts.toArray(CompletableFuture[]::new)).thenApply(all -> {
-            StoreOutcome outcome = StoreOutcome.OK;
-            List<String> failed = new ArrayList<>();
-            for (CompletableFuture<CommitResult> part : parts) {
-                failed.addAll(part.join().failedKeys());
-                if (part.join().outcome() != StoreOutcome.OK && outcome != StoreOutcome.CONFLICT) {
-                    outcome = part.join().outcome();
-                }
-            }
-            return new CommitResult(outcome, 0, failed);
-        });
-    }
-
-    private void answerBatch(List<ComparedStatus> batch, CommitResult commit) {
-        for (ComparedStatus compared : batch) {
-            Query question = compared.question();
-            switch (commit.outcome()) {
-                case OK -> question.answer().complete(compared.view());
-                case CONFLICT -> {
-                    Set<String> moved = new LinkedHashSet<>();
-                    for (String key : commit.failedKeys()) {
-                        if (compared.keys().contains(key)) {
-                            moved.add(key.substring(key.indexOf('/') + 1));
-                        }
-                    }
-                    if (moved.isEmpty()) {
-                        retry(question);
-                    } else {
-                        reader.load(moved)
-                                .thenAccept(
-                                        learnt -> answerAfterRead(question, learnt, moved.contains(question.uid())));
-                    }
-                }
-                case UNKNOWN -> {
-                    // Transactions alone may go unanswered for a while; reading says the same.
-                    if (store.isUnresponsive()) {
-                        question.answer().complete(null);
-                    } else {
-                        reader.load(Set.of(question.uid()))
-                                .thenAccept(learnt -> answerAfterRead(question, learnt, true));
-                    }
-                }
-                default -> question.answer().complete(null);
-            }
+        if (changed.isEmpty()) {
+            retry(query);
+        } else {
+            reader.load(changed).thenAccept(loaded -> answerAfterRead(query, loaded, changed.contains(query.uid())));
         }
     }
 
-    /** Answers with what has just been read, if that was of the job itself and is all there is to know. */
-    private void answerAfterRead(Query question, boolean read, boolean ofItself) {
-        JobStatus status = cached(question.uid());
-        if (!read) {
-            question.answer().complete(null);
-        } else if (ofItself && !status.isWaitingForDependencies()) {
-            question.answer().complete(status);
+    /** Answers with the status just read, if the job itself was read and its status depends on no other job. */
+    private void answerAfterRead(Query query, boolean isLoaded, boolean isOwnStatusLoaded) {
+        JobStatus status = cache.get(query.uid());
+        if (!isLoaded) {
+            query.fail();
+        } else if (isOwnStatusLoaded && !status.isWaitingForDependencies()) {
+            query.answer(status);
         } else {
-            retry(question);
+            retry(query);
         }
     }
 
+    private void loadDependenciesAndRetry(Query query, Set<String> uids) {
+        loadDependencies(query, uids).thenAccept(isLoaded -> {
+            if (isLoaded) {
+                retry(query);
+            } else {
+                query.fail();
+            }
+        });
+    }
+
     /**
-     * Reads what is not known of the jobs that a job needs. A chain of a few steps is read step by step; the beginning
-     * of a longer one is found in one list of all plans, since a request for each step would take longer than users
-     * wait.
+     * Reads unknown dependencies. The first levels of a dependency chain are read one by one; the rest of a longer one
+     * is found in a scan of all plans, since one request for each level would take longer than users wait.
      */
-    private CompletableFuture<Boolean> loadDependencies(Query question, Set<String> uids) {
-        if (question.rounds() < MAX_SINGLE_READ_ROUNDS) {
+    private CompletableFuture<Boolean> loadDependencies(Query query, Set<String> uids) {
+        if (query.rounds() < MAX_SINGLE_READ_ROUNDS) {
             return reader.load(uids);
         }
-        // Reading all plans may take longer than users wait; what was learnt is there when they ask again.
-        long left = question.askedMicros() + QUERY_TIMEOUT_MICROS - eventLoop.nowMicros();
-        eventLoop.schedule(Math.max(0, left), () -> question.answer().complete(null));
+        // The scan may outlast the query; its plans are cached for the next one.
+        long remainingMicros = query.startMicros() + QUERY_TIMEOUT_MICROS - eventLoop.nowMicros();
+        eventLoop.schedule(Math.max(0, remainingMicros), query::fail);
         return reader.loadFromAllPlans(uids);
     }
 }
--- a/src/test/java/io/sillreel/admission/JobStatusServiceTest.java
+++ b/src/test/java/io/sillreel/admission/JobStatusServiceTest.java
@@ -11,6 +11,7 @@
 import io.sillreel.sim.SimTime;
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.Transaction;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
@@ -25,7 +26,7 @@
     private final StateStore store;
     private int jobs;
 
-    JobStatusServiceTest() throws SubmissionDecoder.MalformedSubmissionException {
+    JobStatusServiceTest() throws MalformedSubmissionException {
         network.listen("state:1", new SimStateStore(time, 100, 8192, 10_000));
         store = network.stateStore(process, 1_000, 10_000);
         for (int step = 0; step < CHAIN; step++) {
@@ -34,18 +35,18 @@
     }
 
     /** Stores the plan of one more job, which awaits the one before or nothing. */
-    private void addJob(boolean awaits) throws SubmissionDecoder.MalformedSubmissionException {
+    private void addJob(boolean awaits) throws MalformedSubmissionException {
         ObjectNode job = SimCluster.job("job-%06d".formatted(++jobs), 1);
         if (awaits) {
             job.putArray("awaits").add("job-%06d".formatted(jobs - 1));
         }
-        PlanRecord plan = new PlanRecord(1, SubmissionDecoder.read(job));
+        PlanRecord plan = new PlanRecord(1, SubmissionDecoder.decode(job));
         store.commit(new Transaction().set(PlanRecord.key(plan.spec().uid()), PlanRecordCodec.encode(plan)));
         time.runFor(10_000);
     }
 
-    private CompletableFuture<JobStatus> askForTheEndOfTheChain() {
-        CompletableFuture<JobStatus> answer =
+    private CompletableFuture<Optional<JobStatus>> askForTheEndOfTheChain() {
+        CompletableFuture<Optional<JobStatus>> answer =
                 new JobStatusService(store, process, 20, REMEMBERED).query("job-%06d".formatted(CHAIN));
         time.runFor(2_000_000);
         return answer;
@@ -53,11 +54,12 @@
 
     /** Guards memory: plans are read all at once for a long chain, and no more of them are held than there is room. */
     @Test
-    void moreChainsThanCanBeHeldAreRefusedInTime() throws SubmissionDecoder.MalformedSubmissionException {
-        assertThat(askForTheEndOfTheChain()).isCompletedWithValueMatching(JobStatus::isAccepted);
+    void moreChainsThanCanBeHeldAreRefusedInTime() throws MalformedSubmissionException {
+        assertThat(askForTheEndOfTheChain())
+                .isCompletedWithValueMatching(answer -> answer.orElseThrow().isAccepted());
         for (int other = 0; other <= MAX_CHAIN_PLANS; other++) {
             addJob(true);
         }
-        assertThat(askForTheEndOfTheChain()).isCompletedWithValue(null);
+        assertThat(askForTheEndOfTheChain()).isCompletedWithValue(Optional.empty());
     }
 }
