--- /dev/null
+++ b/src/main/java/io/sillreel/ActiveTerm.java
@@ -0,0 +1,120 @@
+package io.sillreel;
+
+import io.sillreel.fleet.FleetConfiguration;
+import io.sillreel.heartbeat.LeaderHeartbeats;
+import io.sillreel.heartbeat.LeaderLocator;
+import io.sillreel.http.EventLoop;
+import io.sillreel.leadership.LeaderElection;
+import io.sillreel.leadership.LeaderTerm;
+import io.sillreel.leadership.TermGrant;
+import io.sillreel.leadership.TermServices;
+import io.sillreel.peer.PeerMessages;
+import io.sillreel.peer.Peers;
+import io.sillreel.pipeline.LiveTaskCounts;
+import io.sillreel.settings.Settings.Member;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+
+/**
+ * The term that this controller leads, if it leads one: begins and ends it as the election says, and passes on what
+ * concerns it. Runs on the event loop.
+ */
+final class ActiveTerm implements LeaderElection.Listener, LeaderLocator, LiveTaskCounts {
+    private static final long CANCELLED_TIMEOUT_MICROS = 2_000_000;
+
+    private final EventLoop eventLoop;
+    private final TermServices services;
+    private final FleetConfiguration configuration;
+    private final Peers peers;
+    private final LeaderElection election;
+    private final LostWriteProtection protection;
+    /** Null while this controller leads no term. */
+    private LeaderTerm leaderTerm;
+
+    ActiveTerm(
+            EventLoop eventLoop,
+            TermServices services,
+            FleetConfiguration configuration,
+            Peers peers,
+            LeaderElection election,
+            LostWriteProtection protection) {
+        this.eventLoop = eventLoop;
+        this.services = services;
+        this.configuration = configuration;
+        this.peers = peers;
+        this.election = election;
+        this.protection = protection;
+    }
+
+    @Override
+    public void leadershipAcquired(TermGrant grant) {
+        protection.beforeTerm(grant, () -> begin(grant));
+    }
+
+    private void begin(TermGrant grant) {
+        leaderTerm = new LeaderTerm(eventLoop, services, configuration, peers, election, grant);
+        leaderTerm.start();
+    }
+
+    @Override
+    public void leadershipLost(String reason) {
+        protection.termLost();
+        if (leaderTerm != null) {
+            leaderTerm.close();
+            leaderTerm = null;
+        }
+    }
+
+    @Override
+    public LeaderHeartbeats ownTerm() {
+        return leaderTerm;
+    }
+
+    @Override
+    public Optional<Member> remoteLeader() {
+        String node = election.knownLeader().node();
+        return node == null ? Optional.empty() : configuration.settings().member(node);
+    }
+
+    @Override
+    public Counts countsOf(String uid) {
+        return leaderTerm == null ? null : leaderTerm.countsOf(uid);
+    }
+
+    /**
+     * Tells the leader, here or elsewhere, of a cancellation that this controller has stored. The leader follows the
+     * stored cancellations as well, but the state store may be out of its reach alone.
+     */
+    void notifyLeaderOfCancellation(String uid) {
+        if (leaderTerm != null) {
+            leaderTerm.jobCancelled(uid);
+        } else {
+            remoteLeader()
+                    .ifPresent(leader -> services.agents()
+                            .send(leader.address(), PeerMessages.cancelled(uid), CANCELLED_TIMEOUT_MICROS));
+        }
+    }
+
+    /** True while this controller leads a term, whose state may not be loaded yet. */
+    boolean isLeading() {
+        return leaderTerm != null;
+    }
+
+    /** Another controller has stored cancellations; only called while this one leads. */
+    void jobsCancelled(List<String> uids) {
+        uids.forEach(leaderTerm::jobCancelled);
+    }
+
+    /** Resigns if another controller would lead better. */
+    void checkReachability() {
+        if (leaderTerm != null) {
+            leaderTerm.checkReachability();
+        }
+    }
+
+    /** The values of the term's metrics by their names. */
+    Map<String, Double> gauges() {
+        return leaderTerm == null ? Map.of() : leaderTerm.gauges();
+    }
+}
--- a/src/main/java/io/sillreel/ControllerMetrics.java
+++ b/src/main/java/io/sillreel/ControllerMetrics.java
@@ -17,8 +17,9 @@
 import io.sillreel.leadership.LeaderElection;
 import io.sillreel.overload.AdaptiveLimit;
 import io.sillreel.overload.EventLoopLag;
+import java.util.Map;
 
-/** The figures of one controller, as Micrometer's meters and as the JSON that operators are served. */
+/** The metrics of one controller, as Micrometer meters and as the JSON that operators read at {@code /metrics}. */
 final class ControllerMetrics implements MeterBinder {
     private final HeartbeatRouter heartbeatRouter;
     private final LeaderElection leadership;
@@ -27,6 +28,7 @@
     private final WorkerLoadBalancer loadBalancer;
     private final EventLoopLag eventLoopLag;
     private final RequestQueue requestQueue;
+    /** Null until the JSON form is asked for first. */
     private MeterRegistry ownRegistry;
 
     ControllerMetrics(
@@ -47,54 +49,61 @@
     }
 
     @Override
-    public void bindTo(MeterRegistry to) {
+    public void bindTo(MeterRegistry registry) {
         FunctionCounter.builder("sillreel.reports", heartbeatRouter, HeartbeatRouter::heartbeatCount)
-                .register(to);
+                .register(registry);
         FunctionCounter.builder("sillreel.reports.handed", heartbeatRouter, HeartbeatRouter::relayedCount)
-                .register(to);
+                .register(registry);
         FunctionCounter.builder("sillreel.reports.passed", heartbeatRelay, HeartbeatRelay::relayedCount)
-                .register(to);
+                .register(registry);
         FunctionCounter.builder("sillreel.reports.lost", heartbeatRelay, HeartbeatRelay::lostCount)
-                .register(to);
+                .register(registry);
         FunctionCounter.builder("sillreel.reports.batches", heartbeatRelay, HeartbeatRelay::batchCount)
-                .register(to);
+                .register(registry);
         FunctionCounter.builder("sillreel.workers.moved", heartbeatRouter, HeartbeatRouter::redirectCount)
-                .register(to);
+                .register(registry);
         FunctionCounter.builder("sillreel.requests.refused", admissionLimit, AdaptiveLimit::refusedCount)
-                .register(to);
+                .register(registry);
         Gauge.builder("sillreel.requests.limit", admissionLimit, AdaptiveLimit::limit)
-                .register(to);
+                .register(registry);
         Gauge.builder("sillreel.workers", loadBalancer, WorkerLoadBalancer::workerCount)
-                .register(to);
+                .register(registry);
         Gauge.builder("sillreel.version", () -> 1)
                 .tag("version", Controller.version())
-                .register(to);
-        Gauge.builder("sillreel.leads", leadership, LeaderElection::heldTerm).register(to);
+                .register(registry);
+        Gauge.builder("sillreel.leads", leadership, LeaderElection::heldTerm).register(registry);
         Gauge.builder("sillreel.late.ms", eventLoopLag, each -> each.currentMicros() / 1_000.0)
-                .register(to);
+                .register(registry);
         Gauge.builder("sillreel.late.most.ms", eventLoopLag, each -> each.maxMicros() / 1_000.0)
-                .register(to);
+                .register(registry);
         Gauge.builder("sillreel.requests.waiting", requestQueue, RequestQueue::waitingCount)
-                .register(to);
+                .register(registry);
         FunctionCounter.builder("sillreel.requests.given.up", requestQueue, RequestQueue::abandonedCount)
-                .register(to);
-        new JvmMemoryMetrics().bindTo(to);
+                .register(registry);
+        new JvmMemoryMetrics().bindTo(registry);
     }
 
-    /** All meters by name, with the values of their tags. */
-    ObjectNode values() {
+    /**
+     * The values of all meters by their names and the values of their tags, followed by further gauges.
+     *
+     * @param termGauges of the term that this controller leads, empty if it leads none
+     * @param protectionGauges of the protection against lost writes
+     */
+    ObjectNode toJson(Map<String, Double> termGauges, Map<String, Double> protectionGauges) {
         if (ownRegistry == null) {
             ownRegistry = new SimpleMeterRegistry();
             bindTo(ownRegistry);
         }
-        ObjectNode all = Json.object();
+        ObjectNode values = Json.object();
         for (Meter meter : ownRegistry.getMeters()) {
             StringBuilder name = new StringBuilder(meter.getId().getName());
             for (Tag tag : meter.getId().getTags()) {
                 name.append('/').append(tag.getValue());
             }
-            meter.measure().forEach(measurement -> all.put(name.toString(), measurement.getValue()));
+            meter.measure().forEach(measurement -> values.put(name.toString(), measurement.getValue()));
         }
-        return all;
+        termGauges.forEach(values::put);
+        protectionGauges.forEach(values::put);
+        return values;
     }
 }
--- /dev/null
+++ b/src/main/java/io/sillreel/HealthCheck.java
@@ -0,0 +1,44 @@
+package io.sillreel;
+
+import io.sillreel.cloud.MachineTypeCatalog;
+import io.sillreel.http.EventLoop;
+import io.sillreel.http.HttpResponse;
+import io.sillreel.http.Json;
+import io.sillreel.peer.Peers;
+import io.sillreel.statestore.StateStore;
+
+/** Answers health checks, by which the platform decides where users' requests go. */
+final class HealthCheck {
+    private static final long MAX_STORE_SILENCE_MICROS = 4_000_000;
+
+    private final EventLoop eventLoop;
+    private final StateStore store;
+    private final Peers peers;
+    private final MachineTypeCatalog machineTypes;
+    private final long startedMicros;
+
+    HealthCheck(EventLoop eventLoop, StateStore store, Peers peers, MachineTypeCatalog machineTypes) {
+        this.eventLoop = eventLoop;
+        this.store = store;
+        this.peers = peers;
+        this.machineTypes = machineTypes;
+        this.startedMicros = eventLoop.nowMicros();
+    }
+
+    /** True if the state store has answered this controller lately; for a while after the start in any case. */
+    boolean isStoreReachable() {
+        return eventLoop.nowMicros() - Math.max(store.lastAnswerMicros(), startedMicros) < MAX_STORE_SILENCE_MICROS;
+    }
+
+    /**
+     * Unhealthy if the state store answers another controller and not this one, or if this one can't judge submissions
+     * yet: users are then better served elsewhere. If the store answers nobody, being unhealthy would help no one.
+     */
+    HttpResponse respond() {
+        boolean canServe = isStoreReachable() && !machineTypes.types().isEmpty();
+        if (!canServe && peers.isStoreReachableElsewhere()) {
+            return HttpResponse.retryLater(503, "the state service can't be asked from here", 1);
+        }
+        return HttpResponse.of(200, Json.object().put("ok", true));
+    }
+}
--- /dev/null
+++ b/src/main/java/io/sillreel/HelloExchange.java
@@ -0,0 +1,88 @@
+package io.sillreel;
+
+import io.sillreel.heartbeat.HeartbeatRouter;
+import io.sillreel.heartbeat.WorkerLoadBalancer;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
+import io.sillreel.leadership.LeaderElection;
+import io.sillreel.peer.PeerMessages;
+import io.sillreel.peer.PeerMessages.Hello;
+import io.sillreel.peer.Peers;
+import io.sillreel.settings.Settings;
+import io.sillreel.settings.Settings.Member;
+
+/** Exchanges with the other controllers who leads and how each one fares. Runs on the event loop. */
+final class HelloExchange {
+    /** The interval at which hellos are to be sent. */
+    static final long INTERVAL_MICROS = 1_000_000;
+
+    private static final long TIMEOUT_MICROS = 900_000;
+
+    private final HttpClient httpClient;
+    private final Settings settings;
+    private final Peers peers;
+    private final LeaderElection election;
+    private final HealthCheck healthCheck;
+    private final WorkerLoadBalancer loadBalancer;
+    private final HeartbeatRouter heartbeatRouter;
+
+    HelloExchange(
+            HttpClient httpClient,
+            Settings settings,
+            Peers peers,
+            LeaderElection election,
+            HealthCheck healthCheck,
+            WorkerLoadBalancer loadBalancer,
+            HeartbeatRouter heartbeatRouter) {
+        this.httpClient = httpClient;
+        this.settings = settings;
+        this.peers = peers;
+        this.election = election;
+        this.healthCheck = healthCheck;
+        this.loadBalancer = loadBalancer;
+        this.heartbeatRouter = heartbeatRouter;
+    }
+
+    /** Sends a hello to each controller that has not sent one within most of the interval. */
+    void sendHellos() {
+        for (Member member : settings.members()) {
+            if (peers.wasHeardWithin(member.nodeName(), INTERVAL_MICROS * 3 / 4)) {
+                // Its hello and the response to it have told both sides everything.
+                continue;
+            }
+            HttpRequest request =
+                    new HttpRequest("POST", PeerMessages.HELLO, ownHello().bytes());
+            httpClient.send(member.address(), request, TIMEOUT_MICROS).thenAccept(response -> {
+                if (response.isOk()) {
+                    receive(Hello.of(response.body()));
+                }
+            });
+        }
+    }
+
+    /** Takes the hello of another controller; the response is this controller's own. */
+    HttpResponse handle(HttpRequest request) {
+        receive(Hello.of(request.body()));
+        return new HttpResponse(200, ownHello().bytes(), 0);
+    }
+
+    private void receive(Hello hello) {
+        peers.recordHello(hello);
+        if (hello.term() > 0) {
+            election.observeTerm(hello.leader(), hello.term());
+        }
+    }
+
+    private Hello ownHello() {
+        LeaderElection.Leader leader = election.knownLeader();
+        return new Hello(
+                settings.nodeName(),
+                leader.node(),
+                leader.term(),
+                healthCheck.isStoreReachable(),
+                loadBalancer.workerCount(),
+                heartbeatRouter.isServing(),
+                heartbeatRouter.recentlyUnansweredCount());
+    }
+}
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -78,14 +78,12 @@
     /**
      * Creates the state of one term; {@link #start} begins to read what is stored.
      *
-     * @param machineTypes the machine types that the cloud offers, empty until they are known
      * @param peers the other controllers
      */
     public LeaderTerm(
             EventLoop eventLoop,
             TermServices services,
-            TermConfiguration configuration,
-            Supplier<Map<String, MachineType>> machineTypes,
+            FleetConfiguration configuration,
             Peers peers,
             LeaderElection election,
             TermGrant grant) {
@@ -94,7 +92,7 @@
         this.settings = configuration.settings();
         this.election = election;
         this.term = grant.term();
-        this.machineTypes = machineTypes;
+        this.machineTypes = configuration.machineTypes();
         this.cluster = new Cluster(settings.teams());
         this.writeQueue = newWriteQueue(grant);
         ServiceLevelObjectives objectives = new ServiceLevelObjectives(settings.objectives(), runtimeEstimator);
@@ -151,17 +149,9 @@
                 operations);
     }
 
-    private FleetManager newFleet(TermServices services, TermConfiguration configuration) {
+    private FleetManager newFleet(TermServices services, FleetConfiguration configuration) {
         return new FleetManager(
-                eventLoop,
-                term,
-                cluster,
-                services.cloud(),
-                writeQueue,
-                capacity,
-                new FleetConfiguration(
-                        settings, configuration.operator(), configuration.fleetCapacity(), machineTypes),
-                operations);
+                eventLoop, term, cluster, services.cloud(), writeQueue, capacity, configuration, operations);
     }
 
     private SchedulingCycle newSchedulingCycle(Planner planner) {
