--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -4,6 +4,7 @@
 import io.micrometer.core.instrument.MeterRegistry;
 import io.micrometer.core.instrument.binder.MeterBinder;
 import io.sillreel.admission.Admission;
+import io.sillreel.agent.AgentRoutes;
 import io.sillreel.cloud.CloudClient;
 import io.sillreel.cloud.MachineTypeCatalog;
 import io.sillreel.heartbeat.HeartbeatObserver;
@@ -41,7 +42,6 @@
 
 /** One controller, put together from its slices. It does no I/O of its own: time and network are handed in. */
 public final class Controller implements LeaderElection.Listener, LiveTaskCounts, MeterBinder {
-    private static final String HEARTBEAT = "/agent/beat";
     private static final String HEALTH = "/up";
     private static final long HELLO_INTERVAL_MICROS = 1_000_000;
     private static final long HELLO_TIMEOUT_MICROS = 900_000;
@@ -187,7 +187,7 @@
     public static RequestClass requestClass(HttpRequest request) {
         return switch (request.route()) {
             case HEALTH -> RequestClass.IMMEDIATE;
-            case HEARTBEAT -> RequestClass.WORKERS;
+            case AgentRoutes.HEARTBEAT -> RequestClass.WORKERS;
             default -> RequestClass.USERS;
         };
     }
@@ -205,7 +205,7 @@
                     ? admissionLimit.handle(request)
                     : recovery.guarded(() -> admissionLimit.handle(request));
         }
-        if (route.equals(HEARTBEAT)) {
+        if (route.equals(AgentRoutes.HEARTBEAT)) {
             return request.method().equals("POST")
                     ? heartbeatRouter.route(request)
                     : answer(HttpResponse.error(405, "use POST"));
--- a/src/main/java/io/sillreel/agent/AgentCommands.java
+++ b/src/main/java/io/sillreel/agent/AgentCommands.java
@@ -2,28 +2,38 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.sillreel.http.HttpRequest;
 import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
 
-/** Commands to one worker, in the order in which it is to carry them out. */
+/**
+ * Encodes the commands to one worker agent, in the order in which it carries them out. They are written straight into
+ * the message, since most heartbeats are answered with some. Not thread-safe.
+ */
 public final class AgentCommands {
-    /** Keeps a response far below the longest line that a worker reads. */
+    /** Keeps a message below the 64 KiB that an agent reads. */
     static final int MAX_COMMANDS = 400;
 
+    private static final double MICROS_PER_SECOND = 1_000_000.0;
+
     private final ArrayNode commands = Json.array();
 
+    /** Starts a task. */
     public void launch(String uid, int index, long attempt) {
         add("launch", uid, index, attempt);
     }
 
-    public void stop(String uid, int index, long attempt, long windDownMicros) {
-        add("halt", uid, index, attempt).put("wind_down_s", windDownMicros / 1_000_000.0);
+    /** Stops a task, which may save a checkpoint within the grace period; 0 stops it at once. */
+    public void stop(String uid, int index, long attempt, long gracePeriodMicros) {
+        add("halt", uid, index, attempt).put("wind_down_s", gracePeriodMicros / MICROS_PER_SECOND);
     }
 
+    /** Acknowledges the end of a task, so that the agent leaves it out of its heartbeats. */
     public void acknowledge(String uid, int index, long attempt) {
         add("reap", uid, index, attempt);
     }
 
+    /** True if no further command may be added. */
     public boolean isFull() {
         return commands.size() >= MAX_COMMANDS;
     }
@@ -32,15 +42,20 @@
         return commands.isEmpty();
     }
 
-    /** Returns the commands under that token, as the body of a response or of a direct command. */
-    public ObjectNode toJson(long token) {
-        ObjectNode body = Json.object().put("baton", token);
-        body.set("orders", commands);
-        return body;
+    /** Returns the response to a heartbeat. */
+    public HttpResponse toResponse(long fencingToken) {
+        return HttpResponse.of(200, toJson(fencingToken));
     }
 
-    public HttpResponse toResponse(long token) {
-        return HttpResponse.of(200, toJson(token));
+    /** Returns a direct command, which the agent carries out only if it is still in the given agent epoch. */
+    public HttpRequest toRequest(long fencingToken, long agentEpoch) {
+        return HttpRequest.post(AgentRoutes.COMMANDS, toJson(fencingToken).put("shift", agentEpoch));
+    }
+
+    ObjectNode toJson(long fencingToken) {
+        ObjectNode body = Json.object().put("baton", fencingToken);
+        body.set("orders", commands);
+        return body;
     }
 
     private ObjectNode add(String verb, String uid, int index, long attempt) {
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
@@ -113,7 +113,8 @@
             return HttpResponse.retryLater(503, "the machine was returned", 1);
         }
         if (heartbeat.fencingToken() == term && !operations.adoptMachine(heartbeat)) {
-            return HttpResponse.retryLater(503, "machine type " + heartbeat.machineType() + " is not known", 1);
+            String machineType = heartbeat.description().machineType();
+            return HttpResponse.retryLater(503, "machine type " + machineType + " is not known", 1);
         }
         return noCommands;
     }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatRouter.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatRouter.java
@@ -1,10 +1,10 @@
 package io.sillreel.heartbeat;
 
 import io.sillreel.agent.Heartbeat;
+import io.sillreel.agent.HeartbeatCodec;
 import io.sillreel.http.EventLoop;
 import io.sillreel.http.HttpRequest;
 import io.sillreel.http.HttpResponse;
-import io.sillreel.http.Json;
 import io.sillreel.peer.PeerMessages;
 import io.sillreel.settings.Settings.Member;
 import java.util.List;
@@ -49,10 +49,11 @@
             unansweredCount++;
             return answer(NOBODY_LEADS);
         }
-        Heartbeat heartbeat = Heartbeat.read(request.body());
-        if (heartbeat == null) {
-            return answer(HttpResponse.error(400, "hopper: is missing"));
+        Optional<Heartbeat> decoded = HeartbeatCodec.decode(request.body());
+        if (decoded.isEmpty()) {
+            return answer(HeartbeatCodec.malformedResponse());
         }
+        Heartbeat heartbeat = decoded.get();
         observer.observeHeartbeat(heartbeat);
         loadBalancer.recordHeartbeat(heartbeat.machine());
         String elsewhere = loadBalancer.takeRedirectTarget(heartbeat.machine());
@@ -65,7 +66,7 @@
         if (elsewhere != null) {
             redirectCount++;
             loadBalancer.recordRedirect(heartbeat.machine());
-            return answer(elsewhere(elsewhere));
+            return answer(HeartbeatCodec.redirectResponse(elsewhere));
         }
         if (current != null) {
             return answer(decide(current, heartbeat));
@@ -93,10 +94,6 @@
         return observer.mayAnswer(heartbeat, current.term()) ? current.handleHeartbeat(heartbeat) : NOBODY_LEADS;
     }
 
-    private static HttpResponse elsewhere(String node) {
-        return HttpResponse.of(421, Json.object().put("foreman", node));
-    }
-
     /** True if workers that report here have their reports answered. */
     public boolean isServing() {
         return leaderLocator.ownTerm() != null
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -1,6 +1,9 @@
 package io.sillreel.leadership;
 
+import io.sillreel.agent.AgentRoutes;
 import io.sillreel.agent.Heartbeat;
+import io.sillreel.agent.Heartbeat.MachineDescription;
+import io.sillreel.agent.HeartbeatCodec;
 import io.sillreel.cloud.CloudClient;
 import io.sillreel.cloud.MachineType;
 import io.sillreel.cluster.Cluster;
@@ -317,7 +320,9 @@
 
     @Override
     public boolean adoptMachine(Heartbeat heartbeat) {
-        return fleet.adopt(heartbeat.machine(), heartbeat.machineType(), heartbeat.zone(), heartbeat.spot()) != null;
+        MachineDescription description = heartbeat.description();
+        return fleet.adopt(heartbeat.machine(), description.machineType(), description.zone(), description.isSpot())
+                != null;
     }
 
     @Override
@@ -348,11 +353,13 @@
         long epoch = machine.heartbeatOrder().epoch();
         long sequence = machine.heartbeatOrder().sequence();
         httpClient
-                .send(machine.address(), HttpRequest.get("/status"), STATUS_TIMEOUT_MICROS)
+                .send(machine.address(), HttpRequest.get(AgentRoutes.STATUS), STATUS_TIMEOUT_MICROS)
                 .thenAccept(response -> {
-                    Heartbeat heartbeat = !closed && response.isOk() ? Heartbeat.read(response.body()) : null;
-                    if (heartbeat != null && heartbeat.machine().equals(machine.name())) {
-                        heartbeatProcessor.processStatusResponse(heartbeat, epoch, sequence);
+                    if (!closed && response.isOk()) {
+                        HeartbeatCodec.decode(response.body())
+                                .filter(heartbeat -> heartbeat.machine().equals(machine.name()))
+                                .ifPresent(heartbeat ->
+                                        heartbeatProcessor.processStatusResponse(heartbeat, epoch, sequence));
                     }
                 });
     }
--- a/src/main/java/io/sillreel/leadership/SchedulingCycle.java
+++ b/src/main/java/io/sillreel/leadership/SchedulingCycle.java
@@ -1,7 +1,7 @@
 package io.sillreel.leadership;
 
 import io.sillreel.agent.AgentCommands;
-import io.sillreel.agent.Heartbeat;
+import io.sillreel.agent.HeartbeatCodec;
 import io.sillreel.cluster.Allocation;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
@@ -144,15 +144,10 @@
         if (commands.isEmpty()) {
             return;
         }
-        HttpRequest request = HttpRequest.post(
-                "/do",
-                commands.toJson(term).put("shift", machine.heartbeatOrder().epoch()));
+        HttpRequest request = commands.toRequest(term, machine.heartbeatOrder().epoch());
         httpClient.send(machine.address(), request, COMMAND_TIMEOUT_MICROS).thenAccept(response -> {
             if (!closed && (response.status() == 200 || response.status() == 409)) {
-                Heartbeat heartbeat = Heartbeat.read(response.body());
-                if (heartbeat != null) {
-                    heartbeatProcessor.processCommandResponse(heartbeat);
-                }
+                HeartbeatCodec.decode(response.body()).ifPresent(heartbeatProcessor::processCommandResponse);
             }
         });
     }
--- a/src/main/java/io/sillreel/peer/PeerMessages.java
+++ b/src/main/java/io/sillreel/peer/PeerMessages.java
@@ -6,6 +6,7 @@
 import com.fasterxml.jackson.dataformat.cbor.CBORGenerator;
 import com.fasterxml.jackson.dataformat.cbor.CBORParser;
 import io.sillreel.agent.Heartbeat;
+import io.sillreel.agent.Heartbeat.MachineDescription;
 import io.sillreel.agent.Heartbeat.TaskStatus;
 import io.sillreel.http.HttpRequest;
 import io.sillreel.http.HttpResponse;
@@ -131,9 +132,9 @@
         out.writeStartArray(null, 10);
         out.writeString(heartbeat.machine());
         out.writeString(heartbeat.address());
-        out.writeString(heartbeat.machineType());
-        out.writeString(heartbeat.zone());
-        out.writeBoolean(heartbeat.spot());
+        out.writeString(heartbeat.description().machineType());
+        out.writeString(heartbeat.description().zone());
+        out.writeBoolean(heartbeat.description().isSpot());
         out.writeNumber(heartbeat.epoch());
         out.writeNumber(heartbeat.sequence());
         out.writeNumber(heartbeat.fencingToken());
@@ -188,7 +189,15 @@
             in.nextToken();
         }
         in.nextToken();
-        return new Heartbeat(machine, address, machineType, zone, spot, epoch, sequence, token, recallMicros, tasks);
+        return new Heartbeat(
+                machine,
+                address,
+                new MachineDescription(machineType, zone, spot),
+                epoch,
+                sequence,
+                token,
+                recallMicros,
+                tasks);
     }
 
     /** The lease leader's answers to reports, in their order. */
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -7,6 +7,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.agent.AgentCommands;
 import io.sillreel.agent.Heartbeat;
+import io.sillreel.agent.Heartbeat.MachineDescription;
 import io.sillreel.cluster.ScaleOutRequest;
 import io.sillreel.cluster.ScaleOutRequestCodec;
 import io.sillreel.http.HttpResponse;
@@ -179,9 +180,7 @@
         Heartbeat heartbeat = new Heartbeat(
                 "host-000231",
                 "10.1.0.232:9000",
-                "g8",
-                "a",
-                true,
+                new MachineDescription("g8", "a", true),
                 1,
                 88,
                 41,
--- a/src/test/java/io/sillreel/heartbeat/HeartbeatBatchTest.java
+++ b/src/test/java/io/sillreel/heartbeat/HeartbeatBatchTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.sillreel.agent.Heartbeat;
+import io.sillreel.agent.Heartbeat.MachineDescription;
 import io.sillreel.http.HttpResponse;
 import io.sillreel.peer.PeerMessages;
 import io.sillreel.sim.SimTime;
@@ -13,7 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 class HeartbeatBatchTest {
-    private static final Heartbeat REPORT = new Heartbeat("host-000001", "", "c4", "a", false, 1, 1, 1, -1, List.of());
+    private static final Heartbeat REPORT =
+            new Heartbeat("host-000001", "", new MachineDescription("c4", "a", false), 1, 1, 1, -1, List.of());
 
     private final SimTime time = new SimTime();
     private final SimTime.Process process = time.new Process();
--- a/src/test/java/io/sillreel/heartbeat/HeartbeatRelayTest.java
+++ b/src/test/java/io/sillreel/heartbeat/HeartbeatRelayTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.sillreel.agent.Heartbeat;
+import io.sillreel.agent.Heartbeat.MachineDescription;
 import io.sillreel.agent.Heartbeat.TaskStage;
 import io.sillreel.agent.Heartbeat.TaskStatus;
 import io.sillreel.http.HttpRequest;
@@ -35,7 +36,8 @@
                 new HeartbeatRelay(time.new Process(), (address, request, timeout) -> answer(request), () -> workers);
         int soon = 0;
         for (int i = 0; i < 100; i++) {
-            Heartbeat heartbeat = new Heartbeat("host-%06d".formatted(i), "", "c4", "a", true, 1, i, 1, -1, List.of());
+            Heartbeat heartbeat = new Heartbeat(
+                    "host-%06d".formatted(i), "", new MachineDescription("c4", "a", true), 1, i, 1, -1, List.of());
             CompletableFuture<HttpResponse> reply = heartbeatRelay.relay(heartbeat, "leader:1");
             time.runFor(10_000);
             time.runFor(5_000);
@@ -61,7 +63,8 @@
     }
 
     private static Heartbeat report(int number, List<TaskStatus> tasks) {
-        return new Heartbeat("host-%06d".formatted(number), "", "c4", "a", true, 1, 1, 1, -1, tasks);
+        return new Heartbeat(
+                "host-%06d".formatted(number), "", new MachineDescription("c4", "a", true), 1, 1, 1, -1, tasks);
     }
 
     /** Guards a follower of thousands: two batches of 64 a round trip were 1,300 reports a second at 100 ms. */
@@ -115,7 +118,9 @@
                 (address, request, timeout) -> CompletableFuture.completedFuture(response),
                 () -> 1);
         for (int i = 0; i < batches; i++) {
-            heartbeatRelay.relay(new Heartbeat("host-000001", "", "c4", "a", true, 1, i, 1, -1, List.of()), "leader:1");
+            heartbeatRelay.relay(
+                    new Heartbeat("host-000001", "", new MachineDescription("c4", "a", true), 1, i, 1, -1, List.of()),
+                    "leader:1");
             time.runFor(100_000);
         }
         return heartbeatRelay;
--- a/src/test/java/io/sillreel/placement/PlannerTest.java
+++ b/src/test/java/io/sillreel/placement/PlannerTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.sillreel.agent.Heartbeat;
+import io.sillreel.agent.Heartbeat.MachineDescription;
 import io.sillreel.agent.Heartbeat.TaskStage;
 import io.sillreel.cloud.MachineType;
 import io.sillreel.cloud.MachineType.ImageStorage;
@@ -63,7 +64,9 @@
                 cluster.allocationIndex());
         cluster.add(machine);
         machine.acceptHeartbeat(
-                new Heartbeat(name, name + ":1", "c4", "a", spot, 1, 1, 1, -1, List.of()), false, nowMicros);
+                new Heartbeat(name, name + ":1", new MachineDescription("c4", "a", spot), 1, 1, 1, -1, List.of()),
+                false,
+                nowMicros);
         machine.markReconciled();
         return machine;
     }
@@ -214,7 +217,10 @@
         nowMicros += 61 * SECOND;
         cluster.machine("host-000001")
                 .acceptHeartbeat(
-                        new Heartbeat("host-000001", "", "c4", "a", true, 1, 2, 1, -1, List.of()), false, nowMicros);
+                        new Heartbeat(
+                                "host-000001", "", new MachineDescription("c4", "a", true), 1, 2, 1, -1, List.of()),
+                        false,
+                        nowMicros);
         assertThat(plan().launches().get("host-000001")).containsExactly(new Assignment(low, 1));
     }
 
