--- a/src/main/java/io/sillreel/heartbeat/HeartbeatRouter.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatRouter.java
@@ -11,9 +11,12 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** Brings workers' reports to where they can be decided: here, at the lease leader, or at another controller. */
+/**
+ * Routes the heartbeats of workers to the controller that decides about them: processed here if this controller leads,
+ * relayed to the leader, or redirected to another controller. Used on the event loop only.
+ */
 public final class HeartbeatRouter {
-    private static final HttpResponse NOBODY_LEADS = HttpResponse.retryLater(503, "nobody holds the lease", 1);
+    private static final HttpResponse NO_LEADER = HttpResponse.retryLater(503, "nobody holds the lease", 1);
 
     private final EventLoop eventLoop;
     private final LeaderLocator leaderLocator;
@@ -26,52 +29,70 @@
     private int unansweredCount;
     private int previousUnansweredCount;
 
+    /** @param observer sees all heartbeats, and may keep a leader from answering one */
     public HeartbeatRouter(
             EventLoop eventLoop,
             LeaderLocator leaderLocator,
             HeartbeatRelay heartbeatRelay,
             WorkerLoadBalancer loadBalancer,
-            HeartbeatObserver watcher) {
+            HeartbeatObserver observer) {
         this.eventLoop = eventLoop;
         this.leaderLocator = leaderLocator;
         this.heartbeatRelay = heartbeatRelay;
         this.loadBalancer = loadBalancer;
-        this.observer = watcher;
+        this.observer = observer;
     }
 
-    /** A worker's report: decided here, handed on to the lease leader, or sent to where it can be. */
+    /**
+     * Routes the heartbeat of a worker and completes with the response to it: status 200 with commands, 400 for a
+     * malformed one, 421 with the controller to turn to, or 503 if it can't be decided now.
+     */
     public CompletableFuture<HttpResponse> route(HttpRequest request) {
         heartbeatCount++;
-        LeaderHeartbeats current = leaderLocator.ownTerm();
-        Optional<Member> leader = current != null ? Optional.empty() : leaderLocator.remoteLeader();
-        if (current == null && leader.isEmpty()) {
-            // Not even read: right after a start hundreds ask, and the election can't wait for that.
+        LeaderHeartbeats ownTerm = leaderLocator.ownTerm();
+        Optional<Member> leader = ownTerm != null ? Optional.empty() : leaderLocator.remoteLeader();
+        if (ownTerm == null && leader.isEmpty()) {
+            // Not even decoded: right after a start hundreds of workers send, and the election has to go on.
             unansweredCount++;
-            return answer(NOBODY_LEADS);
+            return completed(NO_LEADER);
         }
         Optional<Heartbeat> decoded = HeartbeatCodec.decode(request.body());
         if (decoded.isEmpty()) {
-            return answer(HeartbeatCodec.malformedResponse());
+            return completed(HeartbeatCodec.malformedResponse());
         }
         Heartbeat heartbeat = decoded.get();
         observer.observeHeartbeat(heartbeat);
         loadBalancer.recordHeartbeat(heartbeat.machine());
-        String elsewhere = loadBalancer.takeRedirectTarget(heartbeat.machine());
-        if (elsewhere == null
-                && current == null
-                && !heartbeatRelay.isReachable(leader.get().address())
-                && !loadBalancer.wasRedirectedRecently(heartbeat.machine())) {
-            elsewhere = leader.get().nodeName();
-        }
-        if (elsewhere != null) {
+        String redirectTarget = takeRedirectTarget(heartbeat.machine(), leader);
+        if (redirectTarget != null) {
             redirectCount++;
             loadBalancer.recordRedirect(heartbeat.machine());
-            return answer(HeartbeatCodec.redirectResponse(elsewhere));
+            return completed(HeartbeatCodec.redirectResponse(redirectTarget));
         }
-        if (current != null) {
-            return answer(decide(current, heartbeat));
+        return ownTerm != null
+                ? completed(process(ownTerm, heartbeat))
+                : relay(heartbeat, leader.get().address());
+    }
+
+    /**
+     * Returns the node to which the worker is redirected, or null: to balance the load, or straight to the leader while
+     * this controller can't reach it.
+     *
+     * @param leader the controller to which heartbeats are relayed; empty if they are processed here
+     */
+    private String takeRedirectTarget(String machine, Optional<Member> leader) {
+        String balanced = loadBalancer.takeRedirectTarget(machine);
+        if (balanced == null
+                && leader.isPresent()
+                && !heartbeatRelay.isReachable(leader.get().address())
+                && !loadBalancer.wasRedirectedRecently(machine)) {
+            return leader.get().nodeName();
         }
-        return heartbeatRelay.relay(heartbeat, leader.get().address()).thenApply(response -> {
+        return balanced;
+    }
+
+    private CompletableFuture<HttpResponse> relay(Heartbeat heartbeat, String leaderAddress) {
+        return heartbeatRelay.relay(heartbeat, leaderAddress).thenApply(response -> {
             if (!response.isOk()) {
                 unansweredCount++;
             }
@@ -79,22 +100,22 @@
         });
     }
 
-    /** Reports that another controller hands on. */
+    /** Processes a batch of heartbeats that another controller relays; 503 if this controller does not lead. */
     public CompletableFuture<HttpResponse> handleRelayed(HttpRequest request) {
-        LeaderHeartbeats current = leaderLocator.ownTerm();
-        if (current == null) {
-            return answer(HttpResponse.retryLater(503, "not the leader", 1));
+        LeaderHeartbeats ownTerm = leaderLocator.ownTerm();
+        if (ownTerm == null) {
+            return completed(HttpResponse.retryLater(503, "not the leader", 1));
         }
-        List<Heartbeat> reports = PeerMessages.decodeHeartbeats(request.body());
-        relayedCount += reports.size();
-        return new HeartbeatBatch(eventLoop, reports, heartbeat -> decide(current, heartbeat)).start();
+        List<Heartbeat> heartbeats = PeerMessages.decodeHeartbeats(request.body());
+        relayedCount += heartbeats.size();
+        return new HeartbeatBatch(eventLoop, heartbeats, heartbeat -> process(ownTerm, heartbeat)).start();
     }
 
-    private HttpResponse decide(LeaderHeartbeats current, Heartbeat heartbeat) {
-        return observer.mayAnswer(heartbeat, current.term()) ? current.handleHeartbeat(heartbeat) : NOBODY_LEADS;
+    private HttpResponse process(LeaderHeartbeats ownTerm, Heartbeat heartbeat) {
+        return observer.mayAnswer(heartbeat, ownTerm.term()) ? ownTerm.handleHeartbeat(heartbeat) : NO_LEADER;
     }
 
-    /** True if workers that report here have their reports answered. */
+    /** True if this controller can have the heartbeats of its workers answered. */
     public boolean isServing() {
         return leaderLocator.ownTerm() != null
                 || leaderLocator
@@ -103,33 +124,33 @@
                         .orElse(false);
     }
 
-    /** A second or so has passed; what went unanswered is remembered for one more. */
+    /** Starts a new window of {@link #recentlyUnansweredCount}; called about once a second. */
     public void startNextUnansweredWindow() {
         previousUnansweredCount = unansweredCount;
         unansweredCount = 0;
     }
 
-    /** Reports that could not be answered within the last two seconds or so. */
+    /** The heartbeats that were not answered in the present window and the one before, about two seconds. */
     public int recentlyUnansweredCount() {
         return unansweredCount + previousUnansweredCount;
     }
 
-    /** Reports that came from workers. */
+    /** The heartbeats that workers have sent to this controller. */
     public long heartbeatCount() {
         return heartbeatCount;
     }
 
-    /** Reports that other controllers handed on. */
+    /** The heartbeats that other controllers have relayed to this one. */
     public long relayedCount() {
         return relayedCount;
     }
 
-    /** Workers that were sent to another controller. */
+    /** The heartbeats that were answered with a redirect to another controller. */
     public long redirectCount() {
         return redirectCount;
     }
 
-    private static CompletableFuture<HttpResponse> answer(HttpResponse response) {
+    private static CompletableFuture<HttpResponse> completed(HttpResponse response) {
         return CompletableFuture.completedFuture(response);
     }
 }
