--- a/src/main/java/io/sillreel/pipeline/PlanOverflow.java
+++ b/src/main/java/io/sillreel/pipeline/PlanOverflow.java
@@ -93,7 +93,7 @@
             if (read.join().outcome() != StoreOutcome.OK) {
                 return Optional.empty();
             }
-            values.add(read.join().entry().value());
+            values.add(read.join().entry().orElseThrow().value());
         }
         return Optional.of(merge(plan, values));
     }
--- a/src/test/java/io/sillreel/placement/PlannerTest.java
+++ b/src/test/java/io/sillreel/placement/PlannerTest.java
@@ -21,8 +21,6 @@
 import io.sillreel.pipeline.PriorityClass;
 import io.sillreel.pipeline.TaskSpec;
 import io.sillreel.pipeline.Urgency;
-import io.sillreel.placement.Planner.Assignment;
-import io.sillreel.placement.Planner.Plan;
 import io.sillreel.settings.Settings.Team;
 import io.sillreel.settings.ValueLimits;
 import java.util.List;
@@ -96,7 +94,7 @@
         }
     }
 
-    private Plan plan() {
+    private PlacementPlan plan() {
         return planner.plan(nowMicros, nowMicros);
     }
 
@@ -109,7 +107,7 @@
         for (int i = 0; i < waitingJobs; i++) {
             job("free", PriorityClass.NORMAL, 10, 1, 0, false);
         }
-        Plan plan = plan();
+        PlacementPlan plan = plan();
         Machine reporting = cluster.machine("host-000001");
         Allocation ended = reporting.allocations().iterator().next();
         ended.updateStage(TaskStage.ENDED, nowMicros);
@@ -175,7 +173,7 @@
             allocation.updateStage(TaskStage.ENDED, nowMicros);
             allocation.release();
         });
-        assertThat(plan().launches().get("host-000001")).containsExactly(new Assignment(high, 4));
+        assertThat(plan().launches().get("host-000001")).containsExactly(new TaskAssignment(high, 4));
     }
 
     /** Guards the other teams' guarantees: what is within them stays, however long somebody waits. */
@@ -195,7 +193,7 @@
         ActiveJob small = job("free", PriorityClass.NORMAL, 20, 1, 0, false);
         Machine one = machine(1);
         run(small, one, 4);
-        Plan plan = plan();
+        PlacementPlan plan = plan();
         Allocation ended = one.allocations().iterator().next();
         ended.updateStage(TaskStage.ENDED, nowMicros);
         ended.release();
@@ -205,7 +203,7 @@
             allocation.updateStage(TaskStage.ENDED, nowMicros);
             allocation.release();
         });
-        assertThat(planner.planMachine(plan, one, nowMicros, nowMicros)).containsExactly(new Assignment(large, 1));
+        assertThat(planner.planMachine(plan, one, nowMicros, nowMicros)).containsExactly(new TaskAssignment(large, 1));
     }
 
     @Test
@@ -213,7 +211,7 @@
         ActiveJob low = job("free", PriorityClass.BEST_EFFORT, 1, 4, 60 * SECOND, false);
         ActiveJob high = job("free", PriorityClass.HIGH, 1, 4, 0, false);
         machine(1);
-        assertThat(plan().launches().get("host-000001")).containsExactly(new Assignment(high, 1));
+        assertThat(plan().launches().get("host-000001")).containsExactly(new TaskAssignment(high, 1));
         nowMicros += 61 * SECOND;
         cluster.machine("host-000001")
                 .acceptHeartbeat(
@@ -221,7 +219,7 @@
                                 "host-000001", "", new MachineDescription("c4", "a", true), 1, 2, 1, -1, List.of()),
                         false,
                         nowMicros);
-        assertThat(plan().launches().get("host-000001")).containsExactly(new Assignment(low, 1));
+        assertThat(plan().launches().get("host-000001")).containsExactly(new TaskAssignment(low, 1));
     }
 
     /**
@@ -233,8 +231,8 @@
         Machine ordinary = machine(2, false);
         ActiveJob other = job("free", PriorityClass.NORMAL, 4, 1, 0, false);
         ActiveJob saving = job("free", PriorityClass.NORMAL, 4, 1, 0, true);
-        Map<String, List<Assignment>> launches = plan().launches();
-        assertThat(launches.get(spot.name())).containsExactly(new Assignment(saving, 4));
-        assertThat(launches.get(ordinary.name())).containsExactly(new Assignment(other, 4));
+        Map<String, List<TaskAssignment>> launches = plan().launches();
+        assertThat(launches.get(spot.name())).containsExactly(new TaskAssignment(saving, 4));
+        assertThat(launches.get(ordinary.name())).containsExactly(new TaskAssignment(other, 4));
     }
 }
