--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -1,10 +1,7 @@
 package io.sillreel.leadership;
 
-import io.sillreel.agent.AgentRoutes;
 import io.sillreel.agent.Heartbeat;
 import io.sillreel.agent.Heartbeat.MachineDescription;
-import io.sillreel.agent.HeartbeatCodec;
-import io.sillreel.cloud.CloudClient;
 import io.sillreel.cloud.MachineType;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
@@ -24,10 +21,7 @@
 import io.sillreel.heartbeat.TermOperations;
 import io.sillreel.heartbeat.UnresponsiveMachines;
 import io.sillreel.http.EventLoop;
-import io.sillreel.http.HttpClient;
-import io.sillreel.http.HttpRequest;
 import io.sillreel.http.HttpResponse;
-import io.sillreel.limits.FleetCapacity;
 import io.sillreel.peer.Peers;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.LiveTaskCounts;
@@ -48,75 +42,90 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Everything a controller holds while it leads one term: built from the stored plans, records and fleet and from the
- * machines' reports, thrown away with the term. A deposed leader has nothing left to act on.
+ * Everything a controller holds while it leads one term. It is built from what is stored and from the heartbeats of
+ * machines, and discarded when the term ends, so that a former leader has no state left to act on. Runs on the event
+ * loop; jobs, machines and allocations are guarded by the lock of the cluster, since status requests read them too.
  */
-public final class LeaderTerm implements LeaderHeartbeats, TermOperations, LiveTaskCounts {
+public final class LeaderTerm implements LeaderHeartbeats, LiveTaskCounts {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
     private static final long TICK_MICROS = 100_000;
     private static final long FLEET_CYCLE_MICROS = 1_000_000;
     private static final long RETRY_MICROS = 300_000;
-    /** Launches need to have asked for cancellations this recently. */
-    private static final long CANCELLATIONS_STALE_MICROS = 4_000_000;
 
-    private static final long GRACE_MARGIN_MICROS = 1_500_000;
-    private static final long STATUS_TIMEOUT_MICROS = 3_000_000;
     private final EventLoop eventLoop;
     private final StateStore store;
-    private final HttpClient httpClient;
     private final Settings settings;
-    private final LeaderElection leadership;
+    private final LeaderElection election;
     private final long term;
     private final Supplier<Map<String, MachineType>> machineTypes;
     private final Cluster cluster;
-    private final WriteQueue writeQueue;
     private final RuntimeEstimator runtimeEstimator = new RuntimeEstimator();
+    private final WriteQueue writeQueue;
     private final CapacityPlanner capacity;
-    private final HeartbeatProcessor heartbeatProcessor;
-    private final FleetManager fleet;
+    private final SchedulingRequests scheduling;
     private final LeaderJobs jobs;
+    private final StoredChangeWatcher changes;
+    private final LeaderAuthority authority;
     private final LeaderStatus status;
     private final LeaderReachability reachability;
+    private final AgentClient agentClient;
+    private final HeartbeatProcessor heartbeatProcessor;
+    private final FleetManager fleet;
     private final SchedulingCycle schedulingCycle;
     private final StragglerDetector stragglerDetector;
-
-    private boolean loaded;
-    private boolean closed;
+    private final Operations operations = new Operations();
     private long fleetCycleMicros;
 
-    /** Creates the state of one term; {@link #start} begins to read what is stored. */
+    /**
+     * Creates the state of one term; {@link #start} begins to read what is stored.
+     *
+     * @param machineTypes the machine types that the cloud offers, empty until they are known
+     * @param peers the other controllers
+     */
     public LeaderTerm(
             EventLoop eventLoop,
-            StateStore store,
-            CloudClient cloud,
-            HttpClient httpClient,
-            Settings settings,
-            OperatorProperties operator,
-            FleetCapacity fleetCapacity,
-            LeaderElection leadership,
-            long term,
-            long leaderRevision,
-            Supplier<Map<String, MachineType>> types,
-            Peers peers) {
+            TermServices services,
+            TermConfiguration configuration,
+            Supplier<Map<String, MachineType>> machineTypes,
+            Peers peers,
+            LeaderElection election,
+            TermGrant grant) {
         this.eventLoop = eventLoop;
-        this.store = store;
-        this.httpClient = httpClient;
-        this.settings = settings;
-        this.leadership = leadership;
-        this.term = term;
-        this.machineTypes = types;
+        this.store = services.store();
+        this.settings = configuration.settings();
+        this.election = election;
+        this.term = grant.term();
+        this.machineTypes = machineTypes;
         this.cluster = new Cluster(settings.teams());
-        this.writeQueue = new WriteQueue(
+        this.writeQueue = newWriteQueue(grant);
+        ServiceLevelObjectives objectives = new ServiceLevelObjectives(settings.objectives(), runtimeEstimator);
+        Planner planner = new Planner(cluster, settings.workers().heartbeatIntervalMicros(), objectives);
+        this.capacity = new CapacityPlanner(cluster, objectives, runtimeEstimator);
+        this.scheduling = new SchedulingRequests(cluster);
+        this.jobs = newJobs();
+        this.changes = new StoredChangeWatcher(eventLoop, store, cluster, election, jobs);
+        this.authority = new LeaderAuthority(eventLoop, election, changes, settings.workers(), term);
+        this.status = new LeaderStatus(eventLoop, term, cluster, capacity, writeQueue);
+        this.reachability = new LeaderReachability(eventLoop, settings, election, peers, cluster);
+        this.agentClient = new AgentClient(services.agents(), term);
+        this.heartbeatProcessor = newHeartbeatProcessor(configuration.operator(), planner);
+        this.fleet = newFleet(services, configuration);
+        this.schedulingCycle = newSchedulingCycle(planner);
+        this.stragglerDetector = new StragglerDetector(cluster, runtimeEstimator);
+    }
+
+    private WriteQueue newWriteQueue(TermGrant grant) {
+        return new WriteQueue(
                 store,
                 eventLoop,
                 LeaderElection.LEADER_KEY,
-                leaderRevision,
+                grant.leaderRevision(),
                 settings.state().maxTransactionChanges(),
-                () -> leadership.resign("the leader key was overwritten"));
-        ServiceLevelObjectives objectives = new ServiceLevelObjectives(settings.objectives(), runtimeEstimator);
-        Planner planner = new Planner(cluster, settings.workers().heartbeatIntervalMicros(), objectives);
-        this.capacity = new CapacityPlanner(cluster, objectives, runtimeEstimator);
-        this.jobs = new LeaderJobs(
+                () -> election.resign("the leader key was overwritten"));
+    }
+
+    private LeaderJobs newJobs() {
+        return new LeaderJobs(
                 eventLoop,
                 store,
                 cluster,
@@ -124,85 +133,59 @@
                 capacity,
                 runtimeEstimator,
                 settings.state().values(),
-                this::requestScheduling,
-                this::stopTasks,
-                prefix -> leadership.resign("the watch of " + prefix + " was compacted"));
-        this.status = new LeaderStatus(eventLoop, term, cluster, capacity, writeQueue);
-        this.heartbeatProcessor = newHeartbeatProcessor(operator, planner);
-        this.stragglerDetector = new StragglerDetector(cluster, runtimeEstimator);
-        this.reachability = new LeaderReachability(eventLoop, settings, leadership, peers, cluster);
-        this.schedulingCycle = new SchedulingCycle(
-                eventLoop,
-                term,
-                cluster,
-                httpClient,
-                planner,
-                heartbeatProcessor,
-                new SpotInterruptionDrain(cluster, runtimeEstimator),
-                this::mayAct);
-        this.fleet = newFleet(cloud, operator, fleetCapacity);
+                scheduling);
     }
 
     private HeartbeatProcessor newHeartbeatProcessor(OperatorProperties operator, Planner planner) {
-        TaskEndHandler endHandler =
-                new TaskEndHandler(eventLoop, cluster, writeQueue, retrySchedule(operator), runtimeEstimator);
-        TaskReconciler reconciler = new TaskReconciler(cluster, endHandler, this);
+        RetrySchedule retries = new RetrySchedule(
+                operator.retryInitialMicros(), operator.retryMaximumMicros(), operator.parkedMicros());
+        TaskEndHandler endHandler = new TaskEndHandler(eventLoop, cluster, writeQueue, retries, runtimeEstimator);
+        TaskReconciler reconciler = new TaskReconciler(cluster, endHandler, operations);
         return new HeartbeatProcessor(
                 eventLoop,
                 term,
                 cluster,
                 reconciler,
                 new CommandWriter(eventLoop, new AttemptIds(term), cluster, planner),
-                new MachineLeases(eventLoop, cluster, settings.workers(), reconciler, this),
-                new UnresponsiveMachines(cluster, FleetThresholds.of(settings), this),
-                this);
+                new MachineLeases(eventLoop, cluster, settings.workers(), reconciler, operations),
+                new UnresponsiveMachines(cluster, FleetThresholds.of(settings), operations),
+                operations);
     }
 
-    private FleetManager newFleet(CloudClient cloud, OperatorProperties operator, FleetCapacity fleetCapacity) {
-        FleetCallbacks callbacks = new FleetCallbacks() {
-            @Override
-            public boolean mayAct() {
-                return LeaderTerm.this.mayAct();
-            }
-
-            @Override
-            public boolean isRoutingStable() {
-                return reachability.isRoutingStable();
-            }
-
-            @Override
-            public void clearTasks(Machine machine) {
-                heartbeatProcessor.clearTasks(machine);
-            }
-        };
+    private FleetManager newFleet(TermServices services, TermConfiguration configuration) {
         return new FleetManager(
                 eventLoop,
                 term,
                 cluster,
-                cloud,
+                services.cloud(),
                 writeQueue,
                 capacity,
-                new FleetConfiguration(settings, operator, fleetCapacity, machineTypes),
-                callbacks);
-    }
-
-    private void stopTasks(ActiveJob job) {
-        schedulingCycle.requestStops(job);
+                new FleetConfiguration(settings, configuration.operator(), configuration.fleetCapacity(), machineTypes),
+                operations);
     }
 
-    private static RetrySchedule retrySchedule(OperatorProperties operator) {
-        return new RetrySchedule(operator.retryInitialMicros(), operator.retryMaximumMicros(), operator.parkedMicros());
+    private SchedulingCycle newSchedulingCycle(Planner planner) {
+        return new SchedulingCycle(
+                eventLoop,
+                cluster,
+                planner,
+                heartbeatProcessor,
+                agentClient,
+                scheduling,
+                new SpotInterruptionDrain(cluster, runtimeEstimator),
+                authority::mayAct);
     }
 
-    /** Begins to read what is stored. */
+    /** Begins to read what is stored; heartbeats are answered once that is done. */
     public void start() {
         readStoredState();
     }
 
-    /** Ends the term here: nothing is written or launched any more. */
+    /** Ends the term on this controller: nothing is written or launched any more, and late responses are ignored. */
     public void close() {
-        closed = true;
-        schedulingCycle.close();
+        authority.close();
+        agentClient.close();
+        changes.close();
         jobs.close();
         writeQueue.close();
     }
@@ -212,168 +195,93 @@
         return term;
     }
 
-    /** Launches, rentals and returns need proof of holding the lease and of knowing the cancellations. */
-    @Override
-    public boolean mayAct() {
-        return !closed
-                && loaded
-                && leadership.isLeaseValid()
-                && leadership.heldTerm() == term
-                && eventLoop.nowMicros() - jobs.cancellationsKnownUntilMicros() < CANCELLATIONS_STALE_MICROS;
-    }
-
-    /**
-     * How long after the last proof reports are still answered. A cancellation that this leader can't hear of is told
-     * to a user after that proof; tasks answered until then plus the lease are gone before cancel_s is over.
-     */
-    private long gracePeriodMicros() {
-        return Math.max(
-                0, settings.workers().cancelMicros() - settings.workers().leaseMicros() - GRACE_MARGIN_MICROS);
-    }
-
-    private boolean mayKeepAlive() {
-        long proof = Math.min(leadership.leaseConfirmedMicros(), jobs.cancellationsKnownUntilMicros());
-        return eventLoop.nowMicros() < proof + gracePeriodMicros();
-    }
-
-    // --- Taking over -----------------------------------------------------------------------------------------------
-
     private void readStoredState() {
-        if (closed) {
+        if (authority.isClosed()) {
             return;
         }
         if (machineTypes.get().isEmpty()) {
             eventLoop.schedule(RETRY_MICROS, this::readStoredState);
             return;
         }
-        long asked = eventLoop.nowMicros();
+        long sentMicros = eventLoop.nowMicros();
         LongPredicate countsAsDemand = admitted -> DemandEstimator.isWithinWindow(admitted, eventLoop.wallMicros());
-        new StoredStateReader(store, settings.state().values().presentBytes(), countsAsDemand, () -> !closed)
+        new StoredStateReader(
+                        store, settings.state().values().presentBytes(), countsAsDemand, () -> !authority.isClosed())
                 .read()
                 .thenAccept(state -> {
-                    if (closed) {
+                    if (authority.isClosed()) {
                         return;
                     }
                     if (state.isEmpty()) {
                         eventLoop.schedule(RETRY_MICROS, this::readStoredState);
                         return;
                     }
-                    beginLeading(state.get(), asked);
+                    beginLeading(state.get(), sentMicros);
                 });
     }
 
-    private void beginLeading(StoredState state, long askedMicros) {
+    /** @param sentMicros when the stored state was requested */
+    private void beginLeading(StoredState state, long sentMicros) {
         synchronized (cluster) {
-            jobs.restore(state, askedMicros);
-            long bound = heartbeatProcessor.leaseExpiryMicros(eventLoop.nowMicros())
-                    + gracePeriodMicros()
-                    + GRACE_MARGIN_MICROS / 3;
-            state.scaleOutRequests().forEach(scaleOutRequest -> fleet.inherit(scaleOutRequest, bound));
-            loaded = true;
+            changes.cancellationsListed(sentMicros);
+            jobs.restore(state);
+            long aliveUntilMicros =
+                    heartbeatProcessor.leaseExpiryMicros(eventLoop.nowMicros()) + authority.predecessorGraceMicros();
+            state.scaleOutRequests().forEach(request -> fleet.inherit(request, aliveUntilMicros));
+            authority.stateLoaded();
             reachability.stateLoaded();
-            schedulingCycle.markDirty();
+            scheduling.requestPlan();
         }
         LOG.info(
                 "term {} starts with {} unfinished jobs and {} machines",
                 term,
                 cluster.jobs().size(),
                 cluster.machines().size());
-        jobs.follow(state);
+        changes.start(state);
         eventLoop.schedule(0, this::tick);
     }
 
-    /** A cancellation has been stored: heard of from the controller that stored it. */
+    /** Another controller has stored a cancellation and says so, before the watch of cancellations shows it. */
     public void jobCancelled(String uid) {
         jobs.jobCancelled(uid);
     }
 
-    // --- Reports ---------------------------------------------------------------------------------------------------
-
-    /** Answers a worker's report, or says that this controller may not. */
     @Override
     public HttpResponse handleHeartbeat(Heartbeat heartbeat) {
         if (heartbeat.fencingToken() > term) {
-            leadership.observeTerm(null, heartbeat.fencingToken());
+            election.observeTerm(null, heartbeat.fencingToken());
             return HttpResponse.retryLater(503, "a later term has begun", 1);
         }
-        if (closed || !loaded) {
+        if (!authority.isServing()) {
             return HttpResponse.retryLater(503, "the term is only beginning", 1);
         }
         reachability.heartbeatReceived();
-        if (!mayKeepAlive()) {
+        if (!authority.mayExtendMachineLeases()) {
             return HttpResponse.retryLater(503, "the state service has not confirmed the lease for too long", 1);
         }
-        if (!leadership.isLeaseValid() && reachability.shouldRedirect(heartbeat.machine())) {
+        if (!election.isLeaseValid() && reachability.shouldRedirect(heartbeat.machine())) {
             return HttpResponse.retryLater(503, "another controller may hold the lease by now", 1);
         }
         return heartbeatProcessor.process(heartbeat);
     }
 
-    /** Looks, about once a second, whether another controller had better lead. */
+    /** Resigns if this controller can't lead on, or another one would do better. Called about once a second. */
     public void checkReachability() {
         if (heartbeatProcessor.hasExhaustedAttemptIds()) {
-            leadership.resign("the attempt ids of the term are used up");
+            election.resign("the attempt ids of the term are used up");
             return;
         }
-        reachability.resignIfUnreachable(jobs.cancellationsKnownUntilMicros(), writeQueue.isStuck());
-    }
-
-    @Override
-    public boolean adoptMachine(Heartbeat heartbeat) {
-        MachineDescription description = heartbeat.description();
-        return fleet.adopt(heartbeat.machine(), description.machineType(), description.zone(), description.isSpot())
-                != null;
-    }
-
-    @Override
-    public boolean isMachineGone(String machine) {
-        return fleet.wasReturned(machine);
-    }
-
-    @Override
-    public void markMachineUp(Machine machine) {
-        fleet.recordMachineUp(machine);
-    }
-
-    @Override
-    public void markMachineDown(Machine machine) {
-        fleet.recordMachineDown(machine);
-    }
-
-    @Override
-    public void requestScheduling() {
-        schedulingCycle.markDirty();
+        reachability.resignIfUnreachable(changes.cancellationsKnownUntilMicros(), writeQueue.isStuck());
     }
 
-    @Override
-    public void queryMachineStatus(Machine machine) {
-        if (machine.address() == null) {
-            return;
-        }
-        long epoch = machine.heartbeatOrder().epoch();
-        long sequence = machine.heartbeatOrder().sequence();
-        httpClient
-                .send(machine.address(), HttpRequest.get(AgentRoutes.STATUS), STATUS_TIMEOUT_MICROS)
-                .thenAccept(response -> {
-                    if (!closed && response.isOk()) {
-                        HeartbeatCodec.decode(response.body())
-                                .filter(heartbeat -> heartbeat.machine().equals(machine.name()))
-                                .ifPresent(heartbeat ->
-                                        heartbeatProcessor.processStatusResponse(heartbeat, epoch, sequence));
-                    }
-                });
-    }
-
-    // --- Ticking ---------------------------------------------------------------------------------------------------
-
     private void tick() {
-        if (closed) {
+        if (authority.isClosed()) {
             return;
         }
         eventLoop.schedule(TICK_MICROS, this::tick);
         long now = eventLoop.nowMicros();
         schedulingCycle.tick(now);
-        if (mayAct() && now - fleetCycleMicros > FLEET_CYCLE_MICROS) {
+        if (authority.mayAct() && now - fleetCycleMicros > FLEET_CYCLE_MICROS) {
             fleetCycleMicros = now;
             synchronized (cluster) {
                 stragglerDetector.drainStragglers(now);
@@ -384,8 +292,6 @@
         }
     }
 
-    // --- For display -----------------------------------------------------------------------------------------------
-
     @Override
     public Counts countsOf(String uid) {
         synchronized (cluster) {
@@ -396,11 +302,61 @@
         }
     }
 
-    /** For metrics. */
+    /** The values of the term's metrics by their names. */
     public Map<String, Double> gauges() {
         Map<String, Double> gauges = status.gauges();
         gauges.put("sillreel.plans", (double) schedulingCycle.planCount());
         gauges.put("sillreel.plans.ms", schedulingCycle.totalPlanMicros() / 1_000.0);
         return gauges;
     }
+
+    /** What the processing of heartbeats and the fleet need from each other and from the term. */
+    private final class Operations implements TermOperations, FleetCallbacks {
+        @Override
+        public boolean mayAct() {
+            return authority.mayAct();
+        }
+
+        @Override
+        public boolean isRoutingStable() {
+            return reachability.isRoutingStable();
+        }
+
+        @Override
+        public boolean adoptMachine(Heartbeat heartbeat) {
+            MachineDescription description = heartbeat.description();
+            return fleet.adopt(heartbeat.machine(), description.machineType(), description.zone(), description.isSpot())
+                    != null;
+        }
+
+        @Override
+        public boolean isMachineGone(String machine) {
+            return fleet.wasReturned(machine);
+        }
+
+        @Override
+        public void markMachineUp(Machine machine) {
+            fleet.recordMachineUp(machine);
+        }
+
+        @Override
+        public void markMachineDown(Machine machine) {
+            fleet.recordMachineDown(machine);
+        }
+
+        @Override
+        public void clearTasks(Machine machine) {
+            heartbeatProcessor.clearTasks(machine);
+        }
+
+        @Override
+        public void requestScheduling() {
+            scheduling.requestPlan();
+        }
+
+        @Override
+        public void queryMachineStatus(Machine machine) {
+            agentClient.queryStatus(machine, heartbeatProcessor);
+        }
+    }
 }
