--- a/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
@@ -80,7 +80,8 @@
         }
         returnLost(now);
         returnUnreconciled(now);
-        for (Machine machine : capacityPlanner.surplusMachines(operator.idleMicros(), now, eventLoop.wallMicros())) {
+        for (Machine machine :
+                capacityPlanner.surplusMachines(operator.idleTimeoutMicros(), now, eventLoop.wallMicros())) {
             drain(machine, "it has no work");
         }
     }
