--- a/src/main/java/io/sillreel/cluster/Allocation.java
+++ b/src/main/java/io/sillreel/cluster/Allocation.java
@@ -113,6 +113,11 @@
         return stage == TaskStage.ENDED;
     }
 
+    /** True if the task is done and that is known only here and to its machine, not yet to the store. */
+    boolean hasUnstoredCompletion() {
+        return job != null && !job.isCancelled() && job.isTaskDone(taskIndex) && !job.isTaskStored(taskIndex);
+    }
+
     public void stop(long windDownMicros) {
         isStopping = true;
         gracePeriodMicros = windDownMicros;
--- a/src/main/java/io/sillreel/cluster/Machine.java
+++ b/src/main/java/io/sillreel/cluster/Machine.java
@@ -4,11 +4,8 @@
 import io.sillreel.cloud.MachineType;
 import io.sillreel.cluster.ImageCache.Image;
 import io.sillreel.pipeline.JobSpec;
-import java.util.ArrayList;
 import java.util.Collection;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 
 /** A machine of the fleet and what is known of it. */
 public final class Machine {
@@ -33,12 +30,11 @@
     private final ScaleOutRequest scaleOutRequest;
     private final long requestedMicros;
     private final AllocationIndex allocationIndex;
-    private final Map<String, Allocation> allocations = new LinkedHashMap<>();
+    private final MachineAllocations allocations = new MachineAllocations();
     private final ImageCache images;
     private final HeartbeatOrder heartbeatOrder = new HeartbeatOrder();
     private final Responsiveness responsiveness = new Responsiveness();
     private final MachineHealth health = new MachineHealth();
-    private final ResourceUsage usage;
 
     private State state = State.PROVISIONING;
     private String address;
@@ -73,7 +69,6 @@
         this.idleSinceMicros = rentedMicros;
         this.allocationIndex = book;
         this.images = new ImageCache(type.cacheGb());
-        this.usage = new ResourceUsage(allocations.values());
     }
 
     AllocationIndex allocationIndex() {
@@ -232,16 +227,7 @@
 
     /** True if nothing is on it that would be lost with it: no live task, and no result that only it knows. */
     public boolean isEmpty() {
-        for (Allocation allocation : allocations.values()) {
-            if (!allocation.hasEnded()
-                    || allocation.job() != null
-                            && !allocation.job().isCancelled()
-                            && allocation.job().isTaskDone(allocation.taskIndex())
-                            && !allocation.job().isTaskStored(allocation.taskIndex())) {
-                return false;
-            }
-        }
-        return true;
+        return !allocations.hasUnfinishedWork();
     }
 
     public long firstListedMicros() {
@@ -267,21 +253,16 @@
     }
 
     public Collection<Allocation> allocations() {
-        return allocations.values();
+        return allocations.all();
     }
 
     public Allocation allocation(String uid, int index, long attempt) {
-        return allocations.get(key(uid, index, attempt));
-    }
-
-    private static String key(String uid, int index, long attempt) {
-        return uid + "/" + index + "#" + attempt;
+        return allocations.find(uid, index, attempt);
     }
 
     /** Adds a task to the machine. */
     public void add(Allocation allocation) {
-        allocations.put(key(allocation.uid(), allocation.taskIndex(), allocation.attempt()), allocation);
-        invalidateUsage();
+        allocations.add(allocation);
         allocation.bindTo(this);
         if (allocation.job() != null) {
             images.markUsed(Image.of(allocation.job().spec()));
@@ -289,16 +270,12 @@
     }
 
     public void remove(Allocation allocation) {
-        allocations.remove(key(allocation.uid(), allocation.taskIndex(), allocation.attempt()));
-        invalidateUsage();
+        allocations.remove(allocation);
     }
 
     /** Removes all tasks and returns them. */
     public List<Allocation> clearAllocations() {
-        List<Allocation> gone = new ArrayList<>(allocations.values());
-        allocations.clear();
-        invalidateUsage();
-        return gone;
+        return allocations.clear();
     }
 
     public boolean hasImage(JobSpec spec) {
@@ -311,25 +288,27 @@
 
     /** Processors that are free; none on a machine whose report holds no more tasks. */
     public double freeCpus() {
-        return allocations.size() >= MAX_TASKS ? 0 : type.cpus() - usage.cpus();
+        return allocations.size() >= MAX_TASKS
+                ? 0
+                : type.cpus() - allocations.usage().cpus();
     }
 
     public double freeRamGb() {
-        return type.ramGb() - usage.ramGb();
+        return type.ramGb() - allocations.usage().ramGb();
     }
 
     public double freeGpus() {
-        return type.gpus() - usage.gpus();
+        return type.gpus() - allocations.usage().gpus();
     }
 
     /** Live tasks that have a place here. */
     public int liveTaskCount() {
-        return usage.tasks();
+        return allocations.usage().tasks();
     }
 
     /** A task came, ended or went: what they take is counted again when it is next asked for. */
     void invalidateUsage() {
-        usage.invalidate();
+        allocations.usage().invalidate();
     }
 
     /** How many more tasks of the job fit beside those that are here. */
--- /dev/null
+++ b/src/main/java/io/sillreel/fleet/LostMachineDetector.java
@@ -0,0 +1,78 @@
+package io.sillreel.fleet;
+
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
+import io.sillreel.settings.Settings.WorkerTimes;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+
+/**
+ * Finds single machines that no longer send heartbeats. Such a machine has most likely been taken without notice.
+ * Returning it makes that certain long before its lease expires, and its tasks can start elsewhere. When many fall
+ * silent together, a network partition or a common overload is more likely, and they come back: then nothing is found,
+ * and their leases decide. All access is under the lock of the cluster.
+ */
+final class LostMachineDetector {
+    /** A heartbeat may be late by so much without its machine being counted as overdue. */
+    private static final long HEARTBEAT_DELAY_MICROS = 1_000_000;
+    /** The time for one more heartbeat to arrive, even through a follower. */
+    private static final long SECOND_HEARTBEAT_MICROS = 1_500_000;
+    /** A worker whose controller is gone waits 4 s for its response and 1 s before it tries another controller. */
+    private static final long CONTROLLER_CHANGE_MICROS = 5_500_000;
+
+    private final Cluster cluster;
+    private final WorkerTimes times;
+    private final FleetThresholds thresholds;
+    private final FleetCallbacks callbacks;
+    /** When machines were found to be lost, within the last lease. */
+    private final List<Long> lostAtMicros = new ArrayList<>();
+
+    private long lastMassSilenceMicros = Long.MIN_VALUE / 2;
+
+    LostMachineDetector(Cluster cluster, WorkerTimes times, FleetThresholds thresholds, FleetCallbacks callbacks) {
+        this.cluster = cluster;
+        this.times = times;
+        this.thresholds = thresholds;
+        this.callbacks = callbacks;
+    }
+
+    /** Returns the machines that are lost now, each for a reason of its own. Those returned count as lost later on. */
+    List<Machine> detectLostMachines(long now) {
+        long timeout = times.heartbeatIntervalMicros() * 3 / 2
+                + (callbacks.isRoutingStable() ? SECOND_HEARTBEAT_MICROS : CONTROLLER_CHANGE_MICROS);
+        long overdueAfter = times.heartbeatIntervalMicros() * 5 / 4 + HEARTBEAT_DELAY_MICROS;
+        List<Machine> lost = new ArrayList<>();
+        int overdueCount = 0;
+        int onTimeCount = 0;
+        for (Machine machine : cluster.machines()) {
+            if (machine.state() == Machine.State.UP && machine.isReconciled()) {
+                long silent = now - machine.lastHeartbeatMicros();
+                overdueCount += silent > overdueAfter ? 1 : 0;
+                onTimeCount += silent > overdueAfter ? 0 : 1;
+                // Once the lease has expired nothing is gained, and the machine may be the last of many to come back.
+                if (silent > timeout && machine.leaseExpiryMicros() > now) {
+                    lost.add(machine);
+                }
+            }
+        }
+        updateMassSilence(overdueCount, onTimeCount, now);
+        // When machines that were cut off together come back, the last of them is on its way like the others.
+        if (now - lastMassSilenceMicros < CONTROLLER_CHANGE_MICROS + times.heartbeatIntervalMicros()) {
+            return List.of();
+        }
+        lostAtMicros.addAll(Collections.nCopies(lost.size(), now));
+        return lost;
+    }
+
+    private void updateMassSilence(int overdueCount, int onTimeCount, long now) {
+        // Machines that fall silent together become overdue one after the other. Those found recently count with them,
+        // or the machines of a partitioned zone would be returned two at a time.
+        lostAtMicros.removeIf(at -> now - at > times.leaseMicros());
+        if (onTimeCount == 0
+                || overdueCount + lostAtMicros.size()
+                        > thresholds.maxLost(cluster.machines().size())) {
+            lastMassSilenceMicros = now;
+        }
+    }
+}
--- a/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
@@ -6,8 +6,6 @@
 import io.sillreel.placement.CapacityPlanner;
 import io.sillreel.settings.OperatorProperties;
 import io.sillreel.settings.Settings.WorkerTimes;
-import java.util.ArrayList;
-import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -20,11 +18,8 @@
     /** A report with the new token follows the first one by half a second, and both may pass through a follower. */
     private static final long SECOND_HEARTBEAT_MICROS = 1_500_000;
 
-    private static final long HEARTBEAT_DELAY_MICROS = 1_000_000;
     /** A recalled machine is returned so long before the cloud would take it. */
     private static final long INTERRUPTION_MARGIN_MICROS = 1_500_000;
-    /** A worker whose controller is gone waits 4 s for its answer and 1 s before it tries another. */
-    private static final long CONTROLLER_CHANGE_MICROS = 5_500_000;
 
     private static final double MAX_SILENT_LEASES = 2.5;
 
@@ -34,10 +29,8 @@
     private final OperatorProperties operator;
     private final CapacityPlanner capacityPlanner;
     private final FleetThresholds thresholds;
-    private final FleetCallbacks callbacks;
-    private final List<Long> lostAtMicros = new ArrayList<>();
+    private final LostMachineDetector lostMachineDetector;
     private final long termStartMicros;
-    private long lastMassSilenceMicros = Long.MIN_VALUE / 2;
 
     ScaleInPolicy(
             EventLoop eventLoop,
@@ -53,38 +46,47 @@
         this.operator = operator;
         this.capacityPlanner = capacityPlanner;
         this.thresholds = thresholds;
-        this.callbacks = callbacks;
+        this.lostMachineDetector = new LostMachineDetector(cluster, times, thresholds, callbacks);
         this.termStartMicros = eventLoop.nowMicros();
     }
 
     /** Decides which machines are to go. */
     void drainSurplus(long now) {
         for (Machine machine : cluster.machines()) {
-            long sinceReport = now - Math.max(machine.lastHeartbeatMicros(), machine.requestedMicros());
             if (machine.state() == Machine.State.PROVISIONING) {
-                long patience = Math.max(
-                        MIN_BOOT_TIMEOUT_MICROS,
-                        BOOT_TIMEOUT_FACTOR * machine.type().bootMicros());
-                if (now - machine.requestedMicros() > patience && machine.leaseExpiryMicros() < now) {
-                    drain(machine, "it never came up");
-                }
+                drainIfNeverUp(machine, now);
             } else if (machine.state() == Machine.State.UP) {
-                // A cut zone or a machine that hangs mostly comes back; then it has its images and need not boot.
-                if (machine.leaseExpiryMicros() < now && sinceReport > MAX_SILENT_LEASES * times.leaseMicros()) {
-                    drain(machine, "it is silent");
-                } else if (machine.isInterrupted() && machine.isEmpty()) {
-                    drain(machine, "the cloud takes it back");
-                }
+                drainIfSilentOrInterrupted(machine, now);
             }
             returnInterrupted(machine, now);
         }
-        returnLost(now);
+        for (Machine machine : lostMachineDetector.detectLostMachines(now)) {
+            scheduleReturn(machine, "it has fallen silent");
+        }
         returnUnreconciled(now);
         for (Machine machine : capacityPlanner.surplusMachines(operator.idleMicros(), now, eventLoop.wallMicros())) {
             drain(machine, "it has no work");
         }
     }
 
+    private static void drainIfNeverUp(Machine machine, long now) {
+        long timeout = Math.max(
+                MIN_BOOT_TIMEOUT_MICROS, BOOT_TIMEOUT_FACTOR * machine.type().bootMicros());
+        if (now - machine.requestedMicros() > timeout && machine.leaseExpiryMicros() < now) {
+            drain(machine, "it never came up");
+        }
+    }
+
+    private void drainIfSilentOrInterrupted(Machine machine, long now) {
+        long silent = now - Math.max(machine.lastHeartbeatMicros(), machine.requestedMicros());
+        // A cut zone or a machine that hangs mostly comes back; then it has its images and need not boot.
+        if (machine.leaseExpiryMicros() < now && silent > MAX_SILENT_LEASES * times.leaseMicros()) {
+            drain(machine, "it is silent");
+        } else if (machine.isInterrupted() && machine.isEmpty()) {
+            drain(machine, "the cloud takes it back");
+        }
+    }
+
     /**
      * What runs on a recalled machine is lost in a moment. If the machine just vanished, its tasks would count as alive
      * until their lease ran out; once the cloud has taken it back on our word, they can start elsewhere at once.
@@ -99,47 +101,6 @@
         }
     }
 
-    /**
-     * A single machine that falls silent has most likely been taken without notice. Returning it makes that certain
-     * long before its lease does, and its tasks can start elsewhere. When many fall silent together, it is the network
-     * or they hang, and they come back: then their leases are waited for.
-     */
-    private void returnLost(long now) {
-        long patience = times.heartbeatIntervalMicros() * 3 / 2
-                + (callbacks.isRoutingStable() ? SECOND_HEARTBEAT_MICROS : CONTROLLER_CHANGE_MICROS);
-        long usual = times.heartbeatIntervalMicros() * 5 / 4 + HEARTBEAT_DELAY_MICROS;
-        List<Machine> lost = new ArrayList<>();
-        int overdue = 0;
-        int heard = 0;
-        for (Machine machine : cluster.machines()) {
-            if (machine.state() == Machine.State.UP && machine.isReconciled()) {
-                long silent = now - machine.lastHeartbeatMicros();
-                overdue += silent > usual ? 1 : 0;
-                heard += silent > usual ? 0 : 1;
-                // Past its lease there is no hurry any more, and it may be the last of many that are just coming back.
-                if (silent > patience && machine.leaseExpiryMicros() > now) {
-                    lost.add(machine);
-                }
-            }
-        }
-        // Those that fall silent together come overdue one after the other: what was given up lately counts with them,
-        // or a cut zone would be given away two machines at a time.
-        lostAtMicros.removeIf(at -> now - at > times.leaseMicros());
-        if (heard == 0
-                || overdue + lostAtMicros.size()
-                        > thresholds.maxLost(cluster.machines().size())) {
-            lastMassSilenceMicros = now;
-        }
-        // When those that were cut off together come back, the last of them is on its way like the others.
-        if (now - lastMassSilenceMicros < CONTROLLER_CHANGE_MICROS + times.heartbeatIntervalMicros()) {
-            return;
-        }
-        for (Machine machine : lost) {
-            scheduleReturn(machine, "it has fallen silent");
-            lostAtMicros.add(now);
-        }
-    }
-
     /**
      * Most machines report within seconds of a takeover, and again with the new token. The few that don't, or that
      * report and don't hear the answer, would hold up every job of an earlier term for as long as their leases might
