--- a/src/main/java/io/sillreel/fleet/CloudListReconciler.java
+++ b/src/main/java/io/sillreel/fleet/CloudListReconciler.java
@@ -10,6 +10,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -81,17 +82,26 @@
             Machine machine = cluster.machine(entry.name());
             if (machine == null) {
                 adoptIfUnknown(entry, asked);
-                continue;
-            }
-            unknownMachines.remove(entry.name());
-            machine.recordListed(eventLoop.nowMicros());
-            machine.updateAddress(entry.address());
-            if (entry.hasFailed()) {
-                LOG.info("machine {} has failed", machine.name());
-                callbacks.clearTasks(machine);
-                machine.drain();
+            } else {
+                unknownMachines.remove(entry.name());
+                updateListed(machine, entry);
             }
         }
+        removeUnlisted(present, asked);
+        unknownMachines.keySet().retainAll(present);
+    }
+
+    private void updateListed(Machine machine, ListedMachine entry) {
+        machine.recordListed(eventLoop.nowMicros());
+        machine.updateAddress(entry.address());
+        if (entry.hasFailed()) {
+            LOG.info("machine {} has failed", machine.name());
+            callbacks.clearTasks(machine);
+            machine.drain();
+        }
+    }
+
+    private void removeUnlisted(Set<String> present, long asked) {
         long lag = 2 * listLagMicros + 1_000_000;
         for (Machine machine : List.copyOf(cluster.machines())) {
             // A list may be older than the one before; what it lacks is gone only if it surely describes a later time.
@@ -103,7 +113,6 @@
                 registry.remove(machine);
             }
         }
-        unknownMachines.keySet().retainAll(present);
     }
 
     private void adoptIfUnknown(ListedMachine entry, long asked) {
@@ -117,8 +126,9 @@
         if (first == null || pending && asked - first < PENDING_REQUEST_MICROS) {
             return;
         }
-        Machine machine = registry.adopt(entry.name(), entry.machineType(), entry.zone(), entry.isSpot());
-        if (machine != null) {
+        Optional<Machine> adopted = registry.adopt(entry.name(), entry.machineType(), entry.zone(), entry.isSpot());
+        if (adopted.isPresent()) {
+            Machine machine = adopted.get();
             machine.updateAddress(entry.address());
             machine.recordListed(asked);
             if (entry.hasFailed()) {
--- a/src/main/java/io/sillreel/fleet/FleetManager.java
+++ b/src/main/java/io/sillreel/fleet/FleetManager.java
@@ -9,6 +9,7 @@
 import io.sillreel.settings.Settings;
 import io.sillreel.statestore.WriteQueue;
 import java.util.LinkedHashSet;
+import java.util.Optional;
 import java.util.Set;
 
 /** Rents, follows and returns machines while this controller holds the lease. */
@@ -84,7 +85,7 @@
     }
 
     /** A machine that no known rental brought: used from now on, once it is stored. */
-    public Machine adopt(String name, String machineType, String zone, boolean spot) {
+    public Optional<Machine> adopt(String name, String machineType, String zone, boolean spot) {
         return registry.adopt(name, machineType, zone, spot);
     }
 
--- a/src/main/java/io/sillreel/fleet/FleetRegistry.java
+++ b/src/main/java/io/sillreel/fleet/FleetRegistry.java
@@ -12,6 +12,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.slf4j.Logger;
@@ -108,30 +109,27 @@
     }
 
     /** A machine that no known rental brought: used from now on, once it is stored. */
-    Machine adopt(String name, String machineType, String zone, boolean spot) {
+    Optional<Machine> adopt(String name, String machineType, String zone, boolean spot) {
         MachineType type = types.get().get(machineType);
         if (type == null) {
-            return null;
+            return Optional.empty();
         }
         ScaleOutRequest scaleOutRequest =
                 new ScaleOutRequest("adopted-" + term + "-" + ++lastNameNumber, machineType, zone, spot, 1);
         scaleOutRequest.recordAnswer(List.of(name));
         add(scaleOutRequest);
         LOG.info("machine {} ({}, {}) was not expected, it is taken into the fleet", name, machineType, zone);
-        Machine machine = addMachine(name, scaleOutRequest, eventLoop.nowMicros());
+        addMachine(name, scaleOutRequest, eventLoop.nowMicros());
         writeQueue.enqueue(scaleOutRequest);
-        return machine;
+        return Optional.ofNullable(cluster.machine(name));
     }
 
     /** A machine of a rental joins the fleet, unless it has done so already. */
-    Machine addMachine(String name, ScaleOutRequest scaleOutRequest, long rentedMicros) {
+    void addMachine(String name, ScaleOutRequest scaleOutRequest, long rentedMicros) {
         MachineType type = types.get().get(scaleOutRequest.machineType());
-        if (type == null || cluster.machine(name) != null) {
-            return cluster.machine(name);
+        if (type != null && cluster.machine(name) == null) {
+            cluster.add(newMachine(name, type, scaleOutRequest, rentedMicros));
         }
-        Machine machine = newMachine(name, type, scaleOutRequest, rentedMicros);
-        cluster.add(machine);
-        return machine;
     }
 
     private Machine newMachine(String name, MachineType type, ScaleOutRequest scaleOutRequest, long rentedMicros) {
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -309,7 +309,8 @@
 
     @Override
     public Machine adoptMachine(Heartbeat heartbeat) {
-        return fleet.adopt(heartbeat.machine(), heartbeat.machineType(), heartbeat.zone(), heartbeat.spot());
+        return fleet.adopt(heartbeat.machine(), heartbeat.machineType(), heartbeat.zone(), heartbeat.spot())
+                .orElse(null);
     }
 
     @Override
--- a/src/test/java/io/sillreel/fleet/FleetRegistryTest.java
+++ b/src/test/java/io/sillreel/fleet/FleetRegistryTest.java
@@ -36,7 +36,7 @@
             Machine::clearAllocations);
 
     private void comeAndGo(String name) {
-        registry.remove(registry.adopt(name, "c4", "a", true));
+        registry.remove(registry.adopt(name, "c4", "a", true).orElseThrow());
     }
 
     /** Guards against reports that come minutes late, and against names that pile up for as long as a term lasts. */
