--- a/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
@@ -64,7 +64,8 @@
             scheduleReturn(machine, "it has fallen silent");
         }
         returnUnreconciled(now);
-        for (Machine machine : capacityPlanner.surplusMachines(operator.idleMicros(), now, eventLoop.wallMicros())) {
+        for (Machine machine :
+                capacityPlanner.surplusMachines(operator.idleTimeoutMicros(), now, eventLoop.wallMicros())) {
             drain(machine, "it has no work");
         }
     }
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -137,7 +137,9 @@
 
     private HeartbeatProcessor newHeartbeatProcessor(OperatorProperties operator, Planner planner) {
         RetrySchedule retries = new RetrySchedule(
-                operator.retryInitialMicros(), operator.retryMaximumMicros(), operator.parkedMicros());
+                operator.retryInitialDelayMicros(),
+                operator.retryMaxDelayMicros(),
+                operator.parkedRetryIntervalMicros());
         TaskEndHandler endHandler = new TaskEndHandler(eventLoop, cluster, writeQueue, retries, runtimeEstimator);
         TaskReconciler reconciler = new TaskReconciler(cluster, endHandler, operations);
         return new HeartbeatProcessor(
@@ -159,8 +161,7 @@
                 services.cloud(),
                 writeQueue,
                 capacity,
-                new FleetConfiguration(
-                        settings, configuration.operator(), configuration.fleetCapacity(), machineTypes),
+                new FleetConfiguration(settings, configuration.operator(), configuration.fleetCapacity(), machineTypes),
                 operations);
     }
 
--- a/src/main/java/io/sillreel/placement/TeamGuarantees.java
+++ b/src/main/java/io/sillreel/placement/TeamGuarantees.java
@@ -42,7 +42,8 @@
             }
             claimed.add(job.spec(), job.spec().tasks());
             QuotaUsage.Amount sum = claimed.ofTeam(job.spec().team());
-            if (sum.cpus() <= QuotaUsage.toMilli(team.cpus()) && sum.gpus() <= QuotaUsage.toMilli(team.gpus())) {
+            if (sum.cpus() <= QuotaUsage.toMilli(team.guaranteedCpus())
+                    && sum.gpus() <= QuotaUsage.toMilli(team.guaranteedGpus())) {
                 covered.add(job);
             }
         }
@@ -74,7 +75,7 @@
         if (known == null) {
             Team settings = cluster.team(team);
             known = cluster.allocationIndex().usage().ofTeam(team).cpus()
-                    - QuotaUsage.toMilli(settings == null ? 0 : settings.cpus());
+                    - QuotaUsage.toMilli(settings == null ? 0 : settings.guaranteedCpus());
             excessMilliCpus.put(team, known);
         }
         return known;
