--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -328,7 +328,7 @@
         public boolean adoptMachine(Heartbeat heartbeat) {
             MachineDescription description = heartbeat.description();
             return fleet.adopt(heartbeat.machine(), description.machineType(), description.zone(), description.isSpot())
-                    != null;
+                    .isPresent();
         }
 
         @Override
