--- a/src/main/java/io/sillreel/heartbeat/TaskEndHandler.java
+++ b/src/main/java/io/sillreel/heartbeat/TaskEndHandler.java
@@ -76,7 +76,7 @@
         machine.health().clearSuspicion(job.uid());
         drainMachinesThatFailed(job);
         if (job.markTaskDone(allocation.taskIndex()) && !job.isCancelled()) {
-            writeQueue.enqueue(job);
+            writeQueue.enqueue(job.recordWrite());
         }
     }
 
@@ -123,6 +123,6 @@
                 retries, eventLoop.wallMicros(), "its tasks failed on " + String.join(" and ", job.failedMachines()));
         job.failedMachines().clear();
         LOG.info("job {}: {}", job.uid(), job.reason());
-        writeQueue.enqueue(job);
+        writeQueue.enqueue(job.recordWrite());
     }
 }
--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -136,7 +136,7 @@
         }
         activate(job);
         if (job.isComplete() && !job.isCancelled()) {
-            writeQueue.enqueue(job);
+            writeQueue.enqueue(job.recordWrite());
         }
         return job;
     }
@@ -192,7 +192,7 @@
             capacity.recordArrival(job.spec(), job.readyWallMicros());
         }
         if (!job.isReleased()) {
-            writeQueue.enqueue(job);
+            writeQueue.enqueue(job.recordWrite());
         }
     }
 
--- a/src/main/java/io/sillreel/pipeline/ActiveJob.java
+++ b/src/main/java/io/sillreel/pipeline/ActiveJob.java
@@ -1,94 +1,85 @@
 package io.sillreel.pipeline;
 
 import io.sillreel.settings.ValueLimits;
-import io.sillreel.statestore.KeyChange;
 import io.sillreel.statestore.PendingWrite;
-import io.sillreel.statestore.WriteUrgency;
-import java.util.BitSet;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Optional;
 import java.util.Set;
-import org.agrona.collections.Int2IntCounterMap;
 
 /**
- * A pipeline as its lease leader drives it: which tasks are done, which have an allocation on a machine, and what of
- * that is stored. Nothing is launched before the release is stored, nothing is reaped before the settlement is.
+ * An unfinished job as the leader drives it: which tasks are done, which have an allocation on a machine, how urgent
+ * the job is, and what of that is stored. No task is launched before the release is stored, and no worker is told to
+ * drop a completed task before its completion is stored.
+ *
+ * <p>Tasks, urgency and retry state are changed under the lock of the cluster. The write of the record is driven by the
+ * write queue in the event loop.
  */
-public final class ActiveJob implements PendingWrite {
-    /** Told in the loop about what happened to the record. */
+public final class ActiveJob {
+    /** Told in the event loop what became of the job's record. */
     public interface Listener {
+        /** The record is stored; {@link #isCompletionStored} tells whether the job is over. */
         void recordStored(ActiveJob job);
 
+        /** The record can't be stored, since the job is cancelled. */
         void cancellationFound(ActiveJob job);
 
-        /** These are to be written as well, or the job again if it is among them. */
-        void enqueueWrites(List<? extends PendingWrite> items);
+        /** Writes to be queued, among them the job's own record if it has to be written again. */
+        void enqueueWrites(List<? extends PendingWrite> writes);
     }
 
     private final JobSpec spec;
     private final long planRevision;
     private final long admittedWallMicros;
     private final Listener listener;
-    private final StoredCompletionBitmap done;
-    private final BitSet allocated = new BitSet();
-    /** Tasks that are done or have an allocation; kept with the counts, since reports ask for them all the time. */
-    private final BitSet occupied = new BitSet();
-
-    private final Int2IntCounterMap allocations = new Int2IntCounterMap(0);
+    private final StoredCompletionBitmap completed;
+    private final RunRecordWrite recordWrite;
+    private final TaskOccupancy occupancy;
+    private final TaskRuntimes runtimes = new TaskRuntimes();
+    private final EffectiveUrgency urgency;
     private final Set<String> failedMachines = new HashSet<>();
-
-    private int allocatedCount;
-    private int occupiedCount;
-    private int measuredTaskCount;
-    private long measuredMicros;
-    private long longestTaskMicros;
-    private long runRevision;
-    private PriorityClass effectivePriority;
-    private long inheritedDeadlineMicros;
-    private boolean markReady;
+    private RetryState retry = RetryState.NONE;
+    private boolean hasSucceededOnce;
+    private boolean isReady;
     private long readyWallMicros;
-    private boolean isReleased;
     private boolean isInherited;
-    private boolean doneSent;
-    private boolean isCompletionStored;
     private boolean isCancelled;
-    private RetryState retry = RetryState.NONE;
-    private int sentFailedAttempts;
-    private boolean hasSucceededOnce;
 
     /**
      * Creates a job that has not been released; {@link #inherit} adds what is stored of it.
      *
-     * @param limits decides in which form the done set is stored
+     * @param planRevision the revision of the stored plan
+     * @param admittedWallMicros when the job was admitted; time of day
+     * @param limits decide in which form the completion bitmap is stored
      */
-    public ActiveJob(JobSpec spec, long planRevision, long admittedWallMicros, ValueLimits limits, Listener watcher) {
+    public ActiveJob(JobSpec spec, long planRevision, long admittedWallMicros, ValueLimits limits, Listener listener) {
         this.spec = spec;
         this.planRevision = planRevision;
         this.admittedWallMicros = admittedWallMicros;
-        this.listener = watcher;
-        this.done = new StoredCompletionBitmap(
-                spec.uid(), spec.tasks(), limits, () -> watcher.enqueueWrites(List.of(this)));
-        resetInheritedUrgency();
-        this.markReady = spec.dependencies().isEmpty();
+        this.listener = listener;
+        this.completed = new StoredCompletionBitmap(spec.uid(), spec.tasks(), limits, this::enqueueRecordWrite);
+        this.recordWrite = new RunRecordWrite(this, completed, listener);
+        this.occupancy = new TaskOccupancy(spec.tasks());
+        this.urgency = new EffectiveUrgency(spec.urgency(), admittedWallMicros);
+        this.isReady = spec.dependencies().isEmpty();
         this.readyWallMicros = admittedWallMicros;
     }
 
-    /** Takes over what an earlier leader stored: the job may have tasks anywhere in the stored fleet. */
+    private void enqueueRecordWrite() {
+        listener.enqueueWrites(List.of(recordWrite));
+    }
+
+    /** Takes over what an earlier leader stored: any inherited machine may run tasks of the job. */
     public void inherit(long revision, RunRecord record, StoredChunks storedChunks) {
-        runRevision = revision;
-        isReleased = true;
+        recordWrite.inherit(revision, record);
         isInherited = true;
-        markReady = true;
+        isReady = true;
         if (record.readyWallMicros() > 0) {
             readyWallMicros = record.readyWallMicros();
         }
         retry = record.retry();
-        sentFailedAttempts = retry.failedAttempts();
-        done.inherit(record.bitmap(), storedChunks);
-        done.copyInto(occupied);
-        occupiedCount = done.count();
-        hasSucceededOnce = done.count() > 0;
+        completed.inherit(record.bitmap(), storedChunks);
+        occupancy.inherit(completed);
+        hasSucceededOnce = completed.count() > 0;
     }
 
     public JobSpec spec() {
@@ -99,67 +90,67 @@
         return spec.uid();
     }
 
-    /** Plans are served in the order of these stamps. */
+    /** The revision of the stored plan; jobs of equal urgency are served in this order. */
     public long planRevision() {
         return planRevision;
     }
 
+    /** When the job was admitted; time of day. */
     public long admittedWallMicros() {
         return admittedWallMicros;
     }
 
-    /** When the last job that it awaits was done; when it was admitted if it awaits none. */
+    /** When the last dependency was done, or the job was admitted if it has none; time of day. */
     public long readyWallMicros() {
         return readyWallMicros;
     }
 
-    /** The highest rank of the job and of all that need it: it decides the order, and who may be stopped for whom. */
+    /** The highest priority class of the job and of all that depend on it; it decides order and preemption. */
     public PriorityClass effectivePriority() {
-        return effectivePriority;
+        return urgency.priorityClass();
     }
 
-    /** By when whoever needs the job needs it, or the largest value there is; time of day. */
+    /** By when its dependents need the job, time of day; {@link Long#MAX_VALUE} without a deadline. */
     public long inheritedDeadlineMicros() {
-        return inheritedDeadlineMicros;
+        return urgency.inheritedDeadlineMicros();
     }
 
-    /** When the job has to be done: by its own deadline, counted from its submission, and for those that need it. */
+    /** By when the job has to be done for itself and for its dependents, time of day. */
     public long effectiveDeadlineMicros() {
-        return Math.min(
-                inheritedDeadlineMicros,
-                spec.deadlineMicros() < 0 ? Long.MAX_VALUE : admittedWallMicros + spec.deadlineMicros());
+        return urgency.deadlineWallMicros();
     }
 
-    /** A job of that rank needs this one by then; true if that is more urgent than all before. */
-    public boolean inheritUrgency(PriorityClass byRank, long byMicros) {
-        boolean more = byRank.isAbove(effectivePriority) || byMicros < inheritedDeadlineMicros;
-        effectivePriority = byRank.isAbove(effectivePriority) ? byRank : effectivePriority;
-        inheritedDeadlineMicros = Math.min(inheritedDeadlineMicros, byMicros);
-        return more;
+    /**
+     * Inherits the urgency of a dependent job.
+     *
+     * @param deadlineWallMicros by when the dependent needs this job
+     * @return true if this job is more urgent than before
+     */
+    public boolean inheritUrgency(PriorityClass dependentPriority, long deadlineWallMicros) {
+        return urgency.inherit(dependentPriority, deadlineWallMicros);
     }
 
-    /** Forgets what others have made of its urgency. */
+    /** Forgets the urgency that was inherited. */
     public void resetInheritedUrgency() {
-        effectivePriority = spec.priorityClass();
-        inheritedDeadlineMicros = Long.MAX_VALUE;
+        urgency.reset();
     }
 
-    /** All that it awaits is done. */
+    /** All dependencies are done. */
     public void markReady(long wallMicros) {
-        if (!markReady) {
-            markReady = true;
+        if (!isReady) {
+            isReady = true;
             readyWallMicros = wallMicros;
         }
     }
 
-    /** True while it awaits other jobs: it asks for nothing, and takes nothing of any limit or guarantee. */
+    /** True while a dependency is not done: the job demands no machine and uses no quota or guarantee. */
     public boolean hasUnmetDependencies() {
-        return !markReady;
+        return !isReady;
     }
 
     /** True once the release is stored: only then may tasks be launched. */
     public boolean isReleased() {
-        return isReleased;
+        return recordWrite.isReleased();
     }
 
     /** True if an earlier leader may have launched tasks of this job. */
@@ -171,214 +162,117 @@
         return isCancelled;
     }
 
+    /** Marks the job as cancelled; its tasks are stopped, and none is launched any more. */
     public void cancel() {
         isCancelled = true;
     }
 
+    /** True if all tasks are done, whether or not that is stored. */
     public boolean isComplete() {
-        return done.isComplete();
+        return completed.isComplete();
     }
 
-    /** True once every user may be told that the job is done. */
+    /** True once it is stored that the job is done, so that users may be told. */
     public boolean isCompletionStored() {
-        return isCompletionStored;
+        return recordWrite.isCompletionStored();
     }
 
     public int doneCount() {
-        return done.count();
+        return completed.count();
     }
 
     public boolean isTaskDone(int task) {
-        return done.contains(task);
+        return completed.contains(task);
     }
 
+    /** True once it is stored that the task is done. */
     public boolean isTaskStored(int task) {
-        return done.isStored(task);
+        return completed.isStored(task);
     }
 
-    /** Marks the task as completed; true if that is news. */
+    /** Marks the task as done and ends the series of failed attempts; false if it was done before. */
     public boolean markTaskDone(int task) {
-        if (!done.add(task)) {
+        if (!completed.add(task)) {
             return false;
         }
-        if (!occupied.get(task)) {
-            occupied.set(task);
-            occupiedCount++;
-        }
+        occupancy.markDone(task);
         hasSucceededOnce = true;
         failedMachines.clear();
         retry = RetryState.NONE;
         return true;
     }
 
-    /** One more allocation of the task; normally the only one. */
+    /** Adds an allocation of the task; normally its only one. */
     public void allocate(int task) {
-        allocations.incrementAndGet(task);
-        if (!allocated.get(task)) {
-            allocated.set(task);
-            allocatedCount++;
-            if (!occupied.get(task)) {
-                occupied.set(task);
-                occupiedCount++;
-            }
-        }
+        occupancy.allocate(task);
     }
 
-    /**
-     * One allocation less. A task waits again only once none is left: two may be known for a moment after a takeover.
-     */
+    /** Removes an allocation of the task; the task waits again once none is left. */
     public void deallocate(int task) {
-        if (allocations.decrementAndGet(task) <= 0) {
-            allocations.remove(task);
-            if (allocated.get(task)) {
-                allocated.clear(task);
-                allocatedCount--;
-                if (!done.contains(task)) {
-                    occupied.clear(task);
-                    occupiedCount--;
-                }
-            }
-        }
+        occupancy.deallocate(task, completed.contains(task));
     }
 
     public boolean isAllocated(int task) {
-        return allocated.get(task);
+        return occupancy.isAllocated(task);
     }
 
+    /** How many tasks have an allocation. */
     public int allocatedCount() {
-        return allocatedCount;
+        return occupancy.allocatedCount();
     }
 
-    /** The next task that is neither done nor on a machine, or -1. */
+    /** The first task that is neither done nor allocated, or -1. */
     public int nextWaitingTask() {
-        int task = occupied.nextClearBit(0);
-        return task < spec.tasks() ? task : -1;
+        return occupancy.nextWaitingTask();
     }
 
+    /** How many tasks are neither done nor allocated. */
     public int waitingCount() {
-        return spec.tasks() - occupiedCount;
-    }
-
-    /** One of the job's tasks has ended after it ran for so long. */
-    public void recordTaskRuntime(long micros) {
-        measuredTaskCount++;
-        measuredMicros += micros;
-        longestTaskMicros = Math.max(longestTaskMicros, micros);
+        return occupancy.waitingCount();
     }
 
-    /** How many of its tasks have been seen to run and end in this term. */
-    public int measuredTaskCount() {
-        return measuredTaskCount;
+    /** The run times of the job's tasks that ended in this term. */
+    public TaskRuntimes runtimes() {
+        return runtimes;
     }
 
-    /** How long they ran in all. */
-    public long measuredMicros() {
-        return measuredMicros;
-    }
-
-    public long longestTaskMicros() {
-        return longestTaskMicros;
+    /** The failed attempts since a task was last done. */
+    RetryState retry() {
+        return retry;
     }
 
+    /** No task is launched before this time of day. */
     public long nextAttemptWallMicros() {
         return retry.nextAttemptWallMicros();
     }
 
+    /** What users are told of the last failed attempt, or null without one. */
     public String reason() {
         return retry.reason();
     }
 
-    /** True once a task of it has completed: its description can't be the mistake. */
+    /** True once a task of the job was done: later failures are not caused by its specification. */
     public boolean hasSucceededOnce() {
         return hasSucceededOnce;
     }
 
+    /** Names of the machines on which tasks of the current attempt failed; callers add and remove them. */
     public Set<String> failedMachines() {
         return failedMachines;
     }
 
-    /** An attempt that the job itself failed: the next one is scheduled, or the job is parked. */
-    public void recordFailedAttempt(RetrySchedule schedule, long wallMicros, String why) {
-        retry = retry.afterFailure(schedule, wallMicros, why);
-    }
-
-    /** What is stored beside the head, once nobody needs it any more. */
-    public List<PendingWrite> removalsOfChunks() {
-        return done.removalsOfChunks();
+    /** An attempt failed through the job's own fault: the next one is scheduled, or the job is parked. */
+    public void recordFailedAttempt(RetrySchedule schedule, long wallMicros, String cause) {
+        retry = retry.afterFailure(schedule, wallMicros, cause);
     }
 
-    @Override
-    public String key() {
-        return RunRecord.key(spec.uid());
+    /** The write of the job's record; always the same object, to be queued after each change. */
+    public RunRecordWrite recordWrite() {
+        return recordWrite;
     }
 
-    @Override
-    public long revision() {
-        return runRevision;
-    }
-
-    @Override
-    public WriteUrgency urgency() {
-        if (isComplete()) {
-            return WriteUrgency.JOB_END;
-        }
-        return isReleased && retry.failedAttempts() == sentFailedAttempts
-                ? WriteUrgency.PROGRESS
-                : WriteUrgency.JOB_START;
-    }
-
-    @Override
-    public Optional<String> requiredAbsentKey() {
-        return Optional.of(CancellationRecord.key(spec.uid()));
-    }
-
-    @Override
-    public List<PendingWrite> prerequisites() {
-        return done.prerequisites();
-    }
-
-    @Override
-    public KeyChange change() {
-        sentFailedAttempts = retry.failedAttempts();
-        doneSent = isComplete();
-        BitmapReference bitmap = done.write();
-        String stage = doneSent ? RunRecord.DONE : allocatedCount > 0 ? RunRecord.RUNNING : RunRecord.QUEUED;
-        return KeyChange.put(RunRecordCodec.encode(new RunRecord(
-                spec.tasks(),
-                done.count(),
-                allocatedCount,
-                stage,
-                retry,
-                bitmap,
-                spec.dependencies().isEmpty() ? 0 : readyWallMicros)));
-    }
-
-    @Override
-    public void onStored(long revision) {
-        runRevision = revision;
-        isReleased = true;
-        isCompletionStored |= doneSent;
-        List<PendingWrite> unneeded = done.recordStored(isCompletionStored);
-        if (!unneeded.isEmpty()) {
-            listener.enqueueWrites(unneeded);
-        }
-        listener.recordStored(this);
-    }
-
-    @Override
-    public void onTooLarge() {
-        if (done.moveToChunks()) {
-            listener.enqueueWrites(List.of(this));
-        }
-    }
-
-    @Override
-    public void onConflict(long revision) {
-        runRevision = revision;
-    }
-
-    @Override
-    public void onPreconditionFailed() {
-        listener.cancellationFound(this);
+    /** Writes that remove all chunks of the completion bitmap, of a job that is over. */
+    public List<PendingWrite> removalsOfChunks() {
+        return completed.removalsOfChunks();
     }
 }
--- /dev/null
+++ b/src/main/java/io/sillreel/pipeline/RunRecordWrite.java
@@ -0,0 +1,127 @@
+package io.sillreel.pipeline;
+
+import io.sillreel.statestore.KeyChange;
+import io.sillreel.statestore.PendingWrite;
+import io.sillreel.statestore.WriteUrgency;
+import java.util.List;
+import java.util.Optional;
+
+/**
+ * The write of a job's {@link RunRecord}. It stores what the job has come to by the time it is sent, so one write is
+ * enough for all changes that are queued before. The first one releases the job; it fails if the job is cancelled.
+ */
+public final class RunRecordWrite implements PendingWrite {
+    private final ActiveJob job;
+    private final StoredCompletionBitmap completed;
+    private final ActiveJob.Listener listener;
+
+    private long revision;
+    private boolean isReleased;
+    private boolean isCompletionSent;
+    private boolean isCompletionStored;
+    private int sentFailedAttempts;
+
+    RunRecordWrite(ActiveJob job, StoredCompletionBitmap completed, ActiveJob.Listener listener) {
+        this.job = job;
+        this.completed = completed;
+        this.listener = listener;
+    }
+
+    /** Takes over the record that an earlier leader stored. */
+    void inherit(long storedRevision, RunRecord record) {
+        revision = storedRevision;
+        isReleased = true;
+        sentFailedAttempts = record.retry().failedAttempts();
+    }
+
+    /** True once a record of the job is stored. */
+    boolean isReleased() {
+        return isReleased;
+    }
+
+    /** True once a record is stored that says that the job is done. */
+    boolean isCompletionStored() {
+        return isCompletionStored;
+    }
+
+    @Override
+    public String key() {
+        return RunRecord.key(job.uid());
+    }
+
+    @Override
+    public long revision() {
+        return revision;
+    }
+
+    @Override
+    public WriteUrgency urgency() {
+        if (job.isComplete()) {
+            return WriteUrgency.JOB_END;
+        }
+        boolean isProgress = isReleased && job.retry().failedAttempts() == sentFailedAttempts;
+        return isProgress ? WriteUrgency.PROGRESS : WriteUrgency.JOB_START;
+    }
+
+    @Override
+    public Optional<String> requiredAbsentKey() {
+        return Optional.of(CancellationRecord.key(job.uid()));
+    }
+
+    @Override
+    public List<PendingWrite> prerequisites() {
+        return completed.prerequisites();
+    }
+
+    @Override
+    public KeyChange change() {
+        sentFailedAttempts = job.retry().failedAttempts();
+        isCompletionSent = job.isComplete();
+        BitmapReference bitmap = completed.write();
+        RunRecord record = new RunRecord(
+                job.spec().tasks(),
+                completed.count(),
+                job.allocatedCount(),
+                stage(),
+                job.retry(),
+                bitmap,
+                job.spec().dependencies().isEmpty() ? 0 : job.readyWallMicros());
+        return KeyChange.put(RunRecordCodec.encode(record));
+    }
+
+    private String stage() {
+        if (isCompletionSent) {
+            return RunRecord.DONE;
+        }
+        return job.allocatedCount() > 0 ? RunRecord.RUNNING : RunRecord.QUEUED;
+    }
+
+    @Override
+    public void onStored(long newRevision) {
+        revision = newRevision;
+        isReleased = true;
+        isCompletionStored |= isCompletionSent;
+        List<PendingWrite> removals = completed.recordStored(isCompletionStored);
+        if (!removals.isEmpty()) {
+            listener.enqueueWrites(removals);
+        }
+        listener.recordStored(job);
+    }
+
+    @Override
+    public void onTooLarge() {
+        if (completed.moveToChunks()) {
+            listener.enqueueWrites(List.of(this));
+        }
+    }
+
+    @Override
+    public void onConflict(long newRevision) {
+        revision = newRevision;
+    }
+
+    @Override
+    public void onPreconditionFailed() {
+        listener.cancellationFound(job);
+    }
+}
--- a/src/main/java/io/sillreel/placement/RuntimeEstimator.java
+++ b/src/main/java/io/sillreel/placement/RuntimeEstimator.java
@@ -31,14 +31,17 @@
     /** A task of the job has ended after it ran for so long. */
     public synchronized void recordRuntime(ActiveJob job, long ranMicros) {
         JobSpec spec = job.spec();
-        job.recordTaskRuntime(ranMicros);
+        job.runtimes().add(ranMicros);
         if (spec.estimatedMicros() > 0) {
             double ratio = Math.max(MIN_RATIO, Math.min(MAX_RATIO, (double) ranMicros / spec.estimatedMicros()));
             ratios.merge(spec.jobClass(), ratio, (old, now) -> old + WEIGHT * (now - old));
         }
-        if (job.measuredTaskCount() >= MIN_TASKS_OF_A_TAIL && job.measuredTaskCount() == spec.tasks()) {
+        if (job.runtimes().count() >= MIN_TASKS_OF_A_TAIL && job.runtimes().count() == spec.tasks()) {
             double tail = Math.min(
-                    MAX_TAIL, (double) job.longestTaskMicros() * job.measuredTaskCount() / job.measuredMicros());
+                    MAX_TAIL,
+                    (double) job.runtimes().maxMicros()
+                            * job.runtimes().count()
+                            / job.runtimes().totalMicros());
             tails.merge(spec.jobClass(), tail, (old, now) -> old + WEIGHT * (now - old));
         }
     }
@@ -71,8 +74,8 @@
 
     /** How long a task of the job is expected to run, from its class and from its own tasks that have ended. */
     public long expectedRuntimeMicros(ActiveJob job) {
-        return (CLASS_TASKS * expectedRuntimeMicros(job.spec()) + job.measuredMicros())
-                / (CLASS_TASKS + job.measuredTaskCount());
+        return (CLASS_TASKS * expectedRuntimeMicros(job.spec()) + job.runtimes().totalMicros())
+                / (CLASS_TASKS + job.runtimes().count());
     }
 
     /** How long the slowest of the job's tasks is expected to run: the job is not done before. */
--- a/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
+++ b/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
@@ -46,8 +46,8 @@
         };
         ActiveJob job = new ActiveJob(spec("job-000412", 7_000), 7, 0, new ValueLimits(8_192, 2_048), watcher);
         List.of(0, 3, 6_999).forEach(job::markTaskDone);
-        assertThat(job.prerequisites()).isEmpty();
-        JsonNode head = storedValue(job, "run/job-000412");
+        assertThat(job.recordWrite().prerequisites()).isEmpty();
+        JsonNode head = storedValue(job.recordWrite(), "run/job-000412");
         assertThat(PreviousVersion.understood("run/job-000412", head)).isEqualTo(head);
         assertThat(CompletionBitmapCodec.decode(
                         RunRecordCodec.decode(head).bitmap().inline())
@@ -55,17 +55,18 @@
                 .containsExactly(0, 3, 6_999);
         assertThat(head.toString().length()).isGreaterThan(1_024);
 
-        job.onTooLarge();
-        assertThat(queued).hasSize(1).first().isSameAs(job);
+        job.recordWrite().onTooLarge();
+        assertThat(queued).hasSize(1).first().isSameAs(job.recordWrite());
         queued.clear();
-        List<PendingWrite> parts = job.prerequisites();
+        List<PendingWrite> parts = job.recordWrite().prerequisites();
         assertThat(parts).hasSize(2).allMatch(part -> part.key().startsWith("bits/job-000412/"));
         parts.forEach(part -> {
             assertThat(part.change().value()).isNotNull();
             part.onStored(9);
         });
-        assertThat(storedValue(job, "run/job-000412").toString().length()).isLessThan(1_024);
-        job.onStored(10);
+        assertThat(storedValue(job.recordWrite(), "run/job-000412").toString().length())
+                .isLessThan(1_024);
+        job.recordWrite().onStored(10);
         assertThat(List.of(0, 3, 6_999)).allMatch(job::isTaskStored);
     }
 
@@ -127,7 +128,7 @@
         }
 
         void write(ActiveJob job) {
-            writeQueue.enqueue(job);
+            writeQueue.enqueue(job.recordWrite());
             time.runFor(30_000_000);
         }
     }
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -154,16 +154,17 @@
         ActiveJob job = job(16);
         List.of(0, 3, 15).forEach(job::markTaskDone);
         job.allocate(4);
-        assertThat(storedValue(job, "run/job-000412").toString()).isEqualTo(RUNNING);
+        assertThat(storedValue(job.recordWrite(), "run/job-000412").toString()).isEqualTo(RUNNING);
         ActiveJob done = job(2);
         List.of(0, 1).forEach(done::markTaskDone);
-        assertThat(storedValue(done, "run/job-000412").toString()).isEqualTo(DONE);
+        assertThat(storedValue(done.recordWrite(), "run/job-000412").toString()).isEqualTo(DONE);
         ActiveJob failed = job(2);
         failed.recordFailedAttempt(
                 new RetrySchedule(2, 10, 60),
                 1_700_000_123_456_789L,
                 "its tasks failed on host-000001 and host-000002");
-        assertThat(storedValue(failed, "run/job-000412").toString()).isEqualTo(FAILED);
+        assertThat(storedValue(failed.recordWrite(), "run/job-000412").toString())
+                .isEqualTo(FAILED);
         ScaleOutRequest scaleOutRequest = new ScaleOutRequest("r-5-12", "g8", "a", true, 12);
         scaleOutRequest.recordAnswer(List.of("host-000231", "host-000232"));
         scaleOutRequest.markUp("host-000231");
--- a/src/test/java/io/sillreel/pipeline/PipelineTest.java
+++ b/src/test/java/io/sillreel/pipeline/PipelineTest.java
@@ -98,7 +98,7 @@
             job.markTaskDone(piece);
         }
         // The parts first, one after the other, then the head that names them: each a value and a change of its own.
-        List<PendingWrite> parts = List.copyOf(job.prerequisites());
+        List<PendingWrite> parts = List.copyOf(job.recordWrite().prerequisites());
         assertThat(parts)
                 .hasSize((100_000 + CompletionBitmapCodec.tasksPerChunk(valueBytes) - 1)
                         / CompletionBitmapCodec.tasksPerChunk(valueBytes));
@@ -109,10 +109,10 @@
             values.put(part.key(), value.path("bits").asText());
             part.onStored(8);
         }
-        assertThat(job.prerequisites()).isEmpty();
-        JsonNode head = storedValue(job, job.key());
+        assertThat(job.recordWrite().prerequisites()).isEmpty();
+        JsonNode head = storedValue(job.recordWrite(), job.recordWrite().key());
         assertThat(head.toString().length()).isLessThan(valueBytes);
-        job.onStored(9);
+        job.recordWrite().onStored(9);
         assertThat(job.isTaskStored(99_998)).isTrue();
 
         ActiveJob again = new ActiveJob(spec, 7, 0, ValueLimits.fixed(valueBytes), new IgnoringListener());
--- a/src/test/java/io/sillreel/placement/PlannerTest.java
+++ b/src/test/java/io/sillreel/placement/PlannerTest.java
@@ -78,7 +78,7 @@
                 List.of());
         ActiveJob job =
                 new ActiveJob(spec, jobs, nowMicros - ageMicros, ValueLimits.fixed(8_192), new IgnoringListener());
-        job.onStored(1);
+        job.recordWrite().onStored(1);
         cluster.add(job);
         return job;
     }
