--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -21,7 +21,9 @@
 import io.sillreel.http.RequestQueue.RequestClass;
 import io.sillreel.leadership.LeaderElection;
 import io.sillreel.leadership.LeaderTerm;
+import io.sillreel.leadership.TermConfiguration;
 import io.sillreel.leadership.TermGrant;
+import io.sillreel.leadership.TermServices;
 import io.sillreel.limits.FleetCapacity;
 import io.sillreel.limits.ProcessLimits;
 import io.sillreel.overload.AdaptiveLimit;
@@ -95,7 +97,7 @@
         this.fleetCapacity = new FleetCapacity(limits);
         this.startedMicros = eventLoop.nowMicros();
         this.eventLoopLag = new EventLoopLag(eventLoop);
-        this.requestQueue = new RequestQueue(eventLoop, limits.waitingRequestBytes());
+        this.requestQueue = new RequestQueue(eventLoop, limits.queuedRequestBytes());
         double requests = settings.state().requestsPerSecond() * REQUEST_RATE_SHARE;
         double writes = settings.state().writesPerSecond() * WRITE_RATE_SHARE;
         double calls = settings.cloud().requestsPerSecond() * CLOUD_RATE_SHARE;
@@ -113,7 +115,7 @@
                 store,
                 eventLoop,
                 settings.nodeName(),
-                operator.stateLeaseMicros(),
+                operator.leaderLeaseMicros(),
                 () -> recovery == null ? 0 : recovery.termFloor());
         this.machineTypes = new MachineTypeCatalog(store, cloud, eventLoop, () -> leadership.heldTerm() > 0);
         this.admissionLimit = new AdaptiveLimit(
@@ -125,8 +127,8 @@
                         machineTypes::types,
                         this,
                         this::notifyLeaderOfCancellation),
-                operator.maxRequests(),
-                limits.rememberedJobs(),
+                operator.maxRequestsInProgress(),
+                limits.cachedJobStatuses(),
                 eventLoop::nowMicros);
         this.peers = new Peers(eventLoop);
         this.loadBalancer = new WorkerLoadBalancer(
@@ -329,17 +331,12 @@
     private void beginTerm(TermGrant grant) {
         leaderTerm = new LeaderTerm(
                 eventLoop,
-                store,
-                cloud,
-                httpClient,
-                settings,
-                operator,
-                fleetCapacity,
-                leadership,
-                grant.term(),
-                grant.leaderRevision(),
+                new TermServices(store, cloud, httpClient),
+                new TermConfiguration(settings, operator, fleetCapacity),
                 machineTypes::types,
-                peers);
+                peers,
+                leadership,
+                grant);
         leaderTerm.start();
     }
 
--- a/src/main/java/io/sillreel/fleet/ScaleOut.java
+++ b/src/main/java/io/sillreel/fleet/ScaleOut.java
@@ -115,14 +115,15 @@
             tasks += machine.allocations().size();
         }
         FleetCapacity fleetCapacity = configuration.fleetCapacity();
-        double tasksPerMachine = Math.max(FleetCapacity.USUAL_TASKS, (double) tasks / Math.max(1, machines));
-        int headroom = fleetCapacity.machines(tasksPerMachine) - machines - open.machines();
+        double tasksPerMachine =
+                Math.max(FleetCapacity.DEFAULT_TASKS_PER_MACHINE, (double) tasks / Math.max(1, machines));
+        int headroom = fleetCapacity.maxMachines(tasksPerMachine) - machines - open.machines();
         if (headroom <= 0 && now - lastFullWarningMicros > FULL_WARNING_INTERVAL_MICROS) {
             lastFullWarningMicros = now;
             LOG.warn(
                     "no more machines are rented: {} are there or asked for, and the controllers carry {}",
                     machines + open.machines(),
-                    fleetCapacity.explain(tasksPerMachine));
+                    fleetCapacity.describe(tasksPerMachine));
         }
         return headroom;
     }
