--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -326,7 +326,7 @@
         @Override
         public boolean adoptMachine(Heartbeat heartbeat) {
             return fleet.adopt(heartbeat.machine(), heartbeat.machineType(), heartbeat.zone(), heartbeat.spot())
-                    != null;
+                    .isPresent();
         }
 
         @Override
