--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -3,6 +3,7 @@
 import io.micrometer.core.instrument.MeterRegistry;
 import io.micrometer.core.instrument.binder.MeterBinder;
 import io.sillreel.admission.Admission;
+import io.sillreel.agent.AgentRoutes;
 import io.sillreel.cloud.CloudClient;
 import io.sillreel.cloud.MachineTypeCatalog;
 import io.sillreel.fleet.FleetConfiguration;
@@ -37,7 +38,6 @@
  */
 public final class Controller implements MeterBinder {
     private static final String JOBS = "/v2/runs";
-    private static final String HEARTBEAT = "/agent/beat";
     private static final String HEALTH = "/up";
     private static final String METRICS = "/metrics";
     /** The shares of the common rate limits that one of several controllers uses at most. */
@@ -76,12 +76,12 @@
             ProcessLimits limits) {
         this.eventLoop = eventLoop;
         this.eventLoopLag = new EventLoopLag(eventLoop);
-        this.requestQueue = new RequestQueue(eventLoop, limits.waitingRequestBytes());
+        this.requestQueue = new RequestQueue(eventLoop, limits.queuedRequestBytes());
         this.protection = newProtection(eventLoop, httpClient, settings, operator, limits);
         this.store = newStore(eventLoop, protection.monitor(httpClient), protection.monitor(leaseHttpClient), settings);
         CloudClient cloud = newCloud(eventLoop, httpClient, settings);
         this.election = new LeaderElection(
-                store, eventLoop, settings.nodeName(), operator.stateLeaseMicros(), protection::termFloor);
+                store, eventLoop, settings.nodeName(), operator.leaderLeaseMicros(), protection::termFloor);
         this.machineTypes = new MachineTypeCatalog(store, cloud, eventLoop, () -> election.heldTerm() > 0);
         Peers peers = new Peers(eventLoop);
         this.activeTerm = new ActiveTerm(
@@ -147,7 +147,7 @@
                 machineTypes::types,
                 activeTerm,
                 activeTerm::notifyLeaderOfCancellation);
-        return new AdaptiveLimit(admission, operator.maxRequests(), limits.rememberedJobs(), eventLoop::nowMicros);
+        return new AdaptiveLimit(admission, operator.maxRequestsInProgress(), limits.cachedJobStatuses(), eventLoop::nowMicros);
     }
 
     /** The version that the build wrote into the jar. */
@@ -182,7 +182,7 @@
     public static RequestClass requestClass(HttpRequest request) {
         return switch (request.route()) {
             case HEALTH -> RequestClass.IMMEDIATE;
-            case HEARTBEAT -> RequestClass.WORKERS;
+            case AgentRoutes.HEARTBEAT -> RequestClass.WORKERS;
             default -> RequestClass.USERS;
         };
     }
@@ -198,7 +198,7 @@
         if (route.equals(JOBS) || route.startsWith(JOBS + "/")) {
             return protection.handleUserRequest(request, admissionLimit);
         }
-        if (route.equals(HEARTBEAT)) {
+        if (route.equals(AgentRoutes.HEARTBEAT)) {
             return request.method().equals("POST")
                     ? heartbeatRouter.route(request)
                     : completed(HttpResponse.error(405, "use POST"));
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -1,6 +1,7 @@
 package io.sillreel.leadership;
 
 import io.sillreel.agent.Heartbeat;
+import io.sillreel.agent.Heartbeat.MachineDescription;
 import io.sillreel.cloud.MachineType;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
@@ -135,7 +136,9 @@
 
     private HeartbeatProcessor newHeartbeatProcessor(OperatorProperties operator, Planner planner) {
         RetrySchedule retries = new RetrySchedule(
-                operator.retryInitialMicros(), operator.retryMaximumMicros(), operator.parkedMicros());
+                operator.retryInitialDelayMicros(),
+                operator.retryMaxDelayMicros(),
+                operator.parkedRetryIntervalMicros());
         TaskEndHandler endHandler = new TaskEndHandler(eventLoop, cluster, writeQueue, retries, runtimeEstimator);
         TaskReconciler reconciler = new TaskReconciler(cluster, endHandler, operations);
         return new HeartbeatProcessor(
@@ -314,8 +317,9 @@
 
         @Override
         public boolean adoptMachine(Heartbeat heartbeat) {
-            return fleet.adopt(heartbeat.machine(), heartbeat.machineType(), heartbeat.zone(), heartbeat.spot())
-                    != null;
+            MachineDescription description = heartbeat.description();
+            return fleet.adopt(heartbeat.machine(), description.machineType(), description.zone(), description.isSpot())
+                    .isPresent();
         }
 
         @Override
