--- a/src/main/java/io/sillreel/statestore/PendingWrite.java
+++ b/src/main/java/io/sillreel/statestore/PendingWrite.java
@@ -5,24 +5,30 @@
 
 /**
  * A change of one key that waits in a {@link WriteQueue}. The write is a compare-and-swap: it succeeds only if the key
- * still has the {@link #revision} that is known here.
+ * still has the expected {@link #revision}. All methods are called on the event loop, partly under the queue's lock.
  */
 public interface PendingWrite {
     /** The key that is written. */
     String key();
 
-    /** The revision that the key is known to have, 0 if it is not stored. */
+    /** The revision that the key is expected to have, 0 if it must not exist. */
     long revision();
 
-    /** The change to make now; asked for when the write is sent. */
+    /**
+     * The change to make. Called when the write is sent, so that it includes everything that changed since the write
+     * was queued; the implementation notes what it has sent for {@link #onStored}.
+     */
     KeyChange change();
 
-    /** Writes that have to be stored before this one; the last of them queues this one again. */
+    /**
+     * Writes that have to be stored before this one. If there are any, they are queued instead of this one, and the
+     * last of them to be stored has to queue this one again.
+     */
     default List<PendingWrite> prerequisites() {
         return List.of();
     }
 
-    /** How urgent the change is that would be written now. */
+    /** The urgency of the change that would be written now. */
     default WriteUrgency urgency() {
         return WriteUrgency.JOB_START;
     }
@@ -32,18 +38,18 @@
         return Optional.empty();
     }
 
-    /** The change last asked for is stored under the given revision. */
+    /** Called when the last change is stored; the key now has the given revision. */
     void onStored(long revision);
 
-    /** The key has another revision than was known here; the write will be tried again. */
+    /** Called when the key has another revision than expected; the write is sent again with that revision. */
     void onConflict(long revision);
 
     /**
-     * The state service refuses the write for its size, even alone. It is not tried again unless it is queued again,
-     * smaller.
+     * Called when the state service refuses the write for its size even in a transaction of its own. It is not sent
+     * again unless it is queued again, with a smaller change.
      */
     default void onTooLarge() {}
 
-    /** The {@link #requiredAbsentKey} exists. */
+    /** Called when the {@link #requiredAbsentKey} exists; the write is not sent again. */
     default void onPreconditionFailed() {}
 }
--- a/src/main/java/io/sillreel/statestore/SingleKeyWrite.java
+++ b/src/main/java/io/sillreel/statestore/SingleKeyWrite.java
@@ -1,11 +1,11 @@
 package io.sillreel.statestore;
 
-/** A pending write that keeps track of the revision of its key and of nothing else. */
+/** Base of a pending write that tracks the revision of its key. Used on the event loop only. */
 public abstract class SingleKeyWrite implements PendingWrite {
     private final String key;
     private long revision;
 
-    /** @param revision the revision that the key is known to have, 0 if it is not stored */
+    /** @param revision the revision that the key is expected to have, 0 if it must not exist */
     protected SingleKeyWrite(String key, long revision) {
         this.key = key;
         this.revision = revision;
