--- a/src/main/java/io/sillreel/http/RequestQueue.java
+++ b/src/main/java/io/sillreel/http/RequestQueue.java
@@ -5,27 +5,32 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Requests wait here for their turn on the loop, users and the crowd in lines of their own that take turns. Between two
- * looks at the network and at the timers only a slice of them is taken up: with hundreds of workers at the door and a
- * twentieth of a core, one round over all of them would last longer than the lease that is to be renewed meanwhile.
+ * Holds requests until the event loop handles them. Requests of users and of workers wait in separate queues that are
+ * served alternately. Only a slice of the requests is handled before the event loop processes the network and timers
+ * again: with hundreds of workers and 5% of a core, handling all of them in one go would take longer than the leader's
+ * lease lasts, which has to be renewed meanwhile.
  *
- * <p>Whoever has given up is passed over. Once the line is so long that whoever has waited longest is about to give up,
- * the newest go first: else everybody would be served a moment too late.
+ * <p>A request whose client has closed the connection is dropped. Once the oldest request of a queue has waited so long
+ * that its client is about to time out, the newest is served first, since in order of arrival every response would come
+ * just too late. Thread-safe; all state is guarded by this.
  */
 public final class RequestQueue {
-    /** Where a request waits; what is asked to see whether this process is alive does not wait. */
+    /** The queue in which a request waits. */
     public enum RequestClass {
+        /** Does not wait, such as a health check. */
         IMMEDIATE,
+        /** Requests of users; their clients wait two seconds for a status. */
         USERS,
+        /** Messages of worker agents, which wait four seconds. */
         WORKERS
     }
 
     private static final int MAX_REQUESTS_PER_SLICE = 16;
     private static final long MAX_SLICE_MICROS = 20_000;
-    /** Users wait two seconds for an answer to a question, workers four. */
+    /** Below the two seconds after which users' clients time out. */
     private static final long NEWEST_FIRST_AFTER_MICROS = 1_000_000;
 
-    private record WaitingRequest(long sinceMicros, int bytes, BooleanSupplier wanted, Runnable work) {}
+    private record WaitingRequest(long queuedAtMicros, int bytes, BooleanSupplier isWanted, Runnable work) {}
 
     private final EventLoop eventLoop;
     private final long maxBytes;
@@ -37,8 +42,8 @@
     private long bytesWaiting;
 
     /**
-     * @param maxBytes what the waiting requests may hold in all; beyond that they are refused, or hundreds of large
-     *     ones would fill the heap
+     * @param maxBytes the total size of the waiting requests beyond which more are refused, so that hundreds of large
+     *     ones cannot fill the heap
      */
     public RequestQueue(EventLoop eventLoop, long maxBytes) {
         this.eventLoop = eventLoop;
@@ -46,12 +51,13 @@
     }
 
     /**
-     * Does the work when its turn comes, unless nobody wants it any more by then.
+     * Queues the work of a request, or does it at once if the class is {@link RequestClass#IMMEDIATE}.
      *
-     * @param bytes what the request holds until then
-     * @return false if too much waits already: the work is not done
+     * @param bytes memory that the request holds while it waits
+     * @param isWanted false once the client has given up; the work is then not done
+     * @return false if the request was refused because too much waits already
      */
-    public boolean enqueue(RequestClass requestClass, int bytes, BooleanSupplier wanted, Runnable work) {
+    public boolean enqueue(RequestClass requestClass, int bytes, BooleanSupplier isWanted, Runnable work) {
         if (requestClass == RequestClass.IMMEDIATE) {
             work.run();
             return true;
@@ -62,7 +68,7 @@
             }
             bytesWaiting += bytes;
             (requestClass == RequestClass.USERS ? users : workers)
-                    .add(new WaitingRequest(eventLoop.nowMicros(), bytes, wanted, work));
+                    .add(new WaitingRequest(eventLoop.nowMicros(), bytes, isWanted, work));
             if (sliceScheduled) {
                 return true;
             }
@@ -73,18 +79,21 @@
     }
 
     private void runSlice() {
-        long begun = eventLoop.nowMicros();
-        for (int done = 0; done < MAX_REQUESTS_PER_SLICE && eventLoop.nowMicros() - begun < MAX_SLICE_MICROS; done++) {
+        long startedMicros = eventLoop.nowMicros();
+        for (int handled = 0;
+                handled < MAX_REQUESTS_PER_SLICE && eventLoop.nowMicros() - startedMicros < MAX_SLICE_MICROS;
+                handled++) {
             WaitingRequest request = next();
             if (request == null) {
                 return;
             }
             request.work().run();
         }
-        // Not at once: a timer, however short, lets the network be looked at first.
+        // A task with a delay of zero would run before the event loop processes the network again.
         eventLoop.schedule(1, this::runSlice);
     }
 
+    /** Removes the next request to be handled, or returns null if none waits. */
     private synchronized WaitingRequest next() {
         workersNext = !workersNext;
         WaitingRequest request = next(workersNext ? workers : users);
@@ -95,13 +104,14 @@
         return request;
     }
 
-    private WaitingRequest next(Deque<WaitingRequest> line) {
-        while (!line.isEmpty()) {
-            boolean behind = eventLoop.nowMicros() - line.peekFirst().sinceMicros() > NEWEST_FIRST_AFTER_MICROS;
-            boolean gone = !line.peekFirst().wanted().getAsBoolean();
-            WaitingRequest request = behind && !gone ? line.pollLast() : line.pollFirst();
+    private WaitingRequest next(Deque<WaitingRequest> queue) {
+        while (!queue.isEmpty()) {
+            WaitingRequest oldest = queue.peekFirst();
+            boolean isLate = eventLoop.nowMicros() - oldest.queuedAtMicros() > NEWEST_FIRST_AFTER_MICROS;
+            boolean isOldestWanted = oldest.isWanted().getAsBoolean();
+            WaitingRequest request = isLate && isOldestWanted ? queue.pollLast() : queue.pollFirst();
             bytesWaiting -= request.bytes();
-            if (!gone && request.wanted().getAsBoolean()) {
+            if (isOldestWanted && request.isWanted().getAsBoolean()) {
                 return request;
             }
             abandonedCount++;
@@ -109,11 +119,12 @@
         return null;
     }
 
-    /** Requests whose askers gave up before their turn came. */
+    /** The number of requests dropped because their clients had given up. */
     public synchronized long abandonedCount() {
         return abandonedCount;
     }
 
+    /** The number of requests that wait. */
     public synchronized int waitingCount() {
         return users.size() + workers.size();
     }
--- a/src/main/java/io/sillreel/overload/AdaptiveLimit.java
+++ b/src/main/java/io/sillreel/overload/AdaptiveLimit.java
@@ -13,13 +13,15 @@
 import java.util.function.LongSupplier;
 
 /**
- * A limit on users' requests in progress that sets itself from measured times. Polls may take only a part of it, so
- * that submissions and cancellations pass when everybody asks at once. What is over the limit is refused at once, but
- * not the same question for ever: one that has been refused for a while is owed an answer, and a few of those pass
- * beside the limit. Else a job could stay without an answer for as long as others are asked about.
+ * Limits the number of users' requests in progress, adapting the limit to measured response times. Status polls may
+ * take only a part of it, so that submissions and cancellations still pass under load. A request over the limit is
+ * refused with status 429 at once. A poll that has been refused for ten seconds is overdue, and a few overdue polls
+ * pass in addition to the limit; otherwise a job could stay without any response for as long as the load lasts.
+ * Thread-safe; all state is guarded by this.
  */
 public final class AdaptiveLimit implements HttpHandler {
     private static final double POLL_SHARE = 0.7;
+    private static final int INITIAL_LIMIT = 20;
     private static final int MIN_LIMIT = 8;
     private static final long OVERDUE_AFTER_MICROS = 10_000_000;
     private static final int MAX_OVERDUE_IN_PROGRESS = 4;
@@ -30,14 +32,15 @@
     private int inProgress;
     private long refusedCount;
     private int overdueInProgress;
-    /** Since when questions have been refused, the oldest first. */
+    /** The time of the first refusal by path, in the order of insertion. */
     private final Map<String, Long> refusedSince;
 
     /**
-     * @param most the upper bound of the limit, however fast requests are answered
-     * @param maxRefused how many questions that were refused are remembered
+     * @param maxLimit the upper bound of the limit, however fast requests are handled
+     * @param maxRefused how many refused polls are remembered
+     * @param nowMicros monotonic time in microseconds
      */
-    public AdaptiveLimit(HttpHandler inner, int most, int maxRefused, LongSupplier nowMicros) {
+    public AdaptiveLimit(HttpHandler delegate, int maxLimit, int maxRefused, LongSupplier nowMicros) {
         this.refusedSince = new LinkedHashMap<>() {
             private static final long serialVersionUID = 1L;
 
@@ -46,24 +49,24 @@
                 return size() > maxRefused;
             }
         };
-        this.delegate = inner;
+        this.delegate = delegate;
         this.nowMicros = nowMicros;
         this.limiter = SimpleLimiter.newBuilder()
                 .limit(Gradient2Limit.newBuilder()
-                        .initialLimit(Math.min(20, most))
-                        .minLimit(Math.min(MIN_LIMIT, most))
-                        .maxConcurrency(most)
+                        .initialLimit(Math.min(INITIAL_LIMIT, maxLimit))
+                        .minLimit(Math.min(MIN_LIMIT, maxLimit))
+                        .maxConcurrency(maxLimit)
                         .build())
                 .build();
     }
 
     @Override
     public CompletableFuture<HttpResponse> handle(HttpRequest request) {
-        boolean poll = request.method().equals("GET");
+        boolean isPoll = request.method().equals("GET");
         Optional<Limiter.Listener> admitted;
         synchronized (this) {
-            admitted = poll && inProgress >= POLL_SHARE * limiter.getLimit() ? Optional.empty() : limiter.acquire(null);
-            if (admitted.isEmpty() && !(poll && isOwed(request.path()))) {
+            admitted = isPoll && inProgress >= POLL_SHARE * limiter.getLimit() ? Optional.empty() : limiter.acquire(null);
+            if (admitted.isEmpty() && !(isPoll && isOverdue(request.path()))) {
                 refusedCount++;
                 return CompletableFuture.completedFuture(HttpResponse.retryLater(429, "too much is asked at once", 1));
             }
@@ -76,27 +79,31 @@
             synchronized (this) {
                 inProgress -= admitted.isPresent() ? 1 : 0;
                 overdueInProgress -= admitted.isPresent() ? 0 : 1;
-                if (served && poll) {
+                if (served && isPoll) {
                     refusedSince.remove(request.path());
                 }
             }
-            // An outage elsewhere says nothing about how much can be asked here.
+            // A failure of another service says nothing about the capacity of this process.
             admitted.ifPresent(served ? Limiter.Listener::onSuccess : Limiter.Listener::onIgnore);
         });
         return answer;
     }
 
-    /** Notes that the question is refused, unless that has gone on for so long that it is answered now. */
-    private boolean isOwed(String question) {
+    /** Records the refusal of a poll; true if the poll is overdue and may pass now. */
+    private boolean isOverdue(String path) {
         long now = nowMicros.getAsLong();
-        Long since = refusedSince.putIfAbsent(question, now);
-        return since != null && now - since > OVERDUE_AFTER_MICROS && overdueInProgress < MAX_OVERDUE_IN_PROGRESS;
+        Long firstRefusal = refusedSince.putIfAbsent(path, now);
+        return firstRefusal != null
+                && now - firstRefusal > OVERDUE_AFTER_MICROS
+                && overdueInProgress < MAX_OVERDUE_IN_PROGRESS;
     }
 
+    /** The current limit on requests in progress. */
     public synchronized int limit() {
         return limiter.getLimit();
     }
 
+    /** The number of requests refused since the start. */
     public synchronized long refusedCount() {
         return refusedCount;
     }
