--- a/src/main/java/io/sillreel/http/HttpResponse.java
+++ b/src/main/java/io/sillreel/http/HttpResponse.java
@@ -4,51 +4,62 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * One HTTP response. Status {@link #NOT_SENT} means that the request never left, {@link #NO_RESPONSE} that it may have
- * been executed, or may yet be.
+ * An HTTP response, or the reason why there is none.
+ *
+ * @param status the HTTP status, or {@link #NOT_SENT}, {@link #NO_RESPONSE} or {@link #RESPONSE_TOO_LARGE}
+ * @param body the bytes of the body, not copied; empty if there is none
+ * @param retryAfterSeconds the value of the Retry-After header, 0 without one
  */
 public record HttpResponse(int status, byte[] body, int retryAfterSeconds) {
+    /** No response came in time: the request may have been executed, or may still be. */
     public static final int NO_RESPONSE = 0;
+    /** The request was not sent, so it is certainly not executed. */
     public static final int NOT_SENT = -1;
-    /** An answer came, and it was larger than what is taken in. */
+    /** The response was larger than the client accepts; the request was executed. */
     public static final int RESPONSE_TOO_LARGE = -2;
 
+    /** A response with a JSON body. */
     public static HttpResponse of(int status, JsonNode body) {
         return new HttpResponse(status, Json.bytes(body), 0);
     }
 
+    /** The result of a request without a response. */
     public static HttpResponse noResponse() {
         return new HttpResponse(NO_RESPONSE, HttpRequest.NO_BODY, 0);
     }
 
+    /** The result of a request with a response that is too large. */
     public static HttpResponse responseTooLarge() {
         return new HttpResponse(RESPONSE_TOO_LARGE, HttpRequest.NO_BODY, 0);
     }
 
+    /** The result of a request that was not sent. */
     public static HttpResponse notSent() {
         return new HttpResponse(NOT_SENT, HttpRequest.NO_BODY, 0);
     }
 
-    /** An answer in plain words. */
+    /** An error response whose body gives the reason as text. */
     public static HttpResponse error(int status, String reason) {
         return of(status, Json.object().put("error", reason));
     }
 
-    /** What can't be served now is answered at once, with the time to come back. */
+    /** An error response that tells the client when to send the request again. */
     public static HttpResponse retryLater(int status, String reason, int retryAfterSeconds) {
         ObjectNode body = Json.object().put("error", reason);
         return new HttpResponse(status, Json.bytes(body), retryAfterSeconds);
     }
 
+    /** The body parsed as JSON, on each call anew; a missing node if it is not JSON. */
     public JsonNode json() {
         return Json.parse(body);
     }
 
+    /** True if the request was carried out. */
     public boolean isOk() {
         return status == 200;
     }
 
-    /** True if the other side surely did not carry the request out. */
+    /** True if the request was certainly not executed, so that sending it again cannot execute it twice. */
     public boolean isCertainlyNotExecuted() {
         return status == NOT_SENT || status == 429 || status == 503 || status == 400 || status == 409;
     }
--- a/src/main/java/io/sillreel/http/Json.java
+++ b/src/main/java/io/sillreel/http/Json.java
@@ -14,8 +14,8 @@
 import java.io.UncheckedIOException;
 
 /**
- * Jackson's streams and trees, without its mapper: setting one up, with the formats of dates and the readers of classes
- * that nothing here uses, took a quarter of the processor time of a start.
+ * Reads and writes JSON with Jackson's streams and trees, without an ObjectMapper: creating a mapper, whose data
+ * binding is not used here, took a quarter of the processor time of a start. Thread-safe.
  */
 public final class Json {
     private static final JsonFactory JSON_FACTORY = new JsonFactory();
@@ -23,20 +23,22 @@
 
     private Json() {}
 
-    /** The body as a stream of tokens, for what is read too often to be made a tree of. */
+    /** A parser of the body, for messages that are too frequent to build a tree of each. */
     public static JsonParser createParser(byte[] body) throws IOException {
         return JSON_FACTORY.createParser(body);
     }
 
+    /** A new, empty object. */
     public static ObjectNode object() {
         return NODE_FACTORY.objectNode();
     }
 
+    /** A new, empty array. */
     public static ArrayNode array() {
         return NODE_FACTORY.arrayNode();
     }
 
-    /** Returns the node as UTF-8 text. */
+    /** Serializes the node as UTF-8. */
     public static byte[] bytes(JsonNode node) {
         try (ByteArrayBuilder bytes = new ByteArrayBuilder();
                 JsonGenerator out = JSON_FACTORY.createGenerator(bytes);
@@ -60,8 +62,10 @@
     }
 
     /**
-     * The one value that a parser of any of Jackson's formats reads, or a missing node if there is none or more than
-     * one.
+     * Reads a single value from a parser of any format that Jackson supports.
+     *
+     * @return the value, or a missing node if there is none or more than one
+     * @throws IOException if the input is malformed
      */
     public static JsonNode readTree(JsonParser in) throws IOException {
         if (in.nextToken() == null) {
--- a/src/main/java/io/sillreel/http/NettyEventLoop.java
+++ b/src/main/java/io/sillreel/http/NettyEventLoop.java
@@ -7,7 +7,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The loop of a running daemon: Netty's event loop and the system's clocks. */
+/** An event loop on Netty's and the clocks of the system. */
 public final class NettyEventLoop implements EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(NettyEventLoop.class);
 
@@ -40,12 +40,12 @@
         nettyLoop.execute(() -> runLoggingFailure(task));
     }
 
-    /** A defect in one task is logged and must not take the others' timers along. */
+    /** An exception is logged here, since Netty would only store it in the future of the task. */
     private static void runLoggingFailure(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.error("a task of the loop failed", e);
+            LOG.error("a task of the event loop failed", e);
         }
     }
 }
--- a/src/main/java/io/sillreel/overload/EventLoopLag.java
+++ b/src/main/java/io/sillreel/overload/EventLoopLag.java
@@ -3,11 +3,12 @@
 import io.sillreel.http.EventLoop;
 
 /**
- * How late this process does what is due: a share of the processor that is too small shows here before anything else.
+ * Measures how late timers of the event loop run, the first sign that this process gets too little processor time.
+ * Thread-safe; the lags are guarded by this.
  */
 public final class EventLoopLag {
     private static final long SAMPLE_INTERVAL_MICROS = 500_000;
-    /** What was late fades by half in two to three looks, or seconds would pass before a calm process counts as one. */
+    /** The lag loses a quarter with each sample, so that it falls within seconds once timers run on time again. */
     private static final int DECAY_DIVISOR = 4;
 
     private final EventLoop eventLoop;
@@ -19,6 +20,7 @@
         this.eventLoop = eventLoop;
     }
 
+    /** Starts sampling. */
     public void start() {
         dueMicros = eventLoop.nowMicros() + SAMPLE_INTERVAL_MICROS;
         eventLoop.schedule(SAMPLE_INTERVAL_MICROS, this::sample);
@@ -33,12 +35,12 @@
         start();
     }
 
-    /** How late timers are now, or were a moment ago. */
+    /** The decaying maximum of recent lags, in microseconds. */
     public synchronized long currentMicros() {
         return currentMicros;
     }
 
-    /** The latest that any was since the start. */
+    /** The largest lag since the start, in microseconds. */
     public synchronized long maxMicros() {
         return maxMicros;
     }
--- a/src/main/java/io/sillreel/overload/RateLimiter.java
+++ b/src/main/java/io/sillreel/overload/RateLimiter.java
@@ -3,15 +3,15 @@
 import io.sillreel.http.EventLoop;
 
 /**
- * A token bucket with one second's worth of burst: this controller's part of a rate that several share. What is refused
- * all the same shows that the rate has been lowered, or that others use more of it; then the part shrinks, and grows
- * back slowly.
+ * A token bucket for this controller's share of a rate that several controllers use. A rejection by the service shows
+ * that the rate was lowered or that others use more of it; the share then shrinks at once and recovers slowly.
+ * Thread-safe; all state is guarded by this.
  */
 public final class RateLimiter {
     private static final double SHRINK_FACTOR = 0.6;
     private static final double MIN_SHARE = 0.05;
     private static final double SHARE_RECOVERY_PER_SECOND = 0.02;
-    /** What is refused within so long is refused for the same reason. */
+    /** Rejections within this time have the same cause and shrink the share once. */
     private static final long REJECTION_WINDOW_MICROS = 300_000;
 
     private final EventLoop eventLoop;
@@ -22,7 +22,10 @@
     private long refilledAtMicros;
     private long rejectedAtMicros = Long.MIN_VALUE / 2;
 
-    /** @param burst how many tokens gather during a pause */
+    /**
+     * @param perSecond how many tokens are added each second
+     * @param burst how many tokens the bucket holds at most
+     */
     public RateLimiter(EventLoop eventLoop, double perSecond, double burst) {
         this.eventLoop = eventLoop;
         this.maxPerSecond = perSecond;
@@ -31,12 +34,12 @@
         this.refilledAtMicros = eventLoop.nowMicros();
     }
 
-    /** Takes the tokens if they are there; a request larger than the bucket may overdraw a full one. */
+    /** Takes the tokens if they are available; an amount larger than the bucket may overdraw a full one. */
     public boolean tryAcquire(double amount) {
         return tryAcquireLeaving(amount, 0);
     }
 
-    /** Takes the tokens if so many would be left for others, or if the bucket is full. */
+    /** Takes the tokens if the given number is left after that, or if the bucket is full. */
     public synchronized boolean tryAcquireLeaving(double amount, double left) {
         refill();
         if (tokens >= Math.min(amount + left, burst())) {
@@ -46,13 +49,13 @@
         return false;
     }
 
-    /** Takes the tokens even if they have to be earned first: for the little that can't wait. */
+    /** Takes the tokens even if that overdraws the bucket; for rare requests that must not wait. */
     public synchronized void acquireUnconditionally(double amount) {
         refill();
         tokens -= amount;
     }
 
-    /** Something was refused for the rate: from now on less is asked for. */
+    /** Reports that the service rejected a request because of its rate; empties the bucket and shrinks the share. */
     public synchronized void onRejected() {
         refill();
         tokens = Math.min(tokens, 0);
@@ -62,11 +65,13 @@
         }
     }
 
+    /** The tokens in the bucket; negative if it is overdrawn. */
     public synchronized double availableTokens() {
         refill();
         return tokens;
     }
 
+    /** The current size of the bucket. */
     public synchronized double burst() {
         return share * maxBurst;
     }
