--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -4,6 +4,7 @@
 import io.micrometer.core.instrument.MeterRegistry;
 import io.micrometer.core.instrument.binder.MeterBinder;
 import io.sillreel.admission.Admission;
+import io.sillreel.agent.AgentRoutes;
 import io.sillreel.cloud.CloudClient;
 import io.sillreel.cloud.MachineTypeCatalog;
 import io.sillreel.heartbeat.HeartbeatObserver;
@@ -43,7 +44,6 @@
 
 /** One controller, put together from its slices. It does no I/O of its own: time and network are handed in. */
 public final class Controller implements LeaderElection.Listener, LiveTaskCounts, MeterBinder {
-    private static final String HEARTBEAT = "/agent/beat";
     private static final String HEALTH = "/up";
     private static final long HELLO_INTERVAL_MICROS = 1_000_000;
     private static final long HELLO_TIMEOUT_MICROS = 900_000;
@@ -97,7 +97,7 @@
         this.fleetCapacity = new FleetCapacity(limits);
         this.startedMicros = eventLoop.nowMicros();
         this.eventLoopLag = new EventLoopLag(eventLoop);
-        this.requestQueue = new RequestQueue(eventLoop, limits.waitingRequestBytes());
+        this.requestQueue = new RequestQueue(eventLoop, limits.queuedRequestBytes());
         double requests = settings.state().requestsPerSecond() * REQUEST_RATE_SHARE;
         double writes = settings.state().writesPerSecond() * WRITE_RATE_SHARE;
         double calls = settings.cloud().requestsPerSecond() * CLOUD_RATE_SHARE;
@@ -115,7 +115,7 @@
                 store,
                 eventLoop,
                 settings.nodeName(),
-                operator.stateLeaseMicros(),
+                operator.leaderLeaseMicros(),
                 () -> recovery == null ? 0 : recovery.termFloor());
         this.machineTypes = new MachineTypeCatalog(store, cloud, eventLoop, () -> leadership.heldTerm() > 0);
         this.admissionLimit = new AdaptiveLimit(
@@ -127,8 +127,8 @@
                         machineTypes::types,
                         this,
                         this::notifyLeaderOfCancellation),
-                operator.maxRequests(),
-                limits.rememberedJobs(),
+                operator.maxRequestsInProgress(),
+                limits.cachedJobStatuses(),
                 eventLoop::nowMicros);
         this.peers = new Peers(eventLoop);
         this.loadBalancer = new WorkerLoadBalancer(
@@ -189,7 +189,7 @@
     public static RequestClass requestClass(HttpRequest request) {
         return switch (request.route()) {
             case HEALTH -> RequestClass.IMMEDIATE;
-            case HEARTBEAT -> RequestClass.WORKERS;
+            case AgentRoutes.HEARTBEAT -> RequestClass.WORKERS;
             default -> RequestClass.USERS;
         };
     }
@@ -207,7 +207,7 @@
                     ? admissionLimit.handle(request)
                     : recovery.guarded(() -> admissionLimit.handle(request));
         }
-        if (route.equals(HEARTBEAT)) {
+        if (route.equals(AgentRoutes.HEARTBEAT)) {
             return request.method().equals("POST")
                     ? heartbeatRouter.route(request)
                     : answer(HttpResponse.error(405, "use POST"));
