--- a/src/main/java/io/sillreel/leadership/AgentClient.java
+++ b/src/main/java/io/sillreel/leadership/AgentClient.java
@@ -1,7 +1,8 @@
 package io.sillreel.leadership;
 
 import io.sillreel.agent.AgentCommands;
-import io.sillreel.agent.Heartbeat;
+import io.sillreel.agent.AgentRoutes;
+import io.sillreel.agent.HeartbeatCodec;
 import io.sillreel.cluster.Machine;
 import io.sillreel.heartbeat.HeartbeatProcessor;
 import io.sillreel.http.HttpClient;
@@ -40,9 +41,7 @@
         if (commands.isEmpty()) {
             return;
         }
-        HttpRequest request = HttpRequest.post(
-                "/do",
-                commands.toJson(term).put("shift", machine.heartbeatOrder().epoch()));
+        HttpRequest request = commands.toRequest(term, machine.heartbeatOrder().epoch());
         httpClient.send(machine.address(), request, COMMAND_TIMEOUT_MICROS).thenAccept(response -> {
             // With 409 the agent has executed nothing, since the token or the epoch is old; its heartbeat counts.
             if (!closed && (response.status() == 200 || response.status() == 409)) {
@@ -52,10 +51,7 @@
     }
 
     private static void processCommandResponse(HttpResponse response, HeartbeatProcessor processor) {
-        Heartbeat heartbeat = Heartbeat.read(response.body());
-        if (heartbeat != null) {
-            processor.processCommandResponse(heartbeat);
-        }
+        HeartbeatCodec.decode(response.body()).ifPresent(processor::processCommandResponse);
     }
 
     /** Asks the machine for its heartbeat sequence, which tells whether its agent has restarted. */
@@ -66,11 +62,12 @@
         long epoch = machine.heartbeatOrder().epoch();
         long sequence = machine.heartbeatOrder().sequence();
         httpClient
-                .send(machine.address(), HttpRequest.get("/status"), STATUS_TIMEOUT_MICROS)
+                .send(machine.address(), HttpRequest.get(AgentRoutes.STATUS), STATUS_TIMEOUT_MICROS)
                 .thenAccept(response -> {
-                    Heartbeat heartbeat = !closed && response.isOk() ? Heartbeat.read(response.body()) : null;
-                    if (heartbeat != null && heartbeat.machine().equals(machine.name())) {
-                        processor.processStatusResponse(heartbeat, epoch, sequence);
+                    if (!closed && response.isOk()) {
+                        HeartbeatCodec.decode(response.body())
+                                .filter(heartbeat -> heartbeat.machine().equals(machine.name()))
+                                .ifPresent(heartbeat -> processor.processStatusResponse(heartbeat, epoch, sequence));
                     }
                 });
     }
