--- a/src/main/java/io/sillreel/cli/Rehearsal.java
+++ b/src/main/java/io/sillreel/cli/Rehearsal.java
@@ -86,6 +86,7 @@
         }
         planForAnIdleMachine(self, heartbeat, round + 1);
         ask("http://127.0.0.1:" + internalPorts[0] + "/metrics", null);
+        FailureTraining.run();
         for (EventLoopGroup daemon : daemons) {
             daemon.shutdownGracefully(0, 1, TimeUnit.SECONDS).await();
         }
@@ -176,7 +177,7 @@
         }
     }
 
-    private static String settings(int number, int publicPort, int internalPort, int otherPort, int stagePort) {
+    static String settings(int number, int publicPort, int internalPort, int otherPort, int stagePort) {
         return """
                 node_name = "rehearsal-%1$d"
                 area = "a"
@@ -241,7 +242,7 @@
      * A port that nobody listens on now. It lies below those that the system gives to outgoing connections, one of
      * which could else take it before the daemon listens.
      */
-    private static int freePort() throws IOException {
+    static int freePort() throws IOException {
         int first = (int) (ProcessHandle.current().pid() * PORT_STEP % PORTS);
         for (int offset = 0; offset < PORTS; offset++) {
             int port = FIRST_PORT + (first + offset + portsTaken) % PORTS;
