--- /dev/null
+++ b/src/main/java/io/sillreel/cli/PeerFailures.java
@@ -0,0 +1,166 @@
+package io.sillreel.cli;
+
+import io.netty.bootstrap.Bootstrap;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelException;
+import io.netty.channel.ChannelFactory;
+import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.EventLoop;
+import io.netty.channel.socket.nio.NioSocketChannel;
+import io.sillreel.http.Call;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.Reply;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+
+/** Causes the failures that the peers of a client bring about: wrong answers, none at all, no connection. */
+final class PeerFailures {
+    private static final long TIMEOUT_MICROS = 100_000;
+    private static final String CRLF = "\r\n";
+    private static final String END = CRLF + CRLF;
+
+    /** What a peer does with a connection that it has accepted. */
+    private interface Peer {
+        void serve(Socket connection) throws IOException, InterruptedException;
+    }
+
+    private final EventLoop eventLoop;
+    private final HttpClient client;
+
+    /** @param client runs on the event loop */
+    PeerFailures(EventLoop eventLoop, HttpClient client) {
+        this.eventLoop = eventLoop;
+        this.client = client;
+    }
+
+    void cause() throws IOException, InterruptedException {
+        String head = "HTTP/1.1 200 OK" + CRLF;
+        String large = "x".repeat(8 * FailureTraining.MAX_BYTES);
+        callPeer(FailureTraining::reset);
+        callPeer(Socket::close);
+        callPeer(Socket::shutdownOutput);
+        callPeer(peer -> answer(peer, ""));
+        callPeer(peer -> answerAndReset(peer, "HTTP/1."));
+        callPeer(peer -> answerAndReset(peer, head + "Content-Length: 9" + END + "{"));
+        callPeer(peer -> answerAndReset(peer, head + "Content-Length: 0" + END));
+        callPeer(peer -> answerAndClose(peer, head + "Content-Length: 9" + END + "{"));
+        callPeer(peer -> answerAndClose(peer, head + CRLF + "{}"));
+        callPeer(peer -> answerAndClose(peer, head + "Content-Length: 0" + END));
+        callPeer(peer -> answerAndShutDownOutput(peer, head + "Content-Length: 9" + END + "{"));
+        callPeer(peer -> answer(peer, "\0\1\2\3 garbage" + END));
+        callPeer(peer -> answer(peer, head + "Content-Length: x" + END));
+        callPeer(peer -> answer(peer, head + "Transfer-Encoding: chunked" + END + "zz" + CRLF));
+        callPeer(peer -> answer(peer, head + "Long: " + large + END));
+        callPeer(peer -> answer(peer, head + "Content-Length: " + large.length() + END + large));
+        callPeer(peer -> answer(peer, head + "Transfer-Encoding: chunked" + END + "20000" + CRLF + large));
+        callPeer(peer -> answer(peer, "HTTP/1.1 100 Continue" + END + head + "Content-Length: 0" + END));
+        callPeer(peer -> answer(peer, (head + "Content-Length: 0" + END).repeat(2)));
+        answersAfterAClose();
+        resetWhileARequestIsWritten();
+        connectionRefused();
+        connectTimeout();
+        tooManyOpenFilesOnConnect();
+    }
+
+    /** The connection is closed by the first answer, while more than one read's worth of bytes follows it. */
+    private void answersAfterAClose() throws IOException, InterruptedException {
+        String answer = "HTTP/1.1 200 OK" + CRLF + "Connection: close" + CRLF + "Content-Length: 0" + END;
+        callPeer(peer -> answer(peer, answer.repeat(FailureTraining.LARGE_BYTES / 16 / answer.length())));
+    }
+
+    private void resetWhileARequestIsWritten() throws IOException, InterruptedException {
+        callPeer(new Call("POST", "/", new byte[FailureTraining.LARGE_BYTES]), peer -> {
+            Thread.sleep(FailureTraining.PAUSE_MILLIS);
+            FailureTraining.reset(peer);
+        });
+    }
+
+    private void connectionRefused() throws IOException, InterruptedException {
+        int refused;
+        try (ServerSocket socket = new ServerSocket(0, 1, FailureTraining.LOOPBACK)) {
+            refused = socket.getLocalPort();
+        }
+        Call call = new Call("GET", "/", new byte[0]);
+        FailureTraining.await(client.call(FailureTraining.address(refused), call, TIMEOUT_MICROS));
+    }
+
+    /** Connects to a listener whose queue of connections is full; a shorter limit than the client's saves time. */
+    private void connectTimeout() throws IOException, InterruptedException {
+        try (ServerSocket full = new ServerSocket(0, 1, FailureTraining.LOOPBACK)) {
+            InetSocketAddress address = new InetSocketAddress(FailureTraining.LOOPBACK, full.getLocalPort());
+            List<Channel> channels = new ArrayList<>();
+            for (int i = 0; i < 4; i++) {
+                channels.add(bootstrap(NioSocketChannel::new).connect(address).channel());
+            }
+            Thread.sleep(4 * FailureTraining.PAUSE_MILLIS);
+            channels.forEach(Channel::close);
+        }
+    }
+
+    /** A socket that can't be opened, as when the process has no file left. */
+    private void tooManyOpenFilesOnConnect() throws InterruptedException {
+        ChannelFactory<Channel> factory = () -> {
+            throw new ChannelException("Failed to open a socket.", new IOException("Too many open files"));
+        };
+        bootstrap(factory)
+                .connect(new InetSocketAddress(FailureTraining.LOOPBACK, 1))
+                .addListener(failed -> {})
+                .await(FailureTraining.MAX_WAIT_MILLIS);
+    }
+
+    private Bootstrap bootstrap(ChannelFactory<? extends Channel> factory) {
+        return new Bootstrap()
+                .group(eventLoop)
+                .channelFactory(factory)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, FailureTraining.PAUSE_MILLIS)
+                .handler(new ChannelInboundHandlerAdapter());
+    }
+
+    /** Asks a peer that treats its one connection as told, and waits for the end of the call. */
+    private void callPeer(Peer peer) throws IOException, InterruptedException {
+        callPeer(new Call("POST", "/", new byte[10]), peer);
+    }
+
+    private void callPeer(Call call, Peer peer) throws IOException, InterruptedException {
+        try (ServerSocket server = new ServerSocket(0, 1, FailureTraining.LOOPBACK)) {
+            server.setSoTimeout(FailureTraining.MAX_WAIT_MILLIS);
+            String address = FailureTraining.address(server.getLocalPort());
+            CompletableFuture<Reply> reply = client.call(address, call, TIMEOUT_MICROS);
+            try (Socket connection = server.accept()) {
+                connection.setSoTimeout(FailureTraining.MAX_WAIT_MILLIS);
+                peer.serve(connection);
+                FailureTraining.await(reply);
+            } catch (IOException e) {
+                // the client has ended the connection first
+            }
+        }
+    }
+
+    private static void answer(Socket peer, String answer) throws IOException {
+        peer.getInputStream().read(new byte[1_024]);
+        FailureTraining.send(peer, answer);
+    }
+
+    private static void answerAndReset(Socket peer, String answer) throws IOException, InterruptedException {
+        answer(peer, answer);
+        Thread.sleep(FailureTraining.PAUSE_MILLIS);
+        FailureTraining.reset(peer);
+        Thread.sleep(FailureTraining.PAUSE_MILLIS);
+    }
+
+    private static void answerAndClose(Socket peer, String answer) throws IOException {
+        answer(peer, answer);
+        peer.close();
+    }
+
+    private static void answerAndShutDownOutput(Socket peer, String answer) throws IOException {
+        answer(peer, answer);
+        peer.shutdownOutput();
+    }
+}
