--- a/src/test/java/io/sillreel/cli/ClassArchiveIT.java
+++ b/src/test/java/io/sillreel/cli/ClassArchiveIT.java
@@ -2,8 +2,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.netty.channel.EventLoopGroup;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import io.netty.channel.socket.ChannelInputShutdownReadComplete;
+import io.sillreel.http.HttpServer;
 import java.io.BufferedReader;
 import java.io.IOException;
+import java.net.InetSocketAddress;
 import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -13,6 +19,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
@@ -43,6 +50,9 @@
     private static final int MAX_REHEARSALS = 3;
     private static final int MIN_ARCHIVED = 1_000;
     private static final int MAX_SECONDS = 120;
+    private static final int POLL_MILLIS = 200;
+    /** The exit status of a process that SIGTERM has ended. */
+    private static final int STOPPED_BY_SIGNAL = 143;
 
     private static List<String> command(String argument) throws IOException {
         List<String> command = new ArrayList<>();
@@ -58,31 +68,39 @@
     }
 
     /** Classes by where they came from, over a run of the program that ends by itself. */
-    private record Loaded(int archived, List<String> outside) {}
+    private record Loaded(int archived, Set<String> names, List<String> outside) {}
 
     private static Loaded run(Path folder, String argument) throws IOException, InterruptedException {
         Process process = new ProcessBuilder(command(argument))
                 .directory(folder.toFile())
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
                 .start();
+        Loaded loaded;
+        try (BufferedReader output = process.inputReader()) {
+            loaded = read(output);
+        }
+        assertThat(process.waitFor()).isZero();
+        return loaded;
+    }
+
+    private static Loaded read(BufferedReader output) throws IOException {
         List<String> outside = new ArrayList<>();
+        Set<String> names = new TreeSet<>();
         int archived = 0;
-        try (BufferedReader output = process.inputReader()) {
-            for (String line = output.readLine(); line != null; line = output.readLine()) {
-                Matcher loaded = LOADED.matcher(line);
-                if (!loaded.find()) {
-                    continue;
-                }
-                if (loaded.group(2).startsWith(ARCHIVED)) {
-                    archived++;
-                } else {
-                    outside.add(loaded.group(1));
-                }
+        for (String line = output.readLine(); line != null; line = output.readLine()) {
+            Matcher loaded = LOADED.matcher(line);
+            if (!loaded.find()) {
+                continue;
+            }
+            if (loaded.group(2).startsWith(ARCHIVED)) {
+                archived++;
+                names.add(loaded.group(1));
+            } else {
+                outside.add(loaded.group(1));
             }
         }
         outside.removeIf(name -> MADE_AT_RUN_TIME.matcher(name).matches() || NOT_ARCHIVED.contains(name));
-        assertThat(process.waitFor()).isZero();
-        return new Loaded(archived, outside);
+        return new Loaded(archived, names, outside);
     }
 
     /**
@@ -107,6 +125,70 @@
                 .collect(Collectors.toCollection(TreeSet::new));
     }
 
+    /**
+     * Guards a running daemon: what only a failure needs would be loaded from a jar long after the start, and an event
+     * loop that can't load a class ends. A lambda is made from a class that is loaded already and reads no jar.
+     */
+    @Test
+    void whatFailuresOfConnectionsNeedComesFromTheClassArchive(@TempDir Path folder)
+            throws IOException, InterruptedException {
+        int publicPort = Rehearsal.freePort();
+        int internalPort = Rehearsal.freePort();
+        int faultyPort = Rehearsal.freePort();
+        int statePort = Rehearsal.freePort();
+        String settings = Rehearsal.settings(0, publicPort, internalPort, faultyPort, statePort)
+                .replace("cloud = \"127.0.0.1:" + statePort, "cloud = \"127.0.0.1:" + faultyPort);
+        Path config = Files.writeString(folder.resolve("node.toml"), settings);
+        Path output = folder.resolve("output.log");
+        EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+        new HttpServer(group, HttpServer.MAX_BODY_BYTES, 100)
+                .listen(new InetSocketAddress("127.0.0.1", statePort), new RehearsalStage()::handle);
+        Process daemon = start(config, output);
+        try (FaultyPeers peers = new FaultyPeers(faultyPort)) {
+            awaitTrue(() -> answers(publicPort));
+            new FaultyClients(publicPort).causeAll();
+            new FaultyClients(internalPort).causeAll();
+            awaitTrue(peers::allCaused);
+            awaitTrue(() -> answers(publicPort));
+        } finally {
+            daemon.destroy();
+            daemon.waitFor();
+            group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await();
+        }
+        assertThat(daemon.exitValue()).isEqualTo(STOPPED_BY_SIGNAL);
+        try (BufferedReader lines = Files.newBufferedReader(output)) {
+            Loaded loaded = read(lines);
+            assertThat(missed(loaded)).isEmpty();
+            assertThat(loaded.names()).contains(ChannelInputShutdownReadComplete.class.getName());
+        }
+    }
+
+    private static Process start(Path config, Path output) throws IOException {
+        List<String> command = command("--config");
+        command.add(config.toString());
+        ProcessBuilder builder = new ProcessBuilder(command)
+                .redirectOutput(output.toFile())
+                .redirectError(ProcessBuilder.Redirect.DISCARD);
+        builder.environment().put("LOG_LEVEL", "info");
+        return builder.start();
+    }
+
+    private static void awaitTrue(BooleanSupplier condition) throws InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_SECONDS);
+        while (!condition.getAsBoolean()) {
+            assertThat(System.nanoTime()).isLessThan(deadline);
+            Thread.sleep(POLL_MILLIS);
+        }
+    }
+
+    private static boolean answers(int port) {
+        try {
+            return JsonClient.get("http://127.0.0.1:" + port + "/up").status() > 0;
+        } catch (IOException e) {
+            return false;
+        }
+    }
+
     /** Guards the ceilings of the run command: without its archive the program keeps all classes in the metaspace. */
     @Test
     void theProgramRunsWithoutItsClassArchive() throws IOException, InterruptedException {
--- /dev/null
+++ b/src/test/java/io/sillreel/cli/FaultyClients.java
@@ -0,0 +1,92 @@
+package io.sillreel.cli;
+
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+
+/** Clients of a daemon that break off, send what is not HTTP, or send too much. */
+final class FaultyClients {
+    private static final int PAUSE_MILLIS = 50;
+    private static final int MANY = 150;
+    private static final String HOST = " HTTP/1.1\r\nHost: localhost\r\n";
+    private static final String CLOSE = "Connection: close\r\n\r\n";
+    private static final List<String> REQUESTS = List.of(
+            "",
+            "GET / HT",
+            "garbage\r\n\r\n",
+            "GET /up" + HOST + "\r\n",
+            "GET /up" + HOST + CLOSE,
+            ("GET /up" + HOST + CLOSE).repeat(10_000),
+            ("GET /metrics" + HOST + "\r\n").repeat(300),
+            "GET /" + "x".repeat(100_000) + HOST + "\r\n",
+            "GET /" + HOST + "Long: " + "x".repeat(100_000) + "\r\n\r\n",
+            "POST /v2/runs" + HOST + "Content-Length: 100\r\n\r\n{",
+            "POST /v2/runs" + HOST + "Content-Length: 3\r\n\r\n{\"a",
+            "POST /v2/runs" + HOST + "Content-Length: x\r\n\r\n",
+            "POST /v2/runs" + HOST + "Content-Length: 9000000\r\n\r\n" + "x".repeat(9_000_000),
+            "POST /v2/runs" + HOST + "Content-Length: 9000000\r\nExpect: 100-continue\r\n\r\n",
+            "POST /v2/runs" + HOST + "Transfer-Encoding: chunked\r\n\r\nzz\r\n");
+
+    private final int port;
+
+    FaultyClients(int port) {
+        this.port = port;
+    }
+
+    void causeAll() throws IOException, InterruptedException {
+        for (String request : REQUESTS) {
+            try (Socket socket = send(request)) {
+                Thread.sleep(PAUSE_MILLIS);
+                FaultyPeers.reset(socket);
+            }
+            try (Socket socket = send(request)) {
+                FaultyPeers.reset(socket);
+            }
+            try (Socket socket = send(request)) {
+                shutDownOutput(socket);
+                Thread.sleep(PAUSE_MILLIS);
+            }
+        }
+        connectTooOften();
+    }
+
+    private void connectTooOften() throws IOException, InterruptedException {
+        List<Socket> sockets = new ArrayList<>();
+        for (int i = 0; i < MANY; i++) {
+            sockets.add(new Socket(InetAddress.getLoopbackAddress(), port));
+        }
+        Thread.sleep(PAUSE_MILLIS);
+        for (Socket socket : sockets) {
+            socket.close();
+        }
+    }
+
+    private static void shutDownOutput(Socket socket) {
+        try {
+            socket.shutdownOutput();
+        } catch (IOException e) {
+            // the daemon has reset the connection
+        }
+    }
+
+    private Socket send(String request) throws IOException {
+        Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
+        socket.setTcpNoDelay(true);
+        Thread writer = new Thread(() -> write(socket, request));
+        writer.setDaemon(true);
+        writer.start();
+        return socket;
+    }
+
+    /** In a thread of its own: a request that the daemon does not read to its end blocks its sender. */
+    private static void write(Socket socket, String request) {
+        try {
+            socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
+        } catch (IOException e) {
+            // the connection has ended before all was sent
+        }
+    }
+}
