--- a/src/main/java/io/sillreel/cli/FailureTraining.java
+++ b/src/main/java/io/sillreel/cli/FailureTraining.java
@@ -52,7 +52,11 @@
             // what is queued falls below the limit while a write is being failed, which is told by a later event
             "io.netty.channel.ChannelOutboundBuffer$2",
             // a listener closes the connection while its writes are being failed
-            "io.netty.channel.ChannelOutboundBuffer$3");
+            "io.netty.channel.ChannelOutboundBuffer$3",
+            // the output of a connection is shut down, and fails what is queued, if a write fails after the input has
+            // ended
+            "io.netty.channel.socket.ChannelOutputShutdownEvent",
+            "io.netty.channel.socket.ChannelOutputShutdownException");
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("failures"), NioIoHandler.newFactory());
