--- a/src/main/java/io/sillreel/ActiveTerm.java
+++ b/src/main/java/io/sillreel/ActiveTerm.java
@@ -74,7 +74,7 @@
     @Override
     public Optional<Member> remoteLeader() {
         String node = election.knownLeader().node();
-        return node == null ? Optional.empty() : configuration.settings().member(node);
+        return node == null ? Optional.empty() : configuration.settings().findMember(node);
     }
 
     @Override
--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -127,7 +127,7 @@
                 httpClient,
                 leaseHttpClient,
                 eventLoop,
-                settings.stateAddress(),
+                settings.services().stateAddress(),
                 new RateLimiter(eventLoop, requests, requests),
                 new RateLimiter(eventLoop, writes, writes));
     }
@@ -135,7 +135,7 @@
     private static CloudClient newCloud(EventLoop eventLoop, HttpClient httpClient, Settings settings) {
         double requests = settings.cloud().requestsPerSecond() * CLOUD_RATE_SHARE;
         RateLimiter rateLimiter = new RateLimiter(eventLoop, requests, Math.max(1, requests));
-        return new CloudClient(httpClient, eventLoop, settings.cloudAddress(), rateLimiter);
+        return new CloudClient(httpClient, eventLoop, settings.services().cloudAddress(), rateLimiter);
     }
 
     private AdaptiveLimit newAdmission(Settings settings, OperatorProperties operator, ProcessLimits limits) {
@@ -147,7 +147,8 @@
                 machineTypes::types,
                 activeTerm,
                 activeTerm::notifyLeaderOfCancellation);
-        return new AdaptiveLimit(admission, operator.maxRequestsInProgress(), limits.cachedJobStatuses(), eventLoop::nowMicros);
+        return new AdaptiveLimit(
+                admission, operator.maxRequestsInProgress(), limits.cachedJobStatuses(), eventLoop::nowMicros);
     }
 
     /** The version that the build wrote into the jar. */
--- a/src/main/java/io/sillreel/cli/Main.java
+++ b/src/main/java/io/sillreel/cli/Main.java
@@ -156,8 +156,8 @@
                     "params.resources",
                     "carry no fleet of " + machines + " machines, but " + capacity.describe(tasksPerMachine));
         }
-        System.out.println("settings are good: " + settings.nodeName() + " in " + settings.area() + ", for "
-                + capacity.describe(tasksPerMachine));
+        System.out.println("settings are good: " + settings.nodeName() + " in "
+                + settings.localController().area() + ", for " + capacity.describe(tasksPerMachine));
         return 0;
     }
 
@@ -171,7 +171,7 @@
                 .info(
                         "{} in {} starts, version {}, {} UTC",
                         settings.nodeName(),
-                        settings.area(),
+                        settings.localController().area(),
                         Controller.version(),
                         LocalDateTime.now(ZoneOffset.UTC));
         ProcessLimits limits = limits(settings);
@@ -189,15 +189,16 @@
                 controller.requestQueue(),
                 limits.maxWorkerConnections());
         new NettyHttpServer(group, MAX_BATCH_BYTES, limits.maxInternalConnections())
-                .listen(settings.internalAddress(), controller::handleInternal);
-        loop.execute(() -> controller.start(() -> users.bind(settings.publicAddress(), controller::handlePublic)
-                .addListener(bound -> {
-                    if (!bound.isSuccess()) {
-                        System.err.println("sillreel: public_addr: can't be listened on: "
-                                + bound.cause().getMessage());
-                        System.exit(BAD_SETTINGS);
-                    }
-                })));
+                .listen(settings.localController().internalAddress(), controller::handleInternal);
+        loop.execute(() ->
+                controller.start(() -> users.bind(settings.localController().publicAddress(), controller::handlePublic)
+                        .addListener(bound -> {
+                            if (!bound.isSuccess()) {
+                                System.err.println("sillreel: public_addr: can't be listened on: "
+                                        + bound.cause().getMessage());
+                                System.exit(BAD_SETTINGS);
+                            }
+                        })));
         return group;
     }
 }
--- a/src/main/java/io/sillreel/settings/SettingsReader.java
+++ b/src/main/java/io/sillreel/settings/SettingsReader.java
@@ -2,13 +2,15 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.MissingNode;
 import com.fasterxml.jackson.dataformat.toml.TomlFactory;
 import io.sillreel.http.Json;
 import io.sillreel.settings.Settings.CloudLimits;
+import io.sillreel.settings.Settings.ExternalServices;
+import io.sillreel.settings.Settings.LocalController;
 import io.sillreel.settings.Settings.Member;
 import io.sillreel.settings.Settings.Objective;
 import io.sillreel.settings.Settings.Resources;
+import io.sillreel.settings.Settings.SchedulingPolicy;
 import io.sillreel.settings.Settings.StateLimits;
 import io.sillreel.settings.Settings.Team;
 import io.sillreel.settings.Settings.WorkerTimes;
@@ -21,25 +23,21 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads and checks the platform's TOML. Fields it does not know are ignored. */
+/** Reads and checks the settings file of the platform, which is TOML. Unknown fields are ignored. */
 public final class SettingsReader {
-    private static final double MICROS = 1_000_000;
+    private static final double MICROS_PER_MILLI = 1_000;
     private static final int BYTES_PER_KB = 1024;
-    /**
-     * Below these nothing could be served: a lease is taken by two changes in one transaction and renewed every second.
-     */
+    /** Requests per second that a leader needs to keep its lease, which it renews every second. */
     private static final double MIN_REQUESTS = 4;
-
+    /** Writes per second that a leader needs to keep its lease. */
     private static final double MIN_WRITES = 2;
-    private static final double MIN_OPS = 2;
-    /** A submission with all its texts, or a rental of a few machines. */
+    /** Leadership is taken by a transaction of two changes. */
+    private static final double MIN_TRANSACTION_CHANGES = 2;
+    /** Size of a submission with all its texts, or of a scale-out request for a few machines. */
     private static final double MIN_VALUE_KB = 1;
-    /**
-     * What a process holds that has only started, measured, and sockets for its listeners, its own calls and a few
-     * users.
-     */
+    /** Measured memory of a process that has only started. */
     private static final double MIN_MEMORY_MB = 48;
-
+    /** Sockets for the listeners, the controller's own requests and a few users. */
     private static final double MIN_SOCKETS = 40;
 
     private SettingsReader() {}
@@ -73,219 +71,121 @@
             throw new SettingsException(
                     "settings", "can't be read (" + e.getClass().getSimpleName() + ")");
         }
-        return settings(new Section("", root));
+        return settings(new TomlTable("", root));
     }
 
-    private static Settings settings(Section root) {
-        Section params = root.section("params");
-        Section state = params.section("state");
-        Section cloud = params.section("cloud");
-        Section resources = params.section("resources");
-        Section endpoints = root.section("endpoints");
-
+    /** Reads the fields in the order of the file, which decides about the one that is named if several are wrong. */
+    private static Settings settings(TomlTable root) {
+        TomlTable params = root.table("params");
+        TomlTable state = params.table("state");
+        TomlTable cloud = params.table("cloud");
+        TomlTable resources = params.table("resources");
+        TomlTable endpoints = root.table("endpoints");
+
+        LocalController localController = localController(root);
+        List<Member> members = members(root);
+        String cloudAddress = endpoints.hostPort("cloud");
+        String stateAddress = endpoints.hostPort("state");
+        // The platform always gives the list; the zones that count are those of the machine types.
+        params.texts("zones");
+        long clockSkewMicros = Math.round(params.amount("skew_ms") * MICROS_PER_MILLI);
+        SchedulingPolicy scheduling = new SchedulingPolicy(teams(params), objectives(params));
+        WorkerTimes workers = workerTimes(params.table("workers"));
+        StateLimits stateLimits = stateLimits(state);
+        CloudLimits cloudLimits = new CloudLimits(cloud.positive("rps"), cloud.micros("list_lag_s"));
         return new Settings(
+                localController,
+                members,
+                new ExternalServices(cloudAddress, cloudLimits, stateAddress, stateLimits),
+                clockSkewMicros,
+                scheduling,
+                workers,
+                resources(resources));
+    }
+
+    private static LocalController localController(TomlTable root) {
+        return new LocalController(
                 root.text("node_name"),
                 root.text("area"),
                 address(root.hostPort("public_addr")),
-                address(root.hostPort("internal_addr")),
-                members(root),
-                endpoints.hostPort("cloud"),
-                endpoints.hostPort("state"),
-                params.texts("zones"),
-                Math.round(params.amount("skew_ms") * 1_000),
-                teams(params),
-                objectives(params),
-                workerTimes(params.section("workers")),
-                limits(state),
-                new CloudLimits(cloud.positive("rps"), cloud.micros("list_lag_s")),
-                new Resources(resources.positive("cores"), resources.atLeast("memory_mb", MIN_MEMORY_MB), (int)
-                        resources.atLeast("max_sockets", MIN_SOCKETS)));
+                address(root.hostPort("internal_addr")));
+    }
+
+    private static Resources resources(TomlTable resources) {
+        return new Resources(resources.positive("cores"), resources.atLeast("memory_mb", MIN_MEMORY_MB), (int)
+                resources.atLeast("max_sockets", MIN_SOCKETS));
     }
 
-    private static List<Member> members(Section root) {
+    private static List<Member> members(TomlTable root) {
         List<Member> members = new ArrayList<>();
-        for (Section member : root.list("members")) {
+        for (TomlTable member : root.tables("members")) {
             members.add(new Member(member.text("node_name"), member.text("area"), member.hostPort("address")));
         }
         return List.copyOf(members);
     }
 
-    private static Map<String, Team> teams(Section params) {
+    private static Map<String, Team> teams(TomlTable params) {
         Map<String, Team> teams = new LinkedHashMap<>();
-        for (Section section : params.list("teams")) {
+        for (TomlTable table : params.tables("teams")) {
             Team team = new Team(
-                    section.text("name"),
-                    section.amountOr("cpus", 0),
-                    section.amountOr("cpus_max", 0),
-                    section.amountOr("gpus", 0),
-                    section.amountOr("gpus_max", 0));
+                    table.text("name"),
+                    table.amountOr("cpus", 0),
+                    table.amountOr("cpus_max", 0),
+                    table.amountOr("gpus", 0),
+                    table.amountOr("gpus_max", 0));
             if (team.maxCpus() > 0 && team.maxCpus() < team.guaranteedCpus()) {
-                throw new SettingsException(section.name("cpus_max"), "is below cpus");
+                throw new SettingsException(table.qualifiedName("cpus_max"), "is below cpus");
             }
             if (team.maxGpus() > 0 && team.maxGpus() < team.guaranteedGpus()) {
-                throw new SettingsException(section.name("gpus_max"), "is below gpus");
+                throw new SettingsException(table.qualifiedName("gpus_max"), "is below gpus");
             }
             teams.put(team.name(), team);
         }
         return teams;
     }
 
-    private static List<Objective> objectives(Section params) {
+    private static List<Objective> objectives(TomlTable params) {
         List<Objective> objectives = new ArrayList<>();
-        for (Section section : params.list("objectives")) {
+        for (TomlTable table : params.tables("objectives")) {
             objectives.add(new Objective(
-                    section.textOr("kind", ""),
-                    section.textOr("class", ""),
-                    Math.round(section.amountOr("within_s", 0) * MICROS),
-                    section.amountOr("share", 0)));
+                    table.textOr("kind", ""),
+                    table.textOr("class", ""),
+                    Math.round(table.amountOr("within_s", 0) * TomlTable.MICROS_PER_SECOND),
+                    table.amountOr("share", 0)));
         }
         return List.copyOf(objectives);
     }
 
-    private static WorkerTimes workerTimes(Section workers) {
+    private static WorkerTimes workerTimes(TomlTable workers) {
         WorkerTimes times =
                 new WorkerTimes(workers.micros("report_s"), workers.micros("lease_s"), workers.micros("cancel_s"));
         if (times.leaseMicros() <= 2 * times.heartbeatIntervalMicros()) {
-            throw new SettingsException(workers.name("lease_s"), "must be more than two reports long");
+            throw new SettingsException(
+                    workers.qualifiedName("lease_s"), "must be longer than two heartbeat intervals (report_s)");
         }
         if (times.cancelMicros() <= times.leaseMicros()) {
-            throw new SettingsException(workers.name("cancel_s"), "must be longer than lease_s");
+            throw new SettingsException(workers.qualifiedName("cancel_s"), "must be longer than lease_s");
         }
         return times;
     }
 
-    private static StateLimits limits(Section state) {
+    private static StateLimits stateLimits(TomlTable state) {
         double requests = state.atLeast("rps", MIN_REQUESTS);
         double writes = state.atLeast("write_rps", MIN_WRITES);
         double valueKb = state.atLeast("value_kb", MIN_VALUE_KB);
-        double txnOps = state.atLeast("txn_ops", MIN_OPS);
-        Section next = state.sectionOr("next");
+        double maxChanges = state.atLeast("txn_ops", MIN_TRANSACTION_CHANGES);
+        TomlTable next = state.tableOrEmpty("next");
         next.atLeastOr("rps", MIN_REQUESTS, requests);
         next.atLeastOr("write_rps", MIN_WRITES, writes);
         double announcedKb = Math.min(valueKb, next.atLeastOr("value_kb", MIN_VALUE_KB, valueKb));
-        double announcedOps = Math.min(txnOps, next.atLeastOr("txn_ops", MIN_OPS, txnOps));
+        double maxAnnouncedChanges =
+                Math.min(maxChanges, next.atLeastOr("txn_ops", MIN_TRANSACTION_CHANGES, maxChanges));
         ValueLimits values = new ValueLimits((int) (valueKb * BYTES_PER_KB), (int) (announcedKb * BYTES_PER_KB));
-        return new StateLimits(requests, writes, values, (int) announcedOps);
+        return new StateLimits(requests, writes, values, (int) maxAnnouncedChanges);
     }
 
     private static InetSocketAddress address(String hostPort) {
         int colon = hostPort.lastIndexOf(':');
         return new InetSocketAddress(hostPort.substring(0, colon), Integer.parseInt(hostPort.substring(colon + 1)));
     }
-
-    /** One table of the file, which knows its own name for the sake of the messages. */
-    private record Section(String path, JsonNode node) {
-        String name(String field) {
-            return path.isEmpty() ? field : path + "." + field;
-        }
-
-        private JsonNode required(String field) {
-            JsonNode value = node.path(field);
-            if (value.isMissingNode() || value.isNull()) {
-                throw new SettingsException(name(field), "is missing");
-            }
-            return value;
-        }
-
-        Section section(String field) {
-            JsonNode value = required(field);
-            if (!value.isObject()) {
-                throw new SettingsException(name(field), "is not a table");
-            }
-            return new Section(name(field), value);
-        }
-
-        /** The table, or an empty one if there is none. */
-        Section sectionOr(String field) {
-            return node.hasNonNull(field) ? section(field) : new Section(name(field), MissingNode.getInstance());
-        }
-
-        List<Section> list(String field) {
-            JsonNode value = node.path(field);
-            List<Section> sections = new ArrayList<>();
-            if (value.isMissingNode() || value.isNull()) {
-                return sections;
-            }
-            if (!value.isArray()) {
-                throw new SettingsException(name(field), "is not a list of tables");
-            }
-            for (JsonNode element : value) {
-                sections.add(new Section(name(field) + "[" + sections.size() + "]", element));
-            }
-            return sections;
-        }
-
-        List<String> texts(String field) {
-            JsonNode value = required(field);
-            if (!value.isArray()) {
-                throw new SettingsException(name(field), "is not a list");
-            }
-            List<String> texts = new ArrayList<>();
-            value.forEach(element -> texts.add(element.asText()));
-            return List.copyOf(texts);
-        }
-
-        String text(String field) {
-            JsonNode value = required(field);
-            if (!value.isTextual() || value.asText().isBlank()) {
-                throw new SettingsException(name(field), "is not a text");
-            }
-            return value.asText();
-        }
-
-        String textOr(String field, String otherwise) {
-            return node.path(field).asText(otherwise);
-        }
-
-        String hostPort(String field) {
-            String value = text(field);
-            int colon = value.lastIndexOf(':');
-            try {
-                int port = colon < 1 ? -1 : Integer.parseInt(value.substring(colon + 1));
-                if (port >= 0 && port <= 65_535) {
-                    return value;
-                }
-            } catch (NumberFormatException e) {
-                // falls through to the one message for every malformed address
-            }
-            throw new SettingsException(name(field), "is not host:port");
-        }
-
-        double amount(String field) {
-            JsonNode value = required(field);
-            if (!value.isNumber() || !Double.isFinite(value.asDouble()) || value.asDouble() < 0) {
-                throw new SettingsException(
-                        name(field), "is " + value.asText() + ", and a number of at least 0 is needed");
-            }
-            return value.asDouble();
-        }
-
-        double amountOr(String field, double otherwise) {
-            return node.hasNonNull(field) ? amount(field) : otherwise;
-        }
-
-        double positive(String field) {
-            double value = amount(field);
-            if (value <= 0) {
-                throw new SettingsException(name(field), "is " + value + ", and more than 0 is needed");
-            }
-            return value;
-        }
-
-        double atLeast(String field, double least) {
-            double value = amount(field);
-            if (value < least) {
-                throw new SettingsException(name(field), "is " + value + ", and at least " + least + " is needed");
-            }
-            return value;
-        }
-
-        double atLeastOr(String field, double least, double otherwise) {
-            return node.hasNonNull(field) ? atLeast(field, least) : otherwise;
-        }
-
-        long micros(String field) {
-            return Math.round(positive(field) * MICROS);
-        }
-    }
 }
--- /dev/null
+++ b/src/main/java/io/sillreel/settings/TomlTable.java
@@ -0,0 +1,144 @@
+package io.sillreel.settings;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.MissingNode;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Typed reading of the fields of a TOML table. Each method throws {@link SettingsException} with the qualified name of
+ * the field if it is missing or not of the type.
+ *
+ * @param path name of the table within the file; empty for the file itself
+ */
+record TomlTable(String path, JsonNode node) {
+    static final double MICROS_PER_SECOND = 1_000_000;
+
+    private static final int MAX_PORT = 65_535;
+
+    /** Returns the name of a field with the path of this table, as messages show it. */
+    String qualifiedName(String field) {
+        return path.isEmpty() ? field : path + "." + field;
+    }
+
+    private JsonNode required(String field) {
+        JsonNode value = node.path(field);
+        if (value.isMissingNode() || value.isNull()) {
+            throw new SettingsException(qualifiedName(field), "is missing");
+        }
+        return value;
+    }
+
+    /** Reads a table that has to be there. */
+    TomlTable table(String field) {
+        JsonNode value = required(field);
+        if (!value.isObject()) {
+            throw new SettingsException(qualifiedName(field), "is not a table");
+        }
+        return new TomlTable(qualifiedName(field), value);
+    }
+
+    /** Reads a table, or returns an empty one if there is none. */
+    TomlTable tableOrEmpty(String field) {
+        return node.hasNonNull(field) ? table(field) : new TomlTable(qualifiedName(field), MissingNode.getInstance());
+    }
+
+    /** Reads a list of tables; an absent one is empty. */
+    List<TomlTable> tables(String field) {
+        JsonNode value = node.path(field);
+        List<TomlTable> tables = new ArrayList<>();
+        if (value.isMissingNode() || value.isNull()) {
+            return tables;
+        }
+        if (!value.isArray()) {
+            throw new SettingsException(qualifiedName(field), "is not a list of tables");
+        }
+        for (JsonNode element : value) {
+            tables.add(new TomlTable(qualifiedName(field) + "[" + tables.size() + "]", element));
+        }
+        return tables;
+    }
+
+    /** Reads a list of texts that has to be there. */
+    List<String> texts(String field) {
+        JsonNode value = required(field);
+        if (!value.isArray()) {
+            throw new SettingsException(qualifiedName(field), "is not a list");
+        }
+        List<String> texts = new ArrayList<>();
+        value.forEach(element -> texts.add(element.asText()));
+        return List.copyOf(texts);
+    }
+
+    /** Reads a text that is not blank. */
+    String text(String field) {
+        JsonNode value = required(field);
+        if (!value.isTextual() || value.asText().isBlank()) {
+            throw new SettingsException(qualifiedName(field), "is not a text");
+        }
+        return value.asText();
+    }
+
+    /** Reads a text, or returns the default if there is none. */
+    String textOr(String field, String defaultText) {
+        return node.path(field).asText(defaultText);
+    }
+
+    /** Reads an address of the form host:port. */
+    String hostPort(String field) {
+        String value = text(field);
+        int colon = value.lastIndexOf(':');
+        try {
+            int port = colon < 1 ? -1 : Integer.parseInt(value.substring(colon + 1));
+            if (port >= 0 && port <= MAX_PORT) {
+                return value;
+            }
+        } catch (NumberFormatException e) {
+            // Not a port number: reported below like every other malformed address.
+        }
+        throw new SettingsException(qualifiedName(field), "is not host:port");
+    }
+
+    /** Reads a finite number of at least 0. */
+    double amount(String field) {
+        JsonNode value = required(field);
+        if (!value.isNumber() || !Double.isFinite(value.asDouble()) || value.asDouble() < 0) {
+            throw new SettingsException(
+                    qualifiedName(field), "is " + value.asText() + ", and a number of at least 0 is needed");
+        }
+        return value.asDouble();
+    }
+
+    /** Reads a finite number of at least 0, or returns the default if there is none. */
+    double amountOr(String field, double defaultAmount) {
+        return node.hasNonNull(field) ? amount(field) : defaultAmount;
+    }
+
+    /** Reads a finite number above 0. */
+    double positive(String field) {
+        double value = amount(field);
+        if (value <= 0) {
+            throw new SettingsException(qualifiedName(field), "is " + value + ", and more than 0 is needed");
+        }
+        return value;
+    }
+
+    /** Reads a finite number that is not below the minimum. */
+    double atLeast(String field, double min) {
+        double value = amount(field);
+        if (value < min) {
+            throw new SettingsException(qualifiedName(field), "is " + value + ", and at least " + min + " is needed");
+        }
+        return value;
+    }
+
+    /** Reads a finite number that is not below the minimum, or returns the default if there is none. */
+    double atLeastOr(String field, double min, double defaultAmount) {
+        return node.hasNonNull(field) ? atLeast(field, min) : defaultAmount;
+    }
+
+    /** Reads a duration in seconds above 0 and returns it in microseconds. */
+    long micros(String field) {
+        return Math.round(positive(field) * MICROS_PER_SECOND);
+    }
+}
