--- /dev/null
+++ b/src/main/java/io/sillreel/placement/DeadlineWorkload.java
@@ -0,0 +1,118 @@
+package io.sillreel.placement;
+
+import io.sillreel.cluster.Cluster;
+import io.sillreel.pipeline.ActiveJob;
+import io.sillreel.pipeline.JobSpec;
+import io.sillreel.pipeline.PriorityClass;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.EnumMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Computes how many processors it takes to finish the unfinished work by its deadlines. Work is served by priority
+ * class, then by deadline, and each class leaves room for what arrives in the classes above it. Guarded by the lock of
+ * the cluster.
+ */
+final class DeadlineWorkload {
+    /** The part of a running task that is left on average. */
+    private static final double REMAINING_PART_OF_RUNNING_TASK = 0.5;
+    /** Late work is planned as if it had time for this many of its tasks, one after the other. */
+    private static final int TASKS_IN_SEQUENCE_WHEN_LATE = 2;
+
+    private final Cluster cluster;
+    private final ServiceLevelObjectives objectives;
+    private final RuntimeEstimator runtimeEstimator;
+    private final ArrivingDemand arrivingDemand;
+
+    DeadlineWorkload(
+            Cluster cluster,
+            ServiceLevelObjectives objectives,
+            RuntimeEstimator runtimeEstimator,
+            ArrivingDemand arrivingDemand) {
+        this.cluster = cluster;
+        this.objectives = objectives;
+        this.runtimeEstimator = runtimeEstimator;
+        this.arrivingDemand = arrivingDemand;
+    }
+
+    /**
+     * The unfinished work of one job.
+     *
+     * @param cpuMicros the work in processor-microseconds
+     * @param remainingMicros time in which it is to be done
+     * @param reservedCpus processors that arriving work of higher priority classes takes meanwhile
+     */
+    private record Load(PriorityClass priorityClass, double cpuMicros, long remainingMicros, double reservedCpus) {}
+
+    /** Returns the processors with which all unfinished work would meet its deadlines. */
+    double requiredCpus(long wallMicros) {
+        double cpuMicros = 0;
+        double required = 0;
+        for (Load load : loads(wallMicros, 0)) {
+            cpuMicros += load.cpuMicros();
+            required = Math.max(required, load.reservedCpus() + cpuMicros / load.remainingMicros());
+        }
+        return required;
+    }
+
+    /**
+     * Returns the processors to add so that new machines, once they are up, do what the available ones can't do in
+     * time.
+     *
+     * @param availableCpus processors that are or will soon be available
+     * @param bootMicros time until new machines are up
+     * @param isReachableOnly true to count only deadlines that new machines can still help to meet
+     */
+    double missingCpus(double availableCpus, long bootMicros, boolean isReachableOnly, long wallMicros) {
+        double cpuMicros = 0;
+        double missing = 0;
+        for (Load load : loads(wallMicros, isReachableOnly ? bootMicros : 0)) {
+            cpuMicros += load.cpuMicros();
+            double excess = cpuMicros - (availableCpus - load.reservedCpus()) * load.remainingMicros();
+            if (excess > 0) {
+                long usableMicros = load.remainingMicros() - bootMicros;
+                missing = Math.max(missing, excess / Math.max(usableMicros, isReachableOnly ? 1 : bootMicros));
+            }
+        }
+        return missing;
+    }
+
+    /** Returns the unfinished work in the order of its service; machines are there after {@code bootMicros}. */
+    private List<Load> loads(long wallMicros, long bootMicros) {
+        Map<PriorityClass, Double> reservedCpus = reservedCpus(wallMicros);
+        List<Load> loads = new ArrayList<>();
+        for (ActiveJob job : cluster.jobs()) {
+            if (!job.isCancelled() && !job.hasUnmetDependencies() && wallMicros >= job.nextAttemptWallMicros()) {
+                loads.add(load(job, reservedCpus.get(job.effectivePriority()), wallMicros, bootMicros));
+            }
+        }
+        loads.sort(Comparator.comparing(Load::priorityClass).thenComparingLong(Load::remainingMicros));
+        return loads;
+    }
+
+    /** Returns for each priority class what arriving work of the classes above it takes. */
+    private Map<PriorityClass, Double> reservedCpus(long wallMicros) {
+        Map<PriorityClass, Double> reservedCpus = new EnumMap<>(PriorityClass.class);
+        double above = 0;
+        for (PriorityClass priorityClass : PriorityClass.values()) {
+            reservedCpus.put(priorityClass, above);
+            above += arrivingDemand.cpusOf(priorityClass, wallMicros);
+        }
+        return reservedCpus;
+    }
+
+    private Load load(ActiveJob job, double reservedCpus, long wallMicros, long bootMicros) {
+        JobSpec spec = job.spec();
+        long taskMicros = runtimeEstimator.occupancyMicros(job);
+        double tasks = job.waitingCount() + REMAINING_PART_OF_RUNNING_TASK * job.allocatedCount();
+        // Half a task less: tasks are not divisible, so the time up to the deadline is not filled to the end.
+        long remainingMicros = objectives.deadlineMicros(job, wallMicros, bootMicros) - wallMicros - taskMicros / 2;
+        if (remainingMicros < bootMicros + taskMicros) {
+            // The job is late whatever is done: it is to be done soon, but without one machine for each of its tasks.
+            remainingMicros = bootMicros > 0 ? bootMicros + TASKS_IN_SEQUENCE_WHEN_LATE * taskMicros : taskMicros;
+        }
+        return new Load(job.effectivePriority(), tasks * spec.cpus() * taskMicros, remainingMicros, reservedCpus);
+    }
+}
--- a/src/main/java/io/sillreel/placement/DemandEstimator.java
+++ b/src/main/java/io/sillreel/placement/DemandEstimator.java
@@ -3,40 +3,49 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** How much work users have brought lately: processors that would be busy for good if it went on like this. */
+/**
+ * Estimates from the arrivals of a sliding window how many processors would be kept busy if work went on arriving at
+ * the same rate. Guarded by the lock of the cluster.
+ */
 public final class DemandEstimator {
     private static final long WINDOW_MICROS = 150_000_000;
+    /** The first arrivals are spread over this time at least, so that a burst does not look like a lasting demand. */
     private static final long MIN_WINDOW_MICROS = 100_000_000;
 
     private record Arrival(long wallMicros, double cpuMicros) {}
 
     private final Deque<Arrival> arrivals = new ArrayDeque<>();
-    private double sum;
-    private long firstMicros = -1;
+    private double totalCpuMicros;
+    private long firstArrivalMicros = -1;
 
-    /** True if what was admitted then is not yet forgotten. */
+    /** Returns true if work that was admitted at the first time still counts at the second. */
     public static boolean isWithinWindow(long admittedWallMicros, long wallMicros) {
         return admittedWallMicros >= wallMicros - WINDOW_MICROS;
     }
 
-    /** Work that was admitted at the time, in processor-microseconds. */
+    /**
+     * Records the arrival of work.
+     *
+     * @param wallMicros time of day of the arrival
+     * @param cpuMicros the work in processor-microseconds
+     */
     public void recordArrival(long wallMicros, double cpuMicros) {
         arrivals.add(new Arrival(wallMicros, cpuMicros));
-        sum += cpuMicros;
-        if (firstMicros < 0 || wallMicros < firstMicros) {
-            firstMicros = wallMicros;
+        totalCpuMicros += cpuMicros;
+        if (firstArrivalMicros < 0 || wallMicros < firstArrivalMicros) {
+            firstArrivalMicros = wallMicros;
         }
     }
 
-    /** Returns the processors that work arriving at the recent rate keeps busy. */
+    /** Returns the processors that work arriving at the recent rate keeps busy; drops arrivals that have expired. */
     public double cpus(long wallMicros) {
         while (!arrivals.isEmpty() && !isWithinWindow(arrivals.peek().wallMicros(), wallMicros)) {
-            sum -= arrivals.poll().cpuMicros();
+            totalCpuMicros -= arrivals.poll().cpuMicros();
         }
         if (arrivals.isEmpty()) {
             return 0;
         }
-        long window = Math.max(MIN_WINDOW_MICROS, Math.min(WINDOW_MICROS, wallMicros - firstMicros));
-        return Math.max(0, sum) / window;
+        long windowMicros = Math.max(MIN_WINDOW_MICROS, Math.min(WINDOW_MICROS, wallMicros - firstArrivalMicros));
+        return Math.max(0, totalCpuMicros) / windowMicros;
     }
 }
--- a/src/main/java/io/sillreel/placement/MachineOfferSelector.java
+++ b/src/main/java/io/sillreel/placement/MachineOfferSelector.java
@@ -4,117 +4,129 @@
 import io.sillreel.cloud.MachineType;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
-import io.sillreel.cluster.PlacementConstraints;
-import io.sillreel.pipeline.JobSpec;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
-/** Chooses which kind of machine to rent, and where: the cheapest that the cloud is not known to lack. */
+/**
+ * Selects the machine type, zone and kind (spot or on-demand) to provision: the cheapest that the cloud is not known to
+ * lack. Guarded by the lock of the cluster.
+ */
 final class MachineOfferSelector {
-    /** What the cloud may have or lack: a kind of machine in a zone. */
-    private record Offer(String type, String zone, boolean spot) {
-        // Written out: the compiler would leave it to be linked at run time, which costs a takeover milliseconds.
+    /** A machine type in a zone, of one kind: what the cloud may have or lack. */
+    private record Offer(String machineType, String zone, boolean isSpot) {
+        // Written by hand: a generated method is linked at run time, which costs milliseconds of a failover.
         @Override
         public boolean equals(Object other) {
             return other instanceof Offer offer
-                    && offer.type.equals(type)
+                    && offer.machineType.equals(machineType)
                     && offer.zone.equals(zone)
-                    && offer.spot == spot;
+                    && offer.isSpot == isSpot;
         }
 
         @Override
         public int hashCode() {
-            return 31 * type.hashCode() + zone.hashCode() + (spot ? 1 : 0);
+            return 31 * machineType.hashCode() + zone.hashCode() + (isSpot ? 1 : 0);
         }
     }
 
-    private static final double SAME_PLACE_WEIGHT = 0.25;
+    /**
+     * How much dearer a spot machine counts in a zone that holds the whole spot fleet: one wave of interruptions takes
+     * the machines of a zone together, so they are spread.
+     */
+    private static final double CONCENTRATION_WEIGHT = 0.25;
+
+    private static final boolean[] SPOT_AND_ON_DEMAND = {true, false};
 
     private final Cluster cluster;
-    private final Map<Offer, Long> fullUntil = new HashMap<>();
-    /** Processors of spot machines by zone, and of all of them. */
-    private final Map<String, Double> spotCpus = new HashMap<>();
+    /** Offers that the cloud lacked, and when they may be requested again. */
+    private final Map<Offer, Long> unavailableUntilMicros = new HashMap<>();
 
-    private double allSpotCpus;
+    private final Map<String, Double> spotCpusByZone = new HashMap<>();
+    private double totalSpotCpus;
 
     MachineOfferSelector(Cluster cluster) {
         this.cluster = cluster;
     }
 
-    /** The cloud had none, or too few, of the kind; it isn't asked for more until then. */
-    void markUnavailable(String type, String zone, boolean spot, long untilMicros) {
-        fullUntil.put(new Offer(type, zone, spot), untilMicros);
+    /** Records that the cloud had none, or too few, of these machines; they are not requested until then. */
+    void markUnavailable(String machineType, String zone, boolean isSpot, long untilMicros) {
+        unavailableUntilMicros.put(new Offer(machineType, zone, isSpot), untilMicros);
     }
 
-    /** Looks how the spot machines are spread; done once for several choices, since it is a look at every machine. */
-    void refresh() {
-        spotCpus.clear();
-        allSpotCpus = 0;
+    /** Counts the spot machines of each zone; done once for several selections, since it looks at all machines. */
+    void refreshSpotCapacity() {
+        spotCpusByZone.clear();
+        totalSpotCpus = 0;
         for (Machine machine : cluster.machines()) {
             if (machine.isSpot()) {
-                allSpotCpus += machine.type().cpus();
-                spotCpus.merge(machine.zone(), machine.type().cpus(), Double::sum);
+                totalSpotCpus += machine.type().cpus();
+                spotCpusByZone.merge(machine.zone(), machine.type().cpus(), Double::sum);
             }
         }
     }
 
     /**
-     * The cheapest offer for so many processors, or null.
+     * Returns the cheapest offer for the need, or empty if no available offer serves it.
      *
-     * @param only a job that has to fit, or null
-     * @param already what is asked for anyway, and not to be asked for twice
+     * @param proposed what is requested anyway, and not to be proposed twice
      */
-    ScaleOutProposal selectCheapest(
-            Collection<MachineType> types,
-            double missing,
-            JobSpec only,
-            boolean ordinaryToo,
-            boolean spotToo,
-            List<ScaleOutProposal> already,
-            long nowMicros) {
-        boolean anySpot = spotToo && (only == null || only.spotAllowed());
+    Optional<ScaleOutProposal> selectCheapest(
+            Collection<MachineType> types, CapacityNeed need, List<ScaleOutProposal> proposed, long nowMicros) {
         ScaleOutProposal best = null;
         double bestCost = Double.MAX_VALUE;
         for (MachineType type : types) {
-            if (only != null
-                    && (!only.allowsMachineType(type.name()) || !PlacementConstraints.fitsEmptyMachine(only, type))) {
+            if (!need.allowsType(type)) {
                 continue;
             }
             for (String zone : type.zones()) {
-                if (only != null && !only.allowsZone(zone)) {
-                    continue;
-                }
-                for (boolean spot : new boolean[] {true, false}) {
-                    boolean full = fullUntil.getOrDefault(new Offer(type.name(), zone, spot), 0L) > nowMicros;
-                    if (full || !(spot ? anySpot : ordinaryToo) || asked(already, type, zone, spot)) {
+                for (boolean isSpot : SPOT_AND_ON_DEMAND) {
+                    if (!need.allowsZone(zone)
+                            || !need.allowsKind(isSpot)
+                            || isUnavailable(type, zone, isSpot, nowMicros)
+                            || isProposed(proposed, type, zone, isSpot)) {
                         continue;
                     }
-                    double cost = type.priceOf(spot)
-                            / Math.min(type.cpus(), missing)
-                            * (1 + SAME_PLACE_WEIGHT * share(zone, spot));
+                    double cost = cost(type, zone, isSpot, need.cpus());
                     if (cost < bestCost) {
                         bestCost = cost;
-                        int count = (int) Math.max(1, Math.floor(missing / type.cpus()));
-                        best = new ScaleOutProposal(
-                                type, zone, spot, Math.min(count, CloudClient.MAX_MACHINES_PER_REQUEST));
+                        best = new ScaleOutProposal(type, zone, isSpot, machineCount(type, need.cpus()));
                     }
                 }
             }
         }
-        return best;
+        return Optional.ofNullable(best);
+    }
+
+    private boolean isUnavailable(MachineType type, String zone, boolean isSpot, long nowMicros) {
+        return unavailableUntilMicros.getOrDefault(new Offer(type.name(), zone, isSpot), 0L) > nowMicros;
+    }
+
+    private static boolean isProposed(List<ScaleOutProposal> proposed, MachineType type, String zone, boolean isSpot) {
+        for (ScaleOutProposal proposal : proposed) {
+            if (proposal.type() == type && proposal.zone().equals(zone) && proposal.isSpot() == isSpot) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Returns the price per useful processor, weighted by the concentration of the spot machines. */
+    private double cost(MachineType type, String zone, boolean isSpot, double missingCpus) {
+        return type.priceOf(isSpot)
+                / Math.min(type.cpus(), missingCpus)
+                * (1 + CONCENTRATION_WEIGHT * spotShare(zone, isSpot));
     }
 
-    private static boolean asked(List<ScaleOutProposal> already, MachineType type, String zone, boolean spot) {
-        return already.stream()
-                .anyMatch(rentalRequest -> rentalRequest.type() == type
-                        && rentalRequest.zone().equals(zone)
-                        && rentalRequest.isSpot() == spot);
+    /** Returns the part of the spot fleet that is in the zone; 0 for on-demand machines. */
+    private double spotShare(String zone, boolean isSpot) {
+        return isSpot && totalSpotCpus > 0 ? spotCpusByZone.getOrDefault(zone, 0.0) / totalSpotCpus : 0;
     }
 
-    /** The part of the spot fleet that one wave in this place could take. */
-    private double share(String zone, boolean spot) {
-        return spot && allSpotCpus > 0 ? spotCpus.getOrDefault(zone, 0.0) / allSpotCpus : 0;
+    private static int machineCount(MachineType type, double missingCpus) {
+        int count = (int) Math.max(1, Math.floor(missingCpus / type.cpus()));
+        return Math.min(count, CloudClient.MAX_MACHINES_PER_REQUEST);
     }
 }
--- /dev/null
+++ b/src/main/java/io/sillreel/placement/ScaleOutPlanner.java
@@ -0,0 +1,186 @@
+package io.sillreel.placement;
+
+import io.sillreel.cloud.MachineType;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.PlacementConstraints;
+import io.sillreel.pipeline.ActiveJob;
+import io.sillreel.pipeline.JobSpec;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.List;
+import java.util.Optional;
+
+/** Decides which machines to provision. Guarded by the lock of the cluster. */
+final class ScaleOutPlanner {
+    /** Fewer missing processors than this are not worth a machine. */
+    private static final double MIN_MISSING_CPUS = 0.5;
+
+    private static final int MAX_PROPOSALS = 3;
+
+    private final Cluster cluster;
+    private final ArrivingDemand arrivingDemand;
+    private final DeadlineWorkload workload;
+    private final MachineOfferSelector offers;
+    /** Since when deadlines can't be met with the available machines; -1 while they can. */
+    private long shortageSinceMicros = -1;
+
+    ScaleOutPlanner(
+            Cluster cluster, ArrivingDemand arrivingDemand, DeadlineWorkload workload, MachineOfferSelector offers) {
+        this.cluster = cluster;
+        this.arrivingDemand = arrivingDemand;
+        this.workload = workload;
+        this.offers = offers;
+    }
+
+    /**
+     * Returns the machines to provision now, at most a few requests.
+     *
+     * @param pendingCpus processors that have been requested and not answered yet
+     * @param pendingOnDemandCpus those of them that are of on-demand machines
+     */
+    List<ScaleOutProposal> propose(
+            Collection<MachineType> types,
+            long pendingCpus,
+            long pendingOnDemandCpus,
+            long nowMicros,
+            long wallMicros) {
+        offers.refreshSpotCapacity();
+        double available = availableCpus(pendingCpus, nowMicros);
+        long bootMicros = shortestBootMicros(types);
+        double urgent = urgentCpus(available, bootMicros, nowMicros, wallMicros);
+        double steady = arrivingDemand.cpus(wallMicros) - available;
+        List<ScaleOutProposal> proposals = new ArrayList<>();
+        double onDemand = proposeForOnDemandOnlyWork(types, pendingOnDemandCpus, nowMicros, wallMicros, proposals);
+        urgent -= onDemand;
+        double missing = Math.max(urgent, steady - onDemand);
+        while (missing > MIN_MISSING_CPUS && proposals.size() < MAX_PROPOSALS) {
+            // On-demand machines cost a multiple: they are for work that would be late, not for the steady demand.
+            CapacityNeed need = new CapacityNeed(missing, null, urgent > MIN_MISSING_CPUS, true);
+            Optional<ScaleOutProposal> proposal = offers.selectCheapest(types, need, proposals, nowMicros);
+            if (proposal.isEmpty()) {
+                break;
+            }
+            proposals.add(proposal.get());
+            double cpus = cpusOf(proposal.get());
+            missing -= cpus;
+            urgent -= cpus;
+        }
+        if (proposals.isEmpty() && pendingCpus == 0) {
+            proposeForUnhostedJob(types, nowMicros, wallMicros, proposals);
+        }
+        return proposals;
+    }
+
+    private double availableCpus(long pendingCpus, long nowMicros) {
+        double cpus = pendingCpus;
+        for (Machine machine : cluster.machines()) {
+            if (MachineAvailability.isAvailableSoon(machine, nowMicros)) {
+                cpus += machine.type().cpus();
+            }
+        }
+        return cpus;
+    }
+
+    private static long shortestBootMicros(Collection<MachineType> types) {
+        long shortest = Long.MAX_VALUE;
+        for (MachineType type : types) {
+            shortest = Math.min(shortest, type.bootMicros());
+        }
+        return types.isEmpty() ? 0 : shortest;
+    }
+
+    private static double cpusOf(ScaleOutProposal proposal) {
+        return proposal.count() * proposal.type().cpus();
+    }
+
+    /**
+     * Returns the processors that deadlines call for. A burst is over before machines provisioned for it are up, so at
+     * first only deadlines count that they can still help to meet. A shortage that has lasted for longer than a boot is
+     * no burst: then everything that is late counts.
+     */
+    private double urgentCpus(double available, long bootMicros, long nowMicros, long wallMicros) {
+        double missing = workload.missingCpus(available, bootMicros, false, wallMicros);
+        if (missing <= MIN_MISSING_CPUS) {
+            shortageSinceMicros = -1;
+        } else if (shortageSinceMicros < 0) {
+            shortageSinceMicros = nowMicros;
+        }
+        boolean isLasting = shortageSinceMicros >= 0 && nowMicros - shortageSinceMicros > bootMicros;
+        return isLasting ? missing : workload.missingCpus(available, bootMicros, true, wallMicros);
+    }
+
+    /**
+     * Proposes on-demand machines for work that may not run on spot machines. Other work hardly ever causes on-demand
+     * machines to be provisioned, so these tasks would wait for minutes beside an idle fleet of spot machines.
+     *
+     * @return the processors that were added to the proposals
+     */
+    private double proposeForOnDemandOnlyWork(
+            Collection<MachineType> types,
+            long pendingOnDemandCpus,
+            long nowMicros,
+            long wallMicros,
+            List<ScaleOutProposal> proposals) {
+        double free = pendingOnDemandCpus;
+        double available = pendingOnDemandCpus;
+        for (Machine machine : cluster.machines()) {
+            if (!machine.isSpot() && MachineAvailability.isAvailableSoon(machine, nowMicros)) {
+                available += machine.type().cpus();
+                free += machine.state() == Machine.State.UP
+                        ? Math.max(0, machine.freeCpus())
+                        : machine.type().cpus();
+            }
+        }
+        double waiting = 0;
+        JobSpec largest = null;
+        for (ActiveJob job : cluster.jobs()) {
+            if (!job.spec().spotAllowed() && job.waitingCount() > 0 && cluster.isLaunchable(job, wallMicros)) {
+                waiting += job.waitingCount() * job.spec().cpus();
+                if (largest == null || job.spec().cpus() > largest.cpus()) {
+                    largest = job.spec();
+                }
+            }
+        }
+        double missing = Math.max(waiting - free, arrivingDemand.onDemandOnlyCpus(wallMicros) - available);
+        if (missing <= MIN_MISSING_CPUS) {
+            return 0;
+        }
+        CapacityNeed need = new CapacityNeed(missing, largest, true, false);
+        Optional<ScaleOutProposal> proposal = offers.selectCheapest(types, need, proposals, nowMicros);
+        if (proposal.isEmpty()) {
+            return 0;
+        }
+        proposals.add(proposal.get());
+        return cpusOf(proposal.get());
+    }
+
+    /** Proposes a machine for the first waiting job that no available machine could ever take. */
+    private void proposeForUnhostedJob(
+            Collection<MachineType> types, long nowMicros, long wallMicros, List<ScaleOutProposal> proposals) {
+        for (ActiveJob job : cluster.jobs()) {
+            boolean isWaiting =
+                    cluster.isLaunchable(job, wallMicros) && job.waitingCount() > 0 && job.allocatedCount() == 0;
+            if (isWaiting && !hasHost(job, nowMicros)) {
+                CapacityNeed need = new CapacityNeed(job.spec().cpus(), job.spec(), true, true);
+                Optional<ScaleOutProposal> proposal = offers.selectCheapest(types, need, proposals, nowMicros);
+                if (proposal.isPresent()) {
+                    proposals.add(proposal.get());
+                    return;
+                }
+            }
+        }
+    }
+
+    private boolean hasHost(ActiveJob job, long nowMicros) {
+        for (Machine machine : cluster.machines()) {
+            if (MachineAvailability.isAvailableSoon(machine, nowMicros)
+                    && PlacementConstraints.isEligible(job.spec(), machine)
+                    && !job.failedMachines().contains(machine.name())
+                    && PlacementConstraints.fitsEmptyMachine(job.spec(), machine.type())) {
+                return true;
+            }
+        }
+        return false;
+    }
+}
--- a/src/main/java/io/sillreel/placement/ScaleOutProposal.java
+++ b/src/main/java/io/sillreel/placement/ScaleOutProposal.java
@@ -2,5 +2,10 @@
 
 import io.sillreel.cloud.MachineType;
 
-/** A rental worth asking the cloud for. */
+/**
+ * Machines that are worth provisioning now.
+ *
+ * @param isSpot true for spot machines, false for on-demand machines
+ * @param count the number of machines, at least 1
+ */
 public record ScaleOutProposal(MachineType type, String zone, boolean isSpot, int count) {}
