--- a/src/main/java/io/sillreel/placement/PriorityInheritance.java
+++ b/src/main/java/io/sillreel/placement/PriorityInheritance.java
@@ -2,13 +2,15 @@
 
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.DependencyGraph;
+import io.sillreel.pipeline.PriorityClass;
 import java.util.ArrayDeque;
 import java.util.Collection;
 import java.util.Deque;
 
 /**
- * A job is as urgent as whatever needs it: it takes the highest rank of those, and a deadline that leaves them the time
- * they are expected to take. Both follow as jobs join a chain and as jobs that needed others are cancelled.
+ * Passes urgency along the dependency graph: a job takes the highest priority class of its dependents, and a deadline
+ * that leaves them the time they are expected to take. Both follow as dependents are added and cancelled. Guarded by
+ * the lock of the cluster.
  */
 public final class PriorityInheritance {
     private final DependencyGraph dependencies;
@@ -19,49 +21,51 @@
         this.runtimeEstimator = runtimeEstimator;
     }
 
-    /** The job has joined a chain, or jobs that it is needed by have told it something new. */
+    /** Passes the urgency of a new job on to all jobs that it depends on, directly or not. */
     public void propagateUrgency(ActiveJob job) {
         Deque<ActiveJob> open = new ArrayDeque<>();
         open.add(job);
         while (!open.isEmpty()) {
-            ActiveJob needing = open.poll();
-            if (needing.isCancelled()) {
+            ActiveJob dependent = open.poll();
+            if (dependent.isCancelled()) {
                 continue;
             }
-            for (ActiveJob awaited : dependencies.dependencies(needing)) {
-                if (awaited.inheritUrgency(needing.effectivePriority(), latestEndOfDependencies(needing))) {
-                    open.add(awaited);
+            for (ActiveJob dependency : dependencies.dependencies(dependent)) {
+                if (dependency.inheritUrgency(dependent.effectivePriority(), latestEndOfDependencies(dependent))) {
+                    open.add(dependency);
                 }
             }
         }
     }
 
-    /** Jobs that needed others are cancelled: what they awaited is only as urgent as those that still need it. */
+    /** Computes anew the urgency of all jobs that cancelled jobs depended on: only the remaining dependents count. */
     public void recomputeAfterCancellation(Collection<ActiveJob> cancelled) {
         Deque<ActiveJob> open = new ArrayDeque<>();
         cancelled.forEach(job -> open.addAll(dependencies.dependencies(job)));
         while (!open.isEmpty()) {
             ActiveJob job = open.poll();
-            if (job.isCancelled()) {
-                continue;
-            }
-            var rank = job.effectivePriority();
-            long before = job.inheritedDeadlineMicros();
-            job.resetInheritedUrgency();
-            for (ActiveJob needing : dependencies.dependents(job)) {
-                if (!needing.isCancelled()) {
-                    job.inheritUrgency(needing.effectivePriority(), latestEndOfDependencies(needing));
-                }
-            }
-            if (rank != job.effectivePriority() || before != job.inheritedDeadlineMicros()) {
+            if (!job.isCancelled() && recomputeUrgency(job)) {
                 open.addAll(dependencies.dependencies(job));
             }
         }
     }
 
-    /** When all that the job awaits has to be done so that it ends in time; time of day. */
+    /** Computes anew what the job inherits from its dependents; true if that has changed. */
+    private boolean recomputeUrgency(ActiveJob job) {
+        PriorityClass priorityBefore = job.effectivePriority();
+        long deadlineBefore = job.inheritedDeadlineMicros();
+        job.resetInheritedUrgency();
+        for (ActiveJob dependent : dependencies.dependents(job)) {
+            if (!dependent.isCancelled()) {
+                job.inheritUrgency(dependent.effectivePriority(), latestEndOfDependencies(dependent));
+            }
+        }
+        return priorityBefore != job.effectivePriority() || deadlineBefore != job.inheritedDeadlineMicros();
+    }
+
+    /** Returns the time of day by which all dependencies have to be done so that the job ends in time. */
     private long latestEndOfDependencies(ActiveJob job) {
-        long end = job.effectiveDeadlineMicros();
-        return end == Long.MAX_VALUE ? end : end - runtimeEstimator.makespanMicros(job);
+        long deadline = job.effectiveDeadlineMicros();
+        return deadline == Long.MAX_VALUE ? deadline : deadline - runtimeEstimator.makespanMicros(job);
     }
 }
--- a/src/main/java/io/sillreel/placement/RuntimeEstimator.java
+++ b/src/main/java/io/sillreel/placement/RuntimeEstimator.java
@@ -5,81 +5,98 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Owners' estimates, corrected by what tasks of the same class, and of the job itself, have measured. */
+/**
+ * Estimates run times: the user's estimate, corrected by what tasks of the same job class, and of the job itself, have
+ * taken. The statistics of the classes are guarded by this object's lock; those of a job are guarded by the lock of the
+ * cluster.
+ */
 public final class RuntimeEstimator {
-    private static final double WEIGHT = 0.1;
+    /** Weight of a new measurement in the moving averages. */
+    private static final double MEASUREMENT_WEIGHT = 0.1;
+    /** Bounds of a measured run time relative to the estimate: an outlier does not distort the average. */
     private static final double MIN_RATIO = 0.3;
-    private static final double MAX_RATIO = 4;
-    private static final long HANDLING_MICROS = 1_500_000;
-    /** A fetch is shared by all tasks of the job on the machine, so little of it falls on each. */
-    private static final double FETCH_MICROS_PER_GB = 1_000_000;
-    /** A job's first tasks wait for the whole fetch, and a step of a chain for some reports as well. */
-    private static final double WHOLE_FETCH_MICROS_PER_GB = 3_000_000;
 
-    private static final long START_MICROS = 4_000_000;
-    /** What the class says weighs as much as so many measured tasks of the job. */
-    private static final int CLASS_TASKS = 2;
-    /** How much longer than the mean a job's slowest task takes, until its class has shown that. */
-    private static final double FIRST_TAIL = 1.2;
+    private static final double MAX_RATIO = 4;
+    private static final long MIN_RUNTIME_MICROS = 1_000_000;
+    /** Time that a task occupies its resources before and after it runs, until heartbeats have shown that. */
+    private static final long HEARTBEAT_OVERHEAD_MICROS = 1_500_000;
+    /** The share of each task in a fetch of the image: all tasks of the job on the machine use the same one. */
+    private static final double SHARED_PULL_MICROS_PER_GB = 1_000_000;
+    /** The first tasks of a job wait for the whole fetch of the image. */
+    private static final double WHOLE_PULL_MICROS_PER_GB = 3_000_000;
+    /** Time from the release of a job until its first tasks are launched and their ends are known. */
+    private static final long SCHEDULING_MICROS = 4_000_000;
+    /** The average of the class weighs as much as this number of measured tasks of the job. */
+    private static final int CLASS_WEIGHT_TASKS = 2;
+    /** Run time of a job's slowest task relative to the mean, until the class has shown another one. */
+    private static final double DEFAULT_TAIL_RATIO = 1.2;
 
-    private static final double MAX_TAIL = 2;
-    private static final int MIN_TASKS_OF_A_TAIL = 5;
+    private static final double MAX_TAIL_RATIO = 2;
+    /** A job of fewer tasks says nothing of the slowest task of others. */
+    private static final int MIN_TASKS_FOR_TAIL = 5;
 
-    private final Map<String, Double> ratios = new HashMap<>();
-    private final Map<String, Double> tails = new HashMap<>();
+    /** Measured run time relative to the user's estimate, by job class. */
+    private final Map<String, Double> runtimeRatios = new HashMap<>();
+    /** Run time of the slowest task relative to the mean, by job class. */
+    private final Map<String, Double> tailRatios = new HashMap<>();
 
-    /** A task of the job has ended after it ran for so long. */
+    /** Records that a task of the job has ended after it ran for the time. */
     public synchronized void recordRuntime(ActiveJob job, long ranMicros) {
         JobSpec spec = job.spec();
         job.recordTaskRuntime(ranMicros);
         if (spec.estimatedMicros() > 0) {
             double ratio = Math.max(MIN_RATIO, Math.min(MAX_RATIO, (double) ranMicros / spec.estimatedMicros()));
-            ratios.merge(spec.jobClass(), ratio, (old, now) -> old + WEIGHT * (now - old));
+            runtimeRatios.merge(spec.jobClass(), ratio, RuntimeEstimator::movingAverage);
         }
-        if (job.measuredTaskCount() >= MIN_TASKS_OF_A_TAIL && job.measuredTaskCount() == spec.tasks()) {
+        if (job.measuredTaskCount() >= MIN_TASKS_FOR_TAIL && job.measuredTaskCount() == spec.tasks()) {
             double tail = Math.min(
-                    MAX_TAIL, (double) job.longestTaskMicros() * job.measuredTaskCount() / job.measuredMicros());
-            tails.merge(spec.jobClass(), tail, (old, now) -> old + WEIGHT * (now - old));
+                    MAX_TAIL_RATIO, (double) job.longestTaskMicros() * job.measuredTaskCount() / job.measuredMicros());
+            tailRatios.merge(spec.jobClass(), tail, RuntimeEstimator::movingAverage);
         }
     }
 
-    /** How long a task is expected to keep its place: with its part of the image fetch, and the reports around it. */
+    private static Double movingAverage(Double average, Double measured) {
+        return average + MEASUREMENT_WEIGHT * (measured - average);
+    }
+
+    /** Returns how long a task is expected to occupy its resources, with its share of the image fetch. */
     public long occupancyMicros(JobSpec spec) {
         return expectedRuntimeMicros(spec) + overheadMicros(spec);
     }
 
-    /** The same, with what the job's own tasks have shown. */
+    /** As {@link #occupancyMicros(JobSpec)}, with what the job's own tasks have taken. */
     public long occupancyMicros(ActiveJob job) {
         return expectedRuntimeMicros(job) + overheadMicros(job.spec());
     }
 
     private static long overheadMicros(JobSpec spec) {
-        return HANDLING_MICROS + Math.round(spec.imageGb() * FETCH_MICROS_PER_GB);
+        return HEARTBEAT_OVERHEAD_MICROS + Math.round(spec.imageGb() * SHARED_PULL_MICROS_PER_GB);
     }
 
-    /**
-     * From the end of what a job awaits to its own: its slowest task, the image, and the reports and plans around it.
-     */
+    /** Returns the expected time from the end of the job's dependencies to its own. */
     public long makespanMicros(ActiveJob job) {
-        return slowestTaskMicros(job) + START_MICROS + Math.round(job.spec().imageGb() * WHOLE_FETCH_MICROS_PER_GB);
+        return slowestTaskMicros(job)
+                + SCHEDULING_MICROS
+                + Math.round(job.spec().imageGb() * WHOLE_PULL_MICROS_PER_GB);
     }
 
-    /** How long a task like the job's is expected to run, without its image fetch. */
+    /** Returns how long a task is expected to run by its class, without the fetch of its image. */
     public synchronized long expectedRuntimeMicros(JobSpec spec) {
-        return Math.max(1_000_000, Math.round(spec.estimatedMicros() * ratios.getOrDefault(spec.jobClass(), 1.0)));
+        double ratio = runtimeRatios.getOrDefault(spec.jobClass(), 1.0);
+        return Math.max(MIN_RUNTIME_MICROS, Math.round(spec.estimatedMicros() * ratio));
     }
 
-    /** How long a task of the job is expected to run, from its class and from its own tasks that have ended. */
+    /** Returns how long a task of the job is expected to run, by its class and by the job's tasks that have ended. */
     public long expectedRuntimeMicros(ActiveJob job) {
-        return (CLASS_TASKS * expectedRuntimeMicros(job.spec()) + job.measuredMicros())
-                / (CLASS_TASKS + job.measuredTaskCount());
+        return (CLASS_WEIGHT_TASKS * expectedRuntimeMicros(job.spec()) + job.measuredMicros())
+                / (CLASS_WEIGHT_TASKS + job.measuredTaskCount());
     }
 
-    /** How long the slowest of the job's tasks is expected to run: the job is not done before. */
+    /** Returns how long the slowest of the job's tasks is expected to run: the job is not done before. */
     public synchronized long slowestTaskMicros(ActiveJob job) {
-        double tail = job.spec().tasks() < MIN_TASKS_OF_A_TAIL
+        double tail = job.spec().tasks() < MIN_TASKS_FOR_TAIL
                 ? 1
-                : tails.getOrDefault(job.spec().jobClass(), FIRST_TAIL);
+                : tailRatios.getOrDefault(job.spec().jobClass(), DEFAULT_TAIL_RATIO);
         return Math.round(expectedRuntimeMicros(job) * tail);
     }
 }
--- a/src/main/java/io/sillreel/placement/ServiceLevelObjectives.java
+++ b/src/main/java/io/sillreel/placement/ServiceLevelObjectives.java
@@ -5,10 +5,15 @@
 import io.sillreel.settings.Settings.Objective;
 import java.util.List;
 
-/** When jobs should be complete: their own deadlines, or the users' aims for their class. */
+/**
+ * When jobs should be complete: by their own deadlines, or by the service-level objectives of their job class. Times
+ * are times of day in microseconds.
+ */
 public final class ServiceLevelObjectives {
-    private static final long DEFAULT_WITHIN_MICROS = 300_000_000;
-    private static final long DEFAULT_GUARANTEE_MICROS = 10_000_000;
+    private static final String START_OF_GUARANTEED_WORK = "guarantee";
+    private static final String START = "wait";
+    private static final long DEFAULT_COMPLETION_MICROS = 300_000_000;
+    private static final long DEFAULT_GUARANTEED_START_MICROS = 10_000_000;
 
     private final List<Objective> objectives;
     private final RuntimeEstimator runtimeEstimator;
@@ -18,50 +23,66 @@
         this.runtimeEstimator = runtimeEstimator;
     }
 
-    /** Within what time work within a guarantee is to start. */
+    /** Returns the time within which work that is within its team's guarantee has to start, in microseconds. */
     public long guaranteedStartMicros() {
-        return objectives.stream()
-                .filter(aim -> aim.kind().equals("guarantee") && aim.withinMicros() > 0)
-                .mapToLong(Objective::withinMicros)
-                .min()
-                .orElse(DEFAULT_GUARANTEE_MICROS);
+        long shortest = Long.MAX_VALUE;
+        for (Objective objective : objectives) {
+            if (objective.kind().equals(START_OF_GUARANTEED_WORK) && objective.withinMicros() > 0) {
+                shortest = Math.min(shortest, objective.withinMicros());
+            }
+        }
+        return shortest == Long.MAX_VALUE ? DEFAULT_GUARANTEED_START_MICROS : shortest;
     }
 
-    /** The first time that can still be met, or else the last there was; time of day in microseconds. */
+    /** Returns the earliest deadline that the job can still meet, or else the last one it had. */
     public long deadlineMicros(ActiveJob job, long wallMicros) {
         return deadlineMicros(job, wallMicros, 0);
     }
 
-    /** The same for tasks that can only start after a delay. */
+    /** As {@link #deadlineMicros(ActiveJob, long)}, for tasks that can only start after a delay in microseconds. */
     public long deadlineMicros(ActiveJob job, long wallMicros, long delayMicros) {
+        long slowestTaskMicros = runtimeEstimator.slowestTaskMicros(job);
+        long earliestEnd = wallMicros + delayMicros + slowestTaskMicros;
+        long inherited = job.inheritedDeadlineMicros();
+        long reachable = inherited >= earliestEnd ? inherited : Long.MAX_VALUE;
         JobSpec spec = job.spec();
-        long reachable = wallMicros + delayMicros + runtimeEstimator.slowestTaskMicros(job);
-        long needed = job.inheritedDeadlineMicros();
         if (spec.deadlineMicros() >= 0) {
-            long due = job.admittedWallMicros() + spec.deadlineMicros();
-            return needed >= reachable ? Math.min(due, needed) : due;
+            return Math.min(job.admittedWallMicros() + spec.deadlineMicros(), reachable);
         }
-        long first = needed >= reachable ? needed : Long.MAX_VALUE;
         long last = -1;
-        for (Objective aim : objectives) {
-            if (aim.jobClass().equals(spec.jobClass()) && aim.withinMicros() > 0) {
-                // An aim for starting leaves the whole run after it; all count from when the job was ready.
-                long at = job.readyWallMicros()
-                        + aim.withinMicros()
-                        + (aim.kind().equals("wait") ? runtimeEstimator.slowestTaskMicros(job) : 0);
-                last = Math.max(last, at);
-                if (at >= reachable) {
-                    first = Math.min(first, at);
+        for (Objective objective : objectives) {
+            if (objective.jobClass().equals(spec.jobClass()) && objective.withinMicros() > 0) {
+                long deadline = deadlineMicros(objective, job, slowestTaskMicros);
+                last = Math.max(last, deadline);
+                if (deadline >= earliestEnd) {
+                    reachable = Math.min(reachable, deadline);
                 }
             }
         }
-        if (first < Long.MAX_VALUE) {
-            return first;
+        return reachable < Long.MAX_VALUE ? reachable : missedDeadlineMicros(job, last);
+    }
+
+    /** Returns the deadline of one objective; an objective for the start leaves the whole run time after it. */
+    private static long deadlineMicros(Objective objective, ActiveJob job, long slowestTaskMicros) {
+        return job.readyWallMicros()
+                + objective.withinMicros()
+                + (objective.kind().equals(START) ? slowestTaskMicros : 0);
+    }
+
+    /** @param last the last deadline of the job's class, or -1 if the class has no objective */
+    private static long missedDeadlineMicros(ActiveJob job, long last) {
+        if (last >= 0) {
+            return last;
         }
-        return last >= 0 ? last : needed < Long.MAX_VALUE ? needed : job.readyWallMicros() + DEFAULT_WITHIN_MICROS;
+        return job.inheritedDeadlineMicros() < Long.MAX_VALUE
+                ? job.inheritedDeadlineMicros()
+                : job.readyWallMicros() + DEFAULT_COMPLETION_MICROS;
     }
 
-    /** How long the job's last tasks may still wait to be started; negative once the deadline can't be met. */
+    /**
+     * Returns how long the job's last tasks may still wait to be started, in microseconds; negative if the deadline
+     * can't be met any more.
+     */
     public long slackMicros(ActiveJob job, long wallMicros) {
         return deadlineMicros(job, wallMicros) - wallMicros - runtimeEstimator.slowestTaskMicros(job);
     }
