--- a/src/main/java/io/sillreel/placement/RuntimeEstimator.java
+++ b/src/main/java/io/sillreel/placement/RuntimeEstimator.java
@@ -2,6 +2,7 @@
 
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.JobSpec;
+import io.sillreel.pipeline.TaskRuntimes;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -43,14 +44,15 @@
     /** Records that a task of the job has ended after it ran for the time. */
     public synchronized void recordRuntime(ActiveJob job, long ranMicros) {
         JobSpec spec = job.spec();
-        job.recordTaskRuntime(ranMicros);
+        job.runtimes().add(ranMicros);
         if (spec.estimatedMicros() > 0) {
             double ratio = Math.max(MIN_RATIO, Math.min(MAX_RATIO, (double) ranMicros / spec.estimatedMicros()));
             runtimeRatios.merge(spec.jobClass(), ratio, RuntimeEstimator::movingAverage);
         }
-        if (job.measuredTaskCount() >= MIN_TASKS_FOR_TAIL && job.measuredTaskCount() == spec.tasks()) {
-            double tail = Math.min(
-                    MAX_TAIL_RATIO, (double) job.longestTaskMicros() * job.measuredTaskCount() / job.measuredMicros());
+        TaskRuntimes runtimes = job.runtimes();
+        if (runtimes.count() >= MIN_TASKS_FOR_TAIL && runtimes.count() == spec.tasks()) {
+            double tail =
+                    Math.min(MAX_TAIL_RATIO, (double) runtimes.maxMicros() * runtimes.count() / runtimes.totalMicros());
             tailRatios.merge(spec.jobClass(), tail, RuntimeEstimator::movingAverage);
         }
     }
@@ -88,8 +90,9 @@
 
     /** Returns how long a task of the job is expected to run, by its class and by the job's tasks that have ended. */
     public long expectedRuntimeMicros(ActiveJob job) {
-        return (CLASS_WEIGHT_TASKS * expectedRuntimeMicros(job.spec()) + job.measuredMicros())
-                / (CLASS_WEIGHT_TASKS + job.measuredTaskCount());
+        return (CLASS_WEIGHT_TASKS * expectedRuntimeMicros(job.spec())
+                        + job.runtimes().totalMicros())
+                / (CLASS_WEIGHT_TASKS + job.runtimes().count());
     }
 
     /** Returns how long the slowest of the job's tasks is expected to run: the job is not done before. */
