--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -1,6 +1,7 @@
 package io.sillreel.leadership;
 
 import io.sillreel.agent.Heartbeat;
+import io.sillreel.agent.Heartbeat.MachineDescription;
 import io.sillreel.cloud.MachineType;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
@@ -325,7 +326,8 @@
 
         @Override
         public boolean adoptMachine(Heartbeat heartbeat) {
-            return fleet.adopt(heartbeat.machine(), heartbeat.machineType(), heartbeat.zone(), heartbeat.spot())
+            MachineDescription description = heartbeat.description();
+            return fleet.adopt(heartbeat.machine(), description.machineType(), description.zone(), description.isSpot())
                     .isPresent();
         }
 
