--- /dev/null
+++ b/src/main/java/io/sillreel/cli/FailureTraining.java
@@ -0,0 +1,223 @@
+package io.sillreel.cli;
+
+import com.fasterxml.jackson.core.JacksonException;
+import com.fasterxml.jackson.core.JsonParser;
+import io.netty.channel.Channel;
+import io.netty.channel.EventLoopGroup;
+import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.nio.NioIoHandler;
+import io.netty.util.concurrent.DefaultThreadFactory;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
+import io.sillreel.http.Json;
+import io.sillreel.http.NettyEventLoop;
+import io.sillreel.http.NettyHttpClient;
+import io.sillreel.http.NettyHttpServer;
+import java.io.IOException;
+import java.io.OutputStream;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutionException;
+import java.util.concurrent.RejectedExecutionException;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
+
+/**
+ * Causes the failures of connections, peers and callbacks that a controller has to survive, so that the build archives
+ * the classes which handling them loads. A class that only a failure needs would else be loaded from its jar long after
+ * the start, when an upgrade may have replaced the jar; a class that can't be loaded then ends the event loop.
+ *
+ * <p>The failures are caused on loopback connections, on an event loop of their own. Each wait has a limit, after which
+ * the training goes on with the next failure.
+ */
+final class FailureTraining {
+    static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
+    static final int MAX_CONNECTIONS = 8;
+    static final int MAX_BYTES = 16 * 1024;
+    /** More than the socket buffers of both sides hold, so that a write is still under way when the peer is gone. */
+    static final int LARGE_BYTES = 8 * 1024 * 1024;
+
+    static final int MAX_WAIT_MILLIS = 1_000;
+    static final int PAUSE_MILLIS = 30;
+    /** Classes of failures that no connection can be made to show at will, as they depend on the order of events. */
+    private static final List<String> NOT_CAUSED = List.of(
+            // reading can't be begun, as the selector's key has been cancelled since the last event
+            "io.netty.channel.AbstractChannel$AbstractUnsafe$7",
+            // what is queued falls below the limit while a write is being failed, which is told by a later event
+            "io.netty.channel.ChannelOutboundBuffer$2",
+            // a listener closes the connection while its writes are being failed
+            "io.netty.channel.ChannelOutboundBuffer$3",
+            // the output of a connection is shut down alone, after a write that failed
+            "io.netty.channel.socket.ChannelOutputShutdownEvent",
+            "io.netty.channel.socket.ChannelOutputShutdownException");
+
+    private final EventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("failures"), NioIoHandler.newFactory());
+    private final io.netty.channel.EventLoop nettyLoop = group.next();
+    private final NettyHttpClient client = new NettyHttpClient(nettyLoop, 2, MAX_BYTES);
+    private Channel listener;
+    private int port;
+
+    private FailureTraining() {}
+
+    static void run() throws IOException, InterruptedException {
+        loadNotCaused();
+        FailureTraining training = new FailureTraining();
+        try {
+            training.listen();
+            new ClientFailures(training.port).cause();
+            training.tooManyOpenFilesOnAccept();
+            new PeerFailures(training.nettyLoop, training.client).cause();
+            malformedJson();
+            training.failuresOfTasks();
+        } finally {
+            training.shutDownWithOpenConnections();
+        }
+    }
+
+    private static void loadNotCaused() throws IOException {
+        try {
+            for (String name : NOT_CAUSED) {
+                Class.forName(name, false, FailureTraining.class.getClassLoader());
+            }
+        } catch (ClassNotFoundException e) {
+            throw new IOException(e);
+        }
+    }
+
+    private void listen() {
+        listener = new NettyHttpServer(group, MAX_BYTES, MAX_CONNECTIONS)
+                .listen(new InetSocketAddress(LOOPBACK, 0), this::handle);
+        port = ((InetSocketAddress) listener.localAddress()).getPort();
+    }
+
+    private CompletableFuture<HttpResponse> handle(HttpRequest request) {
+        return switch (request.route()) {
+            case "/large" -> CompletableFuture.completedFuture(new HttpResponse(200, new byte[LARGE_BYTES], 0));
+            case "/late" -> late();
+            case "/failed" -> CompletableFuture.failedFuture(failure());
+            case "/thrown" -> throw failure();
+            default -> CompletableFuture.completedFuture(new HttpResponse(200, new byte[0], 0));
+        };
+    }
+
+    private CompletableFuture<HttpResponse> late() {
+        CompletableFuture<HttpResponse> reply = new CompletableFuture<>();
+        nettyLoop.schedule(
+                () -> reply.complete(new HttpResponse(200, new byte[0], 0)), 2L * PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+        return reply;
+    }
+
+    /** A failure whose stack trace has all the parts that one can have: a cause and a suppressed exception. */
+    private static IllegalStateException failure() {
+        IllegalStateException failure =
+                new IllegalStateException("caused by the training run of the build", new IOException("the cause"));
+        failure.addSuppressed(new IOException("suppressed"));
+        return failure;
+    }
+
+    private static void malformedJson() throws IOException {
+        List<String> bodies = List.of(
+                "",
+                "{",
+                "{\"a",
+                "{\"a\":}",
+                "{a:1}",
+                "[1,]",
+                "]",
+                "nonsense",
+                "01",
+                "1e",
+                "1e999999999",
+                "\"\\x\"",
+                "\"\1\"");
+        for (String body : bodies) {
+            Json.parse(body.getBytes(StandardCharsets.UTF_8));
+        }
+        Json.parse(new byte[] {'"', (byte) 0xC3, '"'});
+        Json.parse(new byte[] {'"', (byte) 0xFF, '"'});
+        nestedTooDeep();
+    }
+
+    /** Read token by token: a tree of so many levels needs a deeper stack than the run command gives. */
+    private static void nestedTooDeep() throws IOException {
+        try (JsonParser parser = Json.createParser("[".repeat(MAX_BYTES).getBytes(StandardCharsets.UTF_8))) {
+            while (parser.nextToken() != null) {
+                // the parser refuses the level that is past its limit
+            }
+        } catch (JacksonException e) {
+            // expected
+        }
+    }
+
+    /** Raised as the event loop does it: to use up the files of the machine itself would disturb others. */
+    private void tooManyOpenFilesOnAccept() {
+        listener.pipeline().fireExceptionCaught(new IOException("Too many open files"));
+    }
+
+    private void failuresOfTasks() throws InterruptedException {
+        NettyEventLoop loop = new NettyEventLoop(nettyLoop);
+        loop.execute(FailureTraining::fail);
+        loop.schedule(0, FailureTraining::fail);
+        nettyLoop.execute(FailureTraining::fail);
+        nettyLoop.schedule(FailureTraining::fail, 0, TimeUnit.MILLISECONDS);
+        nettyLoop.newSucceededFuture(null).addListener(done -> fail());
+        CompletableFuture<HttpResponse> reply =
+                client.send(address(port), new HttpRequest("GET", "/", new byte[0]), MAX_WAIT_MILLIS * 1_000L);
+        await(reply.thenApply(answer -> {
+            throw failure();
+        }));
+    }
+
+    private static void fail() {
+        throw failure();
+    }
+
+    private void shutDownWithOpenConnections() throws IOException, InterruptedException {
+        try (ServerSocket silent = new ServerSocket(0, 1, LOOPBACK);
+                Socket idle = new Socket()) {
+            if (port > 0) {
+                idle.connect(new InetSocketAddress(LOOPBACK, port));
+            }
+            CompletableFuture<HttpResponse> unanswered =
+                    client.send(address(silent.getLocalPort()), new HttpRequest("GET", "/", new byte[0]), 1_000_000);
+            Thread.sleep(PAUSE_MILLIS);
+            group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(2 * MAX_WAIT_MILLIS);
+            unanswered.cancel(false);
+        }
+        try {
+            nettyLoop.execute(() -> {});
+        } catch (RejectedExecutionException e) {
+            // expected: the event loop has ended
+        }
+    }
+
+    static void await(CompletableFuture<HttpResponse> reply) throws InterruptedException {
+        try {
+            reply.get(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS);
+        } catch (ExecutionException | TimeoutException e) {
+            // the failure has been met, or has not come about on a very busy machine
+        }
+    }
+
+    static void send(Socket socket, String text) throws IOException {
+        OutputStream output = socket.getOutputStream();
+        output.write(text.getBytes(StandardCharsets.ISO_8859_1));
+        output.flush();
+    }
+
+    /** Closes the connection with a reset instead of an orderly end. */
+    static void reset(Socket socket) throws IOException {
+        socket.setSoLinger(true, 0);
+        socket.close();
+    }
+
+    static String address(int port) {
+        return LOOPBACK.getHostAddress() + ":" + port;
+    }
+}
