--- a/src/main/java/io/sillreel/leadership/LeaderReachability.java
+++ b/src/main/java/io/sillreel/leadership/LeaderReachability.java
@@ -8,57 +8,59 @@
 import java.util.Set;
 
 /**
- * Judges whether this leader is reached by the workers and reaches the state service, or better lets another one lead.
+ * Decides whether this leader still reaches agents and the state store, or has to resign so that another controller can
+ * lead. Runs on the event loop; times are microseconds of the steady clock.
  */
 final class LeaderReachability {
-    /** So long without any report, while others get some they can't hand on, or while nobody says anything. */
-    private static final long UNREACHED_MICROS = 6_000_000;
-
-    private static final long ISOLATED_MICROS = 12_000_000;
-    /** So long without knowing the cancellations, in which nothing may be launched, while the lease is renewed. */
-    private static final long CANCELLATIONS_UNKNOWN_MICROS = 15_000_000;
+    /** The longest time without heartbeats while other controllers receive some that they can't relay. */
+    private static final long MAX_HEARTBEAT_SILENCE_MICROS = 6_000_000;
+    /** The longest time without heartbeats while no other controller is heard either. */
+    private static final long MAX_ISOLATION_MICROS = 12_000_000;
+    /** The longest time in which cancellations are unknown, so that nothing may be launched, under a valid lease. */
+    private static final long MAX_CANCELLATIONS_UNKNOWN_MICROS = 15_000_000;
 
     private static final long CANDIDACY_PAUSE_MICROS = 10_000_000;
-    /** A worker finds another controller within two time-outs and a report. */
+    /** An agent finds another controller within two time-outs and a heartbeat interval. */
     private static final long REROUTING_MICROS = 15_000_000;
 
     private final EventLoop eventLoop;
     private final Settings settings;
-    private final LeaderElection leadership;
+    private final LeaderElection election;
     private final Peers peers;
     private final Cluster cluster;
+    /** Machines whose agents were sent to look for another controller since the lease was valid last. */
     private final Set<String> redirectedMachines = new HashSet<>();
+
     private boolean stateLoaded;
     private long loadedMicros;
     private long lastHeartbeatMicros;
     private long lastDisruptionMicros;
 
-    LeaderReachability(
-            EventLoop eventLoop, Settings settings, LeaderElection leadership, Peers peers, Cluster cluster) {
+    LeaderReachability(EventLoop eventLoop, Settings settings, LeaderElection election, Peers peers, Cluster cluster) {
         this.eventLoop = eventLoop;
         this.settings = settings;
-        this.leadership = leadership;
+        this.election = election;
         this.peers = peers;
         this.cluster = cluster;
     }
 
-    /** What is stored has been read: from now on reports are answered. */
+    /** The stored state has been taken over: from now on heartbeats are answered. */
     void stateLoaded() {
         stateLoaded = true;
         loadedMicros = eventLoop.nowMicros();
     }
 
-    /** A worker's report has reached this leader. */
+    /** A heartbeat has reached this leader, from its agent or through another controller. */
     void heartbeatReceived() {
         lastHeartbeatMicros = eventLoop.nowMicros();
     }
 
     /**
-     * Without proof of the lease nothing is launched here, and another controller may lead. If the state service
-     * answers somebody else, one does or soon will, so workers are let go while their tasks live. If nobody is heard at
-     * all, this controller is more likely cut off than everybody down: each worker is sent to look once, and kept if it
-     * comes back. If others are heard and are not answered either, it is an outage for all, in which holding over saves
-     * the tasks.
+     * Decides whether an agent is sent to another controller while the lease of this one is not certain. If the state
+     * store answers another controller, that one leads or soon will, and the agent should find it while its tasks live.
+     * If no other controller is heard, this one is more likely cut off than all others are down: each agent is sent to
+     * look once, and kept if it comes back. If others are heard and the store answers nobody, the outage is common to
+     * all, and the tasks survive it only if this leader goes on answering.
      */
     boolean shouldRedirect(String machine) {
         if (peers.isStoreReachableElsewhere()) {
@@ -68,54 +70,67 @@
     }
 
     /**
-     * Looks, about once a second, whether the workers reach this leader at all, and resigns if another one may do
-     * better.
+     * Resigns if another controller is likely to lead better. Called about once a second.
      *
-     * @param cancellationProofMicros all cancellations that were confirmed before are known
-     * @param writesStuck true if writes do not come to an end
+     * @param cancellationsKnownUntilMicros all cancellations that were confirmed before are known here
+     * @param writesStuck true if the write queue makes no progress
      */
-    void resignIfUnreachable(long cancellationProofMicros, boolean writesStuck) {
+    void resignIfUnreachable(long cancellationsKnownUntilMicros, boolean writesStuck) {
         long now = eventLoop.nowMicros();
-        boolean expected;
-        synchronized (cluster) {
-            expected = stateLoaded
-                    && cluster.machines().stream()
-                            .anyMatch(machine -> machine.isReconciled() || machine.mayHoldInheritedTasks());
-        }
-        if (leadership.isLeaseValid()) {
+        if (election.isLeaseValid()) {
             redirectedMachines.clear();
-            boolean cancellationsUnknown = stateLoaded && now - cancellationProofMicros > CANCELLATIONS_UNKNOWN_MICROS;
-            if (cancellationsUnknown || writesStuck) {
-                // The lease is held and nothing comes of it; whoever begins anew from what is stored is better off.
-                if (settings.controllerCount() > 1) {
-                    leadership.pauseCandidacy(CANDIDACY_PAUSE_MICROS);
-                }
-                leadership.resign(
-                        cancellationsUnknown
-                                ? "the watch of cancellations makes no progress"
-                                : "the write queue makes no progress");
+            if (stateLoaded && now - cancellationsKnownUntilMicros > MAX_CANCELLATIONS_UNKNOWN_MICROS) {
+                resignAsStalled("the watch of cancellations makes no progress");
+                return;
+            }
+            if (writesStuck) {
+                resignAsStalled("the write queue makes no progress");
                 return;
             }
         }
-        boolean heardElsewhere = peers.recentHellos().stream().anyMatch(peer -> peer.unansweredHeartbeats() > 0);
-        if (heardElsewhere
+        boolean heartbeatsUnansweredElsewhere =
+                peers.recentHellos().stream().anyMatch(peer -> peer.unansweredHeartbeats() > 0);
+        if (heartbeatsUnansweredElsewhere
                 || peers.recentHellos().size() < settings.controllerCount() - 1
-                || !leadership.isLeaseValid()) {
+                || !election.isLeaseValid()) {
             lastDisruptionMicros = now;
         }
-        if (settings.controllerCount() == 1 || !heardElsewhere && !peers.isNoneHeard()) {
-            // Nobody else could lead, or nobody hears a worker, so there is none to hear.
-            return;
+        if (mayOthersReachAgents(heartbeatsUnansweredElsewhere)
+                && now - Math.max(lastHeartbeatMicros, loadedMicros) > maxSilenceMicros(heartbeatsUnansweredElsewhere)
+                && expectsHeartbeats()) {
+            // Tasks end when nobody answers their machines, so a controller that is reached has to lead.
+            election.pauseCandidacy(CANDIDACY_PAUSE_MICROS);
+            election.resign("no heartbeats reach this controller");
+        }
+    }
+
+    /** The lease is valid but of no use: a new term, which reads the stored state again, is better off. */
+    private void resignAsStalled(String reason) {
+        if (settings.controllerCount() > 1) {
+            election.pauseCandidacy(CANDIDACY_PAUSE_MICROS);
         }
-        long patience = heardElsewhere ? UNREACHED_MICROS : ISOLATED_MICROS;
-        if (expected && now - Math.max(lastHeartbeatMicros, loadedMicros) > patience) {
-            // Whoever can be reached may lead instead; tasks die if nobody answers for them.
-            leadership.pauseCandidacy(CANDIDACY_PAUSE_MICROS);
-            leadership.resign("no heartbeats reach this controller");
+        election.resign(reason);
+    }
+
+    /** False if no other controller could lead, or if all of them are heard and receive no heartbeats either. */
+    private boolean mayOthersReachAgents(boolean heartbeatsUnansweredElsewhere) {
+        return settings.controllerCount() > 1 && (heartbeatsUnansweredElsewhere || peers.isNoneHeard());
+    }
+
+    private static long maxSilenceMicros(boolean heartbeatsUnansweredElsewhere) {
+        return heartbeatsUnansweredElsewhere ? MAX_HEARTBEAT_SILENCE_MICROS : MAX_ISOLATION_MICROS;
+    }
+
+    /** True if there are machines that have sent heartbeats, or may run tasks of an earlier term. */
+    private boolean expectsHeartbeats() {
+        synchronized (cluster) {
+            return stateLoaded
+                    && cluster.machines().stream()
+                            .anyMatch(machine -> machine.isReconciled() || machine.mayHoldInheritedTasks());
         }
     }
 
-    /** True if no worker has had to look for another controller lately: then a silent one is not on its way to one. */
+    /** True if no agent has had to look for another controller lately: a silent one is then not on its way to one. */
     boolean isRoutingStable() {
         return eventLoop.nowMicros() - Math.max(lastDisruptionMicros, loadedMicros) > REROUTING_MICROS;
     }
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -2,7 +2,6 @@
 
 import io.sillreel.agent.Heartbeat;
 import io.sillreel.agent.Heartbeat.MachineDescription;
-import io.sillreel.cloud.MachineType;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
 import io.sillreel.fleet.FleetCallbacks;
@@ -27,7 +26,6 @@
 import io.sillreel.pipeline.LiveTaskCounts;
 import io.sillreel.pipeline.RetrySchedule;
 import io.sillreel.placement.CapacityPlanner;
-import io.sillreel.placement.DemandEstimator;
 import io.sillreel.placement.Planner;
 import io.sillreel.placement.RuntimeEstimator;
 import io.sillreel.placement.ServiceLevelObjectives;
@@ -36,8 +34,6 @@
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.WriteQueue;
 import java.util.Map;
-import java.util.function.LongPredicate;
-import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -50,14 +46,12 @@
     private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
     private static final long TICK_MICROS = 100_000;
     private static final long FLEET_CYCLE_MICROS = 1_000_000;
-    private static final long RETRY_MICROS = 300_000;
 
     private final EventLoop eventLoop;
     private final StateStore store;
     private final Settings settings;
     private final LeaderElection election;
     private final long term;
-    private final Supplier<Map<String, MachineType>> machineTypes;
     private final Cluster cluster;
     private final RuntimeEstimator runtimeEstimator = new RuntimeEstimator();
     private final WriteQueue writeQueue;
@@ -73,6 +67,7 @@
     private final FleetManager fleet;
     private final SchedulingCycle schedulingCycle;
     private final StragglerDetector stragglerDetector;
+    private final StoredStateLoader stateLoader;
     private final Operations operations = new Operations();
     private long fleetCycleMicros;
 
@@ -93,7 +88,6 @@
         this.settings = configuration.settings();
         this.election = election;
         this.term = grant.term();
-        this.machineTypes = configuration.machineTypes();
         this.cluster = new Cluster(settings.teams());
         this.writeQueue = newWriteQueue(grant);
         ServiceLevelObjectives objectives = new ServiceLevelObjectives(settings.objectives(), runtimeEstimator);
@@ -110,6 +104,7 @@
         this.fleet = newFleet(services, configuration);
         this.schedulingCycle = newSchedulingCycle(planner);
         this.stragglerDetector = new StragglerDetector(cluster, runtimeEstimator);
+        this.stateLoader = newStateLoader(configuration);
     }
 
     private WriteQueue newWriteQueue(TermGrant grant) {
@@ -169,9 +164,20 @@
                 authority::mayAct);
     }
 
+    private StoredStateLoader newStateLoader(FleetConfiguration configuration) {
+        int previousVersionValueBytes = settings.state().values().presentBytes();
+        return new StoredStateLoader(
+                eventLoop,
+                store,
+                previousVersionValueBytes,
+                configuration.machineTypes(),
+                authority,
+                this::beginLeading);
+    }
+
     /** Begins to read what is stored; heartbeats are answered once that is done. */
     public void start() {
-        readStoredState();
+        stateLoader.load();
     }
 
     /** Ends the term on this controller: nothing is written or launched any more, and late responses are ignored. */
@@ -188,31 +194,6 @@
         return term;
     }
 
-    private void readStoredState() {
-        if (authority.isClosed()) {
-            return;
-        }
-        if (machineTypes.get().isEmpty()) {
-            eventLoop.schedule(RETRY_MICROS, this::readStoredState);
-            return;
-        }
-        long sentMicros = eventLoop.nowMicros();
-        LongPredicate countsAsDemand = admitted -> DemandEstimator.isWithinWindow(admitted, eventLoop.wallMicros());
-        new StoredStateReader(
-                        store, settings.state().values().presentBytes(), countsAsDemand, () -> !authority.isClosed())
-                .read()
-                .thenAccept(state -> {
-                    if (authority.isClosed()) {
-                        return;
-                    }
-                    if (state.isEmpty()) {
-                        eventLoop.schedule(RETRY_MICROS, this::readStoredState);
-                        return;
-                    }
-                    beginLeading(state.get(), sentMicros);
-                });
-    }
-
     /** @param sentMicros when the stored state was requested */
     private void beginLeading(StoredState state, long sentMicros) {
         synchronized (cluster) {
--- /dev/null
+++ b/src/main/java/io/sillreel/leadership/StoredStateLoader.java
@@ -0,0 +1,70 @@
+package io.sillreel.leadership;
+
+import io.sillreel.cloud.MachineType;
+import io.sillreel.http.EventLoop;
+import io.sillreel.placement.DemandEstimator;
+import io.sillreel.statestore.StateStore;
+import java.util.Map;
+import java.util.function.LongPredicate;
+import java.util.function.Supplier;
+
+/** Reads the stored state at the beginning of a term, again and again until all of it has been read at once. */
+final class StoredStateLoader {
+    /** Receives the stored state on the event loop, unless the term has ended before. */
+    interface Receiver {
+        /** @param sentMicros when the state was requested, by the steady clock */
+        void stateRead(StoredState state, long sentMicros);
+    }
+
+    private static final long RETRY_MICROS = 300_000;
+
+    private final EventLoop eventLoop;
+    private final StateStore store;
+    private final int previousVersionValueBytes;
+    private final Supplier<Map<String, MachineType>> machineTypes;
+    private final LeaderAuthority authority;
+    private final Receiver receiver;
+
+    /**
+     * @param previousVersionValueBytes the largest value by which the previous version cut completion bitmaps
+     * @param machineTypes the machine types of the cloud; nothing is read before they are known
+     */
+    StoredStateLoader(
+            EventLoop eventLoop,
+            StateStore store,
+            int previousVersionValueBytes,
+            Supplier<Map<String, MachineType>> machineTypes,
+            LeaderAuthority authority,
+            Receiver receiver) {
+        this.eventLoop = eventLoop;
+        this.store = store;
+        this.previousVersionValueBytes = previousVersionValueBytes;
+        this.machineTypes = machineTypes;
+        this.authority = authority;
+        this.receiver = receiver;
+    }
+
+    void load() {
+        if (authority.isClosed()) {
+            return;
+        }
+        if (machineTypes.get().isEmpty()) {
+            eventLoop.schedule(RETRY_MICROS, this::load);
+            return;
+        }
+        long sentMicros = eventLoop.nowMicros();
+        LongPredicate countsAsDemand = admitted -> DemandEstimator.isWithinWindow(admitted, eventLoop.wallMicros());
+        new StoredStateReader(store, previousVersionValueBytes, countsAsDemand, () -> !authority.isClosed())
+                .read()
+                .thenAccept(state -> {
+                    if (authority.isClosed()) {
+                        return;
+                    }
+                    if (state.isEmpty()) {
+                        eventLoop.schedule(RETRY_MICROS, this::load);
+                        return;
+                    }
+                    receiver.stateRead(state.get(), sentMicros);
+                });
+    }
+}
