--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -1,141 +1,154 @@
 package io.sillreel;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.micrometer.core.instrument.MeterRegistry;
 import io.micrometer.core.instrument.binder.MeterBinder;
 import io.sillreel.admission.Admission;
-import io.sillreel.admission.LiveCounts;
+import io.sillreel.agent.AgentRoutes;
 import io.sillreel.cloud.CloudClient;
 import io.sillreel.cloud.MachineTypeCatalog;
-import io.sillreel.http.Call;
-import io.sillreel.http.Caller;
+import io.sillreel.fleet.FleetConfiguration;
+import io.sillreel.heartbeat.HeartbeatRelay;
+import io.sillreel.heartbeat.HeartbeatRouter;
+import io.sillreel.heartbeat.WorkerLoadBalancer;
+import io.sillreel.http.EventLoop;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Loop;
-import io.sillreel.http.Reply;
 import io.sillreel.http.RequestQueue;
-import io.sillreel.http.RequestQueue.Line;
+import io.sillreel.http.RequestQueue.RequestClass;
+import io.sillreel.leadership.LeaderElection;
+import io.sillreel.leadership.TermServices;
 import io.sillreel.limits.FleetCapacity;
 import io.sillreel.limits.ProcessLimits;
 import io.sillreel.overload.AdaptiveLimit;
-import io.sillreel.overload.Lateness;
-import io.sillreel.ownership.LeaderTerm;
-import io.sillreel.ownership.Leadership;
+import io.sillreel.overload.EventLoopLag;
+import io.sillreel.overload.RateLimiter;
 import io.sillreel.peer.PeerMessages;
-import io.sillreel.peer.PeerMessages.Hello;
 import io.sillreel.peer.Peers;
 import io.sillreel.recovery.Recovery;
 import io.sillreel.settings.OperatorProperties;
 import io.sillreel.settings.Settings;
-import io.sillreel.settings.Settings.Member;
-import io.sillreel.statestore.Pacer;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.workers.ReportRelay;
-import io.sillreel.workers.ReportWatcher;
-import io.sillreel.workers.WorkerSpread;
 import java.util.concurrent.CompletableFuture;
 
-/** One controller, put together from its slices. It does no I/O of its own: time and network are handed in. */
-public final class Controller implements Leadership.Listener, LiveCounts, MeterBinder {
-    private static final String HEARTBEAT = "/agent/beat";
-    private static final String UP = "/up";
-    private static final long HELLO_EVERY_MICROS = 1_000_000;
-    private static final long HELLO_TIMEOUT_MICROS = 900_000;
-    private static final long CANCELLED_TIMEOUT_MICROS = 2_000_000;
-    private static final long STORE_SILENCE_MICROS = 4_000_000;
-    /** The parts of the shared rates that one of several controllers allows itself. */
-    private static final double REQUEST_PART = 0.5;
+/**
+ * One controller: builds its parts and passes each request to the part that handles it. It does no I/O of its own; time
+ * and network are handed in. Methods are called on the event loop.
+ */
+public final class Controller implements MeterBinder {
+    private static final String JOBS = "/v2/runs";
+    private static final String HEALTH = "/up";
+    private static final String METRICS = "/metrics";
+    /** The shares of the common rate limits that one of several controllers uses at most. */
+    private static final double REQUEST_RATE_SHARE = 0.5;
 
-    private static final double WRITE_PART = 0.7;
-    private static final double CLOUD_PART = 0.8;
+    private static final double WRITE_RATE_SHARE = 0.7;
+    private static final double CLOUD_RATE_SHARE = 0.8;
 
-    private final Loop loop;
-    private final Caller caller;
-    private final Settings settings;
-    private final OperatorProperties operator;
-    private final FleetCapacity fleetCapacity;
+    private final EventLoop eventLoop;
     private final StateStore store;
-    private final CloudClient cloud;
     private final MachineTypeCatalog machineTypes;
-    private final Leadership leadership;
-    private final AdaptiveLimit users;
-    private final ReportRelay relay;
-    private final ReportRouter reports;
-    private final Peers peers;
-    private final WorkerSpread spread;
-    private final long startedMicros;
-    private final Lateness lateness;
+    private final LeaderElection election;
+    private final ActiveTerm activeTerm;
+    private final AdaptiveLimit admissionLimit;
+    private final HeartbeatRelay heartbeatRelay;
+    private final HeartbeatRouter heartbeatRouter;
+    private final WorkerLoadBalancer loadBalancer;
+    private final HealthCheck healthCheck;
+    private final HelloExchange helloExchange;
+    private final EventLoopLag eventLoopLag;
     private final RequestQueue requestQueue;
-    /** Null unless operators have switched it on: then nothing of it is loaded. */
-    private final Recovery recovery;
-
+    private final LostWriteProtection protection;
+    /** Null until metrics are asked for first. */
     private ControllerMetrics metrics;
-    private LeaderTerm leaderTerm;
 
     /**
-     * @param leaseCaller for what renews the lease, which waits behind nothing else
+     * @param leaseHttpClient for requests that renew the lease, which have to wait behind nothing else
      * @param limits what the memory and the sockets of this process allow
      */
     public Controller(
-            Loop loop,
-            Caller caller,
-            Caller leaseCaller,
+            EventLoop eventLoop,
+            HttpClient httpClient,
+            HttpClient leaseHttpClient,
             Settings settings,
             OperatorProperties operator,
             ProcessLimits limits) {
-        this.loop = loop;
-        this.caller = caller;
-        this.settings = settings;
-        this.operator = operator;
-        this.fleetCapacity = new FleetCapacity(limits);
-        this.startedMicros = loop.nowMicros();
-        this.lateness = new Lateness(loop);
-        this.requestQueue = new RequestQueue(loop, limits.waitingRequestBytes());
-        double requests = settings.state().requestsPerSecond() * REQUEST_PART;
-        double writes = settings.state().writesPerSecond() * WRITE_PART;
-        double calls = settings.cloud().requestsPerSecond() * CLOUD_PART;
-        this.recovery = operator.recovery().enabled() ? newRecovery(limits) : null;
-        this.store = new StateStore(
-                recovery == null ? caller : recovery.monitored(caller),
-                recovery == null ? leaseCaller : recovery.monitored(leaseCaller),
-                loop,
-                settings.stateAddress(),
-                new Pacer(loop, requests, requests),
-                new Pacer(loop, writes, writes));
-        this.cloud = new CloudClient(caller, loop, settings.cloudAddress(), new Pacer(loop, calls, Math.max(1, calls)));
-        this.leadership = new Leadership(
-                store,
-                loop,
-                settings.nodeName(),
-                operator.stateLeaseMicros(),
-                this,
-                () -> recovery == null ? 0 : recovery.termFloor());
-        this.machineTypes = new MachineTypeCatalog(store, cloud, loop, () -> leadership.heldTerm() > 0);
-        this.users = new AdaptiveLimit(
-                new Admission(store, loop, settings, limits, machineTypes::types, this, this::tellCancelled),
-                operator.maxRequests(),
-                limits.rememberedJobs(),
-                loop::nowMicros);
-        this.peers = new Peers(loop);
-        this.spread = new WorkerSpread(
-                loop, peers, settings.nodeName(), settings.workers().reportMicros());
-        this.relay = new ReportRelay(loop, caller, spread::workers);
-        this.reports = new ReportRouter(
-                loop,
-                settings,
-                leadership,
-                relay,
-                spread,
-                () -> leaderTerm,
-                recovery == null ? ReportWatcher.NONE : recovery);
+        this.eventLoop = eventLoop;
+        this.eventLoopLag = new EventLoopLag(eventLoop);
+        this.requestQueue = new RequestQueue(eventLoop, limits.queuedRequestBytes());
+        this.protection = newProtection(eventLoop, httpClient, settings, operator, limits);
+        this.store = newStore(eventLoop, protection.monitor(httpClient), protection.monitor(leaseHttpClient), settings);
+        CloudClient cloud = newCloud(eventLoop, httpClient, settings);
+        this.election = new LeaderElection(
+                store, eventLoop, settings.nodeName(), operator.leaderLeaseMicros(), protection::termFloor);
+        this.machineTypes = new MachineTypeCatalog(store, cloud, eventLoop, () -> election.heldTerm() > 0);
+        Peers peers = new Peers(eventLoop);
+        this.activeTerm = new ActiveTerm(
+                eventLoop,
+                new TermServices(store, cloud, httpClient),
+                new FleetConfiguration(settings, operator, new FleetCapacity(limits), machineTypes::types),
+                peers,
+                election,
+                protection);
+        this.admissionLimit = newAdmission(settings, operator, limits);
+        this.loadBalancer = new WorkerLoadBalancer(
+                eventLoop, peers, settings.nodeName(), settings.workers().heartbeatIntervalMicros());
+        this.heartbeatRelay = new HeartbeatRelay(eventLoop, httpClient, loadBalancer::workerCount);
+        this.heartbeatRouter = new HeartbeatRouter(
+                eventLoop, activeTerm, heartbeatRelay, loadBalancer, protection.heartbeatObserver());
+        this.healthCheck = new HealthCheck(eventLoop, store, peers, machineTypes);
+        this.helloExchange =
+                new HelloExchange(httpClient, settings, peers, election, healthCheck, loadBalancer, heartbeatRouter);
     }
 
-    private Recovery newRecovery(ProcessLimits limits) {
-        return new Recovery(
-                loop,
+    private static LostWriteProtection newProtection(
+            EventLoop eventLoop,
+            HttpClient httpClient,
+            Settings settings,
+            OperatorProperties operator,
+            ProcessLimits limits) {
+        if (!operator.recovery().enabled()) {
+            return new NoLostWriteProtection();
+        }
+        return new RecoveryProtection(new Recovery(
+                eventLoop,
                 settings,
-                caller,
+                httpClient,
                 limits.recentChangeBytes(),
-                operator.recovery().followMicros());
+                operator.recovery().followMicros()));
+    }
+
+    private static StateStore newStore(
+            EventLoop eventLoop, HttpClient httpClient, HttpClient leaseHttpClient, Settings settings) {
+        double requests = settings.state().requestsPerSecond() * REQUEST_RATE_SHARE;
+        double writes = settings.state().writesPerSecond() * WRITE_RATE_SHARE;
+        return new StateStore(
+                httpClient,
+                leaseHttpClient,
+                eventLoop,
+                settings.services().stateAddress(),
+                new RateLimiter(eventLoop, requests, requests),
+                new RateLimiter(eventLoop, writes, writes));
+    }
+
+    private static CloudClient newCloud(EventLoop eventLoop, HttpClient httpClient, Settings settings) {
+        double requests = settings.cloud().requestsPerSecond() * CLOUD_RATE_SHARE;
+        RateLimiter rateLimiter = new RateLimiter(eventLoop, requests, Math.max(1, requests));
+        return new CloudClient(httpClient, eventLoop, settings.services().cloudAddress(), rateLimiter);
+    }
+
+    private AdaptiveLimit newAdmission(Settings settings, OperatorProperties operator, ProcessLimits limits) {
+        Admission admission = new Admission(
+                store,
+                eventLoop,
+                settings,
+                limits,
+                machineTypes::types,
+                activeTerm,
+                activeTerm::notifyLeaderOfCancellation);
+        return new AdaptiveLimit(
+                admission, operator.maxRequestsInProgress(), limits.cachedJobStatuses(), eventLoop::nowMicros);
     }
 
     /** The version that the build wrote into the jar. */
@@ -145,213 +158,100 @@
     }
 
     /**
-     * @param open lets the public in: hundreds of workers that are refused once a second would else take the processor
-     *     from the very election that they wait for
+     * Starts the election and all periodic work.
+     *
+     * @param openPublicPort called once the leader is known or can't be known now: before, the requests of hundreds of
+     *     agents could only be refused, and would take processor time from the election that they wait for
      */
-    public void start(Runnable open) {
-        lateness.start();
-        leadership.start(open);
-        if (recovery != null) {
-            recovery.start(store, leadership);
-        }
+    public void start(Runnable openPublicPort) {
+        eventLoopLag.start();
+        election.start(activeTerm, openPublicPort);
+        protection.start(store, election);
         machineTypes.start();
-        hello();
+        tick();
+    }
+
+    private void tick() {
+        eventLoop.schedule(HelloExchange.INTERVAL_MICROS, this::tick);
+        loadBalancer.rebalance(election.knownLeader().node());
+        heartbeatRouter.startNextUnansweredWindow();
+        activeTerm.checkReachability();
+        helloExchange.sendHellos();
     }
 
-    /** Where a public request waits for its turn: health checks nowhere, workers apart from users. */
-    public static Line line(Call call) {
-        return switch (call.route()) {
-            case UP -> Line.AT_ONCE;
-            case HEARTBEAT -> Line.CROWD;
-            default -> Line.USERS;
+    /** The class by which a public request is queued: health checks are not, heartbeats apart from users' requests. */
+    public static RequestClass requestClass(HttpRequest request) {
+        return switch (request.route()) {
+            case HEALTH -> RequestClass.IMMEDIATE;
+            case AgentRoutes.HEARTBEAT -> RequestClass.WORKERS;
+            default -> RequestClass.USERS;
         };
     }
 
-    /** The turns that the public requests take. */
+    /** The queue in which public requests wait to be handled. */
     public RequestQueue requestQueue() {
         return requestQueue;
     }
 
-    /** What users, workers and health checks ask. */
-    public CompletableFuture<Reply> publicCall(Call call) {
-        String route = call.route();
-        if (route.equals("/v2/runs") || route.startsWith("/v2/runs/")) {
-            return recovery == null ? users.handle(call) : recovery.guarded(() -> users.handle(call));
-        }
-        if (route.equals(HEARTBEAT)) {
-            return call.method().equals("POST") ? reports.heartbeat(call) : answer(Reply.refusal(405, "use POST"));
-        }
-        if (route.equals(UP)) {
-            return answer(call.method().equals("GET") ? up() : Reply.refusal(405, "use GET"));
-        }
-        return answer(Reply.refusal(404, "no such path"));
-    }
-
-    /** What the other controllers, and operators, ask. */
-    public CompletableFuture<Reply> internalCall(Call call) {
-        switch (call.route()) {
-            case PeerMessages.HEARTBEATS -> {
-                return reports.handedOn(call);
-            }
-            case PeerMessages.HELLO -> {
-                heard(Hello.of(call.body()));
-                return answer(new Reply(200, ownHello().bytes(), 0));
-            }
-            case PeerMessages.CANCELLED -> {
-                if (leaderTerm != null) {
-                    PeerMessages.cancelled(call.body()).forEach(leaderTerm::cancelled);
-                }
-                return answer(Reply.of(200, Json.object()));
-            }
-            case "/metrics" -> {
-                return answer(Reply.of(200, measured()));
-            }
-            default -> {
-                boolean known = recovery != null && Recovery.concerns(call.route());
-                return answer(known ? recovery.answer(call) : Reply.refusal(404, "no such path"));
-            }
-        }
-    }
-
-    private static CompletableFuture<Reply> answer(Reply reply) {
-        return CompletableFuture.completedFuture(reply);
-    }
-
-    /**
-     * Healthy unless the state service refuses this controller while it answers another: then users are better served
-     * elsewhere. When nobody is answered, going away would help no one.
-     */
-    private Reply up() {
-        boolean silent = !storeAnswers();
-        boolean othersAnswered = peers.storeAnswersAnother();
-        boolean undecided = machineTypes.types().isEmpty();
-        if (silent && othersAnswered || undecided && othersAnswered) {
-            return Reply.later(503, "the state service can't be asked from here", 1);
+    /** Handles a request of a user, an agent or a health check. */
+    public CompletableFuture<HttpResponse> handlePublic(HttpRequest request) {
+        String route = request.route();
+        if (route.equals(JOBS) || route.startsWith(JOBS + "/")) {
+            return protection.handleUserRequest(request, admissionLimit);
         }
-        return Reply.of(200, Json.object().put("ok", true));
-    }
-
-    private boolean storeAnswers() {
-        return loop.nowMicros() - Math.max(store.lastAnswerMicros(), startedMicros) < STORE_SILENCE_MICROS;
-    }
-
-    /** The lease leader follows the stored cancellations, but the state service may refuse it alone. */
-    private void tellCancelled(String uid) {
-        if (leaderTerm != null) {
-            leaderTerm.cancelled(uid);
-        } else {
-            reports.leader()
-                    .ifPresent(leader ->
-                            caller.call(leader.address(), PeerMessages.cancelled(uid), CANCELLED_TIMEOUT_MICROS));
+        if (route.equals(AgentRoutes.HEARTBEAT)) {
+            return request.method().equals("POST")
+                    ? heartbeatRouter.route(request)
+                    : completed(HttpResponse.error(405, "use POST"));
         }
-    }
-
-    private void hello() {
-        loop.after(HELLO_EVERY_MICROS, this::hello);
-        spread.review(leadership.known().node());
-        reports.review();
-        if (leaderTerm != null) {
-            leaderTerm.review();
+        if (route.equals(HEALTH)) {
+            return completed(
+                    request.method().equals("GET") ? healthCheck.respond() : HttpResponse.error(405, "use GET"));
         }
-        for (Member member : settings.members()) {
-            if (peers.heardWithin(member.nodeName(), HELLO_EVERY_MICROS * 3 / 4)) {
-                // It has just asked; its question and our answer have told both sides all there is to tell.
-                continue;
-            }
-            Call call = new Call("POST", PeerMessages.HELLO, ownHello().bytes());
-            caller.call(member.address(), call, HELLO_TIMEOUT_MICROS).thenAccept(reply -> {
-                if (reply.ok()) {
-                    heard(Hello.of(reply.body()));
-                }
-            });
-        }
-    }
-
-    private Hello ownHello() {
-        Leadership.Leader leader = leadership.known();
-        return new Hello(
-                settings.nodeName(),
-                leader.node(),
-                leader.term(),
-                storeAnswers(),
-                spread.workers(),
-                reports.serves(),
-                reports.recentlyUnanswered());
+        return completed(HttpResponse.error(404, "no such path"));
     }
 
-    private void heard(Hello hello) {
-        peers.heard(hello);
-        if (hello.term() > 0) {
-            leadership.heard(hello.leader(), hello.term());
-        }
-    }
-
-    @Override
-    public void took(long term, long leaderStamp) {
-        if (recovery == null) {
-            begin(term, leaderStamp);
-        } else {
-            recovery.beforeTerm(term, leaderStamp, () -> begin(term, leaderStamp));
-        }
-    }
-
-    private void begin(long term, long leaderStamp) {
-        leaderTerm = new LeaderTerm(
-                loop,
-                store,
-                cloud,
-                caller,
-                settings,
-                operator,
-                fleetCapacity,
-                leadership,
-                term,
-                leaderStamp,
-                machineTypes::types,
-                peers);
-        leaderTerm.start();
+    /** Handles a request of another controller or an operator. */
+    public CompletableFuture<HttpResponse> handleInternal(HttpRequest request) {
+        return switch (request.route()) {
+            case PeerMessages.HEARTBEATS -> heartbeatRouter.handleRelayed(request);
+            case PeerMessages.HELLO -> completed(helloExchange.handle(request));
+            case PeerMessages.CANCELLED -> completed(handleCancelled(request));
+            case METRICS -> completed(HttpResponse.of(200, metrics().toJson(activeTerm.gauges(), protection.gauges())));
+            default ->
+                completed(protection.handleInternal(request).orElseGet(() -> HttpResponse.error(404, "no such path")));
+        };
     }
 
-    @Override
-    public void lost(String reason) {
-        if (recovery != null) {
-            recovery.termLost();
-        }
-        if (leaderTerm != null) {
-            leaderTerm.close();
-            leaderTerm = null;
+    private HttpResponse handleCancelled(HttpRequest request) {
+        if (activeTerm.isLeading()) {
+            activeTerm.jobsCancelled(PeerMessages.cancelled(request.body()));
         }
+        return HttpResponse.of(200, Json.object());
     }
 
-    @Override
-    public Counts of(String uid) {
-        LeaderTerm current = leaderTerm;
-        return current == null ? null : current.of(uid);
+    private static CompletableFuture<HttpResponse> completed(HttpResponse response) {
+        return CompletableFuture.completedFuture(response);
     }
 
-    /** What is counted here, for the registry of a program that embeds this. */
+    /** Binds the controller's meters to the registry of a program that embeds it. */
     @Override
-    public void bindTo(MeterRegistry to) {
-        metrics().bindTo(to);
+    public void bindTo(MeterRegistry registry) {
+        metrics().bindTo(registry);
     }
 
-    /** Most controllers are never asked for metrics, and a start has better things to do. */
+    /** Created on demand, since most controllers are never asked for metrics and loading the classes delays a start. */
     private ControllerMetrics metrics() {
         if (metrics == null) {
-            metrics = new ControllerMetrics(reports, leadership, users, relay, spread, lateness, requestQueue);
+            metrics = new ControllerMetrics(
+                    heartbeatRouter,
+                    election,
+                    admissionLimit,
+                    heartbeatRelay,
+                    loadBalancer,
+                    eventLoopLag,
+                    requestQueue);
         }
         return metrics;
     }
-
-    private ObjectNode measured() {
-        ObjectNode all = metrics().measured();
-        LeaderTerm current = leaderTerm;
-        if (current != null) {
-            current.gauges().forEach(all::put);
-        }
-        if (recovery != null) {
-            recovery.gauges().forEach(all::put);
-        }
-        return all;
-    }
 }
--- a/src/main/java/io/sillreel/ControllerMetrics.java
+++ b/src/main/java/io/sillreel/ControllerMetrics.java
@@ -9,89 +9,101 @@
 import io.micrometer.core.instrument.binder.MeterBinder;
 import io.micrometer.core.instrument.binder.jvm.JvmMemoryMetrics;
 import io.micrometer.core.instrument.simple.SimpleMeterRegistry;
+import io.sillreel.heartbeat.HeartbeatRelay;
+import io.sillreel.heartbeat.HeartbeatRouter;
+import io.sillreel.heartbeat.WorkerLoadBalancer;
 import io.sillreel.http.Json;
 import io.sillreel.http.RequestQueue;
+import io.sillreel.leadership.LeaderElection;
 import io.sillreel.overload.AdaptiveLimit;
-import io.sillreel.overload.Lateness;
-import io.sillreel.ownership.Leadership;
-import io.sillreel.workers.ReportRelay;
-import io.sillreel.workers.WorkerSpread;
+import io.sillreel.overload.EventLoopLag;
+import java.util.Map;
 
-/** The figures of one controller, as Micrometer's meters and as the JSON that operators are served. */
+/** The metrics of one controller, as Micrometer meters and as the JSON that operators read at {@code /metrics}. */
 final class ControllerMetrics implements MeterBinder {
-    private final ReportRouter reports;
-    private final Leadership leadership;
-    private final AdaptiveLimit users;
-    private final ReportRelay relay;
-    private final WorkerSpread spread;
-    private final Lateness lateness;
+    private final HeartbeatRouter heartbeatRouter;
+    private final LeaderElection leadership;
+    private final AdaptiveLimit admissionLimit;
+    private final HeartbeatRelay heartbeatRelay;
+    private final WorkerLoadBalancer loadBalancer;
+    private final EventLoopLag eventLoopLag;
     private final RequestQueue requestQueue;
+    /** Null until the JSON form is asked for first. */
     private MeterRegistry ownRegistry;
 
     ControllerMetrics(
-            ReportRouter reports,
-            Leadership leadership,
+            HeartbeatRouter reports,
+            LeaderElection leadership,
             AdaptiveLimit users,
-            ReportRelay relay,
-            WorkerSpread spread,
-            Lateness lateness,
+            HeartbeatRelay heartbeatRelay,
+            WorkerLoadBalancer loadBalancer,
+            EventLoopLag eventLoopLag,
             RequestQueue requestQueue) {
-        this.reports = reports;
+        this.heartbeatRouter = reports;
         this.leadership = leadership;
-        this.users = users;
-        this.relay = relay;
-        this.spread = spread;
-        this.lateness = lateness;
+        this.admissionLimit = users;
+        this.heartbeatRelay = heartbeatRelay;
+        this.loadBalancer = loadBalancer;
+        this.eventLoopLag = eventLoopLag;
         this.requestQueue = requestQueue;
     }
 
     @Override
-    public void bindTo(MeterRegistry to) {
-        FunctionCounter.builder("sillreel.reports", reports, ReportRouter::reports)
-                .register(to);
-        FunctionCounter.builder("sillreel.reports.handed", reports, ReportRouter::reportsHandedOn)
-                .register(to);
-        FunctionCounter.builder("sillreel.reports.passed", relay, ReportRelay::passed)
-                .register(to);
-        FunctionCounter.builder("sillreel.reports.lost", relay, ReportRelay::lost)
-                .register(to);
-        FunctionCounter.builder("sillreel.reports.batches", relay, ReportRelay::batchesSent)
-                .register(to);
-        FunctionCounter.builder("sillreel.workers.moved", reports, ReportRouter::workersMoved)
-                .register(to);
-        FunctionCounter.builder("sillreel.requests.refused", users, AdaptiveLimit::refused)
-                .register(to);
-        Gauge.builder("sillreel.requests.limit", users, AdaptiveLimit::limit).register(to);
-        Gauge.builder("sillreel.workers", spread, WorkerSpread::workers).register(to);
+    public void bindTo(MeterRegistry registry) {
+        FunctionCounter.builder("sillreel.reports", heartbeatRouter, HeartbeatRouter::heartbeatCount)
+                .register(registry);
+        FunctionCounter.builder("sillreel.reports.handed", heartbeatRouter, HeartbeatRouter::relayedCount)
+                .register(registry);
+        FunctionCounter.builder("sillreel.reports.passed", heartbeatRelay, HeartbeatRelay::relayedCount)
+                .register(registry);
+        FunctionCounter.builder("sillreel.reports.lost", heartbeatRelay, HeartbeatRelay::lostCount)
+                .register(registry);
+        FunctionCounter.builder("sillreel.reports.batches", heartbeatRelay, HeartbeatRelay::batchCount)
+                .register(registry);
+        FunctionCounter.builder("sillreel.workers.moved", heartbeatRouter, HeartbeatRouter::redirectCount)
+                .register(registry);
+        FunctionCounter.builder("sillreel.requests.refused", admissionLimit, AdaptiveLimit::refusedCount)
+                .register(registry);
+        Gauge.builder("sillreel.requests.limit", admissionLimit, AdaptiveLimit::limit)
+                .register(registry);
+        Gauge.builder("sillreel.workers", loadBalancer, WorkerLoadBalancer::workerCount)
+                .register(registry);
         Gauge.builder("sillreel.version", () -> 1)
                 .tag("version", Controller.version())
-                .register(to);
-        Gauge.builder("sillreel.leads", leadership, Leadership::heldTerm).register(to);
-        Gauge.builder("sillreel.late.ms", lateness, each -> each.micros() / 1_000.0)
-                .register(to);
-        Gauge.builder("sillreel.late.most.ms", lateness, each -> each.mostMicros() / 1_000.0)
-                .register(to);
-        Gauge.builder("sillreel.requests.waiting", requestQueue, RequestQueue::waiting)
-                .register(to);
-        FunctionCounter.builder("sillreel.requests.given.up", requestQueue, RequestQueue::givenUp)
-                .register(to);
-        new JvmMemoryMetrics().bindTo(to);
+                .register(registry);
+        Gauge.builder("sillreel.leads", leadership, LeaderElection::heldTerm).register(registry);
+        Gauge.builder("sillreel.late.ms", eventLoopLag, each -> each.currentMicros() / 1_000.0)
+                .register(registry);
+        Gauge.builder("sillreel.late.most.ms", eventLoopLag, each -> each.maxMicros() / 1_000.0)
+                .register(registry);
+        Gauge.builder("sillreel.requests.waiting", requestQueue, RequestQueue::waitingCount)
+                .register(registry);
+        FunctionCounter.builder("sillreel.requests.given.up", requestQueue, RequestQueue::abandonedCount)
+                .register(registry);
+        new JvmMemoryMetrics().bindTo(registry);
     }
 
-    /** All meters by name, with the values of their tags. */
-    ObjectNode measured() {
+    /**
+     * The values of all meters by their names and the values of their tags, followed by further gauges.
+     *
+     * @param termGauges of the term that this controller leads, empty if it leads none
+     * @param protectionGauges of the protection against lost writes
+     */
+    ObjectNode toJson(Map<String, Double> termGauges, Map<String, Double> protectionGauges) {
         if (ownRegistry == null) {
             ownRegistry = new SimpleMeterRegistry();
             bindTo(ownRegistry);
         }
-        ObjectNode all = Json.object();
+        ObjectNode values = Json.object();
         for (Meter meter : ownRegistry.getMeters()) {
             StringBuilder name = new StringBuilder(meter.getId().getName());
             for (Tag tag : meter.getId().getTags()) {
                 name.append('/').append(tag.getValue());
             }
-            meter.measure().forEach(measurement -> all.put(name.toString(), measurement.getValue()));
+            meter.measure().forEach(measurement -> values.put(name.toString(), measurement.getValue()));
         }
-        return all;
+        termGauges.forEach(values::put);
+        protectionGauges.forEach(values::put);
+        return values;
     }
 }
--- a/src/main/java/io/sillreel/admission/Admission.java
+++ b/src/main/java/io/sillreel/admission/Admission.java
@@ -1,332 +1,92 @@
 package io.sillreel.admission;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.cloud.MachineType;
-import io.sillreel.http.Call;
-import io.sillreel.http.Handler;
-import io.sillreel.http.Json;
-import io.sillreel.http.Loop;
-import io.sillreel.http.Reply;
+import io.sillreel.http.EventLoop;
+import io.sillreel.http.HttpHandler;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.limits.ProcessLimits;
-import io.sillreel.pipeline.CancellationRecord;
-import io.sillreel.pipeline.JobSpec;
-import io.sillreel.pipeline.PlanRecord;
-import io.sillreel.pipeline.RunRecord;
+import io.sillreel.pipeline.LiveTaskCounts;
 import io.sillreel.settings.Settings;
-import io.sillreel.settings.Settings.StateLimits;
-import io.sillreel.settings.ValueLimits;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Commit;
-import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Txn;
-import java.util.List;
 import java.util.Map;
-import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /**
- * The users' interface. Any controller admits and answers: a plan is written by the one that was asked, and what is
- * told is either terminal and stored, or was confirmed by the store after the question came in.
+ * The users' interface: submits, polls and cancels jobs. Every controller serves it, leader or not, since each answer
+ * is either final and stored or was confirmed by the store after the request arrived.
  */
-public final class Admission implements Handler {
-    private static final Logger LOG = LoggerFactory.getLogger(Admission.class);
-    private static final String RUNS = "/v2/runs";
-    /** A plan that is not cut is one value. */
-    private static final int WHOLE = 1;
+public final class Admission implements HttpHandler {
+    private static final String JOBS_PATH = "/v2/runs";
+    private static final String CANCEL_SUFFIX = "/withdraw";
+    private static final String GET = "GET";
+    private static final String POST = "POST";
 
-    private static final int MAX_LOGGED = 8;
-    private static final int RETRY_SECONDS = 1;
-    private static final int MAX_TRIES = 5;
+    private final JobStatusService statuses;
+    private final JobResponses responses;
+    private final JobSubmission submission;
+    private final JobCancellation cancellation;
 
-    private final StateStore store;
-    private final Loop loop;
-    private final Settings settings;
-    private final Supplier<Map<String, MachineType>> types;
-    private final LiveCounts live;
-    private final Consumer<String> onCancelled;
-    private final JobViews views;
-
-    /** @param onCancelled told of each cancellation that is stored here, before its user is */
+    /**
+     * Creates the interface.
+     *
+     * @param machineTypes the known machine types by name; none as long as they have not been read
+     * @param liveTaskCounts counts of tasks that are newer than the stored ones
+     * @param cancellationListener is given the id of each job whose cancellation was stored here, before its user is
+     *     answered
+     */
     public Admission(
             StateStore store,
-            Loop loop,
+            EventLoop eventLoop,
             Settings settings,
             ProcessLimits limits,
-            Supplier<Map<String, MachineType>> types,
-            LiveCounts live,
-            Consumer<String> onCancelled) {
-        this.store = store;
-        this.loop = loop;
-        this.settings = settings;
-        this.types = types;
-        this.live = live;
-        this.onCancelled = onCancelled;
-        this.views = new JobViews(store, loop, settings.state().txnOps(), limits.rememberedJobs());
+            Supplier<Map<String, MachineType>> machineTypes,
+            LiveTaskCounts liveTaskCounts,
+            Consumer<String> cancellationListener) {
+        JobTransactions transactions = new JobTransactions(store, eventLoop, settings.state());
+        this.statuses = new JobStatusService(
+                store, eventLoop, settings.state().maxTransactionChanges(), limits.cachedJobStatuses());
+        this.responses = new JobResponses(liveTaskCounts);
+        this.submission = new JobSubmission(store, transactions, statuses, responses, settings.teams(), machineTypes);
+        this.cancellation = new JobCancellation(transactions, statuses, responses, cancellationListener);
     }
 
     @Override
-    public CompletableFuture<Reply> handle(Call call) {
-        String route = call.route();
-        if (route.equals(RUNS)) {
-            return call.method().equals("POST") ? submit(call) : done(Reply.refusal(405, "use POST"));
-        }
-        String rest = route.substring(RUNS.length() + 1);
-        boolean cancel = rest.endsWith("/withdraw");
-        String uid = cancel ? rest.substring(0, rest.length() - "/withdraw".length()) : rest;
+    public CompletableFuture<HttpResponse> handle(HttpRequest request) {
+        String route = request.route();
+        if (route.equals(JOBS_PATH)) {
+            return request.method().equals(POST)
+                    ? submission.submit(request.body())
+                    : completed(JobResponses.wrongMethod(POST));
+        }
+        String rest = route.substring(JOBS_PATH.length() + 1);
+        boolean isCancellation = rest.endsWith(CANCEL_SUFFIX);
+        String uid = isCancellation ? rest.substring(0, rest.length() - CANCEL_SUFFIX.length()) : rest;
         if (uid.contains("/")) {
-            return done(Reply.refusal(404, "no such path"));
+            return completed(JobResponses.noSuchPath());
         }
-        if (!call.method().equals(cancel ? "POST" : "GET")) {
-            return done(Reply.refusal(405, cancel ? "use POST" : "use GET"));
+        String method = isCancellation ? POST : GET;
+        if (!request.method().equals(method)) {
+            return completed(JobResponses.wrongMethod(method));
         }
-        if (!JobReader.isUid(uid)) {
-            return done(Reply.refusal(404, "no such job"));
+        if (!SubmissionDecoder.isUid(uid)) {
+            return completed(JobResponses.noSuchJob());
         }
-        return cancel ? cancel(uid, MAX_TRIES) : poll(uid);
+        return isCancellation ? cancellation.cancel(uid) : poll(uid);
     }
 
-    private CompletableFuture<Reply> poll(String uid) {
-        return views.fresh(uid).thenApply(view -> {
-            if (view == null) {
-                return cannotRead();
+    private CompletableFuture<HttpResponse> poll(String uid) {
+        return statuses.query(uid).thenApply(answer -> {
+            if (answer.isEmpty()) {
+                return JobResponses.storeUnavailable();
             }
-            return view.accepted() ? Reply.of(200, answer(view)) : Reply.refusal(404, "no such job");
+            return answer.get().isAccepted() ? responses.status(answer.get()) : JobResponses.noSuchJob();
         });
     }
 
-    private CompletableFuture<Reply> submit(Call call) {
-        JsonNode body = Json.parse(call.body());
-        if (!body.isObject()) {
-            return done(Reply.refusal(400, "the body is not a JSON object"));
-        }
-        JsonNode named = body.path("uid");
-        if (!named.isTextual() || !JobReader.isUid(named.asText())) {
-            return done(Reply.refusal(400, "uid: is not of the form job-000412"));
-        }
-        String uid = named.asText();
-        JobSpec spec;
-        try {
-            spec = JobReader.read(body);
-        } catch (JobReader.Malformed e) {
-            return unlessKnown(uid, Reply.refusal(400, e.getMessage()));
-        }
-        Map<String, MachineType> known = types.get();
-        if (known.isEmpty()) {
-            return unlessKnown(uid, Reply.later(503, "the machine types are not known yet", 2));
-        }
-        Optional<String> never = JobReader.neverRuns(spec, settings.teams().get(spec.team()), known.values());
-        if (never.isPresent()) {
-            return unlessKnown(uid, Reply.refusal(422, never.get()));
-        }
-        if (views.remembered(uid).accepted()) {
-            return unlessKnown(uid, cannotRead());
-        }
-        return admit(spec, MAX_TRIES);
-    }
-
-    private CompletableFuture<Reply> admit(JobSpec spec, int tries) {
-        if (store.silent()) {
-            return done(cannotRead());
-        }
-        if (spec.awaits().isEmpty()) {
-            return store(spec, List.of(), tries);
-        }
-        if (cut(new PlanRecord(loop.wallMicros(), spec)).isEmpty()) {
-            return unlessKnown(spec.uid(), tooLarge(spec));
-        }
-        // Once accepted a job stays so, and that may be remembered; that it never was, only the store can say.
-        return views.fresh(spec.awaits()).thenCompose(awaited -> {
-            if (awaited.contains(null)) {
-                return done(cannotRead());
-            }
-            for (JobView each : awaited) {
-                if (!each.accepted()) {
-                    return unlessKnown(spec.uid(), Reply.refusal(422, "awaits: " + each.uid() + " was never accepted"));
-                }
-            }
-            return store(spec, awaited, tries);
-        });
-    }
-
-    /**
-     * Stores the plan. Controllers of the previous version read only plans that are one value, so a job that such a
-     * controller may drive is cut only once the state service has refused the size: then the announced limits are in
-     * force, and no such controller is left. Jobs that await others are submitted only after the upgrade.
-     */
-    private CompletableFuture<Reply> store(JobSpec spec, List<JobView> awaited, int tries) {
-        PlanRecord plan = new PlanRecord(loop.wallMicros(), spec);
-        ValueLimits limits = settings.state().values();
-        boolean maybeCut = !spec.awaits().isEmpty();
-        Optional<Map<String, JsonNode>> values = maybeCut ? cut(plan) : plan.cut(limits.presentBytes(), WHOLE);
-        if (values.isEmpty()) {
-            return unlessKnown(spec.uid(), tooLarge(spec));
-        }
-        return commit(plan, values.get(), awaited)
-                .thenCompose(commit -> {
-                    boolean cutSmaller = commit.outcome() == Outcome.TOO_LARGE && !maybeCut;
-                    Optional<Map<String, JsonNode>> smaller = cutSmaller ? cut(plan) : Optional.empty();
-                    return smaller.isPresent()
-                            ? commit(plan, smaller.get(), awaited)
-                            : CompletableFuture.completedFuture(commit);
-                })
-                .thenCompose(commit -> stored(spec, awaited, commit, tries));
-    }
-
-    /** The plan as it can be stored under the announced limits; one change is left for the cancellation. */
-    private Optional<Map<String, JsonNode>> cut(PlanRecord plan) {
-        StateLimits limits = settings.state();
-        return plan.cut(limits.values().announcedBytes(), Math.max(WHOLE, limits.txnOps() - 1));
-    }
-
-    /** Stores the values of a plan; a job which awaits a cancelled one is cancelled in the same transaction. */
-    private CompletableFuture<Commit> commit(PlanRecord plan, Map<String, JsonNode> values, List<JobView> awaited) {
-        String uid = plan.spec().uid();
-        Txn txn = new Txn().require(PlanRecord.key(uid), 0);
-        values.forEach(txn::set);
-        Optional<JobView> cancelled = firstCancelled(awaited);
-        if (cancelled.isPresent()) {
-            ObjectNode closed = Json.object()
-                    .put("at_us", plan.admittedWallMicros())
-                    .put("by", cancelled.get().uid());
-            txn.require(CancellationRecord.key(uid), 0).set(CancellationRecord.key(uid), closed);
-        } else {
-            // As far as there is room: what is cancelled in this very moment closes the job all the same.
-            awaited.stream()
-                    .filter(each -> !each.done())
-                    .limit(4L * settings.state().txnOps() - 1)
-                    .forEach(each -> txn.require(CancellationRecord.key(each.uid()), 0));
-        }
-        return store.commit(txn);
-    }
-
-    private static Optional<JobView> firstCancelled(List<JobView> awaited) {
-        return awaited.stream().filter(JobView::cancelled).findFirst();
-    }
-
-    private CompletableFuture<Reply> stored(JobSpec spec, List<JobView> awaited, Commit commit, int tries) {
-        String uid = spec.uid();
-        switch (commit.outcome()) {
-            case OK -> {
-                return done(
-                        admitted(spec, commit.ledger(), firstCancelled(awaited).isPresent()));
-            }
-            case REFUSED -> {
-                return done(Reply.later(503, "the state service does not take the job now", RETRY_SECONDS));
-            }
-            case TOO_LARGE -> {
-                return unlessKnown(uid, tooLarge(spec));
-            }
-            default -> {
-                boolean moved =
-                        commit.outcome() == Outcome.CONFLICT && !commit.failed().contains(PlanRecord.key(uid));
-                if (moved && tries > 1) {
-                    // One of those that it awaits has been cancelled since.
-                    return admit(spec, tries - 1);
-                }
-                // Known already, or the answer got lost: only the store can say which.
-                return unlessKnown(uid, Reply.later(503, "the job could not be stored for certain", RETRY_SECONDS));
-            }
-        }
-    }
-
-    private Reply admitted(JobSpec spec, long planStamp, boolean cancelled) {
-        JobView planned = JobViewReader.planned(spec.uid(), planStamp, spec);
-        JobView view = cancelled ? planned.closedBy() : planned;
-        views.remember(view);
-        LOG.info(
-                "admitted {}: {} x {} cpus, {} of {}, rank {}{}",
-                spec.uid(),
-                spec.tasks(),
-                spec.cpus(),
-                spec.jobClass(),
-                spec.team(),
-                spec.rank().wire(),
-                after(spec.awaits()));
-        String stage = view.cancelled() ? "withdrawn" : "queued";
-        return Reply.of(201, Json.object().put("uid", spec.uid()).put("stage", stage));
-    }
-
-    private static String after(List<String> awaits) {
-        if (awaits.isEmpty()) {
-            return "";
-        }
-        return ", after " + (awaits.size() > MAX_LOGGED ? awaits.size() + " jobs" : String.join(", ", awaits));
-    }
-
-    private static Reply tooLarge(JobSpec spec) {
-        int names = spec.awaits().size();
-        String awaits = names == 0 ? "" : "; it awaits " + names + " jobs, split them over several jobs";
-        return Reply.refusal(422, "the job's description is too large to be stored" + awaits);
-    }
-
-    /** A job that was accepted is answered as such before anything else is held against the request. */
-    private CompletableFuture<Reply> unlessKnown(String uid, Reply otherwise) {
-        return views.fresh(uid).thenApply(view -> {
-            if (view == null) {
-                return cannotRead();
-            }
-            return view.accepted() ? Reply.of(200, answer(view)) : otherwise;
-        });
-    }
-
-    private CompletableFuture<Reply> cancel(String uid, int tries) {
-        if (tries == 0) {
-            return done(Reply.later(503, "the job is changing too fast", RETRY_SECONDS));
-        }
-        return views.fresh(uid).thenCompose(view -> {
-            if (view == null) {
-                return done(cannotRead());
-            }
-            if (!view.accepted()) {
-                return done(Reply.refusal(404, "no such job"));
-            }
-            if (view.terminal()) {
-                return done(Reply.of(200, answer(view)));
-            }
-            String key = CancellationRecord.key(uid);
-            // Conditional on the record as read: done and cancelled exclude each other.
-            Txn txn = new Txn()
-                    .require(key, 0)
-                    .require(RunRecord.key(uid), view.runStamp())
-                    .set(key, Json.object().put("at_us", loop.wallMicros()));
-            return store.commit(txn).thenCompose(commit -> {
-                if (commit.outcome() == Outcome.OK) {
-                    JobView cancelled = new JobView(
-                            uid,
-                            view.planStamp(),
-                            view.tasks(),
-                            view.awaits(),
-                            view.runStamp(),
-                            view.head(),
-                            commit.ledger(),
-                            false);
-                    views.remember(cancelled);
-                    LOG.info("cancelled {}", uid);
-                    onCancelled.accept(uid);
-                    return done(Reply.of(200, answer(cancelled)));
-                }
-                if (commit.outcome() == Outcome.REFUSED) {
-                    return done(cannotRead());
-                }
-                return cancel(uid, tries - 1);
-            });
-        });
-    }
-
-    private ObjectNode answer(JobView view) {
-        return view.answer(view.terminal() ? null : live.of(view.uid()));
-    }
-
-    private static Reply cannotRead() {
-        return Reply.later(503, "the state service can't be asked now", RETRY_SECONDS);
-    }
-
-    private static CompletableFuture<Reply> done(Reply reply) {
-        return CompletableFuture.completedFuture(reply);
+    private static CompletableFuture<HttpResponse> completed(HttpResponse response) {
+        return CompletableFuture.completedFuture(response);
     }
 }
--- /dev/null
+++ b/src/main/java/io/sillreel/admission/JobStatusReader.java
@@ -0,0 +1,152 @@
+package io.sillreel.admission;
+
+import io.sillreel.pipeline.CancellationRecord;
+import io.sillreel.pipeline.JobSpec;
+import io.sillreel.pipeline.PlanOverflow;
+import io.sillreel.pipeline.PlanRecord;
+import io.sillreel.pipeline.PlanRecordCodec;
+import io.sillreel.pipeline.RunRecord;
+import io.sillreel.pipeline.RunRecordCodec;
+import io.sillreel.statestore.ReadResult;
+import io.sillreel.statestore.StateStore;
+import io.sillreel.statestore.StoreOutcome;
+import io.sillreel.statestore.StoredEntry;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.concurrent.CompletableFuture;
+
+/**
+ * Reads what is stored of jobs into the cache. Its methods complete with false if something could not be read, for
+ * instance because the store does not respond. Thread-safe.
+ */
+final class JobStatusReader {
+    /** What a status needs of the plan of a job with dependencies; plans never change. */
+    private record DependentPlan(long revision, List<String> dependencies) {}
+
+    private final StateStore store;
+    private final JobStatusCache cache;
+    private final int maxDependentPlans;
+    /** The scan of all plans in progress, which all callers share, or null. Guarded by {@code this}. */
+    private CompletableFuture<Optional<Map<String, DependentPlan>>> pendingScan;
+
+    /** @param maxDependentPlans number of plans of jobs with dependencies that may be held during a scan */
+    JobStatusReader(StateStore store, JobStatusCache cache, int maxDependentPlans) {
+        this.store = store;
+        this.cache = cache;
+        this.maxDependentPlans = maxDependentPlans;
+    }
+
+    /**
+     * Scans all plans for those of the given jobs and their transitive dependencies; the other jobs are read singly.
+     */
+    CompletableFuture<Boolean> loadFromAllPlans(Set<String> uids) {
+        return scanDependentPlans().thenCompose(plans -> {
+            if (plans.isEmpty()) {
+                return CompletableFuture.completedFuture(false);
+            }
+            return load(cacheDependentPlans(uids, plans.get()));
+        });
+    }
+
+    /** Caches the plans of the jobs and of their transitive dependencies; returns the jobs without such a plan. */
+    private Set<String> cacheDependentPlans(Set<String> uids, Map<String, DependentPlan> plans) {
+        Set<String> withoutPlan = new LinkedHashSet<>();
+        Deque<String> open = new ArrayDeque<>(uids);
+        Set<String> seen = new HashSet<>(uids);
+        while (!open.isEmpty()) {
+            String uid = open.poll();
+            DependentPlan plan = plans.get(uid);
+            if (plan == null) {
+                withoutPlan.add(uid);
+            } else if (!cache.get(uid).isAccepted()) {
+                cache.merge(JobStatus.ofPlan(uid, plan.revision(), plan.dependencies()));
+                plan.dependencies().stream().filter(seen::add).forEach(open::add);
+            }
+        }
+        return withoutPlan;
+    }
+
+    /** Completes with the plans of jobs with dependencies, or empty if they could not be read or are too many. */
+    private synchronized CompletableFuture<Optional<Map<String, DependentPlan>>> scanDependentPlans() {
+        if (pendingScan != null) {
+            return pendingScan;
+        }
+        Map<String, DependentPlan> plans = new HashMap<>();
+        CompletableFuture<Optional<Map<String, DependentPlan>>> result = new CompletableFuture<>();
+        pendingScan = result;
+        store.scan(PlanRecord.PREFIX, page -> {
+                    page.forEach(entry -> addDependentPlan(plans, entry));
+                    return CompletableFuture.completedFuture(plans.size() <= maxDependentPlans);
+                })
+                .thenAccept(scan -> {
+                    synchronized (this) {
+                        pendingScan = null;
+                    }
+                    result.complete(scan.outcome() == StoreOutcome.OK ? Optional.of(plans) : Optional.empty());
+                });
+        return result;
+    }
+
+    private static void addDependentPlan(Map<String, DependentPlan> plans, StoredEntry entry) {
+        PlanRecord plan = PlanRecordCodec.decode(entry.value());
+        JobSpec spec = plan.spec();
+        if (plan.isComplete() && !spec.dependencies().isEmpty()) {
+            plans.put(spec.uid(), new DependentPlan(entry.revision(), spec.dependencies()));
+        }
+    }
+
+    /** Reads what is stored of the jobs. */
+    CompletableFuture<Boolean> load(Collection<String> uids) {
+        List<CompletableFuture<Boolean>> reads = new ArrayList<>();
+        uids.forEach(uid -> reads.add(load(uid)));
+        return CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new))
+                .thenApply(all -> reads.stream().allMatch(CompletableFuture::join));
+    }
+
+    private CompletableFuture<Boolean> load(String uid) {
+        CompletableFuture<Optional<JobStatus>> planned = readPlan(uid);
+        CompletableFuture<ReadResult> run = store.get(RunRecord.key(uid));
+        CompletableFuture<ReadResult> cancellation = store.get(CancellationRecord.key(uid));
+        return CompletableFuture.allOf(planned, run, cancellation)
+                .thenApply(all -> cacheIfConclusive(planned.join(), run.join(), cancellation.join()));
+    }
+
+    private boolean cacheIfConclusive(Optional<JobStatus> planned, ReadResult run, ReadResult cancellation) {
+        if (planned.isEmpty() || !run.isConclusive() || !cancellation.isConclusive()) {
+            return false;
+        }
+        RunRecord runRecord = run.entry().isEmpty()
+                ? null
+                : RunRecordCodec.decode(run.entry().get().value());
+        cache.merge(planned.get().withRun(run.revision(), runRecord, cancellation.revision()));
+        return true;
+    }
+
+    /** Completes with the status by the plan, which is read unless it is cached; empty if it could not be read. */
+    private CompletableFuture<Optional<JobStatus>> readPlan(String uid) {
+        JobStatus cached = cache.get(uid);
+        if (cached.isAccepted()) {
+            return CompletableFuture.completedFuture(Optional.of(cached));
+        }
+        return store.get(PlanRecord.key(uid)).thenCompose(read -> {
+            if (!read.isConclusive()) {
+                return CompletableFuture.completedFuture(Optional.empty());
+            }
+            if (read.entry().isEmpty()) {
+                return CompletableFuture.completedFuture(Optional.of(cached));
+            }
+            return PlanOverflow.load(PlanRecordCodec.decode(read.entry().get().value()), store)
+                    .thenApply(plan -> plan.map(whole ->
+                            JobStatus.ofPlan(uid, read.revision(), whole.spec().dependencies())));
+        });
+    }
+}
--- /dev/null
+++ b/src/main/java/io/sillreel/admission/JobStatusService.java
@@ -0,0 +1,291 @@
+package io.sillreel.admission;
+
+import io.sillreel.http.EventLoop;
+import io.sillreel.statestore.CommitResult;
+import io.sillreel.statestore.StateStore;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Deque;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.concurrent.CompletableFuture;
+
+/**
+ * Answers queries for the status of jobs. Cached revisions are confirmed by a comparing transaction, for many jobs at a
+ * time; what has changed is read again. Either way the store is asked after the query arrived, so that no answer is
+ * older than one given before.
+ *
+ * <p>A job with dependencies counts as cancelled as soon as one of these is, whether or not its own cancellation has
+ * been stored yet. So the same transaction confirms that none of its unfinished dependencies, direct or transitive, is
+ * cancelled.
+ *
+ * <p>Thread-safe.
+ */
+final class JobStatusService {
+    private static final long MIN_BATCH_DELAY_MICROS = 4_000;
+    /**
+     * Long dependency chains take many transactions. The delay before the next batch grows with their number, so that
+     * more queries share them.
+     */
+    private static final long BATCH_DELAY_PER_TRANSACTION_MICROS = 40_000;
+
+    private static final long MAX_BATCH_DELAY_MICROS = 800_000;
+    private static final int MAX_BATCHES_IN_FLIGHT = 2;
+    private static final int MAX_QUERIES_PER_BATCH = 40;
+    /** Levels of a dependency chain that are read job by job before all plans are scanned. */
+    private static final int MAX_SINGLE_READ_ROUNDS = 4;
+    /** A plan held during a scan is smaller than a cached status, and is held for seconds only. */
+    private static final int DEPENDENT_PLANS_PER_CACHED_STATUS = 4;
+    /** Just below the 2 s that users wait for an answer. */
+    private static final long QUERY_TIMEOUT_MICROS = 1_900_000;
+
+    /** @param rounds how often the query has been retried */
+    private record Query(String uid, long startMicros, int rounds, CompletableFuture<Optional<JobStatus>> result) {
+        Query nextRound() {
+            return new Query(uid, startMicros, rounds + 1, result);
+        }
+
+        void answer(JobStatus status) {
+            result.complete(Optional.of(status));
+        }
+
+        void fail() {
+            result.complete(Optional.empty());
+        }
+    }
+
+    /** A query with the cached status that is being confirmed, and the keys whose revisions it depends on. */
+    private record ComparedStatus(Query query, JobStatus status, Set<String> keys) {}
+
+    /** Queries taken from the queue at a time, by what has to be done for them. */
+    private static final class Batch {
+        final List<ComparedStatus> compared = new ArrayList<>();
+        final Map<String, Long> revisions = new LinkedHashMap<>();
+        final Map<Query, Set<String>> unknownDependencies = new LinkedHashMap<>();
+        final List<Query> cancelled = new ArrayList<>();
+    }
+
+    private final StateStore store;
+    private final EventLoop eventLoop;
+    private final JobStatusCache cache;
+    private final JobStatusReader reader;
+    private final RevisionComparison comparison;
+
+    /** Guarded by {@code this}. */
+    private final Deque<Query> pendingQueries = new ArrayDeque<>();
+    /** Guarded by {@code this}. */
+    private int batchesInFlight;
+    /** Guarded by {@code this}. */
+    private boolean isBatchScheduled;
+    /** Guarded by {@code this}. */
+    private long batchDelayMicros = MIN_BATCH_DELAY_MICROS;
+
+    /** @param maxTransactionChanges number of changes that the store takes in one transaction */
+    JobStatusService(StateStore store, EventLoop eventLoop, int maxTransactionChanges, int maxCachedStatuses) {
+        this.store = store;
+        this.eventLoop = eventLoop;
+        this.cache = new JobStatusCache(maxCachedStatuses);
+        this.reader = new JobStatusReader(store, cache, DEPENDENT_PLANS_PER_CACHED_STATUS * maxCachedStatuses);
+        this.comparison = new RevisionComparison(store, maxTransactionChanges);
+    }
+
+    /** Returns what was last read of the job, however old. */
+    JobStatus cached(String uid) {
+        return cache.get(uid);
+    }
+
+    /** Adds what this controller has just stored of a job. */
+    void cache(JobStatus status) {
+        cache.merge(status);
+    }
+
+    /** Completes with a status that is final or was read after this call; empty if the store could not be asked. */
+    CompletableFuture<Optional<JobStatus>> query(String uid) {
+        JobStatus cached = cache.get(uid);
+        if (cached.isTerminal()) {
+            return CompletableFuture.completedFuture(Optional.of(cached));
+        }
+        if (store.isUnresponsive()) {
+            return CompletableFuture.completedFuture(Optional.empty());
+        }
+        CompletableFuture<Optional<JobStatus>> result = new CompletableFuture<>();
+        enqueue(new Query(uid, eventLoop.nowMicros(), 0, result));
+        return result;
+    }
+
+    /** Completes with the statuses in the order of the ids; empty if the store could not be asked about one of them. */
+    CompletableFuture<Optional<List<JobStatus>>> queryAll(Collection<String> uids) {
+        List<CompletableFuture<Optional<JobStatus>>> queries = new ArrayList<>();
+        uids.forEach(uid -> queries.add(query(uid)));
+        return CompletableFuture.allOf(queries.toArray(CompletableFuture[]::new))
+                .thenApply(all -> combine(queries));
+    }
+
+    private static Optional<List<JobStatus>> combine(List<CompletableFuture<Optional<JobStatus>>> queries) {
+        List<JobStatus> statuses = new ArrayList<>(queries.size());
+        for (CompletableFuture<Optional<JobStatus>> query : queries) {
+            if (query.join().isEmpty()) {
+                return Optional.empty();
+            }
+            statuses.add(query.join().get());
+        }
+        return Optional.of(statuses);
+    }
+
+    private void enqueue(Query query) {
+        long delayMicros;
+        synchronized (this) {
+            pendingQueries.add(query);
+            if (isBatchScheduled || batchesInFlight >= MAX_BATCHES_IN_FLIGHT) {
+                return;
+            }
+            isBatchScheduled = true;
+            delayMicros = batchDelayMicros;
+        }
+        eventLoop.schedule(delayMicros, this::processBatch);
+    }
+
+    /** Queues the query once more, to be answered with what has been read since, unless it has timed out. */
+    private void retry(Query query) {
+        if (eventLoop.nowMicros() - query.startMicros() > QUERY_TIMEOUT_MICROS) {
+            query.fail();
+        } else {
+            enqueue(query.nextRound());
+        }
+    }
+
+    private void processBatch() {
+        Batch batch = takeBatch();
+        batch.cancelled.forEach(query -> query.answer(cache.get(query.uid())));
+        batch.unknownDependencies.forEach(this::loadDependenciesAndRetry);
+        if (batch.compared.isEmpty()) {
+            scheduleNextBatch();
+            return;
+        }
+        comparison.compare(batch.revisions).thenAccept(result -> {
+            synchronized (this) {
+                batchesInFlight--;
+            }
+            batch.compared.forEach(compared -> answer(compared, result));
+            scheduleNextBatch();
+        });
+    }
+
+    /** Takes as many queries as fit; one that needs more conditions than a transaction has is compared alone. */
+    private synchronized Batch takeBatch() {
+        Batch batch = new Batch();
+        isBatchScheduled = false;
+        while (!pendingQueries.isEmpty() && batch.compared.size() < MAX_QUERIES_PER_BATCH) {
+            Query query = pendingQueries.peek();
+            JobStatus status = cache.get(query.uid());
+            JobStatusConditions conditions = JobStatusConditions.of(status, cache);
+            if (conditions.isDependencyCancelled()) {
+                cache.merge(status.withDependencyCancelled());
+                batch.cancelled.add(pendingQueries.poll());
+            } else if (!conditions.unknownDependencies().isEmpty()) {
+                batch.unknownDependencies.put(pendingQueries.poll(), conditions.unknownDependencies());
+            } else if (batch.compared.isEmpty()
+                    || batch.revisions.size() + conditions.revisions().size() <= comparison.maxConditions()) {
+                batch.revisions.putAll(conditions.revisions());
+                batch.compared.add(new ComparedStatus(
+                        pendingQueries.poll(), status, conditions.revisions().keySet()));
+            } else {
+                break;
+            }
+        }
+        if (!batch.compared.isEmpty()) {
+            batchesInFlight++;
+            int furtherTransactions = comparison.transactionsFor(batch.revisions.size()) - 1;
+            batchDelayMicros = Math.min(
+                    MAX_BATCH_DELAY_MICROS,
+                    MIN_BATCH_DELAY_MICROS + BATCH_DELAY_PER_TRANSACTION_MICROS * furtherTransactions);
+        }
+        return batch;
+    }
+
+    private void scheduleNextBatch() {
+        long delayMicros;
+        synchronized (this) {
+            if (pendingQueries.isEmpty() || isBatchScheduled || batchesInFlight >= MAX_BATCHES_IN_FLIGHT) {
+                return;
+            }
+            isBatchScheduled = true;
+            delayMicros = batchDelayMicros > MIN_BATCH_DELAY_MICROS ? batchDelayMicros : 0;
+        }
+        eventLoop.schedule(delayMicros, this::processBatch);
+    }
+
+    private void answer(ComparedStatus compared, CommitResult result) {
+        Query query = compared.query();
+        switch (result.outcome()) {
+            case OK -> query.answer(compared.status());
+            case CONFLICT -> readChangedAndAnswer(compared, result.failedKeys());
+            case UNKNOWN -> {
+                // Transactions may get no response while single reads still do.
+                if (store.isUnresponsive()) {
+                    query.fail();
+                } else {
+                    reader.load(Set.of(query.uid())).thenAccept(loaded -> answerAfterRead(query, loaded, true));
+                }
+            }
+            default -> query.fail();
+        }
+    }
+
+    /** Reads the jobs of the failed keys that the status depends on; without such keys, others made it fail. */
+    private void readChangedAndAnswer(ComparedStatus compared, List<String> failedKeys) {
+        Query query = compared.query();
+        Set<String> changed = new LinkedHashSet<>();
+        for (String key : failedKeys) {
+            if (compared.keys().contains(key)) {
+                changed.add(JobStatusConditions.uidOf(key));
+            }
+        }
+        if (changed.isEmpty()) {
+            retry(query);
+        } else {
+            reader.load(changed).thenAccept(loaded -> answerAfterRead(query, loaded, changed.contains(query.uid())));
+        }
+    }
+
+    /** Answers with the status just read, if the job itself was read and its status depends on no other job. */
+    private void answerAfterRead(Query query, boolean isLoaded, boolean isOwnStatusLoaded) {
+        JobStatus status = cache.get(query.uid());
+        if (!isLoaded) {
+            query.fail();
+        } else if (isOwnStatusLoaded && !status.isWaitingForDependencies()) {
+            query.answer(status);
+        } else {
+            retry(query);
+        }
+    }
+
+    private void loadDependenciesAndRetry(Query query, Set<String> uids) {
+        loadDependencies(query, uids).thenAccept(isLoaded -> {
+            if (isLoaded) {
+                retry(query);
+            } else {
+                query.fail();
+            }
+        });
+    }
+
+    /**
+     * Reads unknown dependencies. The first levels of a dependency chain are read one by one; the rest of a longer one
+     * is found in a scan of all plans, since one request for each level would take longer than users wait.
+     */
+    private CompletableFuture<Boolean> loadDependencies(Query query, Set<String> uids) {
+        if (query.rounds() < MAX_SINGLE_READ_ROUNDS) {
+            return reader.load(uids);
+        }
+        // The scan may outlast the query; its plans are cached for the next one.
+        long remainingMicros = query.startMicros() + QUERY_TIMEOUT_MICROS - eventLoop.nowMicros();
+        eventLoop.schedule(Math.max(0, remainingMicros), query::fail);
+        return reader.loadFromAllPlans(uids);
+    }
+}
--- a/src/main/java/io/sillreel/cli/Main.java
+++ b/src/main/java/io/sillreel/cli/Main.java
@@ -5,9 +5,9 @@
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.util.concurrent.DefaultThreadFactory;
 import io.sillreel.Controller;
-import io.sillreel.http.HttpClient;
-import io.sillreel.http.HttpServer;
-import io.sillreel.http.NettyLoop;
+import io.sillreel.http.NettyEventLoop;
+import io.sillreel.http.NettyHttpClient;
+import io.sillreel.http.NettyHttpServer;
 import io.sillreel.limits.FleetCapacity;
 import io.sillreel.limits.ProcessLimits;
 import io.sillreel.settings.OperatorProperties;
@@ -76,7 +76,7 @@
             names = "--tasks-per-machine",
             paramLabel = "N",
             description = "With --machines: how many tasks run on a machine at once (${DEFAULT-VALUE}).")
-    private double tasksPerMachine = FleetCapacity.USUAL_TASKS;
+    private double tasksPerMachine = FleetCapacity.DEFAULT_TASKS_PER_MACHINE;
 
     @Option(names = "--rehearse", hidden = true, description = "Starts, talks to itself and ends (used by the build).")
     private boolean rehearse;
@@ -123,7 +123,7 @@
     public Integer call() throws Exception {
         if (rehearse) {
             try {
-                Rehearsal.run();
+                ArchiveTrainingRun.run();
             } catch (IOException e) {
                 // The archive then lacks some classes, which makes starts slower and nothing else.
                 System.err.println("sillreel: the rehearsal ended early (" + e.getMessage() + ")");
@@ -151,13 +151,13 @@
     /** Says what the settings allow, under the heap of this very process. */
     private int check(Settings settings) {
         FleetCapacity capacity = new FleetCapacity(limits(settings));
-        if (machines > capacity.machines(tasksPerMachine)) {
+        if (machines > capacity.maxMachines(tasksPerMachine)) {
             throw new SettingsException(
                     "params.resources",
-                    "carry no fleet of " + machines + " machines, but " + capacity.explain(tasksPerMachine));
+                    "carry no fleet of " + machines + " machines, but " + capacity.describe(tasksPerMachine));
         }
-        System.out.println("settings are good: " + settings.nodeName() + " in " + settings.area() + ", for "
-                + capacity.explain(tasksPerMachine));
+        System.out.println("settings are good: " + settings.nodeName() + " in "
+                + settings.localController().area() + ", for " + capacity.describe(tasksPerMachine));
         return 0;
     }
 
@@ -171,33 +171,34 @@
                 .info(
                         "{} in {} starts, version {}, {} UTC",
                         settings.nodeName(),
-                        settings.area(),
+                        settings.localController().area(),
                         Controller.version(),
                         LocalDateTime.now(ZoneOffset.UTC));
         ProcessLimits limits = limits(settings);
         EventLoopGroup group =
                 new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("loop"), NioIoHandler.newFactory());
-        NettyLoop loop = new NettyLoop(group.next());
-        HttpClient client = new HttpClient(group.next(), CONNECTIONS_PER_ADDRESS, limits.maxAnswerBytes());
-        HttpClient leaseClient = new HttpClient(group.next(), LEASE_CONNECTIONS, limits.maxAnswerBytes());
+        NettyEventLoop loop = new NettyEventLoop(group.next());
+        NettyHttpClient client = new NettyHttpClient(group.next(), CONNECTIONS_PER_ADDRESS, limits.maxResponseBytes());
+        NettyHttpClient leaseClient = new NettyHttpClient(group.next(), LEASE_CONNECTIONS, limits.maxResponseBytes());
         Controller controller = new Controller(loop, client, leaseClient, settings, operator, limits);
-        HttpServer users = new HttpServer(
+        NettyHttpServer users = new NettyHttpServer(
                 group,
-                HttpServer.MAX_BODY_BYTES,
-                limits.publicConnections(),
-                Controller::line,
+                NettyHttpServer.MAX_BODY_BYTES,
+                limits.maxPublicConnections(),
+                Controller::requestClass,
                 controller.requestQueue(),
-                limits.workerConnections());
-        new HttpServer(group, MAX_BATCH_BYTES, limits.internalConnections())
-                .listen(settings.internalAddress(), controller::internalCall);
-        loop.execute(() -> controller.start(() -> users.bind(settings.publicAddress(), controller::publicCall)
-                .addListener(bound -> {
-                    if (!bound.isSuccess()) {
-                        System.err.println("sillreel: public_addr: can't be listened on: "
-                                + bound.cause().getMessage());
-                        System.exit(BAD_SETTINGS);
-                    }
-                })));
+                limits.maxWorkerConnections());
+        new NettyHttpServer(group, MAX_BATCH_BYTES, limits.maxInternalConnections())
+                .listen(settings.localController().internalAddress(), controller::handleInternal);
+        loop.execute(() ->
+                controller.start(() -> users.bind(settings.localController().publicAddress(), controller::handlePublic)
+                        .addListener(bound -> {
+                            if (!bound.isSuccess()) {
+                                System.err.println("sillreel: public_addr: can't be listened on: "
+                                        + bound.cause().getMessage());
+                                System.exit(BAD_SETTINGS);
+                            }
+                        })));
         return group;
     }
 }
--- a/src/main/java/io/sillreel/cli/RehearsalStage.java
+++ b/src/main/java/io/sillreel/cli/TrainingServices.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Call;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Reply;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
@@ -15,45 +15,50 @@
  * What a rehearsal plays before: a state service that says yes to everything and a cloud with one machine. It serves to
  * load the classes that a lease leader needs, and checks nothing.
  */
-final class RehearsalStage {
-    private record Watcher(String prefix, long since, CompletableFuture<Reply> answer) {}
+final class TrainingServices {
+    private record Watcher(String prefix, long since, CompletableFuture<HttpResponse> answer) {}
 
     private final TreeMap<String, ObjectNode> keys = new TreeMap<>();
     private final List<ObjectNode> changes = new ArrayList<>();
     private final List<Watcher> watchers = new ArrayList<>();
-    private long ledger = 1;
+    private long storeRevision = 1;
 
-    synchronized CompletableFuture<Reply> handle(Call call) {
-        String route = call.route();
+    synchronized CompletableFuture<HttpResponse> handle(HttpRequest request) {
+        String route = request.route();
         if (route.equals("/watch")) {
-            Watcher watcher =
-                    new Watcher(call.query("prefix"), Long.parseLong(call.query("since")), new CompletableFuture<>());
+            Watcher watcher = new Watcher(
+                    request.query("prefix"), Long.parseLong(request.query("since")), new CompletableFuture<>());
             watchers.add(watcher);
             wake();
             return watcher.answer();
         }
         return CompletableFuture.completedFuture(
                 switch (route) {
-                    case "/txn" -> commit(Json.parse(call.body()));
-                    case "/kv" -> list(call.query("prefix"));
-                    case "/grants" -> Reply.of(200, Json.object().put("permit", 1));
-                    case "/flavors" -> Reply.of(200, machineTypes());
-                    case "/machines" -> Reply.of(200, machines());
-                    default -> route.startsWith("/kv/") ? get(route.substring(4)) : Reply.of(200, Json.object());
+                    case "/txn" -> commit(Json.parse(request.body()));
+                    case "/kv" -> list(request.query("prefix"));
+                    case "/grants" -> HttpResponse.of(200, Json.object().put("permit", 1));
+                    case "/flavors" -> HttpResponse.of(200, machineTypes());
+                    case "/machines" -> HttpResponse.of(200, machines());
+                    default -> route.startsWith("/kv/") ? get(route.substring(4)) : HttpResponse.of(200, Json.object());
                 });
     }
 
-    private Reply commit(JsonNode body) {
-        ledger++;
+    private HttpResponse commit(JsonNode body) {
+        storeRevision++;
         for (JsonNode change : body.path("then")) {
             if (change.has("set")) {
                 String key = change.path("set").asText();
-                keys.put(key, Json.object().put("k", key).put("stamp", ledger).set("v", change.path("v")));
-                changes.add(Json.object().put("set", key).put("stamp", ledger).set("v", change.path("v")));
+                keys.put(
+                        key,
+                        Json.object().put("k", key).put("stamp", storeRevision).set("v", change.path("v")));
+                changes.add(Json.object()
+                        .put("set", key)
+                        .put("stamp", storeRevision)
+                        .set("v", change.path("v")));
             }
         }
         wake();
-        return Reply.of(200, Json.object().put("ledger", ledger));
+        return HttpResponse.of(200, Json.object().put("ledger", storeRevision));
     }
 
     private void wake() {
@@ -65,22 +70,24 @@
                     result.add(change);
                 }
             }
-            ObjectNode body = Json.object().put("ledger", ledger);
+            ObjectNode body = Json.object().put("ledger", storeRevision);
             body.set("news", result);
-            return !result.isEmpty() && watcher.answer().complete(Reply.of(200, body));
+            return !result.isEmpty() && watcher.answer().complete(HttpResponse.of(200, body));
         });
     }
 
-    private Reply list(String prefix) {
-        ObjectNode body = Json.object().put("truncated", false).put("ledger", ledger);
+    private HttpResponse list(String prefix) {
+        ObjectNode body = Json.object().put("truncated", false).put("ledger", storeRevision);
         ArrayNode entries = body.putArray("entries");
         keys.subMap(prefix, prefix + Character.MAX_VALUE).values().forEach(entries::add);
-        return Reply.of(200, body);
+        return HttpResponse.of(200, body);
     }
 
-    private Reply get(String key) {
+    private HttpResponse get(String key) {
         ObjectNode entry = keys.get(key);
-        return entry == null ? Reply.of(404, Json.object().put("ledger", ledger)) : Reply.of(200, entry);
+        return entry == null
+                ? HttpResponse.of(404, Json.object().put("ledger", storeRevision))
+                : HttpResponse.of(200, entry);
     }
 
     private static ObjectNode machineTypes() {
--- a/src/main/java/io/sillreel/cloud/CloudClient.java
+++ b/src/main/java/io/sillreel/cloud/CloudClient.java
@@ -1,190 +1,124 @@
 package io.sillreel.cloud;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Call;
-import io.sillreel.http.Caller;
-import io.sillreel.http.Json;
-import io.sillreel.http.Loop;
-import io.sillreel.http.Reply;
-import io.sillreel.statestore.Pacer;
-import java.util.ArrayList;
+import io.sillreel.http.EventLoop;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
+import io.sillreel.overload.RateLimiter;
 import java.util.Collection;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** Client of the cloud's interface, paced below the shared rate. */
+/**
+ * Client of the cloud's interface, limited to this controller's share of the request rate. Futures never complete
+ * exceptionally: every failure is an {@link Outcome}. Safe for use by several threads.
+ */
 public final class CloudClient {
-    /** What became of a request to the cloud. UNKNOWN: it may have been executed, or may yet be. */
+    /** The result of a request to the cloud. */
     public enum Outcome {
+        /** The request was executed. */
         OK,
+        /** The cloud has no machine of the requested type; nothing was executed. */
         NO_CAPACITY,
+        /** The request was not sent or not accepted; it was certainly not executed. */
         REFUSED,
-        UNKNOWN
+        /** No usable answer came: the request may have been executed, or may yet be. */
+        UNKNOWN;
+
+        static Outcome of(HttpResponse response) {
+            if (response.isOk()) {
+                return OK;
+            }
+            return response.isCertainlyNotExecuted() ? REFUSED : UNKNOWN;
+        }
     }
 
-    /** A machine as the cloud lists it. */
-    public record Listed(
-            String name, String address, String build, String zone, boolean spot, String stage, long ageMicros) {}
+    /**
+     * A machine as the cloud lists it.
+     *
+     * @param address where the machine accepts commands; empty if the cloud does not tell
+     * @param hasFailed true if the machine has failed and its tasks are gone
+     */
+    public record ListedMachine(
+            String name, String address, String machineType, String zone, boolean isSpot, boolean hasFailed) {}
 
-    /** The machine types as the cloud lists them. */
-    public record MachineTypeList(Outcome outcome, JsonNode body) {}
+    /** The machine types on offer; the list is empty unless the outcome is OK. */
+    record MachineTypesAnswer(Outcome outcome, MachineTypeList list) {}
 
-    /** The machines that a rental request obtained. */
-    public record Rented(Outcome outcome, List<String> machines) {}
+    /** The names of the machines that a provisioning request obtained, fewer than requested if the cloud ran out. */
+    public record ProvisioningResult(Outcome outcome, List<String> machines) {}
 
-    /** The list of machines, and when the request for it was sent. */
-    public record Machines(Outcome outcome, List<Listed> machines, long askedMicros) {}
+    /** All machines of this operator; empty unless the outcome is OK. */
+    public record MachineList(Outcome outcome, List<ListedMachine> machines) {}
 
-    /** A request without an answer is given up after so long. */
+    /** A request without an answer is given up after this time, in microseconds. */
     public static final long TIMEOUT_MICROS = 6_000_000;
+    /** The most machines that one return request may name. */
+    public static final int MAX_MACHINES_PER_RETURN = 100;
+    /** The most machines that one provisioning request may ask for. */
+    public static final int MAX_MACHINES_PER_REQUEST = 50;
 
-    private static final int PAGE = 500;
-    /** The part of a full bucket that pages of a list leave to other requests. */
-    private static final double RESERVED_PART = 0.5;
-
-    private static final long PAGE_PAUSE_MICROS = 100_000;
-    /** A page that has waited for so long no longer leaves anything to others. */
-    private static final long MAX_PAGE_WAIT_MICROS = 3_000_000;
-
-    private static final long PAGE_RETRY_MICROS = 1_000_000;
-    private static final int MAX_PAGE_FAILURES = 2;
-    /** The most machines that one request may give back. */
-    public static final int MAX_RETURNED = 100;
-    /** The most machines that one request may rent. */
-    public static final int MAX_RENTED = 50;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
-    private final Caller caller;
-    private final Loop loop;
+    private final HttpClient httpClient;
+    private final EventLoop eventLoop;
     private final String address;
-    private final Pacer pacer;
+    private final RateLimiter rateLimiter;
 
-    /** @param pacer keeps this controller below its part of the shared request rate */
-    public CloudClient(Caller caller, Loop loop, String address, Pacer pacer) {
-        this.caller = caller;
-        this.loop = loop;
+    /** @param rateLimiter keeps this controller below its share of the request rate */
+    public CloudClient(HttpClient httpClient, EventLoop eventLoop, String address, RateLimiter rateLimiter) {
+        this.httpClient = httpClient;
+        this.eventLoop = eventLoop;
         this.address = address;
-        this.pacer = pacer;
+        this.rateLimiter = rateLimiter;
     }
 
-    public CompletableFuture<MachineTypeList> machineTypes() {
-        return send(Call.get("/flavors")).thenApply(reply -> new MachineTypeList(outcome(reply), reply.json()));
-    }
-
-    /** Rents up to {@code count} machines under a request name that is never used for anything else. */
-    public CompletableFuture<Rented> rent(String request, String build, String zone, boolean spot, int count) {
-        ObjectNode body = Json.object()
-                .put("hire", request)
-                .put("build", build)
-                .put("yard", zone)
-                .put("loaners", spot)
-                .put("count", count);
-        return send(Call.post("/machines", body)).thenApply(reply -> {
-            List<String> names = new ArrayList<>();
-            reply.json().path("hoppers").forEach(name -> names.add(name.asText()));
-            boolean full =
-                    reply.status() == 503 && reply.json().path("error").asText().equals("no capacity");
-            return new Rented(full ? Outcome.NO_CAPACITY : outcome(reply), names);
-        });
-    }
-
-    /** When OK comes back the machines, and all that was on them, are gone. */
-    public CompletableFuture<Outcome> giveBack(Collection<String> machines) {
-        ArrayNode names = Json.array();
-        machines.stream().limit(MAX_RETURNED).forEach(names::add);
-        ObjectNode body = Json.object();
-        body.set("hoppers", names);
-        return send(Call.post("/machines/return", body)).thenApply(this::outcome);
+    CompletableFuture<MachineTypesAnswer> listMachineTypes() {
+        return send(HttpRequest.get("/flavors"))
+                .thenApply(response ->
+                        new MachineTypesAnswer(Outcome.of(response), CloudCodec.readMachineTypes(response.json())));
     }
 
     /**
-     * Lists all machines, page by page. At thousands of machines a list takes more requests than the rate allows at
-     * once, so pages wait for their turn and leave part of the rate to rentals and returns, unless they have waited for
-     * long. A page that is refused or lost is asked for again by itself.
+     * Provisions up to {@code count} machines. The request is idempotent: repeated under the same name it returns the
+     * machines that it has already obtained.
+     *
+     * @param request name of the request, never used for another one
+     * @param count at most {@link #MAX_MACHINES_PER_REQUEST}
      */
-    public CompletableFuture<Machines> machines() {
-        ListRequest list = new ListRequest(loop.nowMicros());
-        page(list);
-        return list.result;
+    public CompletableFuture<ProvisioningResult> provisionMachines(
+            String request, String machineType, String zone, boolean isSpot, int count) {
+        return send(HttpRequest.post(
+                        "/machines", CloudCodec.provisioningRequest(request, machineType, zone, isSpot, count)))
+                .thenApply(response -> new ProvisioningResult(
+                        provisioningOutcome(response), CloudCodec.provisionedMachines(response.json())));
     }
 
-    /** A list that is being read. */
-    private static final class ListRequest {
-        final long askedMicros;
-        final List<Listed> machines = new ArrayList<>();
-        final CompletableFuture<Machines> result = new CompletableFuture<>();
-        String since = "";
-        long pageDueMicros;
-        int failures;
-
-        ListRequest(long askedMicros) {
-            this.askedMicros = askedMicros;
-            this.pageDueMicros = askedMicros;
-        }
-
-        Call call() {
-            return Call.get("/machines?limit=" + PAGE + (since.isEmpty() ? "" : "&since=" + since));
-        }
-
-        void finish(Outcome outcome) {
-            result.complete(new Machines(outcome, outcome == Outcome.OK ? machines : List.of(), askedMicros));
-        }
+    private static Outcome provisioningOutcome(HttpResponse response) {
+        return response.status() == SERVICE_UNAVAILABLE && CloudCodec.isNoCapacityError(response.json())
+                ? Outcome.NO_CAPACITY
+                : Outcome.of(response);
     }
 
-    private void page(ListRequest list) {
-        boolean patient = loop.nowMicros() - list.pageDueMicros < MAX_PAGE_WAIT_MICROS;
-        if (!pacer.tryTakeLeaving(1, patient ? RESERVED_PART * pacer.burst() : 0)) {
-            loop.after(PAGE_PAUSE_MICROS, () -> page(list));
-            return;
-        }
-        caller.call(address, list.call(), TIMEOUT_MICROS).thenAccept(reply -> {
-            if (reply.ok()) {
-                pageRead(list, reply.json());
-            } else if (++list.failures <= MAX_PAGE_FAILURES) {
-                loop.after(PAGE_RETRY_MICROS, () -> page(list));
-            } else {
-                list.finish(outcome(reply));
-            }
-        });
-    }
-
-    private void pageRead(ListRequest list, JsonNode body) {
-        for (JsonNode node : body.path("hoppers")) {
-            list.machines.add(listed(node));
-        }
-        if (body.path("truncated").asBoolean() && !list.machines.isEmpty()) {
-            list.since = list.machines.get(list.machines.size() - 1).name();
-            list.pageDueMicros = loop.nowMicros();
-            list.failures = 0;
-            page(list);
-        } else {
-            list.finish(Outcome.OK);
-        }
-    }
-
-    private static Listed listed(JsonNode node) {
-        return new Listed(
-                node.path("uid").asText(),
-                node.path("addr").asText(),
-                node.path("build").asText(),
-                node.path("yard").asText(),
-                node.path("loaners").asBoolean(),
-                node.path("stage").asText(),
-                Math.round(node.path("age_s").asDouble() * 1_000_000));
+    /**
+     * Returns the first {@link #MAX_MACHINES_PER_RETURN} of the machines to the cloud. Once the outcome is OK the
+     * machines, and all that was on them, are gone.
+     */
+    public CompletableFuture<Outcome> returnMachines(Collection<String> machines) {
+        List<String> named = machines.stream().limit(MAX_MACHINES_PER_RETURN).toList();
+        return send(HttpRequest.post("/machines/return", CloudCodec.returnRequest(named)))
+                .thenApply(Outcome::of);
     }
 
-    private CompletableFuture<Reply> send(Call call) {
-        if (!pacer.tryTake(1)) {
-            return CompletableFuture.completedFuture(Reply.later(429, "paced", 1));
-        }
-        return caller.call(address, call, TIMEOUT_MICROS);
+    /** Lists all machines; a long list takes several requests and waits for the rate to allow them. */
+    public CompletableFuture<MachineList> listMachines() {
+        return new MachineListRequest(httpClient, eventLoop, address, rateLimiter).start();
     }
 
-    private Outcome outcome(Reply reply) {
-        if (reply.ok()) {
-            return Outcome.OK;
+    private CompletableFuture<HttpResponse> send(HttpRequest request) {
+        if (!rateLimiter.tryAcquire(1)) {
+            return CompletableFuture.completedFuture(HttpResponse.retryLater(429, "paced", 1));
         }
-        return reply.surelyNotExecuted() ? Outcome.REFUSED : Outcome.UNKNOWN;
+        return httpClient.send(address, request, TIMEOUT_MICROS);
     }
 }
--- a/src/main/java/io/sillreel/fleet/Allocation.java
+++ b/src/main/java/io/sillreel/cluster/Allocation.java
@@ -1,27 +1,27 @@
-package io.sillreel.fleet;
+package io.sillreel.cluster;
 
+import io.sillreel.agent.Heartbeat.TaskStage;
 import io.sillreel.pipeline.ActiveJob;
-import io.sillreel.workers.Report.Stage;
 
 /** A task that is, or may be, on a machine. */
 public final class Allocation {
     private final ActiveJob job;
     private final String uid;
-    private final int index;
+    private final int taskIndex;
     private final long attempt;
     private final long launchSequence;
     private Machine machine;
-    private Stage stage;
+    private TaskStage stage;
     private long runningSinceMicros = -1;
-    private boolean holding;
-    private boolean halting;
-    private long haltWindDownMicros;
-    private long reapSequence;
+    private boolean isTaskHeld;
+    private boolean isStopping;
+    private long gracePeriodMicros;
+    private long acknowledgementSequence;
 
-    private Allocation(ActiveJob job, String uid, int index, long attempt, long launchSequence, Stage stage) {
+    private Allocation(ActiveJob job, String uid, int index, long attempt, long launchSequence, TaskStage stage) {
         this.job = job;
         this.uid = uid;
-        this.index = index;
+        this.taskIndex = index;
         this.attempt = attempt;
         this.launchSequence = launchSequence;
         this.stage = stage;
@@ -33,17 +33,17 @@
     }
 
     /** A task found in a report, alive or not. The job is null if it isn't driven any more. */
-    public static Allocation found(ActiveJob job, String uid, int index, long attempt, Stage stage) {
+    public static Allocation discovered(ActiveJob job, String uid, int index, long attempt, TaskStage stage) {
         return new Allocation(job, uid, index, attempt, 0, stage);
     }
 
     /** The machine takes the allocation in: from now on a live one holds its task. */
-    void placed(Machine on) {
+    void bindTo(Machine on) {
         machine = on;
-        if (job != null && !ended()) {
-            job.allocate(index);
-            on.book().placed(this);
-            holding = true;
+        if (job != null && !hasEnded()) {
+            job.allocate(taskIndex);
+            on.allocationIndex().add(this);
+            isTaskHeld = true;
         }
     }
 
@@ -56,12 +56,12 @@
      * takeover must not free a task that by then runs elsewhere.
      */
     public void release() {
-        if (holding) {
-            job.deallocate(index);
-            machine.book().gone(this);
-            holding = false;
+        if (isTaskHeld) {
+            job.deallocate(taskIndex);
+            machine.allocationIndex().remove(this);
+            isTaskHeld = false;
         }
-        machine.changed();
+        machine.invalidateUsage();
     }
 
     public ActiveJob job() {
@@ -72,8 +72,8 @@
         return uid;
     }
 
-    public int index() {
-        return index;
+    public int taskIndex() {
+        return taskIndex;
     }
 
     public long attempt() {
@@ -85,22 +85,22 @@
     }
 
     /** True as long as no report has shown the task: the launch may not have happened. */
-    public boolean unconfirmed() {
+    public boolean isUnconfirmed() {
         return stage == null;
     }
 
-    public Stage stage() {
+    public TaskStage stage() {
         return stage;
     }
 
     /** Takes note of the state in which a report shows the task. */
-    public void seen(Stage newStage, long nowMicros) {
-        if (newStage == Stage.RUNNING && runningSinceMicros < 0) {
+    public void updateStage(TaskStage newStage, long nowMicros) {
+        if (newStage == TaskStage.RUNNING && runningSinceMicros < 0) {
             runningSinceMicros = nowMicros;
         }
         stage = newStage;
-        if (ended()) {
-            machine.changed();
+        if (hasEnded()) {
+            machine.invalidateUsage();
         }
     }
 
@@ -109,32 +109,37 @@
         return runningSinceMicros;
     }
 
-    public boolean ended() {
-        return stage == Stage.ENDED;
+    public boolean hasEnded() {
+        return stage == TaskStage.ENDED;
     }
 
-    public void halt(long windDownMicros) {
-        halting = true;
-        haltWindDownMicros = windDownMicros;
+    /** True if the task is done and that is known only here and to its machine, not yet to the store. */
+    boolean hasUnstoredCompletion() {
+        return job != null && !job.isCancelled() && job.isTaskDone(taskIndex) && !job.isTaskStored(taskIndex);
+    }
+
+    public void stop(long windDownMicros) {
+        isStopping = true;
+        gracePeriodMicros = windDownMicros;
     }
 
     /** The machine is told, in the answer to the report with the given sequence, to forget the ended task. */
-    public void reapCommanded(long sequence) {
-        if (reapSequence == 0) {
-            reapSequence = sequence;
+    public void recordAcknowledgementSent(long sequence) {
+        if (acknowledgementSequence == 0) {
+            acknowledgementSequence = sequence;
         }
     }
 
     /** The report whose answer first said so, or 0. */
-    public long reapSequence() {
-        return reapSequence;
+    public long acknowledgementSequence() {
+        return acknowledgementSequence;
     }
 
-    public boolean halting() {
-        return halting;
+    public boolean isStopping() {
+        return isStopping;
     }
 
-    public long haltWindDownMicros() {
-        return haltWindDownMicros;
+    public long gracePeriodMicros() {
+        return gracePeriodMicros;
     }
 }
--- a/src/main/java/io/sillreel/fleet/ResourceUse.java
+++ b/src/main/java/io/sillreel/cluster/ResourceUsage.java
@@ -1,57 +1,57 @@
-package io.sillreel.fleet;
+package io.sillreel.cluster;
 
 import java.util.Collection;
 
 /** What the live tasks of a machine take, counted when it is asked for after something has changed. */
-final class ResourceUse {
+final class ResourceUsage {
     private final Collection<Allocation> allocations;
-    private boolean counted;
+    private boolean isCurrent;
     private double cpus;
     private double ramGb;
-    private double cards;
+    private double gpus;
     private int tasks;
 
-    ResourceUse(Collection<Allocation> allocations) {
+    ResourceUsage(Collection<Allocation> allocations) {
         this.allocations = allocations;
     }
 
     /** A task came, ended or went. */
-    void changed() {
-        counted = false;
+    void invalidate() {
+        isCurrent = false;
     }
 
     /** Processors that live tasks take, or more than there are where that isn't known. */
     double cpus() {
-        count();
+        countIfStale();
         return cpus;
     }
 
     double ramGb() {
-        count();
+        countIfStale();
         return ramGb;
     }
 
-    double cards() {
-        count();
-        return cards;
+    double gpus() {
+        countIfStale();
+        return gpus;
     }
 
     int tasks() {
-        count();
+        countIfStale();
         return tasks;
     }
 
-    private void count() {
-        if (counted) {
+    private void countIfStale() {
+        if (isCurrent) {
             return;
         }
-        counted = true;
+        isCurrent = true;
         cpus = 0;
         ramGb = 0;
-        cards = 0;
+        gpus = 0;
         tasks = 0;
         for (Allocation allocation : allocations) {
-            if (allocation.ended()) {
+            if (allocation.hasEnded()) {
                 continue;
             }
             tasks++;
@@ -59,12 +59,12 @@
                 // What it takes isn't known here, so it counts as everything.
                 cpus = Double.MAX_VALUE;
                 ramGb = Double.MAX_VALUE;
-                cards = Double.MAX_VALUE;
+                gpus = Double.MAX_VALUE;
                 return;
             }
             cpus += allocation.job().spec().cpus();
             ramGb += allocation.job().spec().ramGb();
-            cards += allocation.job().spec().cards();
+            gpus += allocation.job().spec().gpus();
         }
     }
 }
--- a/src/main/java/io/sillreel/placement/UnheardMachines.java
+++ b/src/main/java/io/sillreel/cluster/UnreconciledMachines.java
@@ -1,7 +1,6 @@
-package io.sillreel.placement;
+package io.sillreel.cluster;
 
 import io.sillreel.cloud.MachineType;
-import io.sillreel.fleet.Machine;
 import io.sillreel.pipeline.JobSpec;
 import java.util.Collection;
 import java.util.Collections;
@@ -14,16 +13,19 @@
  * Machines on which an earlier leader's tasks may be that no report has shown yet. A takeover begins with the whole
  * fleet in here and asks for every job whether it may be hidden, so they are counted by what they could hold.
  */
-final class UnheardMachines {
-    private record Kind(MachineType type, String zone, boolean spot) {
-        static Kind of(Machine machine) {
-            return new Kind(machine.type(), machine.zone(), machine.spot());
+final class UnreconciledMachines {
+    private record MachineKind(MachineType type, String zone, boolean spot) {
+        static MachineKind of(Machine machine) {
+            return new MachineKind(machine.type(), machine.zone(), machine.isSpot());
         }
 
         // Written out: the compiler would leave it to be linked at run time, which costs a takeover milliseconds.
         @Override
         public boolean equals(Object other) {
-            return other instanceof Kind kind && kind.type == type && kind.zone.equals(zone) && kind.spot == spot;
+            return other instanceof MachineKind kind
+                    && kind.type == type
+                    && kind.zone.equals(zone)
+                    && kind.spot == spot;
         }
 
         @Override
@@ -33,7 +35,7 @@
     }
 
     private final Set<Machine> machines = new LinkedHashSet<>();
-    private final Map<Kind, Integer> kinds = new HashMap<>();
+    private final Map<MachineKind, Integer> kinds = new HashMap<>();
 
     Collection<Machine> machines() {
         return Collections.unmodifiableSet(machines);
@@ -45,20 +47,21 @@
 
     void add(Machine machine) {
         if (machines.add(machine)) {
-            kinds.merge(Kind.of(machine), 1, Integer::sum);
+            kinds.merge(MachineKind.of(machine), 1, Integer::sum);
         }
     }
 
     void remove(Machine machine) {
         if (machines.remove(machine)) {
-            kinds.computeIfPresent(Kind.of(machine), (kind, count) -> count == 1 ? null : count - 1);
+            kinds.computeIfPresent(MachineKind.of(machine), (kind, count) -> count == 1 ? null : count - 1);
         }
     }
 
     /** True if one of them could hold tasks of the job. */
-    boolean mayHold(JobSpec spec) {
-        for (Kind kind : kinds.keySet()) {
-            if (Cluster.allows(spec, kind.type(), kind.zone(), kind.spot()) && Machine.fitsEmpty(spec, kind.type())) {
+    boolean mayHoldTasksOf(JobSpec spec) {
+        for (MachineKind kind : kinds.keySet()) {
+            if (PlacementConstraints.isEligible(spec, kind.type(), kind.zone(), kind.spot())
+                    && PlacementConstraints.fitsEmptyMachine(spec, kind.type())) {
                 return true;
             }
         }
@@ -68,18 +71,18 @@
     /** The processors of all of them. */
     double cpus() {
         double cpus = 0;
-        for (Map.Entry<Kind, Integer> kind : kinds.entrySet()) {
+        for (Map.Entry<MachineKind, Integer> kind : kinds.entrySet()) {
             cpus += kind.getValue() * kind.getKey().type().cpus();
         }
         return cpus;
     }
 
     /** The cards of all of them. */
-    double cards() {
-        double cards = 0;
-        for (Map.Entry<Kind, Integer> kind : kinds.entrySet()) {
-            cards += kind.getValue() * kind.getKey().type().cards();
+    double gpus() {
+        double gpus = 0;
+        for (Map.Entry<MachineKind, Integer> kind : kinds.entrySet()) {
+            gpus += kind.getValue() * kind.getKey().type().gpus();
         }
-        return cards;
+        return gpus;
     }
 }
--- a/src/main/java/io/sillreel/fleet/CloudListReconciler.java
+++ b/src/main/java/io/sillreel/fleet/CloudListReconciler.java
@@ -1,16 +1,17 @@
 package io.sillreel.fleet;
 
 import io.sillreel.cloud.CloudClient;
-import io.sillreel.cloud.CloudClient.Listed;
+import io.sillreel.cloud.CloudClient.ListedMachine;
 import io.sillreel.cloud.CloudClient.Outcome;
-import io.sillreel.http.Loop;
-import io.sillreel.placement.Cluster;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
+import io.sillreel.http.EventLoop;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
-import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -21,54 +22,50 @@
     /** A long list takes much of the cloud's rate: the pause after it is so many times as long as it took. */
     private static final long LIST_PAUSE_FACTOR = 2;
 
-    private static final long PENDING_RENTAL_MICROS = 30_000_000;
-    private static final String FAILED = "failed";
+    private static final long PENDING_REQUEST_MICROS = 30_000_000;
 
-    private final Loop loop;
+    private final EventLoop eventLoop;
     private final Cluster cluster;
     private final CloudClient cloud;
     private final FleetRegistry registry;
     private final long listLagMicros;
-    private final Consumer<Machine> clear;
+    private final FleetCallbacks callbacks;
     /** Listed machines that no rental names, and when they were first seen. */
-    private final Map<String, Long> strangers = new HashMap<>();
+    private final Map<String, Long> unknownMachines = new HashMap<>();
 
     private long listedMicros = Long.MIN_VALUE / 2;
     private long listPauseMicros = MIN_LIST_PAUSE_MICROS;
-    private boolean listing;
+    private boolean isListing;
 
-    /**
-     * @param listLagMicros how far the list usually lags behind
-     * @param clear told of a machine whose tasks are certainly gone
-     */
+    /** @param listLagMicros how far the list usually lags behind */
     CloudListReconciler(
-            Loop loop,
+            EventLoop eventLoop,
             Cluster cluster,
             CloudClient cloud,
             FleetRegistry registry,
             long listLagMicros,
-            Consumer<Machine> clear) {
-        this.loop = loop;
+            FleetCallbacks callbacks) {
+        this.eventLoop = eventLoop;
         this.cluster = cluster;
         this.cloud = cloud;
         this.registry = registry;
         this.listLagMicros = listLagMicros;
-        this.clear = clear;
+        this.callbacks = callbacks;
     }
 
     /** Asks for the list if that is due. */
-    void tick(long now) {
-        if (!listing && now - listedMicros > listPauseMicros) {
+    void listIfDue(long now) {
+        if (!isListing && now - listedMicros > listPauseMicros) {
             list();
         }
     }
 
     private void list() {
-        listing = true;
-        long asked = loop.nowMicros();
-        cloud.machines().thenAccept(answer -> {
-            listing = false;
-            listedMicros = loop.nowMicros();
+        isListing = true;
+        long asked = eventLoop.nowMicros();
+        cloud.listMachines().thenAccept(answer -> {
+            isListing = false;
+            listedMicros = eventLoop.nowMicros();
             listPauseMicros = Math.max(MIN_LIST_PAUSE_MICROS, LIST_PAUSE_FACTOR * (listedMicros - asked));
             if (answer.outcome() == Outcome.OK) {
                 synchronized (cluster) {
@@ -78,24 +75,33 @@
         });
     }
 
-    private void compare(List<Listed> listed, long asked) {
+    private void compare(List<ListedMachine> listed, long asked) {
         Set<String> present = new HashSet<>();
-        for (Listed entry : listed) {
+        for (ListedMachine entry : listed) {
             present.add(entry.name());
             Machine machine = cluster.machine(entry.name());
             if (machine == null) {
-                stranger(entry, asked);
-                continue;
-            }
-            strangers.remove(entry.name());
-            machine.listed(loop.nowMicros());
-            machine.address(entry.address());
-            if (entry.stage().equals(FAILED)) {
-                LOG.info("machine {} has failed", machine.name());
-                clear.accept(machine);
-                machine.leave("it has failed");
+                adoptIfUnknown(entry, asked);
+            } else {
+                unknownMachines.remove(entry.name());
+                updateListed(machine, entry);
             }
         }
+        removeUnlisted(present, asked);
+        unknownMachines.keySet().retainAll(present);
+    }
+
+    private void updateListed(Machine machine, ListedMachine entry) {
+        machine.recordListed(eventLoop.nowMicros());
+        machine.updateAddress(entry.address());
+        if (entry.hasFailed()) {
+            LOG.info("machine {} has failed", machine.name());
+            callbacks.clearTasks(machine);
+            machine.drain();
+        }
+    }
+
+    private void removeUnlisted(Set<String> present, long asked) {
         long lag = 2 * listLagMicros + 1_000_000;
         for (Machine machine : List.copyOf(cluster.machines())) {
             // A list may be older than the one before; what it lacks is gone only if it surely describes a later time.
@@ -107,25 +113,26 @@
                 registry.remove(machine);
             }
         }
-        strangers.keySet().retainAll(present);
     }
 
-    private void stranger(Listed entry, long asked) {
-        if (registry.isGone(entry.name())) {
+    private void adoptIfUnknown(ListedMachine entry, long asked) {
+        if (registry.wasReturned(entry.name())) {
             return;
         }
         // It may be the answer to a call still under way, so a second look decides.
-        Long first = strangers.putIfAbsent(entry.name(), asked);
-        boolean pending = registry.rentals().stream().anyMatch(rental -> !rental.answered());
-        if (first == null || pending && asked - first < PENDING_RENTAL_MICROS) {
+        Long first = unknownMachines.putIfAbsent(entry.name(), asked);
+        boolean pending =
+                registry.scaleOutRequests().stream().anyMatch(scaleOutRequest -> !scaleOutRequest.isAnswered());
+        if (first == null || pending && asked - first < PENDING_REQUEST_MICROS) {
             return;
         }
-        Machine machine = registry.adopt(entry.name(), entry.build(), entry.zone(), entry.spot());
-        if (machine != null) {
-            machine.address(entry.address());
-            machine.listed(asked);
-            if (entry.stage().equals(FAILED)) {
-                machine.leave("it has failed");
+        Optional<Machine> adopted = registry.adopt(entry.name(), entry.machineType(), entry.zone(), entry.isSpot());
+        if (adopted.isPresent()) {
+            Machine machine = adopted.get();
+            machine.updateAddress(entry.address());
+            machine.recordListed(asked);
+            if (entry.hasFailed()) {
+                machine.drain();
             }
         }
     }
--- a/src/main/java/io/sillreel/fleet/FleetRegistry.java
+++ b/src/main/java/io/sillreel/fleet/FleetRegistry.java
@@ -1,15 +1,18 @@
 package io.sillreel.fleet;
 
 import io.sillreel.cloud.MachineType;
-import io.sillreel.http.Loop;
-import io.sillreel.placement.Cluster;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.ScaleOutRequest;
+import io.sillreel.http.EventLoop;
 import io.sillreel.settings.ValueLimits;
-import io.sillreel.statestore.KeyWriter;
+import io.sillreel.statestore.WriteQueue;
 import java.util.Collection;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.slf4j.Logger;
@@ -20,124 +23,129 @@
     private static final Logger LOG = LoggerFactory.getLogger(FleetRegistry.class);
 
     /** Messages may be minutes late; lists of the cloud lag less. */
-    private static final long GONE_REMEMBERED_MICROS = 3_600_000_000L;
+    private static final long RETURN_REMEMBERED_MICROS = 3_600_000_000L;
 
-    private final Loop loop;
+    private final EventLoop eventLoop;
     private final long term;
     private final Cluster cluster;
-    private final KeyWriter writer;
+    private final WriteQueue writeQueue;
     private final ValueLimits limits;
     private final Supplier<Map<String, MachineType>> types;
-    private final Consumer<Machine> clear;
-    private final Map<String, Rental> rentals = new LinkedHashMap<>();
+    private final Consumer<Machine> clearTasks;
+    private final Map<String, ScaleOutRequest> scaleOutRequests = new LinkedHashMap<>();
     /** Machines that were given back, the earliest first, and when. */
-    private final Map<String, Long> goneMicros = new LinkedHashMap<>();
+    private final Map<String, Long> returnedMicros = new LinkedHashMap<>();
 
-    private long names;
+    private long lastNameNumber;
 
-    /** @param clear told of a machine whose tasks are certainly gone */
+    /** @param clearTasks told of a machine whose tasks are certainly gone */
     FleetRegistry(
-            Loop loop,
+            EventLoop eventLoop,
             long term,
             Cluster cluster,
-            KeyWriter writer,
+            WriteQueue writeQueue,
             ValueLimits limits,
             Supplier<Map<String, MachineType>> types,
-            Consumer<Machine> clear) {
-        this.loop = loop;
+            Consumer<Machine> clearTasks) {
+        this.eventLoop = eventLoop;
         this.term = term;
         this.cluster = cluster;
-        this.writer = writer;
+        this.writeQueue = writeQueue;
         this.limits = limits;
         this.types = types;
-        this.clear = clear;
+        this.clearTasks = clearTasks;
     }
 
-    Collection<Rental> rentals() {
-        return rentals.values();
+    Collection<ScaleOutRequest> scaleOutRequests() {
+        return scaleOutRequests.values();
     }
 
     /** How many machines one stored rental may name. */
-    int maxMachinesOfARental() {
-        return Rental.mostMachines(limits.announcedBytes());
+    int maxMachinesPerRequest() {
+        return ScaleOutRequest.maxMachines(limits.announcedBytes());
     }
 
-    boolean isGone(String machine) {
-        return goneMicros.containsKey(machine);
+    boolean wasReturned(String machine) {
+        return returnedMicros.containsKey(machine);
     }
 
     /** A name that no rental of any term has. */
-    String newName() {
-        return "r-" + term + "-" + ++names;
+    String nextRequestName() {
+        return "r-" + term + "-" + ++lastNameNumber;
     }
 
-    void add(Rental rental) {
-        rentals.put(rental.name(), rental);
+    void add(ScaleOutRequest scaleOutRequest) {
+        scaleOutRequests.put(scaleOutRequest.name(), scaleOutRequest);
     }
 
     /** The cloud rents nothing under this name. */
-    void forget(Rental rental) {
-        rental.drop();
-        rentals.remove(rental.name());
+    void discard(ScaleOutRequest scaleOutRequest) {
+        scaleOutRequest.discard();
+        scaleOutRequests.remove(scaleOutRequest.name());
     }
 
     /** Takes over a stored rental; its machines may run tasks of an earlier leader until the bound. */
-    void inherit(Rental rental, long aliveUntilMicros) {
-        int most = maxMachinesOfARental();
-        if (rental.machines().size() > most) {
-            rental.split(most, writer::enqueue).forEach(part -> {
+    void inherit(ScaleOutRequest scaleOutRequest, long aliveUntilMicros) {
+        int most = maxMachinesPerRequest();
+        if (scaleOutRequest.machines().size() > most) {
+            scaleOutRequest.split(most, writeQueue::enqueue).forEach(part -> {
                 inherit(part, aliveUntilMicros);
-                writer.enqueue(part);
+                writeQueue.enqueue(part);
             });
         }
-        add(rental);
-        for (String name : List.copyOf(rental.machines())) {
-            MachineType type = types.get().get(rental.build());
+        add(scaleOutRequest);
+        for (String name : List.copyOf(scaleOutRequest.machines())) {
+            MachineType type = types.get().get(scaleOutRequest.machineType());
             if (cluster.machine(name) != null) {
                 // Cut off from another rental that was not written again: one of them is enough.
-                rental.gone(name);
-                writer.enqueue(rental);
+                scaleOutRequest.removeMachine(name);
+                writeQueue.enqueue(scaleOutRequest);
             } else if (type != null) {
-                Machine machine = machine(name, type, rental, loop.nowMicros());
-                machine.aliveUntil(aliveUntilMicros);
+                Machine machine = newMachine(name, type, scaleOutRequest, eventLoop.nowMicros());
+                machine.extendLease(aliveUntilMicros);
                 cluster.addInherited(machine);
             }
         }
     }
 
     /** A machine that no known rental brought: used from now on, once it is stored. */
-    Machine adopt(String name, String build, String zone, boolean spot) {
-        MachineType type = types.get().get(build);
+    Optional<Machine> adopt(String name, String machineType, String zone, boolean spot) {
+        MachineType type = types.get().get(machineType);
         if (type == null) {
-            return null;
+            return Optional.empty();
         }
-        Rental rental = new Rental("adopted-" + term + "-" + ++names, build, zone, spot, 1);
-        rental.answered(List.of(name));
-        add(rental);
-        LOG.info("machine {} ({}, {}) was not expected, it is taken into the fleet", name, build, zone);
-        Machine machine = enter(name, rental, loop.nowMicros());
-        writer.enqueue(rental);
-        return machine;
+        ScaleOutRequest scaleOutRequest =
+                new ScaleOutRequest("adopted-" + term + "-" + ++lastNameNumber, machineType, zone, spot, 1);
+        scaleOutRequest.recordAnswer(List.of(name));
+        add(scaleOutRequest);
+        LOG.info("machine {} ({}, {}) was not expected, it is taken into the fleet", name, machineType, zone);
+        addMachine(name, scaleOutRequest, eventLoop.nowMicros());
+        writeQueue.enqueue(scaleOutRequest);
+        return Optional.ofNullable(cluster.machine(name));
     }
 
     /** A machine of a rental joins the fleet, unless it has done so already. */
-    Machine enter(String name, Rental rental, long rentedMicros) {
-        MachineType type = types.get().get(rental.build());
-        if (type == null || cluster.machine(name) != null) {
-            return cluster.machine(name);
+    void addMachine(String name, ScaleOutRequest scaleOutRequest, long rentedMicros) {
+        MachineType type = types.get().get(scaleOutRequest.machineType());
+        if (type != null && cluster.machine(name) == null) {
+            cluster.add(newMachine(name, type, scaleOutRequest, rentedMicros));
         }
-        Machine machine = machine(name, type, rental, rentedMicros);
-        cluster.add(machine);
-        return machine;
     }
 
-    private Machine machine(String name, MachineType type, Rental rental, long rentedMicros) {
-        return new Machine(name, type, rental.zone(), rental.spot(), rental, rentedMicros, cluster.book());
+    private Machine newMachine(String name, MachineType type, ScaleOutRequest scaleOutRequest, long rentedMicros) {
+        return new Machine(
+                name,
+                type,
+                scaleOutRequest.zone(),
+                scaleOutRequest.isSpot(),
+                scaleOutRequest,
+                rentedMicros,
+                cluster.allocationIndex());
     }
 
-    private void forgetGone() {
-        long since = loop.nowMicros() - GONE_REMEMBERED_MICROS;
-        Iterator<Long> earliestFirst = goneMicros.values().iterator();
+    private void forgetOldReturns() {
+        long since = eventLoop.nowMicros() - RETURN_REMEMBERED_MICROS;
+        Iterator<Long> earliestFirst = returnedMicros.values().iterator();
         while (earliestFirst.hasNext() && earliestFirst.next() < since) {
             earliestFirst.remove();
         }
@@ -145,14 +153,14 @@
 
     /** The machine no longer exists. */
     void remove(Machine machine) {
-        clear.accept(machine);
+        clearTasks.accept(machine);
         cluster.remove(machine);
-        goneMicros.put(machine.name(), loop.nowMicros());
-        forgetGone();
-        machine.rental().gone(machine.name());
-        if (machine.rental().dropped()) {
-            rentals.remove(machine.rental().name());
+        returnedMicros.put(machine.name(), eventLoop.nowMicros());
+        forgetOldReturns();
+        machine.scaleOutRequest().removeMachine(machine.name());
+        if (machine.scaleOutRequest().isDiscarded()) {
+            scaleOutRequests.remove(machine.scaleOutRequest().name());
         }
-        writer.enqueue(machine.rental());
+        writeQueue.enqueue(machine.scaleOutRequest());
     }
 }
--- /dev/null
+++ b/src/main/java/io/sillreel/fleet/ScaleOut.java
@@ -0,0 +1,222 @@
+package io.sillreel.fleet;
+
+import io.sillreel.cloud.CloudClient;
+import io.sillreel.cloud.MachineType;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.ScaleOutRequest;
+import io.sillreel.http.EventLoop;
+import io.sillreel.limits.FleetCapacity;
+import io.sillreel.placement.CapacityPlanner;
+import io.sillreel.placement.ScaleOutProposal;
+import io.sillreel.statestore.WriteQueue;
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Rents machines: each rental is stored under its name before the cloud is asked, and asked again under that name. */
+final class ScaleOut {
+    private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
+    private static final long UNAVAILABLE_MICROS = 20_000_000;
+    private static final long RETRY_MICROS = 2_000_000;
+    private static final int MAX_OPEN_REQUESTS = 6;
+    private static final long FULL_WARNING_INTERVAL_MICROS = 60_000_000;
+
+    private final EventLoop eventLoop;
+    private final Cluster cluster;
+    private final CloudClient cloud;
+    private final WriteQueue writeQueue;
+    private final FleetRegistry registry;
+    private final CapacityPlanner capacityPlanner;
+    private final FleetConfiguration configuration;
+    private final FleetCallbacks callbacks;
+    private long lastFullWarningMicros = Long.MIN_VALUE / 2;
+
+    ScaleOut(
+            EventLoop eventLoop,
+            Cluster cluster,
+            CloudClient cloud,
+            WriteQueue writeQueue,
+            FleetRegistry registry,
+            CapacityPlanner capacityPlanner,
+            FleetConfiguration configuration,
+            FleetCallbacks callbacks) {
+        this.eventLoop = eventLoop;
+        this.cluster = cluster;
+        this.cloud = cloud;
+        this.writeQueue = writeQueue;
+        this.registry = registry;
+        this.capacityPlanner = capacityPlanner;
+        this.configuration = configuration;
+        this.callbacks = callbacks;
+    }
+
+    /** Asks for what the capacity planner wants, unless more urgent writes wait. */
+    void requestMachines(long now) {
+        // A rental is stored before the cloud is asked, so it waits while as urgent writes are behind.
+        if (!callbacks.mayAct()
+                || writeQueue.urgentCount() > configuration.settings().state().maxTransactionChanges()) {
+            return;
+        }
+        List<ScaleOutProposal> proposals;
+        int headroom;
+        synchronized (cluster) {
+            OpenRequests open = openRequests();
+            if (open.count() >= MAX_OPEN_REQUESTS) {
+                return;
+            }
+            proposals = capacityPlanner.scaleOutProposals(
+                    configuration.allMachineTypes(), open.cpus(), open.ordinaryCpus(), now, eventLoop.wallMicros());
+            headroom = proposals.isEmpty() ? 0 : machineHeadroom(open, now);
+        }
+        for (ScaleOutProposal proposal : proposals) {
+            int count = Math.min(headroom, Math.min(proposal.count(), registry.maxMachinesPerRequest()));
+            if (count > 0) {
+                headroom -= count;
+                storeRequest(proposal, count);
+            }
+        }
+    }
+
+    private void storeRequest(ScaleOutProposal proposal, int count) {
+        ScaleOutRequest request = new ScaleOutRequest(
+                registry.nextRequestName(), proposal.type().name(), proposal.zone(), proposal.isSpot(), count);
+        registry.add(request);
+        request.whenStored(() -> sendRequest(request));
+        writeQueue.enqueue(request);
+    }
+
+    /** Rentals that the cloud has yet to answer: how many, and what they may bring. */
+    private record OpenRequests(int count, int machines, long cpus, long ordinaryCpus) {}
+
+    private OpenRequests openRequests() {
+        int count = 0;
+        int machines = 0;
+        long cpus = 0;
+        long ordinaryCpus = 0;
+        for (ScaleOutRequest request : registry.scaleOutRequests()) {
+            if (!request.isAnswered()) {
+                MachineType type = configuration.machineType(request.machineType());
+                long requestedCpus = type == null ? 0 : Math.round(type.cpus() * request.machineCount());
+                count++;
+                machines += request.machineCount();
+                cpus += requestedCpus;
+                ordinaryCpus += request.isSpot() ? 0 : requestedCpus;
+            }
+        }
+        return new OpenRequests(count, machines, cpus, ordinaryCpus);
+    }
+
+    /** How many more machines the controllers can carry; said once a minute while that is none. */
+    private int machineHeadroom(OpenRequests open, long now) {
+        int machines = cluster.machines().size();
+        long tasks = 0;
+        for (Machine machine : cluster.machines()) {
+            tasks += machine.allocations().size();
+        }
+        FleetCapacity fleetCapacity = configuration.fleetCapacity();
+        double tasksPerMachine =
+                Math.max(FleetCapacity.DEFAULT_TASKS_PER_MACHINE, (double) tasks / Math.max(1, machines));
+        int headroom = fleetCapacity.maxMachines(tasksPerMachine) - machines - open.machines();
+        if (headroom <= 0 && now - lastFullWarningMicros > FULL_WARNING_INTERVAL_MICROS) {
+            lastFullWarningMicros = now;
+            LOG.warn(
+                    "no more machines are rented: {} are there or asked for, and the controllers carry {}",
+                    machines + open.machines(),
+                    fleetCapacity.describe(tasksPerMachine));
+        }
+        return headroom;
+    }
+
+    /** Asks once more for what got no answer. */
+    void retryUnanswered(long now) {
+        for (ScaleOutRequest request : List.copyOf(registry.scaleOutRequests())) {
+            if (!request.isAnswered()
+                    && !request.isDiscarded()
+                    && request.revision() > 0
+                    && now - request.lastSentMicros() > RETRY_MICROS + CloudClient.TIMEOUT_MICROS) {
+                sendRequest(request);
+            }
+        }
+    }
+
+    private void sendRequest(ScaleOutRequest request) {
+        if (!callbacks.mayAct() || request.isAnswered() || request.isDiscarded()) {
+            return;
+        }
+        request.recordSent(eventLoop.nowMicros());
+        cloud.provisionMachines(
+                        request.name(), request.machineType(), request.zone(), request.isSpot(), request.machineCount())
+                .thenAccept(result -> {
+                    synchronized (cluster) {
+                        handleResult(request, result);
+                    }
+                });
+    }
+
+    private void handleResult(ScaleOutRequest request, CloudClient.ProvisioningResult result) {
+        long now = eventLoop.nowMicros();
+        if (request.isAnswered() || request.isDiscarded()) {
+            // Asked twice, since an answer seemed lost: the first one counts, and what it brought may be at work.
+            return;
+        }
+        switch (result.outcome()) {
+            case OK -> addRentedMachines(request, result.machines(), now);
+            case NO_CAPACITY -> abandon(request, now + UNAVAILABLE_MICROS);
+            case REFUSED -> handleRefusal(request, now);
+            default -> {
+                LOG.info("the rental {} got no answer, asking again under the same name", request.name());
+                request.markPossiblyExecuted();
+                retryWithoutTimeout(request, now);
+            }
+        }
+    }
+
+    private void addRentedMachines(ScaleOutRequest request, List<String> rentedNames, long now) {
+        LOG.info(
+                "rented {} of {} {} in {}{} as {}",
+                rentedNames.size(),
+                request.machineCount(),
+                request.machineType(),
+                request.zone(),
+                request.isSpot() ? ", spot" : "",
+                request.name());
+        List<String> newNames = rentedNames.stream()
+                .filter(name -> cluster.machine(name) == null && !registry.wasReturned(name))
+                .toList();
+        request.recordAnswer(newNames);
+        newNames.forEach(name -> registry.addMachine(name, request, now));
+        if (rentedNames.size() < request.machineCount()) {
+            markUnavailable(request, now + UNAVAILABLE_MICROS);
+        }
+        if (newNames.isEmpty()) {
+            registry.discard(request);
+        }
+        writeQueue.enqueue(request);
+    }
+
+    private void handleRefusal(ScaleOutRequest request, long now) {
+        if (request.mayHaveExecuted()) {
+            retryWithoutTimeout(request, now);
+        } else {
+            // Surely rented nothing; the request is formed anew when the cloud answers again.
+            abandon(request, now + RETRY_MICROS);
+        }
+    }
+
+    /** The cloud has rented nothing: the request is given up, and its kind of machine not asked for until then. */
+    private void abandon(ScaleOutRequest request, long unavailableUntilMicros) {
+        markUnavailable(request, unavailableUntilMicros);
+        registry.discard(request);
+        writeQueue.enqueue(request);
+    }
+
+    private void markUnavailable(ScaleOutRequest request, long untilMicros) {
+        capacityPlanner.markUnavailable(request.machineType(), request.zone(), request.isSpot(), untilMicros);
+    }
+
+    /** The exchange has ended, so that the retry need not wait for its time-out. */
+    private static void retryWithoutTimeout(ScaleOutRequest request, long now) {
+        request.recordSent(now - CloudClient.TIMEOUT_MICROS);
+    }
+}
--- a/src/main/java/io/sillreel/ownership/RecallDrain.java
+++ b/src/main/java/io/sillreel/fleet/SpotInterruptionDrain.java
@@ -1,28 +1,28 @@
-package io.sillreel.ownership;
+package io.sillreel.fleet;
 
-import io.sillreel.fleet.Allocation;
-import io.sillreel.fleet.Machine;
+import io.sillreel.cluster.Allocation;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
 import io.sillreel.pipeline.JobSpec;
-import io.sillreel.placement.Cluster;
-import io.sillreel.placement.Estimates;
+import io.sillreel.placement.RuntimeEstimator;
 import java.util.LinkedHashSet;
 import java.util.Set;
 
 /** Stops tasks on machines that the cloud has announced to take back. */
-final class RecallDrain {
+public final class SpotInterruptionDrain {
     /** A task that needs so many times what its machine has left is not worth waiting for. */
     private static final double UNFINISHABLE_FACTOR = 1.5;
     /** What stopping takes besides saving: the way of the command, and of the report of the end. */
     private static final long COMMAND_MICROS = 3_000_000;
 
-    private static final long SAVE_MARGIN_MICROS = 1_000_000;
+    private static final long CHECKPOINT_MARGIN_MICROS = 1_000_000;
 
     private final Cluster cluster;
-    private final Estimates estimates;
+    private final RuntimeEstimator runtimeEstimator;
 
-    RecallDrain(Cluster cluster, Estimates estimates) {
+    public SpotInterruptionDrain(Cluster cluster, RuntimeEstimator runtimeEstimator) {
         this.cluster = cluster;
-        this.estimates = estimates;
+        this.runtimeEstimator = runtimeEstimator;
     }
 
     /**
@@ -30,25 +30,28 @@
      * yet end by themselves; those that surely won't lose nothing by being stopped at once, and start elsewhere so much
      * sooner.
      */
-    Set<Machine> drain(long now) {
+    public Set<Machine> stopInterruptedTasks(long now) {
         Set<Machine> touched = new LinkedHashSet<>();
         for (Machine machine : cluster.machines()) {
-            if (!machine.recalled()) {
+            if (!machine.isInterrupted()) {
                 continue;
             }
-            long left = machine.recallAtMicros() - now;
+            long left = machine.interruptionAtMicros() - now;
             for (Allocation allocation : machine.allocations()) {
                 if (allocation.job() == null
-                        || allocation.ended()
-                        || allocation.unconfirmed()
-                        || allocation.halting()) {
+                        || allocation.hasEnded()
+                        || allocation.isUnconfirmed()
+                        || allocation.isStopping()) {
                     continue;
                 }
                 JobSpec spec = allocation.job().spec();
-                if (spec.saves()
-                        ? left < 2 * spec.saveMicros() + COMMAND_MICROS
+                if (spec.supportsCheckpoints()
+                        ? left < 2 * spec.checkpointDurationMicros() + COMMAND_MICROS
                         : remainingMicros(allocation, now) > UNFINISHABLE_FACTOR * left) {
-                    allocation.halt(spec.saves() ? spec.saveMicros() + SAVE_MARGIN_MICROS : 0);
+                    allocation.stop(
+                            spec.supportsCheckpoints()
+                                    ? spec.checkpointDurationMicros() + CHECKPOINT_MARGIN_MICROS
+                                    : 0);
                     touched.add(machine);
                 }
             }
@@ -58,6 +61,6 @@
 
     private long remainingMicros(Allocation allocation, long now) {
         long ran = allocation.runningSinceMicros() < 0 ? 0 : now - allocation.runningSinceMicros();
-        return estimates.expectedMicros(allocation.job()) - ran;
+        return runtimeEstimator.expectedRuntimeMicros(allocation.job()) - ran;
     }
 }
--- a/src/main/java/io/sillreel/workers/SlowMachines.java
+++ b/src/main/java/io/sillreel/fleet/StragglerDetector.java
@@ -1,53 +1,53 @@
-package io.sillreel.workers;
+package io.sillreel.fleet;
 
-import io.sillreel.fleet.Allocation;
-import io.sillreel.fleet.Machine;
-import io.sillreel.fleet.MachineFaults;
-import io.sillreel.placement.Cluster;
-import io.sillreel.placement.Estimates;
+import io.sillreel.cluster.Allocation;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.MachineHealth;
+import io.sillreel.placement.RuntimeEstimator;
 import java.util.HashSet;
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Finds machines that are slower than others. All access is under the lock of the cluster. */
-public final class SlowMachines {
-    private static final Logger LOG = LoggerFactory.getLogger(SlowMachines.class);
+public final class StragglerDetector {
+    private static final Logger LOG = LoggerFactory.getLogger(StragglerDetector.class);
 
     private final Cluster cluster;
-    private final Estimates estimates;
+    private final RuntimeEstimator runtimeEstimator;
 
-    public SlowMachines(Cluster cluster, Estimates estimates) {
+    public StragglerDetector(Cluster cluster, RuntimeEstimator runtimeEstimator) {
         this.cluster = cluster;
-        this.estimates = estimates;
+        this.runtimeEstimator = runtimeEstimator;
     }
 
     /** Empties machines whose tasks, of several jobs, take a multiple of what such tasks take elsewhere. */
-    public void drain(long now) {
+    public void drainStragglers(long now) {
         for (Machine machine : cluster.machines()) {
             int late = 0;
             Set<String> lateJobs = new HashSet<>();
             for (Allocation allocation : machine.allocations()) {
                 if (allocation.job() != null
-                        && !allocation.ended()
+                        && !allocation.hasEnded()
                         && allocation.runningSinceMicros() >= 0
                         && now - allocation.runningSinceMicros()
-                                > MachineFaults.SLOW_RATIO
-                                        * estimates.expectedMicros(
+                                > MachineHealth.SLOW_RATIO
+                                        * runtimeEstimator.expectedRuntimeMicros(
                                                 allocation.job().spec())) {
                     late++;
                     lateJobs.add(allocation.uid());
                 }
             }
             if (machine.state() == Machine.State.UP
-                    && (machine.faults().slow()
+                    && (machine.health().isSlow()
                             || lateJobs.size() > 1
                                     && late > machine.allocations().size() / 2)) {
                 LOG.info(
                         "machine {} ({}) is considered slow",
                         machine.name(),
                         machine.type().name());
-                machine.leave("slow");
+                machine.drain();
             }
         }
     }
--- a/src/main/java/io/sillreel/workers/AttemptIds.java
+++ b/src/main/java/io/sillreel/heartbeat/AttemptIds.java
@@ -1,4 +1,4 @@
-package io.sillreel.workers;
+package io.sillreel.heartbeat;
 
 /**
  * Ids of launches, which never repeat: the term in the high bits, a count below. A term that has used up its count must
@@ -27,13 +27,13 @@
     }
 
     /** True if there is no further id in this term. */
-    public boolean exhausted() {
+    public boolean isExhausted() {
         return count >= MAX_COUNT;
     }
 
     /** An id that no launch of any term has had. */
     public long next() {
-        if (exhausted()) {
+        if (isExhausted()) {
             throw new IllegalStateException("all attempt ids of the term are used up");
         }
         return base + ++count;
--- a/src/main/java/io/sillreel/http/HttpServer.java
+++ b/src/main/java/io/sillreel/http/NettyHttpServer.java
@@ -24,7 +24,7 @@
 import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
-import io.sillreel.http.RequestQueue.Line;
+import io.sillreel.http.RequestQueue.RequestClass;
 import java.net.InetSocketAddress;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
@@ -37,54 +37,54 @@
  * route may be given a part of the connections: hundreds of workers that turn to the last controller that is up must
  * not take the place of users and health checks.
  */
-public final class HttpServer {
+public final class NettyHttpServer {
     public static final int MAX_BODY_BYTES = 64 * 1024;
     /** Connections that may wait to be accepted: all workers turn up at once when the last of the others has ended. */
     private static final int MIN_BACKLOG = 1_024;
 
     private static final int DRAIN_MILLIS = 1_000;
-    private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
+    private static final Logger LOG = LoggerFactory.getLogger(NettyHttpServer.class);
 
     private final EventLoopGroup group;
     private final int maxBodyBytes;
     private final int maxConnections;
-    private final Function<Call, Line> lines;
+    private final Function<HttpRequest, RequestClass> requestClassifier;
     private final RequestQueue requestQueue;
-    private final int maxCrowd;
-    private int connections;
-    private int crowded;
+    private final int maxWorkerConnections;
+    private int openConnections;
+    private int workerConnections;
 
     /** A listener whose requests are all taken up as they come. */
-    public HttpServer(EventLoopGroup group, int maxBodyBytes, int maxConnections) {
-        this(group, maxBodyBytes, maxConnections, call -> Line.AT_ONCE, null, 0);
+    public NettyHttpServer(EventLoopGroup group, int maxBodyBytes, int maxConnections) {
+        this(group, maxBodyBytes, maxConnections, request -> RequestClass.IMMEDIATE, null, 0);
     }
 
     /**
      * @param lines which line a request waits in
      * @param maxCrowd how many of the connections may ask what waits in the crowd's line
      */
-    public HttpServer(
+    public NettyHttpServer(
             EventLoopGroup group,
             int maxBodyBytes,
             int maxConnections,
-            Function<Call, Line> lines,
+            Function<HttpRequest, RequestClass> lines,
             RequestQueue requestQueue,
             int maxCrowd) {
         this.group = group;
         this.maxBodyBytes = maxBodyBytes;
         this.maxConnections = maxConnections;
-        this.lines = lines;
+        this.requestClassifier = lines;
         this.requestQueue = requestQueue;
-        this.maxCrowd = maxCrowd;
+        this.maxWorkerConnections = maxCrowd;
     }
 
     /** Listens on the address, or fails with a plain message. */
-    public Channel listen(InetSocketAddress address, Handler handler) {
+    public Channel listen(InetSocketAddress address, HttpHandler handler) {
         return bind(address, handler).syncUninterruptibly().channel();
     }
 
     /** Begins to listen on the address; may be called in the loop. */
-    public ChannelFuture bind(InetSocketAddress address, Handler handler) {
+    public ChannelFuture bind(InetSocketAddress address, HttpHandler handler) {
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
@@ -96,10 +96,10 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        if (++connections > maxConnections) {
+                        if (++openConnections > maxConnections) {
                             channel.close();
                         }
-                        channel.closeFuture().addListener(closed -> connections--);
+                        channel.closeFuture().addListener(closed -> openConnections--);
                         channel.pipeline()
                                 .addLast(new HttpServerCodec())
                                 .addLast(new Aggregator(maxBodyBytes))
@@ -109,15 +109,17 @@
         return bootstrap.bind(address);
     }
 
-    private static FullHttpResponse response(Reply reply) {
-        FullHttpResponse response = new DefaultFullHttpResponse(
-                HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(reply.body()));
-        response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
-        response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, reply.body().length);
-        if (reply.retryAfterSeconds() > 0) {
-            response.headers().setInt(HttpHeaderNames.RETRY_AFTER, reply.retryAfterSeconds());
+    private static FullHttpResponse response(HttpResponse response) {
+        FullHttpResponse nettyResponse = new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1,
+                HttpResponseStatus.valueOf(response.status()),
+                Unpooled.wrappedBuffer(response.body()));
+        nettyResponse.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON);
+        nettyResponse.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, response.body().length);
+        if (response.retryAfterSeconds() > 0) {
+            nettyResponse.headers().setInt(HttpHeaderNames.RETRY_AFTER, response.retryAfterSeconds());
         }
-        return response;
+        return nettyResponse;
     }
 
     /** Netty's aggregator would say 413; the protocol knows only 400 for what is too large. */
@@ -128,7 +130,7 @@
 
         @Override
         protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-            FullHttpResponse refusal = response(Reply.refusal(400, "the body is larger than 64 KiB"));
+            FullHttpResponse refusal = response(HttpResponse.error(400, "the body is larger than 64 KiB"));
             refusal.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             ctx.writeAndFlush(refusal);
             // Closing on what is still being sent would reset the connection and take the answer along.
@@ -137,23 +139,23 @@
     }
 
     private final class Dispatch extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final Handler handler;
+        private final HttpHandler handler;
         private boolean counted;
 
-        Dispatch(Handler handler) {
+        Dispatch(HttpHandler handler) {
             this.handler = handler;
         }
 
         /** True if the connection belongs to the crowd and there is no place left for it. */
-        private boolean turnsAway(Line line) {
-            if (counted || line != Line.CROWD) {
+        private boolean turnsAway(RequestClass requestClass) {
+            if (counted || requestClass != RequestClass.WORKERS) {
                 return false;
             }
-            if (crowded >= maxCrowd) {
+            if (workerConnections >= maxWorkerConnections) {
                 return true;
             }
             counted = true;
-            crowded++;
+            workerConnections++;
             return false;
         }
 
@@ -161,59 +163,59 @@
         public void channelInactive(ChannelHandlerContext ctx) {
             if (counted) {
                 counted = false;
-                crowded--;
+                workerConnections--;
             }
             ctx.fireChannelInactive();
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            boolean keepAlive = HttpUtil.isKeepAlive(request);
-            byte[] body = new byte[request.content().readableBytes()];
-            request.content().readBytes(body);
-            if (!request.decoderResult().isSuccess()) {
-                write(ctx, Reply.refusal(400, "not HTTP"), false);
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest nettyRequest) {
+            boolean keepAlive = HttpUtil.isKeepAlive(nettyRequest);
+            byte[] body = new byte[nettyRequest.content().readableBytes()];
+            nettyRequest.content().readBytes(body);
+            if (!nettyRequest.decoderResult().isSuccess()) {
+                write(ctx, HttpResponse.error(400, "not HTTP"), false);
                 return;
             }
-            Call call = new Call(request.method().name(), request.uri(), body);
-            Line line = lines.apply(call);
-            if (turnsAway(line)) {
-                write(ctx, Reply.later(503, "too many connections", 1), false);
-            } else if (line == Line.AT_ONCE) {
-                answer(ctx, call, keepAlive);
-            } else if (!requestQueue.await(
-                    line, body.length, ctx.channel()::isActive, () -> answer(ctx, call, keepAlive))) {
-                write(ctx, Reply.later(503, "too much waits already", 1), keepAlive);
+            HttpRequest request = new HttpRequest(nettyRequest.method().name(), nettyRequest.uri(), body);
+            RequestClass requestClass = requestClassifier.apply(request);
+            if (turnsAway(requestClass)) {
+                write(ctx, HttpResponse.retryLater(503, "too many connections", 1), false);
+            } else if (requestClass == RequestClass.IMMEDIATE) {
+                answer(ctx, request, keepAlive);
+            } else if (!requestQueue.enqueue(
+                    requestClass, body.length, ctx.channel()::isActive, () -> answer(ctx, request, keepAlive))) {
+                write(ctx, HttpResponse.retryLater(503, "too much waits already", 1), keepAlive);
             }
         }
 
-        private void answer(ChannelHandlerContext ctx, Call call, boolean keepAlive) {
-            handle(call).whenComplete((reply, failure) -> {
+        private void answer(ChannelHandlerContext ctx, HttpRequest request, boolean keepAlive) {
+            handle(request).whenComplete((response, failure) -> {
                 if (failure != null) {
-                    LOG.error("a request could not be handled: {} {}", call.method(), call.path(), failure);
-                    write(ctx, Reply.later(503, "internal error", 1), keepAlive);
+                    LOG.error("a request could not be handled: {} {}", request.method(), request.path(), failure);
+                    write(ctx, HttpResponse.retryLater(503, "internal error", 1), keepAlive);
                 } else {
-                    write(ctx, reply, keepAlive);
+                    write(ctx, response, keepAlive);
                 }
             });
         }
 
         /** A handler that fails at once is no different from one that fails later. */
-        private CompletableFuture<Reply> handle(Call call) {
+        private CompletableFuture<HttpResponse> handle(HttpRequest request) {
             try {
-                return handler.handle(call);
+                return handler.handle(request);
             } catch (RuntimeException e) {
                 return CompletableFuture.failedFuture(e);
             }
         }
 
-        private void write(ChannelHandlerContext ctx, Reply reply, boolean keepAlive) {
-            FullHttpResponse response = response(reply);
+        private void write(ChannelHandlerContext ctx, HttpResponse response, boolean keepAlive) {
+            FullHttpResponse nettyResponse = response(response);
             if (keepAlive) {
-                ctx.writeAndFlush(response, ctx.voidPromise());
+                ctx.writeAndFlush(nettyResponse, ctx.voidPromise());
             } else {
-                response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-                ctx.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
+                nettyResponse.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+                ctx.writeAndFlush(nettyResponse).addListener(ChannelFutureListener.CLOSE);
             }
         }
 
--- /dev/null
+++ b/src/main/java/io/sillreel/leadership/LeaderElection.java
@@ -0,0 +1,337 @@
+package io.sillreel.leadership;
+
+import io.sillreel.http.EventLoop;
+import io.sillreel.statestore.ReadResult;
+import io.sillreel.statestore.StateStore;
+import io.sillreel.statestore.StoreOutcome;
+import io.sillreel.statestore.StoredEntry;
+import io.sillreel.statestore.Transaction;
+import io.sillreel.statestore.WatchEvent;
+import io.sillreel.statestore.WatchResult;
+import java.util.function.LongSupplier;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Elects the one controller that leads. The {@code leader} key is bound to a lease of the state store, so that it
+ * vanishes when the leader no longer renews the lease; the {@code term} key counts the elections. Both are written in
+ * one transaction, which at most one candidate can commit. All times are microseconds of the steady clock; methods are
+ * called on the event loop, and the queries from other threads as well.
+ */
+public final class LeaderElection {
+    /** The key that names the leader; all writes of a term depend on its revision. */
+    public static final String LEADER_KEY = "leader";
+    /** The key that holds the number of the last term. */
+    public static final String TERM_KEY = "term";
+
+    /**
+     * The leader as far as this controller knows.
+     *
+     * @param node the name of the leading controller, or null if none is known
+     * @param term the highest term that is known
+     */
+    public record Leader(String node, long term) {}
+
+    /** Told on the event loop when this controller gains or loses leadership. */
+    public interface Listener {
+        /** This controller has been elected. */
+        void leadershipAcquired(TermGrant grant);
+
+        /** The term has ended for this controller; nothing may be written or launched under it any more. */
+        void leadershipLost(String reason);
+    }
+
+    private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
+    private static final long WATCH_MICROS = 2_000_000;
+    /** A follower reads the key again after so many watches, in case it vanished without a change. */
+    private static final int WATCHES_PER_READ = 10;
+
+    private static final long RETRY_MICROS = 300_000;
+
+    private final StateStore store;
+    private final EventLoop eventLoop;
+    private final String node;
+    private final long leaseMicros;
+    private final LongSupplier termFloor;
+    private final HeldLease lease;
+
+    private Listener listener;
+    private Runnable onSettled = () -> {};
+    /** Guarded by this. */
+    private Leader knownLeader = new Leader(null, 0);
+    /** Guarded by this. */
+    private boolean renewing;
+
+    private int watchCount;
+    /** Guarded by this. */
+    private long candidacyResumesMicros = Long.MIN_VALUE;
+
+    /**
+     * @param leaseMicros the time after which a lease that is not renewed expires in the state store
+     * @param termFloor a term that the next one has to lie above, whatever is stored
+     */
+    public LeaderElection(
+            StateStore store, EventLoop eventLoop, String node, long leaseMicros, LongSupplier termFloor) {
+        this.store = store;
+        this.eventLoop = eventLoop;
+        this.node = node;
+        this.leaseMicros = leaseMicros;
+        this.termFloor = termFloor;
+        this.lease = new HeldLease(eventLoop, leaseMicros);
+    }
+
+    /**
+     * Starts to take part in elections.
+     *
+     * @param leadershipListener told when this controller gains or loses leadership
+     * @param settled called once, when the leader is known or can't be known now
+     */
+    public void start(Listener leadershipListener, Runnable settled) {
+        listener = leadershipListener;
+        onSettled = settled;
+        readLeaderKey();
+    }
+
+    private void notifySettled() {
+        Runnable then = onSettled;
+        onSettled = () -> {};
+        then.run();
+    }
+
+    /** The leader as far as this controller knows; safe on any thread. */
+    public synchronized Leader knownLeader() {
+        return knownLeader;
+    }
+
+    /** The term held, or 0; holding a term does not imply that its lease is still valid. */
+    public long heldTerm() {
+        return lease.term();
+    }
+
+    /** When the last request that granted or renewed the lease was sent, by the steady clock. */
+    public long leaseConfirmedMicros() {
+        return lease.confirmedMicros();
+    }
+
+    /** True while no other controller can have acquired leadership. */
+    public boolean isLeaseValid() {
+        return lease.isValid();
+    }
+
+    /**
+     * Takes note of a term that another controller or an agent has shown. A term above the held one ends it.
+     *
+     * @param leaderNode the leader of that term, or null if it is not known
+     */
+    public void observeTerm(String leaderNode, long term) {
+        synchronized (this) {
+            if (term <= knownLeader.term()) {
+                return;
+            }
+            knownLeader = new Leader(leaderNode, term);
+        }
+        if (heldTerm() > 0 && term > heldTerm()) {
+            loseLeadership("term " + term + " has begun on another controller");
+        }
+    }
+
+    /** Gives up leadership, if it is held, and revokes the lease, so that another controller can be elected at once. */
+    public void resign(String reason) {
+        long granted = lease.leaseId();
+        if (heldTerm() > 0) {
+            loseLeadership(reason);
+            store.revokeLease(granted);
+        }
+    }
+
+    /** Takes part in no election for the given time, so that another controller can be elected. */
+    public synchronized void pauseCandidacy(long forMicros) {
+        candidacyResumesMicros = eventLoop.nowMicros() + forMicros;
+    }
+
+    private synchronized boolean isCandidacyPaused(long nowMicros) {
+        return nowMicros < candidacyResumesMicros;
+    }
+
+    private void readLeaderKey() {
+        store.list(LEADER_KEY).thenAccept(listing -> {
+            if (listing.outcome() != StoreOutcome.OK) {
+                notifySettled();
+                eventLoop.schedule(RETRY_MICROS, this::readLeaderKey);
+                return;
+            }
+            StoredEntry entry = listing.entries().stream()
+                    .filter(e -> e.key().equals(LEADER_KEY))
+                    .findFirst()
+                    .orElse(null);
+            if (entry == null) {
+                recordVacancy();
+                grantLease(0, listing.storeRevision());
+                return;
+            }
+            recordLeader(LeaderKeyCodec.readLeader(entry.value()));
+            if (heldTerm() == 0 && node.equals(knownLeader().node())) {
+                // An earlier process of this controller held it and has ended, so nobody has to be waited for.
+                grantLease(entry.revision(), listing.storeRevision());
+            } else {
+                notifySettled();
+                watchLeaderKey(listing.storeRevision());
+            }
+        });
+    }
+
+    private void watchLeaderKey(long since) {
+        store.watch(LEADER_KEY, since, WATCH_MICROS).thenAccept(result -> {
+            if (result.outcome() != StoreOutcome.OK) {
+                eventLoop.schedule(RETRY_MICROS, this::readLeaderKey);
+                return;
+            }
+            if (recordChanges(result)) {
+                grantLease(0, result.storeRevision());
+            } else if (heldTerm() == 0 && (knownLeader().node() == null || ++watchCount % WATCHES_PER_READ == 0)) {
+                // A key that vanished without a change, as in a restored store, would be watched without end.
+                readLeaderKey();
+            } else {
+                watchLeaderKey(result.storeRevision());
+            }
+        });
+    }
+
+    /** Takes over changes of the leader key; true if the last one removed it. */
+    private boolean recordChanges(WatchResult result) {
+        boolean vacant = false;
+        for (WatchEvent change : result.events()) {
+            if (!change.key().equals(LEADER_KEY)) {
+                continue;
+            }
+            vacant = change.value() == null;
+            if (vacant) {
+                recordVacancy();
+            } else {
+                recordLeader(LeaderKeyCodec.readLeader(change.value()));
+            }
+        }
+        return vacant;
+    }
+
+    private void recordVacancy() {
+        synchronized (this) {
+            knownLeader = new Leader(null, knownLeader.term());
+        }
+        loseLeadership("the lease expired");
+    }
+
+    private void recordLeader(Leader leader) {
+        long held = heldTerm();
+        synchronized (this) {
+            if (leader.term() >= knownLeader.term()) {
+                knownLeader = leader;
+            }
+        }
+        if (leader.term() != held) {
+            loseLeadership("term " + leader.term() + " has begun on another controller");
+        }
+    }
+
+    private void grantLease(long leaderRevision, long storeRevision) {
+        long sent = eventLoop.nowMicros();
+        if (isCandidacyPaused(sent)) {
+            watchLeaderKey(storeRevision);
+            return;
+        }
+        store.grantLease(leaseMicros).thenAccept(grant -> {
+            if (grant.outcome() != StoreOutcome.OK) {
+                notifySettled();
+                eventLoop.schedule(RETRY_MICROS, this::readLeaderKey);
+                return;
+            }
+            store.get(TERM_KEY).thenAccept(read -> {
+                if (!read.isConclusive()) {
+                    notifySettled();
+                    store.revokeLease(grant.leaseId());
+                    eventLoop.schedule(RETRY_MICROS, this::readLeaderKey);
+                    return;
+                }
+                claimLeadership(grant.leaseId(), sent, leaderRevision, read);
+            });
+        });
+    }
+
+    /** The last term that was taken, as it was read under {@link #TERM_KEY}; 0 before the first one. */
+    public static long storedTerm(ReadResult read) {
+        return read.entry().isEmpty()
+                ? 0
+                : LeaderKeyCodec.readTerm(read.entry().get().value());
+    }
+
+    /**
+     * Writes the leader key and the next term in one transaction.
+     *
+     * @param sentMicros when the lease was requested
+     * @param leaderRevision the revision that the leader key has to have still, 0 if it has to be absent
+     */
+    private void claimLeadership(long leaseId, long sentMicros, long leaderRevision, ReadResult termRead) {
+        long term = 1 + Math.max(storedTerm(termRead), termFloor.getAsLong());
+        Leader self = new Leader(node, term);
+        Transaction transaction = new Transaction()
+                .requireRevision(LEADER_KEY, leaderRevision)
+                .requireRevision(TERM_KEY, termRead.revision())
+                .set(LEADER_KEY, LeaderKeyCodec.writeLeader(self), leaseId)
+                .set(TERM_KEY, LeaderKeyCodec.writeTerm(term));
+        store.commit(transaction).thenAccept(commit -> {
+            if (commit.outcome() != StoreOutcome.OK) {
+                // Lost the race, or the outcome is unknown: without the lease a late success does not last.
+                store.revokeLease(leaseId);
+                eventLoop.schedule(commit.outcome() == StoreOutcome.CONFLICT ? 0 : RETRY_MICROS, this::readLeaderKey);
+                return;
+            }
+            synchronized (this) {
+                lease.acquired(leaseId, term, sentMicros);
+                knownLeader = self;
+            }
+            LOG.info("acquired leadership: term {}", term);
+            listener.leadershipAcquired(new TermGrant(term, commit.storeRevision()));
+            notifySettled();
+            eventLoop.schedule(leaseMicros / 3, this::renewLease);
+            watchLeaderKey(commit.storeRevision());
+        });
+    }
+
+    private void renewLease() {
+        long leaseId = lease.leaseId();
+        synchronized (this) {
+            if (heldTerm() == 0 || renewing) {
+                return;
+            }
+            renewing = true;
+        }
+        long sentMicros = eventLoop.nowMicros();
+        store.renewLease(leaseId).thenAccept(outcome -> {
+            synchronized (this) {
+                renewing = false;
+            }
+            if (!lease.isHeld(leaseId)) {
+                return;
+            }
+            if (outcome == StoreOutcome.NOT_FOUND) {
+                // The watch may not show that the key is gone: this controller knows of no leader.
+                recordVacancy();
+                return;
+            }
+            if (outcome == StoreOutcome.OK) {
+                lease.renewed(sentMicros);
+            }
+            long wait =
+                    outcome == StoreOutcome.OK ? leaseMicros / 3 - (eventLoop.nowMicros() - sentMicros) : RETRY_MICROS;
+            eventLoop.schedule(Math.max(wait, RETRY_MICROS / 3), this::renewLease);
+        });
+    }
+
+    private void loseLeadership(String reason) {
+        long term = lease.release();
+        if (term > 0) {
+            LOG.info("lost leadership of term {}: {}", term, reason);
+            listener.leadershipLost(reason);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -0,0 +1,219 @@
+package io.sillreel.leadership;
+
+import io.sillreel.cluster.Cluster;
+import io.sillreel.http.EventLoop;
+import io.sillreel.leadership.StoredState.StoredJob;
+import io.sillreel.pipeline.ActiveJob;
+import io.sillreel.pipeline.CascadingCancellation;
+import io.sillreel.pipeline.DependencyGraph;
+import io.sillreel.pipeline.JobIdSet;
+import io.sillreel.pipeline.PlanOverflow;
+import io.sillreel.pipeline.PlanRecord;
+import io.sillreel.placement.CapacityPlanner;
+import io.sillreel.placement.PriorityInheritance;
+import io.sillreel.placement.RuntimeEstimator;
+import io.sillreel.settings.ValueLimits;
+import io.sillreel.statestore.PendingWrite;
+import io.sillreel.statestore.StateStore;
+import io.sillreel.statestore.WriteQueue;
+import java.util.ArrayList;
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The jobs of one term: those that were stored when it began and those that have been admitted since. Follows plans and
+ * cancellations in the state service, and releases or cancels what awaits a job once its end or cancellation is stored.
+ * All state is behind the lock of the cluster.
+ */
+final class LeaderJobs implements ActiveJob.Listener, DependencyGraph.Callbacks {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaderJobs.class);
+    private static final long RETRY_MICROS = 300_000;
+
+    private final EventLoop eventLoop;
+    private final StateStore store;
+    private final Cluster cluster;
+    private final WriteQueue writeQueue;
+    private final CapacityPlanner capacity;
+    private final ValueLimits limits;
+    private final SchedulingRequests scheduling;
+    private final DependencyGraph dependencies = new DependencyGraph(this);
+    private final DependencyLookup dependencyLookup;
+    private final PriorityInheritance inheritance;
+    private JobIdSet cancelledUids = new JobIdSet();
+    private boolean closed;
+
+    LeaderJobs(
+            EventLoop eventLoop,
+            StateStore store,
+            Cluster cluster,
+            WriteQueue writeQueue,
+            CapacityPlanner capacity,
+            RuntimeEstimator runtimeEstimator,
+            ValueLimits limits,
+            SchedulingRequests scheduling) {
+        this.eventLoop = eventLoop;
+        this.store = store;
+        this.cluster = cluster;
+        this.writeQueue = writeQueue;
+        this.capacity = capacity;
+        this.limits = limits;
+        this.scheduling = scheduling;
+        this.dependencyLookup = new DependencyLookup(eventLoop, store, cluster, dependencies);
+        this.inheritance = new PriorityInheritance(dependencies, runtimeEstimator);
+    }
+
+    /** Takes over what is stored. */
+    void restore(StoredState state) {
+        cancelledUids = state.cancelled();
+        state.recentlyDone().forEach(plan -> capacity.recordArrival(plan.spec(), plan.admittedWallMicros()));
+        enqueueWrites(state.obsoleteChunkRemovals());
+        List<ActiveJob> unfinished = new ArrayList<>();
+        state.unfinished().forEach(stored -> unfinished.add(restoreJob(stored)));
+        dependencies.restore(unfinished, state.done()::contains, uid -> cancelledUids.contains(uid));
+        unfinished.forEach(inheritance::propagateUrgency);
+    }
+
+    void close() {
+        closed = true;
+        dependencyLookup.close();
+    }
+
+    private ActiveJob restoreJob(StoredJob stored) {
+        ActiveJob job = newActiveJob(stored.plan(), stored.planRevision());
+        if (stored.head() != null) {
+            job.inherit(stored.headRevision(), stored.head(), stored.chunks());
+        }
+        activate(job);
+        if (job.isComplete() && !job.isCancelled()) {
+            writeQueue.enqueue(job.recordWrite());
+        }
+        return job;
+    }
+
+    @Override
+    public void enqueueWrites(List<? extends PendingWrite> items) {
+        items.forEach(writeQueue::enqueue);
+    }
+
+    private ActiveJob newActiveJob(PlanRecord plan, long revision) {
+        return new ActiveJob(plan.spec(), revision, plan.admittedWallMicros(), limits, this);
+    }
+
+    private void activate(ActiveJob job) {
+        if (cancelledUids.contains(job.uid())) {
+            job.cancel();
+        }
+        if (!job.hasUnmetDependencies()) {
+            capacity.recordArrival(job.spec(), job.readyWallMicros());
+        }
+        cluster.add(job);
+        scheduling.requestPlan();
+    }
+
+    /** A job that was admitted during the term; names in overflow values are read first. */
+    void addAdmittedJob(PlanRecord plan, long revision) {
+        PlanOverflow.load(plan, store).thenAccept(complete -> {
+            if (closed) {
+                return;
+            }
+            if (complete.isEmpty()) {
+                eventLoop.schedule(RETRY_MICROS, () -> addAdmittedJob(plan, revision));
+                return;
+            }
+            synchronized (cluster) {
+                if (cluster.job(plan.spec().uid()) == null) {
+                    ActiveJob job = newActiveJob(complete.get(), revision);
+                    activate(job);
+                    dependencies.add(job, cancelledUids::contains);
+                    inheritance.propagateUrgency(job);
+                }
+            }
+        });
+    }
+
+    @Override
+    public void dependenciesMet(ActiveJob job) {
+        if (job.isCancelled()) {
+            return;
+        }
+        if (job.hasUnmetDependencies()) {
+            job.markReady(eventLoop.wallMicros());
+            capacity.recordArrival(job.spec(), job.readyWallMicros());
+        }
+        if (!job.isReleased()) {
+            writeQueue.enqueue(job.recordWrite());
+        }
+    }
+
+    /**
+     * The cancellation of what follows is told from that of the first; writing it down spares readers to look for it.
+     */
+    @Override
+    public void dependencyCancelled(ActiveJob job, String because) {
+        if (cancelledUids.add(job.uid())) {
+            LOG.info("job {} is cancelled: it depends on {}, which was cancelled", job.uid(), because);
+            writeQueue.enqueue(new CascadingCancellation(job.uid(), because, eventLoop.wallMicros()));
+        }
+        cancellationFound(job);
+    }
+
+    @Override
+    public void lookUpCompletion(String uid) {
+        dependencyLookup.lookUp(uid);
+    }
+
+    /** A cancellation has been stored: seen there, or heard of from the controller that stored it. */
+    void jobCancelled(String uid) {
+        synchronized (cluster) {
+            cancelledUids.add(uid);
+            ActiveJob job = cluster.job(uid);
+            if (job != null) {
+                cancellationFound(job);
+            }
+            dependencies.markCancelled(uid);
+        }
+    }
+
+    @Override
+    public void recordStored(ActiveJob job) {
+        synchronized (cluster) {
+            scheduling.requestPlan();
+            dependencies.markReleased(job);
+            if (job.isCompletionStored()) {
+                cluster.remove(job);
+                dependencyLookup.recordDone(job.uid());
+                LOG.info("job {} is done", job.uid());
+                dependencies.markDone(job);
+            }
+        }
+    }
+
+    @Override
+    public void cancellationFound(ActiveJob job) {
+        synchronized (cluster) {
+            if (!job.isCancelled()) {
+                job.cancel();
+                scheduling.requestPlan();
+                scheduling.requestStops(job);
+                inheritance.recomputeAfterCancellation(List.of(job));
+            }
+        }
+    }
+
+    /** A cancelled job is kept for as long as one of its tasks may be anywhere. */
+    void removeCancelledJobs() {
+        synchronized (cluster) {
+            if (!cluster.allReconciled()) {
+                return;
+            }
+            for (ActiveJob job : List.copyOf(cluster.jobs())) {
+                if (job.isCancelled() && job.allocatedCount() == 0) {
+                    cluster.remove(job);
+                    dependencies.remove(job);
+                    enqueueWrites(job.removalsOfChunks());
+                }
+            }
+        }
+    }
+}
--- a/src/main/java/io/sillreel/ownership/TermStatus.java
+++ b/src/main/java/io/sillreel/leadership/LeaderStatus.java
@@ -1,48 +1,48 @@
-package io.sillreel.ownership;
+package io.sillreel.leadership;
 
-import io.sillreel.fleet.Machine;
-import io.sillreel.http.Loop;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
+import io.sillreel.http.EventLoop;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.placement.CapacityPlanner;
-import io.sillreel.placement.Cluster;
-import io.sillreel.statestore.KeyWriter;
+import io.sillreel.statestore.WriteQueue;
 import java.util.HashMap;
 import java.util.Map;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** The state of a term in figures, for the log and for metrics. */
-final class TermStatus {
-    private static final Logger LOG = LoggerFactory.getLogger(TermStatus.class);
-    private static final long STATUS_MICROS = 10_000_000;
+final class LeaderStatus {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaderStatus.class);
+    private static final long LOG_INTERVAL_MICROS = 10_000_000;
 
-    private final Loop loop;
+    private final EventLoop eventLoop;
     private final long term;
     private final Cluster cluster;
     private final CapacityPlanner capacity;
-    private final KeyWriter writer;
-    private long statusMicros;
+    private final WriteQueue writeQueue;
+    private long loggedMicros;
 
-    TermStatus(Loop loop, long term, Cluster cluster, CapacityPlanner capacity, KeyWriter writer) {
-        this.loop = loop;
+    LeaderStatus(EventLoop eventLoop, long term, Cluster cluster, CapacityPlanner capacity, WriteQueue writeQueue) {
+        this.eventLoop = eventLoop;
         this.term = term;
         this.cluster = cluster;
         this.capacity = capacity;
-        this.writer = writer;
+        this.writeQueue = writeQueue;
     }
 
     /** Every so often one line that tells an on-call reader how things stand. */
-    void tell() {
-        long now = loop.nowMicros();
-        if (now - statusMicros < STATUS_MICROS
+    void logPeriodically() {
+        long now = eventLoop.nowMicros();
+        if (now - loggedMicros < LOG_INTERVAL_MICROS
                 || cluster.jobs().isEmpty() && cluster.machines().isEmpty()) {
             return;
         }
-        statusMicros = now;
+        loggedMicros = now;
         Map<String, Double> gauges = gauges();
         LOG.info(
-                "term {}: {} jobs unfinished, {} tasks wait; cpus: {} up, {} busy, {} starting, {} wanted, "
-                        + "{} standing; {} machines, {} ordinary",
+                "term {}: {} unfinished jobs, {} waiting tasks; cpus: {} up, {} busy, {} starting, {} wanted, "
+                        + "{} standing; {} machines, {} on demand",
                 term,
                 count(gauges, "sillreel.jobs.unfinished"),
                 count(gauges, "sillreel.tasks.waiting"),
@@ -65,7 +65,7 @@
             Map<String, Double> gauges = new HashMap<>();
             int waiting = 0;
             for (ActiveJob job : cluster.jobs()) {
-                waiting += job.cancelled() || job.awaitsOthers() ? 0 : job.waitingCount();
+                waiting += job.isCancelled() || job.hasUnmetDependencies() ? 0 : job.waitingCount();
             }
             double cpus = cluster.machines().stream()
                     .filter(machine -> machine.state() == Machine.State.UP)
@@ -75,16 +75,17 @@
             gauges.put("sillreel.tasks.waiting", (double) waiting);
             gauges.put("sillreel.machines", (double) cluster.machines().size());
             gauges.put("sillreel.machines.ordinary", (double) cluster.machines().stream()
-                    .filter(machine -> !machine.spot())
+                    .filter(machine -> !machine.isSpot())
                     .count());
             gauges.put("sillreel.cpus.up", cpus);
             gauges.put("sillreel.cpus.busy", capacity.busyCpus());
             gauges.put("sillreel.cpus.starting", capacity.startingCpus());
-            gauges.put("sillreel.cpus.wanted", capacity.wantedCpus(loop.wallMicros()));
-            gauges.put("sillreel.cpus.standing", capacity.standingCpus(loop.wallMicros()));
-            gauges.put("sillreel.writes.waiting", (double) writer.backlog());
-            gauges.put("sillreel.machines.unheard", (double) cluster.unheard().size());
-            gauges.put("sillreel.work", (double) cluster.work());
+            gauges.put("sillreel.cpus.wanted", capacity.requiredCpus(eventLoop.wallMicros()));
+            gauges.put("sillreel.cpus.standing", capacity.steadyDemandCpus(eventLoop.wallMicros()));
+            gauges.put("sillreel.writes.waiting", (double) writeQueue.pendingCount());
+            gauges.put("sillreel.machines.unheard", (double)
+                    cluster.unreconciledMachines().size());
+            gauges.put("sillreel.work", (double) cluster.stepCount());
             return gauges;
         }
     }
--- a/src/main/java/io/sillreel/ownership/StoredState.java
+++ b/src/main/java/io/sillreel/leadership/StoredState.java
@@ -1,10 +1,11 @@
-package io.sillreel.ownership;
+package io.sillreel.leadership;
 
-import io.sillreel.fleet.Rental;
+import io.sillreel.cluster.ScaleOutRequest;
 import io.sillreel.pipeline.JobIdSet;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
-import io.sillreel.statestore.KeyWriter;
+import io.sillreel.pipeline.StoredChunks;
+import io.sillreel.statestore.PendingWrite;
 import java.util.List;
 
 /**
@@ -23,9 +24,9 @@
         List<StoredJob> unfinished,
         JobIdSet done,
         List<PlanRecord> recentlyDone,
-        List<KeyWriter.Item> leftovers,
+        List<PendingWrite> obsoleteChunkRemovals,
         JobIdSet cancelled,
-        List<Rental> rentals,
+        List<ScaleOutRequest> scaleOutRequests,
         long plansRevision,
         long cancellationsRevision) {
 
@@ -34,14 +35,13 @@
      *
      * @param head what is stored of its progress, or null if it has not been released
      */
-    record StoredJob(
-            PlanRecord plan, long planStamp, RunRecord.Head head, long headStamp, RunRecord.StoredParts parts) {
-        StoredJob with(RunRecord.StoredParts newParts) {
-            return new StoredJob(plan, planStamp, head, headStamp, newParts);
+    record StoredJob(PlanRecord plan, long planRevision, RunRecord head, long headRevision, StoredChunks chunks) {
+        StoredJob with(StoredChunks newParts) {
+            return new StoredJob(plan, planRevision, head, headRevision, newParts);
         }
 
         StoredJob with(PlanRecord newPlan) {
-            return new StoredJob(newPlan, planStamp, head, headStamp, parts);
+            return new StoredJob(newPlan, planRevision, head, headRevision, chunks);
         }
     }
 }
--- a/src/main/java/io/sillreel/ownership/StoredStateReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredStateReader.java
@@ -1,14 +1,18 @@
-package io.sillreel.ownership;
+package io.sillreel.leadership;
 
-import io.sillreel.fleet.Rental;
+import io.sillreel.cluster.ScaleOutRequest;
+import io.sillreel.cluster.ScaleOutRequestCodec;
 import io.sillreel.pipeline.CancellationRecord;
+import io.sillreel.pipeline.ChunkKey;
+import io.sillreel.pipeline.CompletionBitmapCodec;
 import io.sillreel.pipeline.JobIdSet;
+import io.sillreel.pipeline.PlanOverflow;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
+import io.sillreel.statestore.ScanResult;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Entry;
-import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Scan;
+import io.sillreel.statestore.StoreOutcome;
+import io.sillreel.statestore.StoredEntry;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -26,7 +30,7 @@
     private final StateStore store;
     private final int previousVersionChunkTasks;
     private final LongPredicate countsAsDemand;
-    private final BooleanSupplier wanted;
+    private final BooleanSupplier isStillNeeded;
 
     /**
      * @param presentValueBytes the largest value by which the previous version cut done sets
@@ -35,60 +39,62 @@
      */
     StoredStateReader(StateStore store, int presentValueBytes, LongPredicate countsAsDemand, BooleanSupplier wanted) {
         this.store = store;
-        this.previousVersionChunkTasks = RunRecord.chunkTasks(presentValueBytes);
+        this.previousVersionChunkTasks = CompletionBitmapCodec.tasksPerChunk(presentValueBytes);
         this.countsAsDemand = countsAsDemand;
-        this.wanted = wanted;
+        this.isStillNeeded = wanted;
     }
 
     /** Reads everything; empty if the state service did not answer all of it. */
     CompletableFuture<Optional<StoredState>> read() {
         StoredJobsReader jobs = new StoredJobsReader(previousVersionChunkTasks, countsAsDemand);
         JobIdSet cancelled = new JobIdSet();
-        List<Rental> rentals = new ArrayList<>();
-        CompletableFuture<Scan> runs = store.scan(RunRecord.PREFIX, page -> {
-            jobs.addRuns(page);
-            return next();
+        List<ScaleOutRequest> rentals = new ArrayList<>();
+        CompletableFuture<ScanResult> runs = store.scan(RunRecord.PREFIX, page -> {
+            jobs.addRunRecords(page);
+            return continueScan();
         });
-        CompletableFuture<Scan> plans = store.scan(
-                PlanRecord.PREFIX, page -> jobs.addPlans(page).thenApply(judged -> judged && wanted.getAsBoolean()));
-        CompletableFuture<Scan> parts = store.scan(RunRecord.partsPrefix(), page -> {
-            jobs.addParts(page);
-            return next();
+        CompletableFuture<ScanResult> plans = store.scan(
+                PlanRecord.PREFIX,
+                page -> jobs.addPlans(page).thenApply(judged -> judged && isStillNeeded.getAsBoolean()));
+        CompletableFuture<ScanResult> parts = store.scan(ChunkKey.PREFIX, page -> {
+            jobs.addChunks(page);
+            return continueScan();
         });
-        CompletableFuture<Scan> cancellations = store.scan(CancellationRecord.PREFIX, page -> {
-            page.forEach(entry -> cancelled.add(after(CancellationRecord.PREFIX, entry)));
-            return next();
+        CompletableFuture<ScanResult> cancellations = store.scan(CancellationRecord.PREFIX, page -> {
+            page.forEach(entry -> cancelled.add(keySuffix(CancellationRecord.PREFIX, entry)));
+            return continueScan();
         });
-        CompletableFuture<Scan> hired = store.scan(Rental.PREFIX, page -> {
-            page.forEach(entry -> rentals.add(Rental.of(entry.key(), entry.value(), entry.stamp())));
-            return next();
+        CompletableFuture<ScanResult> hired = store.scan(ScaleOutRequest.PREFIX, page -> {
+            page.forEach(
+                    entry -> rentals.add(ScaleOutRequestCodec.decode(entry.key(), entry.value(), entry.revision())));
+            return continueScan();
         });
-        runs.thenAccept(scan -> jobs.runsRead(scan.outcome() == Outcome.OK));
-        List<CompletableFuture<Scan>> all = List.of(plans, runs, cancellations, hired, parts);
+        runs.thenAccept(scan -> jobs.endRunRecords(scan.outcome() == StoreOutcome.OK));
+        List<CompletableFuture<ScanResult>> all = List.of(plans, runs, cancellations, hired, parts);
         return CompletableFuture.allOf(all.toArray(CompletableFuture[]::new)).thenCompose(done -> {
-            if (all.stream().anyMatch(scan -> scan.join().outcome() != Outcome.OK)) {
+            if (all.stream().anyMatch(scan -> scan.join().outcome() != StoreOutcome.OK)) {
                 return CompletableFuture.completedFuture(Optional.empty());
             }
-            return complete(jobs.state(
+            return readOverflowValues(jobs.toStoredState(
                     cancelled,
                     rentals,
-                    plans.join().ledger(),
-                    cancellations.join().ledger()));
+                    plans.join().storeRevision(),
+                    cancellations.join().storeRevision()));
         });
     }
 
-    private CompletableFuture<Boolean> next() {
-        return CompletableFuture.completedFuture(wanted.getAsBoolean());
+    private CompletableFuture<Boolean> continueScan() {
+        return CompletableFuture.completedFuture(isStillNeeded.getAsBoolean());
     }
 
-    static String after(String prefix, Entry entry) {
+    static String keySuffix(String prefix, StoredEntry entry) {
         return entry.key().substring(prefix.length());
     }
 
     /** Adds what lies in overflow values, which few plans have. */
-    private CompletableFuture<Optional<StoredState>> complete(StoredState state) {
+    private CompletableFuture<Optional<StoredState>> readOverflowValues(StoredState state) {
         List<CompletableFuture<Optional<PlanRecord>>> plans = new ArrayList<>();
-        state.unfinished().forEach(job -> plans.add(job.plan().complete(store)));
+        state.unfinished().forEach(job -> plans.add(PlanOverflow.load(job.plan(), store)));
         return CompletableFuture.allOf(plans.toArray(CompletableFuture[]::new)).thenApply(done -> {
             for (int index = 0; index < plans.size(); index++) {
                 Optional<PlanRecord> plan = plans.get(index).join();
--- /dev/null
+++ b/src/main/java/io/sillreel/overload/EventLoopLag.java
@@ -0,0 +1,47 @@
+package io.sillreel.overload;
+
+import io.sillreel.http.EventLoop;
+
+/**
+ * Measures how late timers of the event loop run, the first sign that this process gets too little processor time.
+ * Thread-safe; the lags are guarded by this.
+ */
+public final class EventLoopLag {
+    private static final long SAMPLE_INTERVAL_MICROS = 500_000;
+    /** The lag loses a quarter with each sample, so that it falls within seconds once timers run on time again. */
+    private static final int DECAY_DIVISOR = 4;
+
+    private final EventLoop eventLoop;
+    private long dueMicros;
+    private long currentMicros;
+    private long maxMicros;
+
+    public EventLoopLag(EventLoop eventLoop) {
+        this.eventLoop = eventLoop;
+    }
+
+    /** Starts sampling. */
+    public void start() {
+        dueMicros = eventLoop.nowMicros() + SAMPLE_INTERVAL_MICROS;
+        eventLoop.schedule(SAMPLE_INTERVAL_MICROS, this::sample);
+    }
+
+    private void sample() {
+        synchronized (this) {
+            long late = Math.max(0, eventLoop.nowMicros() - dueMicros);
+            currentMicros = Math.max(late, currentMicros - currentMicros / DECAY_DIVISOR);
+            maxMicros = Math.max(maxMicros, late);
+        }
+        start();
+    }
+
+    /** The decaying maximum of recent lags, in microseconds. */
+    public synchronized long currentMicros() {
+        return currentMicros;
+    }
+
+    /** The largest lag since the start, in microseconds. */
+    public synchronized long maxMicros() {
+        return maxMicros;
+    }
+}
--- /dev/null
+++ b/src/main/java/io/sillreel/overload/RateLimiter.java
@@ -0,0 +1,86 @@
+package io.sillreel.overload;
+
+import io.sillreel.http.EventLoop;
+
+/**
+ * A token bucket for this controller's share of a rate that several controllers use. A rejection by the service shows
+ * that the rate was lowered or that others use more of it; the share then shrinks at once and recovers slowly.
+ * Thread-safe; all state is guarded by this.
+ */
+public final class RateLimiter {
+    private static final double SHRINK_FACTOR = 0.6;
+    private static final double MIN_SHARE = 0.05;
+    private static final double SHARE_RECOVERY_PER_SECOND = 0.02;
+    /** Rejections within this time have the same cause and shrink the share once. */
+    private static final long REJECTION_WINDOW_MICROS = 300_000;
+
+    private final EventLoop eventLoop;
+    private final double maxPerSecond;
+    private final double maxBurst;
+    private double share = 1;
+    private double tokens;
+    private long refilledAtMicros;
+    private long rejectedAtMicros = Long.MIN_VALUE / 2;
+
+    /**
+     * @param perSecond how many tokens are added each second
+     * @param burst how many tokens the bucket holds at most
+     */
+    public RateLimiter(EventLoop eventLoop, double perSecond, double burst) {
+        this.eventLoop = eventLoop;
+        this.maxPerSecond = perSecond;
+        this.maxBurst = burst;
+        this.tokens = burst;
+        this.refilledAtMicros = eventLoop.nowMicros();
+    }
+
+    /** Takes the tokens if they are available; an amount larger than the bucket may overdraw a full one. */
+    public boolean tryAcquire(double amount) {
+        return tryAcquireLeaving(amount, 0);
+    }
+
+    /** Takes the tokens if the given number is left after that, or if the bucket is full. */
+    public synchronized boolean tryAcquireLeaving(double amount, double left) {
+        refill();
+        if (tokens >= Math.min(amount + left, burst())) {
+            tokens -= amount;
+            return true;
+        }
+        return false;
+    }
+
+    /** Takes the tokens even if that overdraws the bucket; for rare requests that must not wait. */
+    public synchronized void acquireUnconditionally(double amount) {
+        refill();
+        tokens -= amount;
+    }
+
+    /** Reports that the service rejected a request because of its rate; empties the bucket and shrinks the share. */
+    public synchronized void onRejected() {
+        refill();
+        tokens = Math.min(tokens, 0);
+        if (eventLoop.nowMicros() - rejectedAtMicros > REJECTION_WINDOW_MICROS) {
+            rejectedAtMicros = eventLoop.nowMicros();
+            share = Math.max(MIN_SHARE, share * SHRINK_FACTOR);
+        }
+    }
+
+    /** The tokens in the bucket; negative if it is overdrawn. */
+    public synchronized double availableTokens() {
+        refill();
+        return tokens;
+    }
+
+    /** The current size of the bucket. */
+    public synchronized double burst() {
+        return share * maxBurst;
+    }
+
+    private void refill() {
+        long now = eventLoop.nowMicros();
+        double seconds = (now - refilledAtMicros) / 1_000_000.0;
+        share = Math.min(1, share + SHARE_RECOVERY_PER_SECOND * seconds);
+        tokens = Math.min(burst(), tokens + share * maxPerSecond * seconds);
+        refilledAtMicros = now;
+    }
+}
