--- a/src/main/java/io/sillreel/peer/PeerMessages.java
+++ b/src/main/java/io/sillreel/peer/PeerMessages.java
@@ -5,10 +5,11 @@
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import com.fasterxml.jackson.dataformat.cbor.CBORGenerator;
 import com.fasterxml.jackson.dataformat.cbor.CBORParser;
-import io.sillreel.http.Call;
-import io.sillreel.http.Reply;
-import io.sillreel.workers.Report;
-import io.sillreel.workers.Report.TaskState;
+import io.sillreel.agent.Heartbeat;
+import io.sillreel.agent.Heartbeat.MachineDescription;
+import io.sillreel.agent.Heartbeat.TaskStatus;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -20,9 +21,9 @@
     public static final String HEARTBEATS = "/peer/beats";
     public static final String HELLO = "/peer/hello";
     public static final String CANCELLED = "/peer/withdrawn";
-    private static final CBORFactory STREAM = new CBORFactory();
-    private static final Report.Stage[] STAGES = Report.Stage.values();
-    private static final int REPORT_BYTES = 120;
+    private static final CBORFactory CBOR = new CBORFactory();
+    private static final Heartbeat.TaskStage[] STAGES = Heartbeat.TaskStage.values();
+    private static final int HEARTBEAT_BYTES = 120;
     private static final int TASK_BYTES = 48;
 
     /**
@@ -30,19 +31,25 @@
      * it can have their reports answered, and how many lately went unanswered.
      */
     public record Hello(
-            String node, String leader, long term, boolean storeAnswers, int workers, boolean serves, int unanswered) {
+            String node,
+            String leader,
+            long term,
+            boolean isStoreReachable,
+            int workerCount,
+            boolean isServing,
+            int unansweredHeartbeats) {
         /** Encodes the greeting. */
         public byte[] bytes() {
             ByteArrayOutputStream bytes = new ByteArrayOutputStream(64);
-            try (CBORGenerator out = STREAM.createGenerator(bytes)) {
+            try (CBORGenerator out = CBOR.createGenerator(bytes)) {
                 out.writeStartArray(null, 7);
                 out.writeString(node);
                 out.writeString(leader);
                 out.writeNumber(term);
-                out.writeBoolean(storeAnswers);
-                out.writeNumber(workers);
-                out.writeBoolean(serves);
-                out.writeNumber(unanswered);
+                out.writeBoolean(isStoreReachable);
+                out.writeNumber(workerCount);
+                out.writeBoolean(isServing);
+                out.writeNumber(unansweredHeartbeats);
                 out.writeEndArray();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
@@ -52,7 +59,7 @@
 
         /** @throws UncheckedIOException if that is not what {@link #bytes} wrote */
         public static Hello of(byte[] body) {
-            try (CBORParser in = STREAM.createParser(body)) {
+            try (CBORParser in = CBOR.createParser(body)) {
                 in.nextToken();
                 String node = in.nextTextValue();
                 if (node == null) {
@@ -75,22 +82,22 @@
     private PeerMessages() {}
 
     /** A job whose cancellation has been stored. */
-    public static Call cancelled(String uid) {
+    public static HttpRequest cancelled(String uid) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(32);
-        try (CBORGenerator out = STREAM.createGenerator(bytes)) {
+        try (CBORGenerator out = CBOR.createGenerator(bytes)) {
             out.writeStartArray(null, 1);
             out.writeString(uid);
             out.writeEndArray();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return new Call("POST", CANCELLED, bytes.toByteArray());
+        return new HttpRequest("POST", CANCELLED, bytes.toByteArray());
     }
 
     /** @throws UncheckedIOException if that is not what {@link #cancelled} wrote */
     public static List<String> cancelled(byte[] body) {
         List<String> uids = new ArrayList<>();
-        try (CBORParser in = STREAM.createParser(body)) {
+        try (CBORParser in = CBOR.createParser(body)) {
             in.nextToken();
             for (String uid = in.nextTextValue(); uid != null; uid = in.nextTextValue()) {
                 uids.add(uid);
@@ -102,38 +109,38 @@
     }
 
     /** Workers' reports, handed on together. */
-    public static Call heartbeats(List<Report> reports) {
+    public static HttpRequest heartbeats(List<Heartbeat> reports) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(512 * reports.size());
-        try (CBORGenerator out = STREAM.createGenerator(bytes)) {
+        try (CBORGenerator out = CBOR.createGenerator(bytes)) {
             out.writeStartArray(null, reports.size());
-            for (Report report : reports) {
-                write(out, report);
+            for (Heartbeat heartbeat : reports) {
+                writeHeartbeat(out, heartbeat);
             }
             out.writeEndArray();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return new Call("POST", HEARTBEATS, bytes.toByteArray());
+        return new HttpRequest("POST", HEARTBEATS, bytes.toByteArray());
     }
 
     /** About what a report takes in a batch. */
-    public static int approximateBytes(Report report) {
-        return REPORT_BYTES + TASK_BYTES * report.tasks().size();
+    public static int approximateBytes(Heartbeat heartbeat) {
+        return HEARTBEAT_BYTES + TASK_BYTES * heartbeat.tasks().size();
     }
 
-    private static void write(CBORGenerator out, Report report) throws IOException {
+    private static void writeHeartbeat(CBORGenerator out, Heartbeat heartbeat) throws IOException {
         out.writeStartArray(null, 10);
-        out.writeString(report.machine());
-        out.writeString(report.address());
-        out.writeString(report.build());
-        out.writeString(report.zone());
-        out.writeBoolean(report.spot());
-        out.writeNumber(report.session());
-        out.writeNumber(report.sequence());
-        out.writeNumber(report.token());
-        out.writeNumber(report.recallMicros());
-        out.writeStartArray(null, report.tasks().size());
-        for (TaskState task : report.tasks()) {
+        out.writeString(heartbeat.machine());
+        out.writeString(heartbeat.address());
+        out.writeString(heartbeat.description().machineType());
+        out.writeString(heartbeat.description().zone());
+        out.writeBoolean(heartbeat.description().isSpot());
+        out.writeNumber(heartbeat.epoch());
+        out.writeNumber(heartbeat.sequence());
+        out.writeNumber(heartbeat.fencingToken());
+        out.writeNumber(heartbeat.interruptionMicros());
+        out.writeStartArray(null, heartbeat.tasks().size());
+        for (TaskStatus task : heartbeat.tasks()) {
             out.writeStartArray(null, 5);
             out.writeString(task.uid());
             out.writeNumber(task.index());
@@ -147,12 +154,12 @@
     }
 
     /** @throws UncheckedIOException if that is not what {@link #heartbeats} wrote */
-    public static List<Report> reports(byte[] body) {
-        List<Report> reports = new ArrayList<>();
-        try (CBORParser in = STREAM.createParser(body)) {
+    public static List<Heartbeat> decodeHeartbeats(byte[] body) {
+        List<Heartbeat> reports = new ArrayList<>();
+        try (CBORParser in = CBOR.createParser(body)) {
             in.nextToken();
             while (in.nextToken() == JsonToken.START_ARRAY) {
-                reports.add(report(in));
+                reports.add(readHeartbeat(in));
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -160,20 +167,20 @@
         return reports;
     }
 
-    private static Report report(CBORParser in) throws IOException {
+    private static Heartbeat readHeartbeat(CBORParser in) throws IOException {
         String machine = in.nextTextValue();
         String address = in.nextTextValue();
-        String build = in.nextTextValue();
+        String machineType = in.nextTextValue();
         String zone = in.nextTextValue();
         boolean spot = in.nextToken() == JsonToken.VALUE_TRUE;
-        long session = in.nextLongValue(0);
+        long epoch = in.nextLongValue(0);
         long sequence = in.nextLongValue(0);
         long token = in.nextLongValue(0);
         long recallMicros = in.nextLongValue(-1);
-        List<TaskState> tasks = new ArrayList<>();
+        List<TaskStatus> tasks = new ArrayList<>();
         in.nextToken();
         while (in.nextToken() == JsonToken.START_ARRAY) {
-            tasks.add(new TaskState(
+            tasks.add(new TaskStatus(
                     in.nextTextValue(),
                     in.nextIntValue(0),
                     in.nextLongValue(0),
@@ -182,19 +189,27 @@
             in.nextToken();
         }
         in.nextToken();
-        return new Report(machine, address, build, zone, spot, session, sequence, token, recallMicros, tasks);
+        return new Heartbeat(
+                machine,
+                address,
+                new MachineDescription(machineType, zone, spot),
+                epoch,
+                sequence,
+                token,
+                recallMicros,
+                tasks);
     }
 
     /** The lease leader's answers to reports, in their order. */
-    public static byte[] answers(List<Reply> replies) {
+    public static byte[] encodeResponses(List<HttpResponse> replies) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(64 * replies.size());
-        try (CBORGenerator out = STREAM.createGenerator(bytes)) {
+        try (CBORGenerator out = CBOR.createGenerator(bytes)) {
             out.writeStartArray(null, replies.size());
-            for (Reply reply : replies) {
+            for (HttpResponse response : replies) {
                 out.writeStartArray(null, 3);
-                out.writeNumber(reply.status());
-                out.writeBinary(reply.body());
-                out.writeNumber(reply.retryAfterSeconds());
+                out.writeNumber(response.status());
+                out.writeBinary(response.body());
+                out.writeNumber(response.retryAfterSeconds());
                 out.writeEndArray();
             }
             out.writeEndArray();
@@ -205,14 +220,14 @@
     }
 
     /** The answers, or none if they can't be read. */
-    public static List<Reply> replies(byte[] body) {
-        List<Reply> replies = new ArrayList<>();
-        try (CBORParser in = STREAM.createParser(body)) {
+    public static List<HttpResponse> decodeResponses(byte[] body) {
+        List<HttpResponse> replies = new ArrayList<>();
+        try (CBORParser in = CBOR.createParser(body)) {
             in.nextToken();
             while (in.nextToken() == JsonToken.START_ARRAY) {
                 int status = in.nextIntValue(0);
                 in.nextToken();
-                replies.add(new Reply(status, in.getBinaryValue(), in.nextIntValue(0)));
+                replies.add(new HttpResponse(status, in.getBinaryValue(), in.nextIntValue(0)));
                 in.nextToken();
             }
         } catch (IOException e) {
--- a/src/main/java/io/sillreel/pipeline/ActiveJob.java
+++ b/src/main/java/io/sillreel/pipeline/ActiveJob.java
@@ -1,96 +1,85 @@
 package io.sillreel.pipeline;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import io.sillreel.settings.ValueLimits;
-import io.sillreel.statestore.KeyWriter;
-import java.util.BitSet;
+import io.sillreel.statestore.PendingWrite;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
-import org.agrona.collections.Int2IntCounterMap;
 
 /**
- * A pipeline as its lease leader drives it: which tasks are done, which have an allocation on a machine, and what of
- * that is stored. Nothing is launched before the release is stored, nothing is reaped before the settlement is.
+ * An unfinished job as the leader drives it: which tasks are done, which have an allocation on a machine, how urgent
+ * the job is, and what of that is stored. No task is launched before the release is stored, and no worker is told to
+ * drop a completed task before its completion is stored.
+ *
+ * <p>Tasks, urgency and retry state are changed under the lock of the cluster. The write of the record is driven by the
+ * write queue in the event loop.
  */
-public final class ActiveJob implements KeyWriter.Item {
-    /** Told in the loop about what happened to the record. */
-    public interface Watcher {
+public final class ActiveJob {
+    /** Told in the event loop what became of the job's record. */
+    public interface Listener {
+        /** The record is stored; {@link #isCompletionStored} tells whether the job is over. */
         void recordStored(ActiveJob job);
 
-        void foundCancelled(ActiveJob job);
+        /** The record can't be stored, since the job is cancelled. */
+        void cancellationFound(ActiveJob job);
 
-        /** These are to be written as well, or the job again if it is among them. */
-        void toWrite(List<? extends KeyWriter.Item> items);
+        /** Writes to be queued, among them the job's own record if it has to be written again. */
+        void enqueueWrites(List<? extends PendingWrite> writes);
     }
 
     private final JobSpec spec;
-    private final long planStamp;
+    private final long planRevision;
     private final long admittedWallMicros;
-    private final Watcher watcher;
-    private final StoredDoneSet done;
-    private final BitSet allocated = new BitSet();
-    /** Tasks that are done or have an allocation; kept with the counts, since reports ask for them all the time. */
-    private final BitSet taken = new BitSet();
-
-    private final Int2IntCounterMap allocations = new Int2IntCounterMap(0);
-    private final Set<String> failedOn = new HashSet<>();
-
-    private int allocatedCount;
-    private int takenCount;
-    private int ranCount;
-    private long ranMicros;
-    private long longestMicros;
-    private long runStamp;
-    private Rank rank;
-    private long neededByMicros;
-    private boolean ready;
+    private final Listener listener;
+    private final StoredCompletionBitmap completed;
+    private final RunRecordWrite recordWrite;
+    private final TaskOccupancy occupancy;
+    private final TaskRuntimes runtimes = new TaskRuntimes();
+    private final EffectiveUrgency urgency;
+    private final Set<String> failedMachines = new HashSet<>();
+    private RetryState retry = RetryState.NONE;
+    private boolean hasSucceededOnce;
+    private boolean isReady;
     private long readyWallMicros;
-    private boolean released;
-    private boolean inherited;
-    private boolean doneSent;
-    private boolean doneStored;
-    private boolean cancelled;
-    private int attempts;
-    private int attemptsSent;
-    private long nextWallMicros;
-    private String reason;
-    private boolean succeededOnce;
+    private boolean isInherited;
+    private boolean isCancelled;
 
     /**
      * Creates a job that has not been released; {@link #inherit} adds what is stored of it.
      *
-     * @param limits decides in which form the done set is stored
+     * @param planRevision the revision of the stored plan
+     * @param admittedWallMicros when the job was admitted; time of day
+     * @param limits decide in which form the completion bitmap is stored
      */
-    public ActiveJob(JobSpec spec, long planStamp, long admittedWallMicros, ValueLimits limits, Watcher watcher) {
+    public ActiveJob(JobSpec spec, long planRevision, long admittedWallMicros, ValueLimits limits, Listener listener) {
         this.spec = spec;
-        this.planStamp = planStamp;
+        this.planRevision = planRevision;
         this.admittedWallMicros = admittedWallMicros;
-        this.watcher = watcher;
-        this.done = new StoredDoneSet(spec.uid(), spec.tasks(), limits, () -> watcher.toWrite(List.of(this)));
-        neededByNobody();
-        this.ready = spec.awaits().isEmpty();
+        this.listener = listener;
+        this.completed = new StoredCompletionBitmap(spec.uid(), spec.tasks(), limits, this::enqueueRecordWrite);
+        this.recordWrite = new RunRecordWrite(this, completed, listener);
+        this.occupancy = new TaskOccupancy(spec.tasks());
+        this.urgency = new EffectiveUrgency(spec.urgency(), admittedWallMicros);
+        this.isReady = spec.dependencies().isEmpty();
         this.readyWallMicros = admittedWallMicros;
     }
 
-    /** Takes over what an earlier leader stored: the job may have tasks anywhere in the stored fleet. */
-    public void inherit(long stamp, RunRecord.Head head, RunRecord.StoredParts storedParts) {
-        runStamp = stamp;
-        released = true;
-        inherited = true;
-        ready = true;
-        if (head.readyMicros() > 0) {
-            readyWallMicros = head.readyMicros();
+    private void enqueueRecordWrite() {
+        listener.enqueueWrites(List.of(recordWrite));
+    }
+
+    /** Takes over what an earlier leader stored: any inherited machine may run tasks of the job. */
+    public void inherit(long revision, RunRecord record, StoredChunks storedChunks) {
+        recordWrite.inherit(revision, record);
+        isInherited = true;
+        isReady = true;
+        if (record.readyWallMicros() > 0) {
+            readyWallMicros = record.readyWallMicros();
         }
-        attempts = head.attempts();
-        attemptsSent = attempts;
-        nextWallMicros = head.nextMicros();
-        reason = head.reason();
-        done.inherit(head, storedParts);
-        done.addTo(taken);
-        takenCount = done.count();
-        succeededOnce = done.count() > 0;
+        retry = record.retry();
+        completed.inherit(record.bitmap(), storedChunks);
+        occupancy.inherit(completed);
+        hasSucceededOnce = completed.count() > 0;
     }
 
     public JobSpec spec() {
@@ -101,296 +90,189 @@
         return spec.uid();
     }
 
-    /** Plans are served in the order of these stamps. */
-    public long planStamp() {
-        return planStamp;
+    /** The revision of the stored plan; jobs of equal urgency are served in this order. */
+    public long planRevision() {
+        return planRevision;
     }
 
+    /** When the job was admitted; time of day. */
     public long admittedWallMicros() {
         return admittedWallMicros;
     }
 
-    /** When the last job that it awaits was done; when it was admitted if it awaits none. */
+    /** When the last dependency was done, or the job was admitted if it has none; time of day. */
     public long readyWallMicros() {
         return readyWallMicros;
     }
 
-    /** The highest rank of the job and of all that need it: it decides the order, and who may be stopped for whom. */
-    public Rank rank() {
-        return rank;
+    /** The highest priority class of the job and of all that depend on it; it decides order and preemption. */
+    public PriorityClass effectivePriority() {
+        return urgency.priorityClass();
     }
 
-    /** By when whoever needs the job needs it, or the largest value there is; time of day. */
-    public long neededByMicros() {
-        return neededByMicros;
+    /** By when its dependents need the job, time of day; {@link Long#MAX_VALUE} without a deadline. */
+    public long inheritedDeadlineMicros() {
+        return urgency.inheritedDeadlineMicros();
     }
 
-    /** When the job has to be done: by its own deadline, counted from its submission, and for those that need it. */
-    public long endByMicros() {
-        return Math.min(neededByMicros, spec.dueMicros() < 0 ? Long.MAX_VALUE : admittedWallMicros + spec.dueMicros());
+    /** By when the job has to be done for itself and for its dependents, time of day. */
+    public long effectiveDeadlineMicros() {
+        return urgency.deadlineWallMicros();
     }
 
-    /** A job of that rank needs this one by then; true if that is more urgent than all before. */
-    public boolean neededBy(Rank byRank, long byMicros) {
-        boolean more = byRank.above(rank) || byMicros < neededByMicros;
-        rank = byRank.above(rank) ? byRank : rank;
-        neededByMicros = Math.min(neededByMicros, byMicros);
-        return more;
+    /**
+     * Inherits the urgency of a dependent job.
+     *
+     * @param deadlineWallMicros by when the dependent needs this job
+     * @return true if this job is more urgent than before
+     */
+    public boolean inheritUrgency(PriorityClass dependentPriority, long deadlineWallMicros) {
+        return urgency.inherit(dependentPriority, deadlineWallMicros);
     }
 
-    /** Forgets what others have made of its urgency. */
-    public void neededByNobody() {
-        rank = spec.rank();
-        neededByMicros = Long.MAX_VALUE;
+    /** Forgets the urgency that was inherited. */
+    public void resetInheritedUrgency() {
+        urgency.reset();
     }
 
-    /** All that it awaits is done. */
-    public void ready(long wallMicros) {
-        if (!ready) {
-            ready = true;
+    /** All dependencies are done. */
+    public void markReady(long wallMicros) {
+        if (!isReady) {
+            isReady = true;
             readyWallMicros = wallMicros;
         }
     }
 
-    /** True while it awaits other jobs: it asks for nothing, and takes nothing of any limit or guarantee. */
-    public boolean awaitsOthers() {
-        return !ready;
+    /** True while a dependency is not done: the job demands no machine and uses no quota or guarantee. */
+    public boolean hasUnmetDependencies() {
+        return !isReady;
     }
 
     /** True once the release is stored: only then may tasks be launched. */
-    public boolean released() {
-        return released;
+    public boolean isReleased() {
+        return recordWrite.isReleased();
     }
 
     /** True if an earlier leader may have launched tasks of this job. */
-    public boolean inherited() {
-        return inherited;
+    public boolean isInherited() {
+        return isInherited;
     }
 
-    public boolean cancelled() {
-        return cancelled;
+    public boolean isCancelled() {
+        return isCancelled;
     }
 
+    /** Marks the job as cancelled; its tasks are stopped, and none is launched any more. */
     public void cancel() {
-        cancelled = true;
+        isCancelled = true;
     }
 
-    public boolean complete() {
-        return done.complete();
+    /** True if all tasks are done, whether or not that is stored. */
+    public boolean isComplete() {
+        return completed.isComplete();
     }
 
-    /** True once every user may be told that the job is done. */
-    public boolean doneStored() {
-        return doneStored;
+    /** True once it is stored that the job is done, so that users may be told. */
+    public boolean isCompletionStored() {
+        return recordWrite.isCompletionStored();
     }
 
     public int doneCount() {
-        return done.count();
+        return completed.count();
     }
 
-    public boolean isDone(int task) {
-        return done.contains(task);
+    public boolean isTaskDone(int task) {
+        return completed.contains(task);
     }
 
-    public boolean isStored(int task) {
-        return done.isStored(task);
+    /** True once it is stored that the task is done. */
+    public boolean isTaskStored(int task) {
+        return completed.isStored(task);
     }
 
-    /** Marks the task as completed; true if that is news. */
-    public boolean settle(int task) {
-        if (!done.add(task)) {
+    /** Marks the task as done and ends the series of failed attempts; false if it was done before. */
+    public boolean markTaskDone(int task) {
+        if (!completed.add(task)) {
             return false;
         }
-        if (!taken.get(task)) {
-            taken.set(task);
-            takenCount++;
-        }
-        succeededOnce = true;
-        failedOn.clear();
-        attempts = 0;
-        nextWallMicros = 0;
-        reason = null;
+        occupancy.markDone(task);
+        hasSucceededOnce = true;
+        failedMachines.clear();
+        retry = RetryState.NONE;
         return true;
     }
 
-    /** One more allocation of the task; normally the only one. */
+    /** Adds an allocation of the task; normally its only one. */
     public void allocate(int task) {
-        allocations.incrementAndGet(task);
-        if (!allocated.get(task)) {
-            allocated.set(task);
-            allocatedCount++;
-            if (!taken.get(task)) {
-                taken.set(task);
-                takenCount++;
-            }
-        }
+        occupancy.allocate(task);
     }
 
-    /**
-     * One allocation less. A task waits again only once none is left: two may be known for a moment after a takeover.
-     */
+    /** Removes an allocation of the task; the task waits again once none is left. */
     public void deallocate(int task) {
-        if (allocations.decrementAndGet(task) <= 0) {
-            allocations.remove(task);
-            if (allocated.get(task)) {
-                allocated.clear(task);
-                allocatedCount--;
-                if (!done.contains(task)) {
-                    taken.clear(task);
-                    takenCount--;
-                }
-            }
-        }
+        occupancy.deallocate(task, completed.contains(task));
     }
 
     public boolean isAllocated(int task) {
-        return allocated.get(task);
+        return occupancy.isAllocated(task);
     }
 
+    /** How many tasks have an allocation. */
     public int allocatedCount() {
-        return allocatedCount;
+        return occupancy.allocatedCount();
     }
 
-    /** The next task that is neither done nor on a machine, or -1. */
-    public int nextWaiting() {
-        int task = taken.nextClearBit(0);
-        return task < spec.tasks() ? task : -1;
+    /** The first task that is neither done nor allocated, or -1. */
+    public int nextWaitingTask() {
+        return occupancy.nextWaitingTask();
     }
 
+    /** How many tasks are neither done nor allocated. */
     public int waitingCount() {
-        return spec.tasks() - takenCount;
-    }
-
-    /** One of the job's tasks has ended after it ran for so long. */
-    public void ran(long micros) {
-        ranCount++;
-        ranMicros += micros;
-        longestMicros = Math.max(longestMicros, micros);
-    }
-
-    /** How many of its tasks have been seen to run and end in this term. */
-    public int ranCount() {
-        return ranCount;
+        return occupancy.waitingCount();
     }
 
-    /** How long they ran in all. */
-    public long ranMicros() {
-        return ranMicros;
+    /** The run times of the job's tasks that ended in this term. */
+    public TaskRuntimes runtimes() {
+        return runtimes;
     }
 
-    public long longestMicros() {
-        return longestMicros;
+    /** The failed attempts since a task was last done. */
+    RetryState retry() {
+        return retry;
     }
 
-    public long nextWallMicros() {
-        return nextWallMicros;
+    /** No task is launched before this time of day. */
+    public long nextAttemptWallMicros() {
+        return retry.nextAttemptWallMicros();
     }
 
+    /** What users are told of the last failed attempt, or null without one. */
     public String reason() {
-        return reason;
+        return retry.reason();
     }
 
-    /** True once a task of it has completed: its description can't be the mistake. */
-    public boolean succeededOnce() {
-        return succeededOnce;
+    /** True once a task of the job was done: later failures are not caused by its specification. */
+    public boolean hasSucceededOnce() {
+        return hasSucceededOnce;
     }
 
-    public Set<String> failedOn() {
-        return failedOn;
+    /** Names of the machines on which tasks of the current attempt failed; callers add and remove them. */
+    public Set<String> failedMachines() {
+        return failedMachines;
     }
 
-    /** An attempt that the job itself failed: the next one is scheduled, or the job is parked. */
-    public void failAttempt(RetrySchedule schedule, long wallMicros, String why) {
-        attempts++;
-        nextWallMicros = schedule.nextAttemptMicros(attempts, wallMicros);
-        reason = schedule.exhausted(attempts)
-                ? "parked after " + attempts + " failed attempts: " + why
-                : "attempt " + attempts + " failed: " + why;
-    }
-
-    /** What is stored beside the head, once nobody needs it any more. */
-    public List<KeyWriter.Item> leftovers() {
-        return done.leftovers();
-    }
-
-    @Override
-    public String key() {
-        return RunRecord.key(spec.uid());
-    }
-
-    @Override
-    public long stamp() {
-        return runStamp;
-    }
-
-    @Override
-    public KeyWriter.Urgency urgency() {
-        if (complete()) {
-            return KeyWriter.Urgency.END;
-        }
-        return released && attempts == attemptsSent ? KeyWriter.Urgency.PROGRESS : KeyWriter.Urgency.START;
-    }
-
-    @Override
-    public String absent() {
-        return CancellationRecord.key(spec.uid());
-    }
-
-    @Override
-    public List<KeyWriter.Item> first() {
-        return done.first();
-    }
-
-    @Override
-    public Map<String, JsonNode> changes() {
-        attemptsSent = attempts;
-        doneSent = complete();
-        StoredDoneSet.InHead inHead = done.write();
-        int running = allocatedCount;
-        String stage = doneSent ? RunRecord.DONE : running > 0 ? "running" : "queued";
-        return Map.of(
-                key(),
-                new RunRecord.Head(
-                                spec.tasks(),
-                                done.count(),
-                                running,
-                                attempts,
-                                nextWallMicros,
-                                stage,
-                                reason,
-                                inHead.bits(),
-                                spec.awaits().isEmpty() ? 0 : readyWallMicros,
-                                inHead.per(),
-                                inHead.generations())
-                        .json());
-    }
-
-    @Override
-    public void stored(long stamp) {
-        runStamp = stamp;
-        released = true;
-        doneStored |= doneSent;
-        List<KeyWriter.Item> unneeded = done.headStored(doneStored);
-        if (!unneeded.isEmpty()) {
-            watcher.toWrite(unneeded);
-        }
-        watcher.recordStored(this);
-    }
-
-    @Override
-    public void tooLarge() {
-        if (done.moveToParts()) {
-            watcher.toWrite(List.of(this));
-        }
+    /** An attempt failed through the job's own fault: the next one is scheduled, or the job is parked. */
+    public void recordFailedAttempt(RetrySchedule schedule, long wallMicros, String cause) {
+        retry = retry.afterFailure(schedule, wallMicros, cause);
     }
 
-    @Override
-    public void moved(long stamp) {
-        runStamp = stamp;
+    /** The write of the job's record; always the same object, to be queued after each change. */
+    public RunRecordWrite recordWrite() {
+        return recordWrite;
     }
 
-    @Override
-    public void forbidden() {
-        watcher.foundCancelled(this);
+    /** Writes that remove all chunks of the completion bitmap, of a job that is over. */
+    public List<PendingWrite> removalsOfChunks() {
+        return completed.removalsOfChunks();
     }
 }
--- /dev/null
+++ b/src/main/java/io/sillreel/pipeline/CompletionBitmapChunks.java
@@ -0,0 +1,204 @@
+package io.sillreel.pipeline;
+
+import io.sillreel.statestore.KeyChange;
+import io.sillreel.statestore.PendingWrite;
+import io.sillreel.statestore.SingleKeyWrite;
+import io.sillreel.statestore.WriteUrgency;
+import java.util.ArrayList;
+import java.util.BitSet;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * A completion bitmap that is too large for one value. Each generation of a chunk has a key of its own, and the record
+ * of the job refers to the generations that count. So chunks may be written one after the other, and readers see either
+ * all of a new bitmap or all of the old one. Generations to which no record refers are removed.
+ */
+final class CompletionBitmapChunks {
+    private final String uid;
+    private final int tasksPerChunk;
+    /** Generations to which the stored record refers, by the index of the chunk. */
+    private final long[] referencedGenerations;
+
+    private final Set<Integer> changedChunks = new HashSet<>();
+    /** Chunks that are being written or are stored, and to which the next record will refer; by index. */
+    private final Map<Integer, ChunkWrite> pending = new LinkedHashMap<>();
+    /** Revisions of stored chunks by key; those to which the next record does not refer are removed after it. */
+    private final Map<String, Long> storedRevisions = new HashMap<>();
+
+    private final Runnable onAllStored;
+    private long lastGeneration;
+
+    /** @param onAllStored run when all chunks to which the next record is to refer are stored */
+    CompletionBitmapChunks(String uid, int tasks, int tasksPerChunk, Runnable onAllStored) {
+        this.uid = uid;
+        this.tasksPerChunk = tasksPerChunk;
+        this.referencedGenerations = new long[(tasks + tasksPerChunk - 1) / tasksPerChunk];
+        this.onAllStored = onAllStored;
+    }
+
+    /** Takes over the chunks to which the record refers if they have the same size; else all are written again. */
+    void inherit(BitmapReference reference, Map<String, Long> revisions, BitSet completed) {
+        storedRevisions.putAll(revisions);
+        for (String key : revisions.keySet()) {
+            if (key.startsWith(ChunkKey.PREFIX)) {
+                lastGeneration = Math.max(lastGeneration, ChunkKey.generation(key));
+            }
+        }
+        long[] generations = reference.chunkGenerations();
+        if (reference.tasksPerChunk() == tasksPerChunk && generations.length == referencedGenerations.length) {
+            System.arraycopy(generations, 0, referencedGenerations, 0, generations.length);
+        } else {
+            markAllChanged(completed);
+        }
+    }
+
+    private void markAllChanged(BitSet completed) {
+        int task = completed.nextSetBit(0);
+        while (task >= 0) {
+            int index = task / tasksPerChunk;
+            changedChunks.add(index);
+            task = completed.nextSetBit((index + 1) * tasksPerChunk);
+        }
+    }
+
+    int tasksPerChunk() {
+        return tasksPerChunk;
+    }
+
+    void markChanged(int task) {
+        changedChunks.add(task / tasksPerChunk);
+    }
+
+    /** Chunks to be written before the next record; none once all to which it is to refer are stored. */
+    List<PendingWrite> pendingWrites(BitSet completed) {
+        changedChunks.removeIf(index -> startWrite(index, completed));
+        return pending.values().stream()
+                .filter(chunk -> !chunk.isStored())
+                .map(PendingWrite.class::cast)
+                .toList();
+    }
+
+    /** Starts to write the next generation of a chunk; false while the one before is being written. */
+    private boolean startWrite(int index, BitSet completed) {
+        ChunkWrite older = pending.get(index);
+        if (older != null && !older.isStored()) {
+            return false;
+        }
+        if (older != null) {
+            storedRevisions.put(older.key(), older.revision());
+        }
+        BitSet tasks = completed.get(index * tasksPerChunk, (index + 1) * tasksPerChunk);
+        pending.put(index, new ChunkWrite(index, ++lastGeneration, tasks));
+        return true;
+    }
+
+    /** The generations to which the record is to refer now. */
+    long[] generations() {
+        long[] generations = referencedGenerations.clone();
+        for (ChunkWrite chunk : pending.values()) {
+            if (chunk.isStored()) {
+                generations[chunk.index] = chunk.generation;
+            }
+        }
+        return generations;
+    }
+
+    /** Adds the tasks of chunks that are stored and to which the stored record does not refer yet. */
+    void copyInto(BitSet completed) {
+        for (ChunkWrite chunk : pending.values()) {
+            if (chunk.isStored()) {
+                chunk.tasks.stream().forEach(bit -> completed.set(chunk.index * tasksPerChunk + bit));
+            }
+        }
+    }
+
+    /**
+     * The record that refers to those generations is stored.
+     *
+     * @return removals of the generations to which it does not refer
+     */
+    List<PendingWrite> recordStored(long[] generations) {
+        System.arraycopy(generations, 0, referencedGenerations, 0, referencedGenerations.length);
+        pending.values().removeIf(chunk -> {
+            if (chunk.isStored() && referencedGenerations[chunk.index] == chunk.generation) {
+                storedRevisions.put(chunk.key(), chunk.revision());
+                return true;
+            }
+            return false;
+        });
+        Set<String> kept = new HashSet<>();
+        for (int index = 0; index < referencedGenerations.length; index++) {
+            kept.add(ChunkKey.of(uid, index, referencedGenerations[index]));
+        }
+        pending.values().forEach(chunk -> kept.add(chunk.key()));
+        return removeExcept(kept);
+    }
+
+    /** Removals of all chunks, of a job that is over. */
+    List<PendingWrite> removeAll() {
+        pending.values().forEach(chunk -> storedRevisions.put(chunk.key(), chunk.revision()));
+        pending.clear();
+        return removeExcept(Set.of());
+    }
+
+    private List<PendingWrite> removeExcept(Set<String> kept) {
+        List<PendingWrite> removals = new ArrayList<>();
+        storedRevisions.entrySet().removeIf(entry -> {
+            if (kept.contains(entry.getKey())) {
+                return false;
+            }
+            removals.add(new KeyRemoval(entry.getKey(), entry.getValue()));
+            return true;
+        });
+        return removals;
+    }
+
+    private void chunkStored() {
+        if (pending.values().stream().allMatch(ChunkWrite::isStored)) {
+            onAllStored.run();
+        }
+    }
+
+    /** The write of one generation of a chunk, with the tasks that were done when it was created. */
+    private final class ChunkWrite extends SingleKeyWrite {
+        final int index;
+        final long generation;
+        final BitSet tasks;
+        private boolean isStored;
+
+        ChunkWrite(int index, long generation, BitSet tasks) {
+            super(ChunkKey.of(uid, index, generation), 0);
+            this.index = index;
+            this.generation = generation;
+            this.tasks = tasks;
+        }
+
+        boolean isStored() {
+            return isStored;
+        }
+
+        @Override
+        public WriteUrgency urgency() {
+            return WriteUrgency.PROGRESS;
+        }
+
+        @Override
+        public KeyChange change() {
+            return pending.get(index) != this
+                    ? KeyChange.NONE
+                    : KeyChange.put(CompletionBitmapCodec.encodeChunk(tasks));
+        }
+
+        @Override
+        public void onStored(long newRevision) {
+            super.onStored(newRevision);
+            isStored = true;
+            chunkStored();
+        }
+    }
+}
--- a/src/main/java/io/sillreel/pipeline/DependencyGraph.java
+++ b/src/main/java/io/sillreel/pipeline/DependencyGraph.java
@@ -1,6 +1,6 @@
 package io.sillreel.pipeline;
 
-import io.sillreel.pipeline.PipelinePlan.Link;
+import io.sillreel.pipeline.PipelinePlan.Dependency;
 import io.sillreel.pipeline.PipelineRun.JobState;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -22,13 +22,13 @@
     /** What becomes of jobs when links settle. */
     public interface Callbacks {
         /** All that the job awaits is stored as done: it may be released. */
-        void ready(ActiveJob job);
+        void dependenciesMet(ActiveJob job);
 
         /** Something that the job awaits was cancelled, and so it is. */
-        void closed(ActiveJob job, String because);
+        void dependencyCancelled(ActiveJob job, String because);
 
-        /** Find out whether the job, which is not driven here, is done, and tell {@link #found}. */
-        void lookUp(String uid);
+        /** Find out whether the job, which is not driven here, is done, and tell {@link #lookupSucceeded}. */
+        void lookUpCompletion(String uid);
     }
 
     private final Callbacks callbacks;
@@ -46,16 +46,16 @@
      * @param done whose end is stored
      * @param cancelled whose cancellation is stored
      */
-    public void begin(Collection<ActiveJob> unfinished, Predicate<String> done, Predicate<String> cancelled) {
+    public void restore(Collection<ActiveJob> unfinished, Predicate<String> done, Predicate<String> cancelled) {
         Map<String, ActiveJob> byUid = new LinkedHashMap<>();
         unfinished.forEach(job -> byUid.put(job.uid(), job));
         Set<String> names = new LinkedHashSet<>(byUid.keySet());
         Set<String> unknown = new HashSet<>();
-        List<Link> links = new ArrayList<>();
+        List<Dependency> links = new ArrayList<>();
         for (ActiveJob job : unfinished) {
-            for (String awaited : awaitedBy(job)) {
+            for (String awaited : unmetDependencies(job)) {
                 if (!done.test(awaited)) {
-                    links.add(PipelinePlan.needs(job.uid(), awaited));
+                    links.add(PipelinePlan.onSuccessOf(job.uid(), awaited));
                     if (!byUid.containsKey(awaited)) {
                         names.add(awaited);
                         unknown.add(awaited);
@@ -64,30 +64,30 @@
             }
         }
         PipelinePlan plan = PipelinePlan.compile(names, links);
-        for (String uid : plan.order()) {
+        for (String uid : plan.topologicalOrder()) {
             if (unknown.contains(uid)) {
-                run.observe(uid);
+                run.addExternal(uid);
             } else {
-                join(byUid.get(uid), plan.into(uid));
+                addToRun(byUid.get(uid), plan.dependenciesOf(uid));
             }
         }
-        for (String uid : plan.order()) {
+        for (String uid : plan.topologicalOrder()) {
             if (cancelled.test(uid)) {
-                cancelled(uid);
+                markCancelled(uid);
             }
         }
-        for (String uid : run.ready()) {
-            callbacks.ready(jobs.get(uid));
+        for (String uid : run.readyJobs()) {
+            callbacks.dependenciesMet(jobs.get(uid));
         }
-        unknown.forEach(callbacks::lookUp);
+        unknown.forEach(callbacks::lookUpCompletion);
     }
 
     /** A job that was admitted during the term. */
-    public void enter(ActiveJob job, Predicate<String> cancelled) {
-        List<Link> into = new ArrayList<>();
+    public void add(ActiveJob job, Predicate<String> cancelled) {
+        List<Dependency> into = new ArrayList<>();
         List<String> unknown = new ArrayList<>();
         String closedBy = null;
-        for (String awaited : awaitedBy(job)) {
+        for (String awaited : unmetDependencies(job)) {
             if (run.state(awaited) == JobState.SUCCEEDED) {
                 continue;
             }
@@ -95,100 +95,100 @@
             if (closed) {
                 closedBy = awaited;
             }
-            if (!run.knows(awaited)) {
-                run.observe(awaited);
+            if (!run.contains(awaited)) {
+                run.addExternal(awaited);
                 if (!closed) {
                     unknown.add(awaited);
                 }
             }
-            into.add(PipelinePlan.needs(job.uid(), awaited));
+            into.add(PipelinePlan.onSuccessOf(job.uid(), awaited));
         }
-        join(job, into);
+        addToRun(job, into);
         if (closedBy != null) {
             run.cancel(job.uid());
-            callbacks.closed(job, closedBy);
+            callbacks.dependencyCancelled(job, closedBy);
         } else if (run.state(job.uid()) == JobState.READY) {
-            callbacks.ready(job);
+            callbacks.dependenciesMet(job);
         }
-        unknown.forEach(callbacks::lookUp);
+        unknown.forEach(callbacks::lookUpCompletion);
     }
 
-    private void join(ActiveJob job, Collection<Link> into) {
+    private void addToRun(ActiveJob job, Collection<Dependency> into) {
         jobs.put(job.uid(), job);
         run.add(job.uid(), into);
-        if (job.released()) {
+        if (job.isReleased()) {
             run.release(job.uid());
         }
     }
 
-    private static List<String> awaitedBy(ActiveJob job) {
+    private static List<String> unmetDependencies(ActiveJob job) {
         // Whoever has been released had all that it awaits.
-        return job.released() ? List.of() : job.spec().awaits();
+        return job.isReleased() ? List.of() : job.spec().dependencies();
     }
 
     /** The release is stored. */
-    public void released(ActiveJob job) {
+    public void markReleased(ActiveJob job) {
         if (run.state(job.uid()) == JobState.READY) {
             run.release(job.uid());
         }
     }
 
     /** The end is stored: what awaited only this is ready. */
-    public void done(ActiveJob job) {
+    public void markDone(ActiveJob job) {
         if (run.state(job.uid()) == JobState.RELEASED) {
-            tellReady(run.settle(job.uid(), true));
+            notifyReady(run.complete(job.uid(), true));
         }
-        forget(job);
+        remove(job);
     }
 
     /** What was asked for by {@link Callbacks#lookUp} is known: the job is done. */
-    public void found(String uid) {
-        tellReady(run.found(uid, true));
+    public void lookupSucceeded(String uid) {
+        notifyReady(run.completeExternal(uid, true));
         if (run.state(uid) == JobState.SUCCEEDED) {
-            run.forget(uid);
+            run.remove(uid);
         }
     }
 
     /** True if somebody still waits to know whether that job is done. */
-    public boolean asks(String uid) {
-        return run.isObserved(uid) && run.state(uid) == JobState.WAITING;
+    public boolean isAwaitingLookup(String uid) {
+        return run.isExternal(uid) && run.state(uid) == JobState.WAITING;
     }
 
-    private void tellReady(List<String> uids) {
-        uids.forEach(uid -> callbacks.ready(jobs.get(uid)));
+    private void notifyReady(List<String> uids) {
+        uids.forEach(uid -> callbacks.dependenciesMet(jobs.get(uid)));
     }
 
     /** The job's cancellation is stored: all that needs it is closed, in compiled order. */
-    public void cancelled(String uid) {
+    public void markCancelled(String uid) {
         for (String closed : run.cancel(uid)) {
             ActiveJob job = jobs.get(closed);
             if (job != null) {
-                callbacks.closed(job, uid);
+                callbacks.dependencyCancelled(job, uid);
             }
         }
     }
 
     /** The job is over, and nothing of it is anywhere any more. */
-    public void forget(ActiveJob job) {
-        List<String> upstream = run.upstream(job.uid());
-        run.forget(job.uid());
+    public void remove(ActiveJob job) {
+        List<String> upstream = run.upstreamJobs(job.uid());
+        run.remove(job.uid());
         jobs.remove(job.uid());
         for (String each : upstream) {
             // Nobody asks any more what became of it.
-            if (run.isObserved(each) && run.downstream(each).isEmpty()) {
-                run.forget(each);
+            if (run.isExternal(each) && run.downstreamJobs(each).isEmpty()) {
+                run.remove(each);
             }
         }
     }
 
     /** Jobs that need the given one directly. */
-    public List<ActiveJob> following(ActiveJob job) {
-        return present(run.downstream(job.uid()));
+    public List<ActiveJob> dependents(ActiveJob job) {
+        return present(run.downstreamJobs(job.uid()));
     }
 
     /** Jobs that the given one still awaits directly, as far as they are driven here. */
-    public List<ActiveJob> awaited(ActiveJob job) {
-        return present(run.upstream(job.uid()));
+    public List<ActiveJob> dependencies(ActiveJob job) {
+        return present(run.upstreamJobs(job.uid()));
     }
 
     private List<ActiveJob> present(List<String> uids) {
--- a/src/main/java/io/sillreel/admission/LiveCounts.java
+++ b/src/main/java/io/sillreel/pipeline/LiveTaskCounts.java
@@ -1,10 +1,10 @@
-package io.sillreel.admission;
+package io.sillreel.pipeline;
 
 /** Counts for display, known on the controller that drives the pipelines. */
-public interface LiveCounts {
+public interface LiveTaskCounts {
     /** @param reason why the job waits, in plain words, or null */
     record Counts(int done, int running, String reason) {}
 
     /** Counts of an unfinished job, or null if this controller does not know them. */
-    Counts of(String uid);
+    Counts countsOf(String uid);
 }
--- a/src/main/java/io/sillreel/pipeline/Rank.java
+++ b/src/main/java/io/sillreel/pipeline/PriorityClass.java
@@ -3,30 +3,30 @@
 import java.util.Optional;
 
 /** Ranks of jobs, most urgent first. */
-public enum Rank {
+public enum PriorityClass {
     PRODUCTION("production"),
     HIGH("high"),
     NORMAL("normal"),
     BEST_EFFORT("best_effort");
 
-    private final String wire;
+    private final String wireName;
 
-    Rank(String wire) {
-        this.wire = wire;
+    PriorityClass(String wire) {
+        this.wireName = wire;
     }
 
-    public String wire() {
-        return wire;
+    public String wireName() {
+        return wireName;
     }
 
-    public boolean above(Rank other) {
+    public boolean isAbove(PriorityClass other) {
         return ordinal() < other.ordinal();
     }
 
     /** Returns the rank of that name in the users' interface. */
-    public static Optional<Rank> of(String wire) {
-        for (Rank rank : values()) {
-            if (rank.wire.equals(wire)) {
+    public static Optional<PriorityClass> fromWireName(String wire) {
+        for (PriorityClass rank : values()) {
+            if (rank.wireName.equals(wire)) {
                 return Optional.of(rank);
             }
         }
--- /dev/null
+++ b/src/main/java/io/sillreel/placement/MachineOfferSelector.java
@@ -0,0 +1,132 @@
+package io.sillreel.placement;
+
+import io.sillreel.cloud.CloudClient;
+import io.sillreel.cloud.MachineType;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+
+/**
+ * Selects the machine type, zone and kind (spot or on-demand) to provision: the cheapest that the cloud is not known to
+ * lack. Guarded by the lock of the cluster.
+ */
+final class MachineOfferSelector {
+    /** A machine type in a zone, of one kind: what the cloud may have or lack. */
+    private record Offer(String machineType, String zone, boolean isSpot) {
+        // Written by hand: a generated method is linked at run time, which costs milliseconds of a failover.
+        @Override
+        public boolean equals(Object other) {
+            return other instanceof Offer offer
+                    && offer.machineType.equals(machineType)
+                    && offer.zone.equals(zone)
+                    && offer.isSpot == isSpot;
+        }
+
+        @Override
+        public int hashCode() {
+            return 31 * machineType.hashCode() + zone.hashCode() + (isSpot ? 1 : 0);
+        }
+    }
+
+    /**
+     * How much dearer a spot machine counts in a zone that holds the whole spot fleet: one wave of interruptions takes
+     * the machines of a zone together, so they are spread.
+     */
+    private static final double CONCENTRATION_WEIGHT = 0.25;
+
+    private static final boolean[] SPOT_AND_ON_DEMAND = {true, false};
+
+    private final Cluster cluster;
+    /** Offers that the cloud lacked, and when they may be requested again. */
+    private final Map<Offer, Long> unavailableUntilMicros = new HashMap<>();
+
+    private final Map<String, Double> spotCpusByZone = new HashMap<>();
+    private double totalSpotCpus;
+
+    MachineOfferSelector(Cluster cluster) {
+        this.cluster = cluster;
+    }
+
+    /** Records that the cloud had none, or too few, of these machines; they are not requested until then. */
+    void markUnavailable(String machineType, String zone, boolean isSpot, long untilMicros) {
+        unavailableUntilMicros.put(new Offer(machineType, zone, isSpot), untilMicros);
+    }
+
+    /** Counts the spot machines of each zone; done once for several selections, since it looks at all machines. */
+    void refreshSpotCapacity() {
+        spotCpusByZone.clear();
+        totalSpotCpus = 0;
+        for (Machine machine : cluster.machines()) {
+            if (machine.isSpot()) {
+                totalSpotCpus += machine.type().cpus();
+                spotCpusByZone.merge(machine.zone(), machine.type().cpus(), Double::sum);
+            }
+        }
+    }
+
+    /**
+     * Returns the cheapest offer for the need, or empty if no available offer serves it.
+     *
+     * @param proposed what is requested anyway, and not to be proposed twice
+     */
+    Optional<ScaleOutProposal> selectCheapest(
+            Collection<MachineType> types, CapacityNeed need, List<ScaleOutProposal> proposed, long nowMicros) {
+        ScaleOutProposal best = null;
+        double bestCost = Double.MAX_VALUE;
+        for (MachineType type : types) {
+            if (!need.allowsType(type)) {
+                continue;
+            }
+            for (String zone : type.zones()) {
+                for (boolean isSpot : SPOT_AND_ON_DEMAND) {
+                    if (!need.allowsZone(zone)
+                            || !need.allowsKind(isSpot)
+                            || isUnavailable(type, zone, isSpot, nowMicros)
+                            || isProposed(proposed, type, zone, isSpot)) {
+                        continue;
+                    }
+                    double cost = cost(type, zone, isSpot, need.cpus());
+                    if (cost < bestCost) {
+                        bestCost = cost;
+                        best = new ScaleOutProposal(type, zone, isSpot, machineCount(type, need.cpus()));
+                    }
+                }
+            }
+        }
+        return Optional.ofNullable(best);
+    }
+
+    private boolean isUnavailable(MachineType type, String zone, boolean isSpot, long nowMicros) {
+        return unavailableUntilMicros.getOrDefault(new Offer(type.name(), zone, isSpot), 0L) > nowMicros;
+    }
+
+    private static boolean isProposed(List<ScaleOutProposal> proposed, MachineType type, String zone, boolean isSpot) {
+        for (ScaleOutProposal proposal : proposed) {
+            if (proposal.type() == type && proposal.zone().equals(zone) && proposal.isSpot() == isSpot) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Returns the price per useful processor, weighted by the concentration of the spot machines. */
+    private double cost(MachineType type, String zone, boolean isSpot, double missingCpus) {
+        return type.priceOf(isSpot)
+                / Math.min(type.cpus(), missingCpus)
+                * (1 + CONCENTRATION_WEIGHT * spotShare(zone, isSpot));
+    }
+
+    /** Returns the part of the spot fleet that is in the zone; 0 for on-demand machines. */
+    private double spotShare(String zone, boolean isSpot) {
+        return isSpot && totalSpotCpus > 0 ? spotCpusByZone.getOrDefault(zone, 0.0) / totalSpotCpus : 0;
+    }
+
+    private static int machineCount(MachineType type, double missingCpus) {
+        int count = (int) Math.max(1, Math.floor(missingCpus / type.cpus()));
+        return Math.min(count, CloudClient.MAX_MACHINES_PER_REQUEST);
+    }
+}
--- /dev/null
+++ b/src/main/java/io/sillreel/placement/QueueOrder.java
@@ -0,0 +1,113 @@
+package io.sillreel.placement;
+
+import io.sillreel.cluster.Cluster;
+import io.sillreel.pipeline.ActiveJob;
+import io.sillreel.pipeline.PriorityClass;
+import io.sillreel.placement.PriorityBand.Timeliness;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Set;
+
+/**
+ * The order in which waiting jobs are served. The ordinary order is that of the compiled plans, pipelines that were
+ * admitted earlier first (ADR 0006); priority classes, deadlines, guarantees and age are the exceptions, expressed as
+ * {@link PriorityBand}s. Guarded by the lock of the cluster.
+ */
+final class QueueOrder {
+    /** Work within a team's guarantee that has waited for longer is served before lower bands. */
+    private static final long GUARANTEE_WAIT_MICROS = 2_000_000;
+    /** Best-effort work that has to be started within this time is served together with late normal work. */
+    private static final long BEST_EFFORT_URGENT_MICROS = 20_000_000;
+    /** A job that has not started by this age is served before all others. */
+    private static final long MAX_START_AGE_MICROS = 120_000_000;
+    /** From this age on, a job of any priority class is served no later than urgent work of normal priority. */
+    private static final long RAISED_PRIORITY_AGE_MICROS = 150_000_000;
+    /** A job of this age is served before all others although it has started. */
+    private static final long MAX_AGE_MICROS = 300_000_000;
+    /**
+     * The band of work that its team's guarantee entitles to start. It comes after what high priority can still do in
+     * time: else each of the two would preempt the other's tasks in turn.
+     */
+    private static final PriorityBand GUARANTEED_BAND = PriorityBand.HIGH_LATE;
+
+    private final Cluster cluster;
+    private final ServiceLevelObjectives objectives;
+
+    QueueOrder(Cluster cluster, ServiceLevelObjectives objectives) {
+        this.cluster = cluster;
+        this.objectives = objectives;
+    }
+
+    /**
+     * Returns the jobs with waiting tasks in the order in which they are served.
+     *
+     * @param guaranteed jobs within their team's guarantee
+     */
+    List<QueuedJob> queue(Set<ActiveJob> guaranteed, long wallMicros) {
+        List<QueuedJob> queue = new ArrayList<>();
+        for (ActiveJob job : cluster.jobs()) {
+            if (job.waitingCount() > 0 && cluster.isLaunchable(job, wallMicros)) {
+                queue.add(queuedJob(job, guaranteed.contains(job), wallMicros));
+            }
+        }
+        queue.sort(Comparator.comparing(QueuedJob::priorityBand)
+                .thenComparingLong(queued -> queued.job().planRevision()));
+        return queue;
+    }
+
+    private QueuedJob queuedJob(ActiveJob job, boolean isGuaranteed, long wallMicros) {
+        if (isAged(job, wallMicros)) {
+            return new QueuedJob(job, PriorityBand.AGED, true);
+        }
+        long slackMicros = objectives.slackMicros(job, wallMicros);
+        return new QueuedJob(
+                job,
+                priorityBand(job, slackMicros, isGuaranteed, wallMicros),
+                Timeliness.ofSlack(slackMicros) == Timeliness.URGENT);
+    }
+
+    private static boolean isAged(ActiveJob job, long wallMicros) {
+        long ageMicros = wallMicros - job.readyWallMicros();
+        return ageMicros > MAX_AGE_MICROS || hasNotStarted(job) && ageMicros > MAX_START_AGE_MICROS;
+    }
+
+    private static boolean hasNotStarted(ActiveJob job) {
+        return job.allocatedCount() == 0 && job.doneCount() == 0;
+    }
+
+    private PriorityBand priorityBand(ActiveJob job, long slackMicros, boolean isGuaranteed, long wallMicros) {
+        PriorityClass priorityClass = job.effectivePriority();
+        long ageMicros = wallMicros - job.readyWallMicros();
+        PriorityBand band = PriorityBand.of(priorityClass, Timeliness.ofSlack(slackMicros));
+        if (isGuaranteed
+                && ageMicros > GUARANTEE_WAIT_MICROS
+                && (hasNotStarted(job) || ageMicros < 2 * objectives.guaranteedStartMicros())) {
+            return band.orBefore(GUARANTEED_BAND);
+        }
+        if (ageMicros > RAISED_PRIORITY_AGE_MICROS) {
+            return band.orBefore(PriorityBand.NORMAL_URGENT);
+        }
+        boolean isUrgentBestEffort = priorityClass == PriorityClass.BEST_EFFORT
+                && slackMicros >= 0
+                && slackMicros < BEST_EFFORT_URGENT_MICROS;
+        return isUrgentBestEffort ? PriorityBand.NORMAL_LATE : band;
+    }
+
+    /** Returns true if the job is served no later than work that its team's guarantee entitles to start. */
+    static boolean isServedAsGuaranteed(QueuedJob queued) {
+        return queued.priorityBand().isAtOrBefore(GUARANTEED_BAND);
+    }
+
+    /**
+     * Returns the index after the last of the at most {@code maxJobs} jobs that share the band of the job at the index.
+     */
+    static int endOfBand(List<QueuedJob> queue, int from, int maxJobs) {
+        PriorityBand band = queue.get(from).priorityBand();
+        int to = from;
+        while (to < queue.size() && queue.get(to).priorityBand() == band && to - from < maxJobs) {
+            to++;
+        }
+        return to;
+    }
+}
--- a/src/main/java/io/sillreel/recovery/ChangeFollower.java
+++ b/src/main/java/io/sillreel/recovery/ChangeFollower.java
@@ -1,14 +1,14 @@
 package io.sillreel.recovery;
 
-import io.sillreel.http.Loop;
-import io.sillreel.ownership.Leadership;
+import io.sillreel.http.EventLoop;
+import io.sillreel.leadership.LeaderElection;
+import io.sillreel.statestore.ListResult;
+import io.sillreel.statestore.ReadResult;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Change;
-import io.sillreel.statestore.StateStore.Entry;
-import io.sillreel.statestore.StateStore.Listing;
-import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Read;
-import io.sillreel.statestore.StateStore.WatchResult;
+import io.sillreel.statestore.StoreOutcome;
+import io.sillreel.statestore.StoredEntry;
+import io.sillreel.statestore.WatchEvent;
+import io.sillreel.statestore.WatchResult;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -26,7 +26,7 @@
     private static final long BEHIND_MICROS = 3_500_000;
 
     private final StateStore store;
-    private final Loop loop;
+    private final EventLoop eventLoop;
     private final ChangeLog log;
     private final long pauseMicros;
     private final BooleanSupplier paused;
@@ -45,14 +45,14 @@
      */
     ChangeFollower(
             StateStore store,
-            Loop loop,
+            EventLoop eventLoop,
             ChangeLog log,
             long pauseMicros,
             BooleanSupplier paused,
             Consumer<RecoveryRecord> onRecord,
             Consumer<String> onLoss) {
         this.store = store;
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.log = log;
         this.pauseMicros = pauseMicros;
         this.paused = paused;
@@ -76,7 +76,7 @@
 
     /** True if changes have not been heard of for so long that a loss may have been noticed elsewhere meanwhile. */
     boolean isBehind() {
-        return loop.nowMicros() - followedMicros > BEHIND_MICROS;
+        return eventLoop.nowMicros() - followedMicros > BEHIND_MICROS;
     }
 
     /** Ends the following until it is begun anew. */
@@ -89,32 +89,34 @@
      *     after a loss, then all that was lost is remembered
      */
     private void begin(long thisRun, boolean fromLandmark) {
-        store.list(RecoveryRecord.KEY).thenAcceptBoth(store.get(Leadership.TERM_KEY), (verdict, term) -> {
+        store.list(RecoveryRecord.KEY).thenAcceptBoth(store.get(LeaderElection.TERM_KEY), (verdict, term) -> {
             if (thisRun != run) {
                 return;
             }
-            if (verdict.outcome() == Outcome.OK && term.decided()) {
+            if (verdict.outcome() == StoreOutcome.OK && term.isConclusive()) {
                 begin(thisRun, fromLandmark, verdict, term);
             } else {
-                loop.after(RETRY_MICROS, () -> begin(thisRun, fromLandmark));
+                eventLoop.schedule(RETRY_MICROS, () -> begin(thisRun, fromLandmark));
             }
         });
     }
 
-    private void begin(long thisRun, boolean fromLandmark, Listing verdict, Read term) {
-        Optional<Entry> stored = verdict.entries().stream()
+    private void begin(long thisRun, boolean fromLandmark, ListResult verdict, ReadResult term) {
+        Optional<StoredEntry> stored = verdict.entries().stream()
                 .filter(entry -> entry.key().equals(RecoveryRecord.KEY))
                 .findFirst();
         onRecord.accept(stored.map(entry -> RecoveryRecord.of(entry.value())).orElse(RecoveryRecord.NONE));
         if (thisRun != run) {
             return;
         }
-        Stream<Entry> landmarks = Stream.concat(stored.stream(), Stream.ofNullable(term.entry()));
-        Optional<Entry> latest = landmarks.max(Comparator.comparingLong(Entry::stamp));
-        long since = fromLandmark ? latest.map(Entry::stamp).orElse(verdict.ledger()) : verdict.ledger();
-        log.restart(since, loop.wallMicros());
-        latest.ifPresent(entry -> log.landmark(RecentChange.of(entry.key(), entry.value(), entry.stamp())));
-        followedMicros = loop.nowMicros();
+        Stream<StoredEntry> landmarks = Stream.concat(stored.stream(), term.entry().stream());
+        Optional<StoredEntry> latest = landmarks.max(Comparator.comparingLong(StoredEntry::revision));
+        long since = fromLandmark
+                ? latest.map(StoredEntry::revision).orElse(verdict.storeRevision())
+                : verdict.storeRevision();
+        log.restart(since, eventLoop.wallMicros());
+        latest.ifPresent(entry -> log.landmark(RecentChange.of(entry.key(), entry.value(), entry.revision())));
+        followedMicros = eventLoop.nowMicros();
         follow(thisRun, since);
     }
 
@@ -126,23 +128,23 @@
             if (thisRun != run || paused.getAsBoolean()) {
                 return;
             }
-            if (result.outcome() == Outcome.OK) {
-                followedMicros = loop.nowMicros();
-                long reached = Math.max(since, result.ledger());
+            if (result.outcome() == StoreOutcome.OK) {
+                followedMicros = eventLoop.nowMicros();
+                long reached = Math.max(since, result.storeRevision());
                 take(result, reached);
-                loop.after(pauseMicros, () -> follow(thisRun, reached));
-            } else if (result.outcome() == Outcome.COMPACTED) {
+                eventLoop.schedule(pauseMicros, () -> follow(thisRun, reached));
+            } else if (result.outcome() == StoreOutcome.COMPACTED) {
                 begin(thisRun, false);
             } else {
-                loop.after(RETRY_MICROS, () -> follow(thisRun, since));
+                eventLoop.schedule(RETRY_MICROS, () -> follow(thisRun, since));
             }
         });
     }
 
     private void take(WatchResult result, long reached) {
         List<RecentChange> changes = new ArrayList<>();
-        for (Change change : result.changes()) {
-            changes.add(RecentChange.of(change.key(), change.value(), change.stamp()));
+        for (WatchEvent change : result.events()) {
+            changes.add(RecentChange.of(change.key(), change.value(), change.revision()));
             if (change.key().equals(RecoveryRecord.KEY) && change.value() != null) {
                 onRecord.accept(RecoveryRecord.of(change.value()));
             }
--- a/src/main/java/io/sillreel/recovery/ChangeRestorer.java
+++ b/src/main/java/io/sillreel/recovery/ChangeRestorer.java
@@ -1,10 +1,10 @@
 package io.sillreel.recovery;
 
 import com.fasterxml.jackson.databind.node.MissingNode;
-import io.sillreel.statestore.StateStore.Commit;
-import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Read;
-import io.sillreel.statestore.StateStore.Txn;
+import io.sillreel.statestore.CommitResult;
+import io.sillreel.statestore.ReadResult;
+import io.sillreel.statestore.StoreOutcome;
+import io.sillreel.statestore.Transaction;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -26,7 +26,7 @@
     /** The protocol allows so many conditions for each change that a transaction may hold. */
     private static final int CONDITIONS_PER_CHANGE = 4;
 
-    private final RebuildTerm term;
+    private final RebuildLease term;
     private final StoreHistory history;
     private final int txnOps;
     private Predicate<RecentChange> isWitnessed = change -> false;
@@ -38,7 +38,7 @@
     private String tooLarge;
 
     /** @param txnOps how many changes a transaction may hold */
-    ChangeRestorer(RebuildTerm term, StoreHistory history, int txnOps) {
+    ChangeRestorer(RebuildLease term, StoreHistory history, int txnOps) {
         this.term = term;
         this.history = history;
         this.txnOps = txnOps;
@@ -95,15 +95,15 @@
             Deque<RecentChange> toCompare,
             Deque<RecentChange> missing,
             Runnable then) {
-        Txn txn = new Txn();
-        batch.forEach(change -> txn.require(change.key(), change.removed() ? 0 : change.stamp()));
-        term.store().commit(txn).thenAccept(commit -> {
+        Transaction transaction = new Transaction();
+        batch.forEach(change -> transaction.requireRevision(change.key(), change.removed() ? 0 : change.stamp()));
+        term.store().commit(transaction).thenAccept(commit -> {
             if (term.isOver()) {
                 return;
             }
-            if (commit.outcome() == Outcome.CONFLICT) {
+            if (commit.outcome() == StoreOutcome.CONFLICT) {
                 List<RecentChange> rest = new ArrayList<>();
-                Set<String> failed = new HashSet<>(commit.failed());
+                Set<String> failed = new HashSet<>(commit.failedKeys());
                 for (RecentChange change : batch) {
                     if (failed.isEmpty() || failed.contains(change.key())) {
                         gone(change, missing);
@@ -116,7 +116,7 @@
                 } else {
                     compare(rest, true, toCompare, missing, then);
                 }
-            } else if (commit.outcome() != Outcome.OK) {
+            } else if (commit.outcome() != StoreOutcome.OK) {
                 term.later(() -> compare(batch, someGone, toCompare, missing, then));
             } else {
                 batch.forEach(this::found);
@@ -166,53 +166,57 @@
 
     /** Reads what the keys hold now, and writes what is to replace it. */
     private void write(List<RecentChange> batch, Deque<RecentChange> rest, Runnable then) {
-        List<CompletableFuture<Read>> reads = new ArrayList<>();
+        List<CompletableFuture<ReadResult>> reads = new ArrayList<>();
         batch.forEach(change -> reads.add(term.store().get(change.key())));
         CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new)).thenAccept(all -> {
             if (term.isOver()) {
                 return;
             }
-            if (reads.stream().anyMatch(read -> !read.join().decided())) {
+            if (reads.stream().anyMatch(read -> !read.join().isConclusive())) {
                 term.later(() -> write(batch, rest, then));
                 return;
             }
-            Txn txn = term.txn();
+            Transaction transaction = term.txn();
             for (int index = 0; index < batch.size(); index++) {
-                add(txn, batch.get(index), reads.get(index).join());
+                add(transaction, batch.get(index), reads.get(index).join());
             }
-            if (txn.size() == 0) {
+            if (transaction.size() == 0) {
                 write(rest, then);
                 return;
             }
-            term.store().commit(txn).thenAccept(commit -> settle(commit, txn.size(), batch, rest, then));
+            term.store()
+                    .commit(transaction)
+                    .thenAccept(commit -> settle(commit, transaction.size(), batch, rest, then));
         });
     }
 
-    private void add(Txn txn, RecentChange change, Read read) {
-        var current =
-                read.entry() == null ? MissingNode.getInstance() : read.entry().value();
-        if (!RestorePolicy.restores(change, current, read.stamp(), history.returnedAt())) {
+    private void add(Transaction transaction, RecentChange change, ReadResult read) {
+        var current = read.entry().isEmpty()
+                ? MissingNode.getInstance()
+                : read.entry().get().value();
+        if (!RestorePolicy.restores(change, current, read.revision(), history.returnedAt())) {
             return;
         }
-        txn.require(change.key(), read.stamp());
+        transaction.requireRevision(change.key(), read.revision());
         if (change.removed()) {
-            txn.remove(change.key());
+            transaction.remove(change.key());
         } else {
-            txn.set(change.key(), change.json());
+            transaction.set(change.key(), change.json());
         }
     }
 
-    private void settle(Commit commit, int size, List<RecentChange> batch, Deque<RecentChange> rest, Runnable then) {
+    private void settle(
+            CommitResult commit, int size, List<RecentChange> batch, Deque<RecentChange> rest, Runnable then) {
         if (term.isOverAfter(commit)) {
             return;
         }
-        if (commit.outcome() == Outcome.OK) {
+        if (commit.outcome() == StoreOutcome.OK) {
             restored += size;
             write(rest, then);
-        } else if (commit.outcome() == Outcome.TOO_LARGE && batch.size() > 1) {
+        } else if (commit.outcome() == StoreOutcome.TOO_LARGE && batch.size() > 1) {
             putBack(rest, batch.subList(1, batch.size()));
             write(batch.subList(0, 1), rest, then);
-        } else if (commit.outcome() == Outcome.TOO_LARGE) {
+        } else if (commit.outcome() == StoreOutcome.TOO_LARGE) {
             tooLarge = batch.get(0).key();
             LOG.error("{} is larger than the state service takes now, and can't be put back", tooLarge);
             write(rest, then);
--- a/src/main/java/io/sillreel/recovery/RebuildTerm.java
+++ b/src/main/java/io/sillreel/recovery/RebuildLease.java
@@ -1,30 +1,30 @@
 package io.sillreel.recovery;
 
-import io.sillreel.http.Loop;
-import io.sillreel.ownership.Leadership;
+import io.sillreel.http.EventLoop;
+import io.sillreel.leadership.LeaderElection;
+import io.sillreel.statestore.CommitResult;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Commit;
-import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Txn;
+import io.sillreel.statestore.StoreOutcome;
+import io.sillreel.statestore.Transaction;
 
 /** The term of the lease under which writes are put back: every write is conditional on it. */
-final class RebuildTerm {
+final class RebuildLease {
     private static final long RETRY_MICROS = 50_000;
 
-    private final Loop loop;
+    private final EventLoop eventLoop;
     private final StateStore store;
-    private final Leadership leadership;
+    private final LeaderElection leadership;
     private final long term;
-    private final long leaderStamp;
+    private final long leaderRevision;
     private boolean ended;
 
     /** @param leaderStamp the stamp under which this controller became the leader */
-    RebuildTerm(Loop loop, StateStore store, Leadership leadership, long term, long leaderStamp) {
-        this.loop = loop;
+    RebuildLease(EventLoop eventLoop, StateStore store, LeaderElection leadership, long term, long leaderRevision) {
+        this.eventLoop = eventLoop;
         this.store = store;
         this.leadership = leadership;
         this.term = term;
-        this.leaderStamp = leaderStamp;
+        this.leaderRevision = leaderRevision;
     }
 
     StateStore store() {
@@ -57,7 +57,7 @@
 
     /** Does it after so long, unless the term is over by then. */
     void after(long micros, Runnable next) {
-        loop.after(micros, () -> {
+        eventLoop.schedule(micros, () -> {
             if (!isOver()) {
                 next.run();
             }
@@ -65,13 +65,13 @@
     }
 
     /** A transaction that fails once another controller leads. */
-    Txn txn() {
-        return new Txn().require(Leadership.LEADER_KEY, leaderStamp);
+    Transaction txn() {
+        return new Transaction().requireRevision(LeaderElection.LEADER_KEY, leaderRevision);
     }
 
     /** True if there is nothing left to do; a commit that shows another leader ends the term. */
-    boolean isOverAfter(Commit commit) {
-        if (commit.outcome() == Outcome.CONFLICT && commit.failed().contains(Leadership.LEADER_KEY)) {
+    boolean isOverAfter(CommitResult commit) {
+        if (commit.outcome() == StoreOutcome.CONFLICT && commit.failedKeys().contains(LeaderElection.LEADER_KEY)) {
             resign("the leader key has changed");
         }
         return isOver();
--- a/src/main/java/io/sillreel/recovery/Recovery.java
+++ b/src/main/java/io/sillreel/recovery/Recovery.java
@@ -1,17 +1,17 @@
 package io.sillreel.recovery;
 
-import io.sillreel.http.Call;
-import io.sillreel.http.Caller;
-import io.sillreel.http.Loop;
-import io.sillreel.http.Reply;
-import io.sillreel.ownership.Leadership;
+import io.sillreel.agent.Heartbeat;
+import io.sillreel.heartbeat.HeartbeatObserver;
+import io.sillreel.http.EventLoop;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
+import io.sillreel.leadership.LeaderElection;
 import io.sillreel.recovery.ChangeLog.Memory;
 import io.sillreel.recovery.RecoveryMessages.Greeting;
 import io.sillreel.settings.Settings;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.workers.Report;
-import io.sillreel.workers.ReportWatcher;
+import io.sillreel.statestore.StoreOutcome;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
@@ -23,7 +23,7 @@
  * One controller's part in noticing that the state service has lost writes and in making that good. While a loss is
  * known and not made good the controller is suspended: it launches, rents and returns nothing and answers no user.
  */
-public final class Recovery implements ReportWatcher {
+public final class Recovery implements HeartbeatObserver {
     private static final Logger LOG = LoggerFactory.getLogger(Recovery.class);
     /**
      * So much higher than every term that was shown begins the first one after a loss: some may have been taken that
@@ -38,19 +38,19 @@
 
     private static final int RETRY_SECONDS = 5;
 
-    private final Loop loop;
+    private final EventLoop eventLoop;
     private final Settings settings;
-    private final Caller caller;
+    private final HttpClient httpClient;
     private final StoreHistory history = new StoreHistory();
     private final ChangeLog log;
     private final long followPauseMicros;
-    private final Greeter greeter;
+    private final PeerExchange greeter;
     private final RecoveryApi api;
     private StateStore store;
-    private Leadership leadership;
+    private LeaderElection leadership;
     private ChangeFollower follower;
     private TermEvidence terms;
-    private VerdictKeeper verdicts;
+    private RecoveryGenerationStore verdicts;
 
     private long generation;
     private boolean suspended;
@@ -64,7 +64,7 @@
     private boolean acquainted;
 
     private String evidence = "";
-    private Rebuild rebuild;
+    private StoreRebuild rebuild;
     /** Counts the losses that this controller has noticed; what began before one ends without effect. */
     private long suspensions;
 
@@ -73,29 +73,39 @@
      * @param rememberedBytes what recent changes may take of the memory
      * @param followPauseMicros how long changes gather before they are asked for
      */
-    public Recovery(Loop loop, Settings settings, Caller caller, long rememberedBytes, long followPauseMicros) {
-        this.loop = loop;
+    public Recovery(
+            EventLoop eventLoop,
+            Settings settings,
+            HttpClient httpClient,
+            long rememberedBytes,
+            long followPauseMicros) {
+        this.eventLoop = eventLoop;
         this.settings = settings;
-        this.caller = caller;
+        this.httpClient = httpClient;
         this.log = new ChangeLog(rememberedBytes);
         this.followPauseMicros = followPauseMicros;
         this.api = new RecoveryApi(this, settings);
-        this.greeter = new Greeter(caller, settings.members(), this::greeting, this::heard);
+        this.greeter = new PeerExchange(httpClient, settings.members(), this::greeting, this::heard);
     }
 
     /** What asks the state service through this is watched for signs of a loss. */
-    public Caller monitored(Caller inner) {
-        return new StoreMonitor(inner, loop, history, log, () -> suspended, this::lost);
+    public HttpClient monitored(HttpClient inner) {
+        return new StoreMonitor(inner, eventLoop, history, log, () -> suspended, this::lost);
     }
 
     /** Begins; both have to ask through {@link #monitored}. */
-    public void start(StateStore monitoredStore, Leadership itsLeadership) {
+    public void start(StateStore monitoredStore, LeaderElection itsLeadership) {
         store = monitoredStore;
         leadership = itsLeadership;
-        follower = new ChangeFollower(store, loop, log, followPauseMicros, () -> suspended, this::noticed, this::lost);
+        follower = new ChangeFollower(
+                store, eventLoop, log, followPauseMicros, () -> suspended, this::noticed, this::lost);
         terms = new TermEvidence(store, history, this::lost);
-        verdicts = new VerdictKeeper(
-                store, loop, () -> suspended && !verdictStored ? verdict() : null, this::madeGood, this::verdictRead);
+        verdicts = new RecoveryGenerationStore(
+                store,
+                eventLoop,
+                () -> suspended && !verdictStored ? verdict() : null,
+                this::madeGood,
+                this::verdictRead);
         follower.restart();
         greet();
     }
@@ -104,18 +114,19 @@
      * Answers a user's question unless a loss is known, or is noticed before the answer is there: what it rests on may
      * have been read from the older state.
      */
-    public CompletableFuture<Reply> guarded(Supplier<CompletableFuture<Reply>> question) {
+    public CompletableFuture<HttpResponse> guarded(Supplier<CompletableFuture<HttpResponse>> question) {
         if (suspended || !acquainted || follower.isBehind()) {
             return CompletableFuture.completedFuture(refusal());
         }
         long before = suspensions;
-        return question.get().thenApply(reply -> suspensions == before ? reply : refusal());
+        return question.get().thenApply(response -> suspensions == before ? response : refusal());
     }
 
-    private Reply refusal() {
+    private HttpResponse refusal() {
         return suspended
-                ? Reply.later(503, "the state service has lost writes, which are being put back", RETRY_SECONDS)
-                : Reply.later(503, "it is not known yet whether the state service has lost writes", 1);
+                ? HttpResponse.retryLater(
+                        503, "the state service has lost writes, which are being put back", RETRY_SECONDS)
+                : HttpResponse.retryLater(503, "it is not known yet whether the state service has lost writes", 1);
     }
 
     /** The next term has to lie above this one. */
@@ -124,7 +135,7 @@
     }
 
     private long shownTerm() {
-        return Math.max(history.peaks().term(), leadership.known().term());
+        return Math.max(history.peaks().term(), leadership.knownLeader().term());
     }
 
     // --- Evidence ----------------------------------------------------------------------------------------------------
@@ -135,7 +146,7 @@
         ownEvidence = true;
         // The verdict is a write, and few writes make up for a small loss: the others would no longer notice it.
         greeter.greetAll().thenRun(verdicts::keep);
-        loop.after(TELL_FIRST_MICROS, verdicts::keep);
+        eventLoop.schedule(TELL_FIRST_MICROS, verdicts::keep);
     }
 
     private void suspend(long newGeneration, String shown, boolean stored) {
@@ -153,16 +164,16 @@
     }
 
     @Override
-    public void received(Report report) {
-        long shown = TermEvidence.shownBy(report);
+    public void observeHeartbeat(Heartbeat heartbeat) {
+        long shown = TermEvidence.shownBy(heartbeat);
         if (!suspended && shown > shownTerm()) {
-            terms.shown(shown, report.machine());
+            terms.shown(shown, heartbeat.machine());
         }
     }
 
     @Override
-    public boolean answerable(Report report, long term) {
-        return terms.answerable(report, term);
+    public boolean mayAnswer(Heartbeat heartbeat, long term) {
+        return terms.answerable(heartbeat, term);
     }
 
     // --- The verdict -------------------------------------------------------------------------------------------------
@@ -221,13 +232,13 @@
     // --- Terms -------------------------------------------------------------------------------------------------------
 
     /** The lease has been taken: a loss that is known or stored is made good before the term begins. */
-    public void beforeTerm(long term, long leaderStamp, Runnable begin) {
+    public void beforeTerm(long term, long leaderRevision, Runnable begin) {
         store.get(RecoveryRecord.KEY).thenAccept(read -> {
             if (leadership.heldTerm() != term) {
                 return;
             }
-            if (!read.decided()) {
-                loop.after(RETRY_MICROS, () -> beforeTerm(term, leaderStamp, begin));
+            if (!read.isConclusive()) {
+                eventLoop.schedule(RETRY_MICROS, () -> beforeTerm(term, leaderRevision, begin));
                 return;
             }
             boolean suspendedBefore = suspended;
@@ -237,7 +248,7 @@
                 if (!stored.open()) {
                     generation = Math.max(generation, stored.generation() + 1);
                 }
-                rebuild(term, leaderStamp, begin);
+                rebuild(term, leaderRevision, begin);
             } else if (!suspended) {
                 begin.run();
             }
@@ -245,18 +256,18 @@
         });
     }
 
-    private void rebuild(long term, long leaderStamp, Runnable begin) {
+    private void rebuild(long term, long leaderRevision, Runnable begin) {
         if (leadership.heldTerm() != term) {
             return;
         }
-        Survivors survivors = new Survivors();
+        CollectedMemories survivors = new CollectedMemories();
         survivors.add(settings.nodeName(), memory());
-        Rebuild current = new Rebuild(
-                new RebuildTerm(loop, store, leadership, term, leaderStamp),
+        StoreRebuild current = new StoreRebuild(
+                new RebuildLease(eventLoop, store, leadership, term, leaderRevision),
                 settings,
                 history,
                 survivors,
-                new MemoryCollector(caller, history, survivors),
+                new PeerMemoryCollector(httpClient, history, survivors),
                 verdict(),
                 () -> {
                     resume(rebuild.record());
@@ -277,7 +288,7 @@
     // --- Other controllers -------------------------------------------------------------------------------------------
 
     private void greet() {
-        loop.after(GREET_MICROS, this::greet);
+        eventLoop.schedule(GREET_MICROS, this::greet);
         greeter.greetAll();
         if (suspended) {
             lookAtRecord();
@@ -292,8 +303,8 @@
     }
 
     /** What was reached before the loss, as far as it is known here. */
-    Peaks peaks() {
-        return history.peaks().withTerm(leadership.known().term());
+    HighWatermarks peaks() {
+        return history.peaks().withTerm(leadership.knownLeader().term());
     }
 
     /** Another controller has said how it sees the state service. */
@@ -307,7 +318,7 @@
             lookAtRecord();
         } else if (!greeting.suspended() && greeting.generation() < generation && suspended) {
             // It has not noticed the loss yet.
-            history.learn(Peaks.NONE.withStamps(greeting.ledger()));
+            history.learn(HighWatermarks.NONE.withStamps(greeting.ledger()));
         } else if (!greeting.suspended() && greeting.generation() == generation && !suspended) {
             history.learn(greeting.ledger());
             if (greeting.peaks().term() > shownBefore) {
@@ -318,7 +329,7 @@
 
     private void lookAtRecord() {
         store.get(RecoveryRecord.KEY).thenAccept(read -> {
-            if (read.outcome() == Outcome.OK) {
+            if (read.outcome() == StoreOutcome.OK) {
                 noticed(RecoveryRecord.of(read));
             }
             verdicts.keep();
@@ -336,8 +347,8 @@
     }
 
     /** What another controller or an operator asks. */
-    public Reply answer(Call call) {
-        return api.answer(call);
+    public HttpResponse answer(HttpRequest request) {
+        return api.answer(request);
     }
 
     /** True if a request is for this package. */
@@ -373,11 +384,11 @@
     }
 
     String leader() {
-        return leadership.known().node();
+        return leadership.knownLeader().node();
     }
 
     /** The putting back that is under way here, or null. */
-    Rebuild rebuild() {
+    StoreRebuild rebuild() {
         return suspended && leadership.heldTerm() > 0 ? rebuild : null;
     }
 
--- a/src/main/java/io/sillreel/recovery/VerdictKeeper.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryGenerationStore.java
@@ -1,19 +1,19 @@
 package io.sillreel.recovery;
 
-import io.sillreel.http.Loop;
+import io.sillreel.http.EventLoop;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Txn;
+import io.sillreel.statestore.StoreOutcome;
+import io.sillreel.statestore.Transaction;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 
 /** Stores that a loss is known, so that every controller and every later leader knows of it. */
-final class VerdictKeeper {
+final class RecoveryGenerationStore {
     private static final long RETRY_MICROS = 300_000;
 
     private final StateStore store;
-    private final Loop loop;
+    private final EventLoop eventLoop;
     private final Supplier<RecoveryRecord> wanted;
     private final Predicate<RecoveryRecord> madeGood;
     private final Consumer<RecoveryRecord> onStored;
@@ -24,14 +24,14 @@
      * @param madeGood true if a closed verdict covers the wanted one: then nothing has to be stored
      * @param onStored told the verdict that is stored
      */
-    VerdictKeeper(
+    RecoveryGenerationStore(
             StateStore store,
-            Loop loop,
+            EventLoop eventLoop,
             Supplier<RecoveryRecord> wanted,
             Predicate<RecoveryRecord> madeGood,
             Consumer<RecoveryRecord> onStored) {
         this.store = store;
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.wanted = wanted;
         this.madeGood = madeGood;
         this.onStored = onStored;
@@ -50,29 +50,30 @@
             RecoveryRecord verdict = wanted.get();
             if (verdict == null) {
                 storing = false;
-            } else if (!read.decided()) {
-                loop.after(RETRY_MICROS, this::read);
+            } else if (!read.isConclusive()) {
+                eventLoop.schedule(RETRY_MICROS, this::read);
             } else {
                 RecoveryRecord stored = RecoveryRecord.of(read);
                 if (stored.generation() >= verdict.generation() && (stored.open() || madeGood.test(stored))) {
                     storing = false;
                     onStored.accept(stored);
                 } else {
-                    write(verdict.above(stored.generation()), read.stamp());
+                    write(verdict.above(stored.generation()), read.revision());
                 }
             }
         });
     }
 
-    private void write(RecoveryRecord verdict, long stamp) {
-        Txn txn = new Txn().require(RecoveryRecord.KEY, stamp).set(RecoveryRecord.KEY, verdict.json());
-        store.commit(txn).thenAccept(commit -> {
-            if (commit.outcome() == Outcome.OK) {
+    private void write(RecoveryRecord verdict, long revision) {
+        Transaction transaction =
+                new Transaction().requireRevision(RecoveryRecord.KEY, revision).set(RecoveryRecord.KEY, verdict.json());
+        store.commit(transaction).thenAccept(commit -> {
+            if (commit.outcome() == StoreOutcome.OK) {
                 storing = false;
                 onStored.accept(verdict);
                 keep();
             } else {
-                loop.after(RETRY_MICROS, this::read);
+                eventLoop.schedule(RETRY_MICROS, this::read);
             }
         });
     }
--- a/src/main/java/io/sillreel/recovery/RestorePolicy.java
+++ b/src/main/java/io/sillreel/recovery/RestorePolicy.java
@@ -1,10 +1,11 @@
 package io.sillreel.recovery;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.sillreel.ownership.Leadership;
+import io.sillreel.leadership.LeaderElection;
 import io.sillreel.pipeline.CancellationRecord;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
+import io.sillreel.pipeline.RunRecordCodec;
 import java.util.List;
 import java.util.Set;
 
@@ -15,7 +16,7 @@
             List.of(PlanRecord.PREFIX, PlanRecord.OVERFLOW_PREFIX, CancellationRecord.PREFIX);
 
     /** They belong to the term that puts writes back. */
-    private static final Set<String> NEVER = Set.of(Leadership.TERM_KEY, RecoveryRecord.KEY);
+    private static final Set<String> NEVER = Set.of(LeaderElection.TERM_KEY, RecoveryRecord.KEY);
 
     private RestorePolicy() {}
 
@@ -47,7 +48,8 @@
         }
         if (change.key().startsWith(RunRecord.PREFIX)) {
             // An end that was stored stays one, whatever a leader that did not know of it has written since.
-            return !RunRecord.isDone(current) && (RunRecord.isDone(change.json()) || currentStamp <= returnedAt);
+            return !RunRecordCodec.isDone(current)
+                    && (RunRecordCodec.isDone(change.json()) || currentStamp <= returnedAt);
         }
         return currentStamp <= returnedAt;
     }
--- a/src/main/java/io/sillreel/recovery/StoreMonitor.java
+++ b/src/main/java/io/sillreel/recovery/StoreMonitor.java
@@ -1,13 +1,13 @@
 package io.sillreel.recovery;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.sillreel.http.Call;
-import io.sillreel.http.Caller;
+import io.sillreel.http.EventLoop;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Loop;
-import io.sillreel.http.Reply;
+import io.sillreel.recovery.StoreHistory.Consistency;
 import io.sillreel.recovery.StoreHistory.Mark;
-import io.sillreel.recovery.StoreHistory.Verdict;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -18,7 +18,7 @@
  * Looks at each answer of the state service before anybody believes it. An answer that shows a loss, or that belongs to
  * the time before one, counts as none: what was asked may have been carried out, and has to be read again.
  */
-final class StoreMonitor implements Caller {
+final class StoreMonitor implements HttpClient {
     private static final String KEYS = "/kv/";
     private static final String TRANSACTIONS = "/txn";
 
@@ -27,10 +27,10 @@
      * @param knownStamp its stamp as far as it is known
      * @param changes what is written
      */
-    private record Request(Mark mark, String key, long knownStamp, List<JsonNode> changes) {}
+    private record ObservedRequest(Mark mark, String key, long knownStamp, List<JsonNode> changes) {}
 
-    private final Caller caller;
-    private final Loop loop;
+    private final HttpClient httpClient;
+    private final EventLoop eventLoop;
     private final StoreHistory history;
     private final ChangeLog log;
     private final BooleanSupplier suspended;
@@ -41,14 +41,14 @@
      * @param onLoss told what shows that writes have been lost
      */
     StoreMonitor(
-            Caller caller,
-            Loop loop,
+            HttpClient httpClient,
+            EventLoop eventLoop,
             StoreHistory history,
             ChangeLog log,
             BooleanSupplier suspended,
             Consumer<String> onLoss) {
-        this.caller = caller;
-        this.loop = loop;
+        this.httpClient = httpClient;
+        this.eventLoop = eventLoop;
         this.history = history;
         this.log = log;
         this.suspended = suspended;
@@ -56,69 +56,71 @@
     }
 
     @Override
-    public CompletableFuture<Reply> call(String address, Call call, long timeoutMicros) {
-        String route = call.route();
+    public CompletableFuture<HttpResponse> send(String address, HttpRequest request, long timeoutMicros) {
+        String route = request.route();
         String key = route.startsWith(KEYS) ? route.substring(KEYS.length()) : null;
         long knownStamp = key == null || suspended.getAsBoolean() ? 0 : log.stampOf(key);
         List<JsonNode> changes = new ArrayList<>();
         if (route.equals(TRANSACTIONS)) {
-            Json.parse(call.body()).path("then").forEach(changes::add);
+            Json.parse(request.body()).path("then").forEach(changes::add);
         }
-        Request request = new Request(history.mark(loop.wallMicros()), key, knownStamp, changes);
-        return caller.call(address, call, timeoutMicros).thenApply(reply -> {
-            if (reply.status() != 200 && reply.status() != 404 && reply.status() != 409) {
-                return reply;
+        ObservedRequest observed = new ObservedRequest(history.mark(eventLoop.wallMicros()), key, knownStamp, changes);
+        return httpClient.send(address, request, timeoutMicros).thenApply(response -> {
+            if (response.status() != 200 && response.status() != 404 && response.status() != 409) {
+                return response;
             }
-            JsonNode body = reply.json();
-            if (!believed(request, reply, body)) {
-                return Reply.noAnswer();
+            JsonNode body = response.json();
+            if (!believed(observed, response, body)) {
+                return HttpResponse.noResponse();
             }
-            if (reply.ok() && !changes.isEmpty()) {
+            if (response.isOk() && !changes.isEmpty()) {
                 remember(changes, body.path("ledger").asLong());
             }
-            return reply;
+            return response;
         });
     }
 
-    private boolean believed(Request request, Reply reply, JsonNode body) {
-        Verdict verdict;
-        if (request.key() != null && reply.ok()) {
-            long stamp = body.path("stamp").asLong();
-            verdict = history.answeredWithStamp(request.mark(), stamp);
-            if (verdict == Verdict.CONSISTENT && stamp < request.knownStamp()) {
-                onLoss.accept(request.key() + " has stamp " + stamp + ", and had " + request.knownStamp());
+    private boolean believed(ObservedRequest observed, HttpResponse response, JsonNode body) {
+        Consistency verdict;
+        if (observed.key() != null && response.isOk()) {
+            long revision = body.path("stamp").asLong();
+            verdict = history.answeredWithStamp(observed.mark(), revision);
+            if (verdict == Consistency.CONSISTENT && revision < observed.knownStamp()) {
+                onLoss.accept(observed.key() + " has stamp " + revision + ", and had " + observed.knownStamp());
                 return false;
             }
         } else if (body.has("ledger")) {
-            long ledger = body.path("ledger").asLong();
-            boolean written = reply.ok() && !request.changes().isEmpty();
-            verdict = written ? history.committed(request.mark(), ledger) : history.answered(request.mark(), ledger);
+            long storeRevision = body.path("ledger").asLong();
+            boolean written = response.isOk() && !observed.changes().isEmpty();
+            verdict = written
+                    ? history.committed(observed.mark(), storeRevision)
+                    : history.answered(observed.mark(), storeRevision);
         } else {
             return true;
         }
-        if (verdict == Verdict.LOST) {
+        if (verdict == Consistency.LOST) {
             onLoss.accept("ledger is " + body.path("ledger").asLong() + ", and was "
-                    + request.mark().ledger());
-        } else if (verdict == Verdict.CONSISTENT && hasVanished(request, reply)) {
-            onLoss.accept(request.key() + " is gone, and nobody removes it");
+                    + observed.mark().ledger());
+        } else if (verdict == Consistency.CONSISTENT && hasVanished(observed, response)) {
+            onLoss.accept(observed.key() + " is gone, and nobody removes it");
             return false;
         }
-        return verdict == Verdict.CONSISTENT;
+        return verdict == Consistency.CONSISTENT;
     }
 
-    private static boolean hasVanished(Request request, Reply reply) {
-        return reply.status() == 404 && request.knownStamp() > 0 && PermanentKeys.contains(request.key());
+    private static boolean hasVanished(ObservedRequest observed, HttpResponse response) {
+        return response.status() == 404 && observed.knownStamp() > 0 && PermanentKeys.contains(observed.key());
     }
 
-    private void remember(List<JsonNode> written, long ledger) {
+    private void remember(List<JsonNode> written, long storeRevision) {
         List<RecentChange> changes = new ArrayList<>();
         for (JsonNode change : written) {
             if (change.has("set")) {
-                changes.add(RecentChange.of(change.path("set").asText(), change.path("v"), ledger));
+                changes.add(RecentChange.of(change.path("set").asText(), change.path("v"), storeRevision));
             } else {
-                changes.add(RecentChange.of(change.path("remove").asText(), null, ledger));
+                changes.add(RecentChange.of(change.path("remove").asText(), null, storeRevision));
             }
         }
-        log.stored(changes, ledger);
+        log.stored(changes, storeRevision);
     }
 }
--- a/src/main/java/io/sillreel/recovery/TermEvidence.java
+++ b/src/main/java/io/sillreel/recovery/TermEvidence.java
@@ -1,10 +1,10 @@
 package io.sillreel.recovery;
 
-import io.sillreel.ownership.Leadership;
+import io.sillreel.agent.Heartbeat;
+import io.sillreel.agent.Heartbeat.TaskStatus;
+import io.sillreel.heartbeat.AttemptIds;
+import io.sillreel.leadership.LeaderElection;
 import io.sillreel.statestore.StateStore;
-import io.sillreel.workers.AttemptIds;
-import io.sillreel.workers.Report;
-import io.sillreel.workers.Report.TaskState;
 import java.util.HashSet;
 import java.util.Set;
 import java.util.function.Consumer;
@@ -30,9 +30,9 @@
     }
 
     /** The highest term that a report shows. */
-    static long shownBy(Report report) {
-        long shown = report.token();
-        for (TaskState task : report.tasks()) {
+    static long shownBy(Heartbeat heartbeat) {
+        long shown = heartbeat.fencingToken();
+        for (TaskStatus task : heartbeat.tasks()) {
             shown = Math.max(shown, AttemptIds.termOf(task.attempt()));
         }
         return shown;
@@ -40,15 +40,15 @@
 
     /** Somebody has shown a term that is higher than any known here: read after that, the store has it too. */
     void shown(long term, String by) {
-        history.learn(Peaks.NONE.withTerm(term));
+        history.learn(HighWatermarks.NONE.withTerm(term));
         if (reading) {
             return;
         }
         reading = true;
-        store.get(Leadership.TERM_KEY).thenAccept(read -> {
+        store.get(LeaderElection.TERM_KEY).thenAccept(read -> {
             reading = false;
-            long stored = Leadership.storedTerm(read);
-            if (read.decided() && stored < term) {
+            long stored = LeaderElection.storedTerm(read);
+            if (read.isConclusive() && stored < term) {
                 onLoss.accept(by + " has seen term " + term + ", and " + stored + " is stored");
             }
         });
@@ -58,17 +58,17 @@
      * A report that this controller is to answer under its own term; false if its worker knows the term from somebody
      * else, who must have taken it before a loss.
      */
-    boolean answerable(Report report, long term) {
+    boolean answerable(Heartbeat heartbeat, long term) {
         if (toldTerm != term) {
             toldTerm = term;
             told.clear();
         }
-        if (report.token() == term && !told.contains(report.machine())) {
-            history.learn(Peaks.NONE.withTerm(term));
-            onLoss.accept(report.machine() + " has seen term " + term + " before it was told of it");
+        if (heartbeat.fencingToken() == term && !told.contains(heartbeat.machine())) {
+            history.learn(HighWatermarks.NONE.withTerm(term));
+            onLoss.accept(heartbeat.machine() + " has seen term " + term + " before it was told of it");
             return false;
         }
-        told.add(report.machine());
+        told.add(heartbeat.machine());
         return true;
     }
 }
--- /dev/null
+++ b/src/main/java/io/sillreel/statestore/SingleKeyWrite.java
@@ -0,0 +1,33 @@
+package io.sillreel.statestore;
+
+/** Base of a pending write that tracks the revision of its key. Used on the event loop only. */
+public abstract class SingleKeyWrite implements PendingWrite {
+    private final String key;
+    private long revision;
+
+    /** @param revision the revision that the key is expected to have, 0 if it must not exist */
+    protected SingleKeyWrite(String key, long revision) {
+        this.key = key;
+        this.revision = revision;
+    }
+
+    @Override
+    public final String key() {
+        return key;
+    }
+
+    @Override
+    public final long revision() {
+        return revision;
+    }
+
+    @Override
+    public void onStored(long newRevision) {
+        revision = newRevision;
+    }
+
+    @Override
+    public final void onConflict(long newRevision) {
+        revision = newRevision;
+    }
+}
--- a/src/main/java/io/sillreel/statestore/StateStore.java
+++ b/src/main/java/io/sillreel/statestore/StateStore.java
@@ -1,390 +1,165 @@
 package io.sillreel.statestore;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ArrayNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Call;
-import io.sillreel.http.Caller;
-import io.sillreel.http.Json;
-import io.sillreel.http.Loop;
-import io.sillreel.http.Reply;
+import io.sillreel.http.EventLoop;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.HttpResponse;
+import io.sillreel.overload.RateLimiter;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
-/** Client of the state service, paced below this controller's part of the shared rates. */
+/**
+ * Client of the state service, limited to this controller's share of the request and write rates. The futures never
+ * complete with an exception: the {@link StoreOutcome} of a result tells how the request ended. Thread-safe; futures
+ * complete on the event loop, or at once if the rate does not allow the request.
+ */
 public final class StateStore {
-    /**
-     * What became of a request. UNKNOWN: it may have been executed, or may yet be; read before deciding. TOO_LARGE: not
-     * executed, nor will it ever be as it is.
-     */
-    public enum Outcome {
-        OK,
-        NOT_FOUND,
-        CONFLICT,
-        REFUSED,
-        TOO_LARGE,
-        NO_SUCH_LEASE,
-        COMPACTED,
-        UNKNOWN
-    }
-
-    /** A key with its value and the revision of its last change. */
-    public record Entry(String key, JsonNode value, long stamp) {}
-
-    /** The answer to a read; the entry is null unless the key exists. */
-    public record Read(Outcome outcome, Entry entry) {
-        /** Stamp of the key as read: 0 if it does not exist. */
-        public long stamp() {
-            return entry == null ? 0 : entry.stamp();
-        }
-
-        /** True if the answer says what the key is, or that it is not. */
-        public boolean decided() {
-            return outcome == Outcome.OK || outcome == Outcome.NOT_FOUND;
-        }
-    }
-
-    /** All entries under a prefix, and the revision from which changes have to be watched. */
-    public record Listing(Outcome outcome, List<Entry> entries, long ledger) {}
-
-    /** How reading all entries under a prefix ended, and the revision from which changes have to be watched. */
-    public record Scan(Outcome outcome, long ledger) {}
-
-    /** Takes the entries of a scan, in the order of their keys. */
-    @FunctionalInterface
-    public interface PageConsumer {
-        /** Completes with true once the next page is wanted, with false if the scan is to end here. */
-        CompletableFuture<Boolean> accept(List<Entry> page);
-    }
-
-    /** What became of a transaction, its revision, and the keys whose conditions failed. */
-    public record Commit(Outcome outcome, long ledger, List<String> failed) {}
-
-    /** A lease of the state service. */
-    public record Grant(Outcome outcome, long permit) {}
-
-    /** A change; the value is null if the key was removed. */
-    public record Change(String key, JsonNode value, long stamp) {}
-
-    /** The changes that a watch has seen, and the revision up to which it has seen them. */
-    public record WatchResult(Outcome outcome, long ledger, List<Change> changes) {}
-
-    private static final Logger LOG = LoggerFactory.getLogger(StateStore.class);
     private static final long TIMEOUT_MICROS = 1_500_000;
-    /** Whoever compares waits for less: the same can be read, and a user who polls gives up after two seconds. */
+    /** Shorter, since a comparison may be repeated without harm and users give up polling after two seconds. */
     private static final long COMPARE_TIMEOUT_MICROS = 700_000;
-
+    /** How much longer than the service itself the client waits for the end of a watch. */
     private static final long WATCH_SLACK_MICROS = 2_500_000;
-    /** Reading a page is one piece of work, and a renewal waits for its end. */
-    private static final int PAGE = 200;
-
-    /** A page that the rate does not allow yet is tried again so much later. */
-    private static final long PAGE_PAUSE_MICROS = 20_000;
 
-    private static final long PAGE_RETRY_MICROS = 300_000;
-    private static final int MAX_PAGE_FAILURES = 3;
-    private static final long NO_LEDGER = -1;
-
-    private static final int SILENT_AFTER = 2;
-    private static final int TOO_MANY_REQUESTS = 429;
-
-    private final Caller caller;
-    private final Caller leaseCaller;
-    private final Loop loop;
-    private final String address;
-    private final Pacer requests;
-    private final Pacer writes;
-    private long lastAnswerMicros = Long.MIN_VALUE;
-    private int unanswered;
+    private final StateStoreTransport transport;
+    private final EventLoop eventLoop;
+    private final RateLimiter requestLimiter;
+    private final RateLimiter writeLimiter;
 
     /**
-     * @param leaseCaller asks for leases and their renewal, on connections of its own: one that had to be opened first,
-     *     or waited behind users' questions, took longer than the lease in a crowd
+     * @param leaseHttpClient sends lease requests on connections of its own: under load, a renewal that waited for a
+     *     connection shared with users' requests took longer than the lease lasts
+     * @param requestLimiter this controller's share of the request rate
+     * @param writeLimiter this controller's share of the write rate, counted in changed keys
      */
-    public StateStore(Caller caller, Caller leaseCaller, Loop loop, String address, Pacer requests, Pacer writes) {
-        this.caller = caller;
-        this.leaseCaller = leaseCaller;
-        this.loop = loop;
-        this.address = address;
-        this.requests = requests;
-        this.writes = writes;
+    public StateStore(
+            HttpClient httpClient,
+            HttpClient leaseHttpClient,
+            EventLoop eventLoop,
+            String address,
+            RateLimiter requestLimiter,
+            RateLimiter writeLimiter) {
+        this.transport = new StateStoreTransport(httpClient, leaseHttpClient, eventLoop, address, requestLimiter);
+        this.eventLoop = eventLoop;
+        this.requestLimiter = requestLimiter;
+        this.writeLimiter = writeLimiter;
     }
 
-    /** When the service last carried out a request of ours; long ago if it never has. */
-    public synchronized long lastAnswerMicros() {
-        return lastAnswerMicros;
+    /**
+     * When the service last carried out or decided a request, by the event loop's clock; very small if it never has.
+     */
+    public long lastAnswerMicros() {
+        return transport.lastAnswerMicros();
     }
 
     /**
-     * True while requests go unanswered one after the other: whoever asks is better refused at once than kept waiting.
+     * True while consecutive requests get no response. Requests that depend on the store are then better refused at
+     * once than kept waiting for a timeout.
      */
-    public synchronized boolean silent() {
-        return unanswered >= SILENT_AFTER;
+    public boolean isUnresponsive() {
+        return transport.isUnresponsive();
     }
 
-    /** What may still be written now without passing this controller's part of the shared rate. */
-    public double writesAvailable() {
-        return writes.available();
+    /** How many keys may be changed now within this controller's share of the write rate. */
+    public double availableWrites() {
+        return writeLimiter.availableTokens();
     }
 
-    /** The most that may be written at once after a pause. */
-    public double writeBurst() {
-        return writes.burst();
+    /** How many keys may be changed at once after a pause. */
+    public double maxWriteBurst() {
+        return writeLimiter.burst();
     }
 
     /** Reads one key. */
-    public CompletableFuture<Read> get(String key) {
-        return send(Call.get("/kv/" + key), TIMEOUT_MICROS).thenApply(reply -> {
-            Outcome outcome = outcome(reply);
-            return new Read(outcome, outcome == Outcome.OK ? entry(reply.json()) : null);
+    public CompletableFuture<ReadResult> get(String key) {
+        return transport.send(StateStoreCodec.readRequest(key), TIMEOUT_MICROS).thenApply(response -> {
+            StoreOutcome outcome = transport.recordOutcome(response);
+            return new ReadResult(
+                    outcome,
+                    outcome == StoreOutcome.OK
+                            ? Optional.of(StateStoreCodec.entry(response.json()))
+                            : Optional.empty());
         });
     }
 
     /**
-     * Reads the few entries under a prefix. What is refused or lost is told at once: whoever looks who leads has to
-     * know that this can't be known, and looks again by itself.
+     * Lists the entries under a prefix that has few. A page that is refused or lost is not requested again: the caller,
+     * such as the leader election, has to learn at once that the entries are unknown.
      */
-    public CompletableFuture<Listing> list(String prefix) {
-        List<Entry> entries = new ArrayList<>();
-        PageConsumer collect = page -> {
+    public CompletableFuture<ListResult> list(String prefix) {
+        List<StoredEntry> entries = new ArrayList<>();
+        PageConsumer collector = page -> {
             entries.addAll(page);
             return CompletableFuture.completedFuture(true);
         };
-        return scan(prefix, collect, false)
-                .thenApply(scan ->
-                        new Listing(scan.outcome(), scan.outcome() == Outcome.OK ? entries : List.of(), scan.ledger()));
+        return new PrefixScan(transport, eventLoop, prefix, false, collector)
+                .start()
+                .thenApply(scan -> new ListResult(
+                        scan.outcome(), scan.outcome() == StoreOutcome.OK ? entries : List.of(), scan.storeRevision()));
     }
 
     /**
-     * Reads everything under the prefix, which is not one moment's picture: later pages may be newer. Hands it over
-     * page by page, so that nobody has to hold all of it. However many pages there are, they keep to this controller's
-     * part of the rate, and one that is refused or lost is asked for again by itself: a list that began anew each time
-     * would never end once it is longer than the rate allows at once.
+     * Reads all entries under a prefix and passes them on page by page, so that they are never all in memory. The pages
+     * are not a snapshot: later ones may be newer. Pages are requested within the rate; a page that is refused or lost
+     * is requested again by itself, since a scan with more pages than the rate allows at once would never end if it
+     * started anew.
      */
-    public CompletableFuture<Scan> scan(String prefix, PageConsumer consumer) {
-        return scan(prefix, consumer, true);
-    }
-
-    private CompletableFuture<Scan> scan(String prefix, PageConsumer consumer, boolean patient) {
-        CompletableFuture<Scan> result = new CompletableFuture<>();
-        page(new PageRequest(prefix, "", NO_LEDGER, 0, patient, consumer, result));
-        return result;
+    public CompletableFuture<ScanResult> scan(String prefix, PageConsumer consumer) {
+        return new PrefixScan(transport, eventLoop, prefix, true, consumer).start();
     }
 
-    /** One page of a scan: what it follows, how often it has been asked for in vain, and whether it may be again. */
-    private record PageRequest(
-            String prefix,
-            String since,
-            long firstLedger,
-            int failures,
-            boolean patient,
-            PageConsumer consumer,
-            CompletableFuture<Scan> result) {
-        Call call() {
-            String after = since.isEmpty() ? "" : "&since=" + since;
-            return Call.get("/kv?prefix=" + prefix + after + "&limit=" + PAGE);
-        }
-
-        PageRequest again() {
-            return new PageRequest(prefix, since, firstLedger, failures + 1, patient, consumer, result);
-        }
-
-        PageRequest after(String lastKey, long ledger) {
-            return new PageRequest(prefix, lastKey, ledger, 0, patient, consumer, result);
+    /** Sends a transaction, or completes as refused at once if the rates do not allow it. */
+    public CompletableFuture<CommitResult> commit(Transaction transaction) {
+        boolean hasChanges = transaction.size() > 0;
+        if (!transport.tryAcquireRequest() || hasChanges && !writeLimiter.tryAcquire(transaction.size())) {
+            return CompletableFuture.completedFuture(new CommitResult(StoreOutcome.REFUSED, 0, List.of()));
         }
+        return transport
+                .sendAcquired(
+                        StateStoreCodec.commitRequest(transaction),
+                        hasChanges ? TIMEOUT_MICROS : COMPARE_TIMEOUT_MICROS,
+                        hasChanges ? writeLimiter : requestLimiter)
+                .thenApply(
+                        response -> StateStoreCodec.commitResult(transport.recordOutcome(response), response.json()));
     }
 
-    private void page(PageRequest request) {
-        if (!requests.tryTake(1)) {
-            if (request.patient()) {
-                loop.after(PAGE_PAUSE_MICROS, () -> page(request));
-            } else {
-                request.result().complete(new Scan(Outcome.REFUSED, 0));
-            }
-            return;
-        }
-        caller.call(address, request.call(), TIMEOUT_MICROS).thenAccept(reply -> {
-            noteRefusal(reply);
-            Outcome outcome = outcome(reply);
-            if (outcome == Outcome.OK) {
-                pageRead(request, reply.json());
-            } else if (request.patient() && request.failures() < MAX_PAGE_FAILURES) {
-                loop.after(PAGE_RETRY_MICROS, () -> page(request.again()));
-            } else {
-                request.result().complete(new Scan(outcome, 0));
-            }
-        });
+    /** Requests a lease; sent even if the request rate is used up. */
+    public CompletableFuture<LeaseGrant> grantLease(long lifeMicros) {
+        return transport
+                .sendLeaseRequest(StateStoreCodec.grantRequest(lifeMicros))
+                .thenApply(response -> StateStoreCodec.leaseGrant(transport.recordOutcome(response), response.json()));
     }
 
-    private void pageRead(PageRequest request, JsonNode body) {
-        List<Entry> entries = new ArrayList<>();
-        body.path("entries").forEach(entry -> entries.add(entry(entry)));
-        // The first page's ledger: a watch from there misses nothing that later pages may have left out.
-        long ledger = request.firstLedger() == NO_LEDGER ? body.path("ledger").asLong() : request.firstLedger();
-        boolean more = body.path("truncated").asBoolean() && !entries.isEmpty();
-        hand(request, entries).thenAccept(wanted -> {
-            if (!wanted) {
-                request.result().complete(new Scan(Outcome.REFUSED, 0));
-            } else if (more) {
-                page(request.after(entries.get(entries.size() - 1).key(), ledger));
-            } else {
-                request.result().complete(new Scan(Outcome.OK, ledger));
-            }
-        });
+    /** Renews a lease for its full life; sent even if the request rate is used up. */
+    public CompletableFuture<StoreOutcome> renewLease(long leaseId) {
+        return transport.sendLeaseRequest(StateStoreCodec.renewRequest(leaseId)).thenApply(transport::recordOutcome);
     }
 
-    /** An entry that can't be understood ends the scan, so that whoever waits for it is told. */
-    private static CompletableFuture<Boolean> hand(PageRequest request, List<Entry> entries) {
-        try {
-            return request.consumer().accept(entries);
-        } catch (RuntimeException e) {
-            LOG.error("a page of the keys under {} could not be taken in", request.prefix(), e);
-            return CompletableFuture.completedFuture(false);
-        }
+    /** Ends a lease, which removes the keys that were stored with it. */
+    public CompletableFuture<StoreOutcome> revokeLease(long leaseId) {
+        return transport
+                .send(StateStoreCodec.revokeRequest(leaseId), TIMEOUT_MICROS)
+                .thenApply(transport::recordOutcome);
     }
 
-    /** Sends a transaction, unless this controller's part of the shared rates is used up. */
-    public CompletableFuture<Commit> commit(Txn txn) {
-        if (!requests.tryTake(1) || txn.size() > 0 && !writes.tryTake(txn.size())) {
-            return CompletableFuture.completedFuture(new Commit(Outcome.REFUSED, 0, List.of()));
-        }
-        long timeout = txn.size() > 0 ? TIMEOUT_MICROS : COMPARE_TIMEOUT_MICROS;
-        return caller.call(address, Call.post("/txn", txn.json()), timeout).thenApply(reply -> {
-            if (reply.status() == TOO_MANY_REQUESTS) {
-                (txn.size() > 0 ? writes : requests).refused();
-            }
-            JsonNode body = reply.json();
-            List<String> failed = new ArrayList<>();
-            body.path("failed").forEach(key -> failed.add(key.asText()));
-            return new Commit(outcome(reply), body.path("ledger").asLong(), failed);
-        });
-    }
-
-    /** Requests a lease. */
-    public CompletableFuture<Grant> grant(long lifeMicros) {
-        ObjectNode body = Json.object().put("life_ms", lifeMicros / 1_000);
-        return sendNow(Call.post("/grants", body))
-                .thenApply(reply ->
-                        new Grant(outcome(reply), reply.json().path("permit").asLong()));
-    }
-
-    public CompletableFuture<Outcome> touch(long permit) {
-        return sendNow(Call.post("/grants/" + permit + "/touch", Json.object())).thenApply(this::outcome);
-    }
-
-    public CompletableFuture<Outcome> revoke(long permit) {
-        return send(new Call("DELETE", "/grants/" + permit, Call.NO_BODY), TIMEOUT_MICROS)
-                .thenApply(this::outcome);
-    }
-
-    /** Waits until a key under the prefix has changed after the revision, or until the time is over. */
-    public CompletableFuture<WatchResult> watch(String prefix, long since, long blockMicros) {
-        String path = "/watch?prefix=" + prefix + "&since=" + since + "&block_ms=" + blockMicros / 1_000;
-        return send(Call.get(path), blockMicros + WATCH_SLACK_MICROS).thenApply(reply -> {
-            // What is too much to be taken in at once can still be read in pages.
-            Outcome outcome = reply.status() == Reply.ANSWER_TOO_LARGE ? Outcome.COMPACTED : outcome(reply);
-            List<Change> changes = new ArrayList<>();
-            JsonNode body = reply.json();
-            for (JsonNode change : body.path("news")) {
-                boolean removed = change.has("remove");
-                changes.add(new Change(
-                        change.path(removed ? "remove" : "set").asText(),
-                        removed ? null : change.path("v"),
-                        change.path("stamp").asLong()));
-            }
-            return new WatchResult(outcome, body.path("ledger").asLong(), changes);
-        });
-    }
-
-    private CompletableFuture<Reply> send(Call call, long timeoutMicros) {
-        if (!requests.tryTake(1)) {
-            return CompletableFuture.completedFuture(Reply.later(TOO_MANY_REQUESTS, "paced", 1));
-        }
-        return caller.call(address, call, timeoutMicros).thenApply(reply -> {
-            noteRefusal(reply);
-            return reply;
-        });
-    }
-
-    private void noteRefusal(Reply reply) {
-        if (reply.status() == TOO_MANY_REQUESTS) {
-            requests.refused();
-        }
-    }
-
-    private CompletableFuture<Reply> sendNow(Call call) {
-        requests.take(1);
-        return leaseCaller.call(address, call, TIMEOUT_MICROS);
-    }
-
-    private Outcome outcome(Reply reply) {
-        synchronized (this) {
-            unanswered = reply.status() > 0 ? 0 : unanswered + 1;
-        }
-        if (reply.status() == 200 || reply.status() == 404 || reply.status() == 409 || reply.status() == 410) {
-            synchronized (this) {
-                lastAnswerMicros = loop.nowMicros();
-            }
-        }
-        return switch (reply.status()) {
-            case 200 -> Outcome.OK;
-            case 404 -> Outcome.NOT_FOUND;
-            case 409 -> Outcome.CONFLICT;
-            case 410 -> Outcome.COMPACTED;
-            case 400 ->
-                reply.json().path("error").asText().equals("no such lease") ? Outcome.NO_SUCH_LEASE : Outcome.TOO_LARGE;
-            case TOO_MANY_REQUESTS, 503, Reply.NOT_SENT -> Outcome.REFUSED;
-            default -> Outcome.UNKNOWN;
-        };
-    }
-
-    private static Entry entry(JsonNode node) {
-        return new Entry(
-                node.path("k").asText(), node.path("v"), node.path("stamp").asLong());
-    }
-
-    /** A transaction in the making. */
-    public static final class Txn {
-        private final ArrayNode conditions = Json.array();
-        private final ArrayNode changes = Json.array();
-
-        public Txn require(String key, long stamp) {
-            conditions.add(Json.object().put("k", key).put("stamp", stamp));
-            return this;
-        }
-
-        public Txn set(String key, JsonNode value) {
-            changes.add(Json.object().put("set", key).set("v", value));
-            return this;
-        }
-
-        /** Sets a key that is removed together with the lease. */
-        public Txn set(String key, JsonNode value, long permit) {
-            ObjectNode change = Json.object().put("set", key);
-            change.set("v", value);
-            changes.add(change.put("permit", permit));
-            return this;
-        }
-
-        public Txn remove(String key) {
-            changes.add(Json.object().put("remove", key));
-            return this;
-        }
-
-        public int size() {
-            return changes.size();
-        }
-
-        JsonNode json() {
-            ObjectNode body = Json.object();
-            body.set("if", conditions);
-            if (!changes.isEmpty()) {
-                body.set("then", changes);
-            }
-            return body;
-        }
+    /**
+     * Waits until a key under the prefix has changed.
+     *
+     * @param sinceRevision only changes after this revision of the store are reported
+     * @param blockMicros how long the service waits for a change before it responds without one
+     */
+    public CompletableFuture<WatchResult> watch(String prefix, long sinceRevision, long blockMicros) {
+        return transport
+                .send(
+                        StateStoreCodec.watchRequest(prefix, sinceRevision, blockMicros),
+                        blockMicros + WATCH_SLACK_MICROS)
+                .thenApply(response -> StateStoreCodec.watchResult(watchOutcome(response), response.json()));
+    }
+
+    /** A watch whose events are too large for one response can only go on after the keys have been read in pages. */
+    private StoreOutcome watchOutcome(HttpResponse response) {
+        return response.status() == HttpResponse.RESPONSE_TOO_LARGE
+                ? StoreOutcome.COMPACTED
+                : transport.recordOutcome(response);
     }
 }
--- a/src/main/java/io/sillreel/statestore/WriteBatch.java
+++ b/src/main/java/io/sillreel/statestore/WriteBatch.java
@@ -1,72 +1,59 @@
 package io.sillreel.statestore;
 
-import com.fasterxml.jackson.databind.JsonNode;
-import io.sillreel.http.Json;
-import io.sillreel.statestore.KeyWriter.Item;
-import io.sillreel.statestore.StateStore.Txn;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
-import java.util.function.Predicate;
+import java.util.Optional;
 
-/** Items that are written in one transaction, each conditional on its own key's stamp and all on the leader's. */
+/**
+ * Writes that are sent in one transaction, which succeeds only if each key and the leader key have their expected
+ * revisions.
+ */
 final class WriteBatch {
     private static final int MAX_BYTES = 48 * 1024;
-    /** What a change takes beside its value: its key, its conditions and their names. */
-    private static final int CHANGE_BYTES = 300;
+    /** Estimated size of a change without its value: the key, its conditions and the field names. */
+    private static final int CHANGE_OVERHEAD_BYTES = 300;
 
-    private final Predicate<Item> writtenAlone;
-    private final List<Item> items = new ArrayList<>();
-    private final Txn txn = new Txn();
+    private final List<PendingWrite> writes = new ArrayList<>();
+    private final Transaction transaction = new Transaction();
     private int bytes;
+    private boolean exclusive;
 
-    /** @param writtenAlone true for an item that shares its transaction with no other */
-    WriteBatch(String leaderKey, long leaderStamp, Predicate<Item> writtenAlone) {
-        this.writtenAlone = writtenAlone;
-        txn.require(leaderKey, leaderStamp);
+    WriteBatch(String leaderKey, long leaderRevision) {
+        transaction.requireRevision(leaderKey, leaderRevision);
     }
 
-    List<Item> items() {
-        return items;
+    List<PendingWrite> writes() {
+        return writes;
     }
 
-    Txn txn() {
-        return txn;
+    Transaction transaction() {
+        return transaction;
     }
 
     /**
-     * Adds the item unless there is no room for it.
+     * Adds a write unless there is no room for it. The first write is added whatever its size.
      *
-     * @param room how many changes the transaction may hold with it
-     * @return whether the item was added
+     * @param exclusive true if the write must not share its transaction with another
+     * @param maxChanges how many changes the transaction may have, this one included
+     * @return whether the write was added
      */
-    boolean add(Item item, Map<String, JsonNode> changes, double room) {
-        int size = 0;
-        for (JsonNode value : changes.values()) {
-            size += value == null ? 0 : Json.bytes(value).length + CHANGE_BYTES;
+    boolean tryAdd(PendingWrite write, KeyChange change, boolean exclusive, double maxChanges) {
+        int size = change.value() == null ? 0 : change.bytes() + CHANGE_OVERHEAD_BYTES;
+        if (transaction.size() + 1 > maxChanges) {
+            return false;
         }
-        if (txn.size() + changes.size() > room || !items.isEmpty() && isFull(item, size)) {
+        if (!writes.isEmpty() && (this.exclusive || exclusive || bytes + size > MAX_BYTES)) {
             return false;
         }
         bytes += size;
-        items.add(item);
-        txn.require(item.key(), item.stamp());
-        if (item.absent() != null) {
-            txn.require(item.absent(), 0);
+        this.exclusive = exclusive;
+        writes.add(write);
+        transaction.requireRevision(write.key(), write.revision());
+        Optional<String> requiredAbsentKey = write.requiredAbsentKey();
+        if (requiredAbsentKey.isPresent()) {
+            transaction.requireRevision(requiredAbsentKey.get(), 0);
         }
-        changes.forEach(this::change);
+        change.addTo(transaction, write.key());
         return true;
     }
-
-    private boolean isFull(Item item, int size) {
-        return bytes + size > MAX_BYTES || writtenAlone.test(item) || writtenAlone.test(items.get(0));
-    }
-
-    private void change(String key, JsonNode value) {
-        if (value == null) {
-            txn.remove(key);
-        } else {
-            txn.set(key, value);
-        }
-    }
 }
--- /dev/null
+++ b/src/main/java/io/sillreel/statestore/WriteQueue.java
@@ -0,0 +1,256 @@
+package io.sillreel.statestore;
+
+import io.sillreel.http.EventLoop;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Writes the leader's state to the store, in one transaction at a time. Each transaction requires the revision of the
+ * leader key, so that a former leader's late transaction fails, and the known revision of each changed key, so that an
+ * own transaction whose response was lost cannot undo a later one. Thread-safe; all state is guarded by this.
+ */
+public final class WriteQueue {
+    private static final Logger LOG = LoggerFactory.getLogger(WriteQueue.class);
+    /** How long a write waits so that more are sent in the same transaction. */
+    private static final long BATCHING_DELAY_MICROS = 5_000;
+
+    private static final long RETRY_DELAY_MICROS = 250_000;
+    /** Delay until the next attempt if nothing may be written within the rate. */
+    private static final long RATE_LIMITED_DELAY_MICROS = 50_000;
+
+    private static final long STUCK_AFTER_MICROS = 15_000_000;
+    /** Writes left to cancellations and admissions on this controller, which do not pass through the queue. */
+    private static final double RESERVED_WRITES = 2;
+    /** The largest part of the burst that {@link #RESERVED_WRITES} may take. */
+    private static final double MAX_RESERVED_FRACTION = 0.25;
+    /** The part of the burst that progress leaves to more urgent writes. */
+    private static final double PROGRESS_RESERVED_FRACTION = 0.3;
+
+    private final StateStore store;
+    private final EventLoop eventLoop;
+    private final String leaderKey;
+    private final long leaderRevision;
+    private final int maxChangesPerTransaction;
+    private final Runnable onLeadershipLost;
+    private final WriteBacklog backlog = new WriteBacklog();
+    private boolean writeInProgress;
+    private long writeStartedAtMicros;
+    private boolean closed;
+
+    /**
+     * @param leaderRevision the revision that the leader key got when this controller became the leader
+     * @param onLeadershipLost called when a write shows that the leader key has changed; nothing is written after it
+     */
+    public WriteQueue(
+            StateStore store,
+            EventLoop eventLoop,
+            String leaderKey,
+            long leaderRevision,
+            int maxChangesPerTransaction,
+            Runnable onLeadershipLost) {
+        this.store = store;
+        this.eventLoop = eventLoop;
+        this.leaderKey = leaderKey;
+        this.leaderRevision = leaderRevision;
+        this.maxChangesPerTransaction = maxChangesPerTransaction;
+        this.onLeadershipLost = onLeadershipLost;
+    }
+
+    /** Queues the write unless one of the same key waits already. */
+    public synchronized void enqueue(PendingWrite write) {
+        add(write);
+        scheduleWrite(BATCHING_DELAY_MICROS);
+    }
+
+    /** Stops writing and discards what waits; the results of a transaction in progress are not reported. */
+    public synchronized void close() {
+        closed = true;
+        backlog.clear();
+    }
+
+    /** The number of writes that wait. */
+    public synchronized int pendingCount() {
+        return backlog.size();
+    }
+
+    /**
+     * The number of waiting writes other than progress. Progress waits on purpose, so that it does not show whether the
+     * store falls behind.
+     */
+    public synchronized int urgentCount() {
+        return backlog.countUrgent();
+    }
+
+    /** True if one transaction has been in progress for longer than its timeouts allow, which means a defect. */
+    public synchronized boolean isStuck() {
+        return writeInProgress && eventLoop.nowMicros() - writeStartedAtMicros > STUCK_AFTER_MICROS;
+    }
+
+    private synchronized void add(PendingWrite write) {
+        backlog.add(write, eventLoop.nowMicros());
+    }
+
+    private synchronized void scheduleWrite(long delayMicros) {
+        if (!writeInProgress && !closed) {
+            writeInProgress = true;
+            writeStartedAtMicros = eventLoop.nowMicros();
+            eventLoop.schedule(delayMicros, this::write);
+        }
+    }
+
+    private void scheduleNextWrite(long delayMicros) {
+        synchronized (this) {
+            writeInProgress = false;
+            if (backlog.isEmpty()) {
+                return;
+            }
+        }
+        scheduleWrite(delayMicros);
+    }
+
+    private void write() {
+        WriteBatch batch;
+        synchronized (this) {
+            if (closed || backlog.isEmpty()) {
+                writeInProgress = false;
+                return;
+            }
+            batch = takeBatch();
+        }
+        if (batch.writes().isEmpty()) {
+            scheduleNextWrite(RATE_LIMITED_DELAY_MICROS);
+            return;
+        }
+        store.commit(batch.transaction()).thenAccept(commit -> handleResult(batch.writes(), commit));
+    }
+
+    /** Removes as many due writes as may be sent now from the backlog. */
+    private WriteBatch takeBatch() {
+        WriteBatch batch = new WriteBatch(leaderKey, leaderRevision);
+        double burst = store.maxWriteBurst();
+        double available = store.availableWrites() - Math.min(RESERVED_WRITES, MAX_RESERVED_FRACTION * burst);
+        for (PendingWrite write : backlog.dueByUrgency(eventLoop.nowMicros())) {
+            // Read before change(), by which the write counts its urgent part as sent.
+            boolean isProgress = write.urgency() == WriteUrgency.PROGRESS;
+            double allowed = isProgress ? available - PROGRESS_RESERVED_FRACTION * burst : available;
+            List<PendingWrite> prerequisites = write.prerequisites();
+            if (!prerequisites.isEmpty()) {
+                backlog.remove(write);
+                prerequisites.forEach(this::add);
+                continue;
+            }
+            KeyChange change = write.change();
+            if (!change.isNone()
+                    && !batch.tryAdd(
+                            write, change, backlog.isExclusive(write), Math.min(maxChangesPerTransaction, allowed))) {
+                break;
+            }
+            backlog.remove(write);
+        }
+        return batch;
+    }
+
+    private synchronized boolean isClosed() {
+        return closed;
+    }
+
+    private void handleResult(List<PendingWrite> writes, CommitResult commit) {
+        if (isClosed()) {
+            return;
+        }
+        switch (commit.outcome()) {
+            case OK -> handleStored(writes, commit.storeRevision());
+            case CONFLICT -> handleConflict(writes, commit.failedKeys());
+            case TOO_LARGE -> handleTooLarge(writes);
+            case UNKNOWN -> {
+                LOG.info("a transaction of {} keys got no response, reading their revisions again", writes.size());
+                rereadRevisions(writes);
+            }
+            default -> {
+                writes.forEach(this::add);
+                scheduleNextWrite(RETRY_DELAY_MICROS);
+            }
+        }
+    }
+
+    private void handleStored(List<PendingWrite> writes, long revision) {
+        setExclusive(writes, false);
+        writes.forEach(write -> notifyResult(write, stored -> stored.onStored(revision)));
+        scheduleNextWrite(BATCHING_DELAY_MICROS);
+    }
+
+    private void handleConflict(List<PendingWrite> writes, List<String> failedKeys) {
+        if (failedKeys.contains(leaderKey)) {
+            onLeadershipLost.run();
+            return;
+        }
+        List<PendingWrite> changedElsewhere = new ArrayList<>();
+        for (PendingWrite write : writes) {
+            if (write.requiredAbsentKey().filter(failedKeys::contains).isPresent()) {
+                notifyResult(write, PendingWrite::onPreconditionFailed);
+            } else if (failedKeys.contains(write.key())) {
+                changedElsewhere.add(write);
+            } else {
+                add(write);
+            }
+        }
+        rereadRevisions(changedElsewhere);
+    }
+
+    /** Writes that are too large together are sent one by one; a write that is too large alone is not sent again. */
+    private void handleTooLarge(List<PendingWrite> writes) {
+        if (writes.size() > 1) {
+            setExclusive(writes, true);
+            writes.forEach(this::add);
+        } else {
+            PendingWrite write = writes.get(0);
+            int bytes = write.change().bytes();
+            LOG.error(
+                    "the state service refuses {} for its size of {} bytes, it is not written again unchanged",
+                    write.key(),
+                    bytes);
+            notifyResult(write, PendingWrite::onTooLarge);
+        }
+        scheduleNextWrite(BATCHING_DELAY_MICROS);
+    }
+
+    private synchronized void setExclusive(List<PendingWrite> writes, boolean exclusive) {
+        writes.forEach(write -> backlog.setExclusive(write, exclusive));
+    }
+
+    /** A write whose callback fails must not keep the others from being written. */
+    private static void notifyResult(PendingWrite write, Consumer<PendingWrite> callback) {
+        try {
+            callback.accept(write);
+        } catch (RuntimeException e) {
+            LOG.error("the result of the write of {} could not be processed", write.key(), e);
+        }
+    }
+
+    /**
+     * Reads the keys' revisions and queues the writes again. If a transaction without a response is carried out after
+     * that, the next write of the same key fails instead of undoing it.
+     */
+    private void rereadRevisions(List<PendingWrite> writes) {
+        if (writes.isEmpty()) {
+            scheduleNextWrite(BATCHING_DELAY_MICROS);
+            return;
+        }
+        List<CompletableFuture<ReadResult>> reads = new ArrayList<>();
+        writes.forEach(write -> reads.add(store.get(write.key())));
+        CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new)).thenRun(() -> {
+            for (int i = 0; i < writes.size(); i++) {
+                ReadResult read = reads.get(i).join();
+                if (read.isConclusive()) {
+                    writes.get(i).onConflict(read.revision());
+                }
+                add(writes.get(i));
+            }
+            scheduleNextWrite(RETRY_DELAY_MICROS);
+        });
+    }
+}
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -1,26 +1,34 @@
 package io.sillreel;
 
+import static io.sillreel.sim.StoredValues.storedValue;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.fleet.Rental;
+import io.sillreel.agent.AgentCommands;
+import io.sillreel.agent.Heartbeat;
+import io.sillreel.agent.Heartbeat.MachineDescription;
+import io.sillreel.cluster.ScaleOutRequest;
+import io.sillreel.cluster.ScaleOutRequestCodec;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Reply;
 import io.sillreel.peer.PeerMessages;
 import io.sillreel.peer.PeerMessages.Hello;
 import io.sillreel.pipeline.ActiveJob;
+import io.sillreel.pipeline.Checkpointing;
+import io.sillreel.pipeline.IgnoringListener;
 import io.sillreel.pipeline.JobSpec;
-import io.sillreel.pipeline.QuietWatcher;
-import io.sillreel.pipeline.Rank;
+import io.sillreel.pipeline.JobSpecCodec;
+import io.sillreel.pipeline.PlacementRequirements;
+import io.sillreel.pipeline.PriorityClass;
 import io.sillreel.pipeline.RetrySchedule;
-import io.sillreel.pipeline.RunRecord;
-import io.sillreel.pipeline.RunRecord.Head;
+import io.sillreel.pipeline.RunRecordCodec;
+import io.sillreel.pipeline.StoredChunks;
+import io.sillreel.pipeline.TaskSpec;
+import io.sillreel.pipeline.Urgency;
 import io.sillreel.settings.ValueLimits;
 import io.sillreel.sim.PreviousVersion;
-import io.sillreel.sim.World;
-import io.sillreel.workers.Commands;
-import io.sillreel.workers.Report;
+import io.sillreel.sim.SimCluster;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.HexFormat;
@@ -75,22 +83,10 @@
                 uid,
                 "train",
                 "vision",
-                Rank.HIGH,
+                new Urgency(PriorityClass.HIGH, 900_000_000L),
                 pieces,
-                8.0,
-                1.0,
-                64.0,
-                "img-07",
-                6.2,
-                List.of("g8", "c4"),
-                "a",
-                true,
-                false,
-                true,
-                240_000_000L,
-                30_000_000L,
-                4_000_000L,
-                900_000_000L,
+                new TaskSpec(8.0, 1.0, 64.0, "img-07", 6.2, 240_000_000L, new Checkpointing(30_000_000L, 4_000_000L)),
+                new PlacementRequirements(List.of("g8", "c4"), "a", true, false, true),
                 List.of());
     }
 
@@ -103,23 +99,23 @@
     }
 
     private static ActiveJob job(int pieces) {
-        return new ActiveJob(spec("job-000412", pieces), 7, 0, ValueLimits.fixed(2_048), new QuietWatcher());
+        return new ActiveJob(spec("job-000412", pieces), 7, 0, ValueLimits.fixed(2_048), new IgnoringListener());
     }
 
     @Test
     void whatItStoredIsRead() {
-        assertThat(JobSpec.ofPlan(json(PLAN).path("job"))).isEqualTo(spec("job-000412", 16));
+        assertThat(JobSpecCodec.decode(json(PLAN).path("job"))).isEqualTo(spec("job-000412", 16));
         ActiveJob job = job(16);
-        job.inherit(9, Head.of(json(RUNNING)), RunRecord.StoredParts.NONE);
+        job.inherit(9, RunRecordCodec.decode(json(RUNNING)), StoredChunks.NONE);
         assertThat(job.doneCount()).isEqualTo(3);
-        assertThat(job.isStored(15)).isTrue();
-        assertThat(job.awaitsOthers()).isFalse();
-        assertThat(Head.of(json(DONE)).isDone()).isTrue();
-        assertThat(Head.of(json(FAILED)).reason()).startsWith("attempt 1 failed");
-        Rental rental = Rental.of("hire/r-5-12", json(RENTAL), 9);
-        assertThat(rental.machines()).containsExactly("host-000231", "host-000232");
-        assertThat(rental.mayHold("host-000231")).isTrue();
-        assertThat(rental.mayHold("host-000232")).isFalse();
+        assertThat(job.isTaskStored(15)).isTrue();
+        assertThat(job.hasUnmetDependencies()).isFalse();
+        assertThat(RunRecordCodec.decode(json(DONE)).isDone()).isTrue();
+        assertThat(RunRecordCodec.decode(json(FAILED)).reason()).startsWith("attempt 1 failed");
+        ScaleOutRequest scaleOutRequest = ScaleOutRequestCodec.decode("hire/r-5-12", json(RENTAL), 9);
+        assertThat(scaleOutRequest.machines()).containsExactly("host-000231", "host-000232");
+        assertThat(scaleOutRequest.isStoredAsUp("host-000231")).isTrue();
+        assertThat(scaleOutRequest.isStoredAsUp("host-000232")).isFalse();
     }
 
     /**
@@ -154,25 +150,26 @@
     @Test
     void whatItReadsIsWrittenAsItWroteIt() {
         var plan = Json.object().put("at_us", 1_700_000_123_456_789L);
-        plan.set("job", spec("job-000412", 16).json());
+        plan.set("job", JobSpecCodec.encode(spec("job-000412", 16)));
         assertThat(plan.toString()).isEqualTo(PLAN);
         ActiveJob job = job(16);
-        List.of(0, 3, 15).forEach(job::settle);
+        List.of(0, 3, 15).forEach(job::markTaskDone);
         job.allocate(4);
-        assertThat(job.changes().get("run/job-000412").toString()).isEqualTo(RUNNING);
+        assertThat(storedValue(job.recordWrite(), "run/job-000412").toString()).isEqualTo(RUNNING);
         ActiveJob done = job(2);
-        List.of(0, 1).forEach(done::settle);
-        assertThat(done.changes().get("run/job-000412").toString()).isEqualTo(DONE);
+        List.of(0, 1).forEach(done::markTaskDone);
+        assertThat(storedValue(done.recordWrite(), "run/job-000412").toString()).isEqualTo(DONE);
         ActiveJob failed = job(2);
-        failed.failAttempt(
+        failed.recordFailedAttempt(
                 new RetrySchedule(2, 10, 60),
                 1_700_000_123_456_789L,
                 "its tasks failed on host-000001 and host-000002");
-        assertThat(failed.changes().get("run/job-000412").toString()).isEqualTo(FAILED);
-        Rental rental = new Rental("r-5-12", "g8", "a", true, 12);
-        rental.answered(List.of("host-000231", "host-000232"));
-        rental.cameUp("host-000231");
-        assertThat(rental.changes().get("hire/r-5-12").toString()).isEqualTo(RENTAL);
+        assertThat(storedValue(failed.recordWrite(), "run/job-000412").toString())
+                .isEqualTo(FAILED);
+        ScaleOutRequest scaleOutRequest = new ScaleOutRequest("r-5-12", "g8", "a", true, 12);
+        scaleOutRequest.recordAnswer(List.of("host-000231", "host-000232"));
+        scaleOutRequest.markUp("host-000231");
+        assertThat(storedValue(scaleOutRequest, "hire/r-5-12").toString()).isEqualTo(RENTAL);
     }
 
     @Test
@@ -181,26 +178,25 @@
         assertThat(Hello.of(bytes(HELLO))).isEqualTo(hello);
         assertThat(hello.bytes()).isEqualTo(bytes(HELLO));
         assertThat(Hello.of(bytes(HELLO_WITHOUT_LEADER)).leader()).isNull();
-        Report report = new Report(
+        Heartbeat heartbeat = new Heartbeat(
                 "host-000231",
                 "10.1.0.232:9000",
-                "g8",
-                "a",
-                true,
+                new MachineDescription("g8", "a", true),
                 1,
                 88,
                 41,
                 -1,
                 List.of(
-                        new Report.TaskState("job-000412", 3, 2L + (41L << 32), Report.Stage.RUNNING, ""),
-                        new Report.TaskState("job-000398", 0, 1, Report.Stage.ENDED, "done")));
-        assertThat(PeerMessages.reports(bytes(HEARTBEATS))).containsExactly(report);
-        assertThat(PeerMessages.heartbeats(List.of(report)).body()).isEqualTo(bytes(HEARTBEATS));
-        Commands commands = new Commands();
+                        new Heartbeat.TaskStatus("job-000412", 3, 2L + (41L << 32), Heartbeat.TaskStage.RUNNING, ""),
+                        new Heartbeat.TaskStatus("job-000398", 0, 1, Heartbeat.TaskStage.ENDED, "done")));
+        assertThat(PeerMessages.decodeHeartbeats(bytes(HEARTBEATS))).containsExactly(heartbeat);
+        assertThat(PeerMessages.heartbeats(List.of(heartbeat)).body()).isEqualTo(bytes(HEARTBEATS));
+        AgentCommands commands = new AgentCommands();
         commands.launch("job-000412", 4, 7);
-        List<Reply> replies = List.of(commands.reply(41), Reply.later(503, "a newer report was seen", 1));
-        assertThat(PeerMessages.answers(replies)).isEqualTo(bytes(ANSWERS));
-        assertThat(PeerMessages.replies(bytes(ANSWERS))).hasSize(2);
+        List<HttpResponse> replies =
+                List.of(commands.toResponse(41), HttpResponse.retryLater(503, "a newer report was seen", 1));
+        assertThat(PeerMessages.encodeResponses(replies)).isEqualTo(bytes(ANSWERS));
+        assertThat(PeerMessages.decodeResponses(bytes(ANSWERS))).hasSize(2);
         assertThat(PeerMessages.cancelled("job-000412").body()).isEqualTo(bytes(CANCELLED));
         assertThat(PeerMessages.cancelled(bytes(CANCELLED))).containsExactly("job-000412");
     }
@@ -208,10 +204,10 @@
     /** Guards its takeover: it takes whatever follows a slash under run/ for a number, and lists no other prefix. */
     @Test
     void itsListsHoldOnlyWhatItKnows() {
-        World world = new World(41);
+        SimCluster world = new SimCluster(41);
         world.seconds(2);
         for (int job = 1; job <= 6; job++) {
-            world.submit(job % 3, World.job("job-%06d".formatted(job), 5));
+            world.submit(job % 3, SimCluster.job("job-%06d".formatted(job), 5));
         }
         world.cancel(0, "job-000003");
         world.seconds(20);
@@ -236,19 +232,22 @@
         }
         JsonNode stored = json("{\"build\":\"c4\",\"yard\":\"a\",\"spot\":true,\"count\":50,\"machines\":[" + names
                 + "],\"up\":[" + names + "]}");
-        Rental rental = Rental.of("hire/r-5-12", stored, 9);
-        int most = Rental.mostMachines(1_024);
-        List<Rental> parts = rental.split(most, again -> {});
-        assertThat(rental.first()).hasSameSizeAs(parts);
-        int machines = rental.machines().size();
-        for (Rental part : parts) {
-            assertThat(part.machines()).allMatch(part::mayHold);
-            assertThat(part.changes().get(part.key()).toString().length()).isLessThan(1_024);
+        ScaleOutRequest scaleOutRequest = ScaleOutRequestCodec.decode("hire/r-5-12", stored, 9);
+        int most = ScaleOutRequest.maxMachines(1_024);
+        List<ScaleOutRequest> parts = scaleOutRequest.split(most, again -> {});
+        assertThat(scaleOutRequest.prerequisites()).hasSameSizeAs(parts);
+        int machines = scaleOutRequest.machines().size();
+        for (ScaleOutRequest part : parts) {
+            assertThat(part.machines()).allMatch(part::isStoredAsUp);
+            assertThat(storedValue(part, part.key()).toString().length()).isLessThan(1_024);
             machines += part.machines().size();
-            part.stored(10);
+            part.onStored(10);
         }
         assertThat(machines).isEqualTo(50);
-        assertThat(rental.first()).isEmpty();
-        assertThat(rental.changes().get(rental.key()).toString().length()).isLessThan(1_024);
+        assertThat(scaleOutRequest.prerequisites()).isEmpty();
+        assertThat(storedValue(scaleOutRequest, scaleOutRequest.key())
+                        .toString()
+                        .length())
+                .isLessThan(1_024);
     }
 }
--- a/src/test/java/io/sillreel/cloud/CloudClientTest.java
+++ b/src/test/java/io/sillreel/cloud/CloudClientTest.java
@@ -5,15 +5,15 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.netty.handler.codec.http.QueryStringDecoder;
-import io.sillreel.cloud.CloudClient.Machines;
+import io.sillreel.cloud.CloudClient.MachineList;
 import io.sillreel.cloud.CloudClient.Outcome;
-import io.sillreel.http.Call;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Reply;
+import io.sillreel.overload.RateLimiter;
 import io.sillreel.sim.SimNetwork;
 import io.sillreel.sim.SimNetwork.Fate;
 import io.sillreel.sim.SimTime;
-import io.sillreel.statestore.Pacer;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.IntStream;
@@ -28,20 +28,20 @@
     private final SimTime time = new SimTime();
     private final SimNetwork network = new SimNetwork(time, 1);
     private final SimTime.Process process = time.new Process();
-    private final Pacer pacer = new Pacer(process, RATE, RATE);
+    private final RateLimiter pacer = new RateLimiter(process, RATE, RATE);
     private final CloudClient cloud = new CloudClient(network.from("node", process), process, "cloud:1", pacer);
     private int requests;
 
     CloudClientTest() {
-        network.listen("cloud:1", call -> CompletableFuture.completedFuture(answer(call)));
+        network.listen("cloud:1", request -> CompletableFuture.completedFuture(answer(request)));
     }
 
-    private Reply answer(Call call) {
+    private HttpResponse answer(HttpRequest request) {
         requests++;
-        if (call.method().equals("POST")) {
-            return Reply.of(200, Json.object());
+        if (request.method().equals("POST")) {
+            return HttpResponse.of(200, Json.object());
         }
-        QueryStringDecoder query = new QueryStringDecoder(call.path());
+        QueryStringDecoder query = new QueryStringDecoder(request.path());
         String since =
                 query.parameters().getOrDefault("since", List.of("host-000000")).get(0);
         int first = Integer.parseInt(since.substring("host-".length())) + 1;
@@ -51,13 +51,13 @@
         for (int each = first; each < first + limit && each <= MACHINES; each++) {
             hoppers.addObject().put("uid", "host-%06d".formatted(each)).put("stage", "running");
         }
-        return Reply.of(200, body);
+        return HttpResponse.of(200, body);
     }
 
     /** Guards the list of a large fleet: a page beyond the rate ended it, so that beyond some 500 it never came. */
     @Test
     void theListOfALargeFleetComesAtALowRate() {
-        CompletableFuture<Machines> list = cloud.machines();
+        CompletableFuture<MachineList> list = cloud.listMachines();
         time.runFor(12 * SECOND);
         assertThat(list).isCompletedWithValueMatching(machines -> machines.outcome() == Outcome.OK);
         assertThat(list.join().machines()).hasSize(MACHINES);
@@ -66,10 +66,10 @@
 
     @Test
     void aListLeavesRoomForReturnsAndEndsThoughTheyTakeAllThatIsThere() {
-        CompletableFuture<Machines> list = cloud.machines();
+        CompletableFuture<MachineList> list = cloud.listMachines();
         int served = 0;
         for (int second = 0; second < 60; second++) {
-            CompletableFuture<Outcome> given = cloud.giveBack(List.of("host-000001"));
+            CompletableFuture<Outcome> given = cloud.returnMachines(List.of("host-000001"));
             time.runFor(SECOND);
             served += given.join() == Outcome.OK ? 1 : 0;
         }
@@ -82,24 +82,24 @@
         List<String> many =
                 IntStream.range(0, 250).mapToObj("host-%06d"::formatted).toList();
         int[] named = new int[1];
-        network.add((from, to, call) -> {
-            named[0] = Json.parse(call.body()).path("hoppers").size();
+        network.add((from, to, request) -> {
+            named[0] = Json.parse(request.body()).path("hoppers").size();
             return null;
         });
-        cloud.giveBack(many);
+        cloud.returnMachines(many);
         time.runFor(SECOND);
         assertThat(named[0]).isEqualTo(100);
     }
 
     @Test
     void aRefusedPageIsAskedForAgainAndAnOutageEndsTheList() {
-        network.add((from, to, call) -> requests++ % 3 == 0 ? Fate.REFUSE : null);
-        CompletableFuture<Machines> list = cloud.machines();
+        network.add((from, to, request) -> requests++ % 3 == 0 ? Fate.REFUSE : null);
+        CompletableFuture<MachineList> list = cloud.listMachines();
         time.runFor(60 * SECOND);
         assertThat(list.join().machines()).hasSize(MACHINES);
-        network.add((from, to, call) -> Fate.REFUSE);
+        network.add((from, to, request) -> Fate.REFUSE);
         network.silence("cloud:1");
-        CompletableFuture<Machines> refused = cloud.machines();
+        CompletableFuture<MachineList> refused = cloud.listMachines();
         time.runFor(60 * SECOND);
         assertThat(refused.join().outcome()).isNotEqualTo(Outcome.OK);
     }
--- a/src/test/java/io/sillreel/fleet/FleetRegistryTest.java
+++ b/src/test/java/io/sillreel/fleet/FleetRegistryTest.java
@@ -3,12 +3,15 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.sillreel.cloud.MachineType;
-import io.sillreel.placement.Cluster;
+import io.sillreel.cloud.MachineType.ImageStorage;
+import io.sillreel.cloud.MachineType.Pricing;
+import io.sillreel.cluster.Cluster;
+import io.sillreel.cluster.Machine;
 import io.sillreel.settings.ValueLimits;
 import io.sillreel.sim.SimNetwork;
 import io.sillreel.sim.SimTime;
-import io.sillreel.statestore.KeyWriter;
 import io.sillreel.statestore.StateStore;
+import io.sillreel.statestore.WriteQueue;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -25,13 +28,15 @@
             process,
             1,
             cluster,
-            new KeyWriter(store, process, "leader", 1, 4, () -> {}),
+            new WriteQueue(store, process, "leader", 1, 4, () -> {}),
             ValueLimits.fixed(2_048),
-            () -> Map.of("c4", new MachineType("c4", 4, 0, 16, 50, 1, 1, 0.5, 1, List.of("a"))),
+            () -> Map.of(
+                    "c4",
+                    new MachineType("c4", 4, 0, 16, new ImageStorage(50, 1), new Pricing(1, 0.5), 1, List.of("a"))),
             Machine::clearAllocations);
 
     private void comeAndGo(String name) {
-        registry.remove(registry.adopt(name, "c4", "a", true));
+        registry.remove(registry.adopt(name, "c4", "a", true).orElseThrow());
     }
 
     /** Guards against reports that come minutes late, and against names that pile up for as long as a term lasts. */
@@ -40,11 +45,11 @@
         comeAndGo("host-000001");
         time.runFor(59 * MINUTE);
         comeAndGo("host-000002");
-        assertThat(registry.isGone("host-000001")).isTrue();
+        assertThat(registry.wasReturned("host-000001")).isTrue();
         time.runFor(2 * MINUTE);
         comeAndGo("host-000003");
-        assertThat(registry.isGone("host-000001")).isFalse();
-        assertThat(registry.isGone("host-000002")).isTrue();
+        assertThat(registry.wasReturned("host-000001")).isFalse();
+        assertThat(registry.wasReturned("host-000002")).isTrue();
         assertThat(cluster.machines()).isEmpty();
     }
 }
--- a/src/test/java/io/sillreel/workers/AttemptIdsTest.java
+++ b/src/test/java/io/sillreel/heartbeat/AttemptIdsTest.java
@@ -1,4 +1,4 @@
-package io.sillreel.workers;
+package io.sillreel.heartbeat;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -11,7 +11,7 @@
     void aTermGivesNoIdOfTheFollowingOne() {
         AttemptIds ids = new AttemptIds(7, (1L << 32) - 2);
         assertThat(ids.next()).isEqualTo((8L << 32) - 1).isLessThan(new AttemptIds(8).next());
-        assertThat(ids.exhausted()).isTrue();
+        assertThat(ids.isExhausted()).isTrue();
         assertThatThrownBy(ids::next).isInstanceOf(IllegalStateException.class);
     }
 }
--- a/src/test/java/io/sillreel/http/RequestQueueTest.java
+++ b/src/test/java/io/sillreel/http/RequestQueueTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.sillreel.http.RequestQueue.Line;
+import io.sillreel.http.RequestQueue.RequestClass;
 import io.sillreel.sim.SimTime;
 import java.util.ArrayList;
 import java.util.List;
@@ -16,9 +16,9 @@
     private final RequestQueue requestQueue = new RequestQueue(process, 4 * 1024 * 1024);
     private final List<String> served = new ArrayList<>();
 
-    private void ask(Line line, String who, long givesUpAfterMicros) {
+    private void ask(RequestClass requestClass, String who, long givesUpAfterMicros) {
         long until = time.nowMicros() + givesUpAfterMicros;
-        requestQueue.await(line, 1_000, () -> time.nowMicros() < until, () -> {
+        requestQueue.enqueue(requestClass, 1_000, () -> time.nowMicros() < until, () -> {
             process.works(WORK_MICROS);
             served.add(who);
         });
@@ -26,7 +26,7 @@
 
     private void crowd(int size) {
         for (int i = 0; i < size; i++) {
-            ask(Line.CROWD, "worker", 4_000_000);
+            ask(RequestClass.WORKERS, "worker", 4_000_000);
         }
     }
 
@@ -36,7 +36,7 @@
         crowd(300);
         long due = time.nowMicros() + 100_000;
         long[] done = new long[1];
-        process.after(100_000, () -> done[0] = time.nowMicros());
+        process.schedule(100_000, () -> done[0] = time.nowMicros());
         time.runFor(10_000_000);
         assertThat(done[0] - due).isBetween(0L, 700_000L);
     }
@@ -44,8 +44,8 @@
     @Test
     void usersAndTheCrowdTakeTurns() {
         crowd(20);
-        ask(Line.USERS, "user", 2_000_000);
-        ask(Line.USERS, "user", 2_000_000);
+        ask(RequestClass.USERS, "user", 2_000_000);
+        ask(RequestClass.USERS, "user", 2_000_000);
         time.runFor(300_000);
         assertThat(served.subList(0, 4)).containsExactlyInAnyOrder("worker", "user", "worker", "user");
     }
@@ -56,21 +56,21 @@
         process.freeze(5_000_000);
         crowd(50);
         time.runFor(5_000_000);
-        ask(Line.CROWD, "late", 4_000_000);
+        ask(RequestClass.WORKERS, "late", 4_000_000);
         time.runFor(1_000_000);
         assertThat(served).containsExactly("late");
-        assertThat(requestQueue.givenUp()).isEqualTo(50);
-        assertThat(requestQueue.waiting()).isZero();
+        assertThat(requestQueue.abandonedCount()).isEqualTo(50);
+        assertThat(requestQueue.waitingCount()).isZero();
     }
 
     /** Guards against serving everybody just too late: whoever has waited longest is the next to give up. */
     @Test
     void theNewestGoFirstOnceTheLineIsLong() {
         process.freeze(2_000_000);
-        ask(Line.CROWD, "old", 4_000_000);
-        ask(Line.CROWD, "older than new", 4_000_000);
+        ask(RequestClass.WORKERS, "old", 4_000_000);
+        ask(RequestClass.WORKERS, "older than new", 4_000_000);
         time.runFor(1_900_000);
-        ask(Line.CROWD, "new", 4_000_000);
+        ask(RequestClass.WORKERS, "new", 4_000_000);
         time.runFor(1_000_000);
         assertThat(served).containsExactly("new", "older than new", "old");
     }
@@ -79,20 +79,21 @@
     @Test
     void whatIsTooMuchToKeepIsRefused() {
         int taken = 0;
-        while (taken < 1_000 && requestQueue.await(Line.USERS, 64 * 1024, () -> true, () -> served.add("user"))) {
+        while (taken < 1_000
+                && requestQueue.enqueue(RequestClass.USERS, 64 * 1024, () -> true, () -> served.add("user"))) {
             taken++;
         }
         assertThat(taken).isBetween(32, 64);
         time.runFor(100_000);
         assertThat(served).hasSize(taken);
-        assertThat(requestQueue.await(Line.USERS, 64 * 1024, () -> true, () -> {}))
+        assertThat(requestQueue.enqueue(RequestClass.USERS, 64 * 1024, () -> true, () -> {}))
                 .isTrue();
     }
 
     @Test
     void healthChecksDoNotWait() {
         crowd(100);
-        ask(Line.AT_ONCE, "check", 1_000_000);
+        ask(RequestClass.IMMEDIATE, "check", 1_000_000);
         assertThat(served).containsExactly("check");
     }
 }
--- a/src/test/java/io/sillreel/ownership/StoredStateReaderTest.java
+++ b/src/test/java/io/sillreel/leadership/StoredStateReaderTest.java
@@ -1,17 +1,17 @@
-package io.sillreel.ownership;
+package io.sillreel.leadership;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.sillreel.http.Call;
+import io.sillreel.http.HttpRequest;
 import io.sillreel.http.Json;
 import io.sillreel.pipeline.JobIdSet;
 import io.sillreel.pipeline.PlanRecord;
 import io.sillreel.pipeline.RunRecord;
+import io.sillreel.sim.SimCluster;
 import io.sillreel.sim.SimNetwork;
 import io.sillreel.sim.SimNetwork.Fate;
-import io.sillreel.sim.SimState;
+import io.sillreel.sim.SimStateStore;
 import io.sillreel.sim.SimTime;
-import io.sillreel.sim.World;
 import io.sillreel.statestore.StateStore;
 import java.util.ArrayList;
 import java.util.List;
@@ -27,7 +27,7 @@
     private static final int VALUE_BYTES = 8 * 1024;
 
     private final SimTime time = new SimTime();
-    private final SimState state = new SimState(time, 20, VALUE_BYTES, 1e9);
+    private final SimStateStore state = new SimStateStore(time, 20, VALUE_BYTES, 1e9);
     private final List<String> unfinished = new ArrayList<>();
     private final List<String> released = new ArrayList<>();
 
@@ -37,14 +37,14 @@
                 .addObject()
                 .put("set", key)
                 .set("v", Json.parse(value.toString().getBytes()));
-        state.handle(Call.post("/txn", body)).join();
+        state.handle(HttpRequest.post("/txn", body)).join();
     }
 
     /** Stores jobs under ids of many lengths in a random order: some done, some released, some only admitted. */
     private void store(Random random) {
         for (int job = 0; job < JOBS; job++) {
             String uid = "job-" + "0".repeat(random.nextInt(4)) + job;
-            put(PlanRecord.key(uid), Json.object().put("at_us", job).set("job", World.job(uid, 4)));
+            put(PlanRecord.key(uid), Json.object().put("at_us", job).set("job", SimCluster.job(uid, 4)));
             int kind = random.nextInt(3);
             if (kind == 0) {
                 put(RunRecord.key(uid), Json.object().put("stage", RunRecord.DONE));
@@ -68,7 +68,7 @@
         store(random);
         SimNetwork network = new SimNetwork(time, repetition.getCurrentRepetition());
         network.listen("state:1", state);
-        network.add((from, to, call) -> switch (random.nextInt(6)) {
+        network.add((from, to, request) -> switch (random.nextInt(6)) {
             case 0 -> Fate.SLOW_ANSWER;
             case 1 -> Fate.REFUSE;
             default -> null;
@@ -95,11 +95,11 @@
         SimNetwork network = new SimNetwork(time, 1);
         network.listen("state:1", state);
         int[] plans = new int[1];
-        network.add((from, to, call) -> {
-            if (call.path().contains("prefix=run/")) {
+        network.add((from, to, request) -> {
+            if (request.path().contains("prefix=run/")) {
                 return Fate.REFUSE;
             }
-            return call.path().contains("prefix=plan/") && plans[0]++ == 0 ? Fate.LOSE : null;
+            return request.path().contains("prefix=plan/") && plans[0]++ == 0 ? Fate.LOSE : null;
         });
         SimTime.Process process = time.new Process();
         CompletableFuture<Optional<StoredState>> read = new StoredStateReader(
--- a/src/test/java/io/sillreel/load/LossMeasurement.java
+++ b/src/test/java/io/sillreel/load/LossMeasurement.java
@@ -1,9 +1,9 @@
 package io.sillreel.load;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import io.sillreel.http.Loop;
-import io.sillreel.sim.SimState;
-import io.sillreel.sim.SimState.Image;
+import io.sillreel.http.EventLoop;
+import io.sillreel.sim.SimStateStore;
+import io.sillreel.sim.SimStateStore.Image;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
@@ -13,14 +13,14 @@
 final class LossMeasurement {
     private static final long GIVE_UP_MICROS = 120_000_000;
 
-    private final Loop loop;
-    private final SimState state;
-    private final StandIns standIns;
+    private final EventLoop eventLoop;
+    private final SimStateStore state;
+    private final SimulatedServices standIns;
     private final Supplier<JsonNode> status;
 
     /** @param status what the controller that leads says of the loss */
-    LossMeasurement(Loop loop, SimState state, StandIns standIns, Supplier<JsonNode> status) {
-        this.loop = loop;
+    LossMeasurement(EventLoop eventLoop, SimStateStore state, SimulatedServices standIns, Supplier<JsonNode> status) {
+        this.eventLoop = eventLoop;
         this.state = state;
         this.standIns = standIns;
         this.status = status;
@@ -30,13 +30,13 @@
     void measure(int lostSeconds) throws InterruptedException {
         Image image = inLoop(state::image);
         TimeUnit.SECONDS.sleep(lostSeconds);
-        long ledger = inLoop(state::ledger);
-        long begun = loop.nowMicros();
+        long storeRevision = inLoop(state::ledger);
+        long begun = eventLoop.nowMicros();
         inLoop(() -> {
             state.turnBack(image);
             return true;
         });
-        long lost = ledger - inLoop(state::ledger);
+        long lost = storeRevision - inLoop(state::ledger);
         double noticed =
                 untilSeconds(begun, () -> status.get().path("generation").asLong() > 0);
         double closed =
@@ -50,15 +50,15 @@
     }
 
     private double untilSeconds(long begun, BooleanSupplier condition) throws InterruptedException {
-        while (!condition.getAsBoolean() && loop.nowMicros() - begun < GIVE_UP_MICROS) {
+        while (!condition.getAsBoolean() && eventLoop.nowMicros() - begun < GIVE_UP_MICROS) {
             TimeUnit.MILLISECONDS.sleep(20);
         }
-        return (loop.nowMicros() - begun) / 1e6;
+        return (eventLoop.nowMicros() - begun) / 1e6;
     }
 
     private <T> T inLoop(Supplier<T> work) {
         CompletableFuture<T> result = new CompletableFuture<>();
-        loop.execute(() -> result.complete(work.get()));
+        eventLoop.execute(() -> result.complete(work.get()));
         return result.join();
     }
 }
--- a/src/test/java/io/sillreel/load/StandIns.java
+++ b/src/test/java/io/sillreel/load/SimulatedServices.java
@@ -3,15 +3,14 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.netty.channel.EventLoop;
-import io.sillreel.http.Call;
-import io.sillreel.http.HttpClient;
+import io.sillreel.http.EventLoop;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Loop;
-import io.sillreel.http.Reply;
+import io.sillreel.http.NettyHttpClient;
+import io.sillreel.overload.RateLimiter;
 import io.sillreel.sim.MachinePages;
-import io.sillreel.sim.World;
-import io.sillreel.statestore.Pacer;
+import io.sillreel.sim.SimCluster;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -26,19 +25,19 @@
  * A cloud and its machines on real sockets, as far as a load needs them: nothing fails, no rule is checked. Lists come
  * in pages, and what passes the cloud's rate is refused.
  */
-final class StandIns {
+final class SimulatedServices {
     private static final long SECOND = 1_000_000;
     private static final long ANSWER_MICROS = 4 * SECOND;
     private static final int CPUS = 4;
     private static final int MAX_ANSWER_BYTES = 1 << 20;
     private static final double BURST_SECONDS = 2;
 
+    private final io.netty.channel.EventLoop nettyLoop;
     private final EventLoop eventLoop;
-    private final Loop loop;
     private final List<String> controllers;
     private final int capacity;
     private final long reportMicros;
-    private final Pacer cloudRate;
+    private final RateLimiter cloudRate;
     private final Random random = new Random(1);
     private final TreeMap<String, Worker> workers = new TreeMap<>();
     private final Map<String, ArrayNode> rentals = new LinkedHashMap<>();
@@ -50,19 +49,19 @@
     private final Map<String, Long> launchedMicros = new ConcurrentHashMap<>();
 
     /** @param cloudRate how many requests the cloud takes a second */
-    StandIns(
+    SimulatedServices(
+            io.netty.channel.EventLoop nettyLoop,
             EventLoop eventLoop,
-            Loop loop,
             List<String> controllers,
             int capacity,
             long reportMicros,
             double cloudRate) {
+        this.nettyLoop = nettyLoop;
         this.eventLoop = eventLoop;
-        this.loop = loop;
         this.controllers = controllers;
         this.capacity = capacity;
         this.reportMicros = reportMicros;
-        this.cloudRate = new Pacer(loop, cloudRate, BURST_SECONDS * cloudRate);
+        this.cloudRate = new RateLimiter(eventLoop, cloudRate, BURST_SECONDS * cloudRate);
     }
 
     /** Lists that were answered up to their last page. */
@@ -93,25 +92,25 @@
                 .anyMatch(entry -> entry.getValue() > micros && jobs.contains(entry.getKey()));
     }
 
-    CompletableFuture<Reply> cloud(Call call) {
-        if (!cloudRate.tryTake(1)) {
+    CompletableFuture<HttpResponse> cloud(HttpRequest request) {
+        if (!cloudRate.tryAcquire(1)) {
             refused++;
-            return CompletableFuture.completedFuture(Reply.refusal(429, "too many requests"));
+            return CompletableFuture.completedFuture(HttpResponse.error(429, "too many requests"));
         }
         return CompletableFuture.completedFuture(
-                switch (call.method() + " " + call.route()) {
-                    case "GET /flavors" -> Reply.of(200, machineTypes());
-                    case "POST /machines" -> rental(Json.parse(call.body()));
+                switch (request.method() + " " + request.route()) {
+                    case "GET /flavors" -> HttpResponse.of(200, machineTypes());
+                    case "POST /machines" -> rental(Json.parse(request.body()));
                     case "POST /machines/return" -> {
-                        Json.parse(call.body()).path("hoppers").forEach(name -> {
+                        Json.parse(request.body()).path("hoppers").forEach(name -> {
                             Worker gone = workers.remove(name.asText());
                             if (gone != null) {
                                 gone.gone = true;
                             }
                         });
-                        yield Reply.of(200, Json.object());
+                        yield HttpResponse.of(200, Json.object());
                     }
-                    default -> list(call);
+                    default -> list(request);
                 });
     }
 
@@ -133,7 +132,7 @@
         return body;
     }
 
-    private Reply rental(JsonNode body) {
+    private HttpResponse rental(JsonNode body) {
         ArrayNode names = rentals.computeIfAbsent(body.path("hire").asText(), request -> {
             ArrayNode fresh = Json.array();
             for (int i = 0; i < body.path("count").asInt() && workers.size() < capacity; i++) {
@@ -141,21 +140,21 @@
                         new Worker("host-%06d".formatted(rentals.size() * 100 + i), random.nextInt(controllers.size()));
                 workers.put(worker.name, worker);
                 fresh.add(worker.name);
-                loop.after(SECOND + random.nextInt((int) SECOND), worker::report);
+                eventLoop.schedule(SECOND + random.nextInt((int) SECOND), worker::report);
             }
             return fresh;
         });
         if (names.isEmpty()) {
-            return Reply.refusal(503, "no capacity");
+            return HttpResponse.error(503, "no capacity");
         }
         ObjectNode answer = Json.object();
         answer.set("hoppers", names);
-        return Reply.of(200, answer);
+        return HttpResponse.of(200, answer);
     }
 
-    private Reply list(Call call) {
-        Reply page = MachinePages.page(
-                call,
+    private HttpResponse list(HttpRequest request) {
+        HttpResponse page = MachinePages.page(
+                request,
                 workers,
                 (worker, entry) -> entry.put("addr", "127.0.0.1:1")
                         .put("build", "c4")
@@ -167,7 +166,7 @@
 
     private final class Worker {
         private final String name;
-        private final HttpClient client = new HttpClient(eventLoop, 1, MAX_ANSWER_BYTES);
+        private final NettyHttpClient client = new NettyHttpClient(nettyLoop, 1, MAX_ANSWER_BYTES);
         private final Map<String, ObjectNode> tasks = new LinkedHashMap<>();
         private final Map<String, Long> ends = new LinkedHashMap<>();
         private int node;
@@ -184,7 +183,7 @@
             if (gone) {
                 return;
             }
-            long now = loop.nowMicros();
+            long now = eventLoop.nowMicros();
             ends.forEach((key, at) -> {
                 if (at <= now && !tasks.get(key).has("cause")) {
                     tasks.get(key).put("stage", "ended").put("cause", "done");
@@ -201,23 +200,23 @@
                     .put("baton", token);
             ArrayNode pieces = body.putArray("pieces");
             tasks.values().forEach(pieces::add);
-            client.call(controllers.get(node), Call.post("/agent/beat", body), ANSWER_MICROS)
+            client.send(controllers.get(node), HttpRequest.post("/agent/beat", body), ANSWER_MICROS)
                     .thenAccept(this::answered);
         }
 
-        private void answered(Reply reply) {
-            if (reply.status() == 421) {
-                node = Integer.parseInt(reply.json().path("foreman").asText().substring("hopper-".length()));
-                loop.after(SECOND / 4, this::report);
+        private void answered(HttpResponse response) {
+            if (response.status() == 421) {
+                node = Integer.parseInt(response.json().path("foreman").asText().substring("hopper-".length()));
+                eventLoop.schedule(SECOND / 4, this::report);
                 return;
             }
-            if (!reply.ok()) {
+            if (!response.isOk()) {
                 node = (node + 1) % controllers.size();
-                loop.after(SECOND, this::report);
+                eventLoop.schedule(SECOND, this::report);
                 return;
             }
             answered++;
-            JsonNode body = reply.json();
+            JsonNode body = response.json();
             boolean changed = body.path("baton").asLong() > token;
             token = Math.max(token, body.path("baton").asLong());
             for (JsonNode order : body.path("orders")) {
@@ -226,37 +225,37 @@
                 changed = true;
                 if (order.path("verb").asText().equals("launch")) {
                     launched++;
-                    launchedMicros.put(piece.substring(0, piece.indexOf('/')), loop.nowMicros());
+                    launchedMicros.put(piece.substring(0, piece.indexOf('/')), eventLoop.nowMicros());
                     tasks.putIfAbsent(
                             key,
                             Json.object()
                                     .put("piece", piece)
                                     .put("try", order.path("try").asLong())
                                     .put("stage", "running"));
-                    ends.putIfAbsent(key, loop.nowMicros() + 10 * SECOND + random.nextInt((int) (20 * SECOND)));
+                    ends.putIfAbsent(key, eventLoop.nowMicros() + 10 * SECOND + random.nextInt((int) (20 * SECOND)));
                 } else {
                     tasks.remove(key);
                     ends.remove(key);
                 }
             }
             long spread = reportMicros * 3 / 4 + random.nextInt((int) reportMicros / 2);
-            loop.after(changed ? SECOND / 2 : spread, this::report);
+            eventLoop.schedule(changed ? SECOND / 2 : spread, this::report);
         }
     }
 
     /** Jobs that were submitted and are not known to be done. */
     static final class Users {
-        private final Loop loop;
-        private final HttpClient client;
+        private final EventLoop eventLoop;
+        private final NettyHttpClient client;
         private final List<String> controllers;
         private final List<String> open = new CopyOnWriteArrayList<>();
         private final Random random = new Random(2);
         private int jobs;
         private long asked;
 
-        Users(EventLoop eventLoop, Loop loop, List<String> controllers) {
-            this.loop = loop;
-            this.client = new HttpClient(eventLoop, 8, MAX_ANSWER_BYTES);
+        Users(io.netty.channel.EventLoop nettyLoop, EventLoop eventLoop, List<String> controllers) {
+            this.eventLoop = eventLoop;
+            this.client = new NettyHttpClient(nettyLoop, 8, MAX_ANSWER_BYTES);
             this.controllers = controllers;
         }
 
@@ -268,31 +267,31 @@
             return asked;
         }
 
-        private CompletableFuture<Reply> ask(Call call) {
+        private CompletableFuture<HttpResponse> ask(HttpRequest request) {
             asked++;
-            return client.call(controllers.get(random.nextInt(controllers.size())), call, 2 * SECOND);
+            return client.send(controllers.get(random.nextInt(controllers.size())), request, 2 * SECOND);
         }
 
         void submitEvery(long micros, int pieces) {
             String uid = "job-%06d".formatted(++jobs);
-            ObjectNode job = World.job(uid, pieces).put("guess_s", 20.0).put("due_s", 100.0);
-            ask(Call.post("/v2/runs", job)).thenAccept(reply -> {
-                if (reply.status() == 201) {
+            ObjectNode job = SimCluster.job(uid, pieces).put("guess_s", 20.0).put("due_s", 100.0);
+            ask(HttpRequest.post("/v2/runs", job)).thenAccept(response -> {
+                if (response.status() == 201) {
                     open.add(uid);
                 }
             });
-            loop.after(micros, () -> submitEvery(micros, pieces));
+            eventLoop.schedule(micros, () -> submitEvery(micros, pieces));
         }
 
         void pollEvery(long micros) {
             for (String uid : List.copyOf(open)) {
-                ask(Call.get("/v2/runs/" + uid)).thenAccept(reply -> {
-                    if (reply.json().path("stage").asText().equals("done")) {
+                ask(HttpRequest.get("/v2/runs/" + uid)).thenAccept(response -> {
+                    if (response.json().path("stage").asText().equals("done")) {
                         open.remove(uid);
                     }
                 });
             }
-            loop.after(micros, () -> pollEvery(micros));
+            eventLoop.schedule(micros, () -> pollEvery(micros));
         }
     }
 }
--- a/src/test/java/io/sillreel/load/StoredJobs.java
+++ b/src/test/java/io/sillreel/load/StoredJobs.java
@@ -3,13 +3,18 @@
 import static io.sillreel.sim.SimJobs.uid;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Call;
+import io.sillreel.http.HttpRequest;
 import io.sillreel.http.Json;
+import io.sillreel.pipeline.Checkpointing;
 import io.sillreel.pipeline.JobSpec;
+import io.sillreel.pipeline.PlacementRequirements;
 import io.sillreel.pipeline.PlanRecord;
-import io.sillreel.pipeline.Rank;
+import io.sillreel.pipeline.PlanRecordCodec;
+import io.sillreel.pipeline.PriorityClass;
 import io.sillreel.pipeline.RunRecord;
-import io.sillreel.sim.SimState;
+import io.sillreel.pipeline.TaskSpec;
+import io.sillreel.pipeline.Urgency;
+import io.sillreel.sim.SimStateStore;
 import java.util.List;
 
 /** What earlier terms left in the state service: jobs that are done, and jobs that await one which never starts. */
@@ -20,17 +25,19 @@
     /** Half of the unfinished jobs await the one before them, half await the first. */
     private static final int FANS = 2;
 
-    private final SimState state;
+    private final SimStateStore state;
     private int next = FIRST_UID;
 
-    StoredJobs(SimState state) {
+    StoredJobs(SimStateStore state) {
         this.state = state;
     }
 
     void addDone(int count) {
         for (int each = 0; each < count; each++) {
             String uid = uid(next++);
-            store(PlanRecord.key(uid), new PlanRecord(ADMITTED_WALL_MICROS, spec(uid, null, List.of())).json());
+            store(
+                    PlanRecord.key(uid),
+                    PlanRecordCodec.encode(new PlanRecord(ADMITTED_WALL_MICROS, spec(uid, null, List.of()))));
             store(
                     RunRecord.key(uid),
                     Json.object()
@@ -47,7 +54,9 @@
             String uid = uid(next);
             List<String> awaits = each == 0 ? List.of() : List.of(uid(each % FANS == 0 ? first : next - 1));
             List<String> builds = each == 0 ? List.of("a-type-that-is-not-there") : null;
-            store(PlanRecord.key(uid), new PlanRecord(ADMITTED_WALL_MICROS, spec(uid, builds, awaits)).json());
+            store(
+                    PlanRecord.key(uid),
+                    PlanRecordCodec.encode(new PlanRecord(ADMITTED_WALL_MICROS, spec(uid, builds, awaits))));
             next++;
         }
     }
@@ -55,7 +64,7 @@
     private void store(String key, ObjectNode value) {
         ObjectNode body = Json.object();
         body.putArray("then").addObject().put("set", key).set("v", value);
-        state.handle(Call.post("/txn", body)).join();
+        state.handle(HttpRequest.post("/txn", body)).join();
     }
 
     private static JobSpec spec(String uid, List<String> builds, List<String> awaits) {
@@ -63,22 +72,10 @@
                 uid,
                 "a-class-of-jobs",
                 "t",
-                Rank.BEST_EFFORT,
+                new Urgency(PriorityClass.BEST_EFFORT, -1L),
                 60,
-                1.0,
-                0.0,
-                1.6,
-                "img-07",
-                1.0,
-                builds,
-                null,
-                false,
-                false,
-                true,
-                25_000_000L,
-                0L,
-                0L,
-                -1L,
+                new TaskSpec(1.0, 0.0, 1.6, "img-07", 1.0, 25_000_000L, new Checkpointing(0L, 0L)),
+                new PlacementRequirements(builds, null, false, false, true),
                 awaits);
     }
 }
