--- a/src/test/java/io/sillreel/pipeline/PipelineTest.java
+++ b/src/test/java/io/sillreel/pipeline/PipelineTest.java
@@ -1,14 +1,16 @@
 package io.sillreel.pipeline;
 
+import static io.sillreel.sim.StoredValues.storedValue;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import io.sillreel.pipeline.PipelinePlan.Link;
-import io.sillreel.pipeline.PipelinePlan.Port;
+import com.fasterxml.jackson.databind.JsonNode;
+import io.sillreel.pipeline.PipelinePlan.Condition;
+import io.sillreel.pipeline.PipelinePlan.Dependency;
+import io.sillreel.pipeline.PipelineRun.DependencyState;
 import io.sillreel.pipeline.PipelineRun.JobState;
-import io.sillreel.pipeline.PipelineRun.LinkState;
 import io.sillreel.settings.ValueLimits;
-import io.sillreel.statestore.KeyWriter;
+import io.sillreel.statestore.PendingWrite;
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.List;
@@ -16,25 +18,25 @@
 import org.junit.jupiter.api.Test;
 
 class PipelineTest {
-    private static Link link(String id, String from, Port port, String to) {
-        return new Link(id, from, port, to);
+    private static Dependency link(String id, String from, Condition port, String to) {
+        return new Dependency(id, from, port, to);
     }
 
     @Test
     void theOrderIsTopologicalAndTiesGoByJobId() {
         PipelinePlan plan = PipelinePlan.compile(
                 List.of("d", "b", "c", "a"),
-                List.of(link("1", "d", Port.SUCCESS, "a"), link("2", "b", Port.SUCCESS, "a")));
-        assertThat(plan.order()).containsExactly("b", "c", "d", "a");
+                List.of(link("1", "d", Condition.ON_SUCCESS, "a"), link("2", "b", Condition.ON_SUCCESS, "a")));
+        assertThat(plan.topologicalOrder()).containsExactly("b", "c", "d", "a");
     }
 
     @Test
     void cyclesAndLooseEndsAreRefused() {
         assertThatThrownBy(() -> PipelinePlan.compile(
                         List.of("a", "b"),
-                        List.of(link("1", "a", Port.SUCCESS, "b"), link("2", "b", Port.SUCCESS, "a"))))
+                        List.of(link("1", "a", Condition.ON_SUCCESS, "b"), link("2", "b", Condition.ON_SUCCESS, "a"))))
                 .hasMessageContaining("cycle");
-        assertThatThrownBy(() -> PipelinePlan.compile(List.of("a"), List.of(link("1", "a", Port.SUCCESS, "x"))))
+        assertThatThrownBy(() -> PipelinePlan.compile(List.of("a"), List.of(link("1", "a", Condition.ON_SUCCESS, "x"))))
                 .hasMessageContaining("no job");
         assertThatThrownBy(() -> PipelinePlan.compile(List.of("a", "a"), List.of()))
                 .hasMessageContaining("twice");
@@ -45,34 +47,35 @@
         PipelineRun run = new PipelineRun(PipelinePlan.compile(
                 List.of("a", "b", "join", "repair", "after"),
                 List.of(
-                        link("1", "a", Port.SUCCESS, "join"), link("2", "b", Port.SUCCESS, "join"),
-                        link("3", "b", Port.FAILURE, "repair"), link("4", "join", Port.SUCCESS, "after"))));
-        assertThat(run.ready()).containsExactly("a", "b");
+                        link("1", "a", Condition.ON_SUCCESS, "join"), link("2", "b", Condition.ON_SUCCESS, "join"),
+                        link("3", "b", Condition.ON_FAILURE, "repair"),
+                                link("4", "join", Condition.ON_SUCCESS, "after"))));
+        assertThat(run.readyJobs()).containsExactly("a", "b");
         run.release("a");
         run.release("b");
-        run.settle("a", true);
-        assertThat(run.ready()).isEmpty();
-        run.settle("b", false);
-        assertThat(run.link("1")).isEqualTo(LinkState.EMITTED);
-        assertThat(run.link("2")).isEqualTo(LinkState.CLOSED);
+        run.complete("a", true);
+        assertThat(run.readyJobs()).isEmpty();
+        run.complete("b", false);
+        assertThat(run.dependencyState("1")).isEqualTo(DependencyState.SATISFIED);
+        assertThat(run.dependencyState("2")).isEqualTo(DependencyState.UNSATISFIED);
         assertThat(run.state("join")).isEqualTo(JobState.SKIPPED);
-        assertThat(run.link("4")).isEqualTo(LinkState.SKIPPED);
+        assertThat(run.dependencyState("4")).isEqualTo(DependencyState.SKIPPED);
         assertThat(run.state("after")).isEqualTo(JobState.SKIPPED);
-        assertThat(run.ready()).containsExactly("repair");
-        assertThat(run.failed()).isFalse();
-        assertThatThrownBy(() -> run.settle("b", true)).isInstanceOf(IllegalStateException.class);
+        assertThat(run.readyJobs()).containsExactly("repair");
+        assertThat(run.hasUnhandledFailure()).isFalse();
+        assertThatThrownBy(() -> run.complete("b", true)).isInstanceOf(IllegalStateException.class);
     }
 
     @Test
     void aCancelledPipelineReleasesNothingMore() {
-        PipelineRun run =
-                new PipelineRun(PipelinePlan.compile(List.of("a", "b"), List.of(link("1", "a", Port.SUCCESS, "b"))));
+        PipelineRun run = new PipelineRun(
+                PipelinePlan.compile(List.of("a", "b"), List.of(link("1", "a", Condition.ON_SUCCESS, "b"))));
         run.release("a");
         run.cancel();
-        run.settle("a", true);
-        assertThat(run.ready()).isEmpty();
-        assertThat(run.link("1")).isEqualTo(LinkState.SKIPPED);
-        assertThat(run.over()).isTrue();
+        run.complete("a", true);
+        assertThat(run.readyJobs()).isEmpty();
+        assertThat(run.dependencyState("1")).isEqualTo(DependencyState.SKIPPED);
+        assertThat(run.isOver()).isTrue();
     }
 
     @Test
@@ -82,59 +85,58 @@
         assertThat(schedule.nextAttemptMicros(2, 100)).isEqualTo(104);
         assertThat(schedule.nextAttemptMicros(4, 100)).isEqualTo(110);
         assertThat(schedule.nextAttemptMicros(5, 100)).isEqualTo(160);
-        assertThat(schedule.exhausted(4)).isFalse();
-        assertThat(schedule.exhausted(5)).isTrue();
+        assertThat(schedule.isExhausted(4)).isFalse();
+        assertThat(schedule.isExhausted(5)).isTrue();
     }
 
     @Test
     void aVeryLargeDoneSetStaysWithinTheLargestValue() {
         int valueBytes = 8 * 1024;
         JobSpec spec = spec(100_000);
-        ActiveJob job = new ActiveJob(spec, 7, 0, ValueLimits.fixed(valueBytes), new QuietWatcher());
+        ActiveJob job = new ActiveJob(spec, 7, 0, ValueLimits.fixed(valueBytes), new IgnoringListener());
         for (int piece = 0; piece < 99_999; piece += 2) {
-            job.settle(piece);
+            job.markTaskDone(piece);
         }
         // The parts first, one after the other, then the head that names them: each a value and a change of its own.
-        List<KeyWriter.Item> parts = List.copyOf(job.first());
-        assertThat(parts).hasSize((100_000 + RunRecord.chunkTasks(valueBytes) - 1) / RunRecord.chunkTasks(valueBytes));
+        List<PendingWrite> parts = List.copyOf(job.recordWrite().prerequisites());
+        assertThat(parts)
+                .hasSize((100_000 + CompletionBitmapCodec.tasksPerChunk(valueBytes) - 1)
+                        / CompletionBitmapCodec.tasksPerChunk(valueBytes));
         Map<String, String> values = new HashMap<>();
-        for (KeyWriter.Item part : parts) {
-            assertThat(part.changes()).hasSize(1);
-            part.changes().forEach((key, value) -> {
-                assertThat(value.toString().length()).isLessThan(valueBytes);
-                values.put(key, value.path("bits").asText());
-            });
-            part.stored(8);
+        for (PendingWrite part : parts) {
+            JsonNode value = storedValue(part, part.key());
+            assertThat(value.toString().length()).isLessThan(valueBytes);
+            values.put(part.key(), value.path("bits").asText());
+            part.onStored(8);
         }
-        assertThat(job.first()).isEmpty();
-        var head = job.changes();
-        assertThat(head).hasSize(1);
-        assertThat(head.get(job.key()).toString().length()).isLessThan(valueBytes);
-        job.stored(9);
-        assertThat(job.isStored(99_998)).isTrue();
+        assertThat(job.recordWrite().prerequisites()).isEmpty();
+        JsonNode head = storedValue(job.recordWrite(), job.recordWrite().key());
+        assertThat(head.toString().length()).isLessThan(valueBytes);
+        job.recordWrite().onStored(9);
+        assertThat(job.isTaskStored(99_998)).isTrue();
 
-        ActiveJob again = new ActiveJob(spec, 7, 0, ValueLimits.fixed(valueBytes), new QuietWatcher());
-        again.inherit(9, RunRecord.Head.of(head.get(job.key())), pieces(values));
+        ActiveJob again = new ActiveJob(spec, 7, 0, ValueLimits.fixed(valueBytes), new IgnoringListener());
+        again.inherit(9, RunRecordCodec.decode(head), pieces(values));
         assertThat(again.doneCount()).isEqualTo(50_000);
-        assertThat(again.nextWaiting()).isEqualTo(1);
+        assertThat(again.nextWaitingTask()).isEqualTo(1);
     }
 
-    private static RunRecord.StoredParts pieces(Map<String, String> values) {
+    private static StoredChunks pieces(Map<String, String> values) {
         Map<String, Long> stamps = new HashMap<>();
         values.keySet().forEach(key -> stamps.put(key, 8L));
-        return new RunRecord.StoredParts(values, stamps, RunRecord.chunkTasks(8 * 1024));
+        return new StoredChunks(values, stamps, CompletionBitmapCodec.tasksPerChunk(8 * 1024));
     }
 
     /** Guards against freeing a piece that a second live task still holds. */
     @Test
     void aPieceWaitsOnlyOnceNoTaskOfItIsLeft() {
-        ActiveJob job = new ActiveJob(spec(1), 7, 0, ValueLimits.fixed(8192), new QuietWatcher());
+        ActiveJob job = new ActiveJob(spec(1), 7, 0, ValueLimits.fixed(8192), new IgnoringListener());
         job.allocate(0);
         job.allocate(0);
         job.deallocate(0);
-        assertThat(job.nextWaiting()).isEqualTo(-1);
+        assertThat(job.nextWaitingTask()).isEqualTo(-1);
         job.deallocate(0);
-        assertThat(job.nextWaiting()).isZero();
+        assertThat(job.nextWaitingTask()).isZero();
     }
 
     @Test
@@ -142,8 +144,9 @@
         BitSet set = new BitSet();
         set.set(3);
         set.set(70);
-        assertThat(RunRecord.decode(RunRecord.encode(set))).isEqualTo(set);
-        assertThat(RunRecord.decode(null)).isEqualTo(new BitSet());
+        assertThat(CompletionBitmapCodec.decode(CompletionBitmapCodec.encode(set)))
+                .isEqualTo(set);
+        assertThat(CompletionBitmapCodec.decode(null)).isEqualTo(new BitSet());
     }
 
     private static JobSpec spec(int pieces) {
@@ -151,22 +154,10 @@
                 "job-000001",
                 "l",
                 "t",
-                Rank.NORMAL,
+                new Urgency(PriorityClass.NORMAL, -1),
                 pieces,
-                1,
-                0,
-                1,
-                "img",
-                1,
-                null,
-                null,
-                false,
-                false,
-                true,
-                1,
-                0,
-                0,
-                -1,
+                new TaskSpec(1, 0, 1, "img", 1, 1, new Checkpointing(0, 0)),
+                new PlacementRequirements(null, null, false, false, true),
                 List.of());
     }
 }
--- a/src/test/java/io/sillreel/placement/PlacementIndexTest.java
+++ b/src/test/java/io/sillreel/placement/PlacementIndexTest.java
@@ -3,11 +3,15 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.sillreel.cloud.MachineType;
-import io.sillreel.fleet.AllocationIndex;
-import io.sillreel.fleet.Machine;
+import io.sillreel.cloud.MachineType.ImageStorage;
+import io.sillreel.cloud.MachineType.Pricing;
+import io.sillreel.cluster.AllocationIndex;
+import io.sillreel.cluster.Machine;
+import io.sillreel.cluster.PlacementConstraints;
 import io.sillreel.http.Json;
 import io.sillreel.pipeline.JobSpec;
-import io.sillreel.sim.World;
+import io.sillreel.pipeline.JobSpecCodec;
+import io.sillreel.sim.SimCluster;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -17,11 +21,11 @@
 
 class PlacementIndexTest {
     private static final List<MachineType> TYPES = List.of(
-            new MachineType("c4", 4, 0, 16, 50, 1, 1, 0.5, 1, List.of("a", "b")),
-            new MachineType("c8", 8, 0, 32, 50, 0.2, 1, 0.5, 1, List.of("a", "b")));
+            new MachineType("c4", 4, 0, 16, new ImageStorage(50, 1), new Pricing(1, 0.5), 1, List.of("a", "b")),
+            new MachineType("c8", 8, 0, 32, new ImageStorage(50, 0.2), new Pricing(1, 0.5), 1, List.of("a", "b")));
 
     private static JobSpec job(Random random, int number) {
-        return JobSpec.ofPlan(World.job("job-" + number, 1 + random.nextInt(12))
+        return JobSpecCodec.decode(SimCluster.job("job-" + number, 1 + random.nextInt(12))
                 .put("vcpus", 0.5 * (1 + random.nextInt(6)))
                 .put("reel", "img-" + random.nextInt(3))
                 .put("image_gb", random.nextInt(4))
@@ -30,7 +34,7 @@
     }
 
     /** Takes all tasks of a job that fit, and notes where. */
-    private static final class Recorder implements PlacementIndex.Taker {
+    private static final class Recorder implements PlacementIndex.MachineVisitor {
         private final JobSpec spec;
         private final List<String> taken = new ArrayList<>();
         private int wanted;
@@ -41,42 +45,43 @@
         }
 
         @Override
-        public boolean satisfied() {
+        public boolean isSatisfied() {
             return wanted == 0;
         }
 
         @Override
-        public boolean zoneClosed(String zone) {
+        public boolean isZoneExcluded(String zone) {
             return false;
         }
 
         @Override
-        public boolean take(MachineSpace space) {
-            int count = Math.min(wanted, space.room(spec));
+        public boolean place(FreeCapacity space) {
+            int count = Math.min(wanted, space.fittingTasks(spec));
             wanted -= count;
-            space.take(spec, count);
-            taken.add(space.machine.name() + " x " + count);
+            space.allocate(spec, count);
+            taken.add(space.machine().name() + " x " + count);
             return count > 0;
         }
     }
 
-    private static long fetchStep(MachineSpace space, JobSpec spec) {
+    private static long fetchStep(FreeCapacity space, JobSpec spec) {
         return space.hasImage(spec)
                 ? 0
-                : (long) (spec.imageGb() / space.machine.type().pullGbPerSecond()) / 2;
+                : (long) (spec.imageGb() / space.machine().type().pullGbPerSecond()) / 2;
     }
 
     /** What a look at every machine gives: the order that the index has to keep. */
-    private static List<String> bySorting(List<MachineSpace> spaces, JobSpec spec) {
-        List<MachineSpace> fitting = new ArrayList<>(spaces);
-        fitting.removeIf(space -> space.room(spec) <= 0 || !Cluster.allows(spec, space.machine));
-        fitting.sort(Comparator.<MachineSpace>comparingLong(space -> fetchStep(space, spec))
-                .thenComparingInt(space -> space.machine.spot() == spec.saves() ? 0 : 1)
-                .thenComparingDouble(
-                        space -> space.hasImage(spec) ? space.cpus : -Math.min(space.room(spec), spec.tasks()))
-                .thenComparing(space -> space.machine.name()));
+    private static List<String> bySorting(List<FreeCapacity> spaces, JobSpec spec) {
+        List<FreeCapacity> fitting = new ArrayList<>(spaces);
+        fitting.removeIf(
+                space -> space.fittingTasks(spec) <= 0 || !PlacementConstraints.isEligible(spec, space.machine()));
+        fitting.sort(Comparator.<FreeCapacity>comparingLong(space -> fetchStep(space, spec))
+                .thenComparingInt(space -> space.machine().isSpot() == spec.supportsCheckpoints() ? 0 : 1)
+                .thenComparingDouble(space ->
+                        space.hasImage(spec) ? space.cpus() : -Math.min(space.fittingTasks(spec), spec.tasks()))
+                .thenComparing(space -> space.machine().name()));
         Recorder recorder = new Recorder(spec);
-        fitting.stream().takeWhile(space -> !recorder.satisfied()).forEach(recorder::take);
+        fitting.stream().takeWhile(space -> !recorder.isSatisfied()).forEach(recorder::place);
         return recorder.taken;
     }
 
@@ -84,7 +89,7 @@
     void placesComeInTheOrderOfASortOverAllMachines(RepetitionInfo repetition) {
         Random random = new Random(repetition.getCurrentRepetition());
         PlacementIndex index = new PlacementIndex(0.5);
-        List<MachineSpace> sorted = new ArrayList<>();
+        List<FreeCapacity> sorted = new ArrayList<>();
         for (int number = 0; number < 60; number++) {
             MachineType type = TYPES.get(random.nextInt(2));
             Machine machine = new Machine(
@@ -95,15 +100,15 @@
                     null,
                     0,
                     new AllocationIndex());
-            index.add(new MachineSpace(machine));
-            sorted.add(new MachineSpace(machine));
+            index.add(new FreeCapacity(machine));
+            sorted.add(new FreeCapacity(machine));
         }
         for (int number = 0; number < 60; number++) {
             JobSpec spec = job(random, number);
             Recorder recorder = new Recorder(spec);
-            index.offer(spec, spec.tasks(), false, recorder);
+            index.visitMachines(spec, spec.tasks(), false, recorder);
             assertThat(recorder.taken)
-                    .as(Json.parse(Json.bytes(spec.json())).toString())
+                    .as(Json.parse(Json.bytes(JobSpecCodec.encode(spec))).toString())
                     .isEqualTo(bySorting(sorted, spec));
         }
     }
--- a/src/test/java/io/sillreel/sim/SimNetwork.java
+++ b/src/test/java/io/sillreel/sim/SimNetwork.java
@@ -1,11 +1,11 @@
 package io.sillreel.sim;
 
-import io.sillreel.http.Call;
-import io.sillreel.http.Caller;
-import io.sillreel.http.Handler;
-import io.sillreel.http.Loop;
-import io.sillreel.http.Reply;
-import io.sillreel.statestore.Pacer;
+import io.sillreel.http.EventLoop;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.HttpHandler;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
+import io.sillreel.overload.RateLimiter;
 import io.sillreel.statestore.StateStore;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -21,7 +21,7 @@
     /** Decides what becomes of one message; the first rule that says something counts. */
     public interface Rule {
         /** Null for nothing to say. */
-        Fate fate(String from, String to, Call call);
+        Fate fate(String from, String to, HttpRequest request);
     }
 
     /**
@@ -50,10 +50,10 @@
 
     private final SimTime time;
     private final Random random;
-    private final Map<String, Handler> handlers = new HashMap<>();
+    private final Map<String, HttpHandler> handlers = new HashMap<>();
     private final List<Rule> rules = new ArrayList<>();
     private final List<Runnable> held = new ArrayList<>();
-    private final Deque<Call> kept = new ArrayDeque<>();
+    private final Deque<HttpRequest> kept = new ArrayDeque<>();
     private long slowness = 1;
 
     public SimNetwork(SimTime time, long seed) {
@@ -68,11 +68,11 @@
                 from("node", process),
                 process,
                 "state:1",
-                new Pacer(process, requests, requests),
-                new Pacer(process, writes, writes));
+                new RateLimiter(process, requests, requests),
+                new RateLimiter(process, writes, writes));
     }
 
-    public void listen(String host, Handler handler) {
+    public void listen(String host, HttpHandler handler) {
         handlers.put(host, handler);
     }
 
@@ -113,9 +113,9 @@
         SimTime.Process nobody = time.new Process();
         for (long wave = 0; wave < WAVES; wave++) {
             long at = wave * 250_000;
-            for (Call call : kept) {
+            for (HttpRequest request : kept) {
                 for (String host : hosts) {
-                    time.after(at++, () -> deliver(host, call, new CompletableFuture<>(), nobody));
+                    time.after(at++, () -> deliver(host, request, new CompletableFuture<>(), nobody));
                 }
             }
         }
@@ -123,14 +123,14 @@
     }
 
     /** Returns the network as that host and process see it. */
-    public Caller from(String host, SimTime.Process process) {
-        return (to, call, timeoutMicros) -> {
-            CompletableFuture<Reply> answer = new CompletableFuture<>();
-            Loop.Timer timer = process.after(timeoutMicros, () -> answer.complete(Reply.noAnswer()));
+    public HttpClient from(String host, SimTime.Process process) {
+        return (to, request, timeoutMicros) -> {
+            CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
+            EventLoop.Timer timer = process.schedule(timeoutMicros, () -> answer.complete(HttpResponse.noResponse()));
             answer.thenRun(timer::cancel);
             Fate fate = Fate.DELIVER;
             for (Rule rule : rules) {
-                Fate said = rule.fate(host, to, call);
+                Fate said = rule.fate(host, to, request);
                 if (said != null) {
                     fate = said;
                     break;
@@ -139,28 +139,29 @@
             boolean answered =
                     fate == Fate.DELIVER || fate == Fate.COPY || fate == Fate.KEEP || fate == Fate.SLOW_ANSWER;
             if (fate == Fate.SLOW_ANSWER) {
-                CompletableFuture<Reply> slow = new CompletableFuture<>();
-                slow.thenAccept(reply -> process.after(random.nextInt(1_000_000), () -> answer.complete(reply)));
-                time.after(delay(), () -> deliver(to, call, slow, process));
+                CompletableFuture<HttpResponse> slow = new CompletableFuture<>();
+                slow.thenAccept(
+                        response -> process.schedule(random.nextInt(1_000_000), () -> answer.complete(response)));
+                time.after(delay(), () -> deliver(to, request, slow, process));
                 return answer;
             }
             if (fate == Fate.REFUSE) {
-                if (!call.route().equals("/watch")) {
-                    process.after(delay(), () -> answer.complete(Reply.refusal(503, "trouble")));
+                if (!request.route().equals("/watch")) {
+                    process.schedule(delay(), () -> answer.complete(HttpResponse.error(503, "trouble")));
                 }
                 return answer;
             }
             if (fate == Fate.COPY) {
                 time.after(
                         1_000_000 + random.nextInt(LATEST_COPY_MICROS),
-                        () -> deliver(to, call, new CompletableFuture<>(), process));
+                        () -> deliver(to, request, new CompletableFuture<>(), process));
             } else if (fate == Fate.KEEP) {
-                kept.add(call);
+                kept.add(request);
                 if (kept.size() > MAX_KEPT) {
                     kept.poll();
                 }
             }
-            Runnable delivery = () -> deliver(to, call, answered ? answer : new CompletableFuture<>(), process);
+            Runnable delivery = () -> deliver(to, request, answered ? answer : new CompletableFuture<>(), process);
             if (fate == Fate.HOLD) {
                 held.add(delivery);
             } else if (fate == Fate.LATE) {
@@ -172,12 +173,13 @@
         };
     }
 
-    private void deliver(String to, Call call, CompletableFuture<Reply> answer, SimTime.Process caller) {
-        Handler handler = handlers.get(to);
+    private void deliver(
+            String to, HttpRequest request, CompletableFuture<HttpResponse> answer, SimTime.Process caller) {
+        HttpHandler handler = handlers.get(to);
         if (handler == null) {
             return;
         }
-        handler.handle(call).thenAccept(reply -> caller.after(delay(), () -> answer.complete(reply)));
+        handler.handle(request).thenAccept(response -> caller.schedule(delay(), () -> answer.complete(response)));
     }
 
     private long delay() {
--- a/src/test/java/io/sillreel/sim/SimState.java
+++ b/src/test/java/io/sillreel/sim/SimStateStore.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Call;
-import io.sillreel.http.Handler;
+import io.sillreel.http.HttpHandler;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Reply;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashSet;
@@ -17,7 +17,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** A state service in memory, as far as the protocol describes it. */
-public final class SimState implements Handler {
+public final class SimStateStore implements HttpHandler {
     private static final int KEPT_CHANGES = 10_000;
 
     private record Value(JsonNode value, long stamp, long permit) {}
@@ -37,14 +37,14 @@
     private final Map<Long, Long> ends = new TreeMap<>();
     private final List<Change> changes = new ArrayList<>();
     private final Set<Runnable> watchers = new LinkedHashSet<>();
-    private long ledger = 100;
+    private long storeRevision = 100;
     private long permits;
     private long forgotten;
     private boolean outage;
     private long misreported;
     private Runnable onLeader = () -> {};
 
-    public SimState(SimTime time, int txnOps, int valueBytes, double writesPerSecond) {
+    public SimStateStore(SimTime time, int txnOps, int valueBytes, double writesPerSecond) {
         this.time = time;
         limits(txnOps, valueBytes, writesPerSecond);
     }
@@ -94,7 +94,7 @@
 
     /** The revision of the last change. */
     public long ledger() {
-        return ledger;
+        return storeRevision;
     }
 
     public JsonNode value(String key) {
@@ -110,11 +110,11 @@
     /** Everything that is stored, to come back with later. */
     public static final class Image {
         private final TreeMap<String, Value> keys;
-        private final long ledger;
+        private final long storeRevision;
 
-        private Image(TreeMap<String, Value> keys, long ledger) {
+        private Image(TreeMap<String, Value> keys, long storeRevision) {
             this.keys = keys;
-            this.ledger = ledger;
+            this.storeRevision = storeRevision;
         }
     }
 
@@ -125,7 +125,7 @@
 
     public Image image() {
         expire();
-        return new Image(new TreeMap<>(keys), ledger);
+        return new Image(new TreeMap<>(keys), storeRevision);
     }
 
     /** Comes back with an older image of itself: no lease is left, and what hung on one is gone. */
@@ -135,49 +135,49 @@
         keys.values().removeIf(value -> value.permit() > 0);
         lives.clear();
         ends.clear();
-        changes.removeIf(change -> change.stamp() > image.ledger);
-        ledger = image.ledger;
-        forgotten = Math.min(forgotten, ledger);
+        changes.removeIf(change -> change.stamp() > image.storeRevision);
+        storeRevision = image.storeRevision;
+        forgotten = Math.min(forgotten, storeRevision);
     }
 
     /** Forgets the record of changes, as if very many had come since. */
     public void compact() {
         changes.clear();
-        forgotten = ledger;
+        forgotten = storeRevision;
     }
 
     @Override
-    public CompletableFuture<Reply> handle(Call call) {
-        String route = call.route();
+    public CompletableFuture<HttpResponse> handle(HttpRequest request) {
+        String route = request.route();
         if (route.equals("/watch")) {
-            return watch(call);
+            return watch(request);
         }
         if (outage) {
             return answer(503, Json.object().put("error", "trouble"));
         }
         expire();
         if (route.equals("/kv")) {
-            return list(call);
+            return list(request);
         }
         if (route.startsWith("/kv/")) {
             return get(route.substring(4));
         }
         if (route.equals("/txn")) {
-            return txn(Json.parse(call.body()));
+            return txn(Json.parse(request.body()));
         }
-        return grants(call);
+        return grants(request);
     }
 
-    private CompletableFuture<Reply> get(String key) {
+    private CompletableFuture<HttpResponse> get(String key) {
         Value value = keys.get(key);
-        return value == null ? answer(404, Json.object().put("ledger", ledger)) : answer(200, entry(key, value));
+        return value == null ? answer(404, Json.object().put("ledger", storeRevision)) : answer(200, entry(key, value));
     }
 
-    private CompletableFuture<Reply> list(Call call) {
-        String prefix = call.query("prefix");
-        String since = call.query("since");
-        int limit = Integer.parseInt(call.query("limit"));
-        ObjectNode body = Json.object().put("ledger", ledger);
+    private CompletableFuture<HttpResponse> list(HttpRequest request) {
+        String prefix = request.query("prefix");
+        String since = request.query("since");
+        int limit = Integer.parseInt(request.query("limit"));
+        ObjectNode body = Json.object().put("ledger", storeRevision);
         ArrayNode entries = body.putArray("entries");
         boolean truncated = false;
         for (Map.Entry<String, Value> each :
@@ -194,7 +194,7 @@
         return answer(200, body.put("truncated", truncated));
     }
 
-    private CompletableFuture<Reply> txn(JsonNode body) {
+    private CompletableFuture<HttpResponse> txn(JsonNode body) {
         JsonNode then = body.path("then");
         if (tooFast(then.size())) {
             refusedForRate++;
@@ -215,24 +215,24 @@
         }
         ArrayNode failed = failedConditions(body.path("if"));
         if (!failed.isEmpty()) {
-            ObjectNode conflict = Json.object().put("ledger", ledger);
+            ObjectNode conflict = Json.object().put("ledger", storeRevision);
             conflict.set("failed", failed);
             return answer(409, conflict);
         }
         if (!then.isEmpty()) {
-            ledger++;
+            storeRevision++;
             then.forEach(this::apply);
             wake();
         }
-        return answer(200, Json.object().put("ledger", ledger));
+        return answer(200, Json.object().put("ledger", storeRevision));
     }
 
     private ArrayNode failedConditions(JsonNode conditions) {
         ArrayNode failed = Json.array();
         for (JsonNode condition : conditions) {
             String key = condition.path("k").asText();
-            long stamp = keys.containsKey(key) ? keys.get(key).stamp() : 0;
-            if (stamp != condition.path("stamp").asLong()) {
+            long revision = keys.containsKey(key) ? keys.get(key).stamp() : 0;
+            if (revision != condition.path("stamp").asLong()) {
                 failed.add(key);
             }
         }
@@ -245,17 +245,19 @@
             return;
         }
         String key = change.path("set").asText();
-        keys.put(key, new Value(change.path("v"), ledger, change.path("permit").asLong()));
-        changes.add(new Change(key, change.path("v"), ledger));
+        keys.put(
+                key,
+                new Value(change.path("v"), storeRevision, change.path("permit").asLong()));
+        changes.add(new Change(key, change.path("v"), storeRevision));
         if (key.equals("leader")) {
             onLeader.run();
         }
     }
 
-    private CompletableFuture<Reply> grants(Call call) {
-        String route = call.route();
+    private CompletableFuture<HttpResponse> grants(HttpRequest request) {
+        String route = request.route();
         if (route.equals("/grants")) {
-            long life = Json.parse(call.body()).path("life_ms").asLong() * 1_000;
+            long life = Json.parse(request.body()).path("life_ms").asLong() * 1_000;
             permits++;
             lives.put(permits, life);
             ends.put(permits, time.nowMicros() + life);
@@ -263,25 +265,25 @@
             return answer(200, Json.object().put("permit", permits));
         }
         String[] parts = route.split("/");
-        long permit = Long.parseLong(parts[2]);
-        if (!ends.containsKey(permit)) {
+        long leaseId = Long.parseLong(parts[2]);
+        if (!ends.containsKey(leaseId)) {
             return answer(404, Json.object().put("error", "no such lease"));
         }
-        if (call.method().equals("DELETE")) {
-            ends.put(permit, time.nowMicros() - 1);
+        if (request.method().equals("DELETE")) {
+            ends.put(leaseId, time.nowMicros() - 1);
             expire();
         } else {
-            ends.put(permit, time.nowMicros() + lives.get(permit));
-            time.after(lives.get(permit) + 1, this::expire);
+            ends.put(leaseId, time.nowMicros() + lives.get(leaseId));
+            time.after(lives.get(leaseId) + 1, this::expire);
         }
         return answer(200, Json.object());
     }
 
-    private CompletableFuture<Reply> watch(Call call) {
-        String prefix = call.query("prefix");
-        long since = Long.parseLong(call.query("since"));
-        CompletableFuture<Reply> answer = new CompletableFuture<>();
-        long end = time.nowMicros() + Long.parseLong(call.query("block_ms")) * 1_000;
+    private CompletableFuture<HttpResponse> watch(HttpRequest request) {
+        String prefix = request.query("prefix");
+        long since = Long.parseLong(request.query("since"));
+        CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
+        long end = time.nowMicros() + Long.parseLong(request.query("block_ms")) * 1_000;
         if (outage) {
             return answer(503, Json.object().put("error", "trouble"));
         }
@@ -291,11 +293,11 @@
                 return;
             }
             if (since < forgotten) {
-                answer.complete(Reply.of(410, Json.object()));
+                answer.complete(HttpResponse.of(410, Json.object()));
                 watchers.remove(look[0]);
                 return;
             }
-            ObjectNode body = Json.object().put("ledger", ledger);
+            ObjectNode body = Json.object().put("ledger", storeRevision);
             ArrayNode result = body.putArray("news");
             for (Change change : changes) {
                 if (change.stamp() > since && change.key().startsWith(prefix)) {
@@ -308,7 +310,7 @@
             }
             if (!result.isEmpty() || time.nowMicros() >= end) {
                 watchers.remove(look[0]);
-                answer.complete(Reply.of(200, body));
+                answer.complete(HttpResponse.of(200, body));
             }
         };
         watchers.add(look[0]);
@@ -331,13 +333,13 @@
             return;
         }
         boolean ended = false;
-        for (long permit : List.copyOf(ends.keySet())) {
-            if (ends.get(permit) < time.nowMicros()) {
-                ends.remove(permit);
-                lives.remove(permit);
-                ledger++;
+        for (long leaseId : List.copyOf(ends.keySet())) {
+            if (ends.get(leaseId) < time.nowMicros()) {
+                ends.remove(leaseId);
+                lives.remove(leaseId);
+                storeRevision++;
                 for (String key : List.copyOf(keys.keySet())) {
-                    if (keys.get(key).permit() == permit) {
+                    if (keys.get(key).permit() == leaseId) {
                         delete(key);
                     }
                 }
@@ -351,7 +353,7 @@
 
     private void delete(String key) {
         if (keys.remove(key) != null) {
-            changes.add(new Change(key, null, ledger));
+            changes.add(new Change(key, null, storeRevision));
         }
     }
 
@@ -361,11 +363,11 @@
         return node;
     }
 
-    private CompletableFuture<Reply> answer(int status, ObjectNode body) {
+    private CompletableFuture<HttpResponse> answer(int status, ObjectNode body) {
         if (misreported > 0 && body.has("ledger")) {
             body.put("ledger", misreported);
             misreported = 0;
         }
-        return CompletableFuture.completedFuture(Reply.of(status, body));
+        return CompletableFuture.completedFuture(HttpResponse.of(status, body));
     }
 }
--- a/src/test/java/io/sillreel/sim/SimTime.java
+++ b/src/test/java/io/sillreel/sim/SimTime.java
@@ -1,6 +1,6 @@
 package io.sillreel.sim;
 
-import io.sillreel.http.Loop;
+import io.sillreel.http.EventLoop;
 import java.util.Comparator;
 import java.util.PriorityQueue;
 import java.util.concurrent.CompletableFuture;
@@ -35,7 +35,7 @@
     }
 
     /** The loop of one process; once it is killed, none of its tasks runs any more. */
-    public final class Process implements Loop {
+    public final class Process implements EventLoop {
         private boolean killed;
         private long frozenUntilMicros;
         private long taskMicros;
@@ -62,7 +62,7 @@
                 return work.get();
             }
             CompletableFuture<T> later = new CompletableFuture<>();
-            after(0, () -> work.get().thenAccept(later::complete));
+            schedule(0, () -> work.get().thenAccept(later::complete));
             return later;
         }
 
@@ -94,7 +94,7 @@
         }
 
         @Override
-        public Timer after(long delayMicros, Runnable task) {
+        public Timer schedule(long delayMicros, Runnable task) {
             boolean[] cancelled = {false};
             SimTime.this.after(delayMicros, () -> run(task, cancelled));
             return () -> cancelled[0] = true;
--- a/src/test/java/io/sillreel/sim/SimWorker.java
+++ b/src/test/java/io/sillreel/sim/SimWorker.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.sillreel.http.Call;
-import io.sillreel.http.Caller;
+import io.sillreel.http.HttpClient;
+import io.sillreel.http.HttpRequest;
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Reply;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -36,16 +36,16 @@
     private static final long ANSWER_MICROS = 4_000_000;
     private static final long MIN_GAP_MICROS = 500_000;
 
-    private final World world;
+    private final SimCluster world;
     private final String name;
-    private final String build;
+    private final String machineType;
     private final String zone;
     private final boolean spot;
     private final SimTime.Process process;
-    private final Caller caller;
+    private final HttpClient httpClient;
     private final Map<String, Task> tasks = new LinkedHashMap<>();
     private int node;
-    private long session = 1;
+    private long epoch = 1;
     private long sequence;
     private long token;
     private long leaseFromMicros;
@@ -56,19 +56,19 @@
     private long runMicros = 3_000_000;
     private long recallAtMicros = -1;
 
-    SimWorker(World world, String name, String build, String zone, boolean spot, int firstNode) {
+    SimWorker(SimCluster world, String name, String machineType, String zone, boolean spot, int firstNode) {
         this.world = world;
         this.name = name;
-        this.build = build;
+        this.machineType = machineType;
         this.zone = zone;
         this.spot = spot;
         this.node = firstNode;
         this.process = world.time().new Process();
-        this.caller = world.network().from(name, process);
+        this.httpClient = world.network().from(name, process);
         this.leaseFromMicros = world.time().nowMicros();
-        world.network().listen(address(), call -> process.awake(() -> direct(call)));
-        process.after(1_000, this::report);
-        process.after(world.worldSettings().tickMicros(), this::tick);
+        world.network().listen(address(), request -> process.awake(() -> direct(request)));
+        process.schedule(1_000, this::report);
+        process.schedule(world.worldSettings().tickMicros(), this::tick);
     }
 
     public String name() {
@@ -76,7 +76,7 @@
     }
 
     String build() {
-        return build;
+        return machineType;
     }
 
     public String zone() {
@@ -115,11 +115,11 @@
         life++;
         inFlight = false;
         tasks.clear();
-        session = 1;
+        epoch = 1;
         sequence = 0;
         token = 0;
         leaseFromMicros = world.time().nowMicros();
-        process.after(1_000, this::report);
+        process.schedule(1_000, this::report);
     }
 
     public int node() {
@@ -167,14 +167,14 @@
     private void endLease() {
         if (leaseIsOver()) {
             tasks.clear();
-            session++;
+            epoch++;
             leaseFromMicros = world.time().nowMicros();
             changed();
         }
     }
 
     private void tick() {
-        process.after(world.worldSettings().tickMicros(), this::tick);
+        process.schedule(world.worldSettings().tickMicros(), this::tick);
         long now = world.time().nowMicros();
         endLease();
         for (Task task : tasks.values()) {
@@ -195,7 +195,7 @@
 
     private void changed() {
         long wait = lastReportMicros + MIN_GAP_MICROS - world.time().nowMicros();
-        process.after(Math.max(wait, 1_000), this::report);
+        process.schedule(Math.max(wait, 1_000), this::report);
     }
 
     private void report() {
@@ -207,54 +207,55 @@
         inFlight = true;
         lastReportMicros = now;
         sequence++;
-        long sentSession = session;
+        long sentSession = epoch;
         int sentLife = life;
-        Call call = Call.post("/agent/beat", body());
-        caller.call(world.publicAddress(node), call, ANSWER_MICROS).thenAccept(reply -> {
+        HttpRequest request = HttpRequest.post("/agent/beat", body());
+        httpClient.send(world.publicAddress(node), request, ANSWER_MICROS).thenAccept(response -> {
             if (sentLife == life) {
                 inFlight = false;
-                answered(reply, now, sentSession);
+                answered(response, now, sentSession);
             }
         });
     }
 
-    private void answered(Reply answer, long sentMicros, long sentSession) {
+    private void answered(HttpResponse answer, long sentMicros, long sentSession) {
         endLease();
         // A worker that hung has waited for too long by its own clock.
-        Reply reply = world.time().nowMicros() - sentMicros > ANSWER_MICROS ? Reply.noAnswer() : answer;
-        if (reply.status() == 421
-                && world.nodeNamed(reply.json().path("foreman").asText()) >= 0) {
-            node = world.nodeNamed(reply.json().path("foreman").asText());
-            process.after(MIN_GAP_MICROS, this::report);
+        HttpResponse response =
+                world.time().nowMicros() - sentMicros > ANSWER_MICROS ? HttpResponse.noResponse() : answer;
+        if (response.status() == 421
+                && world.nodeNamed(response.json().path("foreman").asText()) >= 0) {
+            node = world.nodeNamed(response.json().path("foreman").asText());
+            process.schedule(MIN_GAP_MICROS, this::report);
             return;
         }
-        if (!reply.ok()) {
+        if (!response.isOk()) {
             node = (node + 1) % world.nodes();
-            process.after(1_000_000, this::report);
+            process.schedule(1_000_000, this::report);
             return;
         }
-        process.after(world.settings().workers().reportMicros(), this::report);
-        JsonNode body = reply.json();
-        if (body.path("baton").asLong() < token || sentSession != session) {
+        process.schedule(world.settings().workers().heartbeatIntervalMicros(), this::report);
+        JsonNode body = response.json();
+        if (body.path("baton").asLong() < token || sentSession != epoch) {
             return;
         }
         leaseFromMicros = sentMicros;
         obey(body);
     }
 
-    private CompletableFuture<Reply> direct(Call call) {
+    private CompletableFuture<HttpResponse> direct(HttpRequest request) {
         endLease();
         sequence++;
         int status = 200;
-        if (call.route().equals("/do")) {
-            JsonNode body = Json.parse(call.body());
-            if (body.path("baton").asLong() < token || body.path("shift").asLong() != session) {
+        if (request.route().equals("/do")) {
+            JsonNode body = Json.parse(request.body());
+            if (body.path("baton").asLong() < token || body.path("shift").asLong() != epoch) {
                 status = 409;
             } else {
                 obey(body);
             }
         }
-        return CompletableFuture.completedFuture(Reply.of(status, body()));
+        return CompletableFuture.completedFuture(HttpResponse.of(status, body()));
     }
 
     private void obey(JsonNode body) {
@@ -295,10 +296,10 @@
         ObjectNode body = Json.object()
                 .put("hopper", name)
                 .put("addr", address())
-                .put("build", build)
+                .put("build", machineType)
                 .put("yard", zone)
                 .put("loaners", spot)
-                .put("shift", session)
+                .put("shift", epoch)
                 .put("tally", sequence)
                 .put("baton", token);
         if (recallAtMicros >= 0) {
--- a/src/test/java/io/sillreel/statestore/ScanTest.java
+++ b/src/test/java/io/sillreel/statestore/ScanTest.java
@@ -2,16 +2,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.http.Reply;
+import io.sillreel.overload.RateLimiter;
 import io.sillreel.sim.SimNetwork;
 import io.sillreel.sim.SimNetwork.Fate;
-import io.sillreel.sim.SimState;
+import io.sillreel.sim.SimStateStore;
 import io.sillreel.sim.SimTime;
-import io.sillreel.statestore.StateStore.Entry;
-import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Scan;
-import io.sillreel.statestore.StateStore.Txn;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -22,7 +19,7 @@
 
     private final SimTime time = new SimTime();
     private final SimNetwork network = new SimNetwork(time, 1);
-    private final SimState state = new SimState(time, 100, 8192, 10_000);
+    private final SimStateStore state = new SimStateStore(time, 100, 8192, 10_000);
     private final SimTime.Process process = time.new Process();
     private final List<String> read = new ArrayList<>();
     private final StateStore store;
@@ -31,16 +28,16 @@
         network.listen("state:1", state);
         store = network.stateStore(process, 4, 10_000);
         for (int from = 0; from < ENTRIES; from += 100) {
-            Txn txn = new Txn();
+            Transaction transaction = new Transaction();
             for (int entry = from; entry < from + 100; entry++) {
-                txn.set("k/%04d".formatted(entry), Json.object());
+                transaction.set("k/%04d".formatted(entry), Json.object());
             }
-            store.commit(txn);
+            store.commit(transaction);
             time.runFor(1_000_000);
         }
     }
 
-    private CompletableFuture<Boolean> take(List<Entry> page) {
+    private CompletableFuture<Boolean> take(List<StoredEntry> page) {
         page.forEach(entry -> read.add(entry.key()));
         return CompletableFuture.completedFuture(true);
     }
@@ -48,35 +45,35 @@
     /** Guards takeovers: a list of more pages than the rate allows at once began anew for ever. */
     @Test
     void aListThatIsLongerThanTheRateAllowsAtOnceIsReadToItsEnd() {
-        CompletableFuture<Scan> scan = store.scan("k/", this::take);
+        CompletableFuture<ScanResult> scan = store.scan("k/", this::take);
         time.runFor(5_000_000);
-        assertThat(scan).isCompletedWithValueMatching(done -> done.outcome() == Outcome.OK);
+        assertThat(scan).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.OK);
         assertThat(read).hasSize(ENTRIES).doesNotHaveDuplicates().isSorted();
     }
 
     /** Guards takeovers: what threw on an entry left the scan without an end, and the term waited for ever. */
     @Test
     void aPageThatCanNotBeTakenInEndsTheScan() {
-        CompletableFuture<Scan> scan = store.scan("k/", page -> {
+        CompletableFuture<ScanResult> scan = store.scan("k/", page -> {
             throw new IllegalArgumentException("not understood");
         });
         time.runFor(1_000_000);
-        assertThat(scan).isCompletedWithValueMatching(done -> done.outcome() == Outcome.REFUSED);
+        assertThat(scan).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.REFUSED);
     }
 
     @Test
     void aPageThatIsLostOrRefusedIsReadAgainByItself() {
         int[] requests = new int[1];
-        network.add((from, to, call) -> {
-            if (!call.route().equals("/kv")) {
+        network.add((from, to, request) -> {
+            if (!request.route().equals("/kv")) {
                 return null;
             }
-            int request = requests[0]++;
-            return request % 3 == 0 ? Fate.LOSE : request % 3 == 1 ? Fate.REFUSE : null;
+            int requestNumber = requests[0]++;
+            return requestNumber % 3 == 0 ? Fate.LOSE : requestNumber % 3 == 1 ? Fate.REFUSE : null;
         });
-        CompletableFuture<Scan> scan = store.scan("k/", this::take);
+        CompletableFuture<ScanResult> scan = store.scan("k/", this::take);
         time.runFor(60_000_000);
-        assertThat(scan).isCompletedWithValueMatching(done -> done.outcome() == Outcome.OK);
+        assertThat(scan).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.OK);
         assertThat(read).hasSize(ENTRIES).doesNotHaveDuplicates();
     }
 
@@ -84,40 +81,41 @@
     @Test
     void aLookThatIsRefusedOrUnansweredIsToldAtOnce() {
         state.outage(true);
-        CompletableFuture<StateStore.Listing> refused = store.list("k/");
+        CompletableFuture<ListResult> refused = store.list("k/");
         time.runFor(200_000);
-        assertThat(refused).isCompletedWithValueMatching(listing -> listing.outcome() == Outcome.REFUSED);
+        assertThat(refused).isCompletedWithValueMatching(listing -> listing.outcome() == StoreOutcome.REFUSED);
         state.outage(false);
-        network.add((from, to, call) -> Fate.LOSE);
-        CompletableFuture<StateStore.Listing> unanswered = store.list("k/");
+        network.add((from, to, request) -> Fate.LOSE);
+        CompletableFuture<ListResult> unanswered = store.list("k/");
         time.runFor(1_600_000);
-        assertThat(unanswered).isCompletedWithValueMatching(listing -> listing.outcome() == Outcome.UNKNOWN);
+        assertThat(unanswered).isCompletedWithValueMatching(listing -> listing.outcome() == StoreOutcome.UNKNOWN);
     }
 
     /** Guards the following of changes: what can't be taken in would be asked for, and refused, for ever. */
     @Test
     void aWatchWhoseAnswerIsTooLargeCanNotGoOn() {
         StateStore small = new StateStore(
-                (to, call, timeout) -> CompletableFuture.completedFuture(Reply.answerTooLarge()),
+                (to, request, timeout) -> CompletableFuture.completedFuture(HttpResponse.responseTooLarge()),
                 network.from("node", process),
                 process,
                 "state:1",
-                new Pacer(process, 4, 4),
-                new Pacer(process, 4, 4));
-        assertThat(small.watch("k/", 0, 1_000).join().outcome()).isEqualTo(Outcome.COMPACTED);
+                new RateLimiter(process, 4, 4),
+                new RateLimiter(process, 4, 4));
+        assertThat(small.watch("k/", 0, 1_000).join().outcome()).isEqualTo(StoreOutcome.COMPACTED);
     }
 
     @Test
     void aScanEndsWithAnOutageAndWithWhoeverNeedsNoMore() {
         state.outage(true);
-        CompletableFuture<Scan> refused = store.scan("k/", this::take);
+        CompletableFuture<ScanResult> refused = store.scan("k/", this::take);
         time.runFor(5_000_000);
-        assertThat(refused).isCompletedWithValueMatching(done -> done.outcome() == Outcome.REFUSED);
+        assertThat(refused).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.REFUSED);
         state.outage(false);
         int[] pages = new int[1];
-        CompletableFuture<Scan> ended = store.scan("k/", page -> CompletableFuture.completedFuture(++pages[0] < 2));
+        CompletableFuture<ScanResult> ended =
+                store.scan("k/", page -> CompletableFuture.completedFuture(++pages[0] < 2));
         time.runFor(5_000_000);
-        assertThat(ended).isCompletedWithValueMatching(done -> done.outcome() == Outcome.REFUSED);
+        assertThat(ended).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.REFUSED);
         assertThat(pages[0]).isEqualTo(2);
     }
 }
--- a/src/test/java/io/sillreel/statestore/KeyWriterTest.java
+++ b/src/test/java/io/sillreel/statestore/WriteQueueTest.java
@@ -2,35 +2,32 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import com.fasterxml.jackson.databind.JsonNode;
 import io.sillreel.http.Json;
+import io.sillreel.overload.RateLimiter;
 import io.sillreel.sim.SimNetwork;
 import io.sillreel.sim.SimNetwork.Fate;
 import io.sillreel.sim.SimNetwork.Rule;
-import io.sillreel.sim.SimState;
+import io.sillreel.sim.SimStateStore;
 import io.sillreel.sim.SimTime;
-import io.sillreel.statestore.StateStore.Outcome;
-import io.sillreel.statestore.StateStore.Txn;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class KeyWriterTest {
+class WriteQueueTest {
     private final SimTime time = new SimTime();
     private final SimNetwork network = new SimNetwork(time, 1);
-    private final SimState state = new SimState(time, 4, 8192, 1_000);
+    private final SimStateStore state = new SimStateStore(time, 4, 8192, 1_000);
     private final SimTime.Process process = time.new Process();
     private final StateStore store;
-    private final KeyWriter writer;
+    private final WriteQueue writeQueue;
     private boolean deposed;
 
-    KeyWriterTest() {
+    WriteQueueTest() {
         network.listen("state:1", state);
         store = network.stateStore(process, 1_000, 1_000);
-        store.commit(new Txn().set("leader", Json.object()));
+        store.commit(new Transaction().set("leader", Json.object()));
         time.runFor(100_000);
-        writer = new KeyWriter(store, process, "leader", 101, 4, () -> deposed = true);
+        writeQueue = new WriteQueue(store, process, "leader", 101, 4, () -> deposed = true);
     }
 
     /**
@@ -44,18 +41,18 @@
         Count large = new Count("a-key-whose-value-is-not-small");
         large.padding = "x".repeat(100);
         Count last = new Count("b");
-        List.of(small, large, last).forEach(writer::enqueue);
+        List.of(small, large, last).forEach(writeQueue::enqueue);
         time.runFor(3_000_000);
-        assertThat(small.stamp).isPositive();
-        assertThat(last.stamp).isPositive();
-        assertThat(large.stamp).isZero();
+        assertThat(small.revision).isPositive();
+        assertThat(last.revision).isPositive();
+        assertThat(large.revision).isZero();
         int refused = state.refusedForSize();
         time.runFor(10_000_000);
         assertThat(state.refusedForSize()).isEqualTo(refused);
         large.padding = "";
-        writer.enqueue(large);
+        writeQueue.enqueue(large);
         time.runFor(1_000_000);
-        assertThat(large.stamp).isPositive();
+        assertThat(large.revision).isPositive();
     }
 
     /**
@@ -66,37 +63,37 @@
     void refusalsForTheRateSlowWritingAndLoseNothing() {
         // A quarter of what this controller takes for its part.
         StateStore paced = network.stateStore(process, 1_000, 40);
-        KeyWriter writer = new KeyWriter(paced, process, "leader", 101, 4, () -> deposed = true);
+        WriteQueue writeQueue = new WriteQueue(paced, process, "leader", 101, 4, () -> deposed = true);
         state.limits(4, 8192, 10);
         List<Count> counts = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             counts.add(new Count("k%02d".formatted(i)));
-            writer.enqueue(counts.get(i));
+            writeQueue.enqueue(counts.get(i));
         }
         time.runFor(1_500_000);
         int refusedSoon = state.refusedForRate();
         time.runFor(10_000_000);
-        assertThat(counts).allMatch(count -> count.stamp > 0);
+        assertThat(counts).allMatch(count -> count.revision > 0);
         assertThat(state.refusedForRate() - refusedSoon)
                 .as("refused once the writer had slowed")
                 .isLessThan(25);
     }
 
-    private static final class Count implements KeyWriter.Item {
+    private static final class Count implements PendingWrite {
         private final String key;
         private String padding = "";
         private int value;
         private int sent;
         private int stored;
-        private long stamp;
-        private KeyWriter.Urgency urgency = KeyWriter.Urgency.START;
+        private long revision;
+        private WriteUrgency urgency = WriteUrgency.JOB_START;
 
         Count(String key) {
             this.key = key;
         }
 
         @Override
-        public KeyWriter.Urgency urgency() {
+        public WriteUrgency urgency() {
             return urgency;
         }
 
@@ -106,25 +103,25 @@
         }
 
         @Override
-        public long stamp() {
-            return stamp;
+        public long revision() {
+            return revision;
         }
 
         @Override
-        public Map<String, JsonNode> changes() {
+        public KeyChange change() {
             sent = value;
-            return Map.of(key, Json.object().put("n", value).put("p", padding));
+            return KeyChange.put(Json.object().put("n", value).put("p", padding));
         }
 
         @Override
-        public void stored(long newStamp) {
-            stamp = newStamp;
+        public void onStored(long newRevision) {
+            revision = newRevision;
             stored = sent;
         }
 
         @Override
-        public void moved(long newStamp) {
-            stamp = newStamp;
+        public void onConflict(long newRevision) {
+            revision = newRevision;
         }
     }
 
@@ -134,27 +131,28 @@
         for (int i = 0; i < counts.length; i++) {
             counts[i] = new Count("k" + i);
             counts[i].value = i + 1;
-            writer.enqueue(counts[i]);
+            writeQueue.enqueue(counts[i]);
         }
         time.runFor(1_000_000);
         for (int i = 0; i < counts.length; i++) {
             assertThat(counts[i].stored).isEqualTo(i + 1);
             assertThat(state.value("k" + i).path("n").asInt()).isEqualTo(i + 1);
         }
-        assertThat(counts[9].stamp).isEqualTo(104);
+        assertThat(counts[9].revision).isEqualTo(104);
     }
 
     /** Guards against a lease that runs out because too much else was asked. */
     @Test
     void aRenewalIsNotHeldBackByTheRate() {
         StateStore spent = network.stateStore(process, 1, 1);
-        long permit = store.grant(3_000_000).thenApply(grant -> grant.permit()).getNow(0L);
+        long leaseId =
+                store.grantLease(3_000_000).thenApply(grant -> grant.leaseId()).getNow(0L);
         spent.get("leader");
         var refused = spent.get("leader");
-        var renewed = spent.touch(permit);
+        var renewed = spent.renewLease(leaseId);
         time.runFor(100_000);
-        assertThat(refused.join().outcome()).isEqualTo(StateStore.Outcome.REFUSED);
-        assertThat(renewed.join()).isNotEqualTo(StateStore.Outcome.REFUSED);
+        assertThat(refused.join().outcome()).isEqualTo(StoreOutcome.REFUSED);
+        assertThat(renewed.join()).isNotEqualTo(StoreOutcome.REFUSED);
     }
 
     /** Guards against ends of jobs that wait behind progress when the store takes less than there is to write. */
@@ -165,31 +163,33 @@
                 network.from("node", process),
                 process,
                 "state:1",
-                new Pacer(process, 1_000, 1_000),
-                new Pacer(process, 2, 6));
-        KeyWriter scarce = new KeyWriter(slow, process, "leader", 101, 4, () -> deposed = true);
+                new RateLimiter(process, 1_000, 1_000),
+                new RateLimiter(process, 2, 6));
+        WriteQueue scarce = new WriteQueue(slow, process, "leader", 101, 4, () -> deposed = true);
         Count[] progress = new Count[8];
         for (int i = 0; i < progress.length; i++) {
             progress[i] = new Count("p" + i);
-            progress[i].urgency = KeyWriter.Urgency.PROGRESS;
+            progress[i].urgency = WriteUrgency.PROGRESS;
             scarce.enqueue(progress[i]);
         }
         time.runFor(1_900_000);
-        assertThat(progress).allMatch(count -> count.stamp == 0);
+        assertThat(progress).allMatch(count -> count.revision == 0);
         Count[] starts = new Count[6];
         for (int i = 0; i < starts.length; i++) {
             starts[i] = new Count("s" + i);
             scarce.enqueue(starts[i]);
         }
         Count end = new Count("e");
-        end.urgency = KeyWriter.Urgency.END;
+        end.urgency = WriteUrgency.JOB_END;
         scarce.enqueue(end);
         time.runFor(8_000_000);
-        assertThat(end.stamp).isPositive();
-        assertThat(starts).allMatch(start -> start.stamp >= end.stamp);
-        assertThat(progress).filteredOn(count -> count.stamp > 0).allMatch(count -> count.stamp > starts[5].stamp);
+        assertThat(end.revision).isPositive();
+        assertThat(starts).allMatch(start -> start.revision >= end.revision);
+        assertThat(progress)
+                .filteredOn(count -> count.revision > 0)
+                .allMatch(count -> count.revision > starts[5].revision);
         time.runFor(20_000_000);
-        assertThat(progress).allMatch(count -> count.stamp > 0);
+        assertThat(progress).allMatch(count -> count.revision > 0);
     }
 
     /**
@@ -199,8 +199,8 @@
     void anOwnWriteThatArrivesLateDoesNotUndoWhatCameAfter() {
         Count count = new Count("k");
         count.value = 1;
-        Rule hold = network.add((from, to, call) -> call.route().equals("/txn") ? Fate.HOLD : null);
-        writer.enqueue(count);
+        Rule hold = network.add((from, to, request) -> request.route().equals("/txn") ? Fate.HOLD : null);
+        writeQueue.enqueue(count);
         time.runFor(1_000_000);
         network.remove(hold);
         count.value = 2;
@@ -215,21 +215,21 @@
     void anAnswerThatGetsLostIsFollowedByAReadingBeforeTheNextWrite() {
         Count count = new Count("k");
         count.value = 1;
-        Rule lose = network.add((from, to, call) -> call.route().equals("/txn") ? Fate.LOSE_ANSWER : null);
-        writer.enqueue(count);
+        Rule lose = network.add((from, to, request) -> request.route().equals("/txn") ? Fate.LOSE_ANSWER : null);
+        writeQueue.enqueue(count);
         time.runFor(1_000_000);
         network.remove(lose);
         time.runFor(3_000_000);
         assertThat(count.stored).isEqualTo(1);
-        assertThat(count.stamp).isEqualTo(103);
+        assertThat(count.revision).isEqualTo(103);
     }
 
     @Test
     void aWriterWhoseLeaderKeyHasChangedStops() {
-        store.commit(new Txn().set("leader", Json.object().put("node", "other")));
+        store.commit(new Transaction().set("leader", Json.object().put("node", "other")));
         time.runFor(100_000);
         Count count = new Count("k");
-        writer.enqueue(count);
+        writeQueue.enqueue(count);
         time.runFor(1_000_000);
         assertThat(deposed).isTrue();
         assertThat(state.value("k")).isNull();
@@ -238,11 +238,11 @@
     @Test
     void listsArePagedAndWatchesTellWhenTheyAreTooOld() {
         for (int i = 0; i < 1_200; i += 4) {
-            Txn txn = new Txn();
+            Transaction transaction = new Transaction();
             for (int j = i; j < i + 4; j++) {
-                txn.set("many/%05d".formatted(j), Json.object());
+                transaction.set("many/%05d".formatted(j), Json.object());
             }
-            store.commit(txn);
+            store.commit(transaction);
             time.runFor(20_000);
         }
         var listing = store.list("many/");
@@ -251,15 +251,15 @@
         state.compact();
         var watch = store.watch("many/", 5, 1_000_000);
         time.runFor(100_000);
-        assertThat(watch.join().outcome()).isEqualTo(Outcome.COMPACTED);
+        assertThat(watch.join().outcome()).isEqualTo(StoreOutcome.COMPACTED);
     }
 
     @Test
     void aPacerStaysBelowItsRate() {
-        Pacer pacer = new Pacer(process, 10, 10);
+        RateLimiter pacer = new RateLimiter(process, 10, 10);
         int taken = 0;
         for (int i = 0; i < 200; i++) {
-            taken += pacer.tryTake(1) ? 1 : 0;
+            taken += pacer.tryAcquire(1) ? 1 : 0;
             time.runFor(10_000);
         }
         assertThat(taken).isBetween(28, 30);
@@ -272,14 +272,14 @@
     void progressThatGathersIsNoBacklogOfWhatPresses() {
         for (int i = 0; i < 30; i++) {
             Count progress = new Count("p/" + i);
-            progress.urgency = KeyWriter.Urgency.PROGRESS;
-            writer.enqueue(progress);
+            progress.urgency = WriteUrgency.PROGRESS;
+            writeQueue.enqueue(progress);
         }
-        writer.enqueue(new Count("hire/1"));
-        assertThat(writer.backlog()).isEqualTo(31);
-        assertThat(writer.pressing()).isEqualTo(1);
+        writeQueue.enqueue(new Count("hire/1"));
+        assertThat(writeQueue.pendingCount()).isEqualTo(31);
+        assertThat(writeQueue.urgentCount()).isEqualTo(1);
         time.runFor(1_000_000);
-        assertThat(writer.backlog()).isEqualTo(30);
-        assertThat(writer.pressing()).isZero();
+        assertThat(writeQueue.pendingCount()).isEqualTo(30);
+        assertThat(writeQueue.urgentCount()).isZero();
     }
 }
