--- /dev/null
+++ b/src/test/java/io/sillreel/golden/GoldenSamples.java
@@ -0,0 +1,192 @@
+package io.sillreel.golden;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ArrayNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.sillreel.http.Call;
+import io.sillreel.http.Caller;
+import io.sillreel.http.Json;
+import io.sillreel.http.Reply;
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.UncheckedIOException;
+import java.lang.reflect.InvocationTargetException;
+import java.lang.reflect.Method;
+import java.lang.reflect.RecordComponent;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.Collection;
+import java.util.Map;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.Function;
+
+/**
+ * Golden samples of what is stored and sent, kept under {@code src/test/resources/golden}. They pin the wire and
+ * storage formats, so no sample depends on the name of a Java type, method or constant.
+ */
+public final class GoldenSamples {
+    private static final String NAME = "# ";
+    private static final String INPUT = "< ";
+
+    private GoldenSamples() {}
+
+    /** A conversion that may fail with a checked exception. */
+    @FunctionalInterface
+    public interface Conversion {
+        String apply(String input) throws Exception;
+    }
+
+    /** Asserts that the text equals the sample file byte for byte. */
+    public static void assertMatches(String file, String actual) {
+        assertThat(actual).as("golden sample %s", file).isEqualTo(read(file));
+    }
+
+    /**
+     * Asserts that each input of the file, a line that begins with {@code <}, is converted to the lines that follow it.
+     * Lines that begin with {@code #} name the samples.
+     */
+    public static void assertConverts(String file, Conversion conversion) throws Exception {
+        StringBuilder actual = new StringBuilder();
+        for (String line : read(file).split("\n")) {
+            if (line.startsWith(NAME)) {
+                actual.append(line).append('\n');
+            } else if (line.startsWith(INPUT)) {
+                String converted = conversion.apply(line.substring(INPUT.length()));
+                actual.append(line).append('\n').append(converted).append('\n');
+            }
+        }
+        assertThat(actual.toString()).as("number of samples").contains(INPUT);
+        assertMatches(file, actual.toString());
+    }
+
+    /** Reads a sample file as text. */
+    public static String read(String file) {
+        try (InputStream in = GoldenSamples.class.getResourceAsStream("/golden/" + file)) {
+            assertThat(in).as("golden sample %s", file).isNotNull();
+            return new String(in.readAllBytes(), StandardCharsets.UTF_8);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+
+    /** Parses JSON text. */
+    public static JsonNode json(String text) {
+        return Json.parse(text.getBytes(StandardCharsets.UTF_8));
+    }
+
+    /** Returns the JSON text of a tree as it is sent; {@code null} for none. */
+    public static String text(JsonNode node) {
+        return node == null ? "null" : new String(Json.bytes(node), StandardCharsets.UTF_8);
+    }
+
+    /**
+     * Returns a value as JSON text: a record is the list of its components, an enum constant its ordinal, so that the
+     * text does not change with Java names.
+     */
+    public static String values(Object value) {
+        return text(tree(value));
+    }
+
+    private static JsonNode tree(Object value) {
+        if (value instanceof JsonNode node) {
+            return node;
+        } else if (value instanceof Record fields) {
+            return components(fields);
+        } else if (value instanceof Enum<?> constant) {
+            return Json.array().add(constant.ordinal()).get(0);
+        } else if (value instanceof Collection<?> elements) {
+            ArrayNode array = Json.array();
+            elements.forEach(element -> array.add(tree(element)));
+            return array;
+        } else if (value instanceof Map<?, ?> entries) {
+            ObjectNode object = Json.object();
+            entries.forEach((key, entry) -> object.set(key.toString(), tree(entry)));
+            return object;
+        }
+        return scalar(value);
+    }
+
+    private static JsonNode scalar(Object value) {
+        ArrayNode array = Json.array();
+        if (value == null) {
+            array.addNull();
+        } else if (value instanceof Integer number) {
+            array.add(number);
+        } else if (value instanceof Long number) {
+            array.add(number);
+        } else if (value instanceof Double number) {
+            array.add(number);
+        } else if (value instanceof Boolean flag) {
+            array.add(flag);
+        } else if (value instanceof byte[] bytes) {
+            array.add(new String(bytes, StandardCharsets.UTF_8));
+        } else if (value instanceof long[] numbers) {
+            ArrayNode list = array.addArray();
+            for (long number : numbers) {
+                list.add(number);
+            }
+        } else if (value instanceof InetSocketAddress address) {
+            array.add(address.getHostString() + ":" + address.getPort());
+        } else if (value instanceof String string) {
+            array.add(string);
+        } else {
+            throw new IllegalArgumentException("no sample form for " + value.getClass());
+        }
+        return array.get(0);
+    }
+
+    private static JsonNode components(Record value) {
+        ArrayNode array = Json.array();
+        for (RecordComponent component : value.getClass().getRecordComponents()) {
+            try {
+                Method accessor = component.getAccessor();
+                accessor.setAccessible(true);
+                array.add(tree(accessor.invoke(value)));
+            } catch (IllegalAccessException | InvocationTargetException e) {
+                throw new IllegalStateException(e);
+            }
+        }
+        return array;
+    }
+
+    /** Returns a request as text: method, path and body on one line. */
+    public static String text(Call call) {
+        String body = new String(call.body(), StandardCharsets.UTF_8);
+        return (call.method() + " " + call.path() + " " + body).strip();
+    }
+
+    /** Returns a response as text: status, seconds to wait before a retry, and body on one line. */
+    public static String text(Reply reply) {
+        String body = new String(reply.body(), StandardCharsets.UTF_8);
+        return (reply.status() + " " + reply.retryAfterSeconds() + " " + body).strip();
+    }
+
+    /** Writes down what is sent and what is noted, in its order, and answers each request at once. */
+    public static final class Transcript implements Caller {
+        private final StringBuilder lines = new StringBuilder();
+        private final Function<Call, CompletableFuture<Reply>> answers;
+
+        /** @param answers the other side */
+        public Transcript(Function<Call, CompletableFuture<Reply>> answers) {
+            this.answers = answers;
+        }
+
+        /** Writes a line. */
+        public void note(String line) {
+            lines.append(line).append('\n');
+        }
+
+        @Override
+        public CompletableFuture<Reply> call(String address, Call call, long timeoutMicros) {
+            note("-> " + address + " " + text(call));
+            return answers.apply(call);
+        }
+
+        @Override
+        public String toString() {
+            return lines.toString();
+        }
+    }
+}
