--- a/src/main/java/io/sillreel/settings/OperatorProperties.java
+++ b/src/main/java/io/sillreel/settings/OperatorProperties.java
@@ -4,17 +4,17 @@
 import java.io.Reader;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.Map;
 import java.util.Properties;
-import java.util.TreeMap;
+import java.util.Set;
+import java.util.TreeSet;
 
 /**
- * The operators' own settings: Java properties, all optional, durations in whole milliseconds. A key that isn't known
- * is an error, since a misspelt one would otherwise be believed to work.
+ * The settings of the operators: a file of Java properties, all optional, durations in whole milliseconds. An unknown
+ * key is an error, since a misspelt property would otherwise be taken to be in force. Immutable.
  *
  * @param leaderLeaseMicros time to live of the lease that the leader key is bound to
  * @param idleTimeoutMicros how long a machine may be without work before it is returned
- * @param retryInitialDelayMicros first backoff after an attempt that the job caused
+ * @param retryInitialDelayMicros first backoff after an attempt that failed because of the job
  * @param retryMaxDelayMicros longest backoff of the stored schedule
  * @param parkedRetryIntervalMicros interval at which a parked job is tried again
  * @param maxRequestsInProgress upper bound of the adaptive limit on requests in progress
@@ -33,20 +33,65 @@
      * What is done about a state service that has lost writes.
      *
      * @param enabled false if nothing is
-     * @param followMicros how long changes gather before a controller asks for them
+     * @param followMicros how long changes are collected before a controller asks for them
      */
     public record RecoveryProperties(boolean enabled, long followMicros) {}
 
-    private static final Map<String, Long> DEFAULTS = new TreeMap<>(Map.of(
-            "leader.lease.ms", 3_000L,
-            "fleet.idle.ms", 20_000L,
-            "retry.initial.ms", 2_000L,
-            "retry.maximum.ms", 30_000L,
-            "retry.parked.ms", 60_000L,
-            "overload.max.requests", 64L,
-            "recovery.enabled", 0L,
-            "recovery.follow.ms", 250L));
+    /** The known properties with their keys, defaults and bounds. */
+    private enum Property {
+        LEADER_LEASE_MILLIS("leader.lease.ms", 3_000, 1_000, 60_000),
+        IDLE_TIMEOUT_MILLIS("fleet.idle.ms", 20_000, 0, 3_600_000),
+        RETRY_INITIAL_MILLIS("retry.initial.ms", 2_000, 100, 3_600_000),
+        RETRY_MAXIMUM_MILLIS("retry.maximum.ms", 30_000, 100, 3_600_000),
+        RETRY_PARKED_MILLIS("retry.parked.ms", 60_000, 1_000, 86_400_000),
+        MAX_REQUESTS("overload.max.requests", 64, 4, 10_000),
+        RECOVERY_ENABLED("recovery.enabled", 0, 0, 1),
+        RECOVERY_FOLLOW_MILLIS("recovery.follow.ms", 250, 20, 10_000);
 
+        private static final long MICROS_PER_MILLI = 1_000;
+
+        private final String key;
+        private final long defaultValue;
+        private final long min;
+        private final long max;
+
+        Property(String key, long defaultValue, long min, long max) {
+            this.key = key;
+            this.defaultValue = defaultValue;
+            this.min = min;
+            this.max = max;
+        }
+
+        static Set<String> keys() {
+            Set<String> keys = new TreeSet<>();
+            for (Property property : values()) {
+                keys.add(property.key);
+            }
+            return keys;
+        }
+
+        long microsIn(Properties properties) {
+            return valueIn(properties) * MICROS_PER_MILLI;
+        }
+
+        long valueIn(Properties properties) {
+            String text = properties.getProperty(key);
+            if (text == null) {
+                return defaultValue;
+            }
+            try {
+                long value = Long.parseLong(text.trim());
+                if (value >= min && value <= max) {
+                    return value;
+                }
+            } catch (NumberFormatException e) {
+                // Not a number: reported below like a number that is out of bounds.
+            }
+            throw new SettingsException(key, "must be a whole number from " + min + " to " + max);
+        }
+    }
+
+    /** The properties of operators who give none. */
     public static OperatorProperties defaults() {
         return of(new Properties());
     }
@@ -54,7 +99,7 @@
     /**
      * Reads a properties file.
      *
-     * @throws SettingsException naming the key that is unknown or impossible
+     * @throws SettingsException naming the file if it can't be read, or the key that is unknown or out of bounds
      */
     public static OperatorProperties read(Path file) {
         Properties properties = new Properties();
@@ -70,43 +115,24 @@
     /**
      * Checks the properties and fills in defaults.
      *
-     * @throws SettingsException naming the key that is unknown or impossible
+     * @throws SettingsException naming the key that is unknown or out of bounds
      */
     public static OperatorProperties of(Properties properties) {
+        Set<String> knownKeys = Property.keys();
         for (String key : properties.stringPropertyNames()) {
-            if (!DEFAULTS.containsKey(key)) {
-                throw new SettingsException(key, "is not a known property; known are " + DEFAULTS.keySet());
+            if (!knownKeys.contains(key)) {
+                throw new SettingsException(key, "is not a known property; known are " + knownKeys);
             }
         }
         return new OperatorProperties(
-                millis(properties, "leader.lease.ms", 1_000, 60_000),
-                millis(properties, "fleet.idle.ms", 0, 3_600_000),
-                millis(properties, "retry.initial.ms", 100, 3_600_000),
-                millis(properties, "retry.maximum.ms", 100, 3_600_000),
-                millis(properties, "retry.parked.ms", 1_000, 86_400_000),
-                (int) whole(properties, "overload.max.requests", 4, 10_000),
+                Property.LEADER_LEASE_MILLIS.microsIn(properties),
+                Property.IDLE_TIMEOUT_MILLIS.microsIn(properties),
+                Property.RETRY_INITIAL_MILLIS.microsIn(properties),
+                Property.RETRY_MAXIMUM_MILLIS.microsIn(properties),
+                Property.RETRY_PARKED_MILLIS.microsIn(properties),
+                (int) Property.MAX_REQUESTS.valueIn(properties),
                 new RecoveryProperties(
-                        whole(properties, "recovery.enabled", 0, 1) == 1,
-                        millis(properties, "recovery.follow.ms", 20, 10_000)));
-    }
-
-    private static long millis(Properties properties, String key, long least, long most) {
-        return whole(properties, key, least, most) * 1_000;
-    }
-
-    private static long whole(Properties properties, String key, long least, long most) {
-        String text = properties.getProperty(key);
-        if (text == null) {
-            return DEFAULTS.get(key);
-        }
-        try {
-            long value = Long.parseLong(text.trim());
-            if (value >= least && value <= most) {
-                return value;
-            }
-        } catch (NumberFormatException e) {
-            // falls through to the one message
-        }
-        throw new SettingsException(key, "must be a whole number from " + least + " to " + most);
+                        Property.RECOVERY_ENABLED.valueIn(properties) == 1,
+                        Property.RECOVERY_FOLLOW_MILLIS.microsIn(properties)));
     }
 }
