--- a/src/main/java/io/sillreel/limits/ProcessLimits.java
+++ b/src/main/java/io/sillreel/limits/ProcessLimits.java
@@ -4,79 +4,78 @@
 
 /**
  * The bounds of one controller that follow from its memory and its sockets. Nothing that grows with the fleet or with
- * the number of jobs is bounded by a constant: what there is to hold decides, and {@code docs/scale.md} lists each
- * bound with what happens beyond it.
+ * the number of jobs is bounded by a constant; {@code docs/scale.md} lists each bound with what happens beyond it.
+ * Immutable.
  *
  * @param maxHeapBytes size that the heap may grow to, in bytes
- * @param maxSockets open sockets that the platform allows
+ * @param maxSockets number of open sockets that the platform allows
  * @param otherControllers number of the other controllers of the deployment
  */
 public record ProcessLimits(long maxHeapBytes, int maxSockets, int otherControllers) {
-    /** The part of the heap that remembered jobs may take. */
-    private static final int REMEMBERED_PART = 8;
-    /** A remembered job with its texts and its place in the map. */
-    private static final int REMEMBERED_JOB_BYTES = 600;
+    /** Cached job statuses may take this fraction of the heap: one eighth. */
+    private static final int HEAP_PER_CACHED_STATUSES = 8;
+    /** Size of a cached job status with its texts and its entry in the map. */
+    private static final int CACHED_STATUS_BYTES = 600;
 
-    private static final int MIN_REMEMBERED_JOBS = 4_000;
-    /** The part of the heap that requests may take which wait for their turn. */
-    private static final int WAITING_PART = 12;
+    private static final int MIN_CACHED_STATUSES = 4_000;
+    /** Queued requests may take this fraction of the heap: one twelfth. */
+    private static final int HEAP_PER_QUEUED_REQUESTS = 12;
 
-    private static final int MIN_WAITING_BYTES = 1 << 20;
-    /** The part of the heap that recent changes may take. */
-    private static final int RECENT_CHANGES_PART = 24;
-    /** The part of the heap that one answer may take; the tree that is read from it takes ten times as much. */
-    private static final int ANSWER_PART = 20;
+    private static final int MIN_QUEUED_REQUEST_BYTES = 1 << 20;
+    /** Recent changes of the store may take this fraction of the heap: one 24th. */
+    private static final int HEAP_PER_RECENT_CHANGES = 24;
+    /** One response may take a twentieth of the heap; the tree that is read from it takes ten times as much. */
+    private static final int HEAP_PER_RESPONSE = 20;
+    /** The largest page of the state service with its frame. */
+    private static final int MIN_RESPONSE_BYTES = 1 << 20;
 
-    /** The largest page of the state service and its frame. */
-    private static final int MIN_ANSWER_BYTES = 1 << 20;
-
-    /** Of all sockets: the rest is for what this controller asks others. */
-    private static final double PUBLIC_PART = 0.75;
-    /** Of the public ones: the rest is for users and health checks. */
-    private static final double WORKERS_PART = 0.9;
+    /** Fraction of all sockets; the rest is for the requests that this controller sends. */
+    private static final double PUBLIC_FRACTION = 0.75;
+    /** Fraction of the public sockets; the rest is for users and health checks. */
+    private static final double WORKERS_FRACTION = 0.9;
 
     private static final int MIN_INTERNAL_CONNECTIONS = 100;
-    /** Batches, greetings and cancellations of one other controller, and as many that it has given up. */
-    private static final int CONNECTIONS_PER_PEER = 12;
+    /** Batches, hellos and cancellations of another controller, and as many again that it has given up. */
+    private static final int CONNECTIONS_PER_CONTROLLER = 12;
 
-    /** The limits of a process with that heap under those settings. */
+    /** Returns the limits of a process with that heap under those settings. */
     public static ProcessLimits of(Settings settings, long heapBytes) {
         return new ProcessLimits(
                 heapBytes, settings.resources().maxSockets(), settings.members().size());
     }
 
-    /** How many jobs a controller remembers as it last saw them. */
+    /** The number of job statuses that a controller caches. */
     public int cachedJobStatuses() {
-        return (int) Math.max(MIN_REMEMBERED_JOBS, maxHeapBytes / REMEMBERED_PART / REMEMBERED_JOB_BYTES);
+        return (int) Math.max(MIN_CACHED_STATUSES, maxHeapBytes / HEAP_PER_CACHED_STATUSES / CACHED_STATUS_BYTES);
     }
 
-    /** What the requests that wait for their turn may hold in all. */
+    /** The size of all queued requests together, in bytes. */
     public long queuedRequestBytes() {
-        return Math.max(MIN_WAITING_BYTES, maxHeapBytes / WAITING_PART);
+        return Math.max(MIN_QUEUED_REQUEST_BYTES, maxHeapBytes / HEAP_PER_QUEUED_REQUESTS);
     }
 
-    /** What the last changes of the state service may take that a controller remembers. */
+    /** The size of the recent changes of the state service that a controller keeps, in bytes. */
     public long recentChangeBytes() {
-        return maxHeapBytes / RECENT_CHANGES_PART;
+        return maxHeapBytes / HEAP_PER_RECENT_CHANGES;
     }
 
-    /** The largest answer that is taken in. */
+    /** The size of the largest response that is read, in bytes. */
     public int maxResponseBytes() {
-        return (int) Math.min(Integer.MAX_VALUE / 2, Math.max(MIN_ANSWER_BYTES, maxHeapBytes / ANSWER_PART));
+        return (int) Math.min(Integer.MAX_VALUE / 2, Math.max(MIN_RESPONSE_BYTES, maxHeapBytes / HEAP_PER_RESPONSE));
     }
 
-    /** Connections of users, workers and health checks. */
+    /** The number of connections of users, workers and health checks. */
     public int maxPublicConnections() {
-        return (int) (maxSockets * PUBLIC_PART);
+        return (int) (maxSockets * PUBLIC_FRACTION);
     }
 
-    /** Of the public connections those that workers may have. */
+    /** The number of public connections that workers may have. */
     public int maxWorkerConnections() {
-        return (int) (maxPublicConnections() * WORKERS_PART);
+        return (int) (maxPublicConnections() * WORKERS_FRACTION);
     }
 
-    /** Connections of other controllers and of operators. */
+    /** The number of connections of other controllers and of operators. */
     public int maxInternalConnections() {
-        return Math.max(MIN_INTERNAL_CONNECTIONS, CONNECTIONS_PER_PEER * otherControllers);
+        return Math.max(MIN_INTERNAL_CONNECTIONS, CONNECTIONS_PER_CONTROLLER * otherControllers);
     }
 }
--- a/src/main/java/io/sillreel/settings/SettingsException.java
+++ b/src/main/java/io/sillreel/settings/SettingsException.java
@@ -4,6 +4,12 @@
 public final class SettingsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
+    /**
+     * Creates the exception.
+     *
+     * @param field the qualified name of the setting, or the file
+     * @param reason what is wrong with it, and what is needed
+     */
     public SettingsException(String field, String reason) {
         super(field + ": " + reason);
     }
