--- a/src/main/java/io/sillreel/fleet/CloudListReconciler.java
+++ b/src/main/java/io/sillreel/fleet/CloudListReconciler.java
@@ -95,7 +95,7 @@
         machine.recordListed(eventLoop.nowMicros());
         machine.updateAddress(entry.address());
         if (entry.hasFailed()) {
-            LOG.info("machine {} has failed", machine.name());
+            LOG.info("the cloud lists machine {} as failed", machine.name());
             callbacks.clearTasks(machine);
             machine.drain();
         }
@@ -109,7 +109,7 @@
                     && machine.firstListedMicros() >= 0
                     && asked > machine.firstListedMicros() + lag
                     && machine.state() != Machine.State.RETURNING) {
-                LOG.info("machine {} is gone from the cloud's list", machine.name());
+                LOG.info("machine {} is no longer in the cloud's machine list", machine.name());
                 registry.remove(machine);
             }
         }
--- a/src/main/java/io/sillreel/fleet/FleetRegistry.java
+++ b/src/main/java/io/sillreel/fleet/FleetRegistry.java
@@ -118,7 +118,7 @@
                 new ScaleOutRequest("adopted-" + term + "-" + ++lastNameNumber, machineType, zone, spot, 1);
         scaleOutRequest.recordAnswer(List.of(name));
         add(scaleOutRequest);
-        LOG.info("machine {} ({}, {}) was not expected, it is taken into the fleet", name, machineType, zone);
+        LOG.info("adopting machine {} ({}, zone {}), which no known scale-out request names", name, machineType, zone);
         addMachine(name, scaleOutRequest, eventLoop.nowMicros());
         writeQueue.enqueue(scaleOutRequest);
         return Optional.ofNullable(cluster.machine(name));
--- a/src/main/java/io/sillreel/fleet/MachineReturner.java
+++ b/src/main/java/io/sillreel/fleet/MachineReturner.java
@@ -44,7 +44,7 @@
                 synchronized (cluster) {
                     returnable.forEach(registry::remove);
                 }
-                LOG.info("returned {}", names);
+                LOG.info("returned machines {} to the cloud", names);
             }
         });
     }
--- a/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
@@ -61,12 +61,12 @@
             returnInterrupted(machine, now);
         }
         for (Machine machine : lostMachineDetector.detectLostMachines(now)) {
-            scheduleReturn(machine, "it has fallen silent");
+            scheduleReturn(machine, "its heartbeats have stopped");
         }
         returnUnreconciled(now);
         for (Machine machine :
                 capacityPlanner.surplusMachines(operator.idleTimeoutMicros(), now, eventLoop.wallMicros())) {
-            drain(machine, "it has no work");
+            drain(machine, "it is idle");
         }
     }
 
@@ -74,7 +74,7 @@
         long timeout = Math.max(
                 MIN_BOOT_TIMEOUT_MICROS, BOOT_TIMEOUT_FACTOR * machine.type().bootMicros());
         if (now - machine.requestedMicros() > timeout && machine.leaseExpiryMicros() < now) {
-            drain(machine, "it never came up");
+            drain(machine, "it never sent a heartbeat");
         }
     }
 
@@ -82,9 +82,9 @@
         long silent = now - Math.max(machine.lastHeartbeatMicros(), machine.requestedMicros());
         // A cut zone or a machine that hangs mostly comes back; then it has its images and need not boot.
         if (machine.leaseExpiryMicros() < now && silent > MAX_SILENT_LEASES * times.leaseMicros()) {
-            drain(machine, "it is silent");
+            drain(machine, "it has sent no heartbeat for longer than its lease");
         } else if (machine.isInterrupted() && machine.isEmpty()) {
-            drain(machine, "the cloud takes it back");
+            drain(machine, "the cloud has announced its interruption");
         }
     }
 
@@ -98,7 +98,7 @@
                 && machine.isInterrupted()
                 && machine.interruptionAtMicros() - now < INTERRUPTION_MARGIN_MICROS
                 && !machine.isReturnScheduled()) {
-            scheduleReturn(machine, "the cloud takes it back");
+            scheduleReturn(machine, "the cloud has announced its interruption");
         }
     }
 
@@ -120,7 +120,7 @@
         }
         for (Machine machine : cluster.unreconciledMachines()) {
             if (now - Math.max(machine.upMicros(), termStartMicros) > patience && !machine.isReturnScheduled()) {
-                scheduleReturn(machine, "it has not been heard, or does not hear, since the term began");
+                scheduleReturn(machine, "it has not been reconciled since the term began");
             }
         }
     }
@@ -137,7 +137,7 @@
 
     private static void logReturn(Machine machine, String reason) {
         LOG.info(
-                "machine {} ({}, {}{}) is to be returned: {}",
+                "scaling in machine {} ({}, zone {}{}): {}",
                 machine.name(),
                 machine.type().name(),
                 machine.zone(),
--- a/src/main/java/io/sillreel/fleet/ScaleOut.java
+++ b/src/main/java/io/sillreel/fleet/ScaleOut.java
@@ -121,7 +121,7 @@
         if (headroom <= 0 && now - lastFullWarningMicros > FULL_WARNING_INTERVAL_MICROS) {
             lastFullWarningMicros = now;
             LOG.warn(
-                    "no more machines are rented: {} are there or asked for, and the controllers carry {}",
+                    "scale-out is suspended: {} machines exist or are requested, and the controllers support {}",
                     machines + open.machines(),
                     fleetCapacity.describe(tasksPerMachine));
         }
@@ -165,7 +165,7 @@
             case NO_CAPACITY -> abandon(request, now + UNAVAILABLE_MICROS);
             case REFUSED -> handleRefusal(request, now);
             default -> {
-                LOG.info("the rental {} got no answer, asking again under the same name", request.name());
+                LOG.info("scale-out request {} has no known outcome, retrying it under the same name", request.name());
                 request.markPossiblyExecuted();
                 retryWithoutTimeout(request, now);
             }
@@ -174,7 +174,7 @@
 
     private void addRentedMachines(ScaleOutRequest request, List<String> rentedNames, long now) {
         LOG.info(
-                "rented {} of {} {} in {}{} as {}",
+                "scaled out by {} of {} machines of type {} in zone {}{} with scale-out request {}",
                 rentedNames.size(),
                 request.machineCount(),
                 request.machineType(),
--- a/src/main/java/io/sillreel/fleet/StragglerDetector.java
+++ b/src/main/java/io/sillreel/fleet/StragglerDetector.java
@@ -44,7 +44,7 @@
                             || lateJobs.size() > 1
                                     && late > machine.allocations().size() / 2)) {
                 LOG.info(
-                        "machine {} ({}) is considered slow",
+                        "draining machine {} ({}): it is a straggler",
                         machine.name(),
                         machine.type().name());
                 machine.drain();
