--- a/src/main/java/io/sillreel/cluster/Allocation.java
+++ b/src/main/java/io/sillreel/cluster/Allocation.java
@@ -3,7 +3,10 @@
 import io.sillreel.agent.Heartbeat.TaskStage;
 import io.sillreel.pipeline.ActiveJob;
 
-/** A task that is, or may be, on a machine. */
+/**
+ * An attempt of a task that is, or may be, on a machine. While it is live it counts against the job's quota, and its
+ * task is not launched elsewhere. Guarded by the lock of the {@link Cluster}.
+ */
 public final class Allocation {
     private final ActiveJob job;
     private final String uid;
@@ -27,17 +30,25 @@
         this.stage = stage;
     }
 
-    /** A launch that rides the response to the report with the given sequence. */
+    /**
+     * Creates an allocation for a task that is launched now. It stays unconfirmed until a heartbeat shows the task.
+     *
+     * @param launchSequence sequence of the heartbeat whose response carries the launch command
+     */
     public static Allocation launched(ActiveJob job, int index, long attempt, long launchSequence) {
         return new Allocation(job, job.uid(), index, attempt, launchSequence, null);
     }
 
-    /** A task found in a report, alive or not. The job is null if it isn't driven any more. */
+    /**
+     * Creates an allocation for a task that a heartbeat has shown, live or ended.
+     *
+     * @param job the job, or null if the leader no longer schedules it
+     */
     public static Allocation discovered(ActiveJob job, String uid, int index, long attempt, TaskStage stage) {
         return new Allocation(job, uid, index, attempt, 0, stage);
     }
 
-    /** The machine takes the allocation in: from now on a live one holds its task. */
+    /** Binds the allocation to its machine. From now on a live task counts as allocated. */
     void bindTo(Machine on) {
         machine = on;
         if (job != null && !hasEnded()) {
@@ -52,8 +63,8 @@
     }
 
     /**
-     * It is certainly not alive. Only an allocation that held its task frees it: an ended one that is found after a
-     * takeover must not free a task that by then runs elsewhere.
+     * Records that the task is certainly not live on its machine. Only an allocation that was live when it was bound
+     * frees its task: one that was found ended after a failover must not free a task that runs elsewhere by then.
      */
     public void release() {
         if (isTaskHeld) {
@@ -64,6 +75,7 @@
         machine.invalidateUsage();
     }
 
+    /** Returns the job, or null if the leader no longer schedules it. */
     public ActiveJob job() {
         return job;
     }
@@ -80,20 +92,22 @@
         return attempt;
     }
 
+    /** Returns the sequence of the heartbeat whose response launched the task, 0 if a heartbeat showed it first. */
     public long launchSequence() {
         return launchSequence;
     }
 
-    /** True as long as no report has shown the task: the launch may not have happened. */
+    /** True until a heartbeat shows the task: the launch command may have been lost. */
     public boolean isUnconfirmed() {
         return stage == null;
     }
 
+    /** Returns the stage that the last heartbeat showed, or null if the launch is unconfirmed. */
     public TaskStage stage() {
         return stage;
     }
 
-    /** Takes note of the state in which a report shows the task. */
+    /** Records the stage in which a heartbeat shows the task. */
     public void updateStage(TaskStage newStage, long nowMicros) {
         if (newStage == TaskStage.RUNNING && runningSinceMicros < 0) {
             runningSinceMicros = nowMicros;
@@ -104,7 +118,7 @@
         }
     }
 
-    /** When the task was first seen running, or -1. */
+    /** Returns when a heartbeat first showed the task running, in microseconds of the event loop, or -1. */
     public long runningSinceMicros() {
         return runningSinceMicros;
     }
@@ -113,24 +127,29 @@
         return stage == TaskStage.ENDED;
     }
 
-    /** True if the task is done and that is known only here and to its machine, not yet to the store. */
+    /** True if the task is done, but its completion is not stored yet. */
     boolean hasUnstoredCompletion() {
         return job != null && !job.isCancelled() && job.isTaskDone(taskIndex) && !job.isTaskStored(taskIndex);
     }
 
-    public void stop(long windDownMicros) {
+    /**
+     * Marks the task as to be stopped; the machine is told until its heartbeats show the task ended.
+     *
+     * @param gracePeriodMicros how long the task may take to save a checkpoint, in microseconds
+     */
+    public void stop(long gracePeriodMicros) {
         isStopping = true;
-        gracePeriodMicros = windDownMicros;
+        this.gracePeriodMicros = gracePeriodMicros;
     }
 
-    /** The machine is told, in the answer to the report with the given sequence, to forget the ended task. */
+    /** Records that the response to the heartbeat of the given sequence tells the machine to forget the ended task. */
     public void recordAcknowledgementSent(long sequence) {
         if (acknowledgementSequence == 0) {
             acknowledgementSequence = sequence;
         }
     }
 
-    /** The report whose answer first said so, or 0. */
+    /** Returns the sequence of the first heartbeat whose response told the machine to forget the task, or 0. */
     public long acknowledgementSequence() {
         return acknowledgementSequence;
     }
--- a/src/main/java/io/sillreel/cluster/AllocationIndex.java
+++ b/src/main/java/io/sillreel/cluster/AllocationIndex.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Where each job's live tasks are and what they take of their teams' limits, kept as tasks come and go. */
+/**
+ * The live allocations by job, and their quota usage, updated as tasks start and end. Guarded by the lock of the
+ * {@link Cluster}.
+ */
 public final class AllocationIndex {
     private final Map<ActiveJob, Set<Allocation>> byJob = new HashMap<>();
     private final QuotaUsage usage = new QuotaUsage();
@@ -25,12 +28,12 @@
         usage.add(allocation.job().spec(), -1);
     }
 
-    /** The job's live tasks. */
+    /** Returns the live allocations of the job, in the order in which they were made. */
     public Set<Allocation> ofJob(ActiveJob job) {
         return byJob.getOrDefault(job, Set.of());
     }
 
-    /** What all live tasks take; to be copied before it is changed. */
+    /** Returns the quota usage of all live tasks. Callers that change it have to copy it first. */
     public QuotaUsage usage() {
         return usage;
     }
--- a/src/main/java/io/sillreel/cluster/Cluster.java
+++ b/src/main/java/io/sillreel/cluster/Cluster.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * What the lease leader knows of jobs and machines, and the rules of where a task may start. All access is under the
- * object's own lock, which is held for one report or one tick and never across I/O.
+ * The leader's state of jobs and machines during one term, and the limits on where a task may start. All access is
+ * under the object's own lock, which is held for one heartbeat or one planning cycle and never across I/O.
  */
 public final class Cluster {
     private final Map<String, Team> teams;
@@ -20,10 +20,16 @@
 
     private long stepCount;
 
+    /**
+     * Creates a cluster without jobs and machines.
+     *
+     * @param teams the teams and their quotas by name
+     */
     public Cluster(Map<String, Team> teams) {
         this.teams = teams;
     }
 
+    /** Returns the job, or null if it is unknown or finished. */
     public ActiveJob job(String uid) {
         return jobs.get(uid);
     }
@@ -40,6 +46,7 @@
         jobs.remove(job.uid());
     }
 
+    /** Returns the machine, or null if it is not in the fleet. */
     public Machine machine(String name) {
         return machines.get(name);
     }
@@ -52,7 +59,7 @@
         machines.put(machine.name(), machine);
     }
 
-    /** A machine of an earlier term: until it is heard, or its bound has passed, it may hold that term's tasks. */
+    /** Adds a machine of an earlier term. It may hold that term's tasks until it is reconciled or its lease expires. */
     public void addInherited(Machine machine) {
         machine.markInherited();
         add(machine);
@@ -66,7 +73,7 @@
         unreconciledMachines.remove(machine);
     }
 
-    /** Nothing of an earlier term is hidden on the machine any more. */
+    /** Records that all tasks of an earlier term on the machine are known. */
     public void markReconciled(Machine machine) {
         unreconciledMachines.remove(machine);
     }
@@ -76,8 +83,8 @@
     }
 
     /**
-     * Steps of planning and of reports so far: what they cost must not grow with machines that have nothing to do with
-     * them.
+     * Returns how many steps planning and heartbeats have taken so far. Tests use it to show that their cost does not
+     * grow with machines that they do not concern.
      */
     public long stepCount() {
         return stepCount;
@@ -87,11 +94,12 @@
         stepCount += steps;
     }
 
+    /** Returns the team, or null if there is none of that name. */
     public Team team(String name) {
         return teams.get(name);
     }
 
-    /** Machines on which an earlier leader's tasks may be that no report has shown yet. */
+    /** Returns the machines that may hold tasks of an earlier term that no heartbeat has shown yet. */
     public Collection<Machine> unreconciledMachines() {
         return unreconciledMachines.machines();
     }
@@ -100,7 +108,7 @@
         return unreconciledMachines.isEmpty();
     }
 
-    /** What each team's tasks take; tasks count until they are certainly gone. To be changed freely by the caller. */
+    /** Returns a copy of each team's quota usage. A task counts until it has certainly ended. */
     public QuotaUsage quotaUsage() {
         QuotaUsage usage = allocationIndex.usage().copy();
         if (!unreconciledMachines.isEmpty()) {
@@ -109,7 +117,7 @@
         return usage;
     }
 
-    /** An earlier leader's tasks on machines not heard of yet count as if they were all there. */
+    /** Adds the tasks of inherited jobs that may be on unreconciled machines, as if all of them were. */
     private void addWorstCase(QuotaUsage usage) {
         QuotaUsage hidden = new QuotaUsage();
         for (ActiveJob job : jobs.values()) {
@@ -120,7 +128,7 @@
         usage.addCapped(hidden, unreconciledMachines.cpus(), unreconciledMachines.gpus());
     }
 
-    /** How many more tasks of the job its team's limit allows. */
+    /** Returns how many more tasks of the job the quota of its team allows. */
     public int quotaHeadroom(JobSpec spec, QuotaUsage usage) {
         Team team = teams.get(spec.team());
         if (team == null) {
@@ -139,7 +147,10 @@
         return (int) Math.max(0, (QuotaUsage.toMilli(most) - used) / QuotaUsage.toMilli(each));
     }
 
-    /** True if the job's tasks may be launched at all now. */
+    /**
+     * True if tasks of the job may be launched now. Those of an inherited job may not while an unreconciled machine
+     * could hold them, since they might run twice.
+     */
     public boolean isLaunchable(ActiveJob job, long wallMicros) {
         return job.isReleased()
                 && !job.isCancelled()
@@ -148,7 +159,7 @@
                 && (!job.isInherited() || !unreconciledMachines.mayHoldTasksOf(job.spec()));
     }
 
-    /** How many tasks of the job may start in the machine's zone given where its other tasks are. */
+    /** Returns how many more tasks of the job may start in the zone, given where its live tasks are. */
     public int zoneHeadroom(ActiveJob job, String zone) {
         JobSpec spec = job.spec();
         if (!spec.zoneAffinity() && !spec.zoneAntiAffinity()) {
--- a/src/main/java/io/sillreel/cluster/HeartbeatOrder.java
+++ b/src/main/java/io/sillreel/cluster/HeartbeatOrder.java
@@ -3,8 +3,9 @@
 import io.sillreel.agent.Heartbeat;
 
 /**
- * The order of a worker's messages, by session and sequence. What is not newer than what was seen says nothing; reports
- * that count anew hint at a machine that has started again.
+ * The order of a machine's heartbeats by agent epoch and sequence. A heartbeat that is not newer than the last accepted
+ * one is stale and shows nothing; stale heartbeats with rising sequences suggest that the machine has restarted.
+ * Guarded by the lock of the {@link Cluster}.
  */
 public final class HeartbeatOrder {
     private static final int STALE_HEARTBEATS_BEFORE_QUERY = 3;
@@ -17,25 +18,31 @@
     private long staleSequence;
     private int staleCount;
 
+    /** Returns the agent epoch of the newest heartbeat, 0 before the first. */
     public long epoch() {
         return epoch;
     }
 
+    /** Returns the sequence of the newest heartbeat, 0 before the first. */
     public long sequence() {
         return sequence;
     }
 
-    /** True if the message is newer than all that were seen, and its session is not known to be over. */
+    /** True if the heartbeat is newer than all accepted ones, and its agent epoch has not ended. */
     boolean isNew(Heartbeat heartbeat) {
         return heartbeat.isNewerThan(epoch, sequence) && heartbeat.epoch() > endedEpoch;
     }
 
-    /** True if the worker's session before this message has ended. */
+    /** True if the heartbeat starts a new agent epoch: the tasks of the one before are dead. */
     boolean startsEpoch(Heartbeat heartbeat) {
         return epoch > 0 && heartbeat.epoch() > epoch;
     }
 
-    /** The message is the newest one from now on. */
+    /**
+     * Accepts the heartbeat as the newest.
+     *
+     * @param direct true if it came in the response to a command that was sent to the machine
+     */
     void accept(Heartbeat heartbeat, boolean direct, long nowMicros) {
         epoch = heartbeat.epoch();
         sequence = heartbeat.sequence();
@@ -43,14 +50,16 @@
         staleCount = 0;
     }
 
-    /** The lease has run out whatever the worker heard last: what belongs to its session is dead. */
+    /** Ends the agent epoch: the machine's lease has expired, whichever response it received last. */
     public void endEpoch() {
         endedEpoch = epoch;
     }
 
     /**
-     * True if this is the report that the answer to a direct command has just overtaken: the worker waits for its
-     * answer.
+     * True if the response to a direct command has overtaken this heartbeat. The agent still waits for the response to
+     * the heartbeat, although it is stale by one.
+     *
+     * @param withinMicros how long ago the response to the command may have arrived, in microseconds
      */
     public boolean isOvertakenByCommand(Heartbeat heartbeat, long withinMicros, long nowMicros) {
         return heartbeat.epoch() == epoch
@@ -61,8 +70,8 @@
     }
 
     /**
-     * Counts reports that are older than what was seen; true once several have come whose numbers rise: copies of old
-     * ones do that too, but so does a machine that is back and counts anew.
+     * Counts a stale heartbeat. Returns true once several have come with rising sequences, and starts counting again.
+     * Delayed copies may rise too, so the machine has to be queried before it is taken as restarted.
      */
     public boolean suggestsRestart(Heartbeat heartbeat) {
         if (staleCount == 0 || heartbeat.isNewerThan(staleEpoch, staleSequence)) {
--- a/src/main/java/io/sillreel/cluster/ImageCache.java
+++ b/src/main/java/io/sillreel/cluster/ImageCache.java
@@ -6,15 +6,22 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** The images that a machine is thought to have: those that it used last, as far as its cache holds them. */
+/**
+ * An estimate of the container images in a machine's cache: the most recently used ones, up to its capacity. Guarded by
+ * the lock of the {@link Cluster}.
+ */
 public final class ImageCache {
-    /** An image that a machine has to fetch before a task can start. */
+    /**
+     * An image that a machine has to fetch before a task can start.
+     *
+     * @param gb size in gigabytes
+     */
     public record Image(String name, double gb) {
         public static Image of(JobSpec spec) {
             return new Image(spec.image(), spec.imageGb());
         }
 
-        // Written out: the compiler would leave it to be linked at run time, which costs a takeover milliseconds.
+        // Written out: linking the generated method at run time costs a failover milliseconds.
         @Override
         public boolean equals(Object other) {
             return other instanceof Image image && image.name.equals(name) && image.gb == gb;
@@ -27,14 +34,14 @@
     }
 
     private final double capacityGb;
-    /** The most recently used one last. */
+    /** From the least to the most recently used. */
     private final Set<Image> images = new LinkedHashSet<>();
 
     ImageCache(double capacityGb) {
         this.capacityGb = capacityGb;
     }
 
-    /** Remembers the image as the most recently used; what the cache can't hold is thought to be gone. */
+    /** Marks the image as the most recently used, and evicts the least recently used beyond the capacity. */
     void markUsed(Image image) {
         images.remove(image);
         images.add(image);
--- a/src/main/java/io/sillreel/cluster/Machine.java
+++ b/src/main/java/io/sillreel/cluster/Machine.java
@@ -7,9 +7,15 @@
 import java.util.Collection;
 import java.util.List;
 
-/** A machine of the fleet and what is known of it. */
+/**
+ * A machine of the fleet: its capacity and tasks, its lease, its life cycle, and the evidence on its health. All times
+ * are in microseconds of the event loop. Guarded by the lock of the {@link Cluster}.
+ */
 public final class Machine {
-    /** RENTED: no report yet. UP: reports. LEAVING: takes nothing more. RETURNING: the cloud was asked to take it. */
+    /**
+     * The life cycle. PROVISIONING: no heartbeat yet. UP: it may be given tasks. DRAINING: it is given no more tasks and
+     * is returned once it is empty. RETURNING: the cloud was asked to take it back.
+     */
     public enum State {
         PROVISIONING,
         UP,
@@ -18,8 +24,8 @@
     }
 
     /**
-     * A report may have 64 KiB, and a task takes up to 110 bytes of it. A machine whose reports were too large to be
-     * read would lose its lease, and all tasks with it.
+     * The most tasks that one machine is given. A heartbeat may have 64 KiB, and a task takes up to 110 bytes of it. A
+     * machine whose heartbeats are too large to be read would lose its lease, and all its tasks.
      */
     public static final int MAX_TASKS = 580;
 
@@ -49,8 +55,11 @@
     private boolean isReturnScheduled;
 
     /**
-     * @param rental the rental that the machine belongs to, or null if no stored one names it
-     * @param book counts the tasks of all machines
+     * Creates a machine that has sent no heartbeat yet.
+     *
+     * @param scaleOutRequest the request that the machine was rented with
+     * @param requestedMicros when the cloud was asked for the machine, or when this leader learnt of it
+     * @param allocationIndex the index of the live tasks of all machines
      */
     public Machine(
             String name,
@@ -58,16 +67,16 @@
             String zone,
             boolean spot,
             ScaleOutRequest scaleOutRequest,
-            long rentedMicros,
-            AllocationIndex book) {
+            long requestedMicros,
+            AllocationIndex allocationIndex) {
         this.name = name;
         this.type = type;
         this.zone = zone;
         this.isSpot = spot;
         this.scaleOutRequest = scaleOutRequest;
-        this.requestedMicros = rentedMicros;
-        this.idleSinceMicros = rentedMicros;
-        this.allocationIndex = book;
+        this.requestedMicros = requestedMicros;
+        this.idleSinceMicros = requestedMicros;
+        this.allocationIndex = allocationIndex;
         this.images = new ImageCache(type.cacheGb());
     }
 
@@ -95,6 +104,7 @@
         return scaleOutRequest;
     }
 
+    /** Returns when the cloud was asked for the machine, or when this leader learnt of it. */
     public long requestedMicros() {
         return requestedMicros;
     }
@@ -103,18 +113,19 @@
         return state;
     }
 
+    /** Returns the address at which the machine accepts commands, or null if it is not known yet. */
     public String address() {
         return address;
     }
 
-    /** Takes over the address under which the machine accepts commands, if there is one. */
+    /** Updates the address at which the machine accepts commands. A missing one changes nothing. */
     public void updateAddress(String newAddress) {
         if (newAddress != null && !newAddress.isEmpty()) {
             address = newAddress;
         }
     }
 
-    /** True if an earlier leader rented the machine: it boots no longer, or not for long. */
+    /** True if an earlier leader rented the machine, so that it has mostly booted already. */
     public boolean isInherited() {
         return isInherited;
     }
@@ -123,7 +134,7 @@
         isInherited = true;
     }
 
-    /** True once a report made under the current term has shown what is on the machine. */
+    /** True once a heartbeat with the current fencing token has shown what is on the machine. */
     public boolean isReconciled() {
         return isReconciled;
     }
@@ -132,24 +143,27 @@
         isReconciled = true;
     }
 
-    /** The order of its messages, and which of them is the newest. */
+    /** Returns the order of its heartbeats, which tells stale ones. */
     public HeartbeatOrder heartbeatOrder() {
         return heartbeatOrder;
     }
 
-    /** Whether it hears what it is told. */
+    /** Returns the evidence on whether responses reach the machine. */
     public Responsiveness responsiveness() {
         return responsiveness;
     }
 
-    /** Whether it fails what it starts, or takes longer than others. */
+    /** Returns the evidence on whether the machine fails or slows down its tasks. */
     public MachineHealth health() {
         return health;
     }
 
     /**
-     * Takes the report's numbers; false if a newer message was seen already, or if the session that it tells of is
-     * over: a report held back by the network, or a copy of one, shows tasks that have died since.
+     * Accepts a heartbeat as the newest of the machine. Returns false, and changes nothing, if it is stale: a newer one
+     * was accepted already, or its agent epoch has ended. The tasks that a delayed or copied heartbeat shows may have
+     * died since.
+     *
+     * @param direct true if it came in the response to a command that was sent to the machine
      */
     public boolean acceptHeartbeat(Heartbeat heartbeat, boolean direct, long nowMicros) {
         if (!heartbeatOrder.isNew(heartbeat)) {
@@ -169,13 +183,17 @@
         return true;
     }
 
-    /** It is answered 200, which keeps its tasks alive if it hears that. */
-    public void recordHeartbeatAnswered(long boundMicros) {
+    /**
+     * Records that a heartbeat is answered with status 200. If that response arrives, it renews the machine's lease.
+     *
+     * @param expiryMicros when the renewed lease expires at the latest
+     */
+    public void recordHeartbeatAnswered(long expiryMicros) {
         responsiveness.recordHeartbeatAnswered();
-        extendLease(boundMicros);
+        extendLease(expiryMicros);
     }
 
-    /** Goes back to the cloud whatever is on it: nothing else can make an end of that. */
+    /** Drains the machine and has it returned whatever runs on it, since nothing else ends those tasks for certain. */
     public void scheduleReturn() {
         drain();
         isReturnScheduled = true;
@@ -185,39 +203,45 @@
         return isReturnScheduled;
     }
 
+    /** Returns when the first heartbeat arrived, or -1. */
     public long upMicros() {
         return upMicros;
     }
 
+    /** Returns when the newest heartbeat arrived, or -1. */
     public long lastHeartbeatMicros() {
         return lastHeartbeatMicros;
     }
 
-    /** Until when tasks may be alive on the machine if it is never heard again. */
+    /** Returns until when tasks may be live on the machine if no further heartbeat is answered. */
     public long leaseExpiryMicros() {
         return leaseExpiryMicros;
     }
 
-    /** Tasks may be alive on the machine until then. */
-    public void extendLease(long boundMicros) {
-        leaseExpiryMicros = Math.max(leaseExpiryMicros, boundMicros);
+    /** Records that tasks may be live on the machine until then. An earlier expiry changes nothing. */
+    public void extendLease(long expiryMicros) {
+        leaseExpiryMicros = Math.max(leaseExpiryMicros, expiryMicros);
     }
 
-    /** True if an earlier leader may have launched tasks here: only on machines that are stored as up. */
+    /** True if an earlier leader may have launched tasks here, which it does only on machines that are stored as up. */
     public boolean mayHoldInheritedTasks() {
         return scaleOutRequest.isStoredAsUp(name);
     }
 
-    /** When the cloud takes the machine back, or -1. */
+    /** Returns when the cloud interrupts the machine, or -1 if it has not announced that. */
     public long interruptionAtMicros() {
         return interruptionAtMicros;
     }
 
+    /** True if the cloud has announced that it takes the machine back. */
     public boolean isInterrupted() {
         return interruptionAtMicros >= 0;
     }
 
-    /** Since when nothing has run here, as far as was looked. */
+    /**
+     * Returns since when the machine has been idle. Calls note that it is busy, so it is exact to the interval between
+     * them.
+     */
     public long idleSinceMicros(long nowMicros) {
         if (liveTaskCount() > 0) {
             idleSinceMicros = nowMicros;
@@ -225,23 +249,24 @@
         return idleSinceMicros;
     }
 
-    /** True if nothing is on it that would be lost with it: no live task, and no result that only it knows. */
+    /** True if nothing would be lost with the machine: no live task, and no completion that is not stored yet. */
     public boolean isEmpty() {
         return !allocations.hasUnfinishedWork();
     }
 
+    /** Returns when the machine was first seen in the cloud's list, or -1. */
     public long firstListedMicros() {
         return firstListedMicros;
     }
 
-    /** The machine is in the cloud's list. */
+    /** Records that the machine is in the cloud's list. */
     public void recordListed(long nowMicros) {
         if (firstListedMicros < 0) {
             firstListedMicros = nowMicros;
         }
     }
 
-    /** Takes nothing more and goes back to the cloud once it is empty. */
+    /** Gives the machine no more tasks; it is returned to the cloud once it is empty. */
     public void drain() {
         if (state == State.PROVISIONING || state == State.UP) {
             state = State.DRAINING;
@@ -252,15 +277,17 @@
         state = State.RETURNING;
     }
 
+    /** Returns a view of the tasks on the machine, live or ended. */
     public Collection<Allocation> allocations() {
         return allocations.all();
     }
 
+    /** Returns the allocation of the task's attempt, or null if the machine has none. */
     public Allocation allocation(String uid, int index, long attempt) {
         return allocations.find(uid, index, attempt);
     }
 
-    /** Adds a task to the machine. */
+    /** Adds a task, and counts it as allocated if it is live. */
     public void add(Allocation allocation) {
         allocations.add(allocation);
         allocation.bindTo(this);
@@ -286,7 +313,7 @@
         return images.contains(image);
     }
 
-    /** Processors that are free; none on a machine whose report holds no more tasks. */
+    /** Returns the free CPUs; none on a machine whose heartbeat has no room for more tasks. */
     public double freeCpus() {
         return allocations.size() >= MAX_TASKS
                 ? 0
@@ -301,17 +328,17 @@
         return type.gpus() - allocations.usage().gpus();
     }
 
-    /** Live tasks that have a place here. */
+    /** Returns the number of live tasks. */
     public int liveTaskCount() {
         return allocations.usage().tasks();
     }
 
-    /** A task came, ended or went: what they take is counted again when it is next asked for. */
+    /** Records that a task was added, has ended or was removed, so that the free resources are summed up anew. */
     void invalidateUsage() {
         allocations.usage().invalidate();
     }
 
-    /** How many more tasks of the job fit beside those that are here. */
+    /** Returns how many more tasks of the job fit beside those that are here. */
     public int fittingTasks(JobSpec spec) {
         return PlacementConstraints.fittingTasks(spec, freeCpus(), freeRamGb(), freeGpus());
     }
--- a/src/main/java/io/sillreel/cluster/MachineAllocations.java
+++ b/src/main/java/io/sillreel/cluster/MachineAllocations.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The tasks of one machine by job, index and attempt, and what the live ones take. */
+/** The allocations of one machine, and the resources of the live ones. Guarded by the lock of the {@link Cluster}. */
 final class MachineAllocations {
     private final Map<String, Allocation> allocations = new LinkedHashMap<>();
     private final ResourceUsage usage = new ResourceUsage(allocations.values());
@@ -15,7 +15,7 @@
         return uid + "/" + index + "#" + attempt;
     }
 
-    /** A view of all tasks, in the order in which they were added. */
+    /** Returns a view of all allocations, in the order in which they were added. */
     Collection<Allocation> all() {
         return allocations.values();
     }
@@ -24,7 +24,7 @@
         return allocations.size();
     }
 
-    /** The task's allocation, or null if the machine has none. */
+    /** Returns the allocation of the task's attempt, or null if the machine has none. */
     Allocation find(String uid, int index, long attempt) {
         return allocations.get(key(uid, index, attempt));
     }
@@ -39,7 +39,7 @@
         usage.invalidate();
     }
 
-    /** Removes all tasks and returns them. */
+    /** Removes all allocations and returns them. */
     List<Allocation> clear() {
         List<Allocation> removed = new ArrayList<>(allocations.values());
         allocations.clear();
@@ -47,12 +47,12 @@
         return removed;
     }
 
-    /** What the live tasks take. */
+    /** Returns the resources that the live tasks take. */
     ResourceUsage usage() {
         return usage;
     }
 
-    /** True if there is a live task, or one whose completion is known and not yet stored. */
+    /** True if there is a live task, or one whose completion is not stored yet. */
     boolean hasUnfinishedWork() {
         for (Allocation allocation : allocations.values()) {
             if (!allocation.hasEnded() || allocation.hasUnstoredCompletion()) {
--- a/src/main/java/io/sillreel/cluster/MachineHealth.java
+++ b/src/main/java/io/sillreel/cluster/MachineHealth.java
@@ -3,19 +3,23 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What speaks against a machine: jobs whose tasks it failed, and jobs whose tasks took much longer than elsewhere. */
+/**
+ * Evidence against a machine: jobs whose tasks failed on it, and jobs whose tasks took much longer than expected.
+ * Guarded by the lock of the {@link Cluster}.
+ */
 public final class MachineHealth {
-    /** A task that takes so many times what is expected of it hints at a slow machine, or at a wrong estimate. */
+    /** Ratio of actual to expected run time from which a machine, or the estimate, is suspected. */
     public static final double SLOW_RATIO = 2.5;
 
     private final Set<String> suspectingJobs = new HashSet<>();
     private final Set<String> slowJobs = new HashSet<>();
 
-    /** True while the machine is under suspicion of failing what it starts. */
+    /** True while failed tasks of some job may be the fault of the machine. */
     public boolean isSuspect() {
         return !suspectingJobs.isEmpty();
     }
 
+    /** Returns the ids of the jobs whose failures may be the fault of the machine. */
     public Set<String> suspectingJobs() {
         return suspectingJobs;
     }
@@ -28,7 +32,7 @@
         suspectingJobs.remove(uid);
     }
 
-    /** A task of the job took so many times what was expected of it. */
+    /** Records the ratio of actual to expected run time of an ended task. A usual ratio clears earlier evidence. */
     public void recordRuntimeRatio(double ratio, String uid) {
         if (ratio < SLOW_RATIO) {
             slowJobs.clear();
@@ -37,7 +41,7 @@
         }
     }
 
-    /** True once tasks of several jobs in a row took a multiple: one job alone may just have been guessed wrong. */
+    /** True once tasks of several jobs in a row were slow; for one job alone the estimate may be wrong. */
     public boolean isSlow() {
         return slowJobs.size() > 1;
     }
--- a/src/main/java/io/sillreel/cluster/PlacementConstraints.java
+++ b/src/main/java/io/sillreel/cluster/PlacementConstraints.java
@@ -10,12 +10,12 @@
 
     private PlacementConstraints() {}
 
-    /** True if the machine is one the job allows, its other tasks aside. */
+    /** True if the job allows the machine, whatever runs on it. */
     public static boolean isEligible(JobSpec spec, Machine machine) {
         return isEligible(spec, machine.type(), machine.zone(), machine.isSpot());
     }
 
-    /** True if machines of the type, in the zone and of the kind are such as the job allows. */
+    /** True if the job allows spot or ordinary machines of the type in the zone. */
     public static boolean isEligible(JobSpec spec, MachineType type, String zone, boolean spot) {
         return spec.allowsMachineType(type.name()) && spec.allowsZone(zone) && (spec.spotAllowed() || !spot);
     }
--- a/src/main/java/io/sillreel/cluster/QuotaUsage.java
+++ b/src/main/java/io/sillreel/cluster/QuotaUsage.java
@@ -4,11 +4,14 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What each team's live tasks take, in thousandths; kept as tasks come and go, so that nobody has to add it up. */
+/**
+ * The CPUs and GPUs that each team's live tasks take, in thousandths. It is updated as tasks start and end, so that
+ * reading it does not depend on the number of tasks. Not thread-safe.
+ */
 public final class QuotaUsage {
     private static final long MILLI = 1_000;
 
-    /** Processors and cards. */
+    /** An amount of CPUs and GPUs, in thousandths. */
     public static final class Amount {
         private long cpus;
         private long gpus;
@@ -28,7 +31,7 @@
             return gpus;
         }
 
-        /** Adds at most so much of another amount. */
+        /** Adds another amount, limited to the given CPUs and GPUs. */
         private void addUpTo(Amount other, double maxCpus, double maxGpus) {
             cpus += Math.min(other.cpus, toMilli(maxCpus));
             gpus += Math.min(other.gpus, toMilli(maxGpus));
@@ -38,13 +41,18 @@
     private static final Amount NOTHING = new Amount();
     private final Map<String, Amount> amountByTeam = new HashMap<>();
 
-    /** The tasks' amounts are added, or taken off if there are fewer than none. */
+    /**
+     * Adds the resources of the job's tasks.
+     *
+     * @param tasks number of tasks; a negative number subtracts
+     */
     public void add(JobSpec spec, int tasks) {
         Amount amount = amountByTeam.computeIfAbsent(spec.team(), team -> new Amount());
         amount.cpus += tasks * toMilli(spec.cpus());
         amount.gpus += tasks * toMilli(spec.gpus());
     }
 
+    /** Returns what the team uses; nothing for an unknown team. */
     public Amount ofTeam(String team) {
         return amountByTeam.getOrDefault(team, NOTHING);
     }
@@ -56,13 +64,13 @@
         return copy;
     }
 
-    /** Adds what the hidden tasks of each team may take, as far as it fits into the given room. */
+    /** Adds what undiscovered tasks of each team may use, limited for each team to the given CPUs and GPUs. */
     public void addCapped(QuotaUsage hidden, double maxCpus, double maxGpus) {
         hidden.amountByTeam.forEach((team, most) ->
                 amountByTeam.computeIfAbsent(team, name -> new Amount()).addUpTo(most, maxCpus, maxGpus));
     }
 
-    /** Rounded up, so that limits hold. */
+    /** Converts to thousandths, rounded up so that quotas are never exceeded. */
     public static long toMilli(double amount) {
         return (long) Math.ceil(amount * MILLI - 1e-6);
     }
--- a/src/main/java/io/sillreel/cluster/ResourceUsage.java
+++ b/src/main/java/io/sillreel/cluster/ResourceUsage.java
@@ -2,7 +2,10 @@
 
 import java.util.Collection;
 
-/** What the live tasks of a machine take, counted when it is asked for after something has changed. */
+/**
+ * The resources that a machine's live tasks take. They are summed up when they are first read after a change. Guarded by
+ * the lock of the {@link Cluster}.
+ */
 final class ResourceUsage {
     private final Collection<Allocation> allocations;
     private boolean isCurrent;
@@ -15,12 +18,12 @@
         this.allocations = allocations;
     }
 
-    /** A task came, ended or went. */
+    /** A task was added, has ended or was removed. */
     void invalidate() {
         isCurrent = false;
     }
 
-    /** Processors that live tasks take, or more than there are where that isn't known. */
+    /** Returns the CPUs of all live tasks; more than any machine has if a task's job is unknown. */
     double cpus() {
         countIfStale();
         return cpus;
@@ -56,7 +59,7 @@
             }
             tasks++;
             if (allocation.job() == null) {
-                // What it takes isn't known here, so it counts as everything.
+                // The resources of an unknown job are not known, so nothing else may be placed beside it.
                 cpus = Double.MAX_VALUE;
                 ramGb = Double.MAX_VALUE;
                 gpus = Double.MAX_VALUE;
--- a/src/main/java/io/sillreel/cluster/Responsiveness.java
+++ b/src/main/java/io/sillreel/cluster/Responsiveness.java
@@ -1,16 +1,18 @@
 package io.sillreel.cluster;
 
-/** Whether a machine hears what it is told: its reports may arrive while the answers to them do not. */
+/**
+ * Tracks whether responses reach a machine: its heartbeats may arrive while the responses to them are lost. A machine
+ * is unresponsive once several commands in a row have shown no effect. Guarded by the lock of the {@link Cluster}.
+ */
 public final class Responsiveness {
-    /** So many answers in a row without effect are no accident. */
+    /** Ignored commands in a row from which a machine is unresponsive. */
     private static final int UNRESPONSIVE_THRESHOLD = 3;
-    /** A machine that is silent for so long may have lost answers with its reports. */
+    /** After a gap between heartbeats of this length, responses may have been lost as well and prove nothing. */
     private static final long HEARTBEAT_GAP_MICROS = 7_000_000;
 
+    /** After this time without another ignored command, an unresponsive machine is tried with one task. */
     private static final long RETRY_AFTER_MICROS = 20_000_000;
-    /**
-     * A worker lets half a second pass between two reports; less apart are copies, or what was held back on the way.
-     */
+    /** Agents send heartbeats at least 0.5 s apart; heartbeats closer than this are copies, or were delayed. */
     private static final long MIN_HEARTBEAT_INTERVAL_MICROS = 300_000;
 
     private int answeredHeartbeatCount;
@@ -18,22 +20,22 @@
     private long lastIgnoredMicros;
 
     /**
-     * A new report has come.
+     * Records a new heartbeat.
      *
-     * @param newSession its worker's session has ended since the report before
-     * @param up the machine is in use
+     * @param startsEpoch true if the agent has started a new epoch since the heartbeat before
+     * @param isUp true if the machine is up and not draining
      */
-    void recordHeartbeat(boolean newSession, boolean up, long lastReportMicros, long nowMicros) {
-        // First: the lease of a machine that was cut off has run out because it was not answered, and when a zone comes
-        // back hundreds of them are not deaf.
-        answeredHeartbeatCount = nowMicros - lastReportMicros < HEARTBEAT_GAP_MICROS ? answeredHeartbeatCount : 0;
-        if (newSession && answeredHeartbeatCount > 1) {
-            // Its lease ran out though it was answered all along.
+    void recordHeartbeat(boolean startsEpoch, boolean isUp, long lastHeartbeatMicros, long nowMicros) {
+        // This has to come first: the lease of a machine in a partitioned zone expires because it gets no responses, and
+        // the machines of a zone that comes back are not unresponsive.
+        answeredHeartbeatCount = nowMicros - lastHeartbeatMicros < HEARTBEAT_GAP_MICROS ? answeredHeartbeatCount : 0;
+        if (startsEpoch && answeredHeartbeatCount > 1) {
+            // Its lease expired although all its heartbeats were answered.
             ignoredCommandCount = UNRESPONSIVE_THRESHOLD;
             lastIgnoredMicros = nowMicros;
         }
-        if (ignoredCommandCount > 1 && up && nowMicros - lastIgnoredMicros > RETRY_AFTER_MICROS) {
-            // Many seemed to receive nothing at once, so it was not given up; now it is tried again, with one task.
+        if (ignoredCommandCount > 1 && isUp && nowMicros - lastIgnoredMicros > RETRY_AFTER_MICROS) {
+            // Too many machines seemed unresponsive at once for it to be returned, so it is tried again with one task.
             ignoredCommandCount = 1;
         }
     }
@@ -42,20 +44,20 @@
         answeredHeartbeatCount++;
     }
 
-    /** A report has shown that an earlier answer was obeyed. */
+    /** A heartbeat has shown the effect of an earlier command. */
     public void recordCommandObeyed() {
         ignoredCommandCount = 0;
     }
 
-    /** A report has shown that the answer to the one before was not obeyed, or not even heard. */
+    /** A heartbeat has shown that the command in the response before had no effect, or was not received. */
     public void recordCommandIgnored(long nowMicros) {
         ignoredCommandCount++;
         lastIgnoredMicros = nowMicros;
     }
 
     /**
-     * A report lacks the current token. Copies of reports of an earlier term come in crowds as the next one begins, and
-     * say nothing of what the machine hears.
+     * A heartbeat does not carry the current fencing token. At the start of a term many delayed copies of earlier
+     * heartbeats arrive at once; they do not show that responses are lost, so they count at most once per interval.
      */
     public void recordStaleToken(long nowMicros) {
         if (ignoredCommandCount == 0 || nowMicros - lastIgnoredMicros > MIN_HEARTBEAT_INTERVAL_MICROS) {
@@ -67,7 +69,7 @@
         return ignoredCommandCount;
     }
 
-    /** True once several answers in a row have shown no effect: its reports arrive, but it hears nothing. */
+    /** True once several commands in a row have had no effect: heartbeats arrive, but responses are lost. */
     public boolean isUnresponsive() {
         return ignoredCommandCount >= UNRESPONSIVE_THRESHOLD;
     }
--- a/src/main/java/io/sillreel/cluster/ScaleOutRequest.java
+++ b/src/main/java/io/sillreel/cluster/ScaleOutRequest.java
@@ -10,12 +10,16 @@
 import java.util.function.Consumer;
 
 /**
- * A rental under its unique name: stored before the cloud is asked, and again with its machines before any of them gets
- * a task. The stored rentals bound where tasks can be.
+ * A request for machines of one type in one zone. It is stored under its unique name before it is sent to the cloud, and
+ * again with its machines before any of them is given a task. The name makes the request idempotent, and the stored
+ * requests tell the next leader which machines may hold tasks. Guarded by the lock of the {@link Cluster}.
  */
 public final class ScaleOutRequest implements PendingWrite {
+    /** The prefix of all keys of scale-out requests. */
     public static final String PREFIX = "hire/";
+    /** Upper bound for a machine that is named both in the list of all and in the list of those that are up. */
     private static final int MACHINE_BYTES = 40;
+    /** Upper bound for the rest of a stored value. */
     private static final int REST_BYTES = 300;
 
     private final String name;
@@ -24,7 +28,9 @@
     private final boolean isSpot;
     private final int machineCount;
     private final Set<String> machines = new LinkedHashSet<>();
+    /** The machines that are certainly stored as up. */
     private final Set<String> storedUpMachines = new LinkedHashSet<>();
+    /** The machines that the write under way stores as up. */
     private final Set<String> sentUpMachines = new LinkedHashSet<>();
     private final Set<String> upMachines = new LinkedHashSet<>();
     private final List<ScaleOutRequest> overflowRequests = new ArrayList<>();
@@ -35,7 +41,7 @@
     private boolean mayHaveExecuted;
     private long lastSentMicros;
 
-    /** Creates a rental that the cloud has not been asked for yet. */
+    /** Creates a request that is neither stored nor sent yet. */
     public ScaleOutRequest(String name, String machineType, String zone, boolean spot, int count) {
         this.name = name;
         this.machineType = machineType;
@@ -45,9 +51,9 @@
     }
 
     /**
-     * Takes over what is stored of the rental.
+     * Restores what an earlier term has stored. The request may have been executed by the cloud.
      *
-     * @param answered true if the cloud has said which machines it rented
+     * @param answered true if the cloud has told which machines it provides
      */
     void restore(long storedRevision, boolean answered, Collection<String> names, Collection<String> upNames) {
         revision = storedRevision;
@@ -58,21 +64,24 @@
         storedUpMachines.addAll(upNames);
     }
 
-    /** How many machines fit into a value of that size, each of them named twice. */
+    /** Returns how many machines fit into a stored value of the given size, but at least one. */
     public static int maxMachines(int valueBytes) {
         return Math.max(1, (valueBytes - REST_BYTES) / MACHINE_BYTES);
     }
 
     /**
-     * Cuts off what is beyond so many machines, into rentals of their own that are stored before this one is written
-     * again: it may have been stored when values could be larger.
+     * Moves the machines beyond the given number to requests of their own, which have to be stored before this one is
+     * written again. Needed when the request was stored while larger values were allowed.
+     *
+     * @param enqueue queues this request for writing, once each of the others is stored
+     * @return the requests that are not stored yet
      */
-    public List<ScaleOutRequest> split(int most, Consumer<ScaleOutRequest> enqueue) {
+    public List<ScaleOutRequest> split(int maxMachines, Consumer<ScaleOutRequest> enqueue) {
         List<String> all = new ArrayList<>(machines);
-        for (int from = most; from < all.size(); from += most) {
-            List<String> part = all.subList(from, Math.min(all.size(), from + most));
+        for (int from = maxMachines; from < all.size(); from += maxMachines) {
+            List<String> part = all.subList(from, Math.min(all.size(), from + maxMachines));
             ScaleOutRequest scaleOutRequest =
-                    new ScaleOutRequest(name + "." + from / most, machineType, zone, isSpot, part.size());
+                    new ScaleOutRequest(name + "." + from / maxMachines, machineType, zone, isSpot, part.size());
             scaleOutRequest.recordAnswer(part);
             part.stream().filter(upMachines::remove).forEach(scaleOutRequest.upMachines::add);
             part.stream().filter(storedUpMachines::remove).forEach(scaleOutRequest.storedUpMachines::add);
@@ -105,60 +114,62 @@
         return isSpot;
     }
 
+    /** Returns how many machines the cloud is asked for. */
     public int machineCount() {
         return machineCount;
     }
 
+    /** Returns a view of the machines that the cloud provides and that still exist; empty until it has answered. */
     public Set<String> machines() {
         return machines;
     }
 
-    /** The machines that have reported, whether that is stored or not. */
+    /** Returns a view of the machines that have sent a heartbeat, whether that is stored or not. */
     Set<String> upMachines() {
         return upMachines;
     }
 
     /**
-     * True once the machine stands as up in the stored rental, so that a successor knows to look there. Machines that
-     * have not reported yet don't, so that those that boot or never come up hold up no takeover.
+     * True if the machine is certainly stored as up, so that the next leader waits for its heartbeat. Machines that have
+     * sent no heartbeat are not, so that those that boot or never come up do not delay a failover.
      */
     public boolean isStoredAsUp(String machine) {
         return storedUpMachines.contains(machine);
     }
 
-    /** The machine has reported; true if that is yet to be stored. */
+    /** Records a heartbeat of the machine. Returns true if that is not stored yet. */
     public boolean markUp(String machine) {
         return machines.contains(machine) && upMachines.add(machine);
     }
 
     /**
-     * Nothing lives on the machine any more; true if that is yet to be stored. Until it has reported again, and stands
-     * as up again, it gets no task and holds up no takeover: a third of the fleet may be silent when the leader
-     * crashes.
+     * Records that no task is live on the machine any more. Returns true if that is not stored yet. Until it is stored
+     * as up again it is given no task and does not delay a failover, since a third of the fleet may be silent then.
      */
     public boolean markDown(String machine) {
         storedUpMachines.remove(machine);
         return upMachines.remove(machine);
     }
 
-    /** True once the cloud has said which machines it rented. */
+    /** True once the cloud has told which machines it provides. */
     public boolean isAnswered() {
         return isAnswered;
     }
 
+    /** Records the names of the machines that the cloud provides. */
     public void recordAnswer(Iterable<String> names) {
         isAnswered = true;
         names.forEach(machines::add);
     }
 
-    /** The machine no longer exists and is not part of the rental any more. */
+    /** Removes a machine that no longer exists. A request without machines is discarded. */
     public void removeMachine(String machine) {
         machines.remove(machine);
         upMachines.remove(machine);
         isDiscarded = isAnswered && machines.isEmpty();
     }
 
-    /** The cloud rents nothing under this name; the name is not used again. */
+    /** Discards the request: the cloud provides nothing under its name, which is not used again. */
     public void discard() {
         isDiscarded = true;
     }
@@ -167,6 +178,7 @@
         return isDiscarded;
     }
 
+    /** True if the cloud may have executed the request although no answer has arrived. */
     public boolean mayHaveExecuted() {
         return mayHaveExecuted;
     }
@@ -175,6 +187,7 @@
         mayHaveExecuted = true;
     }
 
+    /** Returns when the request was last sent to the cloud, in microseconds of the event loop, 0 if never. */
     public long lastSentMicros() {
         return lastSentMicros;
     }
@@ -183,6 +196,7 @@
         lastSentMicros = micros;
     }
 
+    /** Sets what is run once the next write is stored; it is run once. */
     public void whenStored(Runnable then) {
         onStored = then;
     }
@@ -201,7 +215,7 @@
     public KeyChange change() {
         sentUpMachines.clear();
         sentUpMachines.addAll(upMachines);
-        // From the moment it is sent, what the write lacks may be missing from the store.
+        // From now on, machines that this write lacks may be missing from the store.
         storedUpMachines.retainAll(sentUpMachines);
         return isDiscarded ? KeyChange.REMOVAL : KeyChange.put(ScaleOutRequestCodec.encode(this));
     }
--- a/src/main/java/io/sillreel/cluster/UnreconciledMachines.java
+++ b/src/main/java/io/sillreel/cluster/UnreconciledMachines.java
@@ -10,8 +10,9 @@
 import java.util.Set;
 
 /**
- * Machines on which an earlier leader's tasks may be that no report has shown yet. A takeover begins with the whole
- * fleet in here and asks for every job whether it may be hidden, so they are counted by what they could hold.
+ * The machines that may hold tasks of an earlier term that no heartbeat has shown yet. After a failover this is the
+ * whole fleet, and every inherited job is checked against it, so the machines are counted by type, zone and kind.
+ * Guarded by the lock of the {@link Cluster}.
  */
 final class UnreconciledMachines {
     private record MachineKind(MachineType type, String zone, boolean spot) {
@@ -19,7 +20,7 @@
             return new MachineKind(machine.type(), machine.zone(), machine.isSpot());
         }
 
-        // Written out: the compiler would leave it to be linked at run time, which costs a takeover milliseconds.
+        // Written out: linking the generated method at run time costs a failover milliseconds.
         @Override
         public boolean equals(Object other) {
             return other instanceof MachineKind kind
@@ -57,7 +58,7 @@
         }
     }
 
-    /** True if one of them could hold tasks of the job. */
+    /** True if an unreconciled machine could hold tasks of the job. */
     boolean mayHoldTasksOf(JobSpec spec) {
         for (MachineKind kind : kinds.keySet()) {
             if (PlacementConstraints.isEligible(spec, kind.type(), kind.zone(), kind.spot())
@@ -68,7 +69,7 @@
         return false;
     }
 
-    /** The processors of all of them. */
+    /** Returns the CPUs of all unreconciled machines. */
     double cpus() {
         double cpus = 0;
         for (Map.Entry<MachineKind, Integer> kind : kinds.entrySet()) {
@@ -77,7 +78,7 @@
         return cpus;
     }
 
-    /** The cards of all of them. */
+    /** Returns the GPUs of all unreconciled machines. */
     double gpus() {
         double gpus = 0;
         for (Map.Entry<MachineKind, Integer> kind : kinds.entrySet()) {
