--- a/src/main/java/io/sillreel/cluster/Machine.java
+++ b/src/main/java/io/sillreel/cluster/Machine.java
@@ -13,8 +13,8 @@
  */
 public final class Machine {
     /**
-     * The life cycle. PROVISIONING: no heartbeat yet. UP: it may be given tasks. DRAINING: it is given no more tasks and
-     * is returned once it is empty. RETURNING: the cloud was asked to take it back.
+     * The life cycle. PROVISIONING: no heartbeat yet. UP: it may be given tasks. DRAINING: it is given no more tasks
+     * and is returned once it is empty. RETURNING: the cloud was asked to take it back.
      */
     public enum State {
         PROVISIONING,
--- a/src/main/java/io/sillreel/cluster/ResourceUsage.java
+++ b/src/main/java/io/sillreel/cluster/ResourceUsage.java
@@ -3,8 +3,8 @@
 import java.util.Collection;
 
 /**
- * The resources that a machine's live tasks take. They are summed up when they are first read after a change. Guarded by
- * the lock of the {@link Cluster}.
+ * The resources that a machine's live tasks take. They are summed up when they are first read after a change. Guarded
+ * by the lock of the {@link Cluster}.
  */
 final class ResourceUsage {
     private final Collection<Allocation> allocations;
--- a/src/main/java/io/sillreel/cluster/Responsiveness.java
+++ b/src/main/java/io/sillreel/cluster/Responsiveness.java
@@ -26,8 +26,8 @@
      * @param isUp true if the machine is up and not draining
      */
     void recordHeartbeat(boolean startsEpoch, boolean isUp, long lastHeartbeatMicros, long nowMicros) {
-        // This has to come first: the lease of a machine in a partitioned zone expires because it gets no responses, and
-        // the machines of a zone that comes back are not unresponsive.
+        // This has to come first: the lease of a machine in a partitioned zone expires because it gets no responses,
+        // and the machines of a zone that comes back are not unresponsive.
         answeredHeartbeatCount = nowMicros - lastHeartbeatMicros < HEARTBEAT_GAP_MICROS ? answeredHeartbeatCount : 0;
         if (startsEpoch && answeredHeartbeatCount > 1) {
             // Its lease expired although all its heartbeats were answered.
--- a/src/main/java/io/sillreel/cluster/ScaleOutRequest.java
+++ b/src/main/java/io/sillreel/cluster/ScaleOutRequest.java
@@ -10,8 +10,8 @@
 import java.util.function.Consumer;
 
 /**
- * A request for machines of one type in one zone. It is stored under its unique name before it is sent to the cloud, and
- * again with its machines before any of them is given a task. The name makes the request idempotent, and the stored
+ * A request for machines of one type in one zone. It is stored under its unique name before it is sent to the cloud,
+ * and again with its machines before any of them is given a task. The name makes the request idempotent, and the stored
  * requests tell the next leader which machines may hold tasks. Guarded by the lock of the {@link Cluster}.
  */
 public final class ScaleOutRequest implements PendingWrite {
@@ -32,6 +32,7 @@
     private final Set<String> storedUpMachines = new LinkedHashSet<>();
     /** The machines that the write under way stores as up. */
     private final Set<String> sentUpMachines = new LinkedHashSet<>();
+
     private final Set<String> upMachines = new LinkedHashSet<>();
     private final List<ScaleOutRequest> overflowRequests = new ArrayList<>();
     private Runnable onStored = () -> {};
@@ -130,8 +131,8 @@
     }
 
     /**
-     * True if the machine is certainly stored as up, so that the next leader waits for its heartbeat. Machines that have
-     * sent no heartbeat are not, so that those that boot or never come up do not delay a failover.
+     * True if the machine is certainly stored as up, so that the next leader waits for its heartbeat. Machines that
+     * have sent no heartbeat are not, so that those that boot or never come up do not delay a failover.
      */
     public boolean isStoredAsUp(String machine) {
         return storedUpMachines.contains(machine);
--- a/src/main/java/io/sillreel/fleet/CloudListReconciler.java
+++ b/src/main/java/io/sillreel/fleet/CloudListReconciler.java
@@ -15,13 +15,21 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Compares the fleet with the cloud's list of machines now and then. */
+/**
+ * Reconciles the fleet with the cloud's list of machines: it adopts machines that no scale-out request names, drains
+ * failed ones, and removes those that no longer exist. Used by the event loop alone; the fleet is changed under the
+ * lock of the cluster.
+ */
 final class CloudListReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(CloudListReconciler.class);
     private static final long MIN_LIST_PAUSE_MICROS = 5_000_000;
-    /** A long list takes much of the cloud's rate: the pause after it is so many times as long as it took. */
+    /**
+     * A long list takes many requests of the cloud's rate limit, so the pause after it is this multiple of its
+     * duration.
+     */
     private static final long LIST_PAUSE_FACTOR = 2;
 
+    /** How long an unknown machine may belong to a scale-out request whose answer is pending. */
     private static final long PENDING_REQUEST_MICROS = 30_000_000;
 
     private final EventLoop eventLoop;
@@ -30,14 +38,14 @@
     private final FleetRegistry registry;
     private final long listLagMicros;
     private final FleetCallbacks callbacks;
-    /** Listed machines that no rental names, and when they were first seen. */
+    /** Listed machines that no scale-out request names, and when the list that first showed them was asked for. */
     private final Map<String, Long> unknownMachines = new HashMap<>();
 
     private long listedMicros = Long.MIN_VALUE / 2;
     private long listPauseMicros = MIN_LIST_PAUSE_MICROS;
     private boolean isListing;
 
-    /** @param listLagMicros how far the list usually lags behind */
+    /** @param listLagMicros how far the list usually lags behind the state of the cloud */
     CloudListReconciler(
             EventLoop eventLoop,
             Cluster cluster,
@@ -53,7 +61,7 @@
         this.callbacks = callbacks;
     }
 
-    /** Asks for the list if that is due. */
+    /** Requests the list unless a request is pending or the last list is recent. */
     void listIfDue(long now) {
         if (!isListing && now - listedMicros > listPauseMicros) {
             list();
@@ -104,7 +112,8 @@
     private void removeUnlisted(Set<String> present, long asked) {
         long lag = 2 * listLagMicros + 1_000_000;
         for (Machine machine : List.copyOf(cluster.machines())) {
-            // A list may be older than the one before; what it lacks is gone only if it surely describes a later time.
+            // Lists may arrive out of order. A machine is gone only if the list certainly describes a time after it was
+            // first listed.
             if (!present.contains(machine.name())
                     && machine.firstListedMicros() >= 0
                     && asked > machine.firstListedMicros() + lag
@@ -119,7 +128,7 @@
         if (registry.wasReturned(entry.name())) {
             return;
         }
-        // It may be the answer to a call still under way, so a second look decides.
+        // The machine may belong to a request whose answer is pending, so only a later list decides.
         Long first = unknownMachines.putIfAbsent(entry.name(), asked);
         boolean pending =
                 registry.scaleOutRequests().stream().anyMatch(scaleOutRequest -> !scaleOutRequest.isAnswered());
--- a/src/main/java/io/sillreel/fleet/FleetManager.java
+++ b/src/main/java/io/sillreel/fleet/FleetManager.java
@@ -12,7 +12,10 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Rents, follows and returns machines while this controller holds the lease. */
+/**
+ * Scales the fleet out and in, and follows the life cycle of its machines, during one term of this controller. Methods
+ * that take a machine or a request are called under the lock of the cluster.
+ */
 public final class FleetManager {
     private final EventLoop eventLoop;
     private final Cluster cluster;
@@ -22,9 +25,12 @@
     private final CloudListReconciler cloudListReconciler;
     private final MachineReturner machineReturner;
     private final ScaleOut scaleOut;
+    /**
+     * Requests some of whose machines have gone down since they were last queued. Guarded by the lock of the cluster.
+     */
     private final Set<ScaleOutRequest> requestsWithMachinesDown = new LinkedHashSet<>();
 
-    /** Creates the manager of a term's fleet, which knows no machine yet. */
+    /** Creates the manager of a term's fleet, without machines. */
     public FleetManager(
             EventLoop eventLoop,
             long term,
@@ -61,35 +67,36 @@
                 eventLoop, cluster, cloud, writeQueue, registry, capacityPlanner, configuration, callbacks);
     }
 
-    /** Takes over a stored rental; its machines may run tasks of an earlier leader until the bound. */
+    /** Takes over a stored request. Its machines may hold tasks of an earlier term until the given time. */
     public void inherit(ScaleOutRequest scaleOutRequest, long aliveUntilMicros) {
         registry.inherit(scaleOutRequest, aliveUntilMicros);
     }
 
+    /** True if the machine was returned within the last hour: its heartbeats are delayed ones. */
     public boolean wasReturned(String machine) {
         return registry.wasReturned(machine);
     }
 
-    /** A machine has reported: it is stored as up before it may be given tasks. */
+    /** Records a heartbeat of the machine. It has to be stored as up before it is given tasks. */
     public void recordMachineUp(Machine machine) {
         if (machine.scaleOutRequest().markUp(machine.name())) {
             writeQueue.enqueue(machine.scaleOutRequest());
         }
     }
 
-    /** A machine was silent for longer than anything could live on it: stored soon, with others of its rental. */
+    /** Records that the machine's lease has expired. It is stored with the next cycle, with others of its request. */
     public void recordMachineDown(Machine machine) {
         if (machine.scaleOutRequest().markDown(machine.name())) {
             requestsWithMachinesDown.add(machine.scaleOutRequest());
         }
     }
 
-    /** A machine that no known rental brought: used from now on, once it is stored. */
+    /** Adopts a machine that no known request names. Returns empty if the cloud does not offer its type. */
     public Optional<Machine> adopt(String name, String machineType, String zone, boolean spot) {
         return registry.adopt(name, machineType, zone, spot);
     }
 
-    /** Rents, lists and returns machines as needed; called about once a second. */
+    /** Lists, returns and requests machines as needed. Called about once a second by the event loop, without a lock. */
     public void runCycle() {
         long now = eventLoop.nowMicros();
         synchronized (cluster) {
--- a/src/main/java/io/sillreel/fleet/FleetRegistry.java
+++ b/src/main/java/io/sillreel/fleet/FleetRegistry.java
@@ -18,11 +18,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The rentals of a term, the machines that they brought, and the names of those that have been given back. */
+/**
+ * The scale-out requests of a term, their machines, and the names of the machines that were returned. Guarded by the
+ * lock of the cluster.
+ */
 final class FleetRegistry {
     private static final Logger LOG = LoggerFactory.getLogger(FleetRegistry.class);
 
-    /** Messages may be minutes late; lists of the cloud lag less. */
+    /** Heartbeats may be delayed by minutes; lists of the cloud lag behind by less. */
     private static final long RETURN_REMEMBERED_MICROS = 3_600_000_000L;
 
     private final EventLoop eventLoop;
@@ -33,12 +36,12 @@
     private final Supplier<Map<String, MachineType>> types;
     private final Consumer<Machine> clearTasks;
     private final Map<String, ScaleOutRequest> scaleOutRequests = new LinkedHashMap<>();
-    /** Machines that were given back, the earliest first, and when. */
+    /** Machines that were returned, the earliest first, and when. */
     private final Map<String, Long> returnedMicros = new LinkedHashMap<>();
 
     private long lastNameNumber;
 
-    /** @param clearTasks told of a machine whose tasks are certainly gone */
+    /** @param clearTasks called with a machine whose tasks have certainly ended */
     FleetRegistry(
             EventLoop eventLoop,
             long term,
@@ -60,16 +63,17 @@
         return scaleOutRequests.values();
     }
 
-    /** How many machines one stored rental may name. */
+    /** Returns how many machines one stored request may name. */
     int maxMachinesPerRequest() {
         return ScaleOutRequest.maxMachines(limits.announcedBytes());
     }
 
+    /** True if the machine was returned within the last hour. */
     boolean wasReturned(String machine) {
         return returnedMicros.containsKey(machine);
     }
 
-    /** A name that no rental of any term has. */
+    /** Returns a name that no request of any term has. */
     String nextRequestName() {
         return "r-" + term + "-" + ++lastNameNumber;
     }
@@ -78,13 +82,13 @@
         scaleOutRequests.put(scaleOutRequest.name(), scaleOutRequest);
     }
 
-    /** The cloud rents nothing under this name. */
+    /** Discards a request under whose name the cloud provides nothing. */
     void discard(ScaleOutRequest scaleOutRequest) {
         scaleOutRequest.discard();
         scaleOutRequests.remove(scaleOutRequest.name());
     }
 
-    /** Takes over a stored rental; its machines may run tasks of an earlier leader until the bound. */
+    /** Takes over a stored request. Its machines may hold tasks of an earlier term until the given time. */
     void inherit(ScaleOutRequest scaleOutRequest, long aliveUntilMicros) {
         int most = maxMachinesPerRequest();
         if (scaleOutRequest.machines().size() > most) {
@@ -97,7 +101,7 @@
         for (String name : List.copyOf(scaleOutRequest.machines())) {
             MachineType type = types.get().get(scaleOutRequest.machineType());
             if (cluster.machine(name) != null) {
-                // Cut off from another rental that was not written again: one of them is enough.
+                // Two requests name the machine if a split was stored only in part; one of them is enough.
                 scaleOutRequest.removeMachine(name);
                 writeQueue.enqueue(scaleOutRequest);
             } else if (type != null) {
@@ -108,7 +112,10 @@
         }
     }
 
-    /** A machine that no known rental brought: used from now on, once it is stored. */
+    /**
+     * Adopts a machine that no known request names, with a request of its own. Returns empty if the cloud does not
+     * offer its type.
+     */
     Optional<Machine> adopt(String name, String machineType, String zone, boolean spot) {
         MachineType type = types.get().get(machineType);
         if (type == null) {
@@ -124,7 +131,7 @@
         return Optional.ofNullable(cluster.machine(name));
     }
 
-    /** A machine of a rental joins the fleet, unless it has done so already. */
+    /** Adds a machine of the request to the fleet, unless it is there already or its type is unknown. */
     void addMachine(String name, ScaleOutRequest scaleOutRequest, long rentedMicros) {
         MachineType type = types.get().get(scaleOutRequest.machineType());
         if (type != null && cluster.machine(name) == null) {
@@ -151,7 +158,7 @@
         }
     }
 
-    /** The machine no longer exists. */
+    /** Removes a machine that no longer exists, and clears its tasks. */
     void remove(Machine machine) {
         clearTasks.accept(machine);
         cluster.remove(machine);
--- a/src/main/java/io/sillreel/fleet/FleetThresholds.java
+++ b/src/main/java/io/sillreel/fleet/FleetThresholds.java
@@ -5,18 +5,18 @@
 import io.sillreel.settings.Settings;
 
 /**
- * How many machines may be given up on a suspicion. Parts of the fleet alone would be hundreds of a large one, so what
- * the cloud can replace, and what can be taken for single failures, bound them as well.
+ * How many machines may be returned on a suspicion. The limits are parts of the fleet. For a large fleet such a part
+ * would be hundreds of machines, so the rate at which the cloud can replace them, and fixed maximums, bound it too.
  */
 public final class FleetThresholds {
     private static final int UNRECONCILED_DIVISOR = 4;
     private static final int FEW_UNRECONCILED_DIVISOR = 100;
-    /** Beyond so many it is no longer the last few that are missing, however large the fleet is. */
+    /** The most unreconciled machines that count as the last few, however large the fleet is. */
     private static final int MAX_FEW_UNRECONCILED = 10;
 
     private static final int LOST_DIVISOR = 50;
     private static final int MIN_LOST = 2;
-    /** More that fall silent within a lease have a cause in common, however large the fleet is. */
+    /** If more machines are lost within one lease they have a common cause, however large the fleet is. */
     private static final int MAX_LOST = 24;
 
     private static final int UNRESPONSIVE_DIVISOR = 8;
@@ -25,12 +25,12 @@
 
     private final int replaceable;
 
-    /** @param replaceable machines that the cloud can take back and rent anew within a worker's lease */
+    /** @param replaceable how many machines the cloud can take back and replace within a machine's lease */
     FleetThresholds(int replaceable) {
         this.replaceable = replaceable;
     }
 
-    /** The thresholds that follow from the rate of the cloud and the lease of the workers. */
+    /** Returns the thresholds for the rate limit of the cloud and the lease of the machines. */
     public static FleetThresholds of(Settings settings) {
         double calls = settings.cloud().requestsPerSecond() * settings.workers().leaseMicros() / MICROS_PER_SECOND;
         int rented = ScaleOutRequest.maxMachines(settings.state().values().announcedBytes());
@@ -39,22 +39,22 @@
         return new FleetThresholds((int) (calls / callsOfAMachine));
     }
 
-    /** How many machines that a new leader has not heard may be given back without waiting for their leases. */
+    /** Returns how many unreconciled machines a new leader may return before their leases expire. */
     int maxUnreconciled(int machines) {
         return Math.min(machines / UNRECONCILED_DIVISOR, replaceable);
     }
 
-    /** How many unheard machines are the last few, for which nobody waits much longer than a report. */
+    /** Returns how many unreconciled machines are the last few, which are waited for little longer than a heartbeat. */
     int fewUnreconciled(int machines) {
         return Math.min(machines / FEW_UNRECONCILED_DIVISOR, MAX_FEW_UNRECONCILED);
     }
 
-    /** How many machines may fall silent within a lease, each for a reason of its own. */
+    /** Returns how many machines may be lost within a lease before a common cause is assumed. */
     int maxLost(int machines) {
         return Math.max(MIN_LOST, Math.min(machines / LOST_DIVISOR, MAX_LOST));
     }
 
-    /** How many machines may seem to hear nothing before the fault is taken to be on this side. */
+    /** Returns how many machines may be unresponsive before the fault is assumed to be on this side. */
     public int maxUnresponsive(int machines) {
         return Math.max(MIN_UNRESPONSIVE, Math.min(machines / UNRESPONSIVE_DIVISOR, replaceable));
     }
--- a/src/main/java/io/sillreel/fleet/LostMachineDetector.java
+++ b/src/main/java/io/sillreel/fleet/LostMachineDetector.java
@@ -37,7 +37,7 @@
         this.callbacks = callbacks;
     }
 
-    /** Returns the machines that are lost now, each for a reason of its own. Those returned count as lost later on. */
+    /** Returns the machines that have become lost, none if too many have at once. Called about once a second. */
     List<Machine> detectLostMachines(long now) {
         long timeout = times.heartbeatIntervalMicros() * 3 / 2
                 + (callbacks.isRoutingStable() ? SECOND_HEARTBEAT_MICROS : CONTROLLER_CHANGE_MICROS);
--- a/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
@@ -9,18 +9,25 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Decides which machines are to be given back to the cloud, and why. All access is under the lock of the cluster. */
+/**
+ * Decides which machines are drained, or returned at once, and logs why. Guarded by the lock of the cluster, except for
+ * the constructor.
+ */
 final class ScaleInPolicy {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleInPolicy.class);
+    /** How long any machine may take until its first heartbeat. */
     private static final long MIN_BOOT_TIMEOUT_MICROS = 75_000_000;
+    /** How many times the usual boot time of its type a machine may take until its first heartbeat. */
     private static final int BOOT_TIMEOUT_FACTOR = 3;
+    /** How long after the start of the term unreconciled machines are waited for at least. */
     private static final long MIN_UNRECONCILED_MICROS = 8_000_000;
-    /** A report with the new token follows the first one by half a second, and both may pass through a follower. */
+    /** A heartbeat with the new fencing token follows the first one by 0.5 s, and both may pass through a follower. */
     private static final long SECOND_HEARTBEAT_MICROS = 1_500_000;
 
-    /** A recalled machine is returned so long before the cloud would take it. */
+    /** An interrupted machine is returned this long before the cloud would take it. */
     private static final long INTERRUPTION_MARGIN_MICROS = 1_500_000;
 
+    /** A machine without heartbeats is drained after this multiple of its lease. */
     private static final double MAX_SILENT_LEASES = 2.5;
 
     private final EventLoop eventLoop;
@@ -50,7 +57,7 @@
         this.termStartMicros = eventLoop.nowMicros();
     }
 
-    /** Decides which machines are to go. */
+    /** Drains or returns the machines that are of no more use. Called about once a second. */
     void drainSurplus(long now) {
         for (Machine machine : cluster.machines()) {
             if (machine.state() == Machine.State.PROVISIONING) {
@@ -80,7 +87,7 @@
 
     private void drainIfSilentOrInterrupted(Machine machine, long now) {
         long silent = now - Math.max(machine.lastHeartbeatMicros(), machine.requestedMicros());
-        // A cut zone or a machine that hangs mostly comes back; then it has its images and need not boot.
+        // A partitioned zone or a hung machine mostly comes back, and then needs neither to boot nor to fetch images.
         if (machine.leaseExpiryMicros() < now && silent > MAX_SILENT_LEASES * times.leaseMicros()) {
             drain(machine, "it has sent no heartbeat for longer than its lease");
         } else if (machine.isInterrupted() && machine.isEmpty()) {
@@ -89,8 +96,9 @@
     }
 
     /**
-     * What runs on a recalled machine is lost in a moment. If the machine just vanished, its tasks would count as alive
-     * until their lease ran out; once the cloud has taken it back on our word, they can start elsewhere at once.
+     * Returns a machine just before the cloud takes it. Its tasks are lost in either case. If the machine vanished,
+     * they would count as live until its lease expires; once the cloud has confirmed the return they can start
+     * elsewhere.
      */
     private void returnInterrupted(Machine machine, long now) {
         boolean here = machine.state() == Machine.State.UP || machine.state() == Machine.State.DRAINING;
@@ -103,15 +111,16 @@
     }
 
     /**
-     * Most machines report within seconds of a takeover, and again with the new token. The few that don't, or that
-     * report and don't hear the answer, would hold up every job of an earlier term for as long as their leases might
-     * last; once the cloud has taken them back, it is certain that nothing runs there.
+     * Returns the few machines that are still unreconciled some time after a failover. Most send a heartbeat within
+     * seconds, and another with the new fencing token. The few that don't, or that receive no response, would delay
+     * every inherited job until their leases expire; once they are returned it is certain that nothing runs there.
      */
     private void returnUnreconciled(long now) {
         int unheard = cluster.unreconciledMachines().size();
         int all = cluster.machines().size();
-        // The last few are hardly on a detour, and each of them holds up every earlier job. In a small fleet the last
-        // one mostly is: it waits for the answer of the controller that has ended.
+        // In a large fleet the last few have hardly been delayed by a change of controller, and each of them delays
+        // every inherited job. In a small fleet the last one often waits for a response of the controller that has
+        // ended.
         long patience = unheard <= thresholds.fewUnreconciled(all)
                 ? times.heartbeatIntervalMicros() * 5 / 4 + SECOND_HEARTBEAT_MICROS
                 : Math.max(MIN_UNRECONCILED_MICROS, 2 * times.heartbeatIntervalMicros() + 4_000_000);
--- a/src/main/java/io/sillreel/fleet/ScaleOut.java
+++ b/src/main/java/io/sillreel/fleet/ScaleOut.java
@@ -14,12 +14,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Rents machines: each rental is stored under its name before the cloud is asked, and asked again under that name. */
+/**
+ * Requests machines from the cloud. Each request is stored under its name before it is sent, and is retried under the
+ * same name until its outcome is known, so that it is idempotent. Used by the event loop alone; state that is shared
+ * with heartbeat processing is accessed under the lock of the cluster.
+ */
 final class ScaleOut {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
+    /** How long machines that the cloud lacks are not requested again. */
     private static final long UNAVAILABLE_MICROS = 20_000_000;
+    /** The pause between the end of an exchange of unknown outcome and its retry. */
     private static final long RETRY_MICROS = 2_000_000;
+    /** The most requests that may wait for an answer of the cloud. */
     private static final int MAX_OPEN_REQUESTS = 6;
+
     private static final long FULL_WARNING_INTERVAL_MICROS = 60_000_000;
 
     private final EventLoop eventLoop;
@@ -51,9 +59,9 @@
         this.callbacks = callbacks;
     }
 
-    /** Asks for what the capacity planner wants, unless more urgent writes wait. */
+    /** Stores and sends requests for what the capacity planner proposes, unless as urgent writes wait. */
     void requestMachines(long now) {
-        // A rental is stored before the cloud is asked, so it waits while as urgent writes are behind.
+        // A request has to be stored before it is sent, so nothing is gained while the write queue is behind.
         if (!callbacks.mayAct()
                 || writeQueue.urgentCount() > configuration.settings().state().maxTransactionChanges()) {
             return;
@@ -86,7 +94,10 @@
         writeQueue.enqueue(request);
     }
 
-    /** Rentals that the cloud has yet to answer: how many, and what they may bring. */
+    /**
+     * The requests that the cloud has not answered yet: their number, machines and CPUs, and those CPUs that are not
+     * spot.
+     */
     private record OpenRequests(int count, int machines, long cpus, long ordinaryCpus) {}
 
     private OpenRequests openRequests() {
@@ -107,7 +118,7 @@
         return new OpenRequests(count, machines, cpus, ordinaryCpus);
     }
 
-    /** How many more machines the controllers can carry; said once a minute while that is none. */
+    /** Returns how many more machines the controllers support. Logs a warning once a minute while there are none. */
     private int machineHeadroom(OpenRequests open, long now) {
         int machines = cluster.machines().size();
         long tasks = 0;
@@ -128,7 +139,7 @@
         return headroom;
     }
 
-    /** Asks once more for what got no answer. */
+    /** Retries the requests whose outcome is unknown, and inherited ones that were not answered. */
     void retryUnanswered(long now) {
         for (ScaleOutRequest request : List.copyOf(registry.scaleOutRequests())) {
             if (!request.isAnswered()
@@ -157,7 +168,8 @@
     private void handleResult(ScaleOutRequest request, CloudClient.ProvisioningResult result) {
         long now = eventLoop.nowMicros();
         if (request.isAnswered() || request.isDiscarded()) {
-            // Asked twice, since an answer seemed lost: the first one counts, and what it brought may be at work.
+            // The request was retried, and both exchanges were answered. The first answer counts; its machines may have
+            // tasks.
             return;
         }
         switch (result.outcome()) {
@@ -199,12 +211,12 @@
         if (request.mayHaveExecuted()) {
             retryWithoutTimeout(request, now);
         } else {
-            // Surely rented nothing; the request is formed anew when the cloud answers again.
+            // Certainly not executed; the capacity planner proposes it anew once the cloud answers again.
             abandon(request, now + RETRY_MICROS);
         }
     }
 
-    /** The cloud has rented nothing: the request is given up, and its kind of machine not asked for until then. */
+    /** Discards a request that provides nothing; such machines are not requested again before the given time. */
     private void abandon(ScaleOutRequest request, long unavailableUntilMicros) {
         markUnavailable(request, unavailableUntilMicros);
         registry.discard(request);
@@ -215,7 +227,7 @@
         capacityPlanner.markUnavailable(request.machineType(), request.zone(), request.isSpot(), untilMicros);
     }
 
-    /** The exchange has ended, so that the retry need not wait for its time-out. */
+    /** Schedules a retry without the time-out of the exchange, which has ended. */
     private static void retryWithoutTimeout(ScaleOutRequest request, long now) {
         request.recordSent(now - CloudClient.TIMEOUT_MICROS);
     }
--- a/src/main/java/io/sillreel/fleet/SpotInterruptionDrain.java
+++ b/src/main/java/io/sillreel/fleet/SpotInterruptionDrain.java
@@ -8,13 +8,17 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** Stops tasks on machines that the cloud has announced to take back. */
+/**
+ * Stops tasks on machines whose interruption the cloud has announced, in time for a checkpoint. All access is under the
+ * lock of the cluster.
+ */
 public final class SpotInterruptionDrain {
-    /** A task that needs so many times what its machine has left is not worth waiting for. */
+    /** A task whose remaining run time is this multiple of the time left cannot be expected to finish. */
     private static final double UNFINISHABLE_FACTOR = 1.5;
-    /** What stopping takes besides saving: the way of the command, and of the report of the end. */
+    /** What stopping takes besides the checkpoint: the command, and the heartbeat that shows the end. */
     private static final long COMMAND_MICROS = 3_000_000;
 
+    /** Added to the usual duration of a checkpoint in the grace period. */
     private static final long CHECKPOINT_MARGIN_MICROS = 1_000_000;
 
     private final Cluster cluster;
@@ -26,9 +30,8 @@
     }
 
     /**
-     * Returns the machines with stopped tasks. Tasks that can save are stopped while there is time to. The others may
-     * yet end by themselves; those that surely won't lose nothing by being stopped at once, and start elsewhere so much
-     * sooner.
+     * Stops tasks and returns their machines. Tasks with checkpoints are stopped while there is time for one. Others
+     * may still finish; those that cannot are stopped at once, so that they start elsewhere sooner.
      */
     public Set<Machine> stopInterruptedTasks(long now) {
         Set<Machine> touched = new LinkedHashSet<>();
--- a/src/main/java/io/sillreel/fleet/StragglerDetector.java
+++ b/src/main/java/io/sillreel/fleet/StragglerDetector.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Finds machines that are slower than others. All access is under the lock of the cluster. */
+/** Finds and drains machines that are slower than others. All access is under the lock of the cluster. */
 public final class StragglerDetector {
     private static final Logger LOG = LoggerFactory.getLogger(StragglerDetector.class);
 
@@ -22,7 +22,7 @@
         this.runtimeEstimator = runtimeEstimator;
     }
 
-    /** Empties machines whose tasks, of several jobs, take a multiple of what such tasks take elsewhere. */
+    /** Drains machines on which tasks of several jobs take a multiple of their expected run time. */
     public void drainStragglers(long now) {
         for (Machine machine : cluster.machines()) {
             int late = 0;
