--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -86,7 +86,7 @@
         }
         activate(job);
         if (job.isComplete() && !job.isCancelled()) {
-            writeQueue.enqueue(job);
+            writeQueue.enqueue(job.recordWrite());
         }
         return job;
     }
@@ -142,7 +142,7 @@
             capacity.recordArrival(job.spec(), job.readyWallMicros());
         }
         if (!job.isReleased()) {
-            writeQueue.enqueue(job);
+            writeQueue.enqueue(job.recordWrite());
         }
     }
 
