--- a/src/main/java/io/sillreel/cluster/Cluster.java
+++ b/src/main/java/io/sillreel/cluster/Cluster.java
@@ -119,13 +119,13 @@
 
     /** Adds the tasks of inherited jobs that may be on unreconciled machines, as if all of them were. */
     private void addWorstCase(QuotaUsage usage) {
-        QuotaUsage hidden = new QuotaUsage();
+        QuotaUsage undiscovered = new QuotaUsage();
         for (ActiveJob job : jobs.values()) {
             if (job.isInherited()) {
-                hidden.add(job.spec(), job.waitingCount());
+                undiscovered.add(job.spec(), job.waitingCount());
             }
         }
-        usage.addCapped(hidden, unreconciledMachines.cpus(), unreconciledMachines.gpus());
+        usage.addCapped(undiscovered, unreconciledMachines.cpus(), unreconciledMachines.gpus());
     }
 
     /** Returns how many more tasks of the job the quota of its team allows. */
@@ -140,11 +140,11 @@
                 remainingTasks(team.maxGpus(), used.gpus(), spec.gpus()));
     }
 
-    private static int remainingTasks(double most, long used, double each) {
-        if (most <= 0 || each <= 0) {
+    private static int remainingTasks(double quota, long used, double perTask) {
+        if (quota <= 0 || perTask <= 0) {
             return Integer.MAX_VALUE;
         }
-        return (int) Math.max(0, (QuotaUsage.toMilli(most) - used) / QuotaUsage.toMilli(each));
+        return (int) Math.max(0, (QuotaUsage.toMilli(quota) - used) / QuotaUsage.toMilli(perTask));
     }
 
     /**
@@ -165,11 +165,11 @@
         if (!spec.zoneAffinity() && !spec.zoneAntiAffinity()) {
             return Integer.MAX_VALUE;
         }
-        int here = 0;
+        int inZone = 0;
         int elsewhere = 0;
         for (Allocation allocation : allocationIndex.ofJob(job)) {
             if (allocation.machine().zone().equals(zone)) {
-                here++;
+                inZone++;
             } else {
                 elsewhere++;
             }
@@ -177,6 +177,6 @@
         if (spec.zoneAffinity() && elsewhere > 0) {
             return 0;
         }
-        return spec.maxTasksPerZone() - here;
+        return spec.maxTasksPerZone() - inZone;
     }
 }
--- a/src/main/java/io/sillreel/cluster/ImageCache.java
+++ b/src/main/java/io/sillreel/cluster/ImageCache.java
@@ -48,10 +48,10 @@
         Deque<Image> newestFirst = new ArrayDeque<>();
         images.forEach(newestFirst::addFirst);
         double total = 0;
-        for (Image each : newestFirst) {
-            total += each.gb();
+        for (Image cached : newestFirst) {
+            total += cached.gb();
             if (total > capacityGb) {
-                images.remove(each);
+                images.remove(cached);
             }
         }
     }
--- a/src/main/java/io/sillreel/cluster/PlacementConstraints.java
+++ b/src/main/java/io/sillreel/cluster/PlacementConstraints.java
@@ -32,7 +32,7 @@
                 Math.min(fittingTasks(ramGb, spec.ramGb()), fittingTasks(gpus, spec.gpus())));
     }
 
-    private static int fittingTasks(double free, double each) {
-        return each <= 0 ? Integer.MAX_VALUE : (int) Math.floor(free / each + EPSILON);
+    private static int fittingTasks(double free, double perTask) {
+        return perTask <= 0 ? Integer.MAX_VALUE : (int) Math.floor(free / perTask + EPSILON);
     }
 }
--- a/src/main/java/io/sillreel/cluster/QuotaUsage.java
+++ b/src/main/java/io/sillreel/cluster/QuotaUsage.java
@@ -65,9 +65,9 @@
     }
 
     /** Adds what undiscovered tasks of each team may use, limited for each team to the given CPUs and GPUs. */
-    public void addCapped(QuotaUsage hidden, double maxCpus, double maxGpus) {
-        hidden.amountByTeam.forEach((team, most) ->
-                amountByTeam.computeIfAbsent(team, name -> new Amount()).addUpTo(most, maxCpus, maxGpus));
+    public void addCapped(QuotaUsage undiscovered, double maxCpus, double maxGpus) {
+        undiscovered.amountByTeam.forEach((team, amount) ->
+                amountByTeam.computeIfAbsent(team, name -> new Amount()).addUpTo(amount, maxCpus, maxGpus));
     }
 
     /** Converts to thousandths, rounded up so that quotas are never exceeded. */
--- a/src/main/java/io/sillreel/cluster/ScaleOutRequest.java
+++ b/src/main/java/io/sillreel/cluster/ScaleOutRequest.java
@@ -80,15 +80,15 @@
     public List<ScaleOutRequest> split(int maxMachines, Consumer<ScaleOutRequest> enqueue) {
         List<String> all = new ArrayList<>(machines);
         for (int from = maxMachines; from < all.size(); from += maxMachines) {
-            List<String> part = all.subList(from, Math.min(all.size(), from + maxMachines));
-            ScaleOutRequest scaleOutRequest =
-                    new ScaleOutRequest(name + "." + from / maxMachines, machineType, zone, isSpot, part.size());
-            scaleOutRequest.recordAnswer(part);
-            part.stream().filter(upMachines::remove).forEach(scaleOutRequest.upMachines::add);
-            part.stream().filter(storedUpMachines::remove).forEach(scaleOutRequest.storedUpMachines::add);
-            part.forEach(machines::remove);
-            scaleOutRequest.whenStored(() -> enqueue.accept(this));
-            overflowRequests.add(scaleOutRequest);
+            List<String> chunk = all.subList(from, Math.min(all.size(), from + maxMachines));
+            ScaleOutRequest overflow =
+                    new ScaleOutRequest(name + "." + from / maxMachines, machineType, zone, isSpot, chunk.size());
+            overflow.recordAnswer(chunk);
+            chunk.stream().filter(upMachines::remove).forEach(overflow.upMachines::add);
+            chunk.stream().filter(storedUpMachines::remove).forEach(overflow.storedUpMachines::add);
+            chunk.forEach(machines::remove);
+            overflow.whenStored(() -> enqueue.accept(this));
+            overflowRequests.add(overflow);
         }
         return List.copyOf(overflowRequests);
     }
--- a/src/main/java/io/sillreel/fleet/CloudListReconciler.java
+++ b/src/main/java/io/sillreel/fleet/CloudListReconciler.java
@@ -70,33 +70,33 @@
 
     private void list() {
         isListing = true;
-        long asked = eventLoop.nowMicros();
+        long askedMicros = eventLoop.nowMicros();
         cloud.listMachines().thenAccept(answer -> {
             isListing = false;
             listedMicros = eventLoop.nowMicros();
-            listPauseMicros = Math.max(MIN_LIST_PAUSE_MICROS, LIST_PAUSE_FACTOR * (listedMicros - asked));
+            listPauseMicros = Math.max(MIN_LIST_PAUSE_MICROS, LIST_PAUSE_FACTOR * (listedMicros - askedMicros));
             if (answer.outcome() == Outcome.OK) {
                 synchronized (cluster) {
-                    compare(answer.machines(), asked);
+                    compare(answer.machines(), askedMicros);
                 }
             }
         });
     }
 
-    private void compare(List<ListedMachine> listed, long asked) {
-        Set<String> present = new HashSet<>();
+    private void compare(List<ListedMachine> listed, long askedMicros) {
+        Set<String> listedNames = new HashSet<>();
         for (ListedMachine entry : listed) {
-            present.add(entry.name());
+            listedNames.add(entry.name());
             Machine machine = cluster.machine(entry.name());
             if (machine == null) {
-                adoptIfUnknown(entry, asked);
+                adoptIfUnknown(entry, askedMicros);
             } else {
                 unknownMachines.remove(entry.name());
                 updateListed(machine, entry);
             }
         }
-        removeUnlisted(present, asked);
-        unknownMachines.keySet().retainAll(present);
+        removeUnlisted(listedNames, askedMicros);
+        unknownMachines.keySet().retainAll(listedNames);
     }
 
     private void updateListed(Machine machine, ListedMachine entry) {
@@ -109,14 +109,14 @@
         }
     }
 
-    private void removeUnlisted(Set<String> present, long asked) {
-        long lag = 2 * listLagMicros + 1_000_000;
+    private void removeUnlisted(Set<String> listedNames, long askedMicros) {
+        long minAgeMicros = 2 * listLagMicros + 1_000_000;
         for (Machine machine : List.copyOf(cluster.machines())) {
             // Lists may arrive out of order. A machine is gone only if the list certainly describes a time after it was
             // first listed.
-            if (!present.contains(machine.name())
+            if (!listedNames.contains(machine.name())
                     && machine.firstListedMicros() >= 0
-                    && asked > machine.firstListedMicros() + lag
+                    && askedMicros > machine.firstListedMicros() + minAgeMicros
                     && machine.state() != Machine.State.RETURNING) {
                 LOG.info("machine {} is no longer in the cloud's machine list", machine.name());
                 registry.remove(machine);
@@ -124,22 +124,22 @@
         }
     }
 
-    private void adoptIfUnknown(ListedMachine entry, long asked) {
+    private void adoptIfUnknown(ListedMachine entry, long askedMicros) {
         if (registry.wasReturned(entry.name())) {
             return;
         }
         // The machine may belong to a request whose answer is pending, so only a later list decides.
-        Long first = unknownMachines.putIfAbsent(entry.name(), asked);
-        boolean pending =
+        Long firstAskedMicros = unknownMachines.putIfAbsent(entry.name(), askedMicros);
+        boolean isRequestPending =
                 registry.scaleOutRequests().stream().anyMatch(scaleOutRequest -> !scaleOutRequest.isAnswered());
-        if (first == null || pending && asked - first < PENDING_REQUEST_MICROS) {
+        if (firstAskedMicros == null || isRequestPending && askedMicros - firstAskedMicros < PENDING_REQUEST_MICROS) {
             return;
         }
         Optional<Machine> adopted = registry.adopt(entry.name(), entry.machineType(), entry.zone(), entry.isSpot());
         if (adopted.isPresent()) {
             Machine machine = adopted.get();
             machine.updateAddress(entry.address());
-            machine.recordListed(asked);
+            machine.recordListed(askedMicros);
             if (entry.hasFailed()) {
                 machine.drain();
             }
--- a/src/main/java/io/sillreel/fleet/FleetRegistry.java
+++ b/src/main/java/io/sillreel/fleet/FleetRegistry.java
@@ -33,7 +33,7 @@
     private final Cluster cluster;
     private final WriteQueue writeQueue;
     private final ValueLimits limits;
-    private final Supplier<Map<String, MachineType>> types;
+    private final Supplier<Map<String, MachineType>> machineTypes;
     private final Consumer<Machine> clearTasks;
     private final Map<String, ScaleOutRequest> scaleOutRequests = new LinkedHashMap<>();
     /** Machines that were returned, the earliest first, and when. */
@@ -48,14 +48,14 @@
             Cluster cluster,
             WriteQueue writeQueue,
             ValueLimits limits,
-            Supplier<Map<String, MachineType>> types,
+            Supplier<Map<String, MachineType>> machineTypes,
             Consumer<Machine> clearTasks) {
         this.eventLoop = eventLoop;
         this.term = term;
         this.cluster = cluster;
         this.writeQueue = writeQueue;
         this.limits = limits;
-        this.types = types;
+        this.machineTypes = machineTypes;
         this.clearTasks = clearTasks;
     }
 
@@ -90,16 +90,16 @@
 
     /** Takes over a stored request. Its machines may hold tasks of an earlier term until the given time. */
     void inherit(ScaleOutRequest scaleOutRequest, long aliveUntilMicros) {
-        int most = maxMachinesPerRequest();
-        if (scaleOutRequest.machines().size() > most) {
-            scaleOutRequest.split(most, writeQueue::enqueue).forEach(part -> {
-                inherit(part, aliveUntilMicros);
-                writeQueue.enqueue(part);
+        int maxMachines = maxMachinesPerRequest();
+        if (scaleOutRequest.machines().size() > maxMachines) {
+            scaleOutRequest.split(maxMachines, writeQueue::enqueue).forEach(overflow -> {
+                inherit(overflow, aliveUntilMicros);
+                writeQueue.enqueue(overflow);
             });
         }
         add(scaleOutRequest);
         for (String name : List.copyOf(scaleOutRequest.machines())) {
-            MachineType type = types.get().get(scaleOutRequest.machineType());
+            MachineType type = machineTypes.get().get(scaleOutRequest.machineType());
             if (cluster.machine(name) != null) {
                 // Two requests name the machine if a split was stored only in part; one of them is enough.
                 scaleOutRequest.removeMachine(name);
@@ -117,7 +117,7 @@
      * offer its type.
      */
     Optional<Machine> adopt(String name, String machineType, String zone, boolean spot) {
-        MachineType type = types.get().get(machineType);
+        MachineType type = machineTypes.get().get(machineType);
         if (type == null) {
             return Optional.empty();
         }
@@ -132,28 +132,28 @@
     }
 
     /** Adds a machine of the request to the fleet, unless it is there already or its type is unknown. */
-    void addMachine(String name, ScaleOutRequest scaleOutRequest, long rentedMicros) {
-        MachineType type = types.get().get(scaleOutRequest.machineType());
+    void addMachine(String name, ScaleOutRequest scaleOutRequest, long requestedMicros) {
+        MachineType type = machineTypes.get().get(scaleOutRequest.machineType());
         if (type != null && cluster.machine(name) == null) {
-            cluster.add(newMachine(name, type, scaleOutRequest, rentedMicros));
+            cluster.add(newMachine(name, type, scaleOutRequest, requestedMicros));
         }
     }
 
-    private Machine newMachine(String name, MachineType type, ScaleOutRequest scaleOutRequest, long rentedMicros) {
+    private Machine newMachine(String name, MachineType type, ScaleOutRequest scaleOutRequest, long requestedMicros) {
         return new Machine(
                 name,
                 type,
                 scaleOutRequest.zone(),
                 scaleOutRequest.isSpot(),
                 scaleOutRequest,
-                rentedMicros,
+                requestedMicros,
                 cluster.allocationIndex());
     }
 
     private void forgetOldReturns() {
-        long since = eventLoop.nowMicros() - RETURN_REMEMBERED_MICROS;
+        long oldestKept = eventLoop.nowMicros() - RETURN_REMEMBERED_MICROS;
         Iterator<Long> earliestFirst = returnedMicros.values().iterator();
-        while (earliestFirst.hasNext() && earliestFirst.next() < since) {
+        while (earliestFirst.hasNext() && earliestFirst.next() < oldestKept) {
             earliestFirst.remove();
         }
     }
--- a/src/main/java/io/sillreel/fleet/FleetThresholds.java
+++ b/src/main/java/io/sillreel/fleet/FleetThresholds.java
@@ -32,11 +32,13 @@
 
     /** Returns the thresholds for the rate limit of the cloud and the lease of the machines. */
     public static FleetThresholds of(Settings settings) {
-        double calls = settings.cloud().requestsPerSecond() * settings.workers().leaseMicros() / MICROS_PER_SECOND;
-        int rented = ScaleOutRequest.maxMachines(settings.state().values().announcedBytes());
-        double callsOfAMachine = 1.0 / CloudClient.MAX_MACHINES_PER_RETURN
-                + 1.0 / Math.min(rented, CloudClient.MAX_MACHINES_PER_REQUEST);
-        return new FleetThresholds((int) (calls / callsOfAMachine));
+        double requestsPerLease =
+                settings.cloud().requestsPerSecond() * settings.workers().leaseMicros() / MICROS_PER_SECOND;
+        int machinesPerRequest =
+                ScaleOutRequest.maxMachines(settings.state().values().announcedBytes());
+        double requestsPerMachine = 1.0 / CloudClient.MAX_MACHINES_PER_RETURN
+                + 1.0 / Math.min(machinesPerRequest, CloudClient.MAX_MACHINES_PER_REQUEST);
+        return new FleetThresholds((int) (requestsPerLease / requestsPerMachine));
     }
 
     /** Returns how many unreconciled machines a new leader may return before their leases expire. */
--- a/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
@@ -101,8 +101,8 @@
      * elsewhere.
      */
     private void returnInterrupted(Machine machine, long now) {
-        boolean here = machine.state() == Machine.State.UP || machine.state() == Machine.State.DRAINING;
-        if (here
+        boolean isInUse = machine.state() == Machine.State.UP || machine.state() == Machine.State.DRAINING;
+        if (isInUse
                 && machine.isInterrupted()
                 && machine.interruptionAtMicros() - now < INTERRUPTION_MARGIN_MICROS
                 && !machine.isReturnScheduled()) {
@@ -116,19 +116,21 @@
      * every inherited job until their leases expire; once they are returned it is certain that nothing runs there.
      */
     private void returnUnreconciled(long now) {
-        int unheard = cluster.unreconciledMachines().size();
-        int all = cluster.machines().size();
+        int unreconciled = cluster.unreconciledMachines().size();
+        int machines = cluster.machines().size();
         // In a large fleet the last few have hardly been delayed by a change of controller, and each of them delays
         // every inherited job. In a small fleet the last one often waits for a response of the controller that has
         // ended.
-        long patience = unheard <= thresholds.fewUnreconciled(all)
+        long timeout = unreconciled <= thresholds.fewUnreconciled(machines)
                 ? times.heartbeatIntervalMicros() * 5 / 4 + SECOND_HEARTBEAT_MICROS
                 : Math.max(MIN_UNRECONCILED_MICROS, 2 * times.heartbeatIntervalMicros() + 4_000_000);
-        if (now - termStartMicros < patience || unheard == 0 || unheard > thresholds.maxUnreconciled(all)) {
+        if (now - termStartMicros < timeout
+                || unreconciled == 0
+                || unreconciled > thresholds.maxUnreconciled(machines)) {
             return;
         }
         for (Machine machine : cluster.unreconciledMachines()) {
-            if (now - Math.max(machine.upMicros(), termStartMicros) > patience && !machine.isReturnScheduled()) {
+            if (now - Math.max(machine.upMicros(), termStartMicros) > timeout && !machine.isReturnScheduled()) {
                 scheduleReturn(machine, "it has not been reconciled since the term began");
             }
         }
--- a/src/main/java/io/sillreel/fleet/SpotInterruptionDrain.java
+++ b/src/main/java/io/sillreel/fleet/SpotInterruptionDrain.java
@@ -34,12 +34,12 @@
      * may still finish; those that cannot are stopped at once, so that they start elsewhere sooner.
      */
     public Set<Machine> stopInterruptedTasks(long now) {
-        Set<Machine> touched = new LinkedHashSet<>();
+        Set<Machine> affectedMachines = new LinkedHashSet<>();
         for (Machine machine : cluster.machines()) {
             if (!machine.isInterrupted()) {
                 continue;
             }
-            long left = machine.interruptionAtMicros() - now;
+            long timeLeftMicros = machine.interruptionAtMicros() - now;
             for (Allocation allocation : machine.allocations()) {
                 if (allocation.job() == null
                         || allocation.hasEnded()
@@ -49,21 +49,21 @@
                 }
                 JobSpec spec = allocation.job().spec();
                 if (spec.supportsCheckpoints()
-                        ? left < 2 * spec.checkpointDurationMicros() + COMMAND_MICROS
-                        : remainingMicros(allocation, now) > UNFINISHABLE_FACTOR * left) {
+                        ? timeLeftMicros < 2 * spec.checkpointDurationMicros() + COMMAND_MICROS
+                        : remainingMicros(allocation, now) > UNFINISHABLE_FACTOR * timeLeftMicros) {
                     allocation.stop(
                             spec.supportsCheckpoints()
                                     ? spec.checkpointDurationMicros() + CHECKPOINT_MARGIN_MICROS
                                     : 0);
-                    touched.add(machine);
+                    affectedMachines.add(machine);
                 }
             }
         }
-        return touched;
+        return affectedMachines;
     }
 
     private long remainingMicros(Allocation allocation, long now) {
-        long ran = allocation.runningSinceMicros() < 0 ? 0 : now - allocation.runningSinceMicros();
-        return runtimeEstimator.expectedRuntimeMicros(allocation.job()) - ran;
+        long elapsed = allocation.runningSinceMicros() < 0 ? 0 : now - allocation.runningSinceMicros();
+        return runtimeEstimator.expectedRuntimeMicros(allocation.job()) - elapsed;
     }
 }
--- a/src/main/java/io/sillreel/fleet/StragglerDetector.java
+++ b/src/main/java/io/sillreel/fleet/StragglerDetector.java
@@ -25,7 +25,7 @@
     /** Drains machines on which tasks of several jobs take a multiple of their expected run time. */
     public void drainStragglers(long now) {
         for (Machine machine : cluster.machines()) {
-            int late = 0;
+            int lateTasks = 0;
             Set<String> lateJobs = new HashSet<>();
             for (Allocation allocation : machine.allocations()) {
                 if (allocation.job() != null
@@ -35,14 +35,14 @@
                                 > MachineHealth.SLOW_RATIO
                                         * runtimeEstimator.expectedRuntimeMicros(
                                                 allocation.job().spec())) {
-                    late++;
+                    lateTasks++;
                     lateJobs.add(allocation.uid());
                 }
             }
             if (machine.state() == Machine.State.UP
                     && (machine.health().isSlow()
                             || lateJobs.size() > 1
-                                    && late > machine.allocations().size() / 2)) {
+                                    && lateTasks > machine.allocations().size() / 2)) {
                 LOG.info(
                         "draining machine {} ({}): it is a straggler",
                         machine.name(),
