--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -30,8 +30,10 @@
 import io.sillreel.overload.AdaptiveLimit;
 import io.sillreel.overload.EventLoopLag;
 import io.sillreel.overload.RateLimiter;
-import io.sillreel.peer.PeerMessages;
-import io.sillreel.peer.PeerMessages.Hello;
+import io.sillreel.peer.CancellationCodec;
+import io.sillreel.peer.Hello;
+import io.sillreel.peer.HelloCodec;
+import io.sillreel.peer.PeerRoutes;
 import io.sillreel.peer.Peers;
 import io.sillreel.pipeline.LiveTaskCounts;
 import io.sillreel.recovery.Recovery;
@@ -221,16 +223,16 @@
     /** What the other controllers, and operators, ask. */
     public CompletableFuture<HttpResponse> handleInternal(HttpRequest request) {
         switch (request.route()) {
-            case PeerMessages.HEARTBEATS -> {
+            case PeerRoutes.HEARTBEATS -> {
                 return heartbeatRouter.handleRelayed(request);
             }
-            case PeerMessages.HELLO -> {
-                helloReceived(Hello.of(request.body()));
-                return answer(new HttpResponse(200, ownHello().bytes(), 0));
+            case PeerRoutes.HELLO -> {
+                helloReceived(HelloCodec.decode(request.body()));
+                return answer(HelloCodec.toResponse(ownHello()));
             }
-            case PeerMessages.CANCELLED -> {
+            case PeerRoutes.CANCELLED -> {
                 if (leaderTerm != null) {
-                    PeerMessages.cancelled(request.body()).forEach(leaderTerm::jobCancelled);
+                    CancellationCodec.decode(request.body()).forEach(leaderTerm::jobCancelled);
                 }
                 return answer(HttpResponse.of(200, Json.object()));
             }
@@ -273,8 +275,8 @@
         } else {
             leaderLocator
                     .remoteLeader()
-                    .ifPresent(leader ->
-                            httpClient.send(leader.address(), PeerMessages.cancelled(uid), CANCELLED_TIMEOUT_MICROS));
+                    .ifPresent(leader -> httpClient.send(
+                            leader.address(), CancellationCodec.toRequest(uid), CANCELLED_TIMEOUT_MICROS));
         }
     }
 
@@ -290,11 +292,10 @@
                 // It has just asked; its question and our answer have told both sides all there is to tell.
                 continue;
             }
-            HttpRequest request =
-                    new HttpRequest("POST", PeerMessages.HELLO, ownHello().bytes());
+            HttpRequest request = HelloCodec.toRequest(ownHello());
             httpClient.send(member.address(), request, HELLO_TIMEOUT_MICROS).thenAccept(response -> {
                 if (response.isOk()) {
-                    helloReceived(Hello.of(response.body()));
+                    helloReceived(HelloCodec.decode(response.body()));
                 }
             });
         }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatBatch.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatBatch.java
@@ -3,7 +3,7 @@
 import io.sillreel.agent.Heartbeat;
 import io.sillreel.http.EventLoop;
 import io.sillreel.http.HttpResponse;
-import io.sillreel.peer.PeerMessages;
+import io.sillreel.peer.HeartbeatBatchCodec;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -49,7 +49,7 @@
             responses.add(response);
         }
         if (responses.size() == heartbeats.size()) {
-            result.complete(new HttpResponse(200, PeerMessages.encodeResponses(responses), 0));
+            result.complete(new HttpResponse(200, HeartbeatBatchCodec.encodeResponses(responses), 0));
         } else {
             eventLoop.schedule(1, this::decideNextChunk);
         }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatRelay.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatRelay.java
@@ -5,7 +5,7 @@
 import io.sillreel.http.HttpClient;
 import io.sillreel.http.HttpRequest;
 import io.sillreel.http.HttpResponse;
-import io.sillreel.peer.PeerMessages;
+import io.sillreel.peer.HeartbeatBatchCodec;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -123,7 +123,7 @@
                 givenUp.add(waiting.poll());
                 continue;
             }
-            bytes += PeerMessages.approximateBytes(next.heartbeat());
+            bytes += HeartbeatBatchCodec.estimateBytes(next.heartbeat());
             if (bytes > MAX_BATCH_BYTES && !batch.isEmpty()) {
                 break;
             }
@@ -147,10 +147,11 @@
         if (batch.isEmpty()) {
             return;
         }
-        HttpRequest request =
-                PeerMessages.heartbeats(batch.stream().map(Waiting::heartbeat).toList());
+        HttpRequest request = HeartbeatBatchCodec.toRequest(
+                batch.stream().map(Waiting::heartbeat).toList());
         httpClient.send(to, request, TIMEOUT_MICROS).thenAccept(response -> {
-            List<HttpResponse> replies = response.isOk() ? PeerMessages.decodeResponses(response.body()) : List.of();
+            List<HttpResponse> replies =
+                    response.isOk() ? HeartbeatBatchCodec.decodeResponses(response.body()) : List.of();
             boolean more;
             synchronized (this) {
                 pendingBatches--;
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatRouter.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatRouter.java
@@ -5,7 +5,7 @@
 import io.sillreel.http.EventLoop;
 import io.sillreel.http.HttpRequest;
 import io.sillreel.http.HttpResponse;
-import io.sillreel.peer.PeerMessages;
+import io.sillreel.peer.HeartbeatBatchCodec;
 import io.sillreel.settings.Settings.Member;
 import java.util.List;
 import java.util.Optional;
@@ -106,7 +106,7 @@
         if (ownTerm == null) {
             return completed(HttpResponse.retryLater(503, "not the leader", 1));
         }
-        List<Heartbeat> heartbeats = PeerMessages.decodeHeartbeats(request.body());
+        List<Heartbeat> heartbeats = HeartbeatBatchCodec.decodeHeartbeats(request.body());
         relayedCount += heartbeats.size();
         return new HeartbeatBatch(eventLoop, heartbeats, heartbeat -> process(ownTerm, heartbeat)).start();
     }
--- a/src/main/java/io/sillreel/heartbeat/WorkerLoadBalancer.java
+++ b/src/main/java/io/sillreel/heartbeat/WorkerLoadBalancer.java
@@ -1,7 +1,7 @@
 package io.sillreel.heartbeat;
 
 import io.sillreel.http.EventLoop;
-import io.sillreel.peer.PeerMessages.Hello;
+import io.sillreel.peer.Hello;
 import io.sillreel.peer.Peers;
 import java.util.HashMap;
 import java.util.Map;
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -12,8 +12,10 @@
 import io.sillreel.cluster.ScaleOutRequestCodec;
 import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.peer.PeerMessages;
-import io.sillreel.peer.PeerMessages.Hello;
+import io.sillreel.peer.CancellationCodec;
+import io.sillreel.peer.HeartbeatBatchCodec;
+import io.sillreel.peer.Hello;
+import io.sillreel.peer.HelloCodec;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.Checkpointing;
 import io.sillreel.pipeline.IgnoringListener;
@@ -175,9 +177,9 @@
     @Test
     void whatIsSaidBetweenControllersIsTheSame() {
         Hello hello = new Hello("hopper-1", "hopper-0", 41, true, 97, true, 3);
-        assertThat(Hello.of(bytes(HELLO))).isEqualTo(hello);
-        assertThat(hello.bytes()).isEqualTo(bytes(HELLO));
-        assertThat(Hello.of(bytes(HELLO_WITHOUT_LEADER)).leader()).isNull();
+        assertThat(HelloCodec.decode(bytes(HELLO))).isEqualTo(hello);
+        assertThat(HelloCodec.toRequest(hello).body()).isEqualTo(bytes(HELLO));
+        assertThat(HelloCodec.decode(bytes(HELLO_WITHOUT_LEADER)).leader()).isNull();
         Heartbeat heartbeat = new Heartbeat(
                 "host-000231",
                 "10.1.0.232:9000",
@@ -189,16 +191,16 @@
                 List.of(
                         new Heartbeat.TaskStatus("job-000412", 3, 2L + (41L << 32), Heartbeat.TaskStage.RUNNING, ""),
                         new Heartbeat.TaskStatus("job-000398", 0, 1, Heartbeat.TaskStage.ENDED, "done")));
-        assertThat(PeerMessages.decodeHeartbeats(bytes(HEARTBEATS))).containsExactly(heartbeat);
-        assertThat(PeerMessages.heartbeats(List.of(heartbeat)).body()).isEqualTo(bytes(HEARTBEATS));
+        assertThat(HeartbeatBatchCodec.decodeHeartbeats(bytes(HEARTBEATS))).containsExactly(heartbeat);
+        assertThat(HeartbeatBatchCodec.toRequest(List.of(heartbeat)).body()).isEqualTo(bytes(HEARTBEATS));
         AgentCommands commands = new AgentCommands();
         commands.launch("job-000412", 4, 7);
         List<HttpResponse> replies =
                 List.of(commands.toResponse(41), HttpResponse.retryLater(503, "a newer report was seen", 1));
-        assertThat(PeerMessages.encodeResponses(replies)).isEqualTo(bytes(ANSWERS));
-        assertThat(PeerMessages.decodeResponses(bytes(ANSWERS))).hasSize(2);
-        assertThat(PeerMessages.cancelled("job-000412").body()).isEqualTo(bytes(CANCELLED));
-        assertThat(PeerMessages.cancelled(bytes(CANCELLED))).containsExactly("job-000412");
+        assertThat(HeartbeatBatchCodec.encodeResponses(replies)).isEqualTo(bytes(ANSWERS));
+        assertThat(HeartbeatBatchCodec.decodeResponses(bytes(ANSWERS))).hasSize(2);
+        assertThat(CancellationCodec.toRequest("job-000412").body()).isEqualTo(bytes(CANCELLED));
+        assertThat(CancellationCodec.decode(bytes(CANCELLED))).containsExactly("job-000412");
     }
 
     /** Guards its takeover: it takes whatever follows a slash under run/ for a number, and lists no other prefix. */
--- a/src/test/java/io/sillreel/heartbeat/HeartbeatBatchTest.java
+++ b/src/test/java/io/sillreel/heartbeat/HeartbeatBatchTest.java
@@ -5,7 +5,7 @@
 import io.sillreel.agent.Heartbeat;
 import io.sillreel.agent.Heartbeat.MachineDescription;
 import io.sillreel.http.HttpResponse;
-import io.sillreel.peer.PeerMessages;
+import io.sillreel.peer.HeartbeatBatchCodec;
 import io.sillreel.sim.SimTime;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -36,7 +36,7 @@
         assertThat(decided).hasSize(HeartbeatBatch.MAX_HEARTBEATS_PER_CHUNK);
         assertThat(answer).isNotDone();
         time.runFor(1_000);
-        assertThat(PeerMessages.decodeResponses(answer.join().body()))
+        assertThat(HeartbeatBatchCodec.decodeResponses(answer.join().body()))
                 .hasSize(3 * HeartbeatBatch.MAX_HEARTBEATS_PER_CHUNK)
                 .allMatch(HttpResponse::isOk);
     }
@@ -47,7 +47,8 @@
         List<Heartbeat> decided = new ArrayList<>();
         CompletableFuture<HttpResponse> answer = start(40, HeartbeatBatch.MAX_RESPONSE_BYTES / 10, decided);
         time.runFor(1_000);
-        List<HttpResponse> replies = PeerMessages.decodeResponses(answer.join().body());
+        List<HttpResponse> replies =
+                HeartbeatBatchCodec.decodeResponses(answer.join().body());
         assertThat(replies).hasSize(40);
         assertThat(replies.stream().filter(HttpResponse::isOk))
                 .hasSameSizeAs(decided)
--- a/src/test/java/io/sillreel/heartbeat/HeartbeatRelayTest.java
+++ b/src/test/java/io/sillreel/heartbeat/HeartbeatRelayTest.java
@@ -8,7 +8,7 @@
 import io.sillreel.agent.Heartbeat.TaskStatus;
 import io.sillreel.http.HttpRequest;
 import io.sillreel.http.HttpResponse;
-import io.sillreel.peer.PeerMessages;
+import io.sillreel.peer.HeartbeatBatchCodec;
 import io.sillreel.sim.SimTime;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -21,13 +21,14 @@
     private final List<Integer> batches = new ArrayList<>();
 
     private CompletableFuture<HttpResponse> answer(HttpRequest request) {
-        int reports = PeerMessages.decodeHeartbeats(request.body()).size();
+        int reports = HeartbeatBatchCodec.decodeHeartbeats(request.body()).size();
         batches.add(reports);
         List<HttpResponse> replies = new ArrayList<>();
         for (int i = 0; i < reports; i++) {
             replies.add(new HttpResponse(200, new byte[0], 0));
         }
-        return CompletableFuture.completedFuture(new HttpResponse(200, PeerMessages.encodeResponses(replies), 0));
+        return CompletableFuture.completedFuture(
+                new HttpResponse(200, HeartbeatBatchCodec.encodeResponses(replies), 0));
     }
 
     /** Hands on a report every 10 ms for a second, and returns how many had been answered 15 ms after they came. */
@@ -94,7 +95,8 @@
         HeartbeatRelay heartbeatRelay = new HeartbeatRelay(
                 time.new Process(),
                 (address, request, timeout) -> {
-                    batches.add(PeerMessages.decodeHeartbeats(request.body()).size());
+                    batches.add(
+                            HeartbeatBatchCodec.decodeHeartbeats(request.body()).size());
                     held.add(new CompletableFuture<>());
                     return held.get(held.size() - 1);
                 },
