--- a/src/main/java/io/sillreel/HelloExchange.java
+++ b/src/main/java/io/sillreel/HelloExchange.java
@@ -1,13 +1,13 @@
 package io.sillreel;
 
+import io.sillreel.peer.HelloCodec;
 import io.sillreel.heartbeat.HeartbeatRouter;
 import io.sillreel.heartbeat.WorkerLoadBalancer;
 import io.sillreel.http.HttpClient;
 import io.sillreel.http.HttpRequest;
 import io.sillreel.http.HttpResponse;
 import io.sillreel.leadership.LeaderElection;
-import io.sillreel.peer.PeerMessages;
-import io.sillreel.peer.PeerMessages.Hello;
+import io.sillreel.peer.Hello;
 import io.sillreel.peer.Peers;
 import io.sillreel.settings.Settings;
 import io.sillreel.settings.Settings.Member;
@@ -52,10 +52,10 @@
                 continue;
             }
             HttpRequest request =
-                    new HttpRequest("POST", PeerMessages.HELLO, ownHello().bytes());
+                    HelloCodec.toRequest(ownHello());
             httpClient.send(member.address(), request, TIMEOUT_MICROS).thenAccept(response -> {
                 if (response.isOk()) {
-                    receive(Hello.of(response.body()));
+                    receive(HelloCodec.decode(response.body()));
                 }
             });
         }
@@ -63,8 +63,8 @@
 
     /** Takes the hello of another controller; the response is this controller's own. */
     HttpResponse handle(HttpRequest request) {
-        receive(Hello.of(request.body()));
-        return new HttpResponse(200, ownHello().bytes(), 0);
+        receive(HelloCodec.decode(request.body()));
+        return HelloCodec.toResponse(ownHello());
     }
 
     private void receive(Hello hello) {
