--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -147,7 +147,8 @@
                 machineTypes::types,
                 activeTerm,
                 activeTerm::notifyLeaderOfCancellation);
-        return new AdaptiveLimit(admission, operator.maxRequestsInProgress(), limits.cachedJobStatuses(), eventLoop::nowMicros);
+        return new AdaptiveLimit(
+                admission, operator.maxRequestsInProgress(), limits.cachedJobStatuses(), eventLoop::nowMicros);
     }
 
     /** The version that the build wrote into the jar. */
--- a/src/main/java/io/sillreel/overload/AdaptiveLimit.java
+++ b/src/main/java/io/sillreel/overload/AdaptiveLimit.java
@@ -65,7 +65,8 @@
         boolean isPoll = request.method().equals("GET");
         Optional<Limiter.Listener> admitted;
         synchronized (this) {
-            admitted = isPoll && inProgress >= POLL_SHARE * limiter.getLimit() ? Optional.empty() : limiter.acquire(null);
+            admitted =
+                    isPoll && inProgress >= POLL_SHARE * limiter.getLimit() ? Optional.empty() : limiter.acquire(null);
             if (admitted.isEmpty() && !(isPoll && isOverdue(request.path()))) {
                 refusedCount++;
                 return CompletableFuture.completedFuture(HttpResponse.retryLater(429, "too much is asked at once", 1));
