--- a/src/test/java/io/sillreel/placement/PlacementIndexTest.java
+++ b/src/test/java/io/sillreel/placement/PlacementIndexTest.java
@@ -33,7 +33,7 @@
                 .put("mark_every_s", random.nextInt(2)));
     }
 
-    /** Takes all tasks of a job that fit, and notes where. */
+    /** Places all tasks of a job that fit, and records where. */
     private static final class Recorder implements PlacementIndex.MachineVisitor {
         private final JobSpec spec;
         private final List<String> taken = new ArrayList<>();
@@ -70,7 +70,7 @@
                 : (long) (spec.imageGb() / space.machine().type().pullGbPerSecond()) / 2;
     }
 
-    /** What a look at every machine gives: the order that the index has to keep. */
+    /** The order that a sort of all machines gives, which the index has to keep. */
     private static List<String> bySorting(List<FreeCapacity> spaces, JobSpec spec) {
         List<FreeCapacity> fitting = new ArrayList<>(spaces);
         fitting.removeIf(
@@ -86,7 +86,7 @@
     }
 
     @RepeatedTest(20)
-    void placesComeInTheOrderOfASortOverAllMachines(RepetitionInfo repetition) {
+    void machinesAreVisitedInTheOrderOfASortOfAllMachines(RepetitionInfo repetition) {
         Random random = new Random(repetition.getCurrentRepetition());
         PlacementIndex index = new PlacementIndex(0.5);
         List<FreeCapacity> sorted = new ArrayList<>();
--- a/src/test/java/io/sillreel/placement/PlannerTest.java
+++ b/src/test/java/io/sillreel/placement/PlannerTest.java
@@ -69,14 +69,16 @@
         return machine;
     }
 
-    private ActiveJob job(String team, PriorityClass rank, int pieces, double cpus, long ageMicros, boolean saves) {
+    private ActiveJob job(
+            String team, PriorityClass priorityClass, int tasks, double cpus, long ageMicros, boolean hasCheckpoints) {
         JobSpec spec = new JobSpec(
                 "job-%06d".formatted(++jobs),
                 "l",
                 team,
-                new Urgency(rank, -1),
-                pieces,
-                new TaskSpec(cpus, 0, 1, "img", 1, 20 * SECOND, new Checkpointing(saves ? 5 * SECOND : 0, SECOND)),
+                new Urgency(priorityClass, -1),
+                tasks,
+                new TaskSpec(
+                        cpus, 0, 1, "img", 1, 20 * SECOND, new Checkpointing(hasCheckpoints ? 5 * SECOND : 0, SECOND)),
                 new PlacementRequirements(null, null, false, false, true),
                 List.of());
         ActiveJob job =
@@ -98,8 +100,8 @@
         return planner.plan(nowMicros, nowMicros);
     }
 
-    /** Work that it takes to fill a machine that reports a free place, in a fleet of so many that are full. */
-    private long workOfAReport(int machines, int waitingJobs) {
+    /** Steps that it takes to fill a machine whose heartbeat shows free capacity, in a fleet that is otherwise full. */
+    private long stepsOfAHeartbeat(int machines, int waitingJobs) {
         ActiveJob running = job("free", PriorityClass.NORMAL, 4 * machines, 1, 0, false);
         for (int i = 0; i < machines; i++) {
             run(running, machine(i), 4);
@@ -108,25 +110,25 @@
             job("free", PriorityClass.NORMAL, 10, 1, 0, false);
         }
         PlacementPlan plan = plan();
-        Machine reporting = cluster.machine("host-000001");
-        Allocation ended = reporting.allocations().iterator().next();
+        Machine machine = cluster.machine("host-000001");
+        Allocation ended = machine.allocations().iterator().next();
         ended.updateStage(TaskStage.ENDED, nowMicros);
         ended.release();
         long before = cluster.stepCount();
-        assertThat(planner.planMachine(plan, reporting, nowMicros, nowMicros)).hasSize(1);
+        assertThat(planner.planMachine(plan, machine, nowMicros, nowMicros)).hasSize(1);
         return cluster.stepCount() - before;
     }
 
-    /** Guards against planning for the whole fleet whenever a machine reports. */
+    /** Guards against planning for the whole fleet on each heartbeat. */
     @Test
-    void theCostOfAReportDoesNotGrowWithMachinesOrJobs() {
-        long small = new PlannerTest().workOfAReport(10, 100);
-        long large = new PlannerTest().workOfAReport(1_000, 1_000);
+    void theCostOfAHeartbeatDoesNotGrowWithMachinesOrJobs() {
+        long small = new PlannerTest().stepsOfAHeartbeat(10, 100);
+        long large = new PlannerTest().stepsOfAHeartbeat(1_000, 1_000);
         assertThat(large).isLessThanOrEqualTo(small).isLessThanOrEqualTo(200);
     }
 
     /** Steps of a plan for so many waiting jobs in a fleet that is idle, beside one look at each machine. */
-    private long workOfAPlan(int machines, int waitingJobs) {
+    private long stepsOfAPlan(int machines, int waitingJobs) {
         for (int i = 0; i < machines; i++) {
             machine(i, i % 3 > 0);
         }
@@ -140,30 +142,30 @@
     /** Guards a leader of thousands: a look at every idle machine for every job was a plan of seconds. */
     @Test
     void theCostOfAPlanDoesNotGrowWithMachinesTimesJobs() {
-        long small = new PlannerTest().workOfAPlan(1_000, 200);
-        long large = new PlannerTest().workOfAPlan(4_000, 200);
+        long small = new PlannerTest().stepsOfAPlan(1_000, 200);
+        long large = new PlannerTest().stepsOfAPlan(4_000, 200);
         assertThat(large).isLessThanOrEqualTo(small + 100).isLessThan(10_000);
     }
 
     @Test
-    void whatRunsBeyondAGuaranteeYieldsToWorkWithinOneAndSaversYieldFirst() {
-        ActiveJob plain = job("s", PriorityClass.NORMAL, 8, 1, 60 * SECOND, false);
-        ActiveJob saving = job("s", PriorityClass.NORMAL, 4, 1, 60 * SECOND, true);
+    void tasksBeyondAGuaranteeArePreemptedForGuaranteedWorkThoseWithCheckpointsFirst() {
+        ActiveJob withoutCheckpoints = job("s", PriorityClass.NORMAL, 8, 1, 60 * SECOND, false);
+        ActiveJob withCheckpoints = job("s", PriorityClass.NORMAL, 4, 1, 60 * SECOND, true);
         Machine one = machine(1);
         Machine two = machine(2);
         Machine three = machine(3);
-        run(plain, one, 4);
-        run(plain, two, 4);
-        run(saving, three, 4);
+        run(withoutCheckpoints, one, 4);
+        run(withoutCheckpoints, two, 4);
+        run(withCheckpoints, three, 4);
         job("t", PriorityClass.BEST_EFFORT, 2, 1, 4 * SECOND, false);
         assertThat(plan().preemptions()).as("the aim is not in danger yet").isEmpty();
         nowMicros += 2 * SECOND;
-        assertThat(plan().preemptions()).hasSize(2).allMatch(allocation -> allocation.job() == saving);
+        assertThat(plan().preemptions()).hasSize(2).allMatch(allocation -> allocation.job() == withCheckpoints);
     }
 
     /** Guards against two that stop each other's tasks in turn: whoever stops must come before whoever was stopped. */
     @Test
-    void whatWasStoppedDoesNotTakeThePlaceBack() {
+    void preemptedWorkDoesNotTakeTheCapacityBack() {
         ActiveJob owed = job("t", PriorityClass.BEST_EFFORT, 4, 1, 30 * SECOND, false);
         Machine one = machine(1);
         run(owed, one, 4);
@@ -178,7 +180,7 @@
 
     /** Guards the other teams' guarantees: what is within them stays, however long somebody waits. */
     @Test
-    void whatRunsWithinAGuaranteeIsNotStoppedForAnother() {
+    void tasksWithinAGuaranteeAreNotPreemptedForAnotherTeam() {
         ActiveJob within = job("s", PriorityClass.NORMAL, 8, 1, 60 * SECOND, true);
         run(within, machine(1), 4);
         run(within, machine(2), 4);
@@ -188,7 +190,7 @@
 
     /** Guards a large task against small ones that take every processor as it comes free. */
     @Test
-    void aLargeTaskThatHasWaitedTooLongHasAMachineEmptiedForIt() {
+    void aMachineIsReservedForALargeTaskThatHasWaitedTooLong() {
         ActiveJob large = job("free", PriorityClass.BEST_EFFORT, 1, 4, 130 * SECOND, false);
         ActiveJob small = job("free", PriorityClass.NORMAL, 20, 1, 0, false);
         Machine one = machine(1);
@@ -207,7 +209,7 @@
     }
 
     @Test
-    void rankGoesBeforeAdmissionUntilAgeEndsThat() {
+    void priorityClassGoesBeforeAdmissionOrderUntilTheJobIsAged() {
         ActiveJob low = job("free", PriorityClass.BEST_EFFORT, 1, 4, 60 * SECOND, false);
         ActiveJob high = job("free", PriorityClass.HIGH, 1, 4, 0, false);
         machine(1);
@@ -226,13 +228,13 @@
      * Guards against long tasks on machines that may be taken, while work that saves its progress sits on the others.
      */
     @Test
-    void whatSavesItsProgressGoesToSpotMachinesAndTheRestToOrdinaryOnes() {
+    void tasksWithCheckpointsGoToSpotMachinesAndOthersToOnDemandMachines() {
         Machine spot = machine(1, true);
-        Machine ordinary = machine(2, false);
+        Machine onDemand = machine(2, false);
         ActiveJob other = job("free", PriorityClass.NORMAL, 4, 1, 0, false);
-        ActiveJob saving = job("free", PriorityClass.NORMAL, 4, 1, 0, true);
+        ActiveJob withCheckpoints = job("free", PriorityClass.NORMAL, 4, 1, 0, true);
         Map<String, List<TaskAssignment>> launches = plan().launches();
-        assertThat(launches.get(spot.name())).containsExactly(new TaskAssignment(saving, 4));
-        assertThat(launches.get(ordinary.name())).containsExactly(new TaskAssignment(other, 4));
+        assertThat(launches.get(spot.name())).containsExactly(new TaskAssignment(withCheckpoints, 4));
+        assertThat(launches.get(onDemand.name())).containsExactly(new TaskAssignment(other, 4));
     }
 }
--- a/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
+++ b/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
@@ -73,13 +73,18 @@
         return job;
     }
 
-    /** The last job of a chain alone says how urgent it is; who joins later counts, and who leaves counts no more. */
     @Test
-    void theFirstStepIsAsUrgentAsWhatNeedsIt() {
+    void aJobWithoutDependentsInheritsNothing() {
         ActiveJob first = joined("job-000001", PriorityClass.BEST_EFFORT, -1);
-        ActiveJob second = joined("job-000002", PriorityClass.BEST_EFFORT, -1, "job-000001");
+        joined("job-000002", PriorityClass.BEST_EFFORT, -1, "job-000001");
         assertThat(first.effectivePriority()).isEqualTo(PriorityClass.BEST_EFFORT);
         assertThat(first.effectiveDeadlineMicros()).isEqualTo(Long.MAX_VALUE);
+    }
+
+    @Test
+    void priorityAndDeadlineOfTheLastJobReachAllJobsItDependsOn() {
+        ActiveJob first = joined("job-000001", PriorityClass.BEST_EFFORT, -1);
+        ActiveJob second = joined("job-000002", PriorityClass.BEST_EFFORT, -1, "job-000001");
         ActiveJob last = joined("job-000003", PriorityClass.HIGH, 300 * SECOND, "job-000002");
         assertThat(List.of(first.effectivePriority(), second.effectivePriority()))
                 .containsOnly(PriorityClass.HIGH);
@@ -87,10 +92,25 @@
                 .isEqualTo(NOW + 300 * SECOND - runtimeEstimator.makespanMicros(last));
         assertThat(first.effectiveDeadlineMicros())
                 .isEqualTo(second.effectiveDeadlineMicros() - runtimeEstimator.makespanMicros(second));
+    }
+
+    @Test
+    void theHighestPriorityAndTheEarliestDeadlineOfSeveralDependentsCount() {
+        ActiveJob first = joined("job-000001", PriorityClass.BEST_EFFORT, -1);
+        joined("job-000002", PriorityClass.BEST_EFFORT, -1, "job-000001");
+        joined("job-000003", PriorityClass.HIGH, 300 * SECOND, "job-000002");
         ActiveJob sooner = joined("job-000004", PriorityClass.NORMAL, 60 * SECOND, "job-000001");
         assertThat(first.effectiveDeadlineMicros())
                 .isEqualTo(NOW + 60 * SECOND - runtimeEstimator.makespanMicros(sooner));
         assertThat(first.effectivePriority()).isEqualTo(PriorityClass.HIGH);
+    }
+
+    @Test
+    void aCancelledDependentCountsNoMore() {
+        ActiveJob first = joined("job-000001", PriorityClass.BEST_EFFORT, -1);
+        ActiveJob second = joined("job-000002", PriorityClass.BEST_EFFORT, -1, "job-000001");
+        ActiveJob last = joined("job-000003", PriorityClass.HIGH, 300 * SECOND, "job-000002");
+        ActiveJob sooner = joined("job-000004", PriorityClass.NORMAL, 60 * SECOND, "job-000001");
         last.cancel();
         inheritance.recomputeAfterCancellation(List.of(last));
         assertThat(second.effectivePriority()).isEqualTo(PriorityClass.BEST_EFFORT);
@@ -101,9 +121,9 @@
         assertThat(first.effectiveDeadlineMicros()).isEqualTo(Long.MAX_VALUE);
     }
 
-    /** Guards the guarantee: what awaits others takes no part of it, and leaves it to those behind. */
+    /** Guards the guarantee: a job with unmet dependencies takes no part of it, and leaves it to later jobs. */
     @Test
-    void whatAwaitsOthersTakesNothingOfTheGuarantee() {
+    void aJobWithUnmetDependenciesTakesNothingOfTheGuarantee() {
         ActiveJob first = joined("job-000001", PriorityClass.NORMAL, -1);
         ActiveJob waiting = joined("job-000002", PriorityClass.NORMAL, -1, "job-000001");
         ActiveJob behind = joined("job-000003", PriorityClass.NORMAL, -1);
