--- a/src/main/java/io/sillreel/ActiveTerm.java
+++ b/src/main/java/io/sillreel/ActiveTerm.java
@@ -1,5 +1,6 @@
 package io.sillreel;
 
+import io.sillreel.peer.CancellationCodec;
 import io.sillreel.fleet.FleetConfiguration;
 import io.sillreel.heartbeat.LeaderHeartbeats;
 import io.sillreel.heartbeat.LeaderLocator;
@@ -8,7 +9,6 @@
 import io.sillreel.leadership.LeaderTerm;
 import io.sillreel.leadership.TermGrant;
 import io.sillreel.leadership.TermServices;
-import io.sillreel.peer.PeerMessages;
 import io.sillreel.peer.Peers;
 import io.sillreel.pipeline.LiveTaskCounts;
 import io.sillreel.settings.Settings.Member;
@@ -92,7 +92,7 @@
         } else {
             remoteLeader()
                     .ifPresent(leader -> services.agents()
-                            .send(leader.address(), PeerMessages.cancelled(uid), CANCELLED_TIMEOUT_MICROS));
+                            .send(leader.address(), CancellationCodec.toRequest(uid), CANCELLED_TIMEOUT_MICROS));
         }
     }
 
