--- a/src/main/java/io/sillreel/http/NettyHttpServer.java
+++ b/src/main/java/io/sillreel/http/NettyHttpServer.java
@@ -33,16 +33,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * An HTTP/1.1 listener. Connections are persistent; past the limit of connections new ones are closed at once. One
- * route may be given a part of the connections: hundreds of workers that turn to the last controller that is up must
- * not take the place of users and health checks.
+ * An HTTP/1.1 server with persistent connections. Connections over the limit are closed at once. Workers may have only
+ * a part of the connections: when all of them connect to the last controller that is up, users and health checks must
+ * still get through. The event loop group has one thread, on which all state is used.
  */
 public final class NettyHttpServer {
     public static final int MAX_BODY_BYTES = 64 * 1024;
-    /** Connections that may wait to be accepted: all workers turn up at once when the last of the others has ended. */
+    /** Connections that may wait to be accepted, since all workers connect at once when other controllers fail. */
     private static final int MIN_BACKLOG = 1_024;
 
+    /** Time for the client to finish sending a body that is too large before the connection is closed. */
     private static final int DRAIN_MILLIS = 1_000;
+
     private static final Logger LOG = LoggerFactory.getLogger(NettyHttpServer.class);
 
     private final EventLoopGroup group;
@@ -54,36 +56,38 @@
     private int openConnections;
     private int workerConnections;
 
-    /** A listener whose requests are all taken up as they come. */
+    /** A server that handles every request as soon as it arrives. */
     public NettyHttpServer(EventLoopGroup group, int maxBodyBytes, int maxConnections) {
         this(group, maxBodyBytes, maxConnections, request -> RequestClass.IMMEDIATE, null, 0);
     }
 
     /**
-     * @param lines which line a request waits in
-     * @param maxCrowd how many of the connections may ask what waits in the crowd's line
+     * @param maxBodyBytes the largest request body; a larger one is refused with status 400
+     * @param requestClassifier the class by which a request is queued
+     * @param requestQueue where requests wait that are not {@link RequestClass#IMMEDIATE}
+     * @param maxWorkerConnections how many of the connections may send requests of class {@link RequestClass#WORKERS}
      */
     public NettyHttpServer(
             EventLoopGroup group,
             int maxBodyBytes,
             int maxConnections,
-            Function<HttpRequest, RequestClass> lines,
+            Function<HttpRequest, RequestClass> requestClassifier,
             RequestQueue requestQueue,
-            int maxCrowd) {
+            int maxWorkerConnections) {
         this.group = group;
         this.maxBodyBytes = maxBodyBytes;
         this.maxConnections = maxConnections;
-        this.requestClassifier = lines;
+        this.requestClassifier = requestClassifier;
         this.requestQueue = requestQueue;
-        this.maxWorkerConnections = maxCrowd;
+        this.maxWorkerConnections = maxWorkerConnections;
     }
 
-    /** Listens on the address, or fails with a plain message. */
+    /** Listens on the address; throws the cause, such as a BindException, if that fails. Not for the event loop. */
     public Channel listen(InetSocketAddress address, HttpHandler handler) {
         return bind(address, handler).syncUninterruptibly().channel();
     }
 
-    /** Begins to listen on the address; may be called in the loop. */
+    /** Starts to listen on the address; may be called on the event loop. */
     public ChannelFuture bind(InetSocketAddress address, HttpHandler handler) {
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(group)
@@ -103,13 +107,13 @@
                         channel.pipeline()
                                 .addLast(new HttpServerCodec())
                                 .addLast(new Aggregator(maxBodyBytes))
-                                .addLast(new Dispatch(handler));
+                                .addLast(new RequestDispatcher(handler));
                     }
                 });
         return bootstrap.bind(address);
     }
 
-    private static FullHttpResponse response(HttpResponse response) {
+    private static FullHttpResponse nettyResponse(HttpResponse response) {
         FullHttpResponse nettyResponse = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1,
                 HttpResponseStatus.valueOf(response.status()),
@@ -122,7 +126,7 @@
         return nettyResponse;
     }
 
-    /** Netty's aggregator would say 413; the protocol knows only 400 for what is too large. */
+    /** Refuses bodies that are too large with status 400, as the protocol says, instead of Netty's 413. */
     private static final class Aggregator extends HttpObjectAggregator {
         Aggregator(int maxBodyBytes) {
             super(maxBodyBytes);
@@ -130,39 +134,40 @@
 
         @Override
         protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-            FullHttpResponse refusal = response(HttpResponse.error(400, "the body is larger than 64 KiB"));
+            FullHttpResponse refusal = nettyResponse(HttpResponse.error(400, "the body is larger than 64 KiB"));
             refusal.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             ctx.writeAndFlush(refusal);
-            // Closing on what is still being sent would reset the connection and take the answer along.
+            // Closing while the client still sends would reset the connection before it has read the response.
             ctx.executor().schedule(() -> ctx.close(), DRAIN_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private final class Dispatch extends SimpleChannelInboundHandler<FullHttpRequest> {
+    /** Handles the requests of one connection. */
+    private final class RequestDispatcher extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final HttpHandler handler;
-        private boolean counted;
+        private boolean isWorkerConnection;
 
-        Dispatch(HttpHandler handler) {
+        RequestDispatcher(HttpHandler handler) {
             this.handler = handler;
         }
 
-        /** True if the connection belongs to the crowd and there is no place left for it. */
-        private boolean turnsAway(RequestClass requestClass) {
-            if (counted || requestClass != RequestClass.WORKERS) {
-                return false;
+        /** Counts the connection as a worker's with its first such request; false if there are too many of them. */
+        private boolean mayServe(RequestClass requestClass) {
+            if (isWorkerConnection || requestClass != RequestClass.WORKERS) {
+                return true;
             }
             if (workerConnections >= maxWorkerConnections) {
-                return true;
+                return false;
             }
-            counted = true;
+            isWorkerConnection = true;
             workerConnections++;
-            return false;
+            return true;
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (counted) {
-                counted = false;
+            if (isWorkerConnection) {
+                isWorkerConnection = false;
                 workerConnections--;
             }
             ctx.fireChannelInactive();
@@ -179,7 +184,7 @@
             }
             HttpRequest request = new HttpRequest(nettyRequest.method().name(), nettyRequest.uri(), body);
             RequestClass requestClass = requestClassifier.apply(request);
-            if (turnsAway(requestClass)) {
+            if (!mayServe(requestClass)) {
                 write(ctx, HttpResponse.retryLater(503, "too many connections", 1), false);
             } else if (requestClass == RequestClass.IMMEDIATE) {
                 answer(ctx, request, keepAlive);
@@ -200,7 +205,7 @@
             });
         }
 
-        /** A handler that fails at once is no different from one that fails later. */
+        /** An exception thrown by the handler is treated like one in its future. */
         private CompletableFuture<HttpResponse> handle(HttpRequest request) {
             try {
                 return handler.handle(request);
@@ -210,7 +215,7 @@
         }
 
         private void write(ChannelHandlerContext ctx, HttpResponse response, boolean keepAlive) {
-            FullHttpResponse nettyResponse = response(response);
+            FullHttpResponse nettyResponse = nettyResponse(response);
             if (keepAlive) {
                 ctx.writeAndFlush(nettyResponse, ctx.voidPromise());
             } else {
