--- a/src/main/java/io/sillreel/fleet/StragglerDetector.java
+++ b/src/main/java/io/sillreel/fleet/StragglerDetector.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Finds machines that are slower than others. All access is under the lock of the cluster. */
+/** Finds and drains machines that are slower than others. All access is under the lock of the cluster. */
 public final class StragglerDetector {
     private static final Logger LOG = LoggerFactory.getLogger(StragglerDetector.class);
 
@@ -22,10 +22,10 @@
         this.runtimeEstimator = runtimeEstimator;
     }
 
-    /** Empties machines whose tasks, of several jobs, take a multiple of what such tasks take elsewhere. */
+    /** Drains machines on which tasks of several jobs take a multiple of their expected run time. */
     public void drainStragglers(long now) {
         for (Machine machine : cluster.machines()) {
-            int late = 0;
+            int lateTasks = 0;
             Set<String> lateJobs = new HashSet<>();
             for (Allocation allocation : machine.allocations()) {
                 if (allocation.job() != null
@@ -35,16 +35,16 @@
                                 > MachineHealth.SLOW_RATIO
                                         * runtimeEstimator.expectedRuntimeMicros(
                                                 allocation.job().spec())) {
-                    late++;
+                    lateTasks++;
                     lateJobs.add(allocation.uid());
                 }
             }
             if (machine.state() == Machine.State.UP
                     && (machine.health().isSlow()
                             || lateJobs.size() > 1
-                                    && late > machine.allocations().size() / 2)) {
+                                    && lateTasks > machine.allocations().size() / 2)) {
                 LOG.info(
-                        "machine {} ({}) is considered slow",
+                        "draining machine {} ({}): it is a straggler",
                         machine.name(),
                         machine.type().name());
                 machine.drain();
