--- a/src/test/java/io/sillreel/admission/AdmissionTest.java
+++ b/src/test/java/io/sillreel/admission/AdmissionTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void whatIsMalformedIsRefusedWithAPlainReason() {
+    void malformedFieldsAreRejectedWithAReason() {
         List<Consumer<ObjectNode>> mistakes = List.of(
                 job -> job.remove("crew"),
                 job -> job.put("uid", "nonsense"),
@@ -51,14 +51,18 @@
             assertThat(response.status()).as(job.toString()).isEqualTo(400);
             assertThat(response.json().path("error").asText()).isNotBlank();
         }
+        assertThat(world.poll(0, "job-000001").status()).isEqualTo(404);
+    }
+
+    @Test
+    void bodiesThatAreNotOneJsonObjectAreRejected() {
         assertThat(submit("not json").status()).isEqualTo(400);
         assertThat(submit("[1]").status()).isEqualTo(400);
         assertThat(submit("{} {}").status()).isEqualTo(400);
-        assertThat(world.poll(0, "job-000001").status()).isEqualTo(404);
     }
 
     @Test
-    void whatCanNeverRunIsRefusedForGood() {
+    void jobsThatCanNeverRunAreRejected() {
         List<Consumer<ObjectNode>> mistakes = List.of(
                 job -> job.put("crew", "nobody"),
                 job -> job.put("vcpus", 5.0),
@@ -74,20 +78,28 @@
     }
 
     @Test
-    void pathsAndMethodsThatAreNotThere() {
+    void unknownPathsAreNotFound() {
         assertThat(world.ask(0, HttpRequest.get("/v2/else")).status()).isEqualTo(404);
+    }
+
+    @Test
+    void otherMethodsOfAKnownPathAreNotAllowed() {
         assertThat(world.ask(0, HttpRequest.get("/v2/runs")).status()).isEqualTo(405);
         assertThat(world.ask(0, HttpRequest.post("/v2/runs/job-000001", Json.object()))
                         .status())
                 .isEqualTo(405);
         assertThat(world.ask(0, HttpRequest.get("/v2/runs/job-000001/withdraw")).status())
                 .isEqualTo(405);
+    }
+
+    @Test
+    void healthCheckIsAnswered() {
         assertThat(world.ask(0, HttpRequest.get("/up")).status()).isEqualTo(200);
     }
 
     /** Guards the order of the checks: an accepted job is answered as such whatever its repeat now says. */
     @Test
-    void aRepeatOfAFinishedJobIsAnsweredBeforeAnythingElse() {
+    void aRepeatedSubmissionOfADoneJobIsAnsweredWithItsStatusThoughMalformed() {
         world.submit(0, SimCluster.job("job-000001", 1));
         world.seconds(30);
         for (int node = 0; node < 3; node++) {
@@ -103,7 +115,7 @@
     }
 
     @Test
-    void duringAnOutageOnlyWhatIsStoredAndFinalIsTold() {
+    void duringAnOutageOfTheStoreOnlyFinalStatusesAreTold() {
         world.submit(0, SimCluster.job("job-000001", 1));
         world.seconds(30);
         assertThat(world.stage(0, "job-000001")).isEqualTo("done");
@@ -117,11 +129,9 @@
         assertThat(world.submit(0, SimCluster.job("job-000004", 1)).status()).isEqualTo(503);
     }
 
-    /**
-     * Guards against waiting for a state service that does not answer: after the first silence users are told at once.
-     */
+    /** Guards against waiting for a store that does not respond: after the first timeout users are answered at once. */
     @Test
-    void aControllerCutFromTheStateServiceRefusesAtOnceAndServesAgainLater() {
+    void aControllerWithoutTheStoreRefusesAtOnceAndServesAgainOnceItIsBack() {
         int cut = (world.leader() + 1) % 3;
         SimNetwork.Rule rule = world.network()
                 .add((from, to, request) ->
@@ -151,9 +161,9 @@
         assertThat(world.cancel(0, "job-000099").status()).isEqualTo(404);
     }
 
-    /** Guards the condition of the done write: the leader has not heard of the cancellation, the store has. */
+    /** Guards the condition of the write of a done job: the leader does not know of the stored cancellation. */
     @Test
-    void aJobCancelledBehindTheLeadersBackIsNotStoredAsDone() {
+    void aCancellationUnknownToTheLeaderKeepsTheJobFromBeingStoredAsDone() {
         world.submit(0, SimCluster.job("job-000001", 1));
         world.until(() -> world.starts() >= 1);
         world.network()
@@ -169,7 +179,7 @@
 
     /** Guards that done and cancelled exclude each other: whichever is stored first stays, on every controller. */
     @Test
-    void cancellingRacesWithTheEnd() {
+    void aCancellationThatRacesWithTheEndIsToldAlikeByAllControllers() {
         for (int round = 0; round < 12; round++) {
             String uid = "job-00010" + round;
             world.submit(0, SimCluster.job(uid, 1));
--- a/src/test/java/io/sillreel/admission/JobStatusServiceTest.java
+++ b/src/test/java/io/sillreel/admission/JobStatusServiceTest.java
@@ -34,10 +34,10 @@
         }
     }
 
-    /** Stores the plan of one more job, which awaits the one before or nothing. */
-    private void addJob(boolean awaits) throws MalformedSubmissionException {
+    /** Stores the plan of one more job, which depends on the one before or on none. */
+    private void addJob(boolean dependsOnPrevious) throws MalformedSubmissionException {
         ObjectNode job = SimCluster.job("job-%06d".formatted(++jobs), 1);
-        if (awaits) {
+        if (dependsOnPrevious) {
             job.putArray("awaits").add("job-%06d".formatted(jobs - 1));
         }
         PlanRecord plan = new PlanRecord(1, SubmissionDecoder.decode(job));
@@ -45,21 +45,21 @@
         time.runFor(10_000);
     }
 
-    private CompletableFuture<Optional<JobStatus>> askForTheEndOfTheChain() {
+    private CompletableFuture<Optional<JobStatus>> queryEndOfChain() {
         CompletableFuture<Optional<JobStatus>> answer =
                 new JobStatusService(store, process, 20, REMEMBERED).query("job-%06d".formatted(CHAIN));
         time.runFor(2_000_000);
         return answer;
     }
 
-    /** Guards memory: plans are read all at once for a long chain, and no more of them are held than there is room. */
+    /** Guards memory: a long chain is found in a scan of all plans, of which only a bounded number is held. */
     @Test
-    void moreChainsThanCanBeHeldAreRefusedInTime() throws MalformedSubmissionException {
-        assertThat(askForTheEndOfTheChain())
+    void aScanThatFindsMoreDependentPlansThanMayBeHeldFailsInTime() throws MalformedSubmissionException {
+        assertThat(queryEndOfChain())
                 .isCompletedWithValueMatching(answer -> answer.orElseThrow().isAccepted());
         for (int other = 0; other <= MAX_CHAIN_PLANS; other++) {
             addJob(true);
         }
-        assertThat(askForTheEndOfTheChain()).isCompletedWithValue(Optional.empty());
+        assertThat(queryEndOfChain()).isCompletedWithValue(Optional.empty());
     }
 }
--- a/src/test/java/io/sillreel/settings/SettingsTest.java
+++ b/src/test/java/io/sillreel/settings/SettingsTest.java
@@ -3,7 +3,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import java.util.Properties;
 import org.junit.jupiter.api.Test;
 
 class SettingsTest {
@@ -41,30 +40,48 @@
             max_sockets = 900
             """;
 
+    private static final String ANNOUNCED =
+            GOOD.replace("[params.cloud]", "[params.state.next]\nvalue_kb = 2.0\ntxn_ops = 30\n[params.cloud]");
+
     @Test
-    void goodSettingsAreReadInMicroseconds() {
+    void durationsAreReadInMicroseconds() {
         Settings settings = SettingsReader.parse(GOOD);
         assertThat(settings.workers().heartbeatIntervalMicros()).isEqualTo(1_500_000);
+    }
+
+    @Test
+    void limitsTeamsAndControllersAreRead() {
+        Settings settings = SettingsReader.parse(GOOD);
         assertThat(settings.state().values().announcedBytes()).isEqualTo(8192);
         assertThat(settings.teams().get("t").maxCpus()).isEqualTo(4.0);
         assertThat(settings.controllerCount()).isEqualTo(1);
     }
 
     @Test
-    void whatIsMissingOrImpossibleIsNamed() {
+    void missingFieldsAreNamed() {
         assertThatThrownBy(() -> SettingsReader.parse(GOOD.replace("lease_s = 14.0", "")))
                 .hasMessage("params.workers.lease_s: is missing");
+        assertThatThrownBy(() -> SettingsReader.parse(GOOD.replace("zones = [\"a\"]", "")))
+                .hasMessage("params.zones: is missing");
+    }
+
+    @Test
+    void impossibleFieldsAreNamed() {
         assertThatThrownBy(() -> SettingsReader.parse(GOOD.replace("rps = 200.0", "rps = -1")))
                 .hasMessageContaining("params.state.rps");
         assertThatThrownBy(() -> SettingsReader.parse(GOOD.replace("127.0.0.1:4", "nowhere")))
                 .hasMessage("endpoints.state: is not host:port");
         assertThatThrownBy(() -> SettingsReader.parse(GOOD.replace("cancel_s = 34.0", "cancel_s = 3.0")))
                 .hasMessageContaining("cancel_s");
+    }
+
+    @Test
+    void aFileThatIsNotTomlIsNamedAsSuch() {
         assertThatThrownBy(() -> SettingsReader.parse("= =")).hasMessageContaining("not TOML");
     }
 
     @Test
-    void whatIsTooSmallToRunWithIsNamedWithWhatIsNeeded() {
+    void valuesTooSmallToRunWithAreNamedWithTheMinimum() {
         assertThatThrownBy(() -> SettingsReader.parse(GOOD.replace("max_sockets = 900", "max_sockets = 3")))
                 .hasMessage("params.resources.max_sockets: is 3.0, and at least 40.0 is needed");
         assertThatThrownBy(() -> SettingsReader.parse(GOOD.replace("cores = 0.17", "cores = nan")))
@@ -73,40 +90,37 @@
                 .hasMessage("params.state.txn_ops: is 1.0, and at least 2.0 is needed");
         assertThatThrownBy(() -> SettingsReader.parse(GOOD.replace("memory_mb = 176.0", "memory_mb = 0")))
                 .hasMessageContaining("params.resources.memory_mb: is 0");
+    }
+
+    @Test
+    void aSmallShareOfACoreIsEnough() {
         assertThat(SettingsReader.parse(GOOD.replace("cores = 0.17", "cores = 0.01"))
                         .resources()
                         .cores())
                 .isEqualTo(0.01);
     }
 
-    /** What is written fits the present limits and the announced ones; without a table only the present ones count. */
     @Test
-    void theSmallerOfPresentAndAnnouncedLimitsCounts() {
+    void withoutAnnouncedLimitsThePresentOnesCount() {
         assertThat(SettingsReader.parse(GOOD).state().maxTransactionChanges()).isEqualTo(20);
-        String announced =
-                GOOD.replace("[params.cloud]", "[params.state.next]\nvalue_kb = 2.0\ntxn_ops = 30\n[params.cloud]");
-        Settings.StateLimits limits = SettingsReader.parse(announced).state();
+    }
+
+    @Test
+    void theSmallerOfPresentAndAnnouncedLimitsCounts() {
+        Settings.StateLimits limits = SettingsReader.parse(ANNOUNCED).state();
         assertThat(limits.values().announcedBytes()).isEqualTo(2_048);
         assertThat(limits.values().presentBytes()).isEqualTo(8_192);
         assertThat(limits.maxTransactionChanges()).isEqualTo(20);
         assertThat(limits.writesPerSecond()).isEqualTo(25.0);
-        assertThatThrownBy(() -> SettingsReader.parse(announced.replace("txn_ops = 30", "txn_ops = 1")))
-                .hasMessage("params.state.next.txn_ops: is 1.0, and at least 2.0 is needed");
-        assertThatThrownBy(() -> SettingsReader.parse(announced.replace("value_kb = 2.0", "value_kb = 0.2")))
-                .hasMessageContaining("params.state.next.value_kb");
-        assertThatThrownBy(() -> SettingsReader.parse(announced.replace("value_kb = 2.0", "write_rps = 0.5")))
-                .hasMessageContaining("params.state.next.write_rps");
     }
 
     @Test
-    void operatorsPropertiesKnowTheirKeys() {
-        Properties properties = new Properties();
-        properties.setProperty("leader.lease.ms", "5000");
-        assertThat(OperatorProperties.of(properties).leaderLeaseMicros()).isEqualTo(5_000_000);
-        properties.setProperty("leader.lease.ms", "soon");
-        assertThatThrownBy(() -> OperatorProperties.of(properties)).hasMessageContaining("leader.lease.ms");
-        properties.setProperty("leader.lease.ms", "5000");
-        properties.setProperty("leader.leese.ms", "5000");
-        assertThatThrownBy(() -> OperatorProperties.of(properties)).hasMessageContaining("leader.leese.ms");
+    void announcedLimitsTooSmallToRunWithAreNamed() {
+        assertThatThrownBy(() -> SettingsReader.parse(ANNOUNCED.replace("txn_ops = 30", "txn_ops = 1")))
+                .hasMessage("params.state.next.txn_ops: is 1.0, and at least 2.0 is needed");
+        assertThatThrownBy(() -> SettingsReader.parse(ANNOUNCED.replace("value_kb = 2.0", "value_kb = 0.2")))
+                .hasMessageContaining("params.state.next.value_kb");
+        assertThatThrownBy(() -> SettingsReader.parse(ANNOUNCED.replace("value_kb = 2.0", "write_rps = 0.5")))
+                .hasMessageContaining("params.state.next.write_rps");
     }
 }
