--- a/src/main/java/io/sillreel/pipeline/PipelinePlan.java
+++ b/src/main/java/io/sillreel/pipeline/PipelinePlan.java
@@ -9,97 +9,94 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 
-/** Jobs and the links between them, compiled into a stable topological order in which the job id breaks ties. */
+/** A DAG of jobs, compiled into a stable topological order in which the job id breaks ties. */
 public final class PipelinePlan {
-    /** Which settlement of the upstream job makes a link emit; the other closes it. */
+    /** Which end of the upstream job satisfies a dependency; any other end leaves it unsatisfied for ever. */
     public enum Condition {
         ON_SUCCESS,
         ON_FAILURE
     }
 
-    /** A link from one job to another; the downstream job needs every one of its links to emit. */
+    /** A dependency between two jobs; the downstream job needs all of its dependencies to be satisfied. */
     public record Dependency(String id, String upstream, Condition condition, String downstream) {}
 
     private final List<String> topologicalOrder;
-    private final List<Dependency> dependencies;
     private final Map<String, List<Dependency>> dependenciesOf = new HashMap<>();
-    private final Map<String, List<Dependency>> dependentsOf = new HashMap<>();
 
-    private PipelinePlan(List<String> order, List<Dependency> links) {
-        this.topologicalOrder = order;
-        this.dependencies = links;
-        for (Dependency link : links) {
+    private PipelinePlan(List<String> topologicalOrder, Collection<Dependency> dependencies) {
+        this.topologicalOrder = topologicalOrder;
+        for (Dependency dependency : dependencies) {
             dependenciesOf
-                    .computeIfAbsent(link.downstream(), job -> new ArrayList<>())
-                    .add(link);
-            dependentsOf
-                    .computeIfAbsent(link.upstream(), job -> new ArrayList<>())
-                    .add(link);
+                    .computeIfAbsent(dependency.downstream(), job -> new ArrayList<>())
+                    .add(dependency);
         }
     }
 
-    /** The link by which a job needs the success of another one. */
-    public static Dependency onSuccessOf(String job, String awaited) {
-        return new Dependency(awaited + ">" + job, awaited, Condition.ON_SUCCESS, job);
+    /** Returns the dependency of a job on the success of another one. */
+    public static Dependency onSuccessOf(String job, String upstream) {
+        return new Dependency(upstream + ">" + job, upstream, Condition.ON_SUCCESS, job);
     }
 
-    /** @throws IllegalArgumentException if an id repeats, a link ends nowhere, or there is a cycle */
-    public static PipelinePlan compile(Collection<String> jobs, Collection<Dependency> links) {
-        Map<String, Integer> waitingFor = new HashMap<>();
+    /**
+     * Compiles jobs and their dependencies.
+     *
+     * @throws IllegalArgumentException if an id repeats, a dependency names no job of the plan, or there is a cycle
+     */
+    public static PipelinePlan compile(Collection<String> jobs, Collection<Dependency> dependencies) {
+        Map<String, Integer> unmetCounts = new HashMap<>();
         for (String job : jobs) {
-            if (waitingFor.put(job, 0) != null) {
-                throw new IllegalArgumentException("job " + job + " stands twice");
+            if (unmetCounts.put(job, 0) != null) {
+                throw new IllegalArgumentException("job " + job + " is listed twice");
             }
         }
-        Map<String, List<String>> downstream = new HashMap<>();
-        Set<String> linkIds = new HashSet<>();
-        for (Dependency link : links) {
-            if (!linkIds.add(link.id())) {
-                throw new IllegalArgumentException("link " + link.id() + " stands twice");
+        Set<String> ids = new HashSet<>();
+        Map<String, List<String>> downstreamJobs = new HashMap<>();
+        for (Dependency dependency : dependencies) {
+            if (!ids.add(dependency.id())) {
+                throw new IllegalArgumentException("dependency " + dependency.id() + " is listed twice");
             }
-            if (!waitingFor.containsKey(link.upstream()) || !waitingFor.containsKey(link.downstream())) {
-                throw new IllegalArgumentException("link " + link.id() + " ends at no job");
+            if (!unmetCounts.containsKey(dependency.upstream()) || !unmetCounts.containsKey(dependency.downstream())) {
+                throw new IllegalArgumentException("dependency " + dependency.id() + " names no job of the plan");
             }
-            waitingFor.merge(link.downstream(), 1, Integer::sum);
-            downstream
-                    .computeIfAbsent(link.upstream(), job -> new ArrayList<>())
-                    .add(link.downstream());
+            unmetCounts.merge(dependency.downstream(), 1, Integer::sum);
+            downstreamJobs
+                    .computeIfAbsent(dependency.upstream(), job -> new ArrayList<>())
+                    .add(dependency.downstream());
         }
-        PriorityQueue<String> free = new PriorityQueue<>();
-        waitingFor.forEach((job, count) -> {
+        return new PipelinePlan(sort(unmetCounts, downstreamJobs), dependencies);
+    }
+
+    /** Sorts topologically; uses up the counts of unmet dependencies. */
+    private static List<String> sort(Map<String, Integer> unmetCounts, Map<String, List<String>> downstreamJobs) {
+        PriorityQueue<String> ready = new PriorityQueue<>();
+        unmetCounts.forEach((job, count) -> {
             if (count == 0) {
-                free.add(job);
+                ready.add(job);
             }
         });
         List<String> order = new ArrayList<>();
-        while (!free.isEmpty()) {
-            String job = free.poll();
+        while (!ready.isEmpty()) {
+            String job = ready.poll();
             order.add(job);
-            for (String next : downstream.getOrDefault(job, List.of())) {
-                if (waitingFor.merge(next, -1, Integer::sum) == 0) {
-                    free.add(next);
+            for (String downstream : downstreamJobs.getOrDefault(job, List.of())) {
+                if (unmetCounts.merge(downstream, -1, Integer::sum) == 0) {
+                    ready.add(downstream);
                 }
             }
         }
-        if (order.size() < waitingFor.size()) {
-            throw new IllegalArgumentException("the links form a cycle");
+        if (order.size() < unmetCounts.size()) {
+            throw new IllegalArgumentException("the dependencies form a cycle");
         }
-        return new PipelinePlan(List.copyOf(order), List.copyOf(links));
+        return List.copyOf(order);
     }
 
+    /** All jobs, each after those that it depends on. */
     public List<String> topologicalOrder() {
         return topologicalOrder;
     }
 
-    public List<Dependency> dependencies() {
-        return dependencies;
-    }
-
+    /** The dependencies of a job on others. */
     public List<Dependency> dependenciesOf(String job) {
         return dependenciesOf.getOrDefault(job, List.of());
     }
-
-    public List<Dependency> dependentsOf(String job) {
-        return dependentsOf.getOrDefault(job, List.of());
-    }
 }
