--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -352,9 +352,9 @@
     }
 
     @Override
-    public Counts countsOf(String uid) {
+    public Optional<Counts> countsOf(String uid) {
         LeaderTerm current = leaderTerm;
-        return current == null ? null : current.countsOf(uid);
+        return current == null ? Optional.empty() : current.countsOf(uid);
     }
 
     /** What is counted here, for the registry of a program that embeds this. */
--- a/src/main/java/io/sillreel/admission/Admission.java
+++ b/src/main/java/io/sillreel/admission/Admission.java
@@ -198,9 +198,8 @@
         values.forEach(transaction::set);
         Optional<JobStatus> cancelled = firstCancelled(awaited);
         if (cancelled.isPresent()) {
-            ObjectNode closed = Json.object()
-                    .put("at_us", plan.admittedWallMicros())
-                    .put("by", cancelled.get().uid());
+            ObjectNode closed = CancellationRecord.encode(
+                    plan.admittedWallMicros(), cancelled.get().uid());
             transaction.requireRevision(CancellationRecord.key(uid), 0).set(CancellationRecord.key(uid), closed);
         } else {
             // As far as there is room: what is cancelled in this very moment closes the job all the same.
@@ -304,7 +303,7 @@
             Transaction transaction = new Transaction()
                     .requireRevision(key, 0)
                     .requireRevision(RunRecord.key(uid), status.runRevision())
-                    .set(key, Json.object().put("at_us", eventLoop.wallMicros()));
+                    .set(key, CancellationRecord.encode(eventLoop.wallMicros()));
             return store.commit(transaction).thenCompose(commit -> {
                 if (commit.outcome() == StoreOutcome.OK) {
                     JobStatus cancelled = new JobStatus(
@@ -330,7 +329,7 @@
     }
 
     private ObjectNode answer(JobStatus status) {
-        return status.answer(status.isTerminal() ? null : liveTaskCounts.countsOf(status.uid()));
+        return status.answer(status.isTerminal() ? Optional.empty() : liveTaskCounts.countsOf(status.uid()));
     }
 
     private static HttpResponse cannotRead() {
--- a/src/main/java/io/sillreel/admission/JobStatus.java
+++ b/src/main/java/io/sillreel/admission/JobStatus.java
@@ -2,9 +2,10 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.http.Json;
-import io.sillreel.pipeline.LiveTaskCounts;
+import io.sillreel.pipeline.LiveTaskCounts.Counts;
 import io.sillreel.pipeline.RunRecord;
 import java.util.List;
+import java.util.Optional;
 
 /**
  * What this controller last read of a job; revisions are 0 for keys that did not exist then.
@@ -67,7 +68,7 @@
     }
 
     /** The users' picture of the job; live counts, if there are any, are newer than the record's. */
-    ObjectNode answer(LiveTaskCounts.Counts live) {
+    ObjectNode answer(Optional<Counts> live) {
         ObjectNode node = Json.object().put("uid", uid);
         if (isCancelled()) {
             return node.put("stage", "withdrawn")
@@ -79,13 +80,19 @@
                     .put("done", runHead.tasks())
                     .put("running", 0);
         }
-        int running = live != null ? live.running() : runHead == null ? 0 : runHead.runningTasks();
-        int done = live != null ? live.done() : runHead == null ? 0 : runHead.doneTasks();
-        String reason = live != null ? live.reason() : runHead == null ? null : runHead.reason();
-        node.put("stage", running > 0 ? "running" : "queued").put("done", done).put("running", running);
-        if (reason != null) {
-            node.put("reason", reason);
+        Counts counts = live.isPresent() ? live.get() : storedCounts();
+        node.put("stage", counts.running() > 0 ? "running" : "queued")
+                .put("done", counts.done())
+                .put("running", counts.running());
+        if (counts.reason() != null) {
+            node.put("reason", counts.reason());
         }
         return node;
     }
+
+    private Counts storedCounts() {
+        return runHead == null
+                ? new Counts(0, 0, null)
+                : new Counts(runHead.doneTasks(), runHead.runningTasks(), runHead.reason());
+    }
 }
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -35,6 +35,7 @@
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.WriteQueue;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.LongPredicate;
 import java.util.function.Supplier;
 import org.slf4j.Logger;
@@ -294,12 +295,12 @@
     }
 
     @Override
-    public Counts countsOf(String uid) {
+    public Optional<Counts> countsOf(String uid) {
         synchronized (cluster) {
             ActiveJob job = cluster.job(uid);
             return job == null || job.isComplete()
-                    ? null
-                    : new Counts(job.doneCount(), job.allocatedCount(), job.reason());
+                    ? Optional.empty()
+                    : Optional.of(new Counts(job.doneCount(), job.allocatedCount(), job.reason()));
         }
     }
 
--- a/src/main/java/io/sillreel/pipeline/CascadingCancellation.java
+++ b/src/main/java/io/sillreel/pipeline/CascadingCancellation.java
@@ -1,25 +1,25 @@
 package io.sillreel.pipeline;
 
-import io.sillreel.http.Json;
 import io.sillreel.statestore.KeyChange;
 import io.sillreel.statestore.SingleKeyWrite;
 
-/** The cancellation of a job that follows a cancelled one, to be written down unless its user was faster. */
+/** The write that cancels a job which depends on a cancelled one; nothing is written if it is cancelled already. */
 public final class CascadingCancellation extends SingleKeyWrite {
-    private final String because;
+    private final String cause;
     private final long wallMicros;
 
-    /** @param because the cancelled job that this one needs, directly or through others */
-    public CascadingCancellation(String uid, String because, long wallMicros) {
+    /**
+     * @param cause the cancelled job, on which this one depends directly or through others
+     * @param wallMicros when the cancellation was found; time of day
+     */
+    public CascadingCancellation(String uid, String cause, long wallMicros) {
         super(CancellationRecord.key(uid), 0);
-        this.because = because;
+        this.cause = cause;
         this.wallMicros = wallMicros;
     }
 
     @Override
     public KeyChange change() {
-        return revision() > 0
-                ? KeyChange.NONE
-                : KeyChange.put(Json.object().put("at_us", wallMicros).put("by", because));
+        return revision() > 0 ? KeyChange.NONE : KeyChange.put(CancellationRecord.encode(wallMicros, cause));
     }
 }
--- a/src/main/java/io/sillreel/pipeline/DependencyGraph.java
+++ b/src/main/java/io/sillreel/pipeline/DependencyGraph.java
@@ -88,7 +88,7 @@
         List<String> unknown = new ArrayList<>();
         String closedBy = null;
         for (String awaited : unmetDependencies(job)) {
-            if (run.state(awaited) == JobState.SUCCEEDED) {
+            if (run.isInState(awaited, JobState.SUCCEEDED)) {
                 continue;
             }
             boolean closed = cancelled.test(awaited);
@@ -107,7 +107,7 @@
         if (closedBy != null) {
             run.cancel(job.uid());
             callbacks.dependencyCancelled(job, closedBy);
-        } else if (run.state(job.uid()) == JobState.READY) {
+        } else if (run.isInState(job.uid(), JobState.READY)) {
             callbacks.dependenciesMet(job);
         }
         unknown.forEach(callbacks::lookUpCompletion);
@@ -128,14 +128,14 @@
 
     /** The release is stored. */
     public void markReleased(ActiveJob job) {
-        if (run.state(job.uid()) == JobState.READY) {
+        if (run.isInState(job.uid(), JobState.READY)) {
             run.release(job.uid());
         }
     }
 
     /** The end is stored: what awaited only this is ready. */
     public void markDone(ActiveJob job) {
-        if (run.state(job.uid()) == JobState.RELEASED) {
+        if (run.isInState(job.uid(), JobState.RELEASED)) {
             notifyReady(run.complete(job.uid(), true));
         }
         remove(job);
@@ -144,14 +144,14 @@
     /** What was asked for by {@link Callbacks#lookUp} is known: the job is done. */
     public void lookupSucceeded(String uid) {
         notifyReady(run.completeExternal(uid, true));
-        if (run.state(uid) == JobState.SUCCEEDED) {
+        if (run.isInState(uid, JobState.SUCCEEDED)) {
             run.remove(uid);
         }
     }
 
     /** True if somebody still waits to know whether that job is done. */
     public boolean isAwaitingLookup(String uid) {
-        return run.isExternal(uid) && run.state(uid) == JobState.WAITING;
+        return run.isExternal(uid) && run.isInState(uid, JobState.WAITING);
     }
 
     private void notifyReady(List<String> uids) {
--- a/src/main/java/io/sillreel/pipeline/LiveTaskCounts.java
+++ b/src/main/java/io/sillreel/pipeline/LiveTaskCounts.java
@@ -1,10 +1,18 @@
 package io.sillreel.pipeline;
 
-/** Counts for display, known on the controller that drives the pipelines. */
+import java.util.Optional;
+
+/** Counts of tasks for answers to users; only the leader knows them before they are stored. */
 public interface LiveTaskCounts {
-    /** @param reason why the job waits, in plain words, or null */
+    /**
+     * Counts of an unfinished job.
+     *
+     * @param done tasks that are done
+     * @param running tasks that have an allocation
+     * @param reason what users are told of the job's last failed attempt, or null without one
+     */
     record Counts(int done, int running, String reason) {}
 
-    /** Counts of an unfinished job, or null if this controller does not know them. */
-    Counts countsOf(String uid);
+    /** The counts of an unfinished job; empty if this controller does not know them. */
+    Optional<Counts> countsOf(String uid);
 }
--- a/src/main/java/io/sillreel/pipeline/PipelineRun.java
+++ b/src/main/java/io/sillreel/pipeline/PipelineRun.java
@@ -11,6 +11,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
 /**
  * How far a pipeline has come. Each dependency settles once; a job is ready once all links into it have emitted, and
@@ -193,13 +194,20 @@
         }
     }
 
-    public JobState state(String job) {
+    /** The state of a job; empty if the job is not part of the pipeline. */
+    public Optional<JobState> state(String job) {
+        return Optional.ofNullable(nodes.get(job)).map(node -> node.state);
+    }
+
+    /** True if the job is part of the pipeline and in that state. */
+    public boolean isInState(String job, JobState state) {
         Node node = nodes.get(job);
-        return node == null ? null : node.state;
+        return node != null && node.state == state;
     }
 
-    public DependencyState dependencyState(String id) {
-        return dependencyStates.get(id);
+    /** The state of a dependency; empty if it is not part of the pipeline. */
+    public Optional<DependencyState> dependencyState(String id) {
+        return Optional.ofNullable(dependencyStates.get(id));
     }
 
     /** Jobs with a dependency into the given one. */
--- a/src/test/java/io/sillreel/pipeline/PipelineTest.java
+++ b/src/test/java/io/sillreel/pipeline/PipelineTest.java
@@ -56,11 +56,11 @@
         run.complete("a", true);
         assertThat(run.readyJobs()).isEmpty();
         run.complete("b", false);
-        assertThat(run.dependencyState("1")).isEqualTo(DependencyState.SATISFIED);
-        assertThat(run.dependencyState("2")).isEqualTo(DependencyState.UNSATISFIED);
-        assertThat(run.state("join")).isEqualTo(JobState.SKIPPED);
-        assertThat(run.dependencyState("4")).isEqualTo(DependencyState.SKIPPED);
-        assertThat(run.state("after")).isEqualTo(JobState.SKIPPED);
+        assertThat(run.dependencyState("1")).contains(DependencyState.SATISFIED);
+        assertThat(run.dependencyState("2")).contains(DependencyState.UNSATISFIED);
+        assertThat(run.state("join")).contains(JobState.SKIPPED);
+        assertThat(run.dependencyState("4")).contains(DependencyState.SKIPPED);
+        assertThat(run.state("after")).contains(JobState.SKIPPED);
         assertThat(run.readyJobs()).containsExactly("repair");
         assertThat(run.hasUnhandledFailure()).isFalse();
         assertThatThrownBy(() -> run.complete("b", true)).isInstanceOf(IllegalStateException.class);
@@ -74,7 +74,7 @@
         run.cancel();
         run.complete("a", true);
         assertThat(run.readyJobs()).isEmpty();
-        assertThat(run.dependencyState("1")).isEqualTo(DependencyState.SKIPPED);
+        assertThat(run.dependencyState("1")).contains(DependencyState.SKIPPED);
         assertThat(run.isOver()).isTrue();
     }
 
