--- a/src/main/java/io/sillreel/pipeline/DependencyGraph.java
+++ b/src/main/java/io/sillreel/pipeline/DependencyGraph.java
@@ -14,20 +14,22 @@
 import java.util.function.Predicate;
 
 /**
- * The jobs that a term drives, and the links by which they await each other. A job is released only once the end of all
- * that it awaits is stored; what follows a cancelled job is closed. What is awaited and not driven here, since it ended
- * long ago or its plan has not been seen yet, is looked up in the store and not guessed.
+ * The jobs of a leader's term and their dependencies. A job is released only once the completion of all of its
+ * dependencies is stored; jobs that depend on a cancelled one are cancelled. A dependency that is not driven in this
+ * term, since it was done long ago or its plan has not been seen yet, is looked up in the state store.
+ *
+ * <p>Guarded by the lock of the cluster; callbacks are called under it.
  */
 public final class DependencyGraph {
-    /** What becomes of jobs when links settle. */
+    /** Told what becomes of jobs when their dependencies end. */
     public interface Callbacks {
-        /** All that the job awaits is stored as done: it may be released. */
+        /** The completion of all dependencies is stored: the job may be released. */
         void dependenciesMet(ActiveJob job);
 
-        /** Something that the job awaits was cancelled, and so it is. */
-        void dependencyCancelled(ActiveJob job, String because);
+        /** The job is cancelled, since the given job is, on which it depends directly or through others. */
+        void dependencyCancelled(ActiveJob job, String cause);
 
-        /** Find out whether the job, which is not driven here, is done, and tell {@link #lookupSucceeded}. */
+        /** Asks to look up whether a job that is not driven here is done, and to call {@link #lookupSucceeded} then. */
         void lookUpCompletion(String uid);
     }
 
@@ -35,16 +37,17 @@
     private final Map<String, ActiveJob> jobs = new HashMap<>();
     private PipelineRun run = new PipelineRun(PipelinePlan.compile(List.of(), List.of()));
 
+    /** Creates an empty graph. */
     public DependencyGraph(Callbacks callbacks) {
         this.callbacks = callbacks;
     }
 
     /**
-     * Takes over what is stored, whatever order it was read in.
+     * Takes over the stored jobs at the beginning of a term; they may be given in any order.
      *
-     * @param unfinished the jobs of the term; those with a stored release need nothing any more
-     * @param done whose end is stored
-     * @param cancelled whose cancellation is stored
+     * @param unfinished the jobs of the term; the dependencies of those whose release is stored are done
+     * @param done true for the id of a job whose completion is stored
+     * @param cancelled true for the id of a job whose cancellation is stored
      */
     public void restore(Collection<ActiveJob> unfinished, Predicate<String> done, Predicate<String> cancelled) {
         Map<String, ActiveJob> byUid = new LinkedHashMap<>();
@@ -82,7 +85,11 @@
         unknown.forEach(callbacks::lookUpCompletion);
     }
 
-    /** A job that was admitted during the term. */
+    /**
+     * Adds a job that was admitted during the term.
+     *
+     * @param cancelled true for the id of a job whose cancellation is stored
+     */
     public void add(ActiveJob job, Predicate<String> cancelled) {
         List<Dependency> into = new ArrayList<>();
         List<String> unknown = new ArrayList<>();
@@ -122,18 +129,18 @@
     }
 
     private static List<String> unmetDependencies(ActiveJob job) {
-        // Whoever has been released had all that it awaits.
+        // A job is released only after all of its dependencies are done.
         return job.isReleased() ? List.of() : job.spec().dependencies();
     }
 
-    /** The release is stored. */
+    /** The release of the job is stored. */
     public void markReleased(ActiveJob job) {
         if (run.isInState(job.uid(), JobState.READY)) {
             run.release(job.uid());
         }
     }
 
-    /** The end is stored: what awaited only this is ready. */
+    /** The completion of the job is stored: jobs that lacked only this dependency are ready. */
     public void markDone(ActiveJob job) {
         if (run.isInState(job.uid(), JobState.RELEASED)) {
             notifyReady(run.complete(job.uid(), true));
@@ -141,7 +148,7 @@
         remove(job);
     }
 
-    /** What was asked for by {@link Callbacks#lookUp} is known: the job is done. */
+    /** The job, which {@link Callbacks#lookUp} asked for, is done. */
     public void lookupSucceeded(String uid) {
         notifyReady(run.completeExternal(uid, true));
         if (run.isInState(uid, JobState.SUCCEEDED)) {
@@ -149,7 +156,7 @@
         }
     }
 
-    /** True if somebody still waits to know whether that job is done. */
+    /** True if a job still depends on that one and its completion has not been found. */
     public boolean isAwaitingLookup(String uid) {
         return run.isExternal(uid) && run.isInState(uid, JobState.WAITING);
     }
@@ -158,35 +165,35 @@
         uids.forEach(uid -> callbacks.dependenciesMet(jobs.get(uid)));
     }
 
-    /** The job's cancellation is stored: all that needs it is closed, in compiled order. */
+    /** The cancellation of the job is stored: all jobs that depend on it are cancelled, in topological order. */
     public void markCancelled(String uid) {
-        for (String closed : run.cancel(uid)) {
-            ActiveJob job = jobs.get(closed);
+        for (String skipped : run.cancel(uid)) {
+            ActiveJob job = jobs.get(skipped);
             if (job != null) {
                 callbacks.dependencyCancelled(job, uid);
             }
         }
     }
 
-    /** The job is over, and nothing of it is anywhere any more. */
+    /** Removes a job that is over and has no allocation any more. */
     public void remove(ActiveJob job) {
         List<String> upstream = run.upstreamJobs(job.uid());
         run.remove(job.uid());
         jobs.remove(job.uid());
         for (String each : upstream) {
-            // Nobody asks any more what became of it.
+            // No job depends on it any more, so its end needs no lookup.
             if (run.isExternal(each) && run.downstreamJobs(each).isEmpty()) {
                 run.remove(each);
             }
         }
     }
 
-    /** Jobs that need the given one directly. */
+    /** Jobs that depend on the given one directly. */
     public List<ActiveJob> dependents(ActiveJob job) {
         return present(run.downstreamJobs(job.uid()));
     }
 
-    /** Jobs that the given one still awaits directly, as far as they are driven here. */
+    /** Unfinished jobs that the given one depends on directly, as far as they are driven here. */
     public List<ActiveJob> dependencies(ActiveJob job) {
         return present(run.upstreamJobs(job.uid()));
     }
--- a/src/main/java/io/sillreel/pipeline/PipelinePlan.java
+++ b/src/main/java/io/sillreel/pipeline/PipelinePlan.java
@@ -9,7 +9,7 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 
-/** A DAG of jobs, compiled into a stable topological order in which the job id breaks ties. */
+/** A DAG of jobs, compiled into a stable topological order in which the job id breaks ties (ADR 0006). */
 public final class PipelinePlan {
     /** Which end of the upstream job satisfies a dependency; any other end leaves it unsatisfied for ever. */
     public enum Condition {
--- a/src/main/java/io/sillreel/pipeline/PipelineRun.java
+++ b/src/main/java/io/sillreel/pipeline/PipelineRun.java
@@ -14,12 +14,15 @@
 import java.util.Optional;
 
 /**
- * How far a pipeline has come. Each dependency settles once; a job is ready once all links into it have emitted, and
- * skipped once one of them has not. A cancelled pipeline releases nothing more. Jobs may join behind those that are
- * there, and are forgotten once they are over; either costs as much as the links that it touches.
+ * The state of the jobs of a pipeline (ADR 0006). Each dependency is resolved once; a job is ready once all of its
+ * dependencies are satisfied, and skipped once one of them can't be satisfied any more. A cancelled pipeline releases
+ * nothing more. Jobs are added after those that they depend on and removed once they are over; the cost of either is
+ * proportional to the number of their dependencies and dependents.
+ *
+ * <p>Not thread-safe; guarded by the lock of the cluster where a term uses it.
  */
 public final class PipelineRun {
-    /** How a dependency between two jobs stands; each leaves {@code OPEN} once. */
+    /** The state of a dependency; it leaves {@code PENDING} once and then stays as it is. */
     public enum DependencyState {
         PENDING,
         SATISFIED,
@@ -27,7 +30,7 @@
         SKIPPED
     }
 
-    /** How a job stands within its pipeline. */
+    /** The state of a job within its pipeline. */
     public enum JobState {
         WAITING,
         READY,
@@ -42,11 +45,11 @@
         final String job;
         final Map<String, Dependency> dependencies = new LinkedHashMap<>();
         final Map<String, Dependency> dependents = new LinkedHashMap<>();
-        /** Its place in the compiled order. */
+        /** The position in the topological order. */
         long position;
-        /** Links into it that have not emitted; review looks at them only when one has settled. */
+        /** Dependencies that are not satisfied; counted, so that they are looked at only when one is resolved. */
         int unsatisfiedCount;
-        /** Known only because others need it: its end is found, not driven from here. */
+        /** True if the job is only known as a dependency of others: its end is looked up, not brought about here. */
         boolean isExternal;
 
         JobState state = JobState.WAITING;
@@ -61,25 +64,29 @@
     private long nextPosition;
     private boolean isCancelled;
 
+    /** Begins a run with all jobs of the plan. */
     public PipelineRun(PipelinePlan plan) {
         plan.topologicalOrder().forEach(job -> add(job, plan.dependenciesOf(job)));
     }
 
     /**
-     * A job joins with its links from jobs that are there. It comes after them in the compiled order, since they were
-     * admitted before it.
+     * Adds a job after all jobs that it depends on, since those were admitted before it. A job that was external is
+     * driven from now on and keeps its position.
+     *
+     * @throws IllegalArgumentException if a dependency names an upstream job that is not part of the pipeline
      */
-    public void add(String job, Collection<Dependency> into) {
+    public void add(String job, Collection<Dependency> dependencies) {
         addExternal(job);
         Node node = nodes.get(job);
         node.isExternal = false;
-        for (Dependency dependency : into) {
-            Node from = nodes.get(dependency.upstream());
-            if (from == null) {
-                throw new IllegalArgumentException("dependency " + dependency.id() + " begins at no job");
+        for (Dependency dependency : dependencies) {
+            Node upstream = nodes.get(dependency.upstream());
+            if (upstream == null) {
+                throw new IllegalArgumentException(
+                        "dependency " + dependency.id() + " names an upstream job that is not known");
             }
             node.dependencies.put(dependency.id(), dependency);
-            from.dependents.put(dependency.id(), dependency);
+            upstream.dependents.put(dependency.id(), dependency);
             node.unsatisfiedCount++;
             dependencyStates.put(dependency.id(), DependencyState.PENDING);
         }
@@ -88,7 +95,7 @@
         }
     }
 
-    /** A job that others need and that is not driven here, or not yet; its end has still to be found. */
+    /** Adds a job on which others depend and that is not driven here, or not yet; its end has still to be looked up. */
     public void addExternal(String job) {
         nodes.computeIfAbsent(job, name -> {
             Node node = new Node(name);
@@ -98,35 +105,47 @@
         });
     }
 
+    /** True if the job is part of the pipeline, driven or external. */
     public boolean contains(String job) {
         return nodes.containsKey(job);
     }
 
+    /** True if the job is only known as a dependency of others. */
     public boolean isExternal(String job) {
         return nodes.containsKey(job) && nodes.get(job).isExternal;
     }
 
-    /** Jobs that may be released now, in compiled order. */
+    /** Jobs that may be released now, in topological order. */
     public List<String> readyJobs() {
         return inTopologicalOrder(nodes.values().stream()
                 .filter(node -> node.state == JobState.READY)
                 .toList());
     }
 
+    /**
+     * Marks a ready job as released.
+     *
+     * @throws IllegalStateException if the job is not ready
+     */
     public void release(String job) {
         expect(job, JobState.READY).state = JobState.RELEASED;
     }
 
     /**
-     * Settles a released job and with it the links out of it, once and for all.
+     * Ends a released job, which resolves the dependencies of others on it for good.
      *
-     * @return jobs that have become ready by that, in compiled order
+     * @return jobs that become ready by that, in topological order
+     * @throws IllegalStateException if the job is not released
      */
     public List<String> complete(String job, boolean succeeded) {
         return endJob(expect(job, JobState.RELEASED), succeeded);
     }
 
-    /** The end of an observed job has been found. */
+    /**
+     * Ends an external job; does nothing if it has ended or is not external.
+     *
+     * @return jobs that become ready by that, in topological order
+     */
     public List<String> completeExternal(String job, boolean succeeded) {
         Node node = nodes.get(job);
         return node == null || !node.isExternal || node.state != JobState.WAITING ? List.of() : endJob(node, succeeded);
@@ -145,9 +164,9 @@
     }
 
     /**
-     * Cancels one job, whatever it is doing: nothing that needs it is released any more.
+     * Cancels one job in whatever state it is, unless it is over: nothing that depends on it is released any more.
      *
-     * @return the jobs that are skipped by that, directly or through others, in compiled order
+     * @return the jobs that are skipped by that, directly or through others, in topological order
      */
     public List<String> cancel(String job) {
         Node node = nodes.get(job);
@@ -163,7 +182,7 @@
                 changed.stream().filter(each -> each.state == JobState.SKIPPED).toList());
     }
 
-    /** Releases nothing from now on; released jobs still settle. */
+    /** Cancels the pipeline: nothing is released from now on, and released jobs still end. */
     public void cancel() {
         isCancelled = true;
         for (Node node : List.copyOf(nodes.values())) {
@@ -174,11 +193,7 @@
         }
     }
 
-    public boolean isCancelled() {
-        return isCancelled;
-    }
-
-    /** Drops a job that is over, and its links. */
+    /** Removes a job that is over, and the dependencies on both sides. */
     public void remove(String job) {
         Node node = nodes.remove(job);
         if (node == null) {
@@ -210,7 +225,7 @@
         return Optional.ofNullable(dependencyStates.get(id));
     }
 
-    /** Jobs with a dependency into the given one. */
+    /** Jobs that the given one depends on. */
     public List<String> upstreamJobs(String job) {
         Node node = nodes.get(job);
         return node == null
@@ -218,7 +233,7 @@
                 : node.dependencies.values().stream().map(Dependency::upstream).toList();
     }
 
-    /** Jobs that the given one has a dependency to. */
+    /** Jobs that depend on the given one. */
     public List<String> downstreamJobs(String job) {
         Node node = nodes.get(job);
         return node == null
@@ -226,7 +241,7 @@
                 : node.dependents.values().stream().map(Dependency::downstream).toList();
     }
 
-    /** True once nothing can happen any more. */
+    /** True once all jobs have ended. */
     public boolean isOver() {
         return nodes.values().stream()
                 .noneMatch(node -> node.state == JobState.WAITING
@@ -234,7 +249,7 @@
                         || node.state == JobState.RELEASED);
     }
 
-    /** True if a job failed whose failure no dependency took up. */
+    /** True if a job failed and no other job depends on that failure. */
     public boolean hasUnhandledFailure() {
         return nodes.values().stream()
                 .anyMatch(node -> node.state == JobState.FAILED
@@ -242,17 +257,23 @@
                                 .noneMatch(dependency -> dependency.condition() == Condition.ON_FAILURE));
     }
 
+    /** The state that a dependency takes when its upstream job ends. */
     private interface Outcome {
         DependencyState of(Dependency dependency);
     }
 
-    /** Settles the links out of a job, and of those that are skipped by that; a worklist, since chains may be long. */
+    /**
+     * Resolves the dependencies of others on a job, and on those that are skipped by that. It iterates over a work
+     * list, since recursion along a long chain would overflow the stack.
+     *
+     * @return jobs that have become ready or are skipped
+     */
     private List<Node> resolveDependents(Node first, Outcome outcome) {
         List<Node> changed = new ArrayList<>();
-        Deque<Node> open = new ArrayDeque<>();
-        resolveDependencies(first, outcome, open);
-        while (!open.isEmpty()) {
-            Node node = open.poll();
+        Deque<Node> workList = new ArrayDeque<>();
+        resolveDependencies(first, outcome, workList);
+        while (!workList.isEmpty()) {
+            Node node = workList.poll();
             if (isCancelled || node.state != JobState.WAITING) {
                 continue;
             }
@@ -262,7 +283,7 @@
             if (skipped) {
                 node.state = JobState.SKIPPED;
                 changed.add(node);
-                resolveDependencies(node, dependency -> DependencyState.SKIPPED, open);
+                resolveDependencies(node, dependency -> DependencyState.SKIPPED, workList);
             } else if (node.unsatisfiedCount == 0) {
                 node.state = JobState.READY;
                 changed.add(node);
@@ -271,26 +292,27 @@
         return changed;
     }
 
-    private void resolveDependencies(Node node, Outcome outcome, Deque<Node> open) {
+    /** Resolves the dependencies on one job and adds the jobs to look at to the work list. */
+    private void resolveDependencies(Node node, Outcome outcome, Deque<Node> workList) {
         for (Dependency dependency : node.dependents.values()) {
             if (dependencyStates.get(dependency.id()) != DependencyState.PENDING) {
                 continue;
             }
             DependencyState state = outcome.of(dependency);
             dependencyStates.put(dependency.id(), state);
-            Node to = nodes.get(dependency.downstream());
+            Node downstream = nodes.get(dependency.downstream());
             if (state == DependencyState.SATISFIED) {
-                to.unsatisfiedCount--;
-                if (to.unsatisfiedCount > 0) {
+                downstream.unsatisfiedCount--;
+                if (downstream.unsatisfiedCount > 0) {
                     continue;
                 }
             }
-            open.add(to);
+            workList.add(downstream);
         }
     }
 
-    private static List<String> inTopologicalOrder(Collection<Node> some) {
-        return some.stream()
+    private static List<String> inTopologicalOrder(Collection<Node> nodes) {
+        return nodes.stream()
                 .sorted(Comparator.comparingLong(node -> node.position))
                 .map(node -> node.job)
                 .toList();
--- a/src/main/java/io/sillreel/pipeline/PriorityClass.java
+++ b/src/main/java/io/sillreel/pipeline/PriorityClass.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** Ranks of jobs, most urgent first. */
+/** The priority classes of jobs, most urgent first. */
 public enum PriorityClass {
     PRODUCTION("production"),
     HIGH("high"),
@@ -11,23 +11,25 @@
 
     private final String wireName;
 
-    PriorityClass(String wire) {
-        this.wireName = wire;
+    PriorityClass(String wireName) {
+        this.wireName = wireName;
     }
 
+    /** The name in the users' interface and in stored plans. */
     public String wireName() {
         return wireName;
     }
 
+    /** True if this class is more urgent than the other one. */
     public boolean isAbove(PriorityClass other) {
         return ordinal() < other.ordinal();
     }
 
-    /** Returns the rank of that name in the users' interface. */
-    public static Optional<PriorityClass> fromWireName(String wire) {
-        for (PriorityClass rank : values()) {
-            if (rank.wireName.equals(wire)) {
-                return Optional.of(rank);
+    /** Returns the class of that name in the users' interface, or nothing for an unknown name. */
+    public static Optional<PriorityClass> fromWireName(String name) {
+        for (PriorityClass priorityClass : values()) {
+            if (priorityClass.wireName.equals(name)) {
+                return Optional.of(priorityClass);
             }
         }
         return Optional.empty();
