--- a/src/main/java/io/sillreel/pipeline/DependencyGraph.java
+++ b/src/main/java/io/sillreel/pipeline/DependencyGraph.java
@@ -52,23 +52,10 @@
     public void restore(Collection<ActiveJob> unfinished, Predicate<String> done, Predicate<String> cancelled) {
         Map<String, ActiveJob> byUid = new LinkedHashMap<>();
         unfinished.forEach(job -> byUid.put(job.uid(), job));
-        Set<String> names = new LinkedHashSet<>(byUid.keySet());
-        Set<String> unknown = new HashSet<>();
-        List<Dependency> links = new ArrayList<>();
-        for (ActiveJob job : unfinished) {
-            for (String awaited : unmetDependencies(job)) {
-                if (!done.test(awaited)) {
-                    links.add(PipelinePlan.onSuccessOf(job.uid(), awaited));
-                    if (!byUid.containsKey(awaited)) {
-                        names.add(awaited);
-                        unknown.add(awaited);
-                    }
-                }
-            }
-        }
-        PipelinePlan plan = PipelinePlan.compile(names, links);
+        Set<String> external = new HashSet<>();
+        PipelinePlan plan = compile(byUid, done, external);
         for (String uid : plan.topologicalOrder()) {
-            if (unknown.contains(uid)) {
+            if (external.contains(uid)) {
                 run.addExternal(uid);
             } else {
                 addToRun(byUid.get(uid), plan.dependenciesOf(uid));
@@ -82,7 +69,25 @@
         for (String uid : run.readyJobs()) {
             callbacks.dependenciesMet(jobs.get(uid));
         }
-        unknown.forEach(callbacks::lookUpCompletion);
+        external.forEach(callbacks::lookUpCompletion);
+    }
+
+    /** Compiles the given jobs and what they depend on; adds the dependencies that are not among them to a set. */
+    private static PipelinePlan compile(Map<String, ActiveJob> byUid, Predicate<String> done, Set<String> external) {
+        Set<String> uids = new LinkedHashSet<>(byUid.keySet());
+        List<Dependency> dependencies = new ArrayList<>();
+        for (ActiveJob job : byUid.values()) {
+            for (String upstream : unmetDependencies(job)) {
+                if (!done.test(upstream)) {
+                    dependencies.add(PipelinePlan.onSuccessOf(job.uid(), upstream));
+                    if (!byUid.containsKey(upstream)) {
+                        uids.add(upstream);
+                        external.add(upstream);
+                    }
+                }
+            }
+        }
+        return PipelinePlan.compile(uids, dependencies);
     }
 
     /**
@@ -91,38 +96,38 @@
      * @param cancelled true for the id of a job whose cancellation is stored
      */
     public void add(ActiveJob job, Predicate<String> cancelled) {
-        List<Dependency> into = new ArrayList<>();
-        List<String> unknown = new ArrayList<>();
-        String closedBy = null;
-        for (String awaited : unmetDependencies(job)) {
-            if (run.isInState(awaited, JobState.SUCCEEDED)) {
+        List<Dependency> dependencies = new ArrayList<>();
+        List<String> toLookUp = new ArrayList<>();
+        String cancelledUpstream = null;
+        for (String upstream : unmetDependencies(job)) {
+            if (run.isInState(upstream, JobState.SUCCEEDED)) {
                 continue;
             }
-            boolean closed = cancelled.test(awaited);
-            if (closed) {
-                closedBy = awaited;
+            boolean isUpstreamCancelled = cancelled.test(upstream);
+            if (isUpstreamCancelled) {
+                cancelledUpstream = upstream;
             }
-            if (!run.contains(awaited)) {
-                run.addExternal(awaited);
-                if (!closed) {
-                    unknown.add(awaited);
+            if (!run.contains(upstream)) {
+                run.addExternal(upstream);
+                if (!isUpstreamCancelled) {
+                    toLookUp.add(upstream);
                 }
             }
-            into.add(PipelinePlan.onSuccessOf(job.uid(), awaited));
+            dependencies.add(PipelinePlan.onSuccessOf(job.uid(), upstream));
         }
-        addToRun(job, into);
-        if (closedBy != null) {
+        addToRun(job, dependencies);
+        if (cancelledUpstream != null) {
             run.cancel(job.uid());
-            callbacks.dependencyCancelled(job, closedBy);
+            callbacks.dependencyCancelled(job, cancelledUpstream);
         } else if (run.isInState(job.uid(), JobState.READY)) {
             callbacks.dependenciesMet(job);
         }
-        unknown.forEach(callbacks::lookUpCompletion);
+        toLookUp.forEach(callbacks::lookUpCompletion);
     }
 
-    private void addToRun(ActiveJob job, Collection<Dependency> into) {
+    private void addToRun(ActiveJob job, Collection<Dependency> dependencies) {
         jobs.put(job.uid(), job);
-        run.add(job.uid(), into);
+        run.add(job.uid(), dependencies);
         if (job.isReleased()) {
             run.release(job.uid());
         }
