--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -1,6 +1,7 @@
 package io.sillreel.leadership;
 
 import io.sillreel.agent.Heartbeat;
+import io.sillreel.agent.Heartbeat.MachineDescription;
 import io.sillreel.cloud.MachineType;
 import io.sillreel.cluster.Cluster;
 import io.sillreel.cluster.Machine;
@@ -79,14 +80,12 @@
     /**
      * Creates the state of one term; {@link #start} begins to read what is stored.
      *
-     * @param machineTypes the machine types that the cloud offers, empty until they are known
      * @param peers the other controllers
      */
     public LeaderTerm(
             EventLoop eventLoop,
             TermServices services,
-            TermConfiguration configuration,
-            Supplier<Map<String, MachineType>> machineTypes,
+            FleetConfiguration configuration,
             Peers peers,
             LeaderElection election,
             TermGrant grant) {
@@ -95,7 +94,7 @@
         this.settings = configuration.settings();
         this.election = election;
         this.term = grant.term();
-        this.machineTypes = machineTypes;
+        this.machineTypes = configuration.machineTypes();
         this.cluster = new Cluster(settings.teams());
         this.writeQueue = newWriteQueue(grant);
         ServiceLevelObjectives objectives = new ServiceLevelObjectives(settings.objectives(), runtimeEstimator);
@@ -154,16 +153,9 @@
                 operations);
     }
 
-    private FleetManager newFleet(TermServices services, TermConfiguration configuration) {
+    private FleetManager newFleet(TermServices services, FleetConfiguration configuration) {
         return new FleetManager(
-                eventLoop,
-                term,
-                cluster,
-                services.cloud(),
-                writeQueue,
-                capacity,
-                new FleetConfiguration(settings, configuration.operator(), configuration.fleetCapacity(), machineTypes),
-                operations);
+                eventLoop, term, cluster, services.cloud(), writeQueue, capacity, configuration, operations);
     }
 
     private SchedulingCycle newSchedulingCycle(Planner planner) {
@@ -326,7 +318,8 @@
 
         @Override
         public boolean adoptMachine(Heartbeat heartbeat) {
-            return fleet.adopt(heartbeat.machine(), heartbeat.machineType(), heartbeat.zone(), heartbeat.spot())
+            MachineDescription description = heartbeat.description();
+            return fleet.adopt(heartbeat.machine(), description.machineType(), description.zone(), description.isSpot())
                     .isPresent();
         }
 
