--- a/src/main/java/io/sillreel/RecoveryProtection.java
+++ b/src/main/java/io/sillreel/RecoveryProtection.java
@@ -23,7 +23,7 @@
 
     @Override
     public HttpClient monitor(HttpClient client) {
-        return recovery.monitored(client);
+        return recovery.monitor(client);
     }
 
     @Override
@@ -43,7 +43,7 @@
 
     @Override
     public CompletableFuture<HttpResponse> handleUserRequest(HttpRequest request, HttpHandler handler) {
-        return recovery.guarded(() -> handler.handle(request));
+        return recovery.guard(() -> handler.handle(request));
     }
 
     @Override
@@ -53,12 +53,12 @@
 
     @Override
     public void termLost() {
-        recovery.termLost();
+        recovery.leadershipLost();
     }
 
     @Override
     public Optional<HttpResponse> handleInternal(HttpRequest request) {
-        return Recovery.concerns(request.route()) ? Optional.of(recovery.answer(request)) : Optional.empty();
+        return Recovery.handlesRoute(request.route()) ? Optional.of(recovery.handle(request)) : Optional.empty();
     }
 
     @Override
--- a/src/main/java/io/sillreel/recovery/ChangeFollower.java
+++ b/src/main/java/io/sillreel/recovery/ChangeFollower.java
@@ -115,7 +115,7 @@
                 ? latest.map(StoredEntry::revision).orElse(verdict.storeRevision())
                 : verdict.storeRevision();
         log.restart(since, eventLoop.wallMicros());
-        latest.ifPresent(entry -> log.landmark(RecentChange.of(entry.key(), entry.value(), entry.revision())));
+        latest.ifPresent(entry -> log.addLandmark(RecentChange.of(entry.key(), entry.value(), entry.revision())));
         followedMicros = eventLoop.nowMicros();
         follow(thisRun, since);
     }
@@ -149,7 +149,7 @@
                 onRecord.accept(RecoveryRecord.of(change.value()));
             }
         }
-        log.followed(changes, reached)
+        log.addFollowed(changes, reached)
                 .ifPresent(key -> onLoss.accept("the last change of " + key + " is not among those that were stored"));
     }
 }
--- a/src/main/java/io/sillreel/recovery/ChangeLog.java
+++ b/src/main/java/io/sillreel/recovery/ChangeLog.java
@@ -67,13 +67,13 @@
         }
         List<RecentChange> remembered = List.copyOf(changes.values());
         forget();
-        remembered.stream().filter(change -> change.stamp() <= kept).forEach(this::put);
+        remembered.stream().filter(change -> change.revision() <= kept).forEach(this::put);
         knownTo = kept;
         return true;
     }
 
     /** A change that was read; it is as good as one that was followed. */
-    synchronized void landmark(RecentChange change) {
+    synchronized void addLandmark(RecentChange change) {
         put(change);
     }
 
@@ -83,7 +83,7 @@
      * @return a key that was changed by this controller, as it was told, and whose change is not among the news; empty
      *     unless the state service has lost it
      */
-    synchronized Optional<String> followed(Collection<RecentChange> news, long storeRevision) {
+    synchronized Optional<String> addFollowed(Collection<RecentChange> news, long storeRevision) {
         Optional<String> lost = missing(news, storeRevision);
         if (lost.isPresent()) {
             return lost;
@@ -97,7 +97,7 @@
 
     private Optional<String> missing(Collection<RecentChange> news, long storeRevision) {
         Set<String> shown = new HashSet<>();
-        news.forEach(change -> shown.add(change.stamp() + change.key()));
+        news.forEach(change -> shown.add(change.revision() + change.key()));
         for (Map.Entry<Long, Set<String>> own :
                 ownRevisions.headMap(storeRevision, true).entrySet()) {
             for (String key : own.getValue()) {
@@ -110,7 +110,7 @@
     }
 
     /** One transaction of this controller has been stored. */
-    synchronized void stored(Collection<RecentChange> own, long storeRevision) {
+    synchronized void addStored(Collection<RecentChange> own, long storeRevision) {
         own.forEach(this::put);
         if (storeRevision > knownTo) {
             own.forEach(change -> ownRevisions
@@ -122,7 +122,7 @@
 
     private void put(RecentChange change) {
         RecentChange older = changes.get(change.key());
-        boolean known = older != null && older.stamp() >= change.stamp();
+        boolean known = older != null && older.revision() >= change.revision();
         // The leader's key ends with its lease.
         if (known || change.key().equals(LeaderElection.LEADER_KEY)) {
             return;
@@ -131,8 +131,8 @@
         changes.remove(change.key());
         changes.put(change.key(), change);
         bytes += change.bytes() - (older == null ? 0 : older.bytes());
-        boolean latest = latestPermanent == null || change.stamp() > latestPermanent.stamp();
-        if (latest && !change.removed() && PermanentKeys.contains(change.key())) {
+        boolean latest = latestPermanent == null || change.revision() > latestPermanent.revision();
+        if (latest && !change.isRemoval() && PermanentKeys.isPermanent(change.key())) {
             latestPermanent = change;
         }
     }
@@ -143,14 +143,14 @@
             RecentChange oldest = oldestFirst.next();
             oldestFirst.remove();
             bytes -= oldest.bytes();
-            knownFrom = Math.max(knownFrom, oldest.stamp() + 1);
+            knownFrom = Math.max(knownFrom, oldest.revision() + 1);
         }
     }
 
     /** The stamp of the last known change of a key that is stored as far as is known, or 0. */
-    synchronized long stampOf(String key) {
+    synchronized long revisionOf(String key) {
         RecentChange change = changes.get(key);
-        return change == null || change.removed() ? 0 : change.stamp();
+        return change == null || change.isRemoval() ? 0 : change.revision();
     }
 
     /**
--- a/src/main/java/io/sillreel/recovery/ChangeRestorer.java
+++ b/src/main/java/io/sillreel/recovery/ChangeRestorer.java
@@ -96,7 +96,7 @@
             Deque<RecentChange> missing,
             Runnable then) {
         Transaction transaction = new Transaction();
-        batch.forEach(change -> transaction.requireRevision(change.key(), change.removed() ? 0 : change.stamp()));
+        batch.forEach(change -> transaction.requireRevision(change.key(), change.isRemoval() ? 0 : change.revision()));
         term.store().commit(transaction).thenAccept(commit -> {
             if (term.isOver()) {
                 return;
@@ -131,14 +131,14 @@
 
     private void gone(RecentChange change, Deque<RecentChange> missing) {
         missing.add(change);
-        if (!RestorePolicy.isOfTheTerm(change.key())) {
-            firstLost = Math.min(firstLost, change.stamp());
+        if (!RestorePolicy.belongsToTerm(change.key())) {
+            firstLost = Math.min(firstLost, change.revision());
         }
     }
 
     private void found(RecentChange change) {
-        if (!change.removed() && isWitnessed.test(change)) {
-            found.add(change.stamp());
+        if (!change.isRemoval() && isWitnessed.test(change)) {
+            found.add(change.revision());
         }
     }
 
@@ -194,11 +194,11 @@
         var current = read.entry().isEmpty()
                 ? MissingNode.getInstance()
                 : read.entry().get().value();
-        if (!RestorePolicy.restores(change, current, read.revision(), history.returnedAt())) {
+        if (!RestorePolicy.isToBeRestored(change, current, read.revision(), history.returnedAt())) {
             return;
         }
         transaction.requireRevision(change.key(), read.revision());
-        if (change.removed()) {
+        if (change.isRemoval()) {
             transaction.remove(change.key());
         } else {
             transaction.set(change.key(), change.json());
--- a/src/main/java/io/sillreel/recovery/CollectedMemories.java
+++ b/src/main/java/io/sillreel/recovery/CollectedMemories.java
@@ -16,15 +16,15 @@
     private final Map<String, Memory> memories = new LinkedHashMap<>();
     private final Map<String, RecentChange> newest = new HashMap<>();
     /** The stamps that controllers know which have certainly seen the state service before the loss. */
-    private final Map<String, Long> witnessed = new HashMap<>();
+    private final Map<String, Long> isWitnessed = new HashMap<>();
 
     /** Adds what a controller remembers. */
     void add(String node, Memory memory) {
         memories.put(node, memory);
         for (RecentChange change : memory.changes()) {
-            newest.merge(change.key(), change, (one, other) -> one.stamp() >= other.stamp() ? one : other);
+            newest.merge(change.key(), change, (one, other) -> one.revision() >= other.revision() ? one : other);
             if (memory.isWitness()) {
-                witnessed.merge(change.key(), change.stamp(), Math::max);
+                isWitnessed.merge(change.key(), change.revision(), Math::max);
             }
         }
     }
@@ -32,8 +32,8 @@
     /**
      * True if the change was certainly stored before the loss; whoever did not notice it may have followed later ones.
      */
-    boolean witnessed(RecentChange change) {
-        return witnessed.getOrDefault(change.key(), 0L) == change.stamp();
+    boolean isWitnessed(RecentChange change) {
+        return isWitnessed.getOrDefault(change.key(), 0L) == change.revision();
     }
 
     /** Those whose memory has been added. */
@@ -44,7 +44,7 @@
     /** The newest known change of each key, the latest first. */
     List<RecentChange> newestFirst() {
         List<RecentChange> changes = new ArrayList<>(newest.values());
-        changes.sort((one, other) -> Long.compare(other.stamp(), one.stamp()));
+        changes.sort((one, other) -> Long.compare(other.revision(), one.revision()));
         return changes;
     }
 
@@ -56,7 +56,7 @@
      * @param peaks what was reached before the loss
      * @param skewMicros how far two controllers' times of day may lie apart
      */
-    Optional<String> incomplete(Collection<String> members, long kept, HighWatermarks peaks, long skewMicros) {
+    Optional<String> findGap(Collection<String> members, long kept, HighWatermarks highWatermarks, long skewMicros) {
         long beforeLoss =
                 memories.values().stream().mapToLong(Memory::seenMicros).max().orElse(0);
         if (beforeLoss == 0) {
@@ -66,13 +66,13 @@
             return Optional.of("nothing that is remembered is still stored, so more may be lost than is remembered");
         }
         return members.stream()
-                .map(member -> incomplete(member, kept, beforeLoss - skewMicros))
+                .map(member -> findGap(member, kept, beforeLoss - skewMicros))
                 .flatMap(Optional::stream)
                 .findFirst()
-                .or(() -> gap(kept, peaks.ledger()));
+                .or(() -> gap(kept, highWatermarks.storeRevision()));
     }
 
-    private Optional<String> incomplete(String member, long kept, long beforeLoss) {
+    private Optional<String> findGap(String member, long kept, long beforeLoss) {
         Memory memory = memories.get(member);
         if (memory == null) {
             return Optional.of(member + " does not say what it stored last");
--- a/src/main/java/io/sillreel/recovery/HighWatermarks.java
+++ b/src/main/java/io/sillreel/recovery/HighWatermarks.java
@@ -7,29 +7,29 @@
  * @param stampedLedger the revision up to which stamps have been given, by writes after the loss too
  * @param term the highest term that a worker, an attempt or a controller has shown
  */
-record HighWatermarks(long ledger, long stampedLedger, long term) {
+record HighWatermarks(long storeRevision, long keyRevision, long term) {
     static final HighWatermarks NONE = new HighWatermarks(0, 0, 0);
 
     /** The higher of each. */
-    HighWatermarks with(HighWatermarks other) {
+    HighWatermarks max(HighWatermarks other) {
         return new HighWatermarks(
-                Math.max(ledger, other.ledger),
-                Math.max(stampedLedger, other.stampedLedger),
+                Math.max(storeRevision, other.storeRevision),
+                Math.max(keyRevision, other.keyRevision),
                 Math.max(term, other.term));
     }
 
     /** The same with a revision that was reached before the loss. */
-    HighWatermarks withLedger(long reached) {
-        return with(new HighWatermarks(reached, reached, 0));
+    HighWatermarks withStoreRevision(long reached) {
+        return max(new HighWatermarks(reached, reached, 0));
     }
 
     /** The same with a revision up to which stamps have been given. */
-    HighWatermarks withStamps(long reached) {
-        return with(new HighWatermarks(0, reached, 0));
+    HighWatermarks withKeyRevision(long reached) {
+        return max(new HighWatermarks(0, reached, 0));
     }
 
     /** The same with a term that has been shown. */
     HighWatermarks withTerm(long shown) {
-        return with(new HighWatermarks(0, 0, shown));
+        return max(new HighWatermarks(0, 0, shown));
     }
 }
--- a/src/main/java/io/sillreel/recovery/PeerExchange.java
+++ b/src/main/java/io/sillreel/recovery/PeerExchange.java
@@ -2,7 +2,7 @@
 
 import io.sillreel.http.HttpClient;
 import io.sillreel.http.HttpRequest;
-import io.sillreel.recovery.RecoveryMessages.Greeting;
+import io.sillreel.recovery.RecoveryMessages.PeerStatus;
 import io.sillreel.settings.Settings.Member;
 import java.util.ArrayList;
 import java.util.List;
@@ -16,10 +16,10 @@
 
     private final HttpClient httpClient;
     private final List<Member> members;
-    private final Supplier<Greeting> own;
-    private final Consumer<Greeting> heard;
+    private final Supplier<PeerStatus> own;
+    private final Consumer<PeerStatus> heard;
 
-    PeerExchange(HttpClient httpClient, List<Member> members, Supplier<Greeting> own, Consumer<Greeting> heard) {
+    PeerExchange(HttpClient httpClient, List<Member> members, Supplier<PeerStatus> own, Consumer<PeerStatus> heard) {
         this.httpClient = httpClient;
         this.members = members;
         this.own = own;
@@ -27,7 +27,7 @@
     }
 
     /** Completes once each of them has answered or does not. */
-    CompletableFuture<Void> greetAll() {
+    CompletableFuture<Void> exchangeWithAll() {
         List<CompletableFuture<Void>> answers = new ArrayList<>();
         for (Member member : members) {
             HttpRequest request =
@@ -36,7 +36,7 @@
                     .send(member.address(), request, TIMEOUT_MICROS)
                     .thenAccept(response -> {
                         if (response.isOk()) {
-                            heard.accept(Greeting.of(response.body()));
+                            heard.accept(PeerStatus.of(response.body()));
                         }
                     }));
         }
--- a/src/main/java/io/sillreel/recovery/PeerMemoryCollector.java
+++ b/src/main/java/io/sillreel/recovery/PeerMemoryCollector.java
@@ -15,17 +15,17 @@
 
     private final HttpClient httpClient;
     private final StoreHistory history;
-    private final CollectedMemories survivors;
+    private final CollectedMemories memories;
 
-    PeerMemoryCollector(HttpClient httpClient, StoreHistory history, CollectedMemories survivors) {
+    PeerMemoryCollector(HttpClient httpClient, StoreHistory history, CollectedMemories memories) {
         this.httpClient = httpClient;
         this.history = history;
-        this.survivors = survivors;
+        this.memories = memories;
     }
 
     /** Asks those that have not answered yet; completes once each has done so or does not. */
     CompletableFuture<Void> collect(List<Member> members, long generation) {
-        Set<String> heard = survivors.nodes();
+        Set<String> heard = memories.nodes();
         List<CompletableFuture<Void>> asked = new ArrayList<>();
         for (Member member : members) {
             if (!heard.contains(member.nodeName())) {
@@ -48,13 +48,13 @@
                 return;
             }
             Page page = Page.of(response.body());
-            history.learn(page.peaks());
+            history.learn(page.highWatermarks());
             changes.addAll(page.memory().changes());
             if (!page.last()) {
                 ask(member, generation, changes, done);
                 return;
             }
-            survivors.add(member.nodeName(), page.memory().with(changes));
+            memories.add(member.nodeName(), page.memory().with(changes));
             done.complete(null);
         });
     }
--- a/src/main/java/io/sillreel/recovery/PermanentKeys.java
+++ b/src/main/java/io/sillreel/recovery/PermanentKeys.java
@@ -13,7 +13,7 @@
 
     private PermanentKeys() {}
 
-    static boolean contains(String key) {
+    static boolean isPermanent(String key) {
         // Version 5806758 keeps parts of done sets behind a further slash, and removes them.
         boolean part = key.indexOf('/') != key.lastIndexOf('/');
         return key.equals(LeaderElection.TERM_KEY) || !part && PREFIXES.stream().anyMatch(key::startsWith);
--- a/src/main/java/io/sillreel/recovery/RecentChange.java
+++ b/src/main/java/io/sillreel/recovery/RecentChange.java
@@ -10,7 +10,7 @@
  * @param value the stored value as JSON text, or null if the key was removed
  * @param stamp the revision of the change
  */
-record RecentChange(String key, byte[] value, long stamp) {
+record RecentChange(String key, byte[] value, long revision) {
     /** What an entry takes beside its key and its value. */
     private static final int ENTRY_BYTES = 160;
 
@@ -18,17 +18,17 @@
         return new RecentChange(key, value == null ? null : Json.bytes(value), revision);
     }
 
-    boolean removed() {
+    boolean isRemoval() {
         return value == null;
     }
 
     /** The stored value; a missing node if the key was removed. */
     JsonNode json() {
-        return Json.parse(removed() ? new byte[0] : value);
+        return Json.parse(isRemoval() ? new byte[0] : value);
     }
 
     /** About what it takes of the memory. */
     int bytes() {
-        return ENTRY_BYTES + key.getBytes(StandardCharsets.UTF_8).length + (removed() ? 0 : value.length);
+        return ENTRY_BYTES + key.getBytes(StandardCharsets.UTF_8).length + (isRemoval() ? 0 : value.length);
     }
 }
--- a/src/main/java/io/sillreel/recovery/Recovery.java
+++ b/src/main/java/io/sillreel/recovery/Recovery.java
@@ -8,7 +8,7 @@
 import io.sillreel.http.HttpResponse;
 import io.sillreel.leadership.LeaderElection;
 import io.sillreel.recovery.ChangeLog.Memory;
-import io.sillreel.recovery.RecoveryMessages.Greeting;
+import io.sillreel.recovery.RecoveryMessages.PeerStatus;
 import io.sillreel.settings.Settings;
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.StoreOutcome;
@@ -31,7 +31,7 @@
      */
     static final long TERM_GAP = 1_000;
 
-    private static final long GREET_MICROS = 1_000_000;
+    private static final long EXCHANGE_INTERVAL_MICROS = 1_000_000;
     private static final long RETRY_MICROS = 300_000;
     /** The others are told of a loss for so long before it is stored. */
     private static final long TELL_FIRST_MICROS = 200_000;
@@ -44,24 +44,24 @@
     private final StoreHistory history = new StoreHistory();
     private final ChangeLog log;
     private final long followPauseMicros;
-    private final PeerExchange greeter;
+    private final PeerExchange peerExchange;
     private final RecoveryApi api;
     private StateStore store;
     private LeaderElection leadership;
     private ChangeFollower follower;
-    private TermEvidence terms;
-    private RecoveryGenerationStore verdicts;
+    private TermEvidence termEvidence;
+    private RecoveryGenerationStore generationStore;
 
     private long generation;
     private boolean suspended;
-    private boolean verdictStored;
+    private boolean recordStored;
     private boolean ownEvidence;
     /** The last generation under which what is remembered here was asked for. */
     private long collectedGeneration;
 
     private boolean recordRead;
     /** True once it is known whether a loss is stored, and each other controller has said what it knows, or has not. */
-    private boolean acquainted;
+    private boolean peersConsulted;
 
     private String evidence = "";
     private StoreRebuild rebuild;
@@ -85,37 +85,37 @@
         this.log = new ChangeLog(rememberedBytes);
         this.followPauseMicros = followPauseMicros;
         this.api = new RecoveryApi(this, settings);
-        this.greeter = new PeerExchange(httpClient, settings.members(), this::greeting, this::heard);
+        this.peerExchange = new PeerExchange(httpClient, settings.members(), this::ownStatus, this::onPeerStatus);
     }
 
     /** What asks the state service through this is watched for signs of a loss. */
-    public HttpClient monitored(HttpClient inner) {
-        return new StoreMonitor(inner, eventLoop, history, log, () -> suspended, this::lost);
+    public HttpClient monitor(HttpClient inner) {
+        return new StoreMonitor(inner, eventLoop, history, log, () -> suspended, this::onLossDetected);
     }
 
-    /** Begins; both have to ask through {@link #monitored}. */
+    /** Begins; both have to ask through {@link #monitor}. */
     public void start(StateStore monitoredStore, LeaderElection itsLeadership) {
         store = monitoredStore;
         leadership = itsLeadership;
         follower = new ChangeFollower(
-                store, eventLoop, log, followPauseMicros, () -> suspended, this::noticed, this::lost);
-        terms = new TermEvidence(store, history, this::lost);
-        verdicts = new RecoveryGenerationStore(
+                store, eventLoop, log, followPauseMicros, () -> suspended, this::onRecordRead, this::onLossDetected);
+        termEvidence = new TermEvidence(store, history, this::onLossDetected);
+        generationStore = new RecoveryGenerationStore(
                 store,
                 eventLoop,
-                () -> suspended && !verdictStored ? verdict() : null,
-                this::madeGood,
-                this::verdictRead);
+                () -> suspended && !recordStored ? openRecord() : null,
+                this::isRepairedBy,
+                this::onOpenRecordRead);
         follower.restart();
-        greet();
+        exchangePeriodically();
     }
 
     /**
      * Answers a user's question unless a loss is known, or is noticed before the answer is there: what it rests on may
      * have been read from the older state.
      */
-    public CompletableFuture<HttpResponse> guarded(Supplier<CompletableFuture<HttpResponse>> question) {
-        if (suspended || !acquainted || follower.isBehind()) {
+    public CompletableFuture<HttpResponse> guard(Supplier<CompletableFuture<HttpResponse>> question) {
+        if (suspended || !peersConsulted || follower.isBehind()) {
             return CompletableFuture.completedFuture(refusal());
         }
         long before = suspensions;
@@ -131,54 +131,55 @@
 
     /** The next term has to lie above this one. */
     public long termFloor() {
-        return suspended ? shownTerm() + TERM_GAP : 0;
+        return suspended ? highestShownTerm() + TERM_GAP : 0;
     }
 
-    private long shownTerm() {
-        return Math.max(history.peaks().term(), leadership.knownLeader().term());
+    private long highestShownTerm() {
+        return Math.max(
+                history.highWatermarks().term(), leadership.knownLeader().term());
     }
 
     // --- Evidence ----------------------------------------------------------------------------------------------------
 
     /** Something has shown that writes are lost. */
-    private void lost(String shown) {
+    private void onLossDetected(String shown) {
         suspend(generation + 1, shown + " (seen by " + settings.nodeName() + ")", false);
         ownEvidence = true;
         // The verdict is a write, and few writes make up for a small loss: the others would no longer notice it.
-        greeter.greetAll().thenRun(verdicts::keep);
-        eventLoop.schedule(TELL_FIRST_MICROS, verdicts::keep);
+        peerExchange.exchangeWithAll().thenRun(generationStore::storeOpenRecord);
+        eventLoop.schedule(TELL_FIRST_MICROS, generationStore::storeOpenRecord);
     }
 
     private void suspend(long newGeneration, String shown, boolean stored) {
         LOG.error("the state service has lost writes: {}", shown);
-        history.beginEra(suspended);
+        history.beginLossEpoch(suspended);
         suspensions++;
         suspended = true;
-        verdictStored = stored;
+        recordStored = stored;
         ownEvidence = false;
         generation = newGeneration;
         evidence = shown;
         follower.stop();
-        termLost();
+        leadershipLost();
         leadership.resign("the state service has lost writes");
     }
 
     @Override
     public void observeHeartbeat(Heartbeat heartbeat) {
-        long shown = TermEvidence.shownBy(heartbeat);
-        if (!suspended && shown > shownTerm()) {
-            terms.shown(shown, heartbeat.machine());
+        long shown = TermEvidence.termShownBy(heartbeat);
+        if (!suspended && shown > highestShownTerm()) {
+            termEvidence.verifyTerm(shown, heartbeat.machine());
         }
     }
 
     @Override
     public boolean mayAnswer(Heartbeat heartbeat, long term) {
-        return terms.answerable(heartbeat, term);
+        return termEvidence.mayAnswer(heartbeat, term);
     }
 
     // --- The verdict -------------------------------------------------------------------------------------------------
 
-    private RecoveryRecord verdict() {
+    private RecoveryRecord openRecord() {
         return new RecoveryRecord(generation, true, settings.nodeName(), evidence, 0);
     }
 
@@ -186,37 +187,37 @@
      * True if what this controller remembers has been taken into account under a verdict that is closed by now. Who has
      * seen a loss itself and was not asked may remember more.
      */
-    private boolean madeGood(RecoveryRecord closed) {
+    private boolean isRepairedBy(RecoveryRecord closed) {
         return !ownEvidence || collectedGeneration >= closed.generation();
     }
 
-    private void verdictRead(RecoveryRecord stored) {
+    private void onOpenRecordRead(RecoveryRecord stored) {
         if (stored.open()) {
-            verdictStored = true;
+            recordStored = true;
             generation = Math.max(generation, stored.generation());
         } else {
-            noticed(stored);
+            onRecordRead(stored);
         }
     }
 
     /** A stored verdict has been read. */
-    private void noticed(RecoveryRecord stored) {
+    private void onRecordRead(RecoveryRecord stored) {
         if (!recordRead) {
             recordRead = true;
-            greeter.greetAll().thenRun(() -> acquainted = true);
+            peerExchange.exchangeWithAll().thenRun(() -> peersConsulted = true);
         }
         boolean newer = stored.generation() > generation;
         if (stored.open() && newer) {
             suspend(stored.generation(), stored.evidence(), true);
         } else if (!stored.open() && suspended && stored.generation() >= generation && stored.generation() > 0) {
-            if (madeGood(stored)) {
+            if (isRepairedBy(stored)) {
                 resume(stored);
             }
         } else if (!stored.open() && newer) {
             // It was noticed and made good without this controller, whose memory is of the time before.
             generation = stored.generation();
             suspensions++;
-            history.beginEra(false);
+            history.beginLossEpoch(false);
             follower.restart();
         }
     }
@@ -243,7 +244,7 @@
             }
             boolean suspendedBefore = suspended;
             RecoveryRecord stored = RecoveryRecord.of(read);
-            noticed(stored);
+            onRecordRead(stored);
             if (suspended && suspendedBefore) {
                 if (!stored.open()) {
                     generation = Math.max(generation, stored.generation() + 1);
@@ -260,15 +261,15 @@
         if (leadership.heldTerm() != term) {
             return;
         }
-        CollectedMemories survivors = new CollectedMemories();
-        survivors.add(settings.nodeName(), memory());
+        CollectedMemories memories = new CollectedMemories();
+        memories.add(settings.nodeName(), memory());
         StoreRebuild current = new StoreRebuild(
                 new RebuildLease(eventLoop, store, leadership, term, leaderRevision),
                 settings,
                 history,
-                survivors,
-                new PeerMemoryCollector(httpClient, history, survivors),
-                verdict(),
+                memories,
+                new PeerMemoryCollector(httpClient, history, memories),
+                openRecord(),
                 () -> {
                     resume(rebuild.record());
                     begin.run();
@@ -279,7 +280,7 @@
     }
 
     /** The lease has been lost. */
-    public void termLost() {
+    public void leadershipLost() {
         if (rebuild != null) {
             rebuild.end();
         }
@@ -287,59 +288,60 @@
 
     // --- Other controllers -------------------------------------------------------------------------------------------
 
-    private void greet() {
-        eventLoop.schedule(GREET_MICROS, this::greet);
-        greeter.greetAll();
+    private void exchangePeriodically() {
+        eventLoop.schedule(EXCHANGE_INTERVAL_MICROS, this::exchangePeriodically);
+        peerExchange.exchangeWithAll();
         if (suspended) {
-            lookAtRecord();
+            readRecord();
         } else {
             // A loss of few writes that others have made up for shows only where the lost keys are read.
             log.latestPermanentKey().ifPresent(store::get);
         }
     }
 
-    Greeting greeting() {
-        return new Greeting(settings.nodeName(), generation, suspended, evidence, history.ledger(), peaks());
+    PeerStatus ownStatus() {
+        return new PeerStatus(
+                settings.nodeName(), generation, suspended, evidence, history.storeRevision(), highWatermarks());
     }
 
     /** What was reached before the loss, as far as it is known here. */
-    HighWatermarks peaks() {
-        return history.peaks().withTerm(leadership.knownLeader().term());
+    HighWatermarks highWatermarks() {
+        return history.highWatermarks().withTerm(leadership.knownLeader().term());
     }
 
     /** Another controller has said how it sees the state service. */
-    void heard(Greeting greeting) {
-        long shownBefore = shownTerm();
-        history.learn(greeting.peaks());
-        if (greeting.suspended() && greeting.generation() > generation) {
-            suspend(greeting.generation(), greeting.evidence(), false);
-            verdicts.keep();
-        } else if (!greeting.suspended() && greeting.generation() > generation) {
-            lookAtRecord();
-        } else if (!greeting.suspended() && greeting.generation() < generation && suspended) {
+    void onPeerStatus(PeerStatus status) {
+        long shownBefore = highestShownTerm();
+        history.learn(status.highWatermarks());
+        if (status.suspended() && status.generation() > generation) {
+            suspend(status.generation(), status.evidence(), false);
+            generationStore.storeOpenRecord();
+        } else if (!status.suspended() && status.generation() > generation) {
+            readRecord();
+        } else if (!status.suspended() && status.generation() < generation && suspended) {
             // It has not noticed the loss yet.
-            history.learn(HighWatermarks.NONE.withStamps(greeting.ledger()));
-        } else if (!greeting.suspended() && greeting.generation() == generation && !suspended) {
-            history.learn(greeting.ledger());
-            if (greeting.peaks().term() > shownBefore) {
-                terms.shown(greeting.peaks().term(), greeting.node());
+            history.learn(HighWatermarks.NONE.withKeyRevision(status.storeRevision()));
+        } else if (!status.suspended() && status.generation() == generation && !suspended) {
+            history.learn(status.storeRevision());
+            if (status.highWatermarks().term() > shownBefore) {
+                termEvidence.verifyTerm(status.highWatermarks().term(), status.node());
             }
         }
     }
 
-    private void lookAtRecord() {
+    private void readRecord() {
         store.get(RecoveryRecord.KEY).thenAccept(read -> {
             if (read.outcome() == StoreOutcome.OK) {
-                noticed(RecoveryRecord.of(read));
+                onRecordRead(RecoveryRecord.of(read));
             }
-            verdicts.keep();
+            generationStore.storeOpenRecord();
         });
     }
 
     /**
      * Whoever puts writes back under the generation says so; from then on nothing is stored here until it is closed.
      */
-    void rebuilding(long asked) {
+    void onMemoryCollected(long asked) {
         if (asked > generation) {
             suspend(asked, "another controller puts lost writes back", true);
         }
@@ -347,13 +349,13 @@
     }
 
     /** What another controller or an operator asks. */
-    public HttpResponse answer(HttpRequest request) {
-        return api.answer(request);
+    public HttpResponse handle(HttpRequest request) {
+        return api.handle(request);
     }
 
     /** True if a request is for this package. */
-    public static boolean concerns(String route) {
-        return RecoveryApi.concerns(route);
+    public static boolean handlesRoute(String route) {
+        return RecoveryApi.handlesRoute(route);
     }
 
     // --- For display -------------------------------------------------------------------------------------------------
@@ -379,8 +381,8 @@
         return log;
     }
 
-    long ledger() {
-        return history.ledger();
+    long storeRevision() {
+        return history.storeRevision();
     }
 
     String leader() {
--- a/src/main/java/io/sillreel/recovery/RecoveryApi.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryApi.java
@@ -5,8 +5,8 @@
 import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
 import io.sillreel.recovery.ChangeLog.Memory;
-import io.sillreel.recovery.RecoveryMessages.Greeting;
 import io.sillreel.recovery.RecoveryMessages.Page;
+import io.sillreel.recovery.RecoveryMessages.PeerStatus;
 import io.sillreel.settings.Settings;
 import java.util.Locale;
 
@@ -26,15 +26,15 @@
         this.settings = settings;
     }
 
-    static boolean concerns(String route) {
+    static boolean handlesRoute(String route) {
         return route.startsWith(RecoveryMessages.GREETING) || route.startsWith(OPERATORS);
     }
 
-    HttpResponse answer(HttpRequest request) {
+    HttpResponse handle(HttpRequest request) {
         return switch (request.route()) {
             case RecoveryMessages.GREETING -> {
-                recovery.heard(Greeting.of(request.body()));
-                yield new HttpResponse(200, recovery.greeting().bytes(), 0);
+                recovery.onPeerStatus(PeerStatus.of(request.body()));
+                yield new HttpResponse(200, recovery.ownStatus().bytes(), 0);
             }
             case RecoveryMessages.CHANGES -> page(request);
             case STATUS -> HttpResponse.of(200, status());
@@ -46,7 +46,7 @@
     /** A page of what is remembered here. */
     private HttpResponse page(HttpRequest request) {
         long asked = number(request, "generation");
-        recovery.rebuilding(asked);
+        recovery.onMemoryCollected(asked);
         if (!recovery.suspended() || asked < recovery.generation()) {
             return HttpResponse.retryLater(503, "generation " + asked + " is over here", 1);
         }
@@ -58,7 +58,7 @@
         }
         boolean last = to == memory.changes().size();
         Memory part = memory.with(memory.changes().subList(from, to));
-        return new HttpResponse(200, new Page(part, recovery.peaks(), last).bytes(), 0);
+        return new HttpResponse(200, new Page(part, recovery.highWatermarks(), last).bytes(), 0);
     }
 
     private static long number(HttpRequest request, String name) {
@@ -73,7 +73,7 @@
                 .put("suspended", recovery.suspended())
                 .put("evidence", recovery.evidence())
                 .put("leader", recovery.leader())
-                .put("ledger", recovery.ledger())
+                .put("ledger", recovery.storeRevision())
                 .put("remembered_bytes", recovery.log().bytes());
         if (recovery.log().knownFrom() < Long.MAX_VALUE) {
             status.put("remembered_from", recovery.log().knownFrom());
@@ -82,8 +82,8 @@
         if (rebuild != null) {
             status.put("step", rebuild.step().name().toLowerCase(Locale.ROOT))
                     .put("restored", rebuild.restored())
-                    .put("incomplete", rebuild.incomplete());
-            rebuild.heard().forEach(status.putArray("heard")::add);
+                    .put("incomplete", rebuild.gap());
+            rebuild.collectedFrom().forEach(status.putArray("heard")::add);
         }
         return status;
     }
@@ -96,7 +96,7 @@
         if (rebuild == null) {
             return HttpResponse.error(409, "ask the controller that leads: " + recovery.leader());
         }
-        if (rebuild.incomplete().isEmpty()) {
+        if (rebuild.gap().isEmpty()) {
             return HttpResponse.retryLater(503, "what is remembered is still being put back", RETRY_SECONDS);
         }
         rebuild.acceptLoss();
--- a/src/main/java/io/sillreel/recovery/RecoveryGenerationStore.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryGenerationStore.java
@@ -38,7 +38,7 @@
     }
 
     /** Stores what is wanted, until it is stored or wanted no more. */
-    void keep() {
+    void storeOpenRecord() {
         if (!storing && wanted.get() != null) {
             storing = true;
             read();
@@ -71,7 +71,7 @@
             if (commit.outcome() == StoreOutcome.OK) {
                 storing = false;
                 onStored.accept(verdict);
-                keep();
+                storeOpenRecord();
             } else {
                 eventLoop.schedule(RETRY_MICROS, this::read);
             }
--- a/src/main/java/io/sillreel/recovery/RecoveryMessages.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryMessages.java
@@ -30,8 +30,13 @@
      * @param ledger the highest revision that it knows of since then
      * @param peaks what was reached before
      */
-    record Greeting(
-            String node, long generation, boolean suspended, String evidence, long ledger, HighWatermarks peaks) {
+    record PeerStatus(
+            String node,
+            long generation,
+            boolean suspended,
+            String evidence,
+            long storeRevision,
+            HighWatermarks highWatermarks) {
         byte[] bytes() {
             return write(out -> {
                 out.writeStartArray(null, 8);
@@ -39,21 +44,21 @@
                 out.writeNumber(generation);
                 out.writeBoolean(suspended);
                 out.writeString(evidence);
-                out.writeNumber(ledger);
-                write(out, peaks);
+                out.writeNumber(storeRevision);
+                write(out, highWatermarks);
                 out.writeEndArray();
             });
         }
 
         /** @throws UncheckedIOException if that is not what {@link #bytes} wrote */
-        static Greeting of(byte[] body) {
+        static PeerStatus of(byte[] body) {
             try (CBORParser in = STREAM.createParser(body)) {
                 in.nextToken();
                 String node = in.nextTextValue();
                 if (node == null) {
                     throw new JsonParseException(in, "a greeting without a name");
                 }
-                return new Greeting(
+                return new PeerStatus(
                         node,
                         in.nextLongValue(0),
                         in.nextToken() == JsonToken.VALUE_TRUE,
@@ -67,12 +72,12 @@
     }
 
     /** What one controller remembers, cut into pages of a bounded size: each is answered by itself. */
-    record Page(Memory memory, HighWatermarks peaks, boolean last) {
+    record Page(Memory memory, HighWatermarks highWatermarks, boolean last) {
         byte[] bytes() {
             return write(out -> {
                 out.writeStartArray(null, 10);
                 out.writeBoolean(last);
-                write(out, peaks);
+                write(out, highWatermarks);
                 out.writeNumber(memory.sinceMicros());
                 out.writeNumber(memory.seenMicros());
                 out.writeNumber(memory.knownFrom());
@@ -96,7 +101,7 @@
             try (CBORParser in = STREAM.createParser(body)) {
                 in.nextToken();
                 boolean last = in.nextToken() == JsonToken.VALUE_TRUE;
-                HighWatermarks peaks = readPeaks(in);
+                HighWatermarks highWatermarks = readPeaks(in);
                 long sinceMicros = in.nextLongValue(0);
                 long seenMicros = in.nextLongValue(0);
                 long knownFrom = in.nextLongValue(0);
@@ -112,17 +117,19 @@
                     changes.add(change(in));
                 }
                 return new Page(
-                        new Memory(changes, knownFrom, knownTo, ownRevisions, sinceMicros, seenMicros), peaks, last);
+                        new Memory(changes, knownFrom, knownTo, ownRevisions, sinceMicros, seenMicros),
+                        highWatermarks,
+                        last);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
         }
     }
 
-    private static void write(CBORGenerator out, HighWatermarks peaks) throws IOException {
-        out.writeNumber(peaks.ledger());
-        out.writeNumber(peaks.stampedLedger());
-        out.writeNumber(peaks.term());
+    private static void write(CBORGenerator out, HighWatermarks highWatermarks) throws IOException {
+        out.writeNumber(highWatermarks.storeRevision());
+        out.writeNumber(highWatermarks.keyRevision());
+        out.writeNumber(highWatermarks.term());
     }
 
     private static HighWatermarks readPeaks(CBORParser in) throws IOException {
@@ -132,12 +139,12 @@
     private static void write(CBORGenerator out, RecentChange change) throws IOException {
         out.writeStartArray(null, 3);
         out.writeString(change.key());
-        if (change.removed()) {
+        if (change.isRemoval()) {
             out.writeNull();
         } else {
             out.writeBinary(change.value());
         }
-        out.writeNumber(change.stamp());
+        out.writeNumber(change.revision());
         out.writeEndArray();
     }
 
--- a/src/main/java/io/sillreel/recovery/RestorePolicy.java
+++ b/src/main/java/io/sillreel/recovery/RestorePolicy.java
@@ -21,7 +21,7 @@
     private RestorePolicy() {}
 
     /** True for a key that is written anew by the term that puts writes back. */
-    static boolean isOfTheTerm(String key) {
+    static boolean belongsToTerm(String key) {
         return NEVER.contains(key);
     }
 
@@ -33,11 +33,11 @@
      * @param currentStamp its stamp, 0 if it does not exist
      * @param returnedAt a revision at or below which nothing has been written since the service came back
      */
-    static boolean restores(RecentChange change, JsonNode current, long currentStamp, long returnedAt) {
+    static boolean isToBeRestored(RecentChange change, JsonNode current, long currentStamp, long returnedAt) {
         if (NEVER.contains(change.key())) {
             return false;
         }
-        if (change.removed()) {
+        if (change.isRemoval()) {
             return currentStamp > 0 && currentStamp <= returnedAt;
         }
         if (currentStamp == 0) {
--- a/src/main/java/io/sillreel/recovery/StoreHistory.java
+++ b/src/main/java/io/sillreel/recovery/StoreHistory.java
@@ -7,7 +7,7 @@
  */
 final class StoreHistory {
     /** What was known when a request was sent; an era ends when a loss is noticed. */
-    record Mark(long era, long ledger, long wallMicros) {}
+    record RequestMark(long lossEpoch, long storeRevision, long wallMicros) {}
 
     /** What an answer says of the state service. */
     enum Consistency {
@@ -37,19 +37,19 @@
     /** True if an earlier loss was seen here that has not been made good yet. */
     private boolean witnessed;
 
-    private HighWatermarks peaks = HighWatermarks.NONE;
+    private HighWatermarks highWatermarks = HighWatermarks.NONE;
 
     /** @param wallMicros the time of day at which the request is sent */
-    synchronized Mark mark(long wallMicros) {
-        return new Mark(era, storeRevision, wallMicros);
+    synchronized RequestMark mark(long wallMicros) {
+        return new RequestMark(era, storeRevision, wallMicros);
     }
 
     /** Judges an answer by the revision that it carries, and remembers the revision unless it shows a loss. */
-    synchronized Consistency answered(Mark mark, long answerLedger) {
-        if (mark.era() != era) {
+    synchronized Consistency observeRevision(RequestMark mark, long answerLedger) {
+        if (mark.lossEpoch() != era) {
             return Consistency.OUTDATED;
         }
-        if (answerLedger < mark.ledger()) {
+        if (answerLedger < mark.storeRevision()) {
             lostLedger = answerLedger;
             return Consistency.LOST;
         }
@@ -64,13 +64,13 @@
     }
 
     /** Judges the answer to a write, whose revision lies above every one that was reached before it was sent. */
-    synchronized Consistency committed(Mark mark, long answerLedger) {
-        return answered(mark, answerLedger > mark.ledger() ? answerLedger : answerLedger - 1);
+    synchronized Consistency observeCommit(RequestMark mark, long answerLedger) {
+        return observeRevision(mark, answerLedger > mark.storeRevision() ? answerLedger : answerLedger - 1);
     }
 
     /** Judges an answer that carries the stamp of a key, which is a revision that the service has reached. */
-    synchronized Consistency answeredWithStamp(Mark mark, long revision) {
-        if (mark.era() != era) {
+    synchronized Consistency observeKeyRevision(RequestMark mark, long revision) {
+        if (mark.lossEpoch() != era) {
             return Consistency.OUTDATED;
         }
         learn(revision);
@@ -87,8 +87,8 @@
      *
      * @param again true if an earlier loss has not been made good: what was written since then was known before
      */
-    synchronized void beginEra(boolean again) {
-        peaks = peaks.withStamps(storeRevision);
+    synchronized void beginLossEpoch(boolean again) {
+        highWatermarks = highWatermarks.withKeyRevision(storeRevision);
         if (again) {
             witnessed |= isWitness();
         } else {
@@ -121,7 +121,7 @@
     }
 
     /** The highest revision that is known since the last loss. */
-    synchronized long ledger() {
+    synchronized long storeRevision() {
         return storeRevision;
     }
 
@@ -129,12 +129,12 @@
      * What was reached before the loss. What this controller knew last counts only if it certainly was: whoever did not
      * notice a loss may have followed the service beyond it.
      */
-    synchronized HighWatermarks peaks() {
-        return seenBeforeLossMicros() > 0 ? peaks.withLedger(lostKnown) : peaks;
+    synchronized HighWatermarks highWatermarks() {
+        return seenBeforeLossMicros() > 0 ? highWatermarks.withStoreRevision(lostKnown) : highWatermarks;
     }
 
     /** Another controller knows of these. */
     synchronized void learn(HighWatermarks others) {
-        peaks = peaks.with(others);
+        highWatermarks = highWatermarks.max(others);
     }
 }
--- a/src/main/java/io/sillreel/recovery/StoreMonitor.java
+++ b/src/main/java/io/sillreel/recovery/StoreMonitor.java
@@ -7,7 +7,7 @@
 import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
 import io.sillreel.recovery.StoreHistory.Consistency;
-import io.sillreel.recovery.StoreHistory.Mark;
+import io.sillreel.recovery.StoreHistory.RequestMark;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -27,7 +27,7 @@
      * @param knownStamp its stamp as far as it is known
      * @param changes what is written
      */
-    private record ObservedRequest(Mark mark, String key, long knownStamp, List<JsonNode> changes) {}
+    private record ObservedRequest(RequestMark mark, String key, long knownStamp, List<JsonNode> changes) {}
 
     private final HttpClient httpClient;
     private final EventLoop eventLoop;
@@ -59,7 +59,7 @@
     public CompletableFuture<HttpResponse> send(String address, HttpRequest request, long timeoutMicros) {
         String route = request.route();
         String key = route.startsWith(KEYS) ? route.substring(KEYS.length()) : null;
-        long knownStamp = key == null || suspended.getAsBoolean() ? 0 : log.stampOf(key);
+        long knownStamp = key == null || suspended.getAsBoolean() ? 0 : log.revisionOf(key);
         List<JsonNode> changes = new ArrayList<>();
         if (route.equals(TRANSACTIONS)) {
             Json.parse(request.body()).path("then").forEach(changes::add);
@@ -84,7 +84,7 @@
         Consistency verdict;
         if (observed.key() != null && response.isOk()) {
             long revision = body.path("stamp").asLong();
-            verdict = history.answeredWithStamp(observed.mark(), revision);
+            verdict = history.observeKeyRevision(observed.mark(), revision);
             if (verdict == Consistency.CONSISTENT && revision < observed.knownStamp()) {
                 onLoss.accept(observed.key() + " has stamp " + revision + ", and had " + observed.knownStamp());
                 return false;
@@ -93,14 +93,14 @@
             long storeRevision = body.path("ledger").asLong();
             boolean written = response.isOk() && !observed.changes().isEmpty();
             verdict = written
-                    ? history.committed(observed.mark(), storeRevision)
-                    : history.answered(observed.mark(), storeRevision);
+                    ? history.observeCommit(observed.mark(), storeRevision)
+                    : history.observeRevision(observed.mark(), storeRevision);
         } else {
             return true;
         }
         if (verdict == Consistency.LOST) {
             onLoss.accept("ledger is " + body.path("ledger").asLong() + ", and was "
-                    + observed.mark().ledger());
+                    + observed.mark().storeRevision());
         } else if (verdict == Consistency.CONSISTENT && hasVanished(observed, response)) {
             onLoss.accept(observed.key() + " is gone, and nobody removes it");
             return false;
@@ -109,7 +109,7 @@
     }
 
     private static boolean hasVanished(ObservedRequest observed, HttpResponse response) {
-        return response.status() == 404 && observed.knownStamp() > 0 && PermanentKeys.contains(observed.key());
+        return response.status() == 404 && observed.knownStamp() > 0 && PermanentKeys.isPermanent(observed.key());
     }
 
     private void remember(List<JsonNode> written, long storeRevision) {
@@ -121,6 +121,6 @@
                 changes.add(RecentChange.of(change.path("remove").asText(), null, storeRevision));
             }
         }
-        log.stored(changes, storeRevision);
+        log.addStored(changes, storeRevision);
     }
 }
--- a/src/main/java/io/sillreel/recovery/StoreRebuild.java
+++ b/src/main/java/io/sillreel/recovery/StoreRebuild.java
@@ -34,7 +34,7 @@
     private final RebuildLease term;
     private final Settings settings;
     private final StoreHistory history;
-    private final CollectedMemories survivors;
+    private final CollectedMemories memories;
     private final PeerMemoryCollector collector;
     private final ChangeRestorer restorer;
     private final Runnable onClosed;
@@ -43,7 +43,7 @@
     private long recordStamp;
     private Step step = Step.OPENING;
     private int heardBefore;
-    private String incomplete = "";
+    private String gap = "";
     private boolean lossAccepted;
 
     /**
@@ -55,14 +55,14 @@
             RebuildLease term,
             Settings settings,
             StoreHistory history,
-            CollectedMemories survivors,
+            CollectedMemories memories,
             PeerMemoryCollector collector,
             RecoveryRecord record,
             Runnable onClosed) {
         this.term = term;
         this.settings = settings;
         this.history = history;
-        this.survivors = survivors;
+        this.memories = memories;
         this.collector = collector;
         this.restorer = new ChangeRestorer(term, history, settings.state().maxTransactionChanges());
         this.record = record;
@@ -91,8 +91,8 @@
     }
 
     /** Why more may have been lost than could be put back; empty if that is not so, or not known yet. */
-    String incomplete() {
-        return incomplete;
+    String gap() {
+        return gap;
     }
 
     long generation() {
@@ -108,8 +108,8 @@
     }
 
     /** The controllers whose memory has been taken into account. */
-    Set<String> heard() {
-        return survivors.nodes();
+    Set<String> collectedFrom() {
+        return memories.nodes();
     }
 
     private void open() {
@@ -173,12 +173,12 @@
             if (term.isOver()) {
                 return;
             }
-            if (term.term() < history.peaks().term()) {
+            if (term.term() < history.highWatermarks().term()) {
                 // A worker or a controller has seen a later one: its attempts must not be mistaken for ours.
-                term.resign("term " + history.peaks().term() + " was reached before the loss");
+                term.resign("term " + history.highWatermarks().term() + " was reached before the loss");
                 return;
             }
-            int heard = survivors.nodes().size();
+            int heard = memories.nodes().size();
             if (heard > heardBefore) {
                 heardBefore = heard;
                 raise();
@@ -194,26 +194,26 @@
      */
     private void raise() {
         step = Step.RAISING;
-        if (recordStamp > history.peaks().stampedLedger()) {
+        if (recordStamp > history.highWatermarks().keyRevision()) {
             step = Step.RESTORING;
-            restorer.restore(survivors.newestFirst(), survivors::witnessed, this::judge);
+            restorer.restore(memories.newestFirst(), memories::isWitnessed, this::judge);
         } else {
             writeRecord(record, this::raise);
         }
     }
 
     private void judge() {
-        Optional<String> reason = survivors
-                .incomplete(members(), restorer.kept(), history.peaks(), 2 * settings.clockSkewMicros())
+        Optional<String> reason = memories.findGap(
+                        members(), restorer.kept(), history.highWatermarks(), 2 * settings.clockSkewMicros())
                 .or(() -> restorer.tooLarge().map(key -> key + " is larger than the state service takes now"));
         if (reason.isEmpty() || lossAccepted) {
             close();
             return;
         }
-        if (!reason.get().equals(incomplete)) {
+        if (!reason.get().equals(gap)) {
             LOG.error("generation {} stays open: {}", generation(), reason.get());
         }
-        incomplete = reason.get();
+        gap = reason.get();
         step = Step.INCOMPLETE;
         term.after(ASK_AGAIN_MICROS, () -> {
             if (step == Step.INCOMPLETE) {
@@ -238,8 +238,8 @@
                     generation(),
                     settings.nodeName(),
                     restored(),
-                    heard(),
-                    incomplete.isEmpty() || !lossAccepted ? "" : "; loss accepted: " + incomplete);
+                    collectedFrom(),
+                    gap.isEmpty() || !lossAccepted ? "" : "; loss accepted: " + gap);
             onClosed.run();
         });
     }
--- a/src/main/java/io/sillreel/recovery/TermEvidence.java
+++ b/src/main/java/io/sillreel/recovery/TermEvidence.java
@@ -30,7 +30,7 @@
     }
 
     /** The highest term that a report shows. */
-    static long shownBy(Heartbeat heartbeat) {
+    static long termShownBy(Heartbeat heartbeat) {
         long shown = heartbeat.fencingToken();
         for (TaskStatus task : heartbeat.tasks()) {
             shown = Math.max(shown, AttemptIds.termOf(task.attempt()));
@@ -39,7 +39,7 @@
     }
 
     /** Somebody has shown a term that is higher than any known here: read after that, the store has it too. */
-    void shown(long term, String by) {
+    void verifyTerm(long term, String by) {
         history.learn(HighWatermarks.NONE.withTerm(term));
         if (reading) {
             return;
@@ -58,7 +58,7 @@
      * A report that this controller is to answer under its own term; false if its worker knows the term from somebody
      * else, who must have taken it before a loss.
      */
-    boolean answerable(Heartbeat heartbeat, long term) {
+    boolean mayAnswer(Heartbeat heartbeat, long term) {
         if (toldTerm != term) {
             toldTerm = term;
             told.clear();
--- a/src/test/java/io/sillreel/recovery/RestorePolicyTest.java
+++ b/src/test/java/io/sillreel/recovery/RestorePolicyTest.java
@@ -14,7 +14,7 @@
 
     private static boolean restores(String key, JsonNode known, JsonNode current, long currentStamp) {
         RecentChange change = RecentChange.of(key, known, 80);
-        return RestorePolicy.restores(
+        return RestorePolicy.isToBeRestored(
                 change, current == null ? MissingNode.getInstance() : current, currentStamp, RETURNED_AT);
     }
 
