--- a/src/main/java/io/sillreel/ActiveTerm.java
+++ b/src/main/java/io/sillreel/ActiveTerm.java
@@ -1,6 +1,5 @@
 package io.sillreel;
 
-import io.sillreel.peer.CancellationCodec;
 import io.sillreel.fleet.FleetConfiguration;
 import io.sillreel.heartbeat.LeaderHeartbeats;
 import io.sillreel.heartbeat.LeaderLocator;
@@ -9,6 +8,7 @@
 import io.sillreel.leadership.LeaderTerm;
 import io.sillreel.leadership.TermGrant;
 import io.sillreel.leadership.TermServices;
+import io.sillreel.peer.CancellationCodec;
 import io.sillreel.peer.Peers;
 import io.sillreel.pipeline.LiveTaskCounts;
 import io.sillreel.settings.Settings.Member;
--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -2,8 +2,6 @@
 
 import io.micrometer.core.instrument.MeterRegistry;
 import io.micrometer.core.instrument.binder.MeterBinder;
-import io.sillreel.peer.PeerRoutes;
-import io.sillreel.peer.CancellationCodec;
 import io.sillreel.admission.Admission;
 import io.sillreel.agent.AgentRoutes;
 import io.sillreel.cloud.CloudClient;
@@ -26,6 +24,8 @@
 import io.sillreel.overload.AdaptiveLimit;
 import io.sillreel.overload.EventLoopLag;
 import io.sillreel.overload.RateLimiter;
+import io.sillreel.peer.CancellationCodec;
+import io.sillreel.peer.PeerRoutes;
 import io.sillreel.peer.Peers;
 import io.sillreel.recovery.Recovery;
 import io.sillreel.settings.OperatorProperties;
--- a/src/main/java/io/sillreel/HelloExchange.java
+++ b/src/main/java/io/sillreel/HelloExchange.java
@@ -1,6 +1,5 @@
 package io.sillreel;
 
-import io.sillreel.peer.HelloCodec;
 import io.sillreel.heartbeat.HeartbeatRouter;
 import io.sillreel.heartbeat.WorkerLoadBalancer;
 import io.sillreel.http.HttpClient;
@@ -8,6 +7,7 @@
 import io.sillreel.http.HttpResponse;
 import io.sillreel.leadership.LeaderElection;
 import io.sillreel.peer.Hello;
+import io.sillreel.peer.HelloCodec;
 import io.sillreel.peer.Peers;
 import io.sillreel.settings.Settings;
 import io.sillreel.settings.Settings.Member;
@@ -51,8 +51,7 @@
                 // Its hello and the response to it have told both sides everything.
                 continue;
             }
-            HttpRequest request =
-                    HelloCodec.toRequest(ownHello());
+            HttpRequest request = HelloCodec.toRequest(ownHello());
             httpClient.send(member.address(), request, TIMEOUT_MICROS).thenAccept(response -> {
                 if (response.isOk()) {
                     receive(HelloCodec.decode(response.body()));
