--- a/src/main/java/io/sillreel/heartbeat/CommandWriter.java
+++ b/src/main/java/io/sillreel/heartbeat/CommandWriter.java
@@ -14,7 +14,10 @@
 import io.sillreel.placement.TaskAssignment;
 import java.util.List;
 
-/** Tells a machine what to do: what to reap, what to stop and, in answer to a report alone, what to launch. */
+/**
+ * Writes the commands for a machine: acknowledgements, stops and, in the response to a heartbeat only, launches.
+ * Guarded by the lock of the cluster.
+ */
 public final class CommandWriter {
     private final EventLoop eventLoop;
     private final AttemptIds attemptIds;
@@ -30,7 +33,7 @@
         this.planner = planner;
     }
 
-    /** The proposal from which the next launches are taken. */
+    /** Sets the plan from which the next launches are taken. */
     void usePlan(PlacementPlan newPlan) {
         plan = newPlan;
     }
@@ -40,26 +43,29 @@
         return attemptIds.isExhausted();
     }
 
-    /** Reaps what is settled and stops what must not run; both are repeated until the reports show them done. */
+    /**
+     * Adds acknowledgements of ended tasks and stops of tasks that must not run. They are repeated with each heartbeat
+     * until the heartbeats show the effect.
+     */
     void addCommands(Machine machine, AgentCommands commands) {
         for (Allocation allocation : machine.allocations()) {
             if (commands.isFull()) {
                 return;
             }
             ActiveJob job = allocation.job();
-            boolean idle = job == null || job.isCancelled();
+            boolean isObsolete = job == null || job.isCancelled();
             if (allocation.hasEnded()) {
-                // The worker is the only one to know of a completion until the store does.
-                if (idle || !job.isTaskDone(allocation.taskIndex()) || job.isTaskStored(allocation.taskIndex())) {
+                // Until a completion is stored, the worker has to keep it for the next leader.
+                if (isObsolete || !job.isTaskDone(allocation.taskIndex()) || job.isTaskStored(allocation.taskIndex())) {
                     allocation.recordAcknowledgementSent(
                             machine.heartbeatOrder().sequence());
                     commands.acknowledge(allocation.uid(), allocation.taskIndex(), allocation.attempt());
                 }
             } else if (allocation.isUnconfirmed()) {
-                if (idle) {
+                if (isObsolete) {
                     commands.stop(allocation.uid(), allocation.taskIndex(), allocation.attempt(), 0);
                 }
-            } else if (idle || job.isTaskDone(allocation.taskIndex())) {
+            } else if (isObsolete || job.isTaskDone(allocation.taskIndex())) {
                 commands.stop(allocation.uid(), allocation.taskIndex(), allocation.attempt(), 0);
             } else if (allocation.isStopping()) {
                 commands.stop(
@@ -68,9 +74,7 @@
         }
     }
 
-    /**
-     * Gives the machine what the plan has for it, and what it had no room for elsewhere as far as there is room here.
-     */
+    /** Adds the launches that the plan has for the machine, and then further waiting tasks as far as it has room. */
     void addLaunches(Machine machine, Heartbeat heartbeat, AgentCommands commands, long now) {
         List<TaskAssignment> planned = plan.launches().remove(machine.name());
         if (!planner.acceptsLaunches(machine, now)) {
@@ -80,9 +84,9 @@
             addLaunches(machine, planned, heartbeat, commands, now);
         }
         if (machine.freeCpus() > 0) {
-            List<TaskAssignment> left = planner.planMachine(plan, machine, now, eventLoop.wallMicros());
-            if (!left.isEmpty()) {
-                addLaunches(machine, left, heartbeat, commands, now);
+            List<TaskAssignment> additional = planner.planMachine(plan, machine, now, eventLoop.wallMicros());
+            if (!additional.isEmpty()) {
+                addLaunches(machine, additional, heartbeat, commands, now);
             }
         }
     }
@@ -90,8 +94,8 @@
     private void addLaunches(
             Machine machine, List<TaskAssignment> assignments, Heartbeat heartbeat, AgentCommands commands, long now) {
         QuotaUsage usage = cluster.quotaUsage();
-        // A machine that has not heeded its last answer is tried with one task, not with all that it has room for.
-        int most = Math.min(
+        // A machine that ignored its last commands gets one task, to see whether it responds again.
+        int remainingLaunches = Math.min(
                 machine.responsiveness().ignoredCommandCount() > 0 ? 1 : Integer.MAX_VALUE,
                 Machine.MAX_TASKS - machine.allocations().size());
         for (TaskAssignment assignment : assignments) {
@@ -107,7 +111,9 @@
                             Math.min(
                                     cluster.quotaHeadroom(job.spec(), usage),
                                     cluster.zoneHeadroom(job, machine.zone()))));
-            for (int i = 0; i < count && most > 0 && !commands.isFull() && !attemptIds.isExhausted(); i++) {
+            for (int i = 0;
+                    i < count && remainingLaunches > 0 && !commands.isFull() && !attemptIds.isExhausted();
+                    i++) {
                 int task = job.nextWaitingTask();
                 if (task < 0) {
                     break;
@@ -115,7 +121,7 @@
                 long attempt = attemptIds.next();
                 machine.add(Allocation.launched(job, task, attempt, heartbeat.sequence()));
                 usage.add(job.spec(), 1);
-                most--;
+                remainingLaunches--;
                 commands.launch(job.uid(), task, attempt);
             }
         }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatRelay.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatRelay.java
@@ -14,15 +14,14 @@
 import java.util.function.IntSupplier;
 
 /**
- * Hands workers' reports on to the lease leader, many in one request, and each worker the answer that was decided
- * there. A batch that gets no answer is refused to its workers as 503: what it carried was then decided for nobody, and
- * the workers' next reports show that.
+ * Relays the heartbeats of workers to the leader, many in one request, and passes the leader's responses back. If a
+ * batch gets no answer, its workers get status 503: launches that the leader decided for them did not happen, which
+ * their next heartbeats show. Thread-safe; the mutable state is guarded by this.
  */
 public final class HeartbeatRelay {
     /**
-     * Each batch costs both sides a request, whatever is in it. With a few workers that is little, and their answers
-     * are not held up for it; with hundreds of them batches of one or two reports were most of the work of a
-     * controller.
+     * A batch is delayed for longer the more workers there are: each costs both sides a request whatever it carries,
+     * and with hundreds of workers batches of one or two heartbeats would be most of the work of a controller.
      */
     private static final long MIN_BATCH_DELAY_MICROS = 15_000;
 
@@ -31,29 +30,30 @@
     private static final long TIMEOUT_MICROS = 2_500_000;
     private static final int MIN_BATCH_HEARTBEATS = 64;
     /**
-     * A batch may carry the reports of so large a part of the workers, or a leader far away could not be kept up with.
+     * A batch may carry the heartbeats of one worker in so many: with smaller batches, the round trips to a distant
+     * leader would limit the rate.
      */
     private static final int BATCHES_PER_WORKER_CYCLE = 16;
-    /** What the reports of one batch may take, unless it is a single one; the leader takes in a multiple. */
+    /** The estimated size of a batch of more than one heartbeat; a leader accepts a multiple of it. */
     private static final int MAX_BATCH_BYTES = 1 << 20;
 
     private static final int MAX_PENDING_BATCHES = 2;
-    /** After a batch was lost nothing is handed on for so long. */
+    /** How long a leader counts as unreachable after a batch was lost. */
     private static final long UNREACHABLE_MICROS = 2_000_000;
     /**
-     * One batch without an answer may just be late, at a leader that has much to do; sending its workers there by
-     * themselves would give it more. One that could not even be sent, or two in a row, mean that there is no way.
+     * One batch without an answer may be late at a busy leader, to which redirected workers would be more load. A batch
+     * that could not be sent, or two unanswered ones in a row, mean that the leader is unreachable.
      */
     private static final int MAX_LATE_BATCHES = 1;
 
     private static final HttpResponse LOST = HttpResponse.retryLater(503, "the leader can't be reached", 1);
 
-    private record Waiting(Heartbeat heartbeat, long receivedMicros, CompletableFuture<HttpResponse> answer) {}
+    private record PendingHeartbeat(Heartbeat heartbeat, long receivedMicros, CompletableFuture<HttpResponse> result) {}
 
     private final EventLoop eventLoop;
     private final HttpClient httpClient;
     private final IntSupplier workerCount;
-    private final Deque<Waiting> waiting = new ArrayDeque<>();
+    private final Deque<PendingHeartbeat> waiting = new ArrayDeque<>();
     private String currentLeader = "";
     private int pendingBatches;
     private int consecutiveLateBatches;
@@ -63,47 +63,50 @@
     private long lostCount;
     private long batchCount;
 
-    /** @param workerCount how many workers report here */
+    /** @param workerCount how many workers send their heartbeats to this controller */
     public HeartbeatRelay(EventLoop eventLoop, HttpClient httpClient, IntSupplier workerCount) {
         this.eventLoop = eventLoop;
         this.httpClient = httpClient;
         this.workerCount = workerCount;
     }
 
-    /** True unless the last batch to this lease leader was lost a moment ago. */
+    /** True unless batches to this leader were lost within the last two seconds. */
     public synchronized boolean isReachable(String leaderAddress) {
         return !currentLeader.equals(leaderAddress) || eventLoop.nowMicros() >= unreachableUntilMicros;
     }
 
+    /** The heartbeats that the leader has answered. */
     public synchronized long relayedCount() {
         return relayedCount;
     }
 
+    /** The heartbeats whose batches got no answer. */
     public synchronized long lostCount() {
         return lostCount;
     }
 
+    /** The batches that were sent. */
     public synchronized long batchCount() {
         return batchCount;
     }
 
-    /** Passes the report to the leader with the next batch and completes with the leader's answer to it. */
+    /** Relays the heartbeat with the next batch; completes with the leader's response to it, or with status 503. */
     public CompletableFuture<HttpResponse> relay(Heartbeat heartbeat, String leaderAddress) {
-        CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
+        CompletableFuture<HttpResponse> result = new CompletableFuture<>();
         synchronized (this) {
             if (!currentLeader.equals(leaderAddress)) {
                 currentLeader = leaderAddress;
                 unreachableUntilMicros = Long.MIN_VALUE;
                 consecutiveLateBatches = 0;
             }
-            waiting.add(new Waiting(heartbeat, eventLoop.nowMicros(), answer));
+            waiting.add(new PendingHeartbeat(heartbeat, eventLoop.nowMicros(), result));
             if (sendScheduled || pendingBatches >= MAX_PENDING_BATCHES) {
-                return answer;
+                return result;
             }
             sendScheduled = true;
         }
         eventLoop.schedule(batchDelayMicros(), this::sendBatch);
-        return answer;
+        return result;
     }
 
     private long batchDelayMicros() {
@@ -112,15 +115,19 @@
                 Math.min(MAX_BATCH_DELAY_MICROS, BATCH_DELAY_PER_WORKER_MICROS * workerCount.getAsInt()));
     }
 
-    /** Takes what goes into the next batch; reports whose workers wait no longer would only cost the leader time. */
-    private List<Waiting> nextBatch(List<Waiting> givenUp) {
-        List<Waiting> batch = new ArrayList<>();
-        int maxReports = Math.max(MIN_BATCH_HEARTBEATS, workerCount.getAsInt() / BATCHES_PER_WORKER_CYCLE);
+    /**
+     * Takes the heartbeats of the next batch off the queue. Called with the lock of this object held.
+     *
+     * @param expired takes those whose workers no longer wait for a response; they are not worth the leader's time
+     */
+    private List<PendingHeartbeat> nextBatch(List<PendingHeartbeat> expired) {
+        List<PendingHeartbeat> batch = new ArrayList<>();
+        int maxHeartbeats = Math.max(MIN_BATCH_HEARTBEATS, workerCount.getAsInt() / BATCHES_PER_WORKER_CYCLE);
         int bytes = 0;
-        while (!waiting.isEmpty() && batch.size() < maxReports) {
-            Waiting next = waiting.peek();
+        while (!waiting.isEmpty() && batch.size() < maxHeartbeats) {
+            PendingHeartbeat next = waiting.peek();
             if (eventLoop.nowMicros() - next.receivedMicros() > Heartbeat.RESPONSE_TIMEOUT_MICROS) {
-                givenUp.add(waiting.poll());
+                expired.add(waiting.poll());
                 continue;
             }
             bytes += HeartbeatBatchCodec.estimateBytes(next.heartbeat());
@@ -133,48 +140,58 @@
     }
 
     private void sendBatch() {
-        List<Waiting> batch;
-        List<Waiting> givenUp = new ArrayList<>();
-        String to;
+        List<PendingHeartbeat> batch;
+        List<PendingHeartbeat> expired = new ArrayList<>();
+        String leaderAddress;
         synchronized (this) {
             sendScheduled = false;
-            batch = nextBatch(givenUp);
+            batch = nextBatch(expired);
             pendingBatches += batch.isEmpty() ? 0 : 1;
             batchCount += batch.isEmpty() ? 0 : 1;
-            to = currentLeader;
+            leaderAddress = currentLeader;
         }
-        givenUp.forEach(each -> each.answer().complete(LOST));
+        expired.forEach(each -> each.result().complete(LOST));
         if (batch.isEmpty()) {
             return;
         }
         HttpRequest request = HeartbeatBatchCodec.toRequest(
-                batch.stream().map(Waiting::heartbeat).toList());
-        httpClient.send(to, request, TIMEOUT_MICROS).thenAccept(response -> {
-            List<HttpResponse> replies =
-                    response.isOk() ? HeartbeatBatchCodec.decodeResponses(response.body()) : List.of();
-            boolean more;
-            synchronized (this) {
-                pendingBatches--;
-                if (replies.size() != batch.size()) {
-                    lostCount += batch.size();
-                    boolean broken = response.status() != HttpResponse.NO_RESPONSE
-                            || ++consecutiveLateBatches > MAX_LATE_BATCHES;
-                    if (broken && to.equals(currentLeader)) {
-                        unreachableUntilMicros = eventLoop.nowMicros() + UNREACHABLE_MICROS;
-                    }
-                } else {
-                    relayedCount += batch.size();
-                    consecutiveLateBatches = 0;
-                }
-                more = !waiting.isEmpty() && !sendScheduled;
-                sendScheduled |= more;
-            }
-            for (int i = 0; i < batch.size(); i++) {
-                batch.get(i).answer().complete(replies.size() == batch.size() ? replies.get(i) : LOST);
-            }
-            if (more) {
-                eventLoop.schedule(0, this::sendBatch);
+                batch.stream().map(PendingHeartbeat::heartbeat).toList());
+        httpClient
+                .send(leaderAddress, request, TIMEOUT_MICROS)
+                .thenAccept(response -> handleResponse(batch, leaderAddress, response));
+    }
+
+    private void handleResponse(List<PendingHeartbeat> batch, String leaderAddress, HttpResponse response) {
+        List<HttpResponse> responses =
+                response.isOk() ? HeartbeatBatchCodec.decodeResponses(response.body()) : List.of();
+        boolean isAnswered = responses.size() == batch.size();
+        boolean isNextDue;
+        synchronized (this) {
+            pendingBatches--;
+            if (isAnswered) {
+                relayedCount += batch.size();
+                consecutiveLateBatches = 0;
+            } else {
+                recordLostBatch(batch, leaderAddress, response);
             }
-        });
+            isNextDue = !waiting.isEmpty() && !sendScheduled;
+            sendScheduled |= isNextDue;
+        }
+        for (int i = 0; i < batch.size(); i++) {
+            batch.get(i).result().complete(isAnswered ? responses.get(i) : LOST);
+        }
+        if (isNextDue) {
+            eventLoop.schedule(0, this::sendBatch);
+        }
+    }
+
+    /** Called with the lock of this object held. */
+    private void recordLostBatch(List<PendingHeartbeat> batch, String leaderAddress, HttpResponse response) {
+        lostCount += batch.size();
+        boolean isUnreachable =
+                response.status() != HttpResponse.NO_RESPONSE || ++consecutiveLateBatches > MAX_LATE_BATCHES;
+        if (isUnreachable && leaderAddress.equals(currentLeader)) {
+            unreachableUntilMicros = eventLoop.nowMicros() + UNREACHABLE_MICROS;
+        }
     }
 }
--- a/src/main/java/io/sillreel/heartbeat/WorkerLoadBalancer.java
+++ b/src/main/java/io/sillreel/heartbeat/WorkerLoadBalancer.java
@@ -7,16 +7,16 @@
 import java.util.Map;
 
 /**
- * Spreads the workers over the controllers that can serve them: whoever has more than its part sends some on. The lease
- * leader keeps a smaller part, since it decides every answer already.
+ * Balances the workers over the controllers that can serve them: a controller with more than its share redirects some.
+ * The leader has a smaller share, since it processes all heartbeats already. Thread-safe; all state is guarded by this.
  */
 public final class WorkerLoadBalancer {
     private static final double LEADER_WEIGHT = 0.25;
-    /** So many beyond its part are no reason to move anybody. */
+    /** An excess below this number plus the fraction of an equal share that follows is tolerated. */
     private static final int MAX_EXCESS_WORKERS = 3;
 
     private static final double MAX_EXCESS_FRACTION = 0.1;
-    /** A worker that came back this soon was sent away in vain. */
+    /** A worker that returns within this time could not use the other controller, and is not redirected again. */
     private static final long REDIRECT_MEMORY_MICROS = 30_000_000;
 
     private final EventLoop eventLoop;
@@ -28,69 +28,75 @@
     private int remainingRedirects;
     private String redirectTarget;
 
-    /** @param reportMicros the interval between two reports of a worker */
-    public WorkerLoadBalancer(EventLoop eventLoop, Peers peers, String node, long reportMicros) {
+    /** @param heartbeatIntervalMicros the interval between two heartbeats of a worker */
+    public WorkerLoadBalancer(EventLoop eventLoop, Peers peers, String node, long heartbeatIntervalMicros) {
         this.eventLoop = eventLoop;
         this.peers = peers;
         this.ownNode = node;
-        this.heartbeatTimeoutMicros = 2 * reportMicros + 1_000_000;
+        this.heartbeatTimeoutMicros = 2 * heartbeatIntervalMicros + 1_000_000;
     }
 
-    /** The worker has reported here. */
+    /** Records a heartbeat of the worker to this controller. */
     public synchronized void recordHeartbeat(String machine) {
         heartbeatMicros.put(machine, eventLoop.nowMicros());
     }
 
-    /** The worker is served elsewhere from now on. */
+    /** Records that the worker was redirected to another controller. */
     public synchronized void recordRedirect(String machine) {
         redirectedMicros.put(machine, eventLoop.nowMicros());
         heartbeatMicros.remove(machine);
     }
 
+    /** True if the worker was redirected within the last 30 seconds. */
     public synchronized boolean wasRedirectedRecently(String machine) {
         Long at = redirectedMicros.get(machine);
         return at != null && eventLoop.nowMicros() - at < REDIRECT_MEMORY_MICROS;
     }
 
+    /** The workers whose heartbeats come to this controller. */
     public synchronized int workerCount() {
         return heartbeatMicros.size();
     }
 
-    /** Looks how the workers are spread; done once a second or so. */
+    /**
+     * Computes how many workers to redirect, and to which controller; called about once a second.
+     *
+     * @param leader the name of the leader, or null if none is known
+     */
     public synchronized void rebalance(String leader) {
         long now = eventLoop.nowMicros();
         heartbeatMicros.values().removeIf(at -> now - at > heartbeatTimeoutMicros);
         redirectedMicros.values().removeIf(at -> now - at > REDIRECT_MEMORY_MICROS);
         remainingRedirects = 0;
         redirectTarget = null;
-        int all = heartbeatMicros.size();
-        double parts = weight(ownNode, leader);
+        int totalWorkers = heartbeatMicros.size();
+        double totalWeight = weight(ownNode, leader);
         for (Hello peer : peers.recentHellos()) {
             if (peer.isServing()) {
-                all += peer.workerCount();
-                parts += weight(peer.node(), leader);
+                totalWorkers += peer.workerCount();
+                totalWeight += weight(peer.node(), leader);
             }
         }
-        double over = heartbeatMicros.size() - all * weight(ownNode, leader) / parts;
-        if (over < MAX_EXCESS_WORKERS + MAX_EXCESS_FRACTION * all / parts) {
+        double excess = heartbeatMicros.size() - totalWorkers * weight(ownNode, leader) / totalWeight;
+        if (excess < MAX_EXCESS_WORKERS + MAX_EXCESS_FRACTION * totalWorkers / totalWeight) {
             return;
         }
-        double most = 0;
+        double largestRoom = 0;
         for (Hello peer : peers.recentHellos()) {
-            double room = all * weight(peer.node(), leader) / parts - peer.workerCount();
-            if (peer.isServing() && room > most) {
-                most = room;
+            double room = totalWorkers * weight(peer.node(), leader) / totalWeight - peer.workerCount();
+            if (peer.isServing() && room > largestRoom) {
+                largestRoom = room;
                 redirectTarget = peer.node();
             }
         }
-        remainingRedirects = (int) Math.min(over, Math.ceil(most / 2));
+        remainingRedirects = (int) Math.min(excess, Math.ceil(largestRoom / 2));
     }
 
-    private static double weight(String who, String leader) {
-        return who.equals(leader) ? LEADER_WEIGHT : 1;
+    private static double weight(String node, String leader) {
+        return node.equals(leader) ? LEADER_WEIGHT : 1;
     }
 
-    /** Where the worker is to go, or null if it is to stay. */
+    /** Returns the controller to which the worker is to be redirected, or null; uses up one of the redirects due. */
     public synchronized String takeRedirectTarget(String machine) {
         if (remainingRedirects <= 0 || wasRedirectedRecently(machine)) {
             return null;
