--- a/src/main/java/io/sillreel/heartbeat/AttemptIds.java
+++ b/src/main/java/io/sillreel/heartbeat/AttemptIds.java
@@ -1,8 +1,9 @@
 package io.sillreel.heartbeat;
 
 /**
- * Ids of launches, which never repeat: the term in the high bits, a count below. A term that has used up its count must
- * end, since the next id would be one of the following term.
+ * Generates the attempt ids of the launches of one term, which never repeat: the term in the high 32 bits, a counter in
+ * the low ones. A term that has exhausted the counter must end, since the next id would belong to the following term.
+ * Guarded by the lock of the cluster.
  */
 public final class AttemptIds {
     private static final int TERM_SHIFT = 32;
@@ -11,7 +12,7 @@
     private final long base;
     private long count;
 
-    /** The ids of a term that has launched nothing yet. */
+    /** Creates the ids of a term that has launched nothing yet. */
     public AttemptIds(long term) {
         this(term, 0);
     }
@@ -21,7 +22,7 @@
         this.count = used;
     }
 
-    /** The term in which an attempt was launched. */
+    /** Returns the term in which an attempt was launched. */
     public static long termOf(long attempt) {
         return attempt >>> TERM_SHIFT;
     }
@@ -31,7 +32,11 @@
         return count >= MAX_COUNT;
     }
 
-    /** An id that no launch of any term has had. */
+    /**
+     * Returns an id that no launch of any term has had.
+     *
+     * @throws IllegalStateException if the counter of the term is exhausted
+     */
     public long next() {
         if (isExhausted()) {
             throw new IllegalStateException("all attempt ids of the term are used up");
--- a/src/main/java/io/sillreel/heartbeat/FaultAttribution.java
+++ b/src/main/java/io/sillreel/heartbeat/FaultAttribution.java
@@ -4,23 +4,24 @@
 import io.sillreel.pipeline.ActiveJob;
 
 /**
- * Whose fault a failed task is. A task that fails says nothing by itself: a faulty machine fails tasks of every job, a
- * mistaken job fails on every machine. Until it is known, the machine gets nothing new and the job one task elsewhere.
+ * Decides whether the machine or the job is at fault for a failed task. A single failure does not tell: a faulty
+ * machine fails tasks of every job, a faulty job fails on every machine. Until the cause is known, the machine gets no
+ * launches and the job is tried with one task on another machine.
  */
 final class FaultAttribution {
-    /** Who is at fault for a failed task. */
+    /** What is at fault for a failed task. */
     enum Fault {
         UNKNOWN,
         MACHINE,
         JOB
     }
 
-    /** So many machines, none of them known to be faulty, must have failed a job before it is blamed. */
+    /** A job is at fault once its tasks have failed on so many machines that are not known to be faulty. */
     private static final int MIN_FAILED_MACHINES = 2;
 
     private FaultAttribution() {}
 
-    /** Judges a task of the job that failed on the machine. */
+    /** Records that a task of the job failed on the machine, and attributes the fault. */
     static Fault attribute(ActiveJob job, Machine machine) {
         if (job.hasSucceededOnce()) {
             return Fault.MACHINE;
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatObserver.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatObserver.java
@@ -2,9 +2,9 @@
 
 import io.sillreel.agent.Heartbeat;
 
-/** Sees workers' reports before they are decided. */
+/** Observes the heartbeats of workers before they are processed. Called on the event loop. */
 public interface HeartbeatObserver {
-    /** Sees nothing. */
+    /** Observes nothing and lets every heartbeat be answered. */
     HeartbeatObserver NONE = new HeartbeatObserver() {
         @Override
         public void observeHeartbeat(Heartbeat heartbeat) {}
@@ -15,9 +15,9 @@
         }
     };
 
-    /** A report has come from its worker itself. */
+    /** Takes note of a heartbeat that a worker has sent to this controller. */
     void observeHeartbeat(Heartbeat heartbeat);
 
-    /** False if the leader of the term must not answer the report. */
+    /** False if the leader of the term must not answer the heartbeat. */
     boolean mayAnswer(Heartbeat heartbeat, long term);
 }
