--- a/src/main/java/io/sillreel/pipeline/DependencyGraph.java
+++ b/src/main/java/io/sillreel/pipeline/DependencyGraph.java
@@ -14,20 +14,22 @@
 import java.util.function.Predicate;
 
 /**
- * The jobs that a term drives, and the links by which they await each other. A job is released only once the end of all
- * that it awaits is stored; what follows a cancelled job is closed. What is awaited and not driven here, since it ended
- * long ago or its plan has not been seen yet, is looked up in the store and not guessed.
+ * The jobs of a leader's term and their dependencies. A job is released only once the completion of all of its
+ * dependencies is stored; jobs that depend on a cancelled one are cancelled. A dependency that is not driven in this
+ * term, since it was done long ago or its plan has not been seen yet, is looked up in the state store.
+ *
+ * <p>Guarded by the lock of the cluster; callbacks are called under it.
  */
 public final class DependencyGraph {
-    /** What becomes of jobs when links settle. */
+    /** Told what becomes of jobs when their dependencies end. */
     public interface Callbacks {
-        /** All that the job awaits is stored as done: it may be released. */
+        /** The completion of all dependencies is stored: the job may be released. */
         void dependenciesMet(ActiveJob job);
 
-        /** Something that the job awaits was cancelled, and so it is. */
-        void dependencyCancelled(ActiveJob job, String because);
+        /** The job is cancelled, since the given job is, on which it depends directly or through others. */
+        void dependencyCancelled(ActiveJob job, String cause);
 
-        /** Find out whether the job, which is not driven here, is done, and tell {@link #lookupSucceeded}. */
+        /** Asks to look up whether a job that is not driven here is done, and to call {@link #lookupSucceeded} then. */
         void lookUpCompletion(String uid);
     }
 
@@ -35,37 +37,25 @@
     private final Map<String, ActiveJob> jobs = new HashMap<>();
     private PipelineRun run = new PipelineRun(PipelinePlan.compile(List.of(), List.of()));
 
+    /** Creates an empty graph. */
     public DependencyGraph(Callbacks callbacks) {
         this.callbacks = callbacks;
     }
 
     /**
-     * Takes over what is stored, whatever order it was read in.
+     * Takes over the stored jobs at the beginning of a term; they may be given in any order.
      *
-     * @param unfinished the jobs of the term; those with a stored release need nothing any more
-     * @param done whose end is stored
-     * @param cancelled whose cancellation is stored
+     * @param unfinished the jobs of the term; the dependencies of those whose release is stored are done
+     * @param done true for the id of a job whose completion is stored
+     * @param cancelled true for the id of a job whose cancellation is stored
      */
     public void restore(Collection<ActiveJob> unfinished, Predicate<String> done, Predicate<String> cancelled) {
         Map<String, ActiveJob> byUid = new LinkedHashMap<>();
         unfinished.forEach(job -> byUid.put(job.uid(), job));
-        Set<String> names = new LinkedHashSet<>(byUid.keySet());
-        Set<String> unknown = new HashSet<>();
-        List<Dependency> links = new ArrayList<>();
-        for (ActiveJob job : unfinished) {
-            for (String awaited : unmetDependencies(job)) {
-                if (!done.test(awaited)) {
-                    links.add(PipelinePlan.onSuccessOf(job.uid(), awaited));
-                    if (!byUid.containsKey(awaited)) {
-                        names.add(awaited);
-                        unknown.add(awaited);
-                    }
-                }
-            }
-        }
-        PipelinePlan plan = PipelinePlan.compile(names, links);
+        Set<String> external = new HashSet<>();
+        PipelinePlan plan = compile(byUid, done, external);
         for (String uid : plan.topologicalOrder()) {
-            if (unknown.contains(uid)) {
+            if (external.contains(uid)) {
                 run.addExternal(uid);
             } else {
                 addToRun(byUid.get(uid), plan.dependenciesOf(uid));
@@ -79,114 +69,136 @@
         for (String uid : run.readyJobs()) {
             callbacks.dependenciesMet(jobs.get(uid));
         }
-        unknown.forEach(callbacks::lookUpCompletion);
+        external.forEach(callbacks::lookUpCompletion);
+    }
+
+    /** Compiles the given jobs and what they depend on; adds the dependencies that are not among them to a set. */
+    private static PipelinePlan compile(Map<String, ActiveJob> byUid, Predicate<String> done, Set<String> external) {
+        Set<String> uids = new LinkedHashSet<>(byUid.keySet());
+        List<Dependency> dependencies = new ArrayList<>();
+        for (ActiveJob job : byUid.values()) {
+            for (String upstream : unmetDependencies(job)) {
+                if (!done.test(upstream)) {
+                    dependencies.add(PipelinePlan.onSuccessOf(job.uid(), upstream));
+                    if (!byUid.containsKey(upstream)) {
+                        uids.add(upstream);
+                        external.add(upstream);
+                    }
+                }
+            }
+        }
+        return PipelinePlan.compile(uids, dependencies);
     }
 
-    /** A job that was admitted during the term. */
+    /**
+     * Adds a job that was admitted during the term.
+     *
+     * @param cancelled true for the id of a job whose cancellation is stored
+     */
     public void add(ActiveJob job, Predicate<String> cancelled) {
-        List<Dependency> into = new ArrayList<>();
-        List<String> unknown = new ArrayList<>();
-        String closedBy = null;
-        for (String awaited : unmetDependencies(job)) {
-            if (run.state(awaited) == JobState.SUCCEEDED) {
+        List<Dependency> dependencies = new ArrayList<>();
+        List<String> toLookUp = new ArrayList<>();
+        String cancelledUpstream = null;
+        for (String upstream : unmetDependencies(job)) {
+            if (run.isInState(upstream, JobState.SUCCEEDED)) {
                 continue;
             }
-            boolean closed = cancelled.test(awaited);
-            if (closed) {
-                closedBy = awaited;
+            boolean isUpstreamCancelled = cancelled.test(upstream);
+            if (isUpstreamCancelled) {
+                cancelledUpstream = upstream;
             }
-            if (!run.contains(awaited)) {
-                run.addExternal(awaited);
-                if (!closed) {
-                    unknown.add(awaited);
+            if (!run.contains(upstream)) {
+                run.addExternal(upstream);
+                if (!isUpstreamCancelled) {
+                    toLookUp.add(upstream);
                 }
             }
-            into.add(PipelinePlan.onSuccessOf(job.uid(), awaited));
+            dependencies.add(PipelinePlan.onSuccessOf(job.uid(), upstream));
         }
-        addToRun(job, into);
-        if (closedBy != null) {
+        addToRun(job, dependencies);
+        if (cancelledUpstream != null) {
             run.cancel(job.uid());
-            callbacks.dependencyCancelled(job, closedBy);
-        } else if (run.state(job.uid()) == JobState.READY) {
+            callbacks.dependencyCancelled(job, cancelledUpstream);
+        } else if (run.isInState(job.uid(), JobState.READY)) {
             callbacks.dependenciesMet(job);
         }
-        unknown.forEach(callbacks::lookUpCompletion);
+        toLookUp.forEach(callbacks::lookUpCompletion);
     }
 
-    private void addToRun(ActiveJob job, Collection<Dependency> into) {
+    private void addToRun(ActiveJob job, Collection<Dependency> dependencies) {
         jobs.put(job.uid(), job);
-        run.add(job.uid(), into);
+        run.add(job.uid(), dependencies);
         if (job.isReleased()) {
             run.release(job.uid());
         }
     }
 
     private static List<String> unmetDependencies(ActiveJob job) {
-        // Whoever has been released had all that it awaits.
+        // A job is released only after all of its dependencies are done.
         return job.isReleased() ? List.of() : job.spec().dependencies();
     }
 
-    /** The release is stored. */
+    /** The release of the job is stored. */
     public void markReleased(ActiveJob job) {
-        if (run.state(job.uid()) == JobState.READY) {
+        if (run.isInState(job.uid(), JobState.READY)) {
             run.release(job.uid());
         }
     }
 
-    /** The end is stored: what awaited only this is ready. */
+    /** The completion of the job is stored: jobs that lacked only this dependency are ready. */
     public void markDone(ActiveJob job) {
-        if (run.state(job.uid()) == JobState.RELEASED) {
+        if (run.isInState(job.uid(), JobState.RELEASED)) {
             notifyReady(run.complete(job.uid(), true));
         }
         remove(job);
     }
 
-    /** What was asked for by {@link Callbacks#lookUp} is known: the job is done. */
+    /** The job, which {@link Callbacks#lookUp} asked for, is done. */
     public void lookupSucceeded(String uid) {
         notifyReady(run.completeExternal(uid, true));
-        if (run.state(uid) == JobState.SUCCEEDED) {
+        if (run.isInState(uid, JobState.SUCCEEDED)) {
             run.remove(uid);
         }
     }
 
-    /** True if somebody still waits to know whether that job is done. */
+    /** True if a job still depends on that one and its completion has not been found. */
     public boolean isAwaitingLookup(String uid) {
-        return run.isExternal(uid) && run.state(uid) == JobState.WAITING;
+        return run.isExternal(uid) && run.isInState(uid, JobState.WAITING);
     }
 
     private void notifyReady(List<String> uids) {
         uids.forEach(uid -> callbacks.dependenciesMet(jobs.get(uid)));
     }
 
-    /** The job's cancellation is stored: all that needs it is closed, in compiled order. */
+    /** The cancellation of the job is stored: all jobs that depend on it are cancelled, in topological order. */
     public void markCancelled(String uid) {
-        for (String closed : run.cancel(uid)) {
-            ActiveJob job = jobs.get(closed);
+        for (String skipped : run.cancel(uid)) {
+            ActiveJob job = jobs.get(skipped);
             if (job != null) {
                 callbacks.dependencyCancelled(job, uid);
             }
         }
     }
 
-    /** The job is over, and nothing of it is anywhere any more. */
+    /** Removes a job that is over and has no allocation any more. */
     public void remove(ActiveJob job) {
         List<String> upstream = run.upstreamJobs(job.uid());
         run.remove(job.uid());
         jobs.remove(job.uid());
         for (String each : upstream) {
-            // Nobody asks any more what became of it.
+            // No job depends on it any more, so its end needs no lookup.
             if (run.isExternal(each) && run.downstreamJobs(each).isEmpty()) {
                 run.remove(each);
             }
         }
     }
 
-    /** Jobs that need the given one directly. */
+    /** Jobs that depend on the given one directly. */
     public List<ActiveJob> dependents(ActiveJob job) {
         return present(run.downstreamJobs(job.uid()));
     }
 
-    /** Jobs that the given one still awaits directly, as far as they are driven here. */
+    /** Unfinished jobs that the given one depends on directly, as far as they are driven here. */
     public List<ActiveJob> dependencies(ActiveJob job) {
         return present(run.upstreamJobs(job.uid()));
     }
