--- a/src/main/java/io/sillreel/ActiveTerm.java
+++ b/src/main/java/io/sillreel/ActiveTerm.java
@@ -78,8 +78,8 @@
     }
 
     @Override
-    public Counts countsOf(String uid) {
-        return leaderTerm == null ? null : leaderTerm.countsOf(uid);
+    public Optional<Counts> countsOf(String uid) {
+        return leaderTerm == null ? Optional.empty() : leaderTerm.countsOf(uid);
     }
 
     /**
--- a/src/main/java/io/sillreel/admission/JobResponses.java
+++ b/src/main/java/io/sillreel/admission/JobResponses.java
@@ -6,6 +6,7 @@
 import io.sillreel.pipeline.JobSpec;
 import io.sillreel.pipeline.LiveTaskCounts;
 import io.sillreel.pipeline.RunRecord;
+import java.util.Optional;
 
 /** Encodes the responses to users. Thread-safe if the live counts are. */
 final class JobResponses {
@@ -102,9 +103,10 @@
         if (status.isDone()) {
             return putProgress(node, RunRecord.DONE, run.tasks(), 0);
         }
-        LiveTaskCounts.Counts live = liveTaskCounts.countsOf(status.uid());
-        if (live != null) {
-            return putUnfinished(node, live.done(), live.running(), live.reason());
+        Optional<LiveTaskCounts.Counts> live = liveTaskCounts.countsOf(status.uid());
+        if (live.isPresent()) {
+            return putUnfinished(
+                    node, live.get().done(), live.get().running(), live.get().reason());
         }
         return run == null
                 ? putUnfinished(node, 0, 0, null)
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -34,6 +34,7 @@
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.WriteQueue;
 import java.util.Map;
+import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -267,12 +268,12 @@
     }
 
     @Override
-    public Counts countsOf(String uid) {
+    public Optional<Counts> countsOf(String uid) {
         synchronized (cluster) {
             ActiveJob job = cluster.job(uid);
             return job == null || job.isComplete()
-                    ? null
-                    : new Counts(job.doneCount(), job.allocatedCount(), job.reason());
+                    ? Optional.empty()
+                    : Optional.of(new Counts(job.doneCount(), job.allocatedCount(), job.reason()));
         }
     }
 
