--- a/src/test/java/io/sillreel/golden/GoldenSamples.java
+++ b/src/test/java/io/sillreel/golden/GoldenSamples.java
@@ -5,6 +5,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.sillreel.agent.Heartbeat;
 import io.sillreel.http.HttpClient;
 import io.sillreel.http.HttpRequest;
 import io.sillreel.http.HttpResponse;
@@ -22,6 +23,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.Collection;
+import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
@@ -86,6 +88,16 @@
         return node == null ? "null" : new String(Json.bytes(node), StandardCharsets.UTF_8);
     }
 
+    /** Returns bytes as hexadecimal text. */
+    public static String hex(byte[] bytes) {
+        return HexFormat.of().formatHex(bytes);
+    }
+
+    /** Returns the bytes of hexadecimal text. */
+    public static byte[] bytes(String hex) {
+        return HexFormat.of().parseHex(hex);
+    }
+
     /**
      * Returns a value as JSON text: a record is the list of its components, an enum constant its ordinal, so that the
      * text does not change with Java names.
@@ -166,6 +178,21 @@
         return text(changes);
     }
 
+    /** Returns the fields of a heartbeat in the order in which the samples list them. */
+    public static List<Object> fields(Heartbeat heartbeat) {
+        return List.of(
+                heartbeat.machine(),
+                heartbeat.address(),
+                heartbeat.description().machineType(),
+                heartbeat.description().zone(),
+                heartbeat.description().isSpot(),
+                heartbeat.epoch(),
+                heartbeat.sequence(),
+                heartbeat.fencingToken(),
+                heartbeat.interruptionMicros(),
+                heartbeat.tasks());
+    }
+
     /** Returns the fields of a job in the order in which the samples list them. */
     public static List<Object> fields(JobSpec spec) {
         return Arrays.asList(
--- /dev/null
+++ b/src/test/java/io/sillreel/recovery/RecoveryMessagesSamplesTest.java
@@ -0,0 +1,40 @@
+package io.sillreel.recovery;
+
+import static io.sillreel.golden.GoldenSamples.bytes;
+import static io.sillreel.golden.GoldenSamples.hex;
+import static io.sillreel.golden.GoldenSamples.values;
+
+import io.sillreel.golden.GoldenSamples;
+import io.sillreel.recovery.RecoveryMessages.Page;
+import io.sillreel.recovery.RecoveryMessages.PeerStatus;
+import java.io.UncheckedIOException;
+import org.junit.jupiter.api.Test;
+
+/** The messages between controllers about lost writes and their routes. */
+class RecoveryMessagesSamplesTest {
+    @Test
+    void readsAndWritesTheStatusOfPeers() throws Exception {
+        GoldenSamples.assertConverts("recovery-greetings.txt", input -> {
+            try {
+                PeerStatus status = PeerStatus.of(bytes(input));
+                return values(status) + "\n" + hex(status.bytes());
+            } catch (UncheckedIOException e) {
+                return "unreadable";
+            }
+        });
+    }
+
+    @Test
+    void readsAndWritesPagesOfRememberedChanges() throws Exception {
+        GoldenSamples.assertConverts("recovery-pages.txt", input -> {
+            Page page = Page.of(bytes(input));
+            return values(page) + "\n" + hex(page.bytes());
+        });
+    }
+
+    @Test
+    void namesTheRoutes() {
+        GoldenSamples.assertMatches(
+                "recovery-routes.txt", RecoveryMessages.GREETING + "\n" + RecoveryMessages.CHANGES + "\n");
+    }
+}
