--- a/src/test/java/io/sillreel/cloud/CloudClientTest.java
+++ b/src/test/java/io/sillreel/cloud/CloudClientTest.java
@@ -22,14 +22,14 @@
 class CloudClientTest {
     private static final int MACHINES = 4_000;
     private static final long SECOND = 1_000_000;
-    /** The least that an operator has, less what a controller leaves to others. */
+    /** Requests a second: the least that an operator has, less what a controller leaves to others. */
     private static final double RATE = 1.2;
 
     private final SimTime time = new SimTime();
     private final SimNetwork network = new SimNetwork(time, 1);
     private final SimTime.Process process = time.new Process();
-    private final RateLimiter pacer = new RateLimiter(process, RATE, RATE);
-    private final CloudClient cloud = new CloudClient(network.from("node", process), process, "cloud:1", pacer);
+    private final RateLimiter rateLimiter = new RateLimiter(process, RATE, RATE);
+    private final CloudClient cloud = new CloudClient(network.from("node", process), process, "cloud:1", rateLimiter);
     private int requests;
 
     CloudClientTest() {
@@ -56,7 +56,7 @@
 
     /** Guards the list of a large fleet: a page beyond the rate ended it, so that beyond some 500 it never came. */
     @Test
-    void theListOfALargeFleetComesAtALowRate() {
+    void theListOfALargeFleetIsReadAtALowRate() {
         CompletableFuture<MachineList> list = cloud.listMachines();
         time.runFor(12 * SECOND);
         assertThat(list).isCompletedWithValueMatching(machines -> machines.outcome() == Outcome.OK);
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aListLeavesRoomForReturnsAndEndsThoughTheyTakeAllThatIsThere() {
+    void aListLeavesRateToReturnsAndEndsAlthoughTheyUseAllOfIt() {
         CompletableFuture<MachineList> list = cloud.listMachines();
         int served = 0;
         for (int second = 0; second < 60; second++) {
@@ -92,11 +92,15 @@
     }
 
     @Test
-    void aRefusedPageIsAskedForAgainAndAnOutageEndsTheList() {
+    void aRefusedPageIsRequestedAgain() {
         network.add((from, to, request) -> requests++ % 3 == 0 ? Fate.REFUSE : null);
         CompletableFuture<MachineList> list = cloud.listMachines();
         time.runFor(60 * SECOND);
         assertThat(list.join().machines()).hasSize(MACHINES);
+    }
+
+    @Test
+    void anOutageEndsTheList() {
         network.add((from, to, request) -> Fate.REFUSE);
         network.silence("cloud:1");
         CompletableFuture<MachineList> refused = cloud.listMachines();
