--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -165,14 +165,9 @@
     }
 
     private StoredStateLoader newStateLoader(FleetConfiguration configuration) {
-        int previousVersionValueBytes = settings.state().values().presentBytes();
+        int firstVersionValueBytes = settings.state().values().presentBytes();
         return new StoredStateLoader(
-                eventLoop,
-                store,
-                previousVersionValueBytes,
-                configuration.machineTypes(),
-                authority,
-                this::beginLeading);
+                eventLoop, store, firstVersionValueBytes, configuration.machineTypes(), authority, this::beginLeading);
     }
 
     /** Begins to read what is stored; heartbeats are answered once that is done. */
--- a/src/main/java/io/sillreel/leadership/StoredJobsReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredJobsReader.java
@@ -24,14 +24,15 @@
 import java.util.function.LongPredicate;
 
 /**
- * Puts the jobs of a stored state together from pages of plans, records and parts of done sets. Plans and records come
- * in the order of their ids, each list by itself. A plan is judged once the records have been read up to its id, and
- * the next page of plans is taken only then, so that no more than a page of them waits.
+ * Assembles the jobs of a stored state from pages of plans, run records and completion bitmap chunks. Plans and run
+ * records come in the order of their ids, each list at its own pace. Whether the job of a plan is done is known once
+ * the run records have been read up to its id; the next page of plans is accepted only then, so that at most one page
+ * waits. Runs on the event loop.
  */
 final class StoredJobsReader {
     private record StoredHead(RunRecord head, long revision) {}
 
-    private final int previousVersionChunkTasks;
+    private final int firstVersionTasksPerChunk;
     private final LongPredicate countsAsDemand;
     private final JobIdSet done = new JobIdSet();
     private final Map<String, StoredHead> heads = new HashMap<>();
@@ -45,32 +46,36 @@
     private boolean runRecordsFailed;
 
     /**
-     * @param previousVersionChunkTasks how many tasks the previous version put into one part of a done set
-     * @param countsAsDemand true for the time of day at which a job was admitted if it still counts as demand
+     * @param firstVersionTasksPerChunk how many tasks the first version put into one chunk of a completion bitmap
+     * @param countsAsDemand true for the wall-clock time of an admission that still counts as demand, in microseconds
      */
-    StoredJobsReader(int previousVersionChunkTasks, LongPredicate countsAsDemand) {
-        this.previousVersionChunkTasks = previousVersionChunkTasks;
+    StoredJobsReader(int firstVersionTasksPerChunk, LongPredicate countsAsDemand) {
+        this.firstVersionTasksPerChunk = firstVersionTasksPerChunk;
         this.countsAsDemand = countsAsDemand;
     }
 
-    /** Adds a page of records. */
+    /** Adds a page of run records, among which the first version stored its chunks as well. */
     void addRunRecords(List<StoredEntry> page) {
         for (StoredEntry entry : page) {
-            String rest = keySuffix(RunRecord.PREFIX, entry);
-            int slash = rest.indexOf('/');
+            String suffix = keySuffix(RunRecord.PREFIX, entry);
+            int slash = suffix.indexOf('/');
             if (slash >= 0) {
-                addChunk(rest.substring(0, slash), entry);
+                addChunk(suffix.substring(0, slash), entry);
             } else if (RunRecordCodec.isDone(entry.value())) {
-                done.add(rest);
+                done.add(suffix);
             } else {
-                heads.put(rest, new StoredHead(RunRecordCodec.decode(entry.value()), entry.revision()));
+                heads.put(suffix, new StoredHead(RunRecordCodec.decode(entry.value()), entry.revision()));
             }
-            lastRunRecordUid = rest;
+            lastRunRecordUid = suffix;
         }
         classifyReadyPlans();
     }
 
-    /** No more records come: all of them have been read, or their list has failed. */
+    /**
+     * No more run records come.
+     *
+     * @param complete true if all of them have been read, false if the list has failed
+     */
     void endRunRecords(boolean complete) {
         if (complete) {
             allRunRecordsRead = true;
@@ -81,27 +86,27 @@
         }
     }
 
-    /** Adds a page of plans; completes with true once all of it has been judged, with false if that can't be. */
+    /** Adds a page of plans; completes with true once all of it has been classified, with false if it can't be. */
     CompletableFuture<Boolean> addPlans(List<StoredEntry> page) {
-        // Without the records nothing can be judged, now or ever: a plan that waited for them would wait for ever.
+        // Without the run records a plan could never be classified, and the scan of plans would wait without end.
         if (runRecordsFailed) {
             return CompletableFuture.completedFuture(false);
         }
         pageClassified = new CompletableFuture<>();
-        CompletableFuture<Boolean> judged = pageClassified;
+        CompletableFuture<Boolean> classified = pageClassified;
         unclassifiedPlans.addAll(page);
         classifyReadyPlans();
-        return judged;
+        return classified;
     }
 
-    /** Adds a page of parts of done sets. */
+    /** Adds a page of completion bitmap chunks. */
     void addChunks(List<StoredEntry> page) {
         page.forEach(entry -> addChunk(ChunkKey.uid(entry.key()), entry));
     }
 
     private void addChunk(String uid, StoredEntry entry) {
         chunks.computeIfAbsent(
-                        uid, each -> new StoredChunks(new HashMap<>(), new HashMap<>(), previousVersionChunkTasks))
+                        uid, each -> new StoredChunks(new HashMap<>(), new HashMap<>(), firstVersionTasksPerChunk))
                 .add(entry);
     }
 
@@ -133,21 +138,31 @@
         }
     }
 
-    /** Everything that was read, once all lists have come to their ends. */
+    /** Everything that was read; called once all lists are complete. */
     StoredState toStoredState(
-            JobIdSet cancelled, List<ScaleOutRequest> rentals, long plansRevision, long cancellationsRevision) {
+            JobIdSet cancelled,
+            List<ScaleOutRequest> scaleOutRequests,
+            long plansRevision,
+            long cancellationsRevision) {
         unfinished.sort(Comparator.comparingLong(StoredJob::planRevision));
-        // Demand forgets the oldest first, so it is told of them first.
+        // The demand estimate keeps the latest arrivals, so they have to be recorded last.
         recentlyDone.sort(Comparator.comparingLong(PlanRecord::admittedWallMicros));
         unfinished.replaceAll(
-                job -> job.with(chunks.getOrDefault(job.plan().spec().uid(), StoredChunks.NONE)));
-        List<PendingWrite> leftovers = new ArrayList<>();
+                job -> job.withChunks(chunks.getOrDefault(job.plan().spec().uid(), StoredChunks.NONE)));
+        List<PendingWrite> obsoleteChunkRemovals = new ArrayList<>();
         chunks.forEach((uid, stored) -> {
             if (done.contains(uid)) {
-                leftovers.addAll(stored.removals());
+                obsoleteChunkRemovals.addAll(stored.removals());
             }
         });
         return new StoredState(
-                unfinished, done, recentlyDone, leftovers, cancelled, rentals, plansRevision, cancellationsRevision);
+                unfinished,
+                done,
+                recentlyDone,
+                obsoleteChunkRemovals,
+                cancelled,
+                scaleOutRequests,
+                plansRevision,
+                cancellationsRevision);
     }
 }
--- a/src/main/java/io/sillreel/leadership/StoredState.java
+++ b/src/main/java/io/sillreel/leadership/StoredState.java
@@ -9,14 +9,14 @@
 import java.util.List;
 
 /**
- * Everything that the state service holds when a term begins.
+ * Everything that the state store holds when a term begins.
  *
- * @param unfinished jobs whose end is not stored, in the order of their admission
- * @param done ids of the jobs whose end is stored
- * @param recentlyDone plans of those that were admitted lately enough to count as demand
- * @param leftovers removals of what earlier terms left behind beside the records of jobs that are done
+ * @param unfinished jobs whose completion is not stored, in the order of their admission
+ * @param done ids of the jobs whose completion is stored
+ * @param recentlyDone plans of those that were admitted recently enough to count as demand, the oldest first
+ * @param obsoleteChunkRemovals removals of completion bitmap chunks that earlier terms left behind for done jobs
  * @param cancelled ids of the jobs whose cancellation is stored
- * @param rentals all stored rentals
+ * @param scaleOutRequests all stored scale-out requests
  * @param plansRevision the revision from which new plans have to be watched
  * @param cancellationsRevision the revision from which cancellations have to be watched
  */
@@ -31,16 +31,19 @@
         long cancellationsRevision) {
 
     /**
-     * A job whose end is not stored.
+     * A job whose completion is not stored.
      *
-     * @param head what is stored of its progress, or null if it has not been released
+     * @param planRevision the revision of the plan, which gives the order of admission
+     * @param head the stored record of its progress, or null if it has not been released
+     * @param headRevision the revision of that record, 0 if there is none
+     * @param chunks the stored chunks of its completion bitmap
      */
     record StoredJob(PlanRecord plan, long planRevision, RunRecord head, long headRevision, StoredChunks chunks) {
-        StoredJob with(StoredChunks newParts) {
-            return new StoredJob(plan, planRevision, head, headRevision, newParts);
+        StoredJob withChunks(StoredChunks newChunks) {
+            return new StoredJob(plan, planRevision, head, headRevision, newChunks);
         }
 
-        StoredJob with(PlanRecord newPlan) {
+        StoredJob withPlan(PlanRecord newPlan) {
             return new StoredJob(newPlan, planRevision, head, headRevision, chunks);
         }
     }
--- a/src/main/java/io/sillreel/leadership/StoredStateLoader.java
+++ b/src/main/java/io/sillreel/leadership/StoredStateLoader.java
@@ -20,25 +20,25 @@
 
     private final EventLoop eventLoop;
     private final StateStore store;
-    private final int previousVersionValueBytes;
+    private final int firstVersionValueBytes;
     private final Supplier<Map<String, MachineType>> machineTypes;
     private final LeaderAuthority authority;
     private final Receiver receiver;
 
     /**
-     * @param previousVersionValueBytes the largest value by which the previous version cut completion bitmaps
+     * @param firstVersionValueBytes the largest value by which the first version cut completion bitmaps
      * @param machineTypes the machine types of the cloud; nothing is read before they are known
      */
     StoredStateLoader(
             EventLoop eventLoop,
             StateStore store,
-            int previousVersionValueBytes,
+            int firstVersionValueBytes,
             Supplier<Map<String, MachineType>> machineTypes,
             LeaderAuthority authority,
             Receiver receiver) {
         this.eventLoop = eventLoop;
         this.store = store;
-        this.previousVersionValueBytes = previousVersionValueBytes;
+        this.firstVersionValueBytes = firstVersionValueBytes;
         this.machineTypes = machineTypes;
         this.authority = authority;
         this.receiver = receiver;
@@ -54,7 +54,7 @@
         }
         long sentMicros = eventLoop.nowMicros();
         LongPredicate countsAsDemand = admitted -> DemandEstimator.isWithinWindow(admitted, eventLoop.wallMicros());
-        new StoredStateReader(store, previousVersionValueBytes, countsAsDemand, () -> !authority.isClosed())
+        new StoredStateReader(store, firstVersionValueBytes, countsAsDemand, () -> !authority.isClosed())
                 .read()
                 .thenAccept(state -> {
                     if (authority.isClosed()) {
--- a/src/main/java/io/sillreel/leadership/StoredStateReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredStateReader.java
@@ -18,80 +18,78 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
 import java.util.function.LongPredicate;
 
 /**
- * Reads the stored state for a new leader. All lists are requested at once: only the leader writes records and rentals,
- * and what becomes of plans and cancellations is watched from the revision at which each list was read. Pages are taken
- * in as they come, and nothing is kept of a job that is done but its id: there may be many more of those than fit into
- * the memory of a controller.
+ * Reads the stored state for a new leader. All lists are requested at once: only the leader writes run records and
+ * scale-out requests, and changes of plans and cancellations are watched from the revision at which each list was read.
+ * Pages are processed as they come, and of a job that is done only its id is kept, since the store may hold many more
+ * of those than fit into the memory of a controller. Runs on the event loop.
  */
 final class StoredStateReader {
     private final StateStore store;
-    private final int previousVersionChunkTasks;
+    private final int firstVersionTasksPerChunk;
     private final LongPredicate countsAsDemand;
     private final BooleanSupplier isStillNeeded;
 
     /**
-     * @param presentValueBytes the largest value by which the previous version cut done sets
-     * @param countsAsDemand true for the time of day at which a job was admitted if it still counts as demand
-     * @param wanted false once nobody needs the result any more
+     * @param firstVersionValueBytes the largest value by which the first version cut completion bitmaps
+     * @param countsAsDemand true for the wall-clock time of an admission that still counts as demand, in microseconds
+     * @param isStillNeeded false once nobody needs the result any more, which ends the reading early
      */
-    StoredStateReader(StateStore store, int presentValueBytes, LongPredicate countsAsDemand, BooleanSupplier wanted) {
+    StoredStateReader(
+            StateStore store, int firstVersionValueBytes, LongPredicate countsAsDemand, BooleanSupplier isStillNeeded) {
         this.store = store;
-        this.previousVersionChunkTasks = CompletionBitmapCodec.tasksPerChunk(presentValueBytes);
+        this.firstVersionTasksPerChunk = CompletionBitmapCodec.tasksPerChunk(firstVersionValueBytes);
         this.countsAsDemand = countsAsDemand;
-        this.isStillNeeded = wanted;
+        this.isStillNeeded = isStillNeeded;
     }
 
-    /** Reads everything; empty if the state service did not answer all of it. */
+    /** Reads everything; empty if the state store did not answer all of it. */
     CompletableFuture<Optional<StoredState>> read() {
-        StoredJobsReader jobs = new StoredJobsReader(previousVersionChunkTasks, countsAsDemand);
+        StoredJobsReader jobs = new StoredJobsReader(firstVersionTasksPerChunk, countsAsDemand);
         JobIdSet cancelled = new JobIdSet();
-        List<ScaleOutRequest> rentals = new ArrayList<>();
-        CompletableFuture<ScanResult> runs = store.scan(RunRecord.PREFIX, page -> {
-            jobs.addRunRecords(page);
-            return continueScan();
-        });
+        List<ScaleOutRequest> scaleOutRequests = new ArrayList<>();
+        CompletableFuture<ScanResult> runs = scan(RunRecord.PREFIX, jobs::addRunRecords);
         CompletableFuture<ScanResult> plans = store.scan(
                 PlanRecord.PREFIX,
-                page -> jobs.addPlans(page).thenApply(judged -> judged && isStillNeeded.getAsBoolean()));
-        CompletableFuture<ScanResult> parts = store.scan(ChunkKey.PREFIX, page -> {
-            jobs.addChunks(page);
-            return continueScan();
-        });
-        CompletableFuture<ScanResult> cancellations = store.scan(CancellationRecord.PREFIX, page -> {
-            page.forEach(entry -> cancelled.add(keySuffix(CancellationRecord.PREFIX, entry)));
-            return continueScan();
-        });
-        CompletableFuture<ScanResult> hired = store.scan(ScaleOutRequest.PREFIX, page -> {
-            page.forEach(
-                    entry -> rentals.add(ScaleOutRequestCodec.decode(entry.key(), entry.value(), entry.revision())));
-            return continueScan();
-        });
+                page -> jobs.addPlans(page).thenApply(classified -> classified && isStillNeeded.getAsBoolean()));
+        CompletableFuture<ScanResult> chunks = scan(ChunkKey.PREFIX, jobs::addChunks);
+        CompletableFuture<ScanResult> cancellations = scan(
+                CancellationRecord.PREFIX,
+                page -> page.forEach(entry -> cancelled.add(keySuffix(CancellationRecord.PREFIX, entry))));
+        CompletableFuture<ScanResult> requests = scan(
+                ScaleOutRequest.PREFIX,
+                page -> page.forEach(entry -> scaleOutRequests.add(
+                        ScaleOutRequestCodec.decode(entry.key(), entry.value(), entry.revision()))));
         runs.thenAccept(scan -> jobs.endRunRecords(scan.outcome() == StoreOutcome.OK));
-        List<CompletableFuture<ScanResult>> all = List.of(plans, runs, cancellations, hired, parts);
+        List<CompletableFuture<ScanResult>> all = List.of(plans, runs, cancellations, requests, chunks);
         return CompletableFuture.allOf(all.toArray(CompletableFuture[]::new)).thenCompose(done -> {
             if (all.stream().anyMatch(scan -> scan.join().outcome() != StoreOutcome.OK)) {
                 return CompletableFuture.completedFuture(Optional.empty());
             }
             return readOverflowValues(jobs.toStoredState(
                     cancelled,
-                    rentals,
+                    scaleOutRequests,
                     plans.join().storeRevision(),
                     cancellations.join().storeRevision()));
         });
     }
 
-    private CompletableFuture<Boolean> continueScan() {
-        return CompletableFuture.completedFuture(isStillNeeded.getAsBoolean());
+    private CompletableFuture<ScanResult> scan(String prefix, Consumer<List<StoredEntry>> pageConsumer) {
+        return store.scan(prefix, page -> {
+            pageConsumer.accept(page);
+            return CompletableFuture.completedFuture(isStillNeeded.getAsBoolean());
+        });
     }
 
+    /** The part of the key after the prefix. */
     static String keySuffix(String prefix, StoredEntry entry) {
         return entry.key().substring(prefix.length());
     }
 
-    /** Adds what lies in overflow values, which few plans have. */
+    /** Completes the few plans that are stored in several values; empty if one could not be read. */
     private CompletableFuture<Optional<StoredState>> readOverflowValues(StoredState state) {
         List<CompletableFuture<Optional<PlanRecord>>> plans = new ArrayList<>();
         state.unfinished().forEach(job -> plans.add(PlanOverflow.load(job.plan(), store)));
@@ -101,7 +99,7 @@
                 if (plan.isEmpty()) {
                     return Optional.empty();
                 }
-                state.unfinished().set(index, state.unfinished().get(index).with(plan.get()));
+                state.unfinished().set(index, state.unfinished().get(index).withPlan(plan.get()));
             }
             return Optional.of(state);
         });
