--- a/src/test/java/io/sillreel/leadership/FailoverTest.java
+++ b/src/test/java/io/sillreel/leadership/FailoverTest.java
@@ -1,5 +1,6 @@
 package io.sillreel.leadership;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.sillreel.http.HttpRequest;
@@ -147,8 +148,7 @@
         Rule hold = world.network()
                 .add((from, to, request) -> from.equals(host)
                                 && request.route().equals("/txn")
-                                && new String(request.body(), java.nio.charset.StandardCharsets.UTF_8)
-                                        .contains("\"set\":\"run/")
+                                && new String(request.body(), UTF_8).contains("\"set\":\"run/")
                         ? Fate.HOLD
                         : null);
         world.submit((old + 1) % 3, SimCluster.job("job-000001", 2));
@@ -282,7 +282,7 @@
         world.untilStarted(30, 6_000_000);
         List<String> names = List.copyOf(world.cloud().machines().keySet());
         List<String> silent = names.subList(0, names.size() / 2);
-        assertThat(silent.size()).isGreaterThan(2);
+        assertThat(silent).hasSizeGreaterThan(2);
         world.network()
                 .add((from, to, request) ->
                         silent.contains(from) || silent.stream().anyMatch(to::startsWith) ? Fate.LOSE : null);
