--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -22,9 +22,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The jobs of one term: those that were stored when it began and those that have been admitted since. Follows plans and
- * cancellations in the state service, and releases or cancels what awaits a job once its end or cancellation is stored.
- * All state is behind the lock of the cluster.
+ * The jobs of one term: those that were stored when it began and those that have been admitted since. Once the
+ * completion or cancellation of a job is stored, the jobs that depend on it are released or cancelled (ADR 0006, "Edge
+ * state"). All state is guarded by the lock of the cluster.
  */
 final class LeaderJobs implements ActiveJob.Listener, DependencyGraph.Callbacks {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderJobs.class);
@@ -63,7 +63,7 @@
         this.inheritance = new PriorityInheritance(dependencies, runtimeEstimator);
     }
 
-    /** Takes over what is stored. */
+    /** Takes over the stored jobs at the beginning of the term. */
     void restore(StoredState state) {
         cancelledUids = state.cancelled();
         state.recentlyDone().forEach(plan -> capacity.recordArrival(plan.spec(), plan.admittedWallMicros()));
@@ -111,7 +111,7 @@
         scheduling.requestPlan();
     }
 
-    /** A job that was admitted during the term; names in overflow values are read first. */
+    /** Adds a job that was admitted during the term, once the overflow values of its plan have been read. */
     void addAdmittedJob(PlanRecord plan, long revision) {
         PlanOverflow.load(plan, store).thenAccept(complete -> {
             if (closed) {
@@ -147,7 +147,8 @@
     }
 
     /**
-     * The cancellation of what follows is told from that of the first; writing it down spares readers to look for it.
+     * Cancels a dependent job. Its cancellation follows from that of the dependency; it is stored all the same, so that
+     * a status request needs to read no other job.
      */
     @Override
     public void dependencyCancelled(ActiveJob job, String because) {
@@ -163,7 +164,7 @@
         dependencyLookup.lookUp(uid);
     }
 
-    /** A cancellation has been stored: seen there, or heard of from the controller that stored it. */
+    /** A cancellation has been stored, as the watch shows or the controller says that stored it. Takes the lock. */
     void jobCancelled(String uid) {
         synchronized (cluster) {
             cancelledUids.add(uid);
@@ -201,7 +202,7 @@
         }
     }
 
-    /** A cancelled job is kept for as long as one of its tasks may be anywhere. */
+    /** Removes cancelled jobs none of whose tasks can still be on a machine. Takes the lock. */
     void removeCancelledJobs() {
         synchronized (cluster) {
             if (!cluster.allReconciled()) {
--- a/src/main/java/io/sillreel/leadership/LeaderStatus.java
+++ b/src/main/java/io/sillreel/leadership/LeaderStatus.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The state of a term in figures, for the log and for metrics. */
+/** Counts of jobs, tasks, machines and CPUs of a term, for the log and for metrics. Guarded by the cluster's lock. */
 final class LeaderStatus {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderStatus.class);
     private static final long LOG_INTERVAL_MICROS = 10_000_000;
@@ -31,7 +31,7 @@
         this.writeQueue = writeQueue;
     }
 
-    /** Every so often one line that tells an on-call reader how things stand. */
+    /** Logs one line every ten seconds while there are jobs or machines. */
     void logPeriodically() {
         long now = eventLoop.nowMicros();
         if (now - loggedMicros < LOG_INTERVAL_MICROS
@@ -59,7 +59,7 @@
         return Math.round(gauges.get(name));
     }
 
-    /** For the log and for metrics. */
+    /** The values of the metrics by their names; takes the lock of the cluster. */
     Map<String, Double> gauges() {
         synchronized (cluster) {
             Map<String, Double> gauges = new HashMap<>();
--- a/src/main/java/io/sillreel/leadership/SchedulingCycle.java
+++ b/src/main/java/io/sillreel/leadership/SchedulingCycle.java
@@ -13,13 +13,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Makes plans as often as their cost allows, and sends machines directly what can't wait for their next report. */
+/**
+ * Plans as often as the cost of planning allows, and sends commands that can't wait for the next heartbeat of their
+ * machine. Runs on the event loop, under the lock of the cluster except for sending.
+ */
 final class SchedulingCycle {
     private static final Logger LOG = LoggerFactory.getLogger(SchedulingCycle.class);
     private static final long MIN_PLAN_INTERVAL_MICROS = 200_000;
     private static final long MAX_PLAN_INTERVAL_MICROS = 2_000_000;
+    /** The interval is at least this many times as long as the last plan took. */
     private static final long PLAN_INTERVAL_FACTOR = 8;
+
     private static final int MAX_COMMANDS_PER_TICK = 6;
+    /** Allowed for the delivery of a command, beyond the time that a checkpoint takes. */
     private static final long COMMAND_DELIVERY_MICROS = 1_000_000;
 
     private final EventLoop eventLoop;
@@ -55,11 +61,12 @@
         this.mayAct = mayAct;
     }
 
+    /** How many plans have been made in this term. */
     long planCount() {
         return planCount;
     }
 
-    /** The time that all plans took. */
+    /** The time that all plans took together. */
     long totalPlanMicros() {
         return totalPlanMicros;
     }
@@ -84,7 +91,7 @@
 
     /**
      * Plans anew if anything has changed since the last time, and seldom enough that planning leaves most of the
-     * processor to reports: at a fraction of a core one plan for hundreds of machines takes many milliseconds.
+     * processor to heartbeats: at a fraction of a core one plan for hundreds of machines takes many milliseconds.
      */
     private void planIfDue() {
         long now = eventLoop.nowMicros();
