--- a/src/main/java/io/sillreel/ActiveTerm.java
+++ b/src/main/java/io/sillreel/ActiveTerm.java
@@ -8,7 +8,7 @@
 import io.sillreel.leadership.LeaderTerm;
 import io.sillreel.leadership.TermGrant;
 import io.sillreel.leadership.TermServices;
-import io.sillreel.peer.PeerMessages;
+import io.sillreel.peer.CancellationCodec;
 import io.sillreel.peer.Peers;
 import io.sillreel.pipeline.LiveTaskCounts;
 import io.sillreel.settings.Settings.Member;
@@ -74,12 +74,12 @@
     @Override
     public Optional<Member> remoteLeader() {
         String node = election.knownLeader().node();
-        return node == null ? Optional.empty() : configuration.settings().member(node);
+        return node == null ? Optional.empty() : configuration.settings().findMember(node);
     }
 
     @Override
-    public Counts countsOf(String uid) {
-        return leaderTerm == null ? null : leaderTerm.countsOf(uid);
+    public Optional<Counts> countsOf(String uid) {
+        return leaderTerm == null ? Optional.empty() : leaderTerm.countsOf(uid);
     }
 
     /**
@@ -92,7 +92,7 @@
         } else {
             remoteLeader()
                     .ifPresent(leader -> services.agents()
-                            .send(leader.address(), PeerMessages.cancelled(uid), CANCELLED_TIMEOUT_MICROS));
+                            .send(leader.address(), CancellationCodec.toRequest(uid), CANCELLED_TIMEOUT_MICROS));
         }
     }
 
