--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -34,6 +34,7 @@
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.WriteQueue;
 import java.util.Map;
+import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -165,14 +166,9 @@
     }
 
     private StoredStateLoader newStateLoader(FleetConfiguration configuration) {
-        int previousVersionValueBytes = settings.state().values().presentBytes();
+        int firstVersionValueBytes = settings.state().values().presentBytes();
         return new StoredStateLoader(
-                eventLoop,
-                store,
-                previousVersionValueBytes,
-                configuration.machineTypes(),
-                authority,
-                this::beginLeading);
+                eventLoop, store, firstVersionValueBytes, configuration.machineTypes(), authority, this::beginLeading);
     }
 
     /** Begins to read what is stored; heartbeats are answered once that is done. */
@@ -267,12 +263,12 @@
     }
 
     @Override
-    public Counts countsOf(String uid) {
+    public Optional<Counts> countsOf(String uid) {
         synchronized (cluster) {
             ActiveJob job = cluster.job(uid);
             return job == null || job.isComplete()
-                    ? null
-                    : new Counts(job.doneCount(), job.allocatedCount(), job.reason());
+                    ? Optional.empty()
+                    : Optional.of(new Counts(job.doneCount(), job.allocatedCount(), job.reason()));
         }
     }
 
