--- a/src/main/java/io/sillreel/fleet/SpotInterruptionDrain.java
+++ b/src/main/java/io/sillreel/fleet/SpotInterruptionDrain.java
@@ -41,20 +41,8 @@
             }
             long timeLeftMicros = machine.interruptionAtMicros() - now;
             for (Allocation allocation : machine.allocations()) {
-                if (allocation.job() == null
-                        || allocation.hasEnded()
-                        || allocation.isUnconfirmed()
-                        || allocation.isStopping()) {
-                    continue;
-                }
-                JobSpec spec = allocation.job().spec();
-                if (spec.supportsCheckpoints()
-                        ? timeLeftMicros < 2 * spec.checkpointDurationMicros() + COMMAND_MICROS
-                        : remainingMicros(allocation, now) > UNFINISHABLE_FACTOR * timeLeftMicros) {
-                    allocation.stop(
-                            spec.supportsCheckpoints()
-                                    ? spec.checkpointDurationMicros() + CHECKPOINT_MARGIN_MICROS
-                                    : 0);
+                if (isStoppable(allocation) && mustStop(allocation, timeLeftMicros, now)) {
+                    allocation.stop(gracePeriodMicros(allocation.job().spec()));
                     affectedMachines.add(machine);
                 }
             }
@@ -62,6 +50,24 @@
         return affectedMachines;
     }
 
+    private static boolean isStoppable(Allocation allocation) {
+        return allocation.job() != null
+                && !allocation.hasEnded()
+                && !allocation.isUnconfirmed()
+                && !allocation.isStopping();
+    }
+
+    private boolean mustStop(Allocation allocation, long timeLeftMicros, long now) {
+        JobSpec spec = allocation.job().spec();
+        return spec.supportsCheckpoints()
+                ? timeLeftMicros < 2 * spec.checkpointDurationMicros() + COMMAND_MICROS
+                : remainingMicros(allocation, now) > UNFINISHABLE_FACTOR * timeLeftMicros;
+    }
+
+    private static long gracePeriodMicros(JobSpec spec) {
+        return spec.supportsCheckpoints() ? spec.checkpointDurationMicros() + CHECKPOINT_MARGIN_MICROS : 0;
+    }
+
     private long remainingMicros(Allocation allocation, long now) {
         long elapsed = allocation.runningSinceMicros() < 0 ? 0 : now - allocation.runningSinceMicros();
         return runtimeEstimator.expectedRuntimeMicros(allocation.job()) - elapsed;
--- a/src/main/java/io/sillreel/fleet/StragglerDetector.java
+++ b/src/main/java/io/sillreel/fleet/StragglerDetector.java
@@ -25,24 +25,7 @@
     /** Drains machines on which tasks of several jobs take a multiple of their expected run time. */
     public void drainStragglers(long now) {
         for (Machine machine : cluster.machines()) {
-            int lateTasks = 0;
-            Set<String> lateJobs = new HashSet<>();
-            for (Allocation allocation : machine.allocations()) {
-                if (allocation.job() != null
-                        && !allocation.hasEnded()
-                        && allocation.runningSinceMicros() >= 0
-                        && now - allocation.runningSinceMicros()
-                                > MachineHealth.SLOW_RATIO
-                                        * runtimeEstimator.expectedRuntimeMicros(
-                                                allocation.job().spec())) {
-                    lateTasks++;
-                    lateJobs.add(allocation.uid());
-                }
-            }
-            if (machine.state() == Machine.State.UP
-                    && (machine.health().isSlow()
-                            || lateJobs.size() > 1
-                                    && lateTasks > machine.allocations().size() / 2)) {
+            if (machine.state() == Machine.State.UP && isStraggler(machine, now)) {
                 LOG.info(
                         "draining machine {} ({}): it is a straggler",
                         machine.name(),
@@ -51,4 +34,28 @@
             }
         }
     }
+
+    private boolean isStraggler(Machine machine, long now) {
+        if (machine.health().isSlow()) {
+            return true;
+        }
+        int lateTasks = 0;
+        Set<String> lateJobs = new HashSet<>();
+        for (Allocation allocation : machine.allocations()) {
+            if (isLate(allocation, now)) {
+                lateTasks++;
+                lateJobs.add(allocation.uid());
+            }
+        }
+        return lateJobs.size() > 1 && lateTasks > machine.allocations().size() / 2;
+    }
+
+    private boolean isLate(Allocation allocation, long now) {
+        if (allocation.job() == null || allocation.hasEnded() || allocation.runningSinceMicros() < 0) {
+            return false;
+        }
+        double expectedMicros =
+                runtimeEstimator.expectedRuntimeMicros(allocation.job().spec());
+        return now - allocation.runningSinceMicros() > MachineHealth.SLOW_RATIO * expectedMicros;
+    }
 }
