--- a/src/main/java/io/sillreel/cluster/Allocation.java
+++ b/src/main/java/io/sillreel/cluster/Allocation.java
@@ -58,6 +58,7 @@
         }
     }
 
+    /** Returns the machine, or null before the allocation is added to one. */
     public Machine machine() {
         return machine;
     }
@@ -154,10 +155,12 @@
         return acknowledgementSequence;
     }
 
+    /** True once the task is to be stopped. */
     public boolean isStopping() {
         return isStopping;
     }
 
+    /** Returns how long a task that is to be stopped may take to save a checkpoint, in microseconds. */
     public long gracePeriodMicros() {
         return gracePeriodMicros;
     }
--- a/src/main/java/io/sillreel/cluster/Cluster.java
+++ b/src/main/java/io/sillreel/cluster/Cluster.java
@@ -34,6 +34,7 @@
         return jobs.get(uid);
     }
 
+    /** Returns a view of the jobs that are not finished. */
     public Collection<ActiveJob> jobs() {
         return jobs.values();
     }
@@ -51,6 +52,7 @@
         return machines.get(name);
     }
 
+    /** Returns a view of the machines of the fleet. */
     public Collection<Machine> machines() {
         return machines.values();
     }
@@ -78,6 +80,7 @@
         unreconciledMachines.remove(machine);
     }
 
+    /** Returns the live allocations of all machines by job. */
     public AllocationIndex allocationIndex() {
         return allocationIndex;
     }
@@ -90,6 +93,7 @@
         return stepCount;
     }
 
+    /** Adds steps of planning or of processing a heartbeat. */
     public void countSteps(long steps) {
         stepCount += steps;
     }
@@ -104,6 +108,7 @@
         return unreconciledMachines.machines();
     }
 
+    /** True once no machine can hold undiscovered tasks of an earlier term. */
     public boolean allReconciled() {
         return unreconciledMachines.isEmpty();
     }
--- a/src/main/java/io/sillreel/cluster/Machine.java
+++ b/src/main/java/io/sillreel/cluster/Machine.java
@@ -57,7 +57,7 @@
     /**
      * Creates a machine that has sent no heartbeat yet.
      *
-     * @param scaleOutRequest the request that the machine was rented with
+     * @param scaleOutRequest the request that the machine was provided for
      * @param requestedMicros when the cloud was asked for the machine, or when this leader learnt of it
      * @param allocationIndex the index of the live tasks of all machines
      */
@@ -100,6 +100,7 @@
         return isSpot;
     }
 
+    /** Returns the request that the machine was provided for. */
     public ScaleOutRequest scaleOutRequest() {
         return scaleOutRequest;
     }
@@ -125,7 +126,7 @@
         }
     }
 
-    /** True if an earlier leader rented the machine, so that it has mostly booted already. */
+    /** True if an earlier leader requested the machine, so that it has mostly booted already. */
     public boolean isInherited() {
         return isInherited;
     }
@@ -199,6 +200,7 @@
         isReturnScheduled = true;
     }
 
+    /** True if the machine is returned whatever runs on it. */
     public boolean isReturnScheduled() {
         return isReturnScheduled;
     }
@@ -273,6 +275,7 @@
         }
     }
 
+    /** Records that the cloud is asked to take the machine back. */
     public void markReturning() {
         state = State.RETURNING;
     }
@@ -305,10 +308,12 @@
         return allocations.clear();
     }
 
+    /** True if the image of the job is probably cached, so that a task starts without fetching it. */
     public boolean hasImage(JobSpec spec) {
         return hasImage(Image.of(spec));
     }
 
+    /** True if the image is probably cached. */
     public boolean hasImage(Image image) {
         return images.contains(image);
     }
--- a/src/main/java/io/sillreel/cluster/MachineHealth.java
+++ b/src/main/java/io/sillreel/cluster/MachineHealth.java
@@ -24,10 +24,12 @@
         return suspectingJobs;
     }
 
+    /** Records that failed tasks of the job may be the fault of the machine. */
     public void addSuspicion(String uid) {
         suspectingJobs.add(uid);
     }
 
+    /** Records that failed tasks of the job are not the fault of the machine. */
     public void clearSuspicion(String uid) {
         suspectingJobs.remove(uid);
     }
--- a/src/main/java/io/sillreel/cluster/Responsiveness.java
+++ b/src/main/java/io/sillreel/cluster/Responsiveness.java
@@ -65,6 +65,7 @@
         }
     }
 
+    /** Returns how many commands in a row have had no effect. */
     public int ignoredCommandCount() {
         return ignoredCommandCount;
     }
--- a/src/main/java/io/sillreel/cluster/ScaleOutRequest.java
+++ b/src/main/java/io/sillreel/cluster/ScaleOutRequest.java
@@ -175,6 +175,7 @@
         isDiscarded = true;
     }
 
+    /** True if the request is of no more use: its key is removed with the next write. */
     public boolean isDiscarded() {
         return isDiscarded;
     }
@@ -184,6 +185,7 @@
         return mayHaveExecuted;
     }
 
+    /** Records that the cloud may have executed the request, or may do so yet. */
     public void markPossiblyExecuted() {
         mayHaveExecuted = true;
     }
@@ -193,6 +195,7 @@
         return lastSentMicros;
     }
 
+    /** Records when the request was sent to the cloud, in microseconds of the event loop. */
     public void recordSent(long micros) {
         lastSentMicros = micros;
     }
--- a/src/main/java/io/sillreel/fleet/FleetCallbacks.java
+++ b/src/main/java/io/sillreel/fleet/FleetCallbacks.java
@@ -4,7 +4,7 @@
 
 /** What the fleet asks of the leader's term that it belongs to. */
 public interface FleetCallbacks {
-    /** True while machines may be rented and returned: the lease is held and all cancellations are known. */
+    /** True while machines may be requested and returned: the lease is held and all cancellations are known. */
     boolean mayAct();
 
     /** True if no worker has had to look for another controller lately, so that heartbeats take their usual way. */
--- a/src/main/java/io/sillreel/fleet/FleetConfiguration.java
+++ b/src/main/java/io/sillreel/fleet/FleetConfiguration.java
@@ -13,7 +13,7 @@
  *
  * @param settings the settings of the deployment
  * @param operator the properties that the operators may change
- * @param fleetCapacity the largest fleet that the controllers carry
+ * @param fleetCapacity the largest fleet that the controllers support
  * @param machineTypes the current machine types of the cloud by name
  */
 public record FleetConfiguration(
--- a/src/main/java/io/sillreel/fleet/ScaleOut.java
+++ b/src/main/java/io/sillreel/fleet/ScaleOut.java
@@ -173,7 +173,7 @@
             return;
         }
         switch (result.outcome()) {
-            case OK -> addRentedMachines(request, result.machines(), now);
+            case OK -> addProvidedMachines(request, result.machines(), now);
             case NO_CAPACITY -> abandon(request, now + UNAVAILABLE_MICROS);
             case REFUSED -> handleRefusal(request, now);
             default -> {
@@ -184,21 +184,21 @@
         }
     }
 
-    private void addRentedMachines(ScaleOutRequest request, List<String> rentedNames, long now) {
+    private void addProvidedMachines(ScaleOutRequest request, List<String> providedNames, long now) {
         LOG.info(
                 "scaled out by {} of {} machines of type {} in zone {}{} with scale-out request {}",
-                rentedNames.size(),
+                providedNames.size(),
                 request.machineCount(),
                 request.machineType(),
                 request.zone(),
                 request.isSpot() ? ", spot" : "",
                 request.name());
-        List<String> newNames = rentedNames.stream()
+        List<String> newNames = providedNames.stream()
                 .filter(name -> cluster.machine(name) == null && !registry.wasReturned(name))
                 .toList();
         request.recordAnswer(newNames);
         newNames.forEach(name -> registry.addMachine(name, request, now));
-        if (rentedNames.size() < request.machineCount()) {
+        if (providedNames.size() < request.machineCount()) {
             markUnavailable(request, now + UNAVAILABLE_MICROS);
         }
         if (newNames.isEmpty()) {
