--- a/src/test/java/io/sillreel/cluster/ScaleOutRequestTest.java
+++ b/src/test/java/io/sillreel/cluster/ScaleOutRequestTest.java
@@ -14,30 +14,30 @@
 class ScaleOutRequestTest {
     private final SimCluster world = new SimCluster(4);
 
-    private static boolean isRental(HttpRequest request) {
+    private static boolean isProvisioning(HttpRequest request) {
         return request.method().equals("POST") && request.route().equals("/machines");
     }
 
     @Test
-    void anUnansweredRentalIsAskedForAgainUnderItsName() {
-        Rule lose = world.network().add((from, to, request) -> isRental(request) ? Fate.LOSE_ANSWER : null);
+    void anUnansweredRequestIsRetriedUnderItsName() {
+        Rule lose = world.network().add((from, to, request) -> isProvisioning(request) ? Fate.LOSE_ANSWER : null);
         world.seconds(2);
         world.submit(0, SimCluster.job("job-000001", 2));
         world.seconds(4);
-        int rented = world.cloud().machines().size();
+        int machineCount = world.cloud().machines().size();
         world.network().remove(lose);
         world.seconds(40);
         assertThat(world.stage(0, "job-000001")).isEqualTo("done");
-        assertThat(rented).isLessThanOrEqualTo(1);
+        assertThat(machineCount).isLessThanOrEqualTo(1);
         assertThat(world.broken()).isEmpty();
     }
 
     /**
-     * Guards the stored rental when the answer to its own write is lost: the cloud is asked twice and answers alike,
-     * and the second answer, which brings nothing new, made the rental be forgotten with its machines at work.
+     * Guards the stored request when the response to its own write is lost: the cloud is asked twice and answers alike.
+     * The second answer provides no further machine, and made the request be discarded while its machines had tasks.
      */
     @Test
-    void aRentalThatIsAnsweredTwiceKeepsItsMachines() {
+    void aRequestThatIsAnsweredTwiceKeepsItsMachines() {
         Rule lose = world.network()
                 .add((from, to, request) -> request.route().equals("/txn")
                                 && new String(request.body(), StandardCharsets.UTF_8).contains("\"hire/")
@@ -51,14 +51,14 @@
         for (String machine : world.cloud().machines().keySet()) {
             assertThat(world.state().keysUnder("hire/").stream().map(world.state()::value))
                     .as(machine)
-                    .anyMatch(rental -> rental.path("machines").toString().contains(machine));
+                    .anyMatch(request -> request.path("machines").toString().contains(machine));
         }
         assertThat(world.broken()).isEmpty();
     }
 
     @Test
-    void aRentalCarriedOutLongAfterItsLeaderDiedIsUsedOrReturned() {
-        Rule hold = world.network().add((from, to, request) -> isRental(request) ? Fate.HOLD : null);
+    void machinesOfARequestExecutedLongAfterItsLeaderDiedAreUsedOrReturned() {
+        Rule hold = world.network().add((from, to, request) -> isProvisioning(request) ? Fate.HOLD : null);
         world.seconds(2);
         world.submit(0, SimCluster.job("job-000001", 2));
         world.seconds(3);
@@ -81,7 +81,7 @@
         world.submit(0, SimCluster.job("job-000001", 6));
         world.seconds(20);
         assertThat(world.cloud().machines()).isNotEmpty();
-        // Kept for a while for the demand there has been, then given back.
+        // They are kept for a while because of the recent demand, and then returned.
         world.seconds(240);
         assertThat(world.cloud().machines()).isEmpty();
         assertThat(world.state().keysUnder("hire/")).isEmpty();
@@ -93,7 +93,7 @@
         world.cloud().outage(true);
         assertThat(world.submit(0, SimCluster.job("job-000001", 2)).status()).isEqualTo(201);
         world.seconds(10);
-        // Restarted during the outage, a controller judges by the stored machine types.
+        // A controller that restarts during the outage uses the stored machine types.
         world.restart(1);
         world.seconds(1);
         assertThat(world.submit(1, SimCluster.job("job-000002", 2)).status()).isEqualTo(201);
@@ -103,19 +103,19 @@
         assertThat(world.stage(0, "job-000002")).isEqualTo("done");
     }
 
-    /** Guards against a cut zone's machines that count as capacity for as long as they might come back. */
+    /** Guards against machines of a partitioned zone that count as capacity for as long as they might come back. */
     @Test
     void machinesThatAreAwayForLongerThanTheirLeasesAreReplaced() {
         world.seconds(2);
         world.submit(0, SimCluster.job("job-000001", 20));
         world.untilStarted(20, 40_000_000);
         List<String> away = List.copyOf(world.cloud().machines().keySet()).subList(0, 3);
-        int rented = world.cloud().machines().size();
-        assertThat(rented).isBetween(4, 10);
+        int machineCount = world.cloud().machines().size();
+        assertThat(machineCount).isBetween(4, 10);
         world.network().add((from, to, request) -> away.contains(from) ? Fate.LOSE : null);
         world.seconds(28);
         assertThat(world.cloud().machines().keySet()).containsAll(away);
-        assertThat(world.cloud().machines().size()).isGreaterThan(rented);
+        assertThat(world.cloud().machines().size()).isGreaterThan(machineCount);
         assertThat(world.broken()).isEmpty();
     }
 
@@ -124,7 +124,7 @@
      * few tasks waited for minutes.
      */
     @Test
-    void whatMayUseNoSpotMachineGetsAnOrdinaryOne() {
+    void aJobThatMayNotUseSpotMachinesGetsAnOrdinaryOne() {
         world.seconds(2);
         world.submit(0, SimCluster.job("job-000001", 4).put("loaners", false));
         world.untilStarted(4, 200_000_000);
--- a/src/test/java/io/sillreel/fleet/FleetRegistryTest.java
+++ b/src/test/java/io/sillreel/fleet/FleetRegistryTest.java
@@ -35,19 +35,19 @@
                     new MachineType("c4", 4, 0, 16, new ImageStorage(50, 1), new Pricing(1, 0.5), 1, List.of("a"))),
             Machine::clearAllocations);
 
-    private void comeAndGo(String name) {
+    private void adoptAndRemove(String name) {
         registry.remove(registry.adopt(name, "c4", "a", true).orElseThrow());
     }
 
-    /** Guards against reports that come minutes late, and against names that pile up for as long as a term lasts. */
+    /** Guards against heartbeats that are delayed by minutes, and against names that accumulate during a long term. */
     @Test
-    void whatWasGivenBackIsRememberedForAnHour() {
-        comeAndGo("host-000001");
+    void returnedMachinesAreRememberedForAnHour() {
+        adoptAndRemove("host-000001");
         time.runFor(59 * MINUTE);
-        comeAndGo("host-000002");
+        adoptAndRemove("host-000002");
         assertThat(registry.wasReturned("host-000001")).isTrue();
         time.runFor(2 * MINUTE);
-        comeAndGo("host-000003");
+        adoptAndRemove("host-000003");
         assertThat(registry.wasReturned("host-000001")).isFalse();
         assertThat(registry.wasReturned("host-000002")).isTrue();
         assertThat(cluster.machines()).isEmpty();
--- a/src/test/java/io/sillreel/fleet/FleetThresholdsTest.java
+++ b/src/test/java/io/sillreel/fleet/FleetThresholdsTest.java
@@ -8,7 +8,7 @@
     private final FleetThresholds slowCloud = new FleetThresholds(500);
 
     @Test
-    void smallFleetsAreJudgedByParts() {
+    void limitsOfASmallFleetAreProportionalToItsSize() {
         assertThat(slowCloud.maxUnreconciled(1_000)).isEqualTo(250);
         assertThat(slowCloud.fewUnreconciled(1_000)).isEqualTo(10);
         assertThat(slowCloud.maxLost(1_000)).isEqualTo(20);
@@ -16,9 +16,9 @@
         assertThat(slowCloud.maxUnresponsive(1_000)).isEqualTo(125);
     }
 
-    /** Guards large fleets: forty machines are not the last few, and a thousand can't be rented anew. */
+    /** Guards large fleets: forty machines are not the last few, and a thousand cannot be replaced at once. */
     @Test
-    void partsOfALargeFleetAreNotFew() {
+    void limitsOfALargeFleetAreBoundedByMaximumsAndByTheRateOfTheCloud() {
         assertThat(slowCloud.maxUnreconciled(8_000)).isEqualTo(500);
         assertThat(slowCloud.fewUnreconciled(8_000)).isEqualTo(10);
         assertThat(slowCloud.maxLost(8_000)).isEqualTo(24);
