--- a/src/main/java/io/sillreel/recovery/Recovery.java
+++ b/src/main/java/io/sillreel/recovery/Recovery.java
@@ -32,7 +32,6 @@
     static final long TERM_GAP = 1_000;
 
     private static final long EXCHANGE_INTERVAL_MICROS = 1_000_000;
-    private static final long RETRY_MICROS = 300_000;
     /** The others are told of a loss for so long before it is stored. */
     private static final long TELL_FIRST_MICROS = 200_000;
 
@@ -52,21 +51,12 @@
     private TermEvidence termEvidence;
     private RecoveryGenerationStore generationStore;
 
-    private long generation;
-    private boolean suspended;
-    private boolean recordStored;
-    private boolean ownEvidence;
-    /** The last generation under which what is remembered here was asked for. */
-    private long collectedGeneration;
-
+    private final LossState loss = new LossState();
     private boolean recordRead;
     /** True once it is known whether a loss is stored, and each other controller has said what it knows, or has not. */
     private boolean peersConsulted;
 
-    private String evidence = "";
-    private StoreRebuild rebuild;
-    /** Counts the losses that this controller has noticed; what began before one ends without effect. */
-    private long suspensions;
+    private RebuildCoordinator rebuilds;
 
     /**
      * @param caller for what is said to other controllers
@@ -90,7 +80,7 @@
 
     /** What asks the state service through this is watched for signs of a loss. */
     public HttpClient monitor(HttpClient inner) {
-        return new StoreMonitor(inner, eventLoop, history, log, () -> suspended, this::onLossDetected);
+        return new StoreMonitor(inner, eventLoop, history, log, loss::isSuspended, this::onLossDetected);
     }
 
     /** Begins; both have to ask through {@link #monitor}. */
@@ -98,13 +88,14 @@
         store = monitoredStore;
         leadership = itsLeadership;
         follower = new ChangeFollower(
-                store, eventLoop, log, followPauseMicros, () -> suspended, this::onRecordRead, this::onLossDetected);
+                store, eventLoop, log, followPauseMicros, loss::isSuspended, this::onRecordRead, this::onLossDetected);
+        rebuilds = new RebuildCoordinator(this, eventLoop, settings, httpClient, store, leadership, history, loss);
         termEvidence = new TermEvidence(store, history, this::onLossDetected);
         generationStore = new RecoveryGenerationStore(
                 store,
                 eventLoop,
-                () -> suspended && !recordStored ? openRecord() : null,
-                this::isRepairedBy,
+                () -> loss.isUnrecorded() ? openRecord() : null,
+                loss::isRepairedBy,
                 this::onOpenRecordRead);
         follower.restart();
         exchangePeriodically();
@@ -115,15 +106,15 @@
      * have been read from the older state.
      */
     public CompletableFuture<HttpResponse> guard(Supplier<CompletableFuture<HttpResponse>> question) {
-        if (suspended || !peersConsulted || follower.isBehind()) {
+        if (loss.isSuspended() || !peersConsulted || follower.isBehind()) {
             return CompletableFuture.completedFuture(refusal());
         }
-        long before = suspensions;
-        return question.get().thenApply(response -> suspensions == before ? response : refusal());
+        long before = loss.version();
+        return question.get().thenApply(response -> loss.version() == before ? response : refusal());
     }
 
     private HttpResponse refusal() {
-        return suspended
+        return loss.isSuspended()
                 ? HttpResponse.retryLater(
                         503, "the state service has lost writes, which are being put back", RETRY_SECONDS)
                 : HttpResponse.retryLater(503, "it is not known yet whether the state service has lost writes", 1);
@@ -131,7 +122,7 @@
 
     /** The next term has to lie above this one. */
     public long termFloor() {
-        return suspended ? highestShownTerm() + TERM_GAP : 0;
+        return loss.isSuspended() ? highestShownTerm() + TERM_GAP : 0;
     }
 
     private long highestShownTerm() {
@@ -143,8 +134,8 @@
 
     /** Something has shown that writes are lost. */
     private void onLossDetected(String shown) {
-        suspend(generation + 1, shown + " (seen by " + settings.nodeName() + ")", false);
-        ownEvidence = true;
+        suspend(loss.generation() + 1, shown + " (seen by " + settings.nodeName() + ")", false);
+        loss.markLocallyDetected();
         // The verdict is a write, and few writes make up for a small loss: the others would no longer notice it.
         peerExchange.exchangeWithAll().thenRun(generationStore::storeOpenRecord);
         eventLoop.schedule(TELL_FIRST_MICROS, generationStore::storeOpenRecord);
@@ -152,13 +143,8 @@
 
     private void suspend(long newGeneration, String shown, boolean stored) {
         LOG.error("the state service has lost writes: {}", shown);
-        history.beginLossEpoch(suspended);
-        suspensions++;
-        suspended = true;
-        recordStored = stored;
-        ownEvidence = false;
-        generation = newGeneration;
-        evidence = shown;
+        history.beginLossEpoch(loss.isSuspended());
+        loss.suspend(newGeneration, shown, stored);
         follower.stop();
         leadershipLost();
         leadership.resign("the state service has lost writes");
@@ -167,7 +153,7 @@
     @Override
     public void observeHeartbeat(Heartbeat heartbeat) {
         long shown = TermEvidence.termShownBy(heartbeat);
-        if (!suspended && shown > highestShownTerm()) {
+        if (!loss.isSuspended() && shown > highestShownTerm()) {
             termEvidence.verifyTerm(shown, heartbeat.machine());
         }
     }
@@ -179,111 +165,59 @@
 
     // --- The verdict -------------------------------------------------------------------------------------------------
 
-    private RecoveryRecord openRecord() {
-        return new RecoveryRecord(generation, true, settings.nodeName(), evidence, 0);
-    }
-
-    /**
-     * True if what this controller remembers has been taken into account under a verdict that is closed by now. Who has
-     * seen a loss itself and was not asked may remember more.
-     */
-    private boolean isRepairedBy(RecoveryRecord closed) {
-        return !ownEvidence || collectedGeneration >= closed.generation();
+    /** The record of the loss that is open here. */
+    RecoveryRecord openRecord() {
+        return new RecoveryRecord(loss.generation(), true, settings.nodeName(), loss.evidence(), 0);
     }
 
     private void onOpenRecordRead(RecoveryRecord stored) {
         if (stored.open()) {
-            recordStored = true;
-            generation = Math.max(generation, stored.generation());
+            loss.markRecordStored(stored.generation());
         } else {
             onRecordRead(stored);
         }
     }
 
     /** A stored verdict has been read. */
-    private void onRecordRead(RecoveryRecord stored) {
+    void onRecordRead(RecoveryRecord stored) {
         if (!recordRead) {
             recordRead = true;
             peerExchange.exchangeWithAll().thenRun(() -> peersConsulted = true);
         }
-        boolean newer = stored.generation() > generation;
+        boolean newer = stored.generation() > loss.generation();
         if (stored.open() && newer) {
             suspend(stored.generation(), stored.evidence(), true);
-        } else if (!stored.open() && suspended && stored.generation() >= generation && stored.generation() > 0) {
-            if (isRepairedBy(stored)) {
+        } else if (!stored.open()
+                && loss.isSuspended()
+                && stored.generation() >= loss.generation()
+                && stored.generation() > 0) {
+            if (loss.isRepairedBy(stored)) {
                 resume(stored);
             }
         } else if (!stored.open() && newer) {
             // It was noticed and made good without this controller, whose memory is of the time before.
-            generation = stored.generation();
-            suspensions++;
+            loss.skipTo(stored.generation());
             history.beginLossEpoch(false);
             follower.restart();
         }
     }
 
-    private void resume(RecoveryRecord closed) {
+    void resume(RecoveryRecord closed) {
         LOG.warn("generation {} is closed: the state service is relied on again", closed.generation());
-        suspended = false;
-        generation = closed.generation();
-        evidence = "";
+        loss.resume(closed.generation());
         follower.resume(closed.kept());
     }
 
     // --- Terms -------------------------------------------------------------------------------------------------------
 
-    /** The lease has been taken: a loss that is known or stored is made good before the term begins. */
+    /** Leadership has been acquired: a loss that is known or stored is repaired before the term begins. */
     public void beforeTerm(long term, long leaderRevision, Runnable begin) {
-        store.get(RecoveryRecord.KEY).thenAccept(read -> {
-            if (leadership.heldTerm() != term) {
-                return;
-            }
-            if (!read.isConclusive()) {
-                eventLoop.schedule(RETRY_MICROS, () -> beforeTerm(term, leaderRevision, begin));
-                return;
-            }
-            boolean suspendedBefore = suspended;
-            RecoveryRecord stored = RecoveryRecord.of(read);
-            onRecordRead(stored);
-            if (suspended && suspendedBefore) {
-                if (!stored.open()) {
-                    generation = Math.max(generation, stored.generation() + 1);
-                }
-                rebuild(term, leaderRevision, begin);
-            } else if (!suspended) {
-                begin.run();
-            }
-            // Else the term was taken without regard to those that may have been lost, and has just been given up.
-        });
+        rebuilds.beforeTerm(term, leaderRevision, begin);
     }
 
-    private void rebuild(long term, long leaderRevision, Runnable begin) {
-        if (leadership.heldTerm() != term) {
-            return;
-        }
-        CollectedMemories memories = new CollectedMemories();
-        memories.add(settings.nodeName(), memory());
-        StoreRebuild current = new StoreRebuild(
-                new RebuildLease(eventLoop, store, leadership, term, leaderRevision),
-                settings,
-                history,
-                memories,
-                new PeerMemoryCollector(httpClient, history, memories),
-                openRecord(),
-                () -> {
-                    resume(rebuild.record());
-                    begin.run();
-                });
-        rebuild = current;
-        collectedGeneration = generation;
-        current.start();
-    }
-
-    /** The lease has been lost. */
+    /** Leadership has been lost. */
     public void leadershipLost() {
-        if (rebuild != null) {
-            rebuild.end();
-        }
+        rebuilds.end();
     }
 
     // --- Other controllers -------------------------------------------------------------------------------------------
@@ -291,7 +225,7 @@
     private void exchangePeriodically() {
         eventLoop.schedule(EXCHANGE_INTERVAL_MICROS, this::exchangePeriodically);
         peerExchange.exchangeWithAll();
-        if (suspended) {
+        if (loss.isSuspended()) {
             readRecord();
         } else {
             // A loss of few writes that others have made up for shows only where the lost keys are read.
@@ -301,7 +235,12 @@
 
     PeerStatus ownStatus() {
         return new PeerStatus(
-                settings.nodeName(), generation, suspended, evidence, history.storeRevision(), highWatermarks());
+                settings.nodeName(),
+                loss.generation(),
+                loss.isSuspended(),
+                loss.evidence(),
+                history.storeRevision(),
+                highWatermarks());
     }
 
     /** What was reached before the loss, as far as it is known here. */
@@ -313,15 +252,15 @@
     void onPeerStatus(PeerStatus status) {
         long shownBefore = highestShownTerm();
         history.learn(status.highWatermarks());
-        if (status.suspended() && status.generation() > generation) {
+        if (status.suspended() && status.generation() > loss.generation()) {
             suspend(status.generation(), status.evidence(), false);
             generationStore.storeOpenRecord();
-        } else if (!status.suspended() && status.generation() > generation) {
+        } else if (!status.suspended() && status.generation() > loss.generation()) {
             readRecord();
-        } else if (!status.suspended() && status.generation() < generation && suspended) {
+        } else if (!status.suspended() && status.generation() < loss.generation() && loss.isSuspended()) {
             // It has not noticed the loss yet.
             history.learn(HighWatermarks.NONE.withKeyRevision(status.storeRevision()));
-        } else if (!status.suspended() && status.generation() == generation && !suspended) {
+        } else if (!status.suspended() && status.generation() == loss.generation() && !loss.isSuspended()) {
             history.learn(status.storeRevision());
             if (status.highWatermarks().term() > shownBefore) {
                 termEvidence.verifyTerm(status.highWatermarks().term(), status.node());
@@ -342,10 +281,10 @@
      * Whoever puts writes back under the generation says so; from then on nothing is stored here until it is closed.
      */
     void onMemoryCollected(long asked) {
-        if (asked > generation) {
+        if (asked > loss.generation()) {
             suspend(asked, "another controller puts lost writes back", true);
         }
-        collectedGeneration = Math.max(collectedGeneration, asked);
+        loss.markCollected(asked);
     }
 
     /** What another controller or an operator asks. */
@@ -361,15 +300,15 @@
     // --- For display -------------------------------------------------------------------------------------------------
 
     long generation() {
-        return generation;
+        return loss.generation();
     }
 
     boolean suspended() {
-        return suspended;
+        return loss.isSuspended();
     }
 
     String evidence() {
-        return evidence;
+        return loss.evidence();
     }
 
     /** What this controller remembers. */
@@ -391,16 +330,16 @@
 
     /** The putting back that is under way here, or null. */
     StoreRebuild rebuild() {
-        return suspended && leadership.heldTerm() > 0 ? rebuild : null;
+        return loss.isSuspended() && leadership.heldTerm() > 0 ? rebuilds.current() : null;
     }
 
     /** For metrics. */
     public Map<String, Double> gauges() {
         Map<String, Double> gauges = new TreeMap<>();
-        gauges.put("sillreel.recovery.suspended", suspended ? 1.0 : 0.0);
-        gauges.put("sillreel.recovery.generation", (double) generation);
+        gauges.put("sillreel.recovery.suspended", loss.isSuspended() ? 1.0 : 0.0);
+        gauges.put("sillreel.recovery.generation", (double) loss.generation());
         gauges.put("sillreel.recovery.remembered.bytes", (double) log.bytes());
-        gauges.put("sillreel.recovery.restored", rebuild == null ? 0.0 : rebuild.restored());
+        gauges.put("sillreel.recovery.restored", rebuilds == null ? 0.0 : rebuilds.restored());
         return gauges;
     }
 }
