--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -24,7 +24,8 @@
 import io.sillreel.overload.AdaptiveLimit;
 import io.sillreel.overload.EventLoopLag;
 import io.sillreel.overload.RateLimiter;
-import io.sillreel.peer.PeerMessages;
+import io.sillreel.peer.CancellationCodec;
+import io.sillreel.peer.PeerRoutes;
 import io.sillreel.peer.Peers;
 import io.sillreel.recovery.Recovery;
 import io.sillreel.settings.OperatorProperties;
@@ -214,9 +215,9 @@
     /** Handles a request of another controller or an operator. */
     public CompletableFuture<HttpResponse> handleInternal(HttpRequest request) {
         return switch (request.route()) {
-            case PeerMessages.HEARTBEATS -> heartbeatRouter.handleRelayed(request);
-            case PeerMessages.HELLO -> completed(helloExchange.handle(request));
-            case PeerMessages.CANCELLED -> completed(handleCancelled(request));
+            case PeerRoutes.HEARTBEATS -> heartbeatRouter.handleRelayed(request);
+            case PeerRoutes.HELLO -> completed(helloExchange.handle(request));
+            case PeerRoutes.CANCELLED -> completed(handleCancelled(request));
             case METRICS -> completed(HttpResponse.of(200, metrics().toJson(activeTerm.gauges(), protection.gauges())));
             default ->
                 completed(protection.handleInternal(request).orElseGet(() -> HttpResponse.error(404, "no such path")));
@@ -225,7 +226,7 @@
 
     private HttpResponse handleCancelled(HttpRequest request) {
         if (activeTerm.isLeading()) {
-            activeTerm.jobsCancelled(PeerMessages.cancelled(request.body()));
+            activeTerm.jobsCancelled(CancellationCodec.decode(request.body()));
         }
         return HttpResponse.of(200, Json.object());
     }
--- a/src/main/java/io/sillreel/HelloExchange.java
+++ b/src/main/java/io/sillreel/HelloExchange.java
@@ -6,8 +6,8 @@
 import io.sillreel.http.HttpRequest;
 import io.sillreel.http.HttpResponse;
 import io.sillreel.leadership.LeaderElection;
-import io.sillreel.peer.PeerMessages;
-import io.sillreel.peer.PeerMessages.Hello;
+import io.sillreel.peer.Hello;
+import io.sillreel.peer.HelloCodec;
 import io.sillreel.peer.Peers;
 import io.sillreel.settings.Settings;
 import io.sillreel.settings.Settings.Member;
@@ -51,11 +51,10 @@
                 // Its hello and the response to it have told both sides everything.
                 continue;
             }
-            HttpRequest request =
-                    new HttpRequest("POST", PeerMessages.HELLO, ownHello().bytes());
+            HttpRequest request = HelloCodec.toRequest(ownHello());
             httpClient.send(member.address(), request, TIMEOUT_MICROS).thenAccept(response -> {
                 if (response.isOk()) {
-                    receive(Hello.of(response.body()));
+                    receive(HelloCodec.decode(response.body()));
                 }
             });
         }
@@ -63,8 +62,8 @@
 
     /** Takes the hello of another controller; the response is this controller's own. */
     HttpResponse handle(HttpRequest request) {
-        receive(Hello.of(request.body()));
-        return new HttpResponse(200, ownHello().bytes(), 0);
+        receive(HelloCodec.decode(request.body()));
+        return HelloCodec.toResponse(ownHello());
     }
 
     private void receive(Hello hello) {
--- a/src/main/java/io/sillreel/admission/JobTransactions.java
+++ b/src/main/java/io/sillreel/admission/JobTransactions.java
@@ -3,7 +3,6 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.http.EventLoop;
-import io.sillreel.http.Json;
 import io.sillreel.pipeline.CancellationRecord;
 import io.sillreel.pipeline.JobSpec;
 import io.sillreel.pipeline.PlanOverflow;
@@ -76,7 +75,7 @@
         return store.commit(new Transaction()
                 .requireRevision(key, 0)
                 .requireRevision(RunRecord.key(status.uid()), status.runRevision())
-                .set(key, cancellation(eventLoop.wallMicros())));
+                .set(key, CancellationRecord.encode(eventLoop.wallMicros())));
     }
 
     private PlanRecord newPlan(JobSpec spec) {
@@ -97,8 +96,8 @@
         Optional<JobStatus> cancelled =
                 dependencies.stream().filter(JobStatus::isCancelled).findFirst();
         if (cancelled.isPresent()) {
-            ObjectNode value = cancellation(plan.admittedWallMicros())
-                    .put("by", cancelled.get().uid());
+            ObjectNode value = CancellationRecord.encode(
+                    plan.admittedWallMicros(), cancelled.get().uid());
             transaction.requireRevision(CancellationRecord.key(uid), 0).set(CancellationRecord.key(uid), value);
         } else {
             requireNotCancelled(transaction, dependencies);
@@ -117,8 +116,4 @@
                 .limit(room)
                 .forEach(dependency -> transaction.requireRevision(CancellationRecord.key(dependency.uid()), 0));
     }
-
-    private static ObjectNode cancellation(long wallMicros) {
-        return Json.object().put("at_us", wallMicros);
-    }
 }
--- a/src/main/java/io/sillreel/fleet/CloudListReconciler.java
+++ b/src/main/java/io/sillreel/fleet/CloudListReconciler.java
@@ -15,13 +15,21 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Compares the fleet with the cloud's list of machines now and then. */
+/**
+ * Reconciles the fleet with the cloud's list of machines: it adopts machines that no scale-out request names, drains
+ * failed ones, and removes those that no longer exist. Used by the event loop alone; the fleet is changed under the
+ * lock of the cluster.
+ */
 final class CloudListReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(CloudListReconciler.class);
     private static final long MIN_LIST_PAUSE_MICROS = 5_000_000;
-    /** A long list takes much of the cloud's rate: the pause after it is so many times as long as it took. */
+    /**
+     * A long list takes many requests of the cloud's rate limit, so the pause after it is this multiple of its
+     * duration.
+     */
     private static final long LIST_PAUSE_FACTOR = 2;
 
+    /** How long an unknown machine may belong to a scale-out request whose answer is pending. */
     private static final long PENDING_REQUEST_MICROS = 30_000_000;
 
     private final EventLoop eventLoop;
@@ -30,14 +38,14 @@
     private final FleetRegistry registry;
     private final long listLagMicros;
     private final FleetCallbacks callbacks;
-    /** Listed machines that no rental names, and when they were first seen. */
+    /** Listed machines that no scale-out request names, and when the list that first showed them was asked for. */
     private final Map<String, Long> unknownMachines = new HashMap<>();
 
     private long listedMicros = Long.MIN_VALUE / 2;
     private long listPauseMicros = MIN_LIST_PAUSE_MICROS;
     private boolean isListing;
 
-    /** @param listLagMicros how far the list usually lags behind */
+    /** @param listLagMicros how far the list usually lags behind the state of the cloud */
     CloudListReconciler(
             EventLoop eventLoop,
             Cluster cluster,
@@ -53,7 +61,7 @@
         this.callbacks = callbacks;
     }
 
-    /** Asks for the list if that is due. */
+    /** Requests the list unless a request is pending or the last list is recent. */
     void listIfDue(long now) {
         if (!isListing && now - listedMicros > listPauseMicros) {
             list();
@@ -62,75 +70,76 @@
 
     private void list() {
         isListing = true;
-        long asked = eventLoop.nowMicros();
+        long askedMicros = eventLoop.nowMicros();
         cloud.listMachines().thenAccept(answer -> {
             isListing = false;
             listedMicros = eventLoop.nowMicros();
-            listPauseMicros = Math.max(MIN_LIST_PAUSE_MICROS, LIST_PAUSE_FACTOR * (listedMicros - asked));
+            listPauseMicros = Math.max(MIN_LIST_PAUSE_MICROS, LIST_PAUSE_FACTOR * (listedMicros - askedMicros));
             if (answer.outcome() == Outcome.OK) {
                 synchronized (cluster) {
-                    compare(answer.machines(), asked);
+                    compare(answer.machines(), askedMicros);
                 }
             }
         });
     }
 
-    private void compare(List<ListedMachine> listed, long asked) {
-        Set<String> present = new HashSet<>();
+    private void compare(List<ListedMachine> listed, long askedMicros) {
+        Set<String> listedNames = new HashSet<>();
         for (ListedMachine entry : listed) {
-            present.add(entry.name());
+            listedNames.add(entry.name());
             Machine machine = cluster.machine(entry.name());
             if (machine == null) {
-                adoptIfUnknown(entry, asked);
+                adoptIfUnknown(entry, askedMicros);
             } else {
                 unknownMachines.remove(entry.name());
                 updateListed(machine, entry);
             }
         }
-        removeUnlisted(present, asked);
-        unknownMachines.keySet().retainAll(present);
+        removeUnlisted(listedNames, askedMicros);
+        unknownMachines.keySet().retainAll(listedNames);
     }
 
     private void updateListed(Machine machine, ListedMachine entry) {
         machine.recordListed(eventLoop.nowMicros());
         machine.updateAddress(entry.address());
         if (entry.hasFailed()) {
-            LOG.info("machine {} has failed", machine.name());
+            LOG.info("the cloud lists machine {} as failed", machine.name());
             callbacks.clearTasks(machine);
             machine.drain();
         }
     }
 
-    private void removeUnlisted(Set<String> present, long asked) {
-        long lag = 2 * listLagMicros + 1_000_000;
+    private void removeUnlisted(Set<String> listedNames, long askedMicros) {
+        long minAgeMicros = 2 * listLagMicros + 1_000_000;
         for (Machine machine : List.copyOf(cluster.machines())) {
-            // A list may be older than the one before; what it lacks is gone only if it surely describes a later time.
-            if (!present.contains(machine.name())
+            // Lists may arrive out of order. A machine is gone only if the list certainly describes a time after it was
+            // first listed.
+            if (!listedNames.contains(machine.name())
                     && machine.firstListedMicros() >= 0
-                    && asked > machine.firstListedMicros() + lag
+                    && askedMicros > machine.firstListedMicros() + minAgeMicros
                     && machine.state() != Machine.State.RETURNING) {
-                LOG.info("machine {} is gone from the cloud's list", machine.name());
+                LOG.info("machine {} is no longer in the cloud's machine list", machine.name());
                 registry.remove(machine);
             }
         }
     }
 
-    private void adoptIfUnknown(ListedMachine entry, long asked) {
+    private void adoptIfUnknown(ListedMachine entry, long askedMicros) {
         if (registry.wasReturned(entry.name())) {
             return;
         }
-        // It may be the answer to a call still under way, so a second look decides.
-        Long first = unknownMachines.putIfAbsent(entry.name(), asked);
-        boolean pending =
+        // The machine may belong to a request whose answer is pending, so only a later list decides.
+        Long firstAskedMicros = unknownMachines.putIfAbsent(entry.name(), askedMicros);
+        boolean isRequestPending =
                 registry.scaleOutRequests().stream().anyMatch(scaleOutRequest -> !scaleOutRequest.isAnswered());
-        if (first == null || pending && asked - first < PENDING_REQUEST_MICROS) {
+        if (firstAskedMicros == null || isRequestPending && askedMicros - firstAskedMicros < PENDING_REQUEST_MICROS) {
             return;
         }
         Optional<Machine> adopted = registry.adopt(entry.name(), entry.machineType(), entry.zone(), entry.isSpot());
         if (adopted.isPresent()) {
             Machine machine = adopted.get();
             machine.updateAddress(entry.address());
-            machine.recordListed(asked);
+            machine.recordListed(askedMicros);
             if (entry.hasFailed()) {
                 machine.drain();
             }
--- a/src/main/java/io/sillreel/recovery/Recovery.java
+++ b/src/main/java/io/sillreel/recovery/Recovery.java
@@ -8,7 +8,7 @@
 import io.sillreel.http.HttpResponse;
 import io.sillreel.leadership.LeaderElection;
 import io.sillreel.recovery.ChangeLog.Memory;
-import io.sillreel.recovery.RecoveryMessages.Greeting;
+import io.sillreel.recovery.RecoveryMessages.PeerStatus;
 import io.sillreel.settings.Settings;
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.StoreOutcome;
@@ -31,8 +31,7 @@
      */
     static final long TERM_GAP = 1_000;
 
-    private static final long GREET_MICROS = 1_000_000;
-    private static final long RETRY_MICROS = 300_000;
+    private static final long EXCHANGE_INTERVAL_MICROS = 1_000_000;
     /** The others are told of a loss for so long before it is stored. */
     private static final long TELL_FIRST_MICROS = 200_000;
 
@@ -44,29 +43,20 @@
     private final StoreHistory history = new StoreHistory();
     private final ChangeLog log;
     private final long followPauseMicros;
-    private final PeerExchange greeter;
+    private final PeerExchange peerExchange;
     private final RecoveryApi api;
     private StateStore store;
     private LeaderElection leadership;
     private ChangeFollower follower;
-    private TermEvidence terms;
-    private RecoveryGenerationStore verdicts;
-
-    private long generation;
-    private boolean suspended;
-    private boolean verdictStored;
-    private boolean ownEvidence;
-    /** The last generation under which what is remembered here was asked for. */
-    private long collectedGeneration;
+    private TermEvidence termEvidence;
+    private RecoveryGenerationStore generationStore;
 
+    private final LossState loss = new LossState();
     private boolean recordRead;
     /** True once it is known whether a loss is stored, and each other controller has said what it knows, or has not. */
-    private boolean acquainted;
+    private boolean peersConsulted;
 
-    private String evidence = "";
-    private StoreRebuild rebuild;
-    /** Counts the losses that this controller has noticed; what began before one ends without effect. */
-    private long suspensions;
+    private RebuildCoordinator rebuilds;
 
     /**
      * @param caller for what is said to other controllers
@@ -85,45 +75,46 @@
         this.log = new ChangeLog(rememberedBytes);
         this.followPauseMicros = followPauseMicros;
         this.api = new RecoveryApi(this, settings);
-        this.greeter = new PeerExchange(httpClient, settings.members(), this::greeting, this::heard);
+        this.peerExchange = new PeerExchange(httpClient, settings.members(), this::ownStatus, this::onPeerStatus);
     }
 
     /** What asks the state service through this is watched for signs of a loss. */
-    public HttpClient monitored(HttpClient inner) {
-        return new StoreMonitor(inner, eventLoop, history, log, () -> suspended, this::lost);
+    public HttpClient monitor(HttpClient inner) {
+        return new StoreMonitor(inner, eventLoop, history, log, loss::isSuspended, this::onLossDetected);
     }
 
-    /** Begins; both have to ask through {@link #monitored}. */
+    /** Begins; both have to ask through {@link #monitor}. */
     public void start(StateStore monitoredStore, LeaderElection itsLeadership) {
         store = monitoredStore;
         leadership = itsLeadership;
         follower = new ChangeFollower(
-                store, eventLoop, log, followPauseMicros, () -> suspended, this::noticed, this::lost);
-        terms = new TermEvidence(store, history, this::lost);
-        verdicts = new RecoveryGenerationStore(
+                store, eventLoop, log, followPauseMicros, loss::isSuspended, this::onRecordRead, this::onLossDetected);
+        rebuilds = new RebuildCoordinator(this, eventLoop, settings, httpClient, store, leadership, history, loss);
+        termEvidence = new TermEvidence(store, history, this::onLossDetected);
+        generationStore = new RecoveryGenerationStore(
                 store,
                 eventLoop,
-                () -> suspended && !verdictStored ? verdict() : null,
-                this::madeGood,
-                this::verdictRead);
+                () -> loss.isUnrecorded() ? openRecord() : null,
+                loss::isRepairedBy,
+                this::onOpenRecordRead);
         follower.restart();
-        greet();
+        exchangePeriodically();
     }
 
     /**
      * Answers a user's question unless a loss is known, or is noticed before the answer is there: what it rests on may
      * have been read from the older state.
      */
-    public CompletableFuture<HttpResponse> guarded(Supplier<CompletableFuture<HttpResponse>> question) {
-        if (suspended || !acquainted || follower.isBehind()) {
+    public CompletableFuture<HttpResponse> guard(Supplier<CompletableFuture<HttpResponse>> question) {
+        if (loss.isSuspended() || !peersConsulted || follower.isBehind()) {
             return CompletableFuture.completedFuture(refusal());
         }
-        long before = suspensions;
-        return question.get().thenApply(response -> suspensions == before ? response : refusal());
+        long before = loss.version();
+        return question.get().thenApply(response -> loss.version() == before ? response : refusal());
     }
 
     private HttpResponse refusal() {
-        return suspended
+        return loss.isSuspended()
                 ? HttpResponse.retryLater(
                         503, "the state service has lost writes, which are being put back", RETRY_SECONDS)
                 : HttpResponse.retryLater(503, "it is not known yet whether the state service has lost writes", 1);
@@ -131,243 +122,193 @@
 
     /** The next term has to lie above this one. */
     public long termFloor() {
-        return suspended ? shownTerm() + TERM_GAP : 0;
+        return loss.isSuspended() ? highestShownTerm() + TERM_GAP : 0;
     }
 
-    private long shownTerm() {
-        return Math.max(history.peaks().term(), leadership.knownLeader().term());
+    private long highestShownTerm() {
+        return Math.max(
+                history.highWatermarks().term(), leadership.knownLeader().term());
     }
 
     // --- Evidence ----------------------------------------------------------------------------------------------------
 
     /** Something has shown that writes are lost. */
-    private void lost(String shown) {
-        suspend(generation + 1, shown + " (seen by " + settings.nodeName() + ")", false);
-        ownEvidence = true;
+    private void onLossDetected(String shown) {
+        suspend(loss.generation() + 1, shown + " (seen by " + settings.nodeName() + ")", false);
+        loss.markLocallyDetected();
         // The verdict is a write, and few writes make up for a small loss: the others would no longer notice it.
-        greeter.greetAll().thenRun(verdicts::keep);
-        eventLoop.schedule(TELL_FIRST_MICROS, verdicts::keep);
+        peerExchange.exchangeWithAll().thenRun(generationStore::storeOpenRecord);
+        eventLoop.schedule(TELL_FIRST_MICROS, generationStore::storeOpenRecord);
     }
 
     private void suspend(long newGeneration, String shown, boolean stored) {
         LOG.error("the state service has lost writes: {}", shown);
-        history.beginEra(suspended);
-        suspensions++;
-        suspended = true;
-        verdictStored = stored;
-        ownEvidence = false;
-        generation = newGeneration;
-        evidence = shown;
+        history.beginLossEpoch(loss.isSuspended());
+        loss.suspend(newGeneration, shown, stored);
         follower.stop();
-        termLost();
+        leadershipLost();
         leadership.resign("the state service has lost writes");
     }
 
     @Override
     public void observeHeartbeat(Heartbeat heartbeat) {
-        long shown = TermEvidence.shownBy(heartbeat);
-        if (!suspended && shown > shownTerm()) {
-            terms.shown(shown, heartbeat.machine());
+        long shown = TermEvidence.termShownBy(heartbeat);
+        if (!loss.isSuspended() && shown > highestShownTerm()) {
+            termEvidence.verifyTerm(shown, heartbeat.machine());
         }
     }
 
     @Override
     public boolean mayAnswer(Heartbeat heartbeat, long term) {
-        return terms.answerable(heartbeat, term);
+        return termEvidence.mayAnswer(heartbeat, term);
     }
 
     // --- The verdict -------------------------------------------------------------------------------------------------
 
-    private RecoveryRecord verdict() {
-        return new RecoveryRecord(generation, true, settings.nodeName(), evidence, 0);
-    }
-
-    /**
-     * True if what this controller remembers has been taken into account under a verdict that is closed by now. Who has
-     * seen a loss itself and was not asked may remember more.
-     */
-    private boolean madeGood(RecoveryRecord closed) {
-        return !ownEvidence || collectedGeneration >= closed.generation();
+    /** The record of the loss that is open here. */
+    RecoveryRecord openRecord() {
+        return new RecoveryRecord(loss.generation(), true, settings.nodeName(), loss.evidence(), 0);
     }
 
-    private void verdictRead(RecoveryRecord stored) {
+    private void onOpenRecordRead(RecoveryRecord stored) {
         if (stored.open()) {
-            verdictStored = true;
-            generation = Math.max(generation, stored.generation());
+            loss.markRecordStored(stored.generation());
         } else {
-            noticed(stored);
+            onRecordRead(stored);
         }
     }
 
     /** A stored verdict has been read. */
-    private void noticed(RecoveryRecord stored) {
+    void onRecordRead(RecoveryRecord stored) {
         if (!recordRead) {
             recordRead = true;
-            greeter.greetAll().thenRun(() -> acquainted = true);
+            peerExchange.exchangeWithAll().thenRun(() -> peersConsulted = true);
         }
-        boolean newer = stored.generation() > generation;
+        boolean newer = stored.generation() > loss.generation();
         if (stored.open() && newer) {
             suspend(stored.generation(), stored.evidence(), true);
-        } else if (!stored.open() && suspended && stored.generation() >= generation && stored.generation() > 0) {
-            if (madeGood(stored)) {
+        } else if (!stored.open()
+                && loss.isSuspended()
+                && stored.generation() >= loss.generation()
+                && stored.generation() > 0) {
+            if (loss.isRepairedBy(stored)) {
                 resume(stored);
             }
         } else if (!stored.open() && newer) {
             // It was noticed and made good without this controller, whose memory is of the time before.
-            generation = stored.generation();
-            suspensions++;
-            history.beginEra(false);
+            loss.skipTo(stored.generation());
+            history.beginLossEpoch(false);
             follower.restart();
         }
     }
 
-    private void resume(RecoveryRecord closed) {
+    void resume(RecoveryRecord closed) {
         LOG.warn("generation {} is closed: the state service is relied on again", closed.generation());
-        suspended = false;
-        generation = closed.generation();
-        evidence = "";
+        loss.resume(closed.generation());
         follower.resume(closed.kept());
     }
 
     // --- Terms -------------------------------------------------------------------------------------------------------
 
-    /** The lease has been taken: a loss that is known or stored is made good before the term begins. */
+    /** Leadership has been acquired: a loss that is known or stored is repaired before the term begins. */
     public void beforeTerm(long term, long leaderRevision, Runnable begin) {
-        store.get(RecoveryRecord.KEY).thenAccept(read -> {
-            if (leadership.heldTerm() != term) {
-                return;
-            }
-            if (!read.isConclusive()) {
-                eventLoop.schedule(RETRY_MICROS, () -> beforeTerm(term, leaderRevision, begin));
-                return;
-            }
-            boolean suspendedBefore = suspended;
-            RecoveryRecord stored = RecoveryRecord.of(read);
-            noticed(stored);
-            if (suspended && suspendedBefore) {
-                if (!stored.open()) {
-                    generation = Math.max(generation, stored.generation() + 1);
-                }
-                rebuild(term, leaderRevision, begin);
-            } else if (!suspended) {
-                begin.run();
-            }
-            // Else the term was taken without regard to those that may have been lost, and has just been given up.
-        });
+        rebuilds.beforeTerm(term, leaderRevision, begin);
     }
 
-    private void rebuild(long term, long leaderRevision, Runnable begin) {
-        if (leadership.heldTerm() != term) {
-            return;
-        }
-        CollectedMemories survivors = new CollectedMemories();
-        survivors.add(settings.nodeName(), memory());
-        StoreRebuild current = new StoreRebuild(
-                new RebuildLease(eventLoop, store, leadership, term, leaderRevision),
-                settings,
-                history,
-                survivors,
-                new PeerMemoryCollector(httpClient, history, survivors),
-                verdict(),
-                () -> {
-                    resume(rebuild.record());
-                    begin.run();
-                });
-        rebuild = current;
-        collectedGeneration = generation;
-        current.start();
-    }
-
-    /** The lease has been lost. */
-    public void termLost() {
-        if (rebuild != null) {
-            rebuild.end();
-        }
+    /** Leadership has been lost. */
+    public void leadershipLost() {
+        rebuilds.end();
     }
 
     // --- Other controllers -------------------------------------------------------------------------------------------
 
-    private void greet() {
-        eventLoop.schedule(GREET_MICROS, this::greet);
-        greeter.greetAll();
-        if (suspended) {
-            lookAtRecord();
+    private void exchangePeriodically() {
+        eventLoop.schedule(EXCHANGE_INTERVAL_MICROS, this::exchangePeriodically);
+        peerExchange.exchangeWithAll();
+        if (loss.isSuspended()) {
+            readRecord();
         } else {
             // A loss of few writes that others have made up for shows only where the lost keys are read.
             log.latestPermanentKey().ifPresent(store::get);
         }
     }
 
-    Greeting greeting() {
-        return new Greeting(settings.nodeName(), generation, suspended, evidence, history.ledger(), peaks());
+    PeerStatus ownStatus() {
+        return new PeerStatus(
+                settings.nodeName(),
+                loss.generation(),
+                loss.isSuspended(),
+                loss.evidence(),
+                history.storeRevision(),
+                highWatermarks());
     }
 
     /** What was reached before the loss, as far as it is known here. */
-    HighWatermarks peaks() {
-        return history.peaks().withTerm(leadership.knownLeader().term());
+    HighWatermarks highWatermarks() {
+        return history.highWatermarks().withTerm(leadership.knownLeader().term());
     }
 
     /** Another controller has said how it sees the state service. */
-    void heard(Greeting greeting) {
-        long shownBefore = shownTerm();
-        history.learn(greeting.peaks());
-        if (greeting.suspended() && greeting.generation() > generation) {
-            suspend(greeting.generation(), greeting.evidence(), false);
-            verdicts.keep();
-        } else if (!greeting.suspended() && greeting.generation() > generation) {
-            lookAtRecord();
-        } else if (!greeting.suspended() && greeting.generation() < generation && suspended) {
+    void onPeerStatus(PeerStatus status) {
+        long shownBefore = highestShownTerm();
+        history.learn(status.highWatermarks());
+        if (status.suspended() && status.generation() > loss.generation()) {
+            suspend(status.generation(), status.evidence(), false);
+            generationStore.storeOpenRecord();
+        } else if (!status.suspended() && status.generation() > loss.generation()) {
+            readRecord();
+        } else if (!status.suspended() && status.generation() < loss.generation() && loss.isSuspended()) {
             // It has not noticed the loss yet.
-            history.learn(HighWatermarks.NONE.withStamps(greeting.ledger()));
-        } else if (!greeting.suspended() && greeting.generation() == generation && !suspended) {
-            history.learn(greeting.ledger());
-            if (greeting.peaks().term() > shownBefore) {
-                terms.shown(greeting.peaks().term(), greeting.node());
+            history.learn(HighWatermarks.NONE.withKeyRevision(status.storeRevision()));
+        } else if (!status.suspended() && status.generation() == loss.generation() && !loss.isSuspended()) {
+            history.learn(status.storeRevision());
+            if (status.highWatermarks().term() > shownBefore) {
+                termEvidence.verifyTerm(status.highWatermarks().term(), status.node());
             }
         }
     }
 
-    private void lookAtRecord() {
+    private void readRecord() {
         store.get(RecoveryRecord.KEY).thenAccept(read -> {
             if (read.outcome() == StoreOutcome.OK) {
-                noticed(RecoveryRecord.of(read));
+                onRecordRead(RecoveryRecord.of(read));
             }
-            verdicts.keep();
+            generationStore.storeOpenRecord();
         });
     }
 
     /**
      * Whoever puts writes back under the generation says so; from then on nothing is stored here until it is closed.
      */
-    void rebuilding(long asked) {
-        if (asked > generation) {
+    void onMemoryCollected(long asked) {
+        if (asked > loss.generation()) {
             suspend(asked, "another controller puts lost writes back", true);
         }
-        collectedGeneration = Math.max(collectedGeneration, asked);
+        loss.markCollected(asked);
     }
 
     /** What another controller or an operator asks. */
-    public HttpResponse answer(HttpRequest request) {
-        return api.answer(request);
+    public HttpResponse handle(HttpRequest request) {
+        return api.handle(request);
     }
 
     /** True if a request is for this package. */
-    public static boolean concerns(String route) {
-        return RecoveryApi.concerns(route);
+    public static boolean handlesRoute(String route) {
+        return RecoveryApi.handlesRoute(route);
     }
 
     // --- For display -------------------------------------------------------------------------------------------------
 
     long generation() {
-        return generation;
+        return loss.generation();
     }
 
     boolean suspended() {
-        return suspended;
+        return loss.isSuspended();
     }
 
     String evidence() {
-        return evidence;
+        return loss.evidence();
     }
 
     /** What this controller remembers. */
@@ -379,8 +320,8 @@
         return log;
     }
 
-    long ledger() {
-        return history.ledger();
+    long storeRevision() {
+        return history.storeRevision();
     }
 
     String leader() {
@@ -389,16 +330,16 @@
 
     /** The putting back that is under way here, or null. */
     StoreRebuild rebuild() {
-        return suspended && leadership.heldTerm() > 0 ? rebuild : null;
+        return loss.isSuspended() && leadership.heldTerm() > 0 ? rebuilds.current() : null;
     }
 
     /** For metrics. */
     public Map<String, Double> gauges() {
         Map<String, Double> gauges = new TreeMap<>();
-        gauges.put("sillreel.recovery.suspended", suspended ? 1.0 : 0.0);
-        gauges.put("sillreel.recovery.generation", (double) generation);
+        gauges.put("sillreel.recovery.suspended", loss.isSuspended() ? 1.0 : 0.0);
+        gauges.put("sillreel.recovery.generation", (double) loss.generation());
         gauges.put("sillreel.recovery.remembered.bytes", (double) log.bytes());
-        gauges.put("sillreel.recovery.restored", rebuild == null ? 0.0 : rebuild.restored());
+        gauges.put("sillreel.recovery.restored", rebuilds == null ? 0.0 : rebuilds.restored());
         return gauges;
     }
 }
