--- a/src/test/java/io/sillreel/sim/SimCluster.java
+++ b/src/test/java/io/sillreel/sim/SimCluster.java
@@ -326,6 +326,7 @@
         submitMeanwhile(node, submitted.get(uid));
     }
 
+    /** Asks for a job's state and checks the answer when it comes, without waiting for it. */
     public void pollMeanwhile(int node, String uid) {
         askMeanwhile(
                 node,
--- a/src/test/java/io/sillreel/sim/SimClusterSettings.java
+++ b/src/test/java/io/sillreel/sim/SimClusterSettings.java
@@ -14,12 +14,13 @@
         int nodes,
         double cpusMax,
         int machines,
-        double reportSeconds,
-        double leaseSeconds,
-        double cancelSeconds,
+        WorkerSeconds workers,
         double cloudRate,
         int sockets,
         long tickMicros) {
+    /** Seconds between two heartbeats, of a machine's lease, and within which a cancelled task has to end. */
+    public record WorkerSeconds(double report, double lease, double cancel) {}
+
     /** The previous version does not know that limits may be announced. */
     private static final String ANNOUNCED_LIMITS = """
             [params.state.next]
@@ -59,26 +60,18 @@
 
     /** A small deployment that reports often. */
     public static SimClusterSettings usual(int nodes, double cpusMax) {
-        return new SimClusterSettings(nodes, cpusMax, 20, 1, 12, 26, 10, 500, 50_000);
+        return new SimClusterSettings(nodes, cpusMax, 20, new WorkerSeconds(1, 12, 26), 10, 500, 50_000);
     }
 
     /** A fleet of thousands. */
     public static SimClusterSettings large(int nodes, int machines, double cpusMax) {
-        return new SimClusterSettings(nodes, cpusMax, machines, 3, 18, 38, 20, 2 * machines, 500_000);
+        return new SimClusterSettings(
+                nodes, cpusMax, machines, new WorkerSeconds(3, 18, 38), 20, 2 * machines, 500_000);
     }
 
     /** The same with other controllers. */
     public SimClusterSettings withSockets(int newSockets) {
-        return new SimClusterSettings(
-                nodes,
-                cpusMax,
-                machines,
-                reportSeconds,
-                leaseSeconds,
-                cancelSeconds,
-                cloudRate,
-                newSockets,
-                tickMicros);
+        return new SimClusterSettings(nodes, cpusMax, machines, workers, cloudRate, newSockets, tickMicros);
     }
 
     /**
@@ -105,9 +98,9 @@
         }
         return toml.append(PLATFORM.formatted(
                         cpusMax,
-                        reportSeconds,
-                        leaseSeconds,
-                        cancelSeconds,
+                        workers.report(),
+                        workers.lease(),
+                        workers.cancel(),
                         announced ? ANNOUNCED_LIMITS : "",
                         cloudRate,
                         sockets))
