--- a/src/test/java/io/sillreel/http/HttpTest.java
+++ b/src/test/java/io/sillreel/http/HttpTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The one test on real sockets: the codec, persistent connections and the bound on bodies. */
+/** The client and the server on real sockets: persistent connections, limits and failures. */
 class HttpTest {
     private static final long LONG_MICROS = 20_000_000;
 
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void requestsShareFewConnectionsAndKeepTheirAnswersApart() {
+    void responsesBelongToTheirRequestsOnSharedConnections() {
         String address = listen(request -> CompletableFuture.completedFuture(
                 new HttpResponse(200, request.path().getBytes(java.nio.charset.StandardCharsets.US_ASCII), 7)));
         List<CompletableFuture<HttpResponse>> answers = new ArrayList<>();
@@ -60,9 +60,9 @@
         assertThat(client.send(address, fits, LONG_MICROS).join().status()).isEqualTo(200);
     }
 
-    /** Guards the heap: the answer to a watch has no limit, and what can't be held must not be asked for again. */
+    /** Guards the heap: the response to a watch has no limit. */
     @Test
-    void anAnswerThatIsTooLargeIsToldAsSuchAndHoldsUpNothing() {
+    void aResponseThatIsTooLargeIsReportedAndDelaysNoOther() {
         String address = listen(request -> CompletableFuture.completedFuture(new HttpResponse(
                 200, new byte[request.route().equals("/large") ? MAX_ANSWER_BYTES + 1 : MAX_ANSWER_BYTES], 0)));
         assertThat(client.send(address, HttpRequest.get("/large"), LONG_MICROS)
@@ -75,9 +75,9 @@
                 .isEqualTo(200);
     }
 
-    /** Guards the workers that turn to the last controller all at once: they wait in the listener until accepted. */
+    /** Guards workers that connect to the last controller all at once and wait until they are accepted. */
     @Test
-    void asManyConnectionsMayWaitAsMayBeOpen() {
+    void theBacklogHoldsAsManyConnectionsAsMayBeOpen() {
         NettyHttpServer server = new NettyHttpServer(group, NettyHttpServer.MAX_BODY_BYTES, 3_000);
         NioServerSocketChannel channel =
                 (NioServerSocketChannel) server.listen(new InetSocketAddress("127.0.0.1", 0), request -> null);
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void theCrowdLeavesConnectionsForTheOthers() {
+    void workersLeaveConnectionsForOtherClients() {
         NettyHttpServer server = new NettyHttpServer(
                 group,
                 NettyHttpServer.MAX_BODY_BYTES,
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void connectionsThatAreNotUsedAreClosed() {
+    void idleConnectionsAreClosed() {
         String address = listen(request -> CompletableFuture.completedFuture(HttpResponse.of(200, Json.object())));
         client.send(address, HttpRequest.get("/"), LONG_MICROS).join();
         assertThat(connectionsAfterSweep())
@@ -144,12 +144,16 @@
     }
 
     @Test
-    void aHandlerThatFailsIsAnsweredForAndNobodyListeningIsKnownNotToHaveHeard() {
+    void aFailedHandlerIsReportedAsUnavailable() {
         String address = listen(request -> CompletableFuture.failedFuture(new IllegalStateException("on purpose")));
         assertThat(client.send(address, HttpRequest.get("/"), LONG_MICROS)
                         .join()
                         .status())
                 .isEqualTo(503);
+    }
+
+    @Test
+    void aRequestToAClosedPortIsReportedAsNotSent() {
         Channel gone =
                 new NettyHttpServer(group, 10, 10).listen(new InetSocketAddress("127.0.0.1", 0), request -> null);
         int port = ((InetSocketAddress) gone.localAddress()).getPort();
--- a/src/test/java/io/sillreel/http/RequestQueueTest.java
+++ b/src/test/java/io/sillreel/http/RequestQueueTest.java
@@ -16,68 +16,68 @@
     private final RequestQueue requestQueue = new RequestQueue(process, 4 * 1024 * 1024);
     private final List<String> served = new ArrayList<>();
 
-    private void ask(RequestClass requestClass, String who, long givesUpAfterMicros) {
+    private void enqueue(RequestClass requestClass, String client, long givesUpAfterMicros) {
         long until = time.nowMicros() + givesUpAfterMicros;
         requestQueue.enqueue(requestClass, 1_000, () -> time.nowMicros() < until, () -> {
             process.works(WORK_MICROS);
-            served.add(who);
+            served.add(client);
         });
     }
 
-    private void crowd(int size) {
-        for (int i = 0; i < size; i++) {
-            ask(RequestClass.WORKERS, "worker", 4_000_000);
+    private void enqueueWorkers(int count) {
+        for (int i = 0; i < count; i++) {
+            enqueue(RequestClass.WORKERS, "worker", 4_000_000);
         }
     }
 
-    /** Guards a renewal against the crowd after a crash of all: one round over it lasted longer than the lease. */
+    /** Guards the lease renewal: handling all workers at once after a crash took longer than the lease lasts. */
     @Test
-    void aCrowdDoesNotHoldUpWhatIsDue() {
-        crowd(300);
-        long due = time.nowMicros() + 100_000;
-        long[] done = new long[1];
-        process.schedule(100_000, () -> done[0] = time.nowMicros());
+    void manyWaitingRequestsDoNotDelayTimers() {
+        enqueueWorkers(300);
+        long dueMicros = time.nowMicros() + 100_000;
+        long[] ranAtMicros = new long[1];
+        process.schedule(100_000, () -> ranAtMicros[0] = time.nowMicros());
         time.runFor(10_000_000);
-        assertThat(done[0] - due).isBetween(0L, 700_000L);
+        assertThat(ranAtMicros[0] - dueMicros).isBetween(0L, 700_000L);
     }
 
     @Test
-    void usersAndTheCrowdTakeTurns() {
-        crowd(20);
-        ask(RequestClass.USERS, "user", 2_000_000);
-        ask(RequestClass.USERS, "user", 2_000_000);
+    void usersAndWorkersAreServedAlternately() {
+        enqueueWorkers(20);
+        enqueue(RequestClass.USERS, "user", 2_000_000);
+        enqueue(RequestClass.USERS, "user", 2_000_000);
         time.runFor(300_000);
         assertThat(served.subList(0, 4)).containsExactlyInAnyOrder("worker", "user", "worker", "user");
     }
 
-    /** Guards against work for those who are gone, of which there is most when there is least time. */
+    /** Guards against work for clients that have given up, of which there are most under load. */
     @Test
-    void whoeverHasGivenUpIsPassedOver() {
+    void requestsOfClientsThatGaveUpAreDropped() {
         process.freeze(5_000_000);
-        crowd(50);
+        enqueueWorkers(50);
         time.runFor(5_000_000);
-        ask(RequestClass.WORKERS, "late", 4_000_000);
+        enqueue(RequestClass.WORKERS, "late", 4_000_000);
         time.runFor(1_000_000);
         assertThat(served).containsExactly("late");
         assertThat(requestQueue.abandonedCount()).isEqualTo(50);
         assertThat(requestQueue.waitingCount()).isZero();
     }
 
-    /** Guards against serving everybody just too late: whoever has waited longest is the next to give up. */
+    /** Guards against serving every client just too late: the oldest request is the next to time out. */
     @Test
-    void theNewestGoFirstOnceTheLineIsLong() {
+    void theNewestRequestIsServedFirstOnceTheOldestIsLate() {
         process.freeze(2_000_000);
-        ask(RequestClass.WORKERS, "old", 4_000_000);
-        ask(RequestClass.WORKERS, "older than new", 4_000_000);
+        enqueue(RequestClass.WORKERS, "old", 4_000_000);
+        enqueue(RequestClass.WORKERS, "older than new", 4_000_000);
         time.runFor(1_900_000);
-        ask(RequestClass.WORKERS, "new", 4_000_000);
+        enqueue(RequestClass.WORKERS, "new", 4_000_000);
         time.runFor(1_000_000);
         assertThat(served).containsExactly("new", "older than new", "old");
     }
 
-    /** Guards the heap: hundreds of the largest requests at once must not fill it. */
+    /** Guards the heap, which hundreds of large requests would fill. */
     @Test
-    void whatIsTooMuchToKeepIsRefused() {
+    void requestsBeyondTheMemoryLimitAreRefused() {
         int taken = 0;
         while (taken < 1_000
                 && requestQueue.enqueue(RequestClass.USERS, 64 * 1024, () -> true, () -> served.add("user"))) {
@@ -91,9 +91,9 @@
     }
 
     @Test
-    void healthChecksDoNotWait() {
-        crowd(100);
-        ask(RequestClass.IMMEDIATE, "check", 1_000_000);
+    void immediateRequestsDoNotWait() {
+        enqueueWorkers(100);
+        enqueue(RequestClass.IMMEDIATE, "check", 1_000_000);
         assertThat(served).containsExactly("check");
     }
 }
--- a/src/test/java/io/sillreel/overload/AdaptiveLimitTest.java
+++ b/src/test/java/io/sillreel/overload/AdaptiveLimitTest.java
@@ -14,7 +14,7 @@
     private long nowMicros;
 
     @Test
-    void pollsLeaveRoomForSubmissionsAndTheRestIsRefusedAtOnce() {
+    void pollsLeaveRoomForSubmissionsAndRequestsOverTheLimitAreRefused() {
         List<CompletableFuture<HttpResponse>> held = new ArrayList<>();
         AdaptiveLimit limit = new AdaptiveLimit(
                 request -> {
@@ -42,14 +42,14 @@
         assertThat(limit.handle(HttpRequest.get("/v2/runs/job-000001"))).isNotDone();
     }
 
-    /** Guards against a job that nobody ever gets an answer about while others are asked about without end. */
+    /** Guards against a job whose status is never returned while others are polled without end. */
     @Test
-    void aQuestionThatWasRefusedForLongIsAnsweredWhateverElseIsAsked() {
+    void aPollRefusedForTenSecondsPassesDespiteTheLimit() {
         List<String> asked = new ArrayList<>();
         AdaptiveLimit limit = new AdaptiveLimit(
                 request -> {
                     asked.add(request.path());
-                    return request.path().endsWith("owed")
+                    return request.path().endsWith("overdue")
                             ? CompletableFuture.completedFuture(HttpResponse.of(200, Json.object()))
                             : new CompletableFuture<>();
                 },
@@ -59,16 +59,16 @@
         for (int i = 0; i < 30; i++) {
             limit.handle(HttpRequest.get("/v2/runs/others"));
         }
-        assertThat(limit.handle(HttpRequest.get("/v2/runs/owed")).join().status())
+        assertThat(limit.handle(HttpRequest.get("/v2/runs/overdue")).join().status())
                 .isEqualTo(429);
         nowMicros += 5_000_000;
-        assertThat(limit.handle(HttpRequest.get("/v2/runs/owed")).join().status())
+        assertThat(limit.handle(HttpRequest.get("/v2/runs/overdue")).join().status())
                 .isEqualTo(429);
         nowMicros += 6_000_000;
-        assertThat(limit.handle(HttpRequest.get("/v2/runs/owed")).join().status())
+        assertThat(limit.handle(HttpRequest.get("/v2/runs/overdue")).join().status())
                 .isEqualTo(200);
-        assertThat(limit.handle(HttpRequest.get("/v2/runs/owed")).join().status())
+        assertThat(limit.handle(HttpRequest.get("/v2/runs/overdue")).join().status())
                 .isEqualTo(429);
-        assertThat(asked).containsOnlyOnce("/v2/runs/owed");
+        assertThat(asked).containsOnlyOnce("/v2/runs/overdue");
     }
 }
--- /dev/null
+++ b/src/test/java/io/sillreel/overload/RateLimiterTest.java
@@ -0,0 +1,22 @@
+package io.sillreel.overload;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import io.sillreel.sim.SimTime;
+import org.junit.jupiter.api.Test;
+
+class RateLimiterTest {
+    private final SimTime time = new SimTime();
+    private final SimTime.Process process = time.new Process();
+
+    @Test
+    void acquiredTokensStayBelowTheRate() {
+        RateLimiter limiter = new RateLimiter(process, 10, 10);
+        int taken = 0;
+        for (int i = 0; i < 200; i++) {
+            taken += limiter.tryAcquire(1) ? 1 : 0;
+            time.runFor(10_000);
+        }
+        assertThat(taken).isBetween(28, 30);
+    }
+}
--- a/src/test/java/io/sillreel/statestore/ScanTest.java
+++ b/src/test/java/io/sillreel/statestore/ScanTest.java
@@ -37,23 +37,23 @@
         }
     }
 
-    private CompletableFuture<Boolean> take(List<StoredEntry> page) {
+    private CompletableFuture<Boolean> collect(List<StoredEntry> page) {
         page.forEach(entry -> read.add(entry.key()));
         return CompletableFuture.completedFuture(true);
     }
 
-    /** Guards takeovers: a list of more pages than the rate allows at once began anew for ever. */
+    /** Guards failovers: a scan of more pages than the rate allows at once started anew without end. */
     @Test
-    void aListThatIsLongerThanTheRateAllowsAtOnceIsReadToItsEnd() {
-        CompletableFuture<ScanResult> scan = store.scan("k/", this::take);
+    void aScanOfMorePagesThanTheRateAllowsAtOnceIsCompleted() {
+        CompletableFuture<ScanResult> scan = store.scan("k/", this::collect);
         time.runFor(5_000_000);
         assertThat(scan).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.OK);
         assertThat(read).hasSize(ENTRIES).doesNotHaveDuplicates().isSorted();
     }
 
-    /** Guards takeovers: what threw on an entry left the scan without an end, and the term waited for ever. */
+    /** Guards failovers: after an exception on an entry the scan never completed, and the new leader waited for it. */
     @Test
-    void aPageThatCanNotBeTakenInEndsTheScan() {
+    void aConsumerThatFailsEndsTheScan() {
         CompletableFuture<ScanResult> scan = store.scan("k/", page -> {
             throw new IllegalArgumentException("not understood");
         });
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void aPageThatIsLostOrRefusedIsReadAgainByItself() {
+    void aLostOrRefusedPageIsRequestedAgain() {
         int[] requests = new int[1];
         network.add((from, to, request) -> {
             if (!request.route().equals("/kv")) {
@@ -71,19 +71,26 @@
             int requestNumber = requests[0]++;
             return requestNumber % 3 == 0 ? Fate.LOSE : requestNumber % 3 == 1 ? Fate.REFUSE : null;
         });
-        CompletableFuture<ScanResult> scan = store.scan("k/", this::take);
+        CompletableFuture<ScanResult> scan = store.scan("k/", this::collect);
         time.runFor(60_000_000);
         assertThat(scan).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.OK);
         assertThat(read).hasSize(ENTRIES).doesNotHaveDuplicates();
     }
 
-    /** Guards starts in an outage: users are let in once it is known that nobody can know who leads. */
+    /** Guards starts in an outage: users are admitted once it is known that the leader cannot be known. */
     @Test
-    void aLookThatIsRefusedOrUnansweredIsToldAtOnce() {
+    void aRefusedListIsReportedAtOnce() {
         state.outage(true);
         CompletableFuture<ListResult> refused = store.list("k/");
         time.runFor(200_000);
         assertThat(refused).isCompletedWithValueMatching(listing -> listing.outcome() == StoreOutcome.REFUSED);
+    }
+
+    @Test
+    void aListWithoutAResponseAfterAnOutageIsReported() {
+        state.outage(true);
+        store.list("k/");
+        time.runFor(200_000);
         state.outage(false);
         network.add((from, to, request) -> Fate.LOSE);
         CompletableFuture<ListResult> unanswered = store.list("k/");
@@ -91,9 +98,9 @@
         assertThat(unanswered).isCompletedWithValueMatching(listing -> listing.outcome() == StoreOutcome.UNKNOWN);
     }
 
-    /** Guards the following of changes: what can't be taken in would be asked for, and refused, for ever. */
+    /** Guards followers of changes, which would request the same response that is too large without end. */
     @Test
-    void aWatchWhoseAnswerIsTooLargeCanNotGoOn() {
+    void aWatchWhoseResponseIsTooLargeCannotContinue() {
         StateStore small = new StateStore(
                 (to, request, timeout) -> CompletableFuture.completedFuture(HttpResponse.responseTooLarge()),
                 network.from("node", process),
@@ -105,11 +112,18 @@
     }
 
     @Test
-    void aScanEndsWithAnOutageAndWithWhoeverNeedsNoMore() {
+    void aScanEndsInAnOutage() {
         state.outage(true);
-        CompletableFuture<ScanResult> refused = store.scan("k/", this::take);
+        CompletableFuture<ScanResult> refused = store.scan("k/", this::collect);
         time.runFor(5_000_000);
         assertThat(refused).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.REFUSED);
+    }
+
+    @Test
+    void aScanAfterAnOutageEndsWhenTheConsumerWantsNoMorePages() {
+        state.outage(true);
+        store.scan("k/", this::collect);
+        time.runFor(5_000_000);
         state.outage(false);
         int[] pages = new int[1];
         CompletableFuture<ScanResult> ended =
--- a/src/test/java/io/sillreel/statestore/WriteQueueTest.java
+++ b/src/test/java/io/sillreel/statestore/WriteQueueTest.java
@@ -20,14 +20,14 @@
     private final SimTime.Process process = time.new Process();
     private final StateStore store;
     private final WriteQueue writeQueue;
-    private boolean deposed;
+    private boolean leadershipLost;
 
     WriteQueueTest() {
         network.listen("state:1", state);
         store = network.stateStore(process, 1_000, 1_000);
         store.commit(new Transaction().set("leader", Json.object()));
         time.runFor(100_000);
-        writeQueue = new WriteQueue(store, process, "leader", 101, 4, () -> deposed = true);
+        writeQueue = new WriteQueue(store, process, "leader", 101, 4, () -> leadershipLost = true);
     }
 
     /**
@@ -35,7 +35,7 @@
      * rest.
      */
     @Test
-    void whatIsTooLargeTogetherGoesAloneAndWhatIsTooLargeAloneHoldsUpNobody() {
+    void writesTooLargeTogetherAreSentAloneAndOneTooLargeAloneDelaysNoOther() {
         state.limits(1, 40, 1_000);
         Count small = new Count("a");
         Count large = new Count("a-key-whose-value-is-not-small");
@@ -60,10 +60,10 @@
      * anything.
      */
     @Test
-    void refusalsForTheRateSlowWritingAndLoseNothing() {
+    void rejectionsForTheRateSlowWritingAndLoseNothing() {
         // A quarter of what this controller takes for its part.
         StateStore paced = network.stateStore(process, 1_000, 40);
-        WriteQueue writeQueue = new WriteQueue(paced, process, "leader", 101, 4, () -> deposed = true);
+        WriteQueue writeQueue = new WriteQueue(paced, process, "leader", 101, 4, () -> leadershipLost = true);
         state.limits(4, 8192, 10);
         List<Count> counts = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void manyChangesGoInFewTransactionsWithinTheLimit() {
+    void writesAreBatchedWithinTheTransactionLimit() {
         Count[] counts = new Count[10];
         for (int i = 0; i < counts.length; i++) {
             counts[i] = new Count("k" + i);
@@ -141,9 +141,9 @@
         assertThat(counts[9].revision).isEqualTo(104);
     }
 
-    /** Guards against a lease that runs out because too much else was asked. */
+    /** Guards against a lease that expires because other requests used up the rate. */
     @Test
-    void aRenewalIsNotHeldBackByTheRate() {
+    void leaseRenewalIsNotDelayedByTheRate() {
         StateStore spent = network.stateStore(process, 1, 1);
         long leaseId =
                 store.grantLease(3_000_000).thenApply(grant -> grant.leaseId()).getNow(0L);
@@ -157,7 +157,7 @@
 
     /** Guards against ends of jobs that wait behind progress when the store takes less than there is to write. */
     @Test
-    void endsGoBeforeStartsAndThoseBeforeProgressWhichGathers() {
+    void jobEndsAreWrittenBeforeStartsAndStartsBeforeProgress() {
         StateStore slow = new StateStore(
                 network.from("node", process),
                 network.from("node", process),
@@ -165,7 +165,7 @@
                 "state:1",
                 new RateLimiter(process, 1_000, 1_000),
                 new RateLimiter(process, 2, 6));
-        WriteQueue scarce = new WriteQueue(slow, process, "leader", 101, 4, () -> deposed = true);
+        WriteQueue scarce = new WriteQueue(slow, process, "leader", 101, 4, () -> leadershipLost = true);
         Count[] progress = new Count[8];
         for (int i = 0; i < progress.length; i++) {
             progress[i] = new Count("p" + i);
@@ -193,10 +193,10 @@
     }
 
     /**
-     * Guards the condition on the changed key's own stamp: an own write that arrives late must not undo a newer one.
+     * Guards the condition on the changed key's own revision: an own write that arrives late must not undo a newer one.
      */
     @Test
-    void anOwnWriteThatArrivesLateDoesNotUndoWhatCameAfter() {
+    void anOwnLateTransactionDoesNotUndoALaterWrite() {
         Count count = new Count("k");
         count.value = 1;
         Rule hold = network.add((from, to, request) -> request.route().equals("/txn") ? Fate.HOLD : null);
@@ -212,7 +212,7 @@
     }
 
     @Test
-    void anAnswerThatGetsLostIsFollowedByAReadingBeforeTheNextWrite() {
+    void afterALostResponseTheRevisionIsReadBeforeTheNextWrite() {
         Count count = new Count("k");
         count.value = 1;
         Rule lose = network.add((from, to, request) -> request.route().equals("/txn") ? Fate.LOSE_ANSWER : null);
@@ -225,18 +225,18 @@
     }
 
     @Test
-    void aWriterWhoseLeaderKeyHasChangedStops() {
+    void writingStopsOnceTheLeaderKeyHasChanged() {
         store.commit(new Transaction().set("leader", Json.object().put("node", "other")));
         time.runFor(100_000);
         Count count = new Count("k");
         writeQueue.enqueue(count);
         time.runFor(1_000_000);
-        assertThat(deposed).isTrue();
+        assertThat(leadershipLost).isTrue();
         assertThat(state.value("k")).isNull();
     }
 
     @Test
-    void listsArePagedAndWatchesTellWhenTheyAreTooOld() {
+    void listsArePagedAndAWatchFromACompactedRevisionIsReported() {
         for (int i = 0; i < 1_200; i += 4) {
             Transaction transaction = new Transaction();
             for (int j = i; j < i + 4; j++) {
@@ -254,22 +254,12 @@
         assertThat(watch.join().outcome()).isEqualTo(StoreOutcome.COMPACTED);
     }
 
-    @Test
-    void aPacerStaysBelowItsRate() {
-        RateLimiter pacer = new RateLimiter(process, 10, 10);
-        int taken = 0;
-        for (int i = 0; i < 200; i++) {
-            taken += pacer.tryAcquire(1) ? 1 : 0;
-            time.runFor(10_000);
-        }
-        assertThat(taken).isBetween(28, 30);
-    }
-
     /**
-     * Guards rentals, which wait while the store can't keep up: progress of many jobs gathers and says nothing of that.
+     * Guards scale-out requests, which wait while the store falls behind: waiting progress of many jobs does not show
+     * that.
      */
     @Test
-    void progressThatGathersIsNoBacklogOfWhatPresses() {
+    void waitingProgressDoesNotCountAsUrgent() {
         for (int i = 0; i < 30; i++) {
             Count progress = new Count("p/" + i);
             progress.urgency = WriteUrgency.PROGRESS;
