--- a/src/test/java/io/sillreel/admission/AdmissionTest.java
+++ b/src/test/java/io/sillreel/admission/AdmissionTest.java
@@ -59,6 +59,7 @@
         assertThat(submit("not json").status()).isEqualTo(400);
         assertThat(submit("[1]").status()).isEqualTo(400);
         assertThat(submit("{} {}").status()).isEqualTo(400);
+        assertThat(world.poll(0, "job-000001").status()).isEqualTo(404);
     }
 
     @Test
