--- a/src/test/java/io/sillreel/golden/GoldenSamples.java
+++ b/src/test/java/io/sillreel/golden/GoldenSamples.java
@@ -108,7 +108,7 @@
 
     private static JsonNode tree(Object value) {
         if (value instanceof JsonNode node) {
-            return node;
+            return node.isMissingNode() ? tree("missing") : node;
         } else if (value instanceof Record fields) {
             return components(fields);
         } else if (value instanceof Enum<?> constant) {
@@ -230,6 +230,13 @@
         return (response.status() + " " + response.retryAfterSeconds() + " " + body).strip();
     }
 
+    /** Returns the response that a sample describes: the status, a space and the body. */
+    public static HttpResponse response(String sample) {
+        int space = sample.indexOf(' ');
+        byte[] body = sample.substring(space + 1).getBytes(StandardCharsets.UTF_8);
+        return new HttpResponse(Integer.parseInt(sample.substring(0, space)), body, 0);
+    }
+
     /** Writes down what is sent and what is noted, in its order, and answers each request at once. */
     public static final class Transcript implements HttpClient {
         private final StringBuilder lines = new StringBuilder();
