--- a/src/test/java/io/sillreel/golden/ControllerSamplesTest.java
+++ b/src/test/java/io/sillreel/golden/ControllerSamplesTest.java
@@ -84,6 +84,14 @@
         names.stream().filter(name -> name.startsWith("sillreel.")).forEach(transcript::note);
     }
 
+    @Test
+    void tellsOperatorsThatNothingIsKnownToBeLost() {
+        Controller controller = start("1");
+        transcript.note(GoldenSamples.text(
+                controller.handleInternal(HttpRequest.get("/recovery/status")).join()));
+        GoldenSamples.assertMatches("recovery-status.txt", transcript.toString());
+    }
+
     @Test
     void servesTheRoutesOfBothPorts() {
         transcript.note("# without protection against lost writes");
