--- a/src/test/java/io/sillreel/cli/RecoveryOffIT.java
+++ b/src/test/java/io/sillreel/cli/RecoveryOffIT.java
@@ -16,7 +16,7 @@
 class RecoveryOffIT {
     private static final String PACKAGE = "io.sillreel.recovery.";
     /** The last thing that a start does is to ask who leads. */
-    private static final String STARTED = "io.sillreel.ownership.Leadership$$Lambda";
+    private static final String STARTED = "io.sillreel.leadership.LeaderElection$$Lambda";
 
     @TempDir
     private Path folder;
