--- a/src/test/java/io/sillreel/statestore/StateStoreSamplesTest.java
+++ b/src/test/java/io/sillreel/statestore/StateStoreSamplesTest.java
@@ -52,7 +52,8 @@
     @Test
     void requestsTheNextPageAfterTheLastKey() {
         Deque<String> pages = new ArrayDeque<>(List.of(
-                "200 {\"entries\":[{\"k\":\"run/job-1\",\"v\":{},\"stamp\":1},{\"k\":\"run/job-2\",\"v\":{},\"stamp\":2}],"
+                "200 {\"entries\":[{\"k\":\"run/job-1\",\"v\":{},\"stamp\":1},"
+                        + "{\"k\":\"run/job-2\",\"v\":{},\"stamp\":2}],"
                         + "\"ledger\":10,\"truncated\":true}",
                 "200 {\"entries\":[{\"k\":\"run/job-3\",\"v\":{},\"stamp\":12}],\"ledger\":13,\"truncated\":false}"));
         Transcript transcript = new Transcript(request -> CompletableFuture.completedFuture(response(pages.remove())));
