--- a/src/main/java/io/sillreel/ActiveTerm.java
+++ b/src/main/java/io/sillreel/ActiveTerm.java
@@ -91,7 +91,7 @@
             leaderTerm.jobCancelled(uid);
         } else {
             remoteLeader()
-                    .ifPresent(leader -> services.agents()
+                    .ifPresent(leader -> services.httpClient()
                             .send(leader.address(), CancellationCodec.toRequest(uid), CANCELLED_TIMEOUT_MICROS));
         }
     }
--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -2,7 +2,7 @@
 
 import io.micrometer.core.instrument.MeterRegistry;
 import io.micrometer.core.instrument.binder.MeterBinder;
-import io.sillreel.admission.Admission;
+import io.sillreel.admission.JobApiHandler;
 import io.sillreel.agent.AgentRoutes;
 import io.sillreel.cloud.CloudClient;
 import io.sillreel.cloud.MachineTypeCatalog;
@@ -140,7 +140,7 @@
     }
 
     private AdaptiveLimit newAdmission(Settings settings, OperatorProperties operator, ProcessLimits limits) {
-        Admission admission = new Admission(
+        JobApiHandler admission = new JobApiHandler(
                 store,
                 eventLoop,
                 settings,
--- a/src/main/java/io/sillreel/admission/Admission.java
+++ b/src/main/java/io/sillreel/admission/JobApiHandler.java
@@ -18,7 +18,7 @@
  * The users' interface: submits, polls and cancels jobs. Every controller serves it, leader or not, since each answer
  * is either final and stored or was confirmed by the store after the request arrived.
  */
-public final class Admission implements HttpHandler {
+public final class JobApiHandler implements HttpHandler {
     private static final String JOBS_PATH = "/v2/runs";
     private static final String CANCEL_SUFFIX = "/withdraw";
     private static final String GET = "GET";
@@ -37,7 +37,7 @@
      * @param cancellationListener is given the id of each job whose cancellation was stored here, before its user is
      *     answered
      */
-    public Admission(
+    public JobApiHandler(
             StateStore store,
             EventLoop eventLoop,
             Settings settings,
@@ -59,20 +59,20 @@
         if (route.equals(JOBS_PATH)) {
             return request.method().equals(POST)
                     ? submission.submit(request.body())
-                    : completed(JobResponses.wrongMethod(POST));
+                    : completed(JobResponses.methodNotAllowed(POST));
         }
         String rest = route.substring(JOBS_PATH.length() + 1);
         boolean isCancellation = rest.endsWith(CANCEL_SUFFIX);
         String uid = isCancellation ? rest.substring(0, rest.length() - CANCEL_SUFFIX.length()) : rest;
         if (uid.contains("/")) {
-            return completed(JobResponses.noSuchPath());
+            return completed(JobResponses.pathNotFound());
         }
         String method = isCancellation ? POST : GET;
         if (!request.method().equals(method)) {
-            return completed(JobResponses.wrongMethod(method));
+            return completed(JobResponses.methodNotAllowed(method));
         }
         if (!SubmissionDecoder.isUid(uid)) {
-            return completed(JobResponses.noSuchJob());
+            return completed(JobResponses.jobNotFound());
         }
         return isCancellation ? cancellation.cancel(uid) : poll(uid);
     }
@@ -82,7 +82,7 @@
             if (answer.isEmpty()) {
                 return JobResponses.storeUnavailable();
             }
-            return answer.get().isAccepted() ? responses.status(answer.get()) : JobResponses.noSuchJob();
+            return answer.get().isAccepted() ? responses.status(answer.get()) : JobResponses.jobNotFound();
         });
     }
 
--- a/src/main/java/io/sillreel/admission/JobCancellation.java
+++ b/src/main/java/io/sillreel/admission/JobCancellation.java
@@ -54,7 +54,7 @@
         }
         JobStatus status = answer.get();
         if (!status.isAccepted()) {
-            return Optional.of(JobResponses.noSuchJob());
+            return Optional.of(JobResponses.jobNotFound());
         }
         return status.isTerminal() ? Optional.of(responses.status(status)) : Optional.empty();
     }
--- a/src/main/java/io/sillreel/admission/JobFeasibility.java
+++ b/src/main/java/io/sillreel/admission/JobFeasibility.java
@@ -12,7 +12,8 @@
     private JobFeasibility() {}
 
     /** Returns why the job can never run, in words for the user; empty if it can. */
-    static Optional<String> findObstacle(JobSpec spec, Map<String, Team> teams, Collection<MachineType> machineTypes) {
+    static Optional<String> infeasibilityReason(
+            JobSpec spec, Map<String, Team> teams, Collection<MachineType> machineTypes) {
         Team team = teams.get(spec.team());
         if (team == null) {
             return Optional.of("crew: there is no team " + spec.team());
--- a/src/main/java/io/sillreel/admission/JobResponses.java
+++ b/src/main/java/io/sillreel/admission/JobResponses.java
@@ -10,8 +10,8 @@
 
 /** Encodes the responses to users. Thread-safe if the live counts are. */
 final class JobResponses {
-    private static final int RETRY_SECONDS = 1;
-    private static final int MACHINE_TYPES_RETRY_SECONDS = 2;
+    private static final int RETRY_AFTER_SECONDS = 1;
+    private static final int MACHINE_TYPES_RETRY_AFTER_SECONDS = 2;
     private static final String CANCELLED = "withdrawn";
     private static final String QUEUED = "queued";
     private static final String RUNNING = "running";
@@ -53,16 +53,16 @@
         return rejected("the job's description is too large to be stored" + advice);
     }
 
-    static HttpResponse noSuchJob() {
+    static HttpResponse jobNotFound() {
         return HttpResponse.error(404, "no such job");
     }
 
-    static HttpResponse noSuchPath() {
+    static HttpResponse pathNotFound() {
         return HttpResponse.error(404, "no such path");
     }
 
     /** @param method the only method of the path */
-    static HttpResponse wrongMethod(String method) {
+    static HttpResponse methodNotAllowed(String method) {
         return HttpResponse.error(405, "use " + method);
     }
 
@@ -87,11 +87,11 @@
     }
 
     static HttpResponse machineTypesUnknown() {
-        return HttpResponse.retryLater(503, "the machine types are not known yet", MACHINE_TYPES_RETRY_SECONDS);
+        return HttpResponse.retryLater(503, "the machine types are not known yet", MACHINE_TYPES_RETRY_AFTER_SECONDS);
     }
 
     private static HttpResponse retryLater(String reason) {
-        return HttpResponse.retryLater(503, reason, RETRY_SECONDS);
+        return HttpResponse.retryLater(503, reason, RETRY_AFTER_SECONDS);
     }
 
     private ObjectNode encode(JobStatus status) {
--- a/src/main/java/io/sillreel/admission/JobStatusConditions.java
+++ b/src/main/java/io/sillreel/admission/JobStatusConditions.java
@@ -62,10 +62,10 @@
 
     /** Released jobs do not depend on others any more, and done jobs can't be cancelled: both need no condition. */
     private void addDependencies(JobStatus status, JobStatusCache cache) {
-        Deque<String> open = new ArrayDeque<>(status.dependencies());
-        Set<String> seen = new HashSet<>(open);
-        while (!open.isEmpty()) {
-            JobStatus dependency = cache.get(open.poll());
+        Deque<String> pending = new ArrayDeque<>(status.dependencies());
+        Set<String> visited = new HashSet<>(pending);
+        while (!pending.isEmpty()) {
+            JobStatus dependency = cache.get(pending.poll());
             if (!dependency.isAccepted()) {
                 unknownDependencies.add(dependency.uid());
             } else if (dependency.isCancelled()) {
@@ -74,7 +74,7 @@
             } else if (!dependency.isDone()) {
                 revisions.put(CancellationRecord.key(dependency.uid()), 0L);
                 if (dependency.isWaitingForDependencies()) {
-                    dependency.dependencies().stream().filter(seen::add).forEach(open::add);
+                    dependency.dependencies().stream().filter(visited::add).forEach(pending::add);
                 }
             }
         }
--- a/src/main/java/io/sillreel/admission/JobStatusReader.java
+++ b/src/main/java/io/sillreel/admission/JobStatusReader.java
@@ -60,16 +60,16 @@
     /** Caches the plans of the jobs and of their transitive dependencies; returns the jobs without such a plan. */
     private Set<String> cacheDependentPlans(Set<String> uids, Map<String, DependentPlan> plans) {
         Set<String> withoutPlan = new LinkedHashSet<>();
-        Deque<String> open = new ArrayDeque<>(uids);
-        Set<String> seen = new HashSet<>(uids);
-        while (!open.isEmpty()) {
-            String uid = open.poll();
+        Deque<String> pending = new ArrayDeque<>(uids);
+        Set<String> visited = new HashSet<>(uids);
+        while (!pending.isEmpty()) {
+            String uid = pending.poll();
             DependentPlan plan = plans.get(uid);
             if (plan == null) {
                 withoutPlan.add(uid);
             } else if (!cache.get(uid).isAccepted()) {
                 cache.merge(JobStatus.ofPlan(uid, plan.revision(), plan.dependencies()));
-                plan.dependencies().stream().filter(seen::add).forEach(open::add);
+                plan.dependencies().stream().filter(visited::add).forEach(pending::add);
             }
         }
         return withoutPlan;
@@ -113,21 +113,21 @@
     }
 
     private CompletableFuture<Boolean> load(String uid) {
-        CompletableFuture<Optional<JobStatus>> planned = readPlan(uid);
+        CompletableFuture<Optional<JobStatus>> planStatus = readPlan(uid);
         CompletableFuture<ReadResult> run = store.get(RunRecord.key(uid));
         CompletableFuture<ReadResult> cancellation = store.get(CancellationRecord.key(uid));
-        return CompletableFuture.allOf(planned, run, cancellation)
-                .thenApply(all -> cacheIfConclusive(planned.join(), run.join(), cancellation.join()));
+        return CompletableFuture.allOf(planStatus, run, cancellation)
+                .thenApply(all -> cacheIfConclusive(planStatus.join(), run.join(), cancellation.join()));
     }
 
-    private boolean cacheIfConclusive(Optional<JobStatus> planned, ReadResult run, ReadResult cancellation) {
-        if (planned.isEmpty() || !run.isConclusive() || !cancellation.isConclusive()) {
+    private boolean cacheIfConclusive(Optional<JobStatus> planStatus, ReadResult run, ReadResult cancellation) {
+        if (planStatus.isEmpty() || !run.isConclusive() || !cancellation.isConclusive()) {
             return false;
         }
         RunRecord runRecord = run.entry().isEmpty()
                 ? null
                 : RunRecordCodec.decode(run.entry().get().value());
-        cache.merge(planned.get().withRun(run.revision(), runRecord, cancellation.revision()));
+        cache.merge(planStatus.get().withRun(run.revision(), runRecord, cancellation.revision()));
         return true;
     }
 
@@ -145,8 +145,8 @@
                 return CompletableFuture.completedFuture(Optional.of(cached));
             }
             return PlanOverflow.load(PlanRecordCodec.decode(read.entry().get().value()), store)
-                    .thenApply(plan -> plan.map(whole ->
-                            JobStatus.ofPlan(uid, read.revision(), whole.spec().dependencies())));
+                    .thenApply(plan -> plan.map(completePlan -> JobStatus.ofPlan(
+                            uid, read.revision(), completePlan.spec().dependencies())));
         });
     }
 }
--- a/src/main/java/io/sillreel/admission/JobStatusService.java
+++ b/src/main/java/io/sillreel/admission/JobStatusService.java
@@ -38,16 +38,16 @@
     private static final int MAX_BATCHES_IN_FLIGHT = 2;
     private static final int MAX_QUERIES_PER_BATCH = 40;
     /** Levels of a dependency chain that are read job by job before all plans are scanned. */
-    private static final int MAX_SINGLE_READ_ROUNDS = 4;
+    private static final int MAX_LEVELS_READ_BY_JOB = 4;
     /** A plan held during a scan is smaller than a cached status, and is held for seconds only. */
     private static final int DEPENDENT_PLANS_PER_CACHED_STATUS = 4;
     /** Just below the 2 s that users wait for an answer. */
     private static final long QUERY_TIMEOUT_MICROS = 1_900_000;
 
-    /** @param rounds how often the query has been retried */
-    private record Query(String uid, long startMicros, int rounds, CompletableFuture<Optional<JobStatus>> result) {
-        Query nextRound() {
-            return new Query(uid, startMicros, rounds + 1, result);
+    /** @param retries how often the query has been retried */
+    private record Query(String uid, long startMicros, int retries, CompletableFuture<Optional<JobStatus>> result) {
+        Query nextRetry() {
+            return new Query(uid, startMicros, retries + 1, result);
         }
 
         void answer(JobStatus status) {
@@ -155,7 +155,7 @@
         if (eventLoop.nowMicros() - query.startMicros() > QUERY_TIMEOUT_MICROS) {
             query.fail();
         } else {
-            enqueue(query.nextRound());
+            enqueue(query.nextRetry());
         }
     }
 
@@ -280,7 +280,7 @@
      * is found in a scan of all plans, since one request for each level would take longer than users wait.
      */
     private CompletableFuture<Boolean> loadDependencies(Query query, Set<String> uids) {
-        if (query.rounds() < MAX_SINGLE_READ_ROUNDS) {
+        if (query.retries() < MAX_LEVELS_READ_BY_JOB) {
             return reader.load(uids);
         }
         // The scan may outlast the query; its plans are cached for the next one.
--- a/src/main/java/io/sillreel/admission/JobSubmission.java
+++ b/src/main/java/io/sillreel/admission/JobSubmission.java
@@ -61,9 +61,9 @@
         if (knownTypes.isEmpty()) {
             return respondUnlessAccepted(spec.uid(), JobResponses.machineTypesUnknown());
         }
-        Optional<String> obstacle = JobFeasibility.findObstacle(spec, teams, knownTypes.values());
-        if (obstacle.isPresent()) {
-            return respondUnlessAccepted(spec.uid(), JobResponses.rejected(obstacle.get()));
+        Optional<String> infeasibilityReason = JobFeasibility.infeasibilityReason(spec, teams, knownTypes.values());
+        if (infeasibilityReason.isPresent()) {
+            return respondUnlessAccepted(spec.uid(), JobResponses.rejected(infeasibilityReason.get()));
         }
         if (statuses.cached(spec.uid()).isAccepted()) {
             return respondUnlessAccepted(spec.uid(), JobResponses.storeUnavailable());
--- a/src/main/java/io/sillreel/admission/JobTransactions.java
+++ b/src/main/java/io/sillreel/admission/JobTransactions.java
@@ -20,7 +20,7 @@
 
 /** Stores plans and cancellations of jobs by compare-and-swap. Thread-safe. */
 final class JobTransactions {
-    private static final int ONE_VALUE = 1;
+    private static final int SINGLE_VALUE = 1;
 
     private final StateStore store;
     private final EventLoop eventLoop;
@@ -53,15 +53,15 @@
         boolean maySplit = !spec.dependencies().isEmpty();
         Optional<Map<String, JsonNode>> values = maySplit
                 ? split(plan)
-                : PlanOverflow.split(plan, limits.values().presentBytes(), ONE_VALUE);
+                : PlanOverflow.split(plan, limits.values().presentBytes(), SINGLE_VALUE);
         if (values.isEmpty()) {
             return CompletableFuture.completedFuture(new CommitResult(StoreOutcome.TOO_LARGE, 0, List.of()));
         }
         return commit(plan, values.get(), dependencies).thenCompose(result -> {
             boolean retrySplit = result.outcome() == StoreOutcome.TOO_LARGE && !maySplit;
-            Optional<Map<String, JsonNode>> smaller = retrySplit ? split(plan) : Optional.empty();
-            return smaller.isPresent()
-                    ? commit(plan, smaller.get(), dependencies)
+            Optional<Map<String, JsonNode>> splitValues = retrySplit ? split(plan) : Optional.empty();
+            return splitValues.isPresent()
+                    ? commit(plan, splitValues.get(), dependencies)
                     : CompletableFuture.completedFuture(result);
         });
     }
@@ -85,7 +85,7 @@
     /** Splits the plan by the announced limits; one change of the transaction is left for a cancellation. */
     private Optional<Map<String, JsonNode>> split(PlanRecord plan) {
         return PlanOverflow.split(
-                plan, limits.values().announcedBytes(), Math.max(ONE_VALUE, limits.maxTransactionChanges() - 1));
+                plan, limits.values().announcedBytes(), Math.max(SINGLE_VALUE, limits.maxTransactionChanges() - 1));
     }
 
     private CompletableFuture<CommitResult> commit(
@@ -110,10 +110,10 @@
      * that is missed here cancels the job all the same, only later.
      */
     private void requireNotCancelled(Transaction transaction, List<JobStatus> dependencies) {
-        int room = RevisionComparison.maxConditions(limits.maxTransactionChanges()) - 1;
+        int maxDependencyConditions = RevisionComparison.maxConditions(limits.maxTransactionChanges()) - 1;
         dependencies.stream()
                 .filter(dependency -> !dependency.isDone())
-                .limit(room)
+                .limit(maxDependencyConditions)
                 .forEach(dependency -> transaction.requireRevision(CancellationRecord.key(dependency.uid()), 0));
     }
 }
--- a/src/main/java/io/sillreel/leadership/HeldLease.java
+++ b/src/main/java/io/sillreel/leadership/HeldLease.java
@@ -38,10 +38,10 @@
 
     /** Ends the holding; returns the term that was held, or 0 if there was none. */
     synchronized long release() {
-        long released = term;
+        long releasedTerm = term;
         term = 0;
         leaseId = 0;
-        return released;
+        return releasedTerm;
     }
 
     /** The term held, or 0. */
--- a/src/main/java/io/sillreel/leadership/LeaderAuthority.java
+++ b/src/main/java/io/sillreel/leadership/LeaderAuthority.java
@@ -64,8 +64,8 @@
 
     /** True while heartbeats may be answered so that the leases of machines, and with them their tasks, live on. */
     boolean mayExtendMachineLeases() {
-        long confirmed = Math.min(election.leaseConfirmedMicros(), changes.cancellationsKnownUntilMicros());
-        return eventLoop.nowMicros() < confirmed + gracePeriodMicros();
+        long confirmedMicros = Math.min(election.leaseConfirmedMicros(), changes.cancellationsKnownUntilMicros());
+        return eventLoop.nowMicros() < confirmedMicros + gracePeriodMicros();
     }
 
     /**
--- a/src/main/java/io/sillreel/leadership/LeaderElection.java
+++ b/src/main/java/io/sillreel/leadership/LeaderElection.java
@@ -42,7 +42,7 @@
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
-    private static final long WATCH_MICROS = 2_000_000;
+    private static final long WATCH_BLOCK_MICROS = 2_000_000;
     /** A follower reads the key again after so many watches, in case it vanished without a change. */
     private static final int WATCHES_PER_READ = 10;
 
@@ -56,7 +56,7 @@
     private final HeldLease lease;
 
     private Listener listener;
-    private Runnable onSettled = () -> {};
+    private Runnable initialElectionCallback = () -> {};
     /** Guarded by this. */
     private Leader knownLeader = new Leader(null, 0);
     /** Guarded by this. */
@@ -84,18 +84,18 @@
      * Starts to take part in elections.
      *
      * @param leadershipListener told when this controller gains or loses leadership
-     * @param settled called once, when the leader is known or can't be known now
+     * @param onInitialElectionCompleted called once, when the leader is known or can't be known now
      */
-    public void start(Listener leadershipListener, Runnable settled) {
+    public void start(Listener leadershipListener, Runnable onInitialElectionCompleted) {
         listener = leadershipListener;
-        onSettled = settled;
+        initialElectionCallback = onInitialElectionCompleted;
         readLeaderKey();
     }
 
-    private void notifySettled() {
-        Runnable then = onSettled;
-        onSettled = () -> {};
-        then.run();
+    private void notifyInitialElectionCompleted() {
+        Runnable callback = initialElectionCallback;
+        initialElectionCallback = () -> {};
+        callback.run();
     }
 
     /** The leader as far as this controller knows; safe on any thread. */
@@ -137,16 +137,16 @@
 
     /** Gives up leadership, if it is held, and revokes the lease, so that another controller can be elected at once. */
     public void resign(String reason) {
-        long granted = lease.leaseId();
+        long leaseId = lease.leaseId();
         if (heldTerm() > 0) {
             loseLeadership(reason);
-            store.revokeLease(granted);
+            store.revokeLease(leaseId);
         }
     }
 
     /** Takes part in no election for the given time, so that another controller can be elected. */
-    public synchronized void pauseCandidacy(long forMicros) {
-        candidacyResumesMicros = eventLoop.nowMicros() + forMicros;
+    public synchronized void pauseCandidacy(long durationMicros) {
+        candidacyResumesMicros = eventLoop.nowMicros() + durationMicros;
     }
 
     private synchronized boolean isCandidacyPaused(long nowMicros) {
@@ -156,7 +156,7 @@
     private void readLeaderKey() {
         store.list(LEADER_KEY).thenAccept(listing -> {
             if (listing.outcome() != StoreOutcome.OK) {
-                notifySettled();
+                notifyInitialElectionCompleted();
                 eventLoop.schedule(RETRY_MICROS, this::readLeaderKey);
                 return;
             }
@@ -166,28 +166,28 @@
                     .orElse(null);
             if (entry == null) {
                 recordVacancy();
-                grantLease(0, listing.storeRevision());
+                campaign(0, listing.storeRevision());
                 return;
             }
             recordLeader(LeaderKeyCodec.readLeader(entry.value()));
             if (heldTerm() == 0 && node.equals(knownLeader().node())) {
                 // An earlier process of this controller held it and has ended, so nobody has to be waited for.
-                grantLease(entry.revision(), listing.storeRevision());
+                campaign(entry.revision(), listing.storeRevision());
             } else {
-                notifySettled();
+                notifyInitialElectionCompleted();
                 watchLeaderKey(listing.storeRevision());
             }
         });
     }
 
-    private void watchLeaderKey(long since) {
-        store.watch(LEADER_KEY, since, WATCH_MICROS).thenAccept(result -> {
+    private void watchLeaderKey(long sinceRevision) {
+        store.watch(LEADER_KEY, sinceRevision, WATCH_BLOCK_MICROS).thenAccept(result -> {
             if (result.outcome() != StoreOutcome.OK) {
                 eventLoop.schedule(RETRY_MICROS, this::readLeaderKey);
                 return;
             }
             if (recordChanges(result)) {
-                grantLease(0, result.storeRevision());
+                campaign(0, result.storeRevision());
             } else if (heldTerm() == 0 && (knownLeader().node() == null || ++watchCount % WATCHES_PER_READ == 0)) {
                 // A key that vanished without a change, as in a restored store, would be watched without end.
                 readLeaderKey();
@@ -222,37 +222,37 @@
     }
 
     private void recordLeader(Leader leader) {
-        long held = heldTerm();
+        long heldTerm = heldTerm();
         synchronized (this) {
             if (leader.term() >= knownLeader.term()) {
                 knownLeader = leader;
             }
         }
-        if (leader.term() != held) {
+        if (leader.term() != heldTerm) {
             loseLeadership("term " + leader.term() + " has begun on another controller");
         }
     }
 
-    private void grantLease(long leaderRevision, long storeRevision) {
-        long sent = eventLoop.nowMicros();
-        if (isCandidacyPaused(sent)) {
+    private void campaign(long leaderRevision, long storeRevision) {
+        long sentMicros = eventLoop.nowMicros();
+        if (isCandidacyPaused(sentMicros)) {
             watchLeaderKey(storeRevision);
             return;
         }
         store.grantLease(leaseMicros).thenAccept(grant -> {
             if (grant.outcome() != StoreOutcome.OK) {
-                notifySettled();
+                notifyInitialElectionCompleted();
                 eventLoop.schedule(RETRY_MICROS, this::readLeaderKey);
                 return;
             }
             store.get(TERM_KEY).thenAccept(read -> {
                 if (!read.isConclusive()) {
-                    notifySettled();
+                    notifyInitialElectionCompleted();
                     store.revokeLease(grant.leaseId());
                     eventLoop.schedule(RETRY_MICROS, this::readLeaderKey);
                     return;
                 }
-                claimLeadership(grant.leaseId(), sent, leaderRevision, read);
+                claimLeadership(grant.leaseId(), sentMicros, leaderRevision, read);
             });
         });
     }
@@ -291,7 +291,7 @@
             }
             LOG.info("acquired leadership: term {}", term);
             listener.leadershipAcquired(new TermGrant(term, commit.storeRevision()));
-            notifySettled();
+            notifyInitialElectionCompleted();
             eventLoop.schedule(leaseMicros / 3, this::renewLease);
             watchLeaderKey(commit.storeRevision());
         });
@@ -321,9 +321,9 @@
             if (outcome == StoreOutcome.OK) {
                 lease.renewed(sentMicros);
             }
-            long wait =
+            long delayMicros =
                     outcome == StoreOutcome.OK ? leaseMicros / 3 - (eventLoop.nowMicros() - sentMicros) : RETRY_MICROS;
-            eventLoop.schedule(Math.max(wait, RETRY_MICROS / 3), this::renewLease);
+            eventLoop.schedule(Math.max(delayMicros, RETRY_MICROS / 3), this::renewLease);
         });
     }
 
--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -81,8 +81,8 @@
 
     private ActiveJob restoreJob(StoredJob stored) {
         ActiveJob job = newActiveJob(stored.plan(), stored.planRevision());
-        if (stored.head() != null) {
-            job.inherit(stored.headRevision(), stored.head(), stored.chunks());
+        if (stored.runRecord() != null) {
+            job.inherit(stored.runRevision(), stored.runRecord(), stored.chunks());
         }
         activate(job);
         if (job.isComplete() && !job.isCancelled()) {
@@ -92,8 +92,8 @@
     }
 
     @Override
-    public void enqueueWrites(List<? extends PendingWrite> items) {
-        items.forEach(writeQueue::enqueue);
+    public void enqueueWrites(List<? extends PendingWrite> writes) {
+        writes.forEach(writeQueue::enqueue);
     }
 
     private ActiveJob newActiveJob(PlanRecord plan, long revision) {
@@ -113,17 +113,17 @@
 
     /** Adds a job that was admitted during the term, once the overflow values of its plan have been read. */
     void addAdmittedJob(PlanRecord plan, long revision) {
-        PlanOverflow.load(plan, store).thenAccept(complete -> {
+        PlanOverflow.load(plan, store).thenAccept(completePlan -> {
             if (closed) {
                 return;
             }
-            if (complete.isEmpty()) {
+            if (completePlan.isEmpty()) {
                 eventLoop.schedule(RETRY_MICROS, () -> addAdmittedJob(plan, revision));
                 return;
             }
             synchronized (cluster) {
                 if (cluster.job(plan.spec().uid()) == null) {
-                    ActiveJob job = newActiveJob(complete.get(), revision);
+                    ActiveJob job = newActiveJob(completePlan.get(), revision);
                     activate(job);
                     dependencies.add(job, cancelledUids::contains);
                     inheritance.propagateUrgency(job);
@@ -151,10 +151,10 @@
      * a status request needs to read no other job.
      */
     @Override
-    public void dependencyCancelled(ActiveJob job, String because) {
+    public void dependencyCancelled(ActiveJob job, String cause) {
         if (cancelledUids.add(job.uid())) {
-            LOG.info("job {} is cancelled: it depends on {}, which was cancelled", job.uid(), because);
-            writeQueue.enqueue(new CascadingCancellation(job.uid(), because, eventLoop.wallMicros()));
+            LOG.info("job {} is cancelled: it depends on {}, which was cancelled", job.uid(), cause);
+            writeQueue.enqueue(new CascadingCancellation(job.uid(), cause, eventLoop.wallMicros()));
         }
         cancellationFound(job);
     }
--- a/src/main/java/io/sillreel/leadership/LeaderStatus.java
+++ b/src/main/java/io/sillreel/leadership/LeaderStatus.java
@@ -44,18 +44,18 @@
                 "term {}: {} unfinished jobs, {} waiting tasks; cpus: {} up, {} busy, {} starting, {} wanted, "
                         + "{} standing; {} machines, {} on demand",
                 term,
-                count(gauges, "sillreel.jobs.unfinished"),
-                count(gauges, "sillreel.tasks.waiting"),
-                count(gauges, "sillreel.cpus.up"),
-                count(gauges, "sillreel.cpus.busy"),
-                count(gauges, "sillreel.cpus.starting"),
-                count(gauges, "sillreel.cpus.wanted"),
-                count(gauges, "sillreel.cpus.standing"),
-                count(gauges, "sillreel.machines"),
-                count(gauges, "sillreel.machines.ordinary"));
+                rounded(gauges, "sillreel.jobs.unfinished"),
+                rounded(gauges, "sillreel.tasks.waiting"),
+                rounded(gauges, "sillreel.cpus.up"),
+                rounded(gauges, "sillreel.cpus.busy"),
+                rounded(gauges, "sillreel.cpus.starting"),
+                rounded(gauges, "sillreel.cpus.wanted"),
+                rounded(gauges, "sillreel.cpus.standing"),
+                rounded(gauges, "sillreel.machines"),
+                rounded(gauges, "sillreel.machines.ordinary"));
     }
 
-    private static long count(Map<String, Double> gauges, String name) {
+    private static long rounded(Map<String, Double> gauges, String name) {
         return Math.round(gauges.get(name));
     }
 
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -100,7 +100,7 @@
         this.authority = new LeaderAuthority(eventLoop, election, changes, settings.workers(), term);
         this.status = new LeaderStatus(eventLoop, term, cluster, capacity, writeQueue);
         this.reachability = new LeaderReachability(eventLoop, settings, election, peers, cluster);
-        this.agentClient = new AgentClient(services.agents(), term);
+        this.agentClient = new AgentClient(services.httpClient(), term);
         this.heartbeatProcessor = newHeartbeatProcessor(configuration.operator(), planner);
         this.fleet = newFleet(services, configuration);
         this.schedulingCycle = newSchedulingCycle(planner);
@@ -276,7 +276,7 @@
     public Map<String, Double> gauges() {
         Map<String, Double> gauges = status.gauges();
         gauges.put("sillreel.plans", (double) schedulingCycle.planCount());
-        gauges.put("sillreel.plans.ms", schedulingCycle.totalPlanMicros() / 1_000.0);
+        gauges.put("sillreel.plans.ms", schedulingCycle.totalPlanDurationMicros() / 1_000.0);
         return gauges;
     }
 
--- a/src/main/java/io/sillreel/leadership/SchedulingCycle.java
+++ b/src/main/java/io/sillreel/leadership/SchedulingCycle.java
@@ -26,7 +26,7 @@
 
     private static final int MAX_COMMANDS_PER_TICK = 6;
     /** Allowed for the delivery of a command, beyond the time that a checkpoint takes. */
-    private static final long COMMAND_DELIVERY_MICROS = 1_000_000;
+    private static final long COMMAND_DELIVERY_ALLOWANCE_MICROS = 1_000_000;
 
     private final EventLoop eventLoop;
     private final Cluster cluster;
@@ -36,9 +36,9 @@
     private final SchedulingRequests requests;
     private final SpotInterruptionDrain interruptionDrain;
     private final BooleanSupplier mayAct;
-    private long plannedAtMicros;
-    private long lastPlanMicros;
-    private long totalPlanMicros;
+    private long lastPlanStartMicros;
+    private long lastPlanDurationMicros;
+    private long totalPlanDurationMicros;
     private long planCount;
 
     /** @param mayAct true while launches are allowed */
@@ -67,8 +67,8 @@
     }
 
     /** The time that all plans took together. */
-    long totalPlanMicros() {
-        return totalPlanMicros;
+    long totalPlanDurationMicros() {
+        return totalPlanDurationMicros;
     }
 
     /** Expires the leases of silent machines, plans if that is due, and sends the commands that can't wait. */
@@ -76,7 +76,7 @@
         List<Machine> machinesToCommand;
         synchronized (cluster) {
             heartbeatProcessor.expireLeases();
-            if (now - plannedAtMicros > MAX_PLAN_INTERVAL_MICROS) {
+            if (now - lastPlanStartMicros > MAX_PLAN_INTERVAL_MICROS) {
                 requests.requestPlan();
             }
             planIfDue();
@@ -97,20 +97,21 @@
         long now = eventLoop.nowMicros();
         if (!requests.isPlanNeeded()
                 || !mayAct.getAsBoolean()
-                || now - plannedAtMicros < Math.max(MIN_PLAN_INTERVAL_MICROS, PLAN_INTERVAL_FACTOR * lastPlanMicros)) {
+                || now - lastPlanStartMicros
+                        < Math.max(MIN_PLAN_INTERVAL_MICROS, PLAN_INTERVAL_FACTOR * lastPlanDurationMicros)) {
             return;
         }
         requests.planStarted();
-        plannedAtMicros = now;
+        lastPlanStartMicros = now;
         PlacementPlan plan = planner.plan(now, eventLoop.wallMicros());
         heartbeatProcessor.usePlan(plan);
         for (Allocation allocation : plan.preemptions()) {
             LOG.debug("preempting task {}/{}", allocation.uid(), allocation.taskIndex());
-            allocation.stop(allocation.job().spec().checkpointDurationMicros() + COMMAND_DELIVERY_MICROS);
+            allocation.stop(allocation.job().spec().checkpointDurationMicros() + COMMAND_DELIVERY_ALLOWANCE_MICROS);
             requests.requestCommands(allocation.machine());
         }
-        lastPlanMicros = eventLoop.nowMicros() - now;
+        lastPlanDurationMicros = eventLoop.nowMicros() - now;
         planCount++;
-        totalPlanMicros += lastPlanMicros;
+        totalPlanDurationMicros += lastPlanDurationMicros;
     }
 }
--- a/src/main/java/io/sillreel/leadership/SchedulingRequests.java
+++ b/src/main/java/io/sillreel/leadership/SchedulingRequests.java
@@ -55,12 +55,12 @@
     }
 
     /** Removes and returns the machines that were asked for first, at most so many. */
-    List<Machine> takeMachinesToCommand(int most) {
+    List<Machine> takeMachinesToCommand(int max) {
         List<Machine> taken = new ArrayList<>();
-        var waiting = machinesToCommand.iterator();
-        while (waiting.hasNext() && taken.size() < most) {
-            taken.add(waiting.next());
-            waiting.remove();
+        var iterator = machinesToCommand.iterator();
+        while (iterator.hasNext() && taken.size() < max) {
+            taken.add(iterator.next());
+            iterator.remove();
         }
         return taken;
     }
--- a/src/main/java/io/sillreel/leadership/StoredChangeWatcher.java
+++ b/src/main/java/io/sillreel/leadership/StoredChangeWatcher.java
@@ -71,12 +71,12 @@
         /** All changes before the given time have been applied. */
         void caughtUp(long sentMicros) {}
 
-        void run(long since) {
+        void run(long sinceRevision) {
             if (closed) {
                 return;
             }
             long sentMicros = eventLoop.nowMicros();
-            store.watch(prefix, since, blockMicros).thenAccept(result -> {
+            store.watch(prefix, sinceRevision, blockMicros).thenAccept(result -> {
                 if (closed) {
                     return;
                 }
@@ -90,7 +90,7 @@
                     }
                     // What was missed can't be told any more; the next term reads everything anew.
                     case COMPACTED -> election.resign("the watch of " + prefix + " was compacted");
-                    default -> eventLoop.schedule(RETRY_MICROS, () -> run(since));
+                    default -> eventLoop.schedule(RETRY_MICROS, () -> run(sinceRevision));
                 }
             });
         }
--- a/src/main/java/io/sillreel/leadership/StoredJobsReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredJobsAssembler.java
@@ -29,13 +29,13 @@
  * the run records have been read up to its id; the next page of plans is accepted only then, so that at most one page
  * waits. Runs on the event loop.
  */
-final class StoredJobsReader {
-    private record StoredHead(RunRecord head, long revision) {}
+final class StoredJobsAssembler {
+    private record StoredRunRecord(RunRecord runRecord, long revision) {}
 
     private final int firstVersionTasksPerChunk;
     private final LongPredicate countsAsDemand;
     private final JobIdSet done = new JobIdSet();
-    private final Map<String, StoredHead> heads = new HashMap<>();
+    private final Map<String, StoredRunRecord> runRecords = new HashMap<>();
     private final Map<String, StoredChunks> chunks = new HashMap<>();
     private final List<StoredJob> unfinished = new ArrayList<>();
     private final List<PlanRecord> recentlyDone = new ArrayList<>();
@@ -49,7 +49,7 @@
      * @param firstVersionTasksPerChunk how many tasks the first version put into one chunk of a completion bitmap
      * @param countsAsDemand true for the wall-clock time of an admission that still counts as demand, in microseconds
      */
-    StoredJobsReader(int firstVersionTasksPerChunk, LongPredicate countsAsDemand) {
+    StoredJobsAssembler(int firstVersionTasksPerChunk, LongPredicate countsAsDemand) {
         this.firstVersionTasksPerChunk = firstVersionTasksPerChunk;
         this.countsAsDemand = countsAsDemand;
     }
@@ -64,7 +64,7 @@
             } else if (RunRecordCodec.isDone(entry.value())) {
                 done.add(suffix);
             } else {
-                heads.put(suffix, new StoredHead(RunRecordCodec.decode(entry.value()), entry.revision()));
+                runRecords.put(suffix, new StoredRunRecord(RunRecordCodec.decode(entry.value()), entry.revision()));
             }
             lastRunRecordUid = suffix;
         }
@@ -126,12 +126,12 @@
     private void classify(StoredEntry plan) {
         String uid = keySuffix(PlanRecord.PREFIX, plan);
         if (!done.contains(uid)) {
-            StoredHead head = heads.remove(uid);
+            StoredRunRecord stored = runRecords.remove(uid);
             unfinished.add(new StoredJob(
                     PlanRecordCodec.decode(plan.value()),
                     plan.revision(),
-                    head == null ? null : head.head(),
-                    head == null ? 0 : head.revision(),
+                    stored == null ? null : stored.runRecord(),
+                    stored == null ? 0 : stored.revision(),
                     StoredChunks.NONE));
         } else if (countsAsDemand.test(PlanRecordCodec.admittedWallMicros(plan.value()))) {
             recentlyDone.add(PlanRecordCodec.decode(plan.value()));
--- a/src/main/java/io/sillreel/leadership/StoredState.java
+++ b/src/main/java/io/sillreel/leadership/StoredState.java
@@ -34,17 +34,17 @@
      * A job whose completion is not stored.
      *
      * @param planRevision the revision of the plan, which gives the order of admission
-     * @param head the stored record of its progress, or null if it has not been released
-     * @param headRevision the revision of that record, 0 if there is none
+     * @param runRecord the stored record of its progress, or null if it has not been released
+     * @param runRevision the revision of that record, 0 if there is none
      * @param chunks the stored chunks of its completion bitmap
      */
-    record StoredJob(PlanRecord plan, long planRevision, RunRecord head, long headRevision, StoredChunks chunks) {
+    record StoredJob(PlanRecord plan, long planRevision, RunRecord runRecord, long runRevision, StoredChunks chunks) {
         StoredJob withChunks(StoredChunks newChunks) {
-            return new StoredJob(plan, planRevision, head, headRevision, newChunks);
+            return new StoredJob(plan, planRevision, runRecord, runRevision, newChunks);
         }
 
         StoredJob withPlan(PlanRecord newPlan) {
-            return new StoredJob(newPlan, planRevision, head, headRevision, chunks);
+            return new StoredJob(newPlan, planRevision, runRecord, runRevision, chunks);
         }
     }
 }
--- a/src/main/java/io/sillreel/leadership/StoredStateReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredStateReader.java
@@ -48,10 +48,10 @@
 
     /** Reads everything; empty if the state store did not answer all of it. */
     CompletableFuture<Optional<StoredState>> read() {
-        StoredJobsReader jobs = new StoredJobsReader(firstVersionTasksPerChunk, countsAsDemand);
+        StoredJobsAssembler jobs = new StoredJobsAssembler(firstVersionTasksPerChunk, countsAsDemand);
         JobIdSet cancelled = new JobIdSet();
         List<ScaleOutRequest> scaleOutRequests = new ArrayList<>();
-        CompletableFuture<ScanResult> runs = scan(RunRecord.PREFIX, jobs::addRunRecords);
+        CompletableFuture<ScanResult> runRecords = scan(RunRecord.PREFIX, jobs::addRunRecords);
         CompletableFuture<ScanResult> plans = store.scan(
                 PlanRecord.PREFIX,
                 page -> jobs.addPlans(page).thenApply(classified -> classified && isStillNeeded.getAsBoolean()));
@@ -63,10 +63,10 @@
                 ScaleOutRequest.PREFIX,
                 page -> page.forEach(entry -> scaleOutRequests.add(
                         ScaleOutRequestCodec.decode(entry.key(), entry.value(), entry.revision()))));
-        runs.thenAccept(scan -> jobs.endRunRecords(scan.outcome() == StoreOutcome.OK));
-        List<CompletableFuture<ScanResult>> all = List.of(plans, runs, cancellations, requests, chunks);
-        return CompletableFuture.allOf(all.toArray(CompletableFuture[]::new)).thenCompose(done -> {
-            if (all.stream().anyMatch(scan -> scan.join().outcome() != StoreOutcome.OK)) {
+        runRecords.thenAccept(scan -> jobs.endRunRecords(scan.outcome() == StoreOutcome.OK));
+        List<CompletableFuture<ScanResult>> scans = List.of(plans, runRecords, cancellations, requests, chunks);
+        return CompletableFuture.allOf(scans.toArray(CompletableFuture[]::new)).thenCompose(ignored -> {
+            if (scans.stream().anyMatch(scan -> scan.join().outcome() != StoreOutcome.OK)) {
                 return CompletableFuture.completedFuture(Optional.empty());
             }
             return readOverflowValues(jobs.toStoredState(
@@ -93,7 +93,7 @@
     private CompletableFuture<Optional<StoredState>> readOverflowValues(StoredState state) {
         List<CompletableFuture<Optional<PlanRecord>>> plans = new ArrayList<>();
         state.unfinished().forEach(job -> plans.add(PlanOverflow.load(job.plan(), store)));
-        return CompletableFuture.allOf(plans.toArray(CompletableFuture[]::new)).thenApply(done -> {
+        return CompletableFuture.allOf(plans.toArray(CompletableFuture[]::new)).thenApply(ignored -> {
             for (int index = 0; index < plans.size(); index++) {
                 Optional<PlanRecord> plan = plans.get(index).join();
                 if (plan.isEmpty()) {
--- a/src/main/java/io/sillreel/leadership/TermServices.java
+++ b/src/main/java/io/sillreel/leadership/TermServices.java
@@ -9,6 +9,6 @@
  *
  * @param store the state store
  * @param cloud the interface of the cloud
- * @param agents for requests to the agents of machines
+ * @param httpClient for requests to the agents of machines
  */
-public record TermServices(StateStore store, CloudClient cloud, HttpClient agents) {}
+public record TermServices(StateStore store, CloudClient cloud, HttpClient httpClient) {}
--- a/src/test/java/io/sillreel/admission/UserSamplesTest.java
+++ b/src/test/java/io/sillreel/admission/JobApiSamplesTest.java
@@ -34,7 +34,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The requests of users, the responses to them, and what is stored for them. */
-class UserSamplesTest {
+class JobApiSamplesTest {
     private static final long HEAP_BYTES = 50L << 20;
     private static final Map<String, MachineType> TYPES = Map.of(
             "c4", new MachineType("c4", 4, 1, 16, new ImageStorage(0, 0), new Pricing(0, 0), 0, List.of("a", "b")));
@@ -52,7 +52,7 @@
             new RateLimiter(process, 1e6, 1e6),
             new RateLimiter(process, 1e6, 1e6));
     private Map<String, MachineType> machineTypes = TYPES;
-    private final Admission admission = new Admission(
+    private final JobApiHandler admission = new JobApiHandler(
             store,
             process,
             settings,
@@ -62,15 +62,15 @@
             uid -> transcript.note("told the leader of " + uid));
 
     @Test
-    void readsSubmissionsAndSaysWhatIsWrongWithThem() throws Exception {
+    void decodesSubmissionsAndReportsErrors() throws Exception {
         GoldenSamples.assertConverts("submissions.txt", input -> {
             ObjectNode submission = SimCluster.job("job-000412", 3);
             submission.setAll((ObjectNode) json(input));
             try {
                 JobSpec spec = SubmissionDecoder.decode(Json.bytes(submission));
-                String obstacle = JobFeasibility.findObstacle(spec, settings.teams(), TYPES.values())
+                String infeasibilityReason = JobFeasibility.infeasibilityReason(spec, settings.teams(), TYPES.values())
                         .orElse("may run");
-                return values(fields(spec)) + "\n" + obstacle;
+                return values(fields(spec)) + "\n" + infeasibilityReason;
             } catch (MalformedSubmissionException e) {
                 return e.getMessage();
             }
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void tellsTheStatusOfAJob() throws Exception {
+    void encodesJobStatuses() throws Exception {
         GoldenSamples.assertConverts("job-answers.txt", input -> {
             JsonNode known = json(input);
             boolean isReleased = known.has("head");
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void refusesWhatItCanNotServe() {
+    void rejectsInvalidAndUnservableRequests() {
         send(HttpRequest.get("/v2/runs"));
         send(HttpRequest.get("/v2/runs/job-1/else"));
         send(HttpRequest.get("/v2/runs/job-x"));
--- a/src/test/java/io/sillreel/admission/JobStatusCacheTest.java
+++ b/src/test/java/io/sillreel/admission/JobStatusCacheTest.java
@@ -11,18 +11,18 @@
     private final JobStatusCache cache = new JobStatusCache(2);
 
     @Test
-    void aJobThatIsNotCachedIsNotAccepted() {
+    void returnsAnUnknownStatusForAJobThatIsNotCached() {
         assertThat(cache.get(UID).isAccepted()).isFalse();
     }
 
     @Test
-    void jobsThatAreNotAcceptedAreNotCached() {
+    void doesNotCacheJobsThatAreNotAccepted() {
         cache.merge(JobStatus.unknown(UID).withCancellation(7));
         assertThat(cache.get(UID).cancellationRevision()).isZero();
     }
 
     @Test
-    void anOlderStatusDoesNotReplaceANewerOne() {
+    void olderStatusDoesNotReplaceANewerOne() {
         JobStatus planned = JobStatus.ofPlan(UID, 5, List.of());
         cache.merge(planned.withCancellation(9));
         cache.merge(planned);
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void theLeastRecentlyUsedStatusIsEvicted() {
+    void evictsTheLeastRecentlyUsedStatus() {
         cache.merge(JobStatus.ofPlan("job-000001", 1, List.of()));
         cache.merge(JobStatus.ofPlan("job-000002", 2, List.of()));
         cache.get("job-000001");
--- a/src/test/java/io/sillreel/admission/JobStatusServiceTest.java
+++ b/src/test/java/io/sillreel/admission/JobStatusServiceTest.java
@@ -16,50 +16,50 @@
 import org.junit.jupiter.api.Test;
 
 class JobStatusServiceTest {
-    private static final int REMEMBERED = 10;
-    private static final int CHAIN = 8;
-    private static final int MAX_CHAIN_PLANS = 4 * REMEMBERED;
+    private static final int MAX_CACHED_STATUSES = 10;
+    private static final int CHAIN_LENGTH = 8;
+    private static final int MAX_DEPENDENT_PLANS = 4 * MAX_CACHED_STATUSES;
 
     private final SimTime time = new SimTime();
     private final SimNetwork network = new SimNetwork(time, 1);
     private final SimTime.Process process = time.new Process();
     private final StateStore store;
-    private int jobs;
+    private int jobCount;
 
     JobStatusServiceTest() throws MalformedSubmissionException {
         network.listen("state:1", new SimStateStore(time, 100, 8192, 10_000));
         store = network.stateStore(process, 1_000, 10_000);
-        for (int step = 0; step < CHAIN; step++) {
-            addJob(step > 0);
+        for (int index = 0; index < CHAIN_LENGTH; index++) {
+            addJob(index > 0);
         }
     }
 
     /** Stores the plan of one more job, which depends on the one before or on none. */
     private void addJob(boolean dependsOnPrevious) throws MalformedSubmissionException {
-        ObjectNode job = SimCluster.job("job-%06d".formatted(++jobs), 1);
+        ObjectNode job = SimCluster.job("job-%06d".formatted(++jobCount), 1);
         if (dependsOnPrevious) {
-            job.putArray("awaits").add("job-%06d".formatted(jobs - 1));
+            job.putArray("awaits").add("job-%06d".formatted(jobCount - 1));
         }
         PlanRecord plan = new PlanRecord(1, SubmissionDecoder.decode(job));
         store.commit(new Transaction().set(PlanRecord.key(plan.spec().uid()), PlanRecordCodec.encode(plan)));
         time.runFor(10_000);
     }
 
-    private CompletableFuture<Optional<JobStatus>> queryEndOfChain() {
+    private CompletableFuture<Optional<JobStatus>> queryLastJobOfChain() {
         CompletableFuture<Optional<JobStatus>> answer =
-                new JobStatusService(store, process, 20, REMEMBERED).query("job-%06d".formatted(CHAIN));
+                new JobStatusService(store, process, 20, MAX_CACHED_STATUSES).query("job-%06d".formatted(CHAIN_LENGTH));
         time.runFor(2_000_000);
         return answer;
     }
 
     /** Guards memory: a long chain is found in a scan of all plans, of which only a bounded number is held. */
     @Test
-    void aScanThatFindsMoreDependentPlansThanMayBeHeldFailsInTime() throws MalformedSubmissionException {
-        assertThat(queryEndOfChain())
+    void failsInTimeWhenAScanExceedsTheDependentPlanLimit() throws MalformedSubmissionException {
+        assertThat(queryLastJobOfChain())
                 .isCompletedWithValueMatching(answer -> answer.orElseThrow().isAccepted());
-        for (int other = 0; other <= MAX_CHAIN_PLANS; other++) {
+        for (int index = 0; index <= MAX_DEPENDENT_PLANS; index++) {
             addJob(true);
         }
-        assertThat(queryEndOfChain()).isCompletedWithValue(Optional.empty());
+        assertThat(queryLastJobOfChain()).isCompletedWithValue(Optional.empty());
     }
 }
--- a/src/test/java/io/sillreel/admission/SubmissionDecoderTest.java
+++ b/src/test/java/io/sillreel/admission/SubmissionDecoderTest.java
@@ -13,7 +13,7 @@
     private final ObjectNode submission = SimCluster.job("job-000001", 3);
 
     @Test
-    void theFirstMalformedFieldInTheOrderOfReadingIsNamed() {
+    void reportsTheFirstMalformedFieldInDecodingOrder() {
         submission.put("pieces", 0).put("vcpus", -1).remove("crew");
         assertThatExceptionOfType(MalformedSubmissionException.class)
                 .isThrownBy(() -> SubmissionDecoder.decode(submission))
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void aMalformedSubmissionWithAValidIdTellsTheId() {
+    void malformedSubmissionWithAValidIdCarriesTheId() {
         submission.remove("crew");
         assertThatExceptionOfType(MalformedSubmissionException.class)
                 .isThrownBy(() -> SubmissionDecoder.decode(submission))
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aSubmissionWithoutAValidIdTellsNoId() {
+    void submissionWithoutAValidIdCarriesNoId() {
         submission.put("uid", "nonsense");
         assertThatExceptionOfType(MalformedSubmissionException.class)
                 .isThrownBy(() -> SubmissionDecoder.decode(submission))
@@ -38,14 +38,14 @@
     }
 
     @Test
-    void aBodyThatIsNotJsonIsMalformed() {
+    void rejectsABodyThatIsNotJson() {
         assertThatExceptionOfType(MalformedSubmissionException.class)
                 .isThrownBy(() -> SubmissionDecoder.decode("not json".getBytes(StandardCharsets.UTF_8)))
                 .withMessage("the body is not a JSON object");
     }
 
     @Test
-    void aDependencyThatIsNamedTwiceCountsOnce() throws MalformedSubmissionException {
+    void duplicateDependenciesCountOnce() throws MalformedSubmissionException {
         submission.putArray("awaits").add("job-000002").add("job-000003").add("job-000002");
         JobSpec spec = SubmissionDecoder.decode(submission);
         assertThat(spec.dependencies()).containsExactly("job-000002", "job-000003");
--- a/src/test/java/io/sillreel/leadership/HeldLeaseTest.java
+++ b/src/test/java/io/sillreel/leadership/HeldLeaseTest.java
@@ -15,13 +15,13 @@
     private final HeldLease lease = new HeldLease(process, DURATION_MICROS);
 
     @Test
-    void aLeaseThatWasNeverAcquiredIsNotValid() {
+    void isInvalidBeforeAcquisition() {
         assertThat(lease.isValid()).isFalse();
         assertThat(lease.term()).isZero();
     }
 
     @Test
-    void validityEndsBeforeTheStateStoreLetsTheLeaseExpire() {
+    void becomesInvalidBeforeTheStateStoreExpiresTheLease() {
         lease.acquired(7, 1, process.nowMicros());
         time.runFor(DURATION_MICROS - MARGIN_MICROS - 1);
         assertThat(lease.isValid()).isTrue();
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void aRenewalCountsFromWhenItWasSent() {
+    void renewalExtendsValidityFromItsSendTime() {
         lease.acquired(7, 1, process.nowMicros());
         time.runFor(1_000_000);
         long sentMicros = process.nowMicros();
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aRenewalThatIsAnsweredLateDoesNotShortenValidity() {
+    void lateRenewalResponseDoesNotShortenValidity() {
         long acquiredMicros = process.nowMicros();
         lease.acquired(7, 1, acquiredMicros + 1_000);
         lease.renewed(acquiredMicros);
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void aReleasedLeaseIsNeitherHeldNorValid() {
+    void releasedLeaseIsNeitherHeldNorValid() {
         lease.acquired(7, 4, process.nowMicros());
         assertThat(lease.release()).isEqualTo(4);
         assertThat(lease.isHeld(7)).isFalse();
--- a/src/test/java/io/sillreel/leadership/StoredStateReaderTest.java
+++ b/src/test/java/io/sillreel/leadership/StoredStateReaderTest.java
@@ -63,7 +63,7 @@
 
     /** Guards against lists that arrive out of step: whatever comes first, no job is taken for another kind. */
     @RepeatedTest(5)
-    void jobsAreToldApartHoweverTheListsInterleave(RepetitionInfo repetition) {
+    void classifiesJobsWhateverOrderThePagesArriveIn(RepetitionInfo repetition) {
         Random random = new Random(repetition.getCurrentRepetition());
         store(random);
         SimNetwork network = new SimNetwork(time, repetition.getCurrentRepetition());
@@ -82,7 +82,7 @@
         assertThat(stored.unfinished().stream().map(job -> job.plan().spec().uid()))
                 .containsExactlyElementsOf(unfinished);
         assertThat(stored.unfinished().stream()
-                        .filter(job -> job.head() != null)
+                        .filter(job -> job.runRecord() != null)
                         .map(job -> job.plan().spec().uid()))
                 .containsExactlyElementsOf(released);
         assertThat(stored.done().size()).isEqualTo(JOBS - unfinished.size());
@@ -90,16 +90,16 @@
 
     /** Guards the lease: a leader whose reading neither ends nor fails would hold it for ever and do nothing. */
     @Test
-    void aListOfRecordsThatFailsEndsTheReadingWhenPlansComeLater() {
+    void completesEmptyWhenTheRunRecordScanFailsBeforePlansArrive() {
         store(new Random(1));
         SimNetwork network = new SimNetwork(time, 1);
         network.listen("state:1", state);
-        int[] plans = new int[1];
+        int[] planRequests = new int[1];
         network.add((from, to, request) -> {
             if (request.path().contains("prefix=run/")) {
                 return Fate.REFUSE;
             }
-            return request.path().contains("prefix=plan/") && plans[0]++ == 0 ? Fate.LOSE : null;
+            return request.path().contains("prefix=plan/") && planRequests[0]++ == 0 ? Fate.LOSE : null;
         });
         SimTime.Process process = time.new Process();
         CompletableFuture<Optional<StoredState>> read = new StoredStateReader(
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void idsThatDifferByZerosAloneAreDifferentJobs() {
+    void idsThatDifferOnlyInLeadingZerosAreDistinct() {
         JobIdSet ids = new JobIdSet();
         assertThat(ids.add("job-7")).isTrue();
         assertThat(ids.contains("job-07")).isFalse();
