--- a/src/main/java/io/sillreel/admission/JobApiHandler.java
+++ b/src/main/java/io/sillreel/admission/JobApiHandler.java
@@ -15,8 +15,8 @@
 import java.util.function.Supplier;
 
 /**
- * The users' interface: submits, polls and cancels jobs. Every controller serves it, leader or not, since each answer
- * is either final and stored or was confirmed by the store after the request arrived.
+ * Handles the HTTP API for users: submits, polls and cancels jobs. Every controller serves it, leader or follower,
+ * since each response is either a stored terminal status or was confirmed by the state store after the request arrived.
  */
 public final class JobApiHandler implements HttpHandler {
     private static final String JOBS_PATH = "/v2/runs";
@@ -30,12 +30,12 @@
     private final JobCancellation cancellation;
 
     /**
-     * Creates the interface.
+     * Creates the handler.
      *
-     * @param machineTypes the known machine types by name; none as long as they have not been read
-     * @param liveTaskCounts counts of tasks that are newer than the stored ones
-     * @param cancellationListener is given the id of each job whose cancellation was stored here, before its user is
-     *     answered
+     * @param machineTypes the known machine types by name; empty until they have been read
+     * @param liveTaskCounts task counts that are newer than the stored ones
+     * @param cancellationListener receives the id of each job whose cancellation this controller has stored, before the
+     *     response is sent
      */
     public JobApiHandler(
             StateStore store,
--- a/src/main/java/io/sillreel/admission/JobCancellation.java
+++ b/src/main/java/io/sillreel/admission/JobCancellation.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Cancels jobs at the request of their users. Cancelling a job that is done or cancelled changes nothing. */
+/** Cancels jobs at the request of users. Cancelling a job that is done or cancelled has no effect. */
 final class JobCancellation {
     private static final Logger LOG = LoggerFactory.getLogger(JobCancellation.class);
     private static final int MAX_ATTEMPTS = 5;
@@ -18,7 +18,7 @@
     private final JobResponses responses;
     private final Consumer<String> listener;
 
-    /** @param listener is given the id of each job whose cancellation was stored here, before its user is answered */
+    /** @param listener receives the id of each job whose cancellation is stored here, before the response is sent */
     JobCancellation(
             JobTransactions transactions,
             JobStatusService statuses,
@@ -47,7 +47,7 @@
         });
     }
 
-    /** The response if there is nothing to cancel, or nothing can be said about it. */
+    /** The response if there is nothing to cancel or the status is unavailable; otherwise empty. */
     private Optional<HttpResponse> responseWithoutWrite(Optional<JobStatus> answer) {
         if (answer.isEmpty()) {
             return Optional.of(JobResponses.storeUnavailable());
--- a/src/main/java/io/sillreel/admission/JobFeasibility.java
+++ b/src/main/java/io/sillreel/admission/JobFeasibility.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Judges whether a job could ever run, whatever the load of the cluster is. */
+/** Checks whether a job could ever run, regardless of the load of the cluster. */
 final class JobFeasibility {
     private JobFeasibility() {}
 
-    /** Returns why the job can never run, in words for the user; empty if it can. */
+    /** Returns a message for the user about why the job can never run; empty if it can. */
     static Optional<String> infeasibilityReason(
             JobSpec spec, Map<String, Team> teams, Collection<MachineType> machineTypes) {
         Team team = teams.get(spec.team());
--- a/src/main/java/io/sillreel/admission/JobResponses.java
+++ b/src/main/java/io/sillreel/admission/JobResponses.java
@@ -8,7 +8,7 @@
 import io.sillreel.pipeline.RunRecord;
 import java.util.Optional;
 
-/** Encodes the responses to users. Thread-safe if the live counts are. */
+/** Creates the responses to users. Thread-safe if the live task counts are. */
 final class JobResponses {
     private static final int RETRY_AFTER_SECONDS = 1;
     private static final int MACHINE_TYPES_RETRY_AFTER_SECONDS = 2;
@@ -18,7 +18,7 @@
 
     private final LiveTaskCounts liveTaskCounts;
 
-    /** @param liveTaskCounts counts that are newer than the stored ones */
+    /** @param liveTaskCounts task counts that are newer than the stored ones */
     JobResponses(LiveTaskCounts liveTaskCounts) {
         this.liveTaskCounts = liveTaskCounts;
     }
@@ -34,7 +34,7 @@
         return HttpResponse.of(201, Json.object().put("uid", status.uid()).put("stage", stage));
     }
 
-    /** The submission will never be accepted as it is. */
+    /** The submission can't be accepted unless it is changed. */
     static HttpResponse rejected(String reason) {
         return HttpResponse.error(422, reason);
     }
@@ -61,27 +61,27 @@
         return HttpResponse.error(404, "no such path");
     }
 
-    /** @param method the only method of the path */
+    /** @param method the only method that the path supports */
     static HttpResponse methodNotAllowed(String method) {
         return HttpResponse.error(405, "use " + method);
     }
 
-    /** The store can't be read now, so that nothing certain can be said. */
+    /** The state store can't be read now, so the status of the job is unknown. */
     static HttpResponse storeUnavailable() {
         return retryLater("the state service can't be asked now");
     }
 
-    /** The store certainly did not carry out the write. */
+    /** The state store certainly did not apply the write. */
     static HttpResponse writeRefused() {
         return retryLater("the state service does not take the job now");
     }
 
-    /** The write may or may not have been carried out. */
+    /** The write may or may not have been applied. */
     static HttpResponse writeUncertain() {
         return retryLater("the job could not be stored for certain");
     }
 
-    /** Concurrent changes of the job made each attempt fail. */
+    /** Every attempt conflicted with a concurrent change of the job. */
     static HttpResponse tooManyConflicts() {
         return retryLater("the job is changing too fast");
     }
--- a/src/main/java/io/sillreel/admission/JobStatus.java
+++ b/src/main/java/io/sillreel/admission/JobStatus.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * What this controller last read of a job. A revision is 0 if its key did not exist then. Immutable.
+ * The stored state of a job as this controller last read it. The revision of a key that did not exist is 0. Immutable.
  *
  * @param planRevision revision of the job's plan; 0 if the job has not been accepted
  * @param dependencies ids of the jobs that have to be done before this one is released
  * @param runRevision revision of the job's run record; 0 if the job has not been released
  * @param runRecord the run record of that revision, or null if there is none
  * @param cancellationRevision revision of the job's own cancellation; 0 if it has none
- * @param dependencyCancelled true if a job that it depends on, directly or transitively, is cancelled
+ * @param dependencyCancelled true if a direct or transitive dependency of the job is cancelled
  */
 record JobStatus(
         String uid,
@@ -22,12 +22,12 @@
         long cancellationRevision,
         boolean dependencyCancelled) {
 
-    /** The status of a job of which nothing is known. */
+    /** The status of an unknown job. */
     static JobStatus unknown(String uid) {
         return ofPlan(uid, 0, List.of());
     }
 
-    /** The status of a job of which only the plan is known. */
+    /** The status of a job whose plan is known, and nothing else. */
     static JobStatus ofPlan(String uid, long planRevision, List<String> dependencies) {
         return new JobStatus(uid, planRevision, dependencies, 0, null, 0, false);
     }
@@ -40,28 +40,28 @@
         return runRecord != null && runRecord.isDone();
     }
 
-    /** True if the job itself is cancelled, or one of its dependencies, without which it is never released. */
+    /** True if the job itself is cancelled, or one of its dependencies, so that it is never released. */
     boolean isCancelled() {
         return cancellationRevision > 0 || dependencyCancelled;
     }
 
-    /** True if the stored state is final: it may be told without asking the store again. */
+    /** True if the stored state is final, so that it may be returned without confirmation by the state store. */
     boolean isTerminal() {
         return isDone() || isCancelled();
     }
 
-    /** True if a cancellation of other jobs may still cancel this one; once it is released, all of them are done. */
+    /** True if the cancellation of a dependency may still cancel this job; once released, all dependencies are done. */
     boolean isWaitingForDependencies() {
         return !dependencies.isEmpty() && runRevision == 0 && !isCancelled();
     }
 
-    /** The same status with what was read of the job's run record and cancellation. */
+    /** The same status with a newly read run record and cancellation of the job. */
     JobStatus withRun(long newRunRevision, RunRecord newRunRecord, long newCancellationRevision) {
         return new JobStatus(
                 uid, planRevision, dependencies, newRunRevision, newRunRecord, newCancellationRevision, false);
     }
 
-    /** The same status with the job's own cancellation. */
+    /** The same status with a cancellation of the job itself. */
     JobStatus withCancellation(long revision) {
         return withRun(runRevision, runRecord, revision);
     }
@@ -71,7 +71,7 @@
         return new JobStatus(uid, planRevision, dependencies, runRevision, runRecord, cancellationRevision, true);
     }
 
-    /** The newest of each key from both: the keys are not read in one transaction, so neither is newer in all. */
+    /** Merges both statuses by the newest revision of each key, since the keys are not read in one transaction. */
     JobStatus mergedWith(JobStatus other) {
         boolean otherRunNewer = runRevision < other.runRevision();
         return new JobStatus(
--- a/src/main/java/io/sillreel/admission/JobStatusCache.java
+++ b/src/main/java/io/sillreel/admission/JobStatusCache.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /**
- * The job statuses that were used last, least recently used first out. A status that is not cached costs three reads of
- * the store, a cached one a share of a comparing transaction. Thread-safe.
+ * LRU cache of job statuses. A cache miss costs three reads of the state store; a hit costs a share of the transaction
+ * that compares revisions. Thread-safe.
  */
 final class JobStatusCache {
     private static final int INITIAL_CAPACITY = 64;
     private static final float LOAD_FACTOR = 0.75f;
 
-    /** Guarded by {@code this}; in the order of access. */
+    /** Guarded by {@code this}; in access order. */
     private final Map<String, JobStatus> statuses;
 
-    /** @param maxStatuses number of statuses that are kept */
+    /** @param maxStatuses the maximum number of cached statuses */
     JobStatusCache(int maxStatuses) {
         this.statuses = new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true) {
             private static final long serialVersionUID = 1L;
@@ -32,7 +32,7 @@
         return status == null ? JobStatus.unknown(uid) : status;
     }
 
-    /** Merges the status into the cached one; nothing newer is overwritten, and only accepted jobs are kept. */
+    /** Merges the status into the cached one without replacing newer data; only accepted jobs are cached. */
     synchronized void merge(JobStatus status) {
         JobStatus merged = status.mergedWith(get(status.uid()));
         if (merged.isAccepted()) {
--- a/src/main/java/io/sillreel/admission/JobStatusConditions.java
+++ b/src/main/java/io/sillreel/admission/JobStatusConditions.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 
 /**
- * The revisions under which a cached status still holds. For a job that waits for dependencies that includes that none
- * of its unfinished dependencies, direct or transitive, is cancelled. Not thread-safe.
+ * The revisions at which a cached status is still valid. For a job that waits for dependencies, the conditions include
+ * that none of its unfinished dependencies, direct or transitive, is cancelled. Not thread-safe.
  */
 final class JobStatusConditions {
     private final Map<String, Long> revisions = new LinkedHashMap<>();
@@ -22,7 +22,7 @@
 
     private JobStatusConditions() {}
 
-    /** Returns the conditions of the status, with what the cache holds of the job's dependencies. */
+    /** Returns the conditions of the status, including those on the cached dependencies of the job. */
     static JobStatusConditions of(JobStatus status, JobStatusCache cache) {
         JobStatusConditions conditions = new JobStatusConditions();
         conditions.addOwnKeys(status);
@@ -32,17 +32,17 @@
         return conditions;
     }
 
-    /** Returns the id of the job that a key of a condition belongs to. */
+    /** Returns the job id in the key of a condition. */
     static String uidOf(String key) {
         return key.substring(key.indexOf('/') + 1);
     }
 
-    /** The expected revisions by key; 0 for a key that must not exist. */
+    /** The expected revision of each key; 0 for a key that must not exist. */
     Map<String, Long> revisions() {
         return revisions;
     }
 
-    /** Dependencies that the cache does not know: without them the conditions are incomplete. */
+    /** Dependencies that are not cached, without which the conditions are incomplete. */
     Set<String> unknownDependencies() {
         return unknownDependencies;
     }
@@ -60,7 +60,7 @@
         revisions.put(CancellationRecord.key(status.uid()), status.cancellationRevision());
     }
 
-    /** Released jobs do not depend on others any more, and done jobs can't be cancelled: both need no condition. */
+    /** Skips the dependencies of released jobs, which are all done, and done jobs, which can't be cancelled. */
     private void addDependencies(JobStatus status, JobStatusCache cache) {
         Deque<String> pending = new ArrayDeque<>(status.dependencies());
         Set<String> visited = new HashSet<>(pending);
--- a/src/main/java/io/sillreel/admission/JobStatusReader.java
+++ b/src/main/java/io/sillreel/admission/JobStatusReader.java
@@ -25,20 +25,20 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Reads what is stored of jobs into the cache. Its methods complete with false if something could not be read, for
- * instance because the store does not respond. Thread-safe.
+ * Reads the stored state of jobs into the cache. The methods complete with false if a read failed, for example because
+ * the state store does not respond. Thread-safe.
  */
 final class JobStatusReader {
-    /** What a status needs of the plan of a job with dependencies; plans never change. */
+    /** The part of the plan of a job with dependencies that its status requires; plans never change. */
     private record DependentPlan(long revision, List<String> dependencies) {}
 
     private final StateStore store;
     private final JobStatusCache cache;
     private final int maxDependentPlans;
-    /** The scan of all plans in progress, which all callers share, or null. Guarded by {@code this}. */
+    /** The scan of all plans in progress, shared by all callers, or null. Guarded by {@code this}. */
     private CompletableFuture<Optional<Map<String, DependentPlan>>> pendingScan;
 
-    /** @param maxDependentPlans number of plans of jobs with dependencies that may be held during a scan */
+    /** @param maxDependentPlans the maximum number of plans of jobs with dependencies that a scan may hold in memory */
     JobStatusReader(StateStore store, JobStatusCache cache, int maxDependentPlans) {
         this.store = store;
         this.cache = cache;
@@ -46,7 +46,8 @@
     }
 
     /**
-     * Scans all plans for those of the given jobs and their transitive dependencies; the other jobs are read singly.
+     * Scans all plans for those of the given jobs and their transitive dependencies. Jobs without such a plan are read
+     * individually.
      */
     CompletableFuture<Boolean> loadFromAllPlans(Set<String> uids) {
         return scanDependentPlans().thenCompose(plans -> {
@@ -57,7 +58,7 @@
         });
     }
 
-    /** Caches the plans of the jobs and of their transitive dependencies; returns the jobs without such a plan. */
+    /** Caches the plans of the jobs and their transitive dependencies; returns the jobs that are not in the map. */
     private Set<String> cacheDependentPlans(Set<String> uids, Map<String, DependentPlan> plans) {
         Set<String> withoutPlan = new LinkedHashSet<>();
         Deque<String> pending = new ArrayDeque<>(uids);
@@ -75,7 +76,7 @@
         return withoutPlan;
     }
 
-    /** Completes with the plans of jobs with dependencies, or empty if they could not be read or are too many. */
+    /** Completes with the plans of all jobs with dependencies, or empty if the scan failed or found too many. */
     private synchronized CompletableFuture<Optional<Map<String, DependentPlan>>> scanDependentPlans() {
         if (pendingScan != null) {
             return pendingScan;
@@ -104,7 +105,7 @@
         }
     }
 
-    /** Reads what is stored of the jobs. */
+    /** Reads the stored state of the jobs. */
     CompletableFuture<Boolean> load(Collection<String> uids) {
         List<CompletableFuture<Boolean>> reads = new ArrayList<>();
         uids.forEach(uid -> reads.add(load(uid)));
@@ -131,7 +132,7 @@
         return true;
     }
 
-    /** Completes with the status by the plan, which is read unless it is cached; empty if it could not be read. */
+    /** Completes with the status according to the plan, which is read unless cached; empty if the read failed. */
     private CompletableFuture<Optional<JobStatus>> readPlan(String uid) {
         JobStatus cached = cache.get(uid);
         if (cached.isAccepted()) {
--- a/src/main/java/io/sillreel/admission/JobStatusService.java
+++ b/src/main/java/io/sillreel/admission/JobStatusService.java
@@ -16,35 +16,35 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Answers queries for the status of jobs. Cached revisions are confirmed by a comparing transaction, for many jobs at a
- * time; what has changed is read again. Either way the store is asked after the query arrived, so that no answer is
- * older than one given before.
+ * Answers queries for the status of jobs. The cached revisions of many jobs are confirmed in one transaction that only
+ * compares revisions; jobs that have changed are read again. Either way the state store is consulted after the query
+ * has arrived, so that no answer is older than an earlier one.
  *
- * <p>A job with dependencies counts as cancelled as soon as one of these is, whether or not its own cancellation has
- * been stored yet. So the same transaction confirms that none of its unfinished dependencies, direct or transitive, is
- * cancelled.
+ * <p>A job counts as cancelled as soon as one of its dependencies is, whether or not its own cancellation has been
+ * stored yet. Therefore the same transaction confirms that none of its unfinished dependencies, direct or transitive,
+ * is cancelled.
  *
  * <p>Thread-safe.
  */
 final class JobStatusService {
     private static final long MIN_BATCH_DELAY_MICROS = 4_000;
     /**
-     * Long dependency chains take many transactions. The delay before the next batch grows with their number, so that
-     * more queries share them.
+     * Long dependency chains require many transactions. The delay before the next batch grows with their number, so
+     * that more queries share them.
      */
     private static final long BATCH_DELAY_PER_TRANSACTION_MICROS = 40_000;
 
     private static final long MAX_BATCH_DELAY_MICROS = 800_000;
     private static final int MAX_BATCHES_IN_FLIGHT = 2;
     private static final int MAX_QUERIES_PER_BATCH = 40;
-    /** Levels of a dependency chain that are read job by job before all plans are scanned. */
+    /** The number of levels of a dependency chain that are read job by job before all plans are scanned. */
     private static final int MAX_LEVELS_READ_BY_JOB = 4;
-    /** A plan held during a scan is smaller than a cached status, and is held for seconds only. */
+    /** A plan that a scan holds is smaller than a cached status and is held only for seconds. */
     private static final int DEPENDENT_PLANS_PER_CACHED_STATUS = 4;
-    /** Just below the 2 s that users wait for an answer. */
+    /** Just below the 2 s that users wait for a response. */
     private static final long QUERY_TIMEOUT_MICROS = 1_900_000;
 
-    /** @param retries how often the query has been retried */
+    /** @param retries the number of times that the query has been retried */
     private record Query(String uid, long startMicros, int retries, CompletableFuture<Optional<JobStatus>> result) {
         Query nextRetry() {
             return new Query(uid, startMicros, retries + 1, result);
@@ -59,10 +59,10 @@
         }
     }
 
-    /** A query with the cached status that is being confirmed, and the keys whose revisions it depends on. */
+    /** A query with the cached status that is being confirmed, and the keys of its conditions. */
     private record ComparedStatus(Query query, JobStatus status, Set<String> keys) {}
 
-    /** Queries taken from the queue at a time, by what has to be done for them. */
+    /** Queries taken from the queue together, grouped by how they are processed. */
     private static final class Batch {
         final List<ComparedStatus> compared = new ArrayList<>();
         final Map<String, Long> revisions = new LinkedHashMap<>();
@@ -85,7 +85,7 @@
     /** Guarded by {@code this}. */
     private long batchDelayMicros = MIN_BATCH_DELAY_MICROS;
 
-    /** @param maxTransactionChanges number of changes that the store takes in one transaction */
+    /** @param maxTransactionChanges the maximum number of changes in one transaction of the state store */
     JobStatusService(StateStore store, EventLoop eventLoop, int maxTransactionChanges, int maxCachedStatuses) {
         this.store = store;
         this.eventLoop = eventLoop;
@@ -94,17 +94,17 @@
         this.comparison = new RevisionComparison(store, maxTransactionChanges);
     }
 
-    /** Returns what was last read of the job, however old. */
+    /** Returns the cached status of the job, which may be outdated. */
     JobStatus cached(String uid) {
         return cache.get(uid);
     }
 
-    /** Adds what this controller has just stored of a job. */
+    /** Caches a status that this controller has just stored. */
     void cache(JobStatus status) {
         cache.merge(status);
     }
 
-    /** Completes with a status that is final or was read after this call; empty if the store could not be asked. */
+    /** Completes with a status that is final or was confirmed after this call; empty if the state store failed. */
     CompletableFuture<Optional<JobStatus>> query(String uid) {
         JobStatus cached = cache.get(uid);
         if (cached.isTerminal()) {
@@ -118,7 +118,7 @@
         return result;
     }
 
-    /** Completes with the statuses in the order of the ids; empty if the store could not be asked about one of them. */
+    /** Completes with the statuses in the order of the ids; empty if the query for one of them failed. */
     CompletableFuture<Optional<List<JobStatus>>> queryAll(Collection<String> uids) {
         List<CompletableFuture<Optional<JobStatus>>> queries = new ArrayList<>();
         uids.forEach(uid -> queries.add(query(uid)));
@@ -150,7 +150,7 @@
         eventLoop.schedule(delayMicros, this::processBatch);
     }
 
-    /** Queues the query once more, to be answered with what has been read since, unless it has timed out. */
+    /** Queues the query again, to be answered from the updated cache, unless it has timed out. */
     private void retry(Query query) {
         if (eventLoop.nowMicros() - query.startMicros() > QUERY_TIMEOUT_MICROS) {
             query.fail();
@@ -176,7 +176,7 @@
         });
     }
 
-    /** Takes as many queries as fit; one that needs more conditions than a transaction has is compared alone. */
+    /** Takes as many queries as fit into one transaction; a query with more conditions than that is compared alone. */
     private synchronized Batch takeBatch() {
         Batch batch = new Batch();
         isBatchScheduled = false;
@@ -226,7 +226,7 @@
             case OK -> query.answer(compared.status());
             case CONFLICT -> readChangedAndAnswer(compared, result.failedKeys());
             case UNKNOWN -> {
-                // Transactions may get no response while single reads still do.
+                // Transactions may time out while single reads still get responses.
                 if (store.isUnresponsive()) {
                     query.fail();
                 } else {
@@ -237,7 +237,7 @@
         }
     }
 
-    /** Reads the jobs of the failed keys that the status depends on; without such keys, others made it fail. */
+    /** Reads the jobs of the failed keys in the conditions of the status; retries if only other queries conflicted. */
     private void readChangedAndAnswer(ComparedStatus compared, List<String> failedKeys) {
         Query query = compared.query();
         Set<String> changed = new LinkedHashSet<>();
@@ -253,7 +253,7 @@
         }
     }
 
-    /** Answers with the status just read, if the job itself was read and its status depends on no other job. */
+    /** Answers with the status just read if it is the job's own and depends on no other job; otherwise retries. */
     private void answerAfterRead(Query query, boolean isLoaded, boolean isOwnStatusLoaded) {
         JobStatus status = cache.get(query.uid());
         if (!isLoaded) {
@@ -276,14 +276,14 @@
     }
 
     /**
-     * Reads unknown dependencies. The first levels of a dependency chain are read one by one; the rest of a longer one
-     * is found in a scan of all plans, since one request for each level would take longer than users wait.
+     * Reads dependencies that are not cached. The first levels of a dependency chain are read job by job; the rest of a
+     * longer chain comes from a scan of all plans, since one round trip per level would take longer than users wait.
      */
     private CompletableFuture<Boolean> loadDependencies(Query query, Set<String> uids) {
         if (query.retries() < MAX_LEVELS_READ_BY_JOB) {
             return reader.load(uids);
         }
-        // The scan may outlast the query; its plans are cached for the next one.
+        // The scan may outlast the query, but caches the plans for the next one.
         long remainingMicros = query.startMicros() + QUERY_TIMEOUT_MICROS - eventLoop.nowMicros();
         eventLoop.schedule(Math.max(0, remainingMicros), query::fail);
         return reader.loadFromAllPlans(uids);
--- a/src/main/java/io/sillreel/admission/JobSubmission.java
+++ b/src/main/java/io/sillreel/admission/JobSubmission.java
@@ -17,8 +17,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Admits jobs. Submissions are idempotent by the job's id: one of an accepted job is answered with its status, whatever
- * else is wrong with it.
+ * Admits jobs. Submissions are idempotent by job id: the response to a resubmission of an accepted job is the status of
+ * that job, even if the resubmission is invalid.
  */
 final class JobSubmission {
     private static final Logger LOG = LoggerFactory.getLogger(JobSubmission.class);
@@ -32,7 +32,7 @@
     private final Map<String, Team> teams;
     private final Supplier<Map<String, MachineType>> machineTypes;
 
-    /** @param machineTypes the known machine types by name; none as long as they have not been read */
+    /** @param machineTypes the known machine types by name; empty until they have been read */
     JobSubmission(
             StateStore store,
             JobTransactions transactions,
@@ -48,7 +48,7 @@
         this.machineTypes = machineTypes;
     }
 
-    /** Admits the job of a request's body and completes with the response to the user. */
+    /** Admits the job in the body of a request and completes with the response to the user. */
     CompletableFuture<HttpResponse> submit(byte[] body) {
         JobSpec spec;
         try {
@@ -101,7 +101,7 @@
             case OK -> completed(admitted(spec, dependencies, result.storeRevision()));
             case REFUSED -> completed(JobResponses.writeRefused());
             case TOO_LARGE -> respondUnlessAccepted(spec.uid(), JobResponses.tooLarge(spec));
-            // The plan exists already, or no response came: the store has to be read to tell these apart.
+            // Either the plan exists already or the outcome is unknown: only a read can distinguish these.
             default ->
                 isDependencyChanged(spec, result) && attemptsLeft > 1
                         ? admit(spec, attemptsLeft - 1)
@@ -141,7 +141,7 @@
                         : String.join(", ", dependencies));
     }
 
-    /** Completes with the status of the job if it has been accepted, else with the given response. */
+    /** Completes with the status of the job if it has been accepted, otherwise with the given response. */
     private CompletableFuture<HttpResponse> respondUnlessAccepted(String uid, HttpResponse response) {
         return statuses.query(uid).thenApply(answer -> {
             if (answer.isEmpty()) {
--- a/src/main/java/io/sillreel/admission/JobTransactions.java
+++ b/src/main/java/io/sillreel/admission/JobTransactions.java
@@ -32,21 +32,22 @@
         this.limits = limits;
     }
 
-    /** True if the plan can be stored under the announced limits, split or not. */
+    /** True if the plan fits into the announced limits, split or not. */
     boolean isStorable(JobSpec spec) {
         return split(newPlan(spec)).isPresent();
     }
 
     /**
-     * Stores the plan of a job under the condition that there is none. If one of the dependencies is cancelled, the job
-     * is cancelled in the same transaction; else the transaction requires that none of them is.
+     * Stores the plan of a job unless it has one. If a dependency is cancelled, the same transaction cancels the job;
+     * otherwise the transaction requires that no dependency is cancelled.
      *
-     * <p>Controllers of the previous version read only plans that are one value, so the plan of a job that such a
-     * controller may lead is split only after the store has refused its size: then the announced limits are in force,
-     * and no such controller is left. Jobs with dependencies are submitted only after the upgrade.
+     * <p>Controllers of the previous version can only read plans that are stored as a single value. A plan that such a
+     * controller may still have to read is therefore split only after the state store has rejected its size: by then
+     * the announced limits are in force, and no such controller is left. Jobs with dependencies are submitted only
+     * after the upgrade.
      *
      * @param dependencies the statuses of all dependencies
-     * @return the result; CONFLICT without the key of the plan if a dependency has been cancelled meanwhile
+     * @return the result; CONFLICT without the key of the plan if a dependency has been cancelled in the meantime
      */
     CompletableFuture<CommitResult> storePlan(JobSpec spec, List<JobStatus> dependencies) {
         PlanRecord plan = newPlan(spec);
@@ -67,8 +68,8 @@
     }
 
     /**
-     * Stores the cancellation of a job unless it has one, under the condition that its run record is still the one that
-     * was read: done and cancelled exclude each other.
+     * Stores the cancellation of a job unless it has one, on condition that its run record has not changed since it was
+     * read: a job can't be both done and cancelled.
      */
     CompletableFuture<CommitResult> storeCancellation(JobStatus status) {
         String key = CancellationRecord.key(status.uid());
@@ -82,7 +83,7 @@
         return new PlanRecord(eventLoop.wallMicros(), spec);
     }
 
-    /** Splits the plan by the announced limits; one change of the transaction is left for a cancellation. */
+    /** Splits the plan by the announced limits, reserving one change of the transaction for a cancellation. */
     private Optional<Map<String, JsonNode>> split(PlanRecord plan) {
         return PlanOverflow.split(
                 plan, limits.values().announcedBytes(), Math.max(SINGLE_VALUE, limits.maxTransactionChanges() - 1));
@@ -106,8 +107,8 @@
     }
 
     /**
-     * Requires that no unfinished dependency is cancelled, for as many as a transaction has conditions. A cancellation
-     * that is missed here cancels the job all the same, only later.
+     * Requires that no unfinished dependency is cancelled, up to the number of conditions of a transaction. A
+     * cancellation that is not covered still cancels the job, only later.
      */
     private void requireNotCancelled(Transaction transaction, List<JobStatus> dependencies) {
         int maxDependencyConditions = RevisionComparison.maxConditions(limits.maxTransactionChanges()) - 1;
--- a/src/main/java/io/sillreel/admission/MalformedSubmissionException.java
+++ b/src/main/java/io/sillreel/admission/MalformedSubmissionException.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** A submission that is malformed. The message names the field and what is wrong, in words for the user. */
+/** Thrown for a malformed submission. The message is shown to the user; it names the field and the error. */
 final class MalformedSubmissionException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/io/sillreel/admission/RevisionComparison.java
+++ b/src/main/java/io/sillreel/admission/RevisionComparison.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Compares revisions of any number of keys with those in the store, in as many transactions as that takes. These need
- * not see one state of the store, since a cancellation is final.
+ * Compares the revisions of any number of keys with those in the state store, in as many transactions as necessary. The
+ * transactions need not see the same snapshot of the store, since a cancellation is final.
  */
 final class RevisionComparison {
     /** The protocol of the state service allows this many conditions for each change of a transaction. */
@@ -25,17 +25,17 @@
         this.maxConditions = maxConditions(maxTransactionChanges);
     }
 
-    /** The number of conditions that fit into a transaction. */
+    /** The maximum number of conditions in one transaction. */
     static int maxConditions(int maxTransactionChanges) {
         return CONDITIONS_PER_CHANGE * maxTransactionChanges;
     }
 
-    /** The number of conditions that fit into one transaction of this comparison. */
+    /** The maximum number of conditions in one transaction of this comparison. */
     int maxConditions() {
         return maxConditions;
     }
 
-    /** The number of transactions that so many conditions take. */
+    /** The number of transactions that this many conditions require. */
     int transactionsFor(int conditions) {
         return Math.max(1, (conditions + maxConditions - 1) / maxConditions);
     }
@@ -44,8 +44,8 @@
      * Compares the revisions.
      *
      * @param revisions expected revisions by key, 0 for a key that must not exist
-     * @return OK if all revisions are as expected; CONFLICT with the keys of all transactions that are not; else the
-     *     outcome of a transaction that was not carried out
+     * @return OK if all revisions are as expected; CONFLICT with all keys whose revisions differ; otherwise the outcome
+     *     of a transaction that failed
      */
     CompletableFuture<CommitResult> compare(Map<String, Long> revisions) {
         List<CompletableFuture<CommitResult>> commits = new ArrayList<>();
--- a/src/main/java/io/sillreel/admission/SubmissionDecoder.java
+++ b/src/main/java/io/sillreel/admission/SubmissionDecoder.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.regex.Pattern;
 
-/** Decodes the body of a submission, the users' JSON, into a {@link JobSpec}. */
+/** Decodes the JSON body of a submission into a {@link JobSpec}. */
 final class SubmissionDecoder {
     private static final Pattern UID = Pattern.compile("job-[0-9]{1,18}");
     private static final int MAX_TASKS = 100_000;
@@ -35,8 +35,8 @@
     }
 
     /**
-     * Decodes a submission. The fields are read in a fixed order, which decides about the field that is named if
-     * several are malformed.
+     * Decodes a submission. The fields are read in a fixed order, which determines the one that is reported if several
+     * are malformed.
      *
      * @throws MalformedSubmissionException naming the first field that is missing or malformed
      */
@@ -82,7 +82,7 @@
                 fields.flag("loaners"));
     }
 
-    /** Reads the ids of the dependencies; one that is named twice counts once. */
+    /** Reads the ids of the dependencies without duplicates. */
     private static List<String> dependencies(SubmissionFields fields) throws MalformedSubmissionException {
         List<String> uids = fields.optionalTexts("awaits").orElse(List.of());
         for (String uid : uids) {
--- a/src/main/java/io/sillreel/admission/SubmissionFields.java
+++ b/src/main/java/io/sillreel/admission/SubmissionFields.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * Typed reading of the fields of a submission. Each method throws {@link MalformedSubmissionException} with the name of
- * the field if it is not of the type.
+ * Typed access to the fields of a submission. The methods throw {@link MalformedSubmissionException} with the name of
+ * the field if its value has another type or is out of range.
  *
  * @param uid the id of the job
  */
@@ -20,7 +20,7 @@
         return body.hasNonNull(name);
     }
 
-    /** Reads a text of 1 to 200 characters. */
+    /** Reads a string of 1 to 200 characters. */
     String text(String name) throws MalformedSubmissionException {
         JsonNode value = required(name);
         if (!value.isTextual() || value.asText().isEmpty() || value.asText().length() > MAX_TEXT_LENGTH) {
@@ -29,7 +29,7 @@
         return value.asText();
     }
 
-    /** Reads a list of texts, or empty if the field is missing or null. */
+    /** Reads a list of strings; empty if the field is missing or null. */
     Optional<List<String>> optionalTexts(String name) throws MalformedSubmissionException {
         if (!has(name)) {
             return Optional.empty();
@@ -56,7 +56,7 @@
         return value.asBoolean();
     }
 
-    /** Reads a whole number from 1 to the maximum. */
+    /** Reads an integer from 1 to the maximum. */
     int count(String name, int max) throws MalformedSubmissionException {
         JsonNode value = required(name);
         if (!value.isIntegralNumber() || !value.canConvertToInt() || value.asInt() < 1 || value.asInt() > max) {
@@ -65,7 +65,7 @@
         return value.asInt();
     }
 
-    /** Reads a finite number of at least 0. */
+    /** Reads a number from 0 to {@link #MAX_AMOUNT}. */
     double amount(String name) throws MalformedSubmissionException {
         JsonNode value = required(name);
         double amount = value.asDouble();
--- a/src/main/java/io/sillreel/leadership/AgentClient.java
+++ b/src/main/java/io/sillreel/leadership/AgentClient.java
@@ -10,8 +10,8 @@
 import io.sillreel.http.HttpResponse;
 
 /**
- * Sends requests to the agents of machines, without waiting for their next heartbeats. A request that is lost needs no
- * repetition: its content is told again in answer to a heartbeat. Runs on the event loop.
+ * Sends requests to the agents of machines without waiting for their next heartbeats. A lost request is not retried:
+ * the response to the next heartbeat repeats its commands. Runs on the event loop.
  */
 final class AgentClient {
     private static final long COMMAND_TIMEOUT_MICROS = 3_000_000;
@@ -26,12 +26,12 @@
         this.term = term;
     }
 
-    /** Responses that come later are ignored. */
+    /** Ignores all responses from now on. */
     void close() {
         closed = true;
     }
 
-    /** Sends a reconciled machine its commands, if there are any, and has the heartbeat in the response processed. */
+    /** Sends a reconciled machine its pending commands, if any, and processes the heartbeat in the response. */
     void sendCommands(Machine machine, HeartbeatProcessor processor) {
         if (machine.address() == null || !machine.isReconciled()) {
             return;
@@ -43,7 +43,7 @@
         }
         HttpRequest request = commands.toRequest(term, machine.heartbeatOrder().epoch());
         httpClient.send(machine.address(), request, COMMAND_TIMEOUT_MICROS).thenAccept(response -> {
-            // With 409 the agent has executed nothing, since the token or the epoch is old; its heartbeat counts.
+            // 409: the fencing token or epoch was stale and no command was executed, but the heartbeat is valid.
             if (!closed && (response.status() == 200 || response.status() == 409)) {
                 processCommandResponse(response, processor);
             }
@@ -54,7 +54,7 @@
         HeartbeatCodec.decode(response.body()).ifPresent(processor::processCommandResponse);
     }
 
-    /** Asks the machine for its heartbeat sequence, which tells whether its agent has restarted. */
+    /** Queries the heartbeat sequence of the machine, which shows whether its agent has restarted. */
     void queryStatus(Machine machine, HeartbeatProcessor processor) {
         if (machine.address() == null) {
             return;
--- a/src/main/java/io/sillreel/leadership/DependencyLookup.java
+++ b/src/main/java/io/sillreel/leadership/DependencyLookup.java
@@ -13,8 +13,8 @@
 import java.util.Set;
 
 /**
- * Finds out whether jobs that are not active in this term, and on which others depend, are done. Such a job ended long
- * ago, or its plan has not been seen yet. Guarded by the lock of the cluster.
+ * Looks up in the state store whether dependencies that are not active in this term are done. Such a job either
+ * completed long ago, or the watch of plans has not delivered its plan yet. Guarded by the lock of the cluster.
  */
 final class DependencyLookup {
     private static final long RETRY_MICROS = 1_000_000;
@@ -24,7 +24,7 @@
     private final StateStore store;
     private final Cluster cluster;
     private final DependencyGraph dependencies;
-    /** Jobs that are done, the latest ones; the state store knows all of them. */
+    /** The most recently completed jobs; the complete set is in the state store. */
     private final Set<String> doneUids = Collections.newSetFromMap(new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
@@ -47,12 +47,12 @@
         closed = true;
     }
 
-    /** The completion of the job is stored. */
+    /** Records that the completion of the job is stored. */
     void recordDone(String uid) {
         doneUids.add(uid);
     }
 
-    /** Tells the dependency graph once the job is known to be done; until then the state store is read again. */
+    /** Polls the state store until the job is known to be done, and then notifies the dependency graph. */
     void lookUp(String uid) {
         if (closed || !dependencies.isAwaitingLookup(uid)) {
             return;
@@ -70,7 +70,7 @@
                     return;
                 }
             }
-            // Not read, or not done and not active here: the plan may still be seen by the watch of plans.
+            // The read failed, or the job is neither done nor active here: the watch may still deliver its plan.
             eventLoop.schedule(RETRY_MICROS, () -> {
                 synchronized (cluster) {
                     lookUp(uid);
--- a/src/main/java/io/sillreel/leadership/HeldLease.java
+++ b/src/main/java/io/sillreel/leadership/HeldLease.java
@@ -3,13 +3,13 @@
 import io.sillreel.http.EventLoop;
 
 /**
- * The lease of the state store under which this controller holds its term. All state is guarded by this object's
+ * The lease in the state store under which this controller leads its term. All state is guarded by this object's
  * monitor. Times are readings of the event loop's steady clock, in microseconds.
  */
 final class HeldLease {
     /** Steady clocks drift apart by up to 0.05%; the margin is twice that. */
     private static final long DRIFT_DIVISOR = 1_000;
-    /** The longest that a timer of the event loop is late. */
+    /** The maximum delay of a timer of the event loop. */
     private static final long TIMER_MARGIN_MICROS = 50_000;
 
     private final EventLoop eventLoop;
@@ -18,25 +18,25 @@
     private long term;
     private long confirmedMicros;
 
-    /** @param durationMicros the time after which the state store lets a lease expire that is not renewed */
+    /** @param durationMicros the time after which the state store expires a lease that is not renewed */
     HeldLease(EventLoop eventLoop, long durationMicros) {
         this.eventLoop = eventLoop;
         this.durationMicros = durationMicros;
     }
 
-    /** @param sentMicros when the lease was requested: the state store counts from no earlier time */
+    /** @param sentMicros when the lease was requested; its duration in the state store starts no earlier */
     synchronized void acquired(long newLeaseId, long newTerm, long sentMicros) {
         leaseId = newLeaseId;
         term = newTerm;
         confirmedMicros = sentMicros;
     }
 
-    /** Records a granted renewal, which was sent at the given time. */
+    /** Records a successful renewal whose request was sent at the given time. */
     synchronized void renewed(long sentMicros) {
         confirmedMicros = Math.max(confirmedMicros, sentMicros);
     }
 
-    /** Ends the holding; returns the term that was held, or 0 if there was none. */
+    /** Releases the lease and returns the term that was held, or 0 if there was none. */
     synchronized long release() {
         long releasedTerm = term;
         term = 0;
@@ -49,12 +49,12 @@
         return term;
     }
 
-    /** The identity of the lease in the state store, or 0. */
+    /** The id of the lease in the state store, or 0. */
     synchronized long leaseId() {
         return leaseId;
     }
 
-    /** True if the lease is the one that is held. */
+    /** True if the lease with this id is held. */
     synchronized boolean isHeld(long id) {
         return term > 0 && leaseId == id;
     }
@@ -64,7 +64,7 @@
         return confirmedMicros;
     }
 
-    /** True while the lease certainly has not expired, by the clock of the state store as well. */
+    /** True while the lease certainly has not expired, even by the clock of the state store. */
     synchronized boolean isValid() {
         return term > 0
                 && eventLoop.nowMicros()
--- a/src/main/java/io/sillreel/leadership/LeaderAuthority.java
+++ b/src/main/java/io/sillreel/leadership/LeaderAuthority.java
@@ -4,12 +4,12 @@
 import io.sillreel.settings.Settings.WorkerTimes;
 
 /**
- * Decides what this controller may do under its term. Two facts count: when the lease of the leader key was confirmed
- * last, and up to when all confirmed cancellations are known. Runs on the event loop; times are microseconds of the
- * steady clock.
+ * Decides which actions this controller may take in its term. This depends on when the lease of the leader key was last
+ * confirmed, and on the time up to which all confirmed cancellations are known. Runs on the event loop; times are
+ * microseconds of the steady clock.
  */
 final class LeaderAuthority {
-    /** Nothing may be launched unless cancellations were asked for this recently. */
+    /** Launches require that the set of known cancellations is no older than this. */
     private static final long MAX_CANCELLATIONS_AGE_MICROS = 4_000_000;
 
     private static final long GRACE_MARGIN_MICROS = 1_500_000;
@@ -35,12 +35,12 @@
         this.term = term;
     }
 
-    /** The stored state has been taken over. */
+    /** The stored state has been loaded. */
     void stateLoaded() {
         stateLoaded = true;
     }
 
-    /** The term has ended here. */
+    /** The term has ended on this controller. */
     void close() {
         closed = true;
     }
@@ -49,7 +49,7 @@
         return closed;
     }
 
-    /** True while the term lasts and its stored state is known. */
+    /** True while the term lasts and its stored state is loaded. */
     boolean isServing() {
         return stateLoaded && !closed;
     }
@@ -62,22 +62,22 @@
                 && eventLoop.nowMicros() - changes.cancellationsKnownUntilMicros() < MAX_CANCELLATIONS_AGE_MICROS;
     }
 
-    /** True while heartbeats may be answered so that the leases of machines, and with them their tasks, live on. */
+    /** True while responses to heartbeats may extend the leases of machines, which keep their tasks running. */
     boolean mayExtendMachineLeases() {
         long confirmedMicros = Math.min(election.leaseConfirmedMicros(), changes.cancellationsKnownUntilMicros());
         return eventLoop.nowMicros() < confirmedMicros + gracePeriodMicros();
     }
 
     /**
-     * How long heartbeats are still answered after the last confirmation. A cancellation that this leader can't learn
-     * of is confirmed to a user later than that; a task whose machine was answered at the end of the grace period ends
-     * one machine lease later, which is within the time that cancellations are allowed.
+     * How long heartbeats are still answered after the last confirmation. A cancellation that this leader does not know
+     * of was confirmed to its user after that confirmation. If a machine is answered at the very end of the grace
+     * period, its tasks end one machine lease later, which is within the time allowed for a cancellation.
      */
     private long gracePeriodMicros() {
         return Math.max(0, workerTimes.cancelMicros() - workerTimes.leaseMicros() - GRACE_MARGIN_MICROS);
     }
 
-    /** How long an earlier leader may go on answering heartbeats, with a margin for clocks and late timers. */
+    /** How long the previous leader may still answer heartbeats, with a margin for clock drift and late timers. */
     long predecessorGraceMicros() {
         return gracePeriodMicros() + GRACE_MARGIN_MICROS / 3;
     }
--- a/src/main/java/io/sillreel/leadership/LeaderElection.java
+++ b/src/main/java/io/sillreel/leadership/LeaderElection.java
@@ -13,15 +13,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Elects the one controller that leads. The {@code leader} key is bound to a lease of the state store, so that it
- * vanishes when the leader no longer renews the lease; the {@code term} key counts the elections. Both are written in
- * one transaction, which at most one candidate can commit. All times are microseconds of the steady clock; methods are
- * called on the event loop, and the queries from other threads as well.
+ * Elects a single leader among the controllers. The {@code leader} key is bound to a lease in the state store, so it is
+ * deleted when the leader stops renewing the lease; the {@code term} key counts the elections. Both are written in one
+ * transaction, which at most one candidate can commit. All times are microseconds of the steady clock. Methods are
+ * called on the event loop; the query methods are safe on any thread.
  */
 public final class LeaderElection {
-    /** The key that names the leader; all writes of a term depend on its revision. */
+    /** The key that names the leader; all writes of a term are conditional on its revision. */
     public static final String LEADER_KEY = "leader";
-    /** The key that holds the number of the last term. */
+    /** The key that holds the number of the latest term. */
     public static final String TERM_KEY = "term";
 
     /**
@@ -32,18 +32,18 @@
      */
     public record Leader(String node, long term) {}
 
-    /** Told on the event loop when this controller gains or loses leadership. */
+    /** Notified on the event loop when this controller acquires or loses leadership. */
     public interface Listener {
         /** This controller has been elected. */
         void leadershipAcquired(TermGrant grant);
 
-        /** The term has ended for this controller; nothing may be written or launched under it any more. */
+        /** The term has ended for this controller: it must not write or launch anything under it any more. */
         void leadershipLost(String reason);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
     private static final long WATCH_BLOCK_MICROS = 2_000_000;
-    /** A follower reads the key again after so many watches, in case it vanished without a change. */
+    /** A follower reads the key again after this many watches, in case it was removed without a watch event. */
     private static final int WATCHES_PER_READ = 10;
 
     private static final long RETRY_MICROS = 300_000;
@@ -68,7 +68,7 @@
 
     /**
      * @param leaseMicros the time after which a lease that is not renewed expires in the state store
-     * @param termFloor a term that the next one has to lie above, whatever is stored
+     * @param termFloor lower bound: the next term is above it, whatever term is stored
      */
     public LeaderElection(
             StateStore store, EventLoop eventLoop, String node, long leaseMicros, LongSupplier termFloor) {
@@ -81,10 +81,11 @@
     }
 
     /**
-     * Starts to take part in elections.
+     * Starts to participate in elections.
      *
-     * @param leadershipListener told when this controller gains or loses leadership
-     * @param onInitialElectionCompleted called once, when the leader is known or can't be known now
+     * @param leadershipListener notified when this controller acquires or loses leadership
+     * @param onInitialElectionCompleted called once, as soon as a leader is known or the state store has failed to
+     *     respond
      */
     public void start(Listener leadershipListener, Runnable onInitialElectionCompleted) {
         listener = leadershipListener;
@@ -119,9 +120,9 @@
     }
 
     /**
-     * Takes note of a term that another controller or an agent has shown. A term above the held one ends it.
+     * Records a term that another controller or an agent has reported. A term above the held one ends leadership here.
      *
-     * @param leaderNode the leader of that term, or null if it is not known
+     * @param leaderNode the leader of that term, or null if it is unknown
      */
     public void observeTerm(String leaderNode, long term) {
         synchronized (this) {
@@ -135,7 +136,7 @@
         }
     }
 
-    /** Gives up leadership, if it is held, and revokes the lease, so that another controller can be elected at once. */
+    /** Resigns, if this controller leads, and revokes the lease so that another one can be elected immediately. */
     public void resign(String reason) {
         long leaseId = lease.leaseId();
         if (heldTerm() > 0) {
@@ -144,7 +145,7 @@
         }
     }
 
-    /** Takes part in no election for the given time, so that another controller can be elected. */
+    /** Stays out of elections for the given time, so that another controller can be elected. */
     public synchronized void pauseCandidacy(long durationMicros) {
         candidacyResumesMicros = eventLoop.nowMicros() + durationMicros;
     }
@@ -171,7 +172,7 @@
             }
             recordLeader(LeaderKeyCodec.readLeader(entry.value()));
             if (heldTerm() == 0 && node.equals(knownLeader().node())) {
-                // An earlier process of this controller held it and has ended, so nobody has to be waited for.
+                // A previous process of this controller held the key and has ended, so its lease need not expire first.
                 campaign(entry.revision(), listing.storeRevision());
             } else {
                 notifyInitialElectionCompleted();
@@ -189,7 +190,7 @@
             if (recordChanges(result)) {
                 campaign(0, result.storeRevision());
             } else if (heldTerm() == 0 && (knownLeader().node() == null || ++watchCount % WATCHES_PER_READ == 0)) {
-                // A key that vanished without a change, as in a restored store, would be watched without end.
+                // A key that was removed without an event, as in a restored store, would be watched forever.
                 readLeaderKey();
             } else {
                 watchLeaderKey(result.storeRevision());
@@ -197,7 +198,7 @@
         });
     }
 
-    /** Takes over changes of the leader key; true if the last one removed it. */
+    /** Records the changes of the leader key; returns true if the last one removed it. */
     private boolean recordChanges(WatchResult result) {
         boolean vacant = false;
         for (WatchEvent change : result.events()) {
@@ -257,7 +258,7 @@
         });
     }
 
-    /** The last term that was taken, as it was read under {@link #TERM_KEY}; 0 before the first one. */
+    /** Decodes the latest term from a read of {@link #TERM_KEY}; 0 before the first term. */
     public static long storedTerm(ReadResult read) {
         return read.entry().isEmpty()
                 ? 0
@@ -268,7 +269,7 @@
      * Writes the leader key and the next term in one transaction.
      *
      * @param sentMicros when the lease was requested
-     * @param leaderRevision the revision that the leader key has to have still, 0 if it has to be absent
+     * @param leaderRevision the expected revision of the leader key, 0 if the key must not exist
      */
     private void claimLeadership(long leaseId, long sentMicros, long leaderRevision, ReadResult termRead) {
         long term = 1 + Math.max(storedTerm(termRead), termFloor.getAsLong());
@@ -280,7 +281,7 @@
                 .set(TERM_KEY, LeaderKeyCodec.writeTerm(term));
         store.commit(transaction).thenAccept(commit -> {
             if (commit.outcome() != StoreOutcome.OK) {
-                // Lost the race, or the outcome is unknown: without the lease a late success does not last.
+                // Lost the race, or the outcome is unknown: revoking the lease also undoes a late success.
                 store.revokeLease(leaseId);
                 eventLoop.schedule(commit.outcome() == StoreOutcome.CONFLICT ? 0 : RETRY_MICROS, this::readLeaderKey);
                 return;
@@ -314,7 +315,7 @@
                 return;
             }
             if (outcome == StoreOutcome.NOT_FOUND) {
-                // The watch may not show that the key is gone: this controller knows of no leader.
+                // The watch may not report the removal of the key, so no leader is known any more.
                 recordVacancy();
                 return;
             }
--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -22,8 +22,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The jobs of one term: those that were stored when it began and those that have been admitted since. Once the
- * completion or cancellation of a job is stored, the jobs that depend on it are released or cancelled (ADR 0006, "Edge
+ * The jobs of one term: the unfinished jobs that were stored when it began, and those that have been admitted since.
+ * Once the completion or cancellation of a job is stored, its dependents are released or cancelled (ADR 0006, "Edge
  * state"). All state is guarded by the lock of the cluster.
  */
 final class LeaderJobs implements ActiveJob.Listener, DependencyGraph.Callbacks {
@@ -63,7 +63,7 @@
         this.inheritance = new PriorityInheritance(dependencies, runtimeEstimator);
     }
 
-    /** Takes over the stored jobs at the beginning of the term. */
+    /** Restores the stored jobs at the beginning of the term. */
     void restore(StoredState state) {
         cancelledUids = state.cancelled();
         state.recentlyDone().forEach(plan -> capacity.recordArrival(plan.spec(), plan.admittedWallMicros()));
@@ -147,13 +147,13 @@
     }
 
     /**
-     * Cancels a dependent job. Its cancellation follows from that of the dependency; it is stored all the same, so that
-     * a status request needs to read no other job.
+     * Cancels a dependent job. Its cancellation follows from that of the dependency, but is stored as well, so that a
+     * status query does not have to read other jobs.
      */
     @Override
     public void dependencyCancelled(ActiveJob job, String cause) {
         if (cancelledUids.add(job.uid())) {
-            LOG.info("job {} is cancelled: it depends on {}, which was cancelled", job.uid(), cause);
+            LOG.info("cancelled job {} because job {}, on which it depends, was cancelled", job.uid(), cause);
             writeQueue.enqueue(new CascadingCancellation(job.uid(), cause, eventLoop.wallMicros()));
         }
         cancellationFound(job);
@@ -164,7 +164,7 @@
         dependencyLookup.lookUp(uid);
     }
 
-    /** A cancellation has been stored, as the watch shows or the controller says that stored it. Takes the lock. */
+    /** Handles a stored cancellation, reported by the watch or by the controller that stored it. Takes the lock. */
     void jobCancelled(String uid) {
         synchronized (cluster) {
             cancelledUids.add(uid);
@@ -202,7 +202,7 @@
         }
     }
 
-    /** Removes cancelled jobs none of whose tasks can still be on a machine. Takes the lock. */
+    /** Removes cancelled jobs that can't have tasks on any machine any more. Takes the lock. */
     void removeCancelledJobs() {
         synchronized (cluster) {
             if (!cluster.allReconciled()) {
--- a/src/main/java/io/sillreel/leadership/LeaderReachability.java
+++ b/src/main/java/io/sillreel/leadership/LeaderReachability.java
@@ -8,19 +8,19 @@
 import java.util.Set;
 
 /**
- * Decides whether this leader still reaches agents and the state store, or has to resign so that another controller can
- * lead. Runs on the event loop; times are microseconds of the steady clock.
+ * Detects that this leader is cut off from agents or from the state store and has to resign, so that another controller
+ * can lead. Runs on the event loop; times are microseconds of the steady clock.
  */
 final class LeaderReachability {
-    /** The longest time without heartbeats while other controllers receive some that they can't relay. */
+    /** The maximum time without heartbeats while other controllers receive some that they can't relay. */
     private static final long MAX_HEARTBEAT_SILENCE_MICROS = 6_000_000;
-    /** The longest time without heartbeats while no other controller is heard either. */
+    /** The maximum time without heartbeats while no other controller is reachable either. */
     private static final long MAX_ISOLATION_MICROS = 12_000_000;
-    /** The longest time in which cancellations are unknown, so that nothing may be launched, under a valid lease. */
+    /** The maximum age of the known cancellations under a valid lease; launches are blocked earlier. */
     private static final long MAX_CANCELLATIONS_UNKNOWN_MICROS = 15_000_000;
 
     private static final long CANDIDACY_PAUSE_MICROS = 10_000_000;
-    /** An agent finds another controller within two time-outs and a heartbeat interval. */
+    /** An agent finds another controller within two request timeouts and one heartbeat interval. */
     private static final long REROUTING_MICROS = 15_000_000;
 
     private final EventLoop eventLoop;
@@ -28,7 +28,7 @@
     private final LeaderElection election;
     private final Peers peers;
     private final Cluster cluster;
-    /** Machines whose agents were sent to look for another controller since the lease was valid last. */
+    /** Machines whose agents have been redirected to another controller since the lease was last valid. */
     private final Set<String> redirectedMachines = new HashSet<>();
 
     private boolean stateLoaded;
@@ -44,23 +44,28 @@
         this.cluster = cluster;
     }
 
-    /** The stored state has been taken over: from now on heartbeats are answered. */
+    /** The stored state has been loaded: from now on heartbeats are answered. */
     void stateLoaded() {
         stateLoaded = true;
         loadedMicros = eventLoop.nowMicros();
     }
 
-    /** A heartbeat has reached this leader, from its agent or through another controller. */
+    /** A heartbeat has reached this leader, directly or relayed by another controller. */
     void heartbeatReceived() {
         lastHeartbeatMicros = eventLoop.nowMicros();
     }
 
     /**
-     * Decides whether an agent is sent to another controller while the lease of this one is not certain. If the state
-     * store answers another controller, that one leads or soon will, and the agent should find it while its tasks live.
-     * If no other controller is heard, this one is more likely cut off than all others are down: each agent is sent to
-     * look once, and kept if it comes back. If others are heard and the store answers nobody, the outage is common to
-     * all, and the tasks survive it only if this leader goes on answering.
+     * Decides whether to redirect an agent to another controller while the lease of this one may have expired.
+     *
+     * <ul>
+     *   <li>If another controller reaches the state store, it leads or soon will, and the agent has to find it before
+     *       the lease of its machine expires.
+     *   <li>If no other controller is reachable, this one is more likely partitioned than all others are down: each
+     *       agent is redirected once, and served if it returns.
+     *   <li>If others are reachable but none reaches the store, the outage affects all of them, and tasks survive it
+     *       only if this leader keeps answering.
+     * </ul>
      */
     boolean shouldRedirect(String machine) {
         if (peers.isStoreReachableElsewhere()) {
@@ -70,9 +75,9 @@
     }
 
     /**
-     * Resigns if another controller is likely to lead better. Called about once a second.
+     * Resigns if another controller is more likely to be able to lead. Called about once a second.
      *
-     * @param cancellationsKnownUntilMicros all cancellations that were confirmed before are known here
+     * @param cancellationsKnownUntilMicros the time up to which all confirmed cancellations are known here
      * @param writesStuck true if the write queue makes no progress
      */
     void resignIfUnreachable(long cancellationsKnownUntilMicros, boolean writesStuck) {
@@ -98,13 +103,13 @@
         if (mayOthersReachAgents(heartbeatsUnansweredElsewhere)
                 && now - Math.max(lastHeartbeatMicros, loadedMicros) > maxSilenceMicros(heartbeatsUnansweredElsewhere)
                 && expectsHeartbeats()) {
-            // Tasks end when nobody answers their machines, so a controller that is reached has to lead.
+            // Tasks end when the leases of their machines expire, so a controller that receives heartbeats has to lead.
             election.pauseCandidacy(CANDIDACY_PAUSE_MICROS);
             election.resign("no heartbeats reach this controller");
         }
     }
 
-    /** The lease is valid but of no use: a new term, which reads the stored state again, is better off. */
+    /** Resigns although the lease is valid, since a new term recovers by reading the stored state again. */
     private void resignAsStalled(String reason) {
         if (settings.controllerCount() > 1) {
             election.pauseCandidacy(CANDIDACY_PAUSE_MICROS);
@@ -112,7 +117,7 @@
         election.resign(reason);
     }
 
-    /** False if no other controller could lead, or if all of them are heard and receive no heartbeats either. */
+    /** False if there is no other controller, or if others are reachable and none has unanswered heartbeats. */
     private boolean mayOthersReachAgents(boolean heartbeatsUnansweredElsewhere) {
         return settings.controllerCount() > 1 && (heartbeatsUnansweredElsewhere || peers.isNoneHeard());
     }
@@ -121,7 +126,7 @@
         return heartbeatsUnansweredElsewhere ? MAX_HEARTBEAT_SILENCE_MICROS : MAX_ISOLATION_MICROS;
     }
 
-    /** True if there are machines that have sent heartbeats, or may run tasks of an earlier term. */
+    /** True if there are machines that have sent heartbeats in this term, or may run tasks of an earlier one. */
     private boolean expectsHeartbeats() {
         synchronized (cluster) {
             return stateLoaded
@@ -130,7 +135,7 @@
         }
     }
 
-    /** True if no agent has had to look for another controller lately: a silent one is then not on its way to one. */
+    /** True if no agent has had a reason to change its controller recently, so a silent agent is not rerouting. */
     boolean isRoutingStable() {
         return eventLoop.nowMicros() - Math.max(lastDisruptionMicros, loadedMicros) > REROUTING_MICROS;
     }
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -39,9 +39,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Everything a controller holds while it leads one term. It is built from what is stored and from the heartbeats of
- * machines, and discarded when the term ends, so that a former leader has no state left to act on. Runs on the event
- * loop; jobs, machines and allocations are guarded by the lock of the cluster, since status requests read them too.
+ * The state of a leader during one term. It is built from the stored state and from the heartbeats of machines, and
+ * discarded when the term ends, so that a former leader has no state left to act on. Runs on the event loop; jobs,
+ * machines and allocations are guarded by the lock of the cluster, since status queries read them too.
  */
 public final class LeaderTerm implements LeaderHeartbeats, LiveTaskCounts {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
@@ -73,9 +73,9 @@
     private long fleetCycleMicros;
 
     /**
-     * Creates the state of one term; {@link #start} begins to read what is stored.
+     * Creates the empty state of one term; {@link #start} begins to read the stored state.
      *
-     * @param peers the other controllers
+     * @param peers the recent hellos of the other controllers
      */
     public LeaderTerm(
             EventLoop eventLoop,
@@ -171,12 +171,12 @@
                 eventLoop, store, firstVersionValueBytes, configuration.machineTypes(), authority, this::beginLeading);
     }
 
-    /** Begins to read what is stored; heartbeats are answered once that is done. */
+    /** Begins to read the stored state; heartbeats are answered once it is loaded. */
     public void start() {
         stateLoader.load();
     }
 
-    /** Ends the term on this controller: nothing is written or launched any more, and late responses are ignored. */
+    /** Ends the term on this controller: stops all writes and launches, and ignores late responses. */
     public void close() {
         authority.close();
         agentClient.close();
@@ -211,7 +211,7 @@
         eventLoop.schedule(0, this::tick);
     }
 
-    /** Another controller has stored a cancellation and says so, before the watch of cancellations shows it. */
+    /** Handles a cancellation reported by the controller that stored it, before the watch delivers it. */
     public void jobCancelled(String uid) {
         jobs.jobCancelled(uid);
     }
@@ -235,10 +235,10 @@
         return heartbeatProcessor.process(heartbeat);
     }
 
-    /** Resigns if this controller can't lead on, or another one would do better. Called about once a second. */
+    /** Resigns if this controller can't continue to lead, or another is better able to. Called about once a second. */
     public void checkReachability() {
         if (heartbeatProcessor.hasExhaustedAttemptIds()) {
-            election.resign("the attempt ids of the term are used up");
+            election.resign("the attempt ids of the term are exhausted");
             return;
         }
         reachability.resignIfUnreachable(changes.cancellationsKnownUntilMicros(), writeQueue.isStuck());
@@ -272,7 +272,7 @@
         }
     }
 
-    /** The values of the term's metrics by their names. */
+    /** The values of the metrics of the term by name. */
     public Map<String, Double> gauges() {
         Map<String, Double> gauges = status.gauges();
         gauges.put("sillreel.plans", (double) schedulingCycle.planCount());
@@ -280,7 +280,7 @@
         return gauges;
     }
 
-    /** What the processing of heartbeats and the fleet need from each other and from the term. */
+    /** The operations that heartbeat processing and fleet management require from each other and from the term. */
     private final class Operations implements TermOperations, FleetCallbacks {
         @Override
         public boolean mayAct() {
--- a/src/main/java/io/sillreel/leadership/SchedulingCycle.java
+++ b/src/main/java/io/sillreel/leadership/SchedulingCycle.java
@@ -14,18 +14,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Plans as often as the cost of planning allows, and sends commands that can't wait for the next heartbeat of their
- * machine. Runs on the event loop, under the lock of the cluster except for sending.
+ * Computes placement plans as often as their cost allows, and sends commands that can't wait for the next heartbeat of
+ * their machine. Runs on the event loop, and holds the lock of the cluster except while sending.
  */
 final class SchedulingCycle {
     private static final Logger LOG = LoggerFactory.getLogger(SchedulingCycle.class);
     private static final long MIN_PLAN_INTERVAL_MICROS = 200_000;
     private static final long MAX_PLAN_INTERVAL_MICROS = 2_000_000;
-    /** The interval is at least this many times as long as the last plan took. */
+    /** The interval between plans is at least the duration of the last plan times this factor. */
     private static final long PLAN_INTERVAL_FACTOR = 8;
 
     private static final int MAX_COMMANDS_PER_TICK = 6;
-    /** Allowed for the delivery of a command, beyond the time that a checkpoint takes. */
+    /** Time allowed for the delivery of a command, in addition to the duration of a checkpoint. */
     private static final long COMMAND_DELIVERY_ALLOWANCE_MICROS = 1_000_000;
 
     private final EventLoop eventLoop;
@@ -61,17 +61,17 @@
         this.mayAct = mayAct;
     }
 
-    /** How many plans have been made in this term. */
+    /** The number of plans computed in this term. */
     long planCount() {
         return planCount;
     }
 
-    /** The time that all plans took together. */
+    /** The total time spent on planning in this term. */
     long totalPlanDurationMicros() {
         return totalPlanDurationMicros;
     }
 
-    /** Expires the leases of silent machines, plans if that is due, and sends the commands that can't wait. */
+    /** Expires the leases of silent machines, plans if due, and sends urgent commands. */
     void tick(long now) {
         List<Machine> machinesToCommand;
         synchronized (cluster) {
@@ -81,7 +81,7 @@
             }
             planIfDue();
             requests.requestCommands(interruptionDrain.stopInterruptedTasks(now));
-            // A few at a time: the others are told in answer to their next heartbeats anyway.
+            // Only a few per tick: the others get their commands in the responses to their next heartbeats anyway.
             machinesToCommand = requests.takeMachinesToCommand(MAX_COMMANDS_PER_TICK);
         }
         for (Machine machine : machinesToCommand) {
@@ -90,8 +90,8 @@
     }
 
     /**
-     * Plans anew if anything has changed since the last time, and seldom enough that planning leaves most of the
-     * processor to heartbeats: at a fraction of a core one plan for hundreds of machines takes many milliseconds.
+     * Computes a new plan if one has been requested since the last. The minimum interval leaves most of the CPU time to
+     * heartbeats: with a fraction of a core, one plan for hundreds of machines takes many milliseconds.
      */
     private void planIfDue() {
         long now = eventLoop.nowMicros();
--- a/src/main/java/io/sillreel/leadership/SchedulingRequests.java
+++ b/src/main/java/io/sillreel/leadership/SchedulingRequests.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 
 /**
- * What the next scheduling cycles have to do: whether a new plan is needed, and which machines have commands that can't
+ * Requests for the next scheduling cycles: whether a new plan is needed, and which machines have commands that can't
  * wait for their next heartbeats. Guarded by the lock of the cluster.
  */
 final class SchedulingRequests {
@@ -23,7 +23,7 @@
         this.cluster = cluster;
     }
 
-    /** Asks for a new plan, since its input has changed. */
+    /** Requests a new plan, since the input of planning has changed. */
     void requestPlan() {
         planNeeded = true;
     }
@@ -32,29 +32,29 @@
         return planNeeded;
     }
 
-    /** A plan is made from the present state, which meets all requests so far. */
+    /** A plan is being computed from the current state, which satisfies all requests so far. */
     void planStarted() {
         planNeeded = false;
     }
 
-    /** Asks that the machine be sent its commands without waiting for its next heartbeat. */
+    /** Requests that the machine be sent its commands without waiting for its next heartbeat. */
     void requestCommands(Machine machine) {
         machinesToCommand.add(machine);
     }
 
-    /** Asks for the commands of several machines. */
+    /** Requests that several machines be sent their commands. */
     void requestCommands(Collection<Machine> machines) {
         machinesToCommand.addAll(machines);
     }
 
-    /** Asks for the commands of all machines that run tasks of the job. */
+    /** Requests that all machines with tasks of the job be sent their commands. */
     void requestStops(ActiveJob job) {
         for (Allocation allocation : cluster.allocationIndex().ofJob(job)) {
             machinesToCommand.add(allocation.machine());
         }
     }
 
-    /** Removes and returns the machines that were asked for first, at most so many. */
+    /** Removes and returns the machines that were requested first, at most the given number. */
     List<Machine> takeMachinesToCommand(int max) {
         List<Machine> taken = new ArrayList<>();
         var iterator = machinesToCommand.iterator();
--- a/src/main/java/io/sillreel/leadership/StoredChangeWatcher.java
+++ b/src/main/java/io/sillreel/leadership/StoredChangeWatcher.java
@@ -9,13 +9,13 @@
 import io.sillreel.statestore.WatchEvent;
 
 /**
- * Follows the plans and cancellations that other controllers store, for as long as a term lasts. Runs on the event
- * loop; changes are applied under the lock of the cluster.
+ * Watches the plans and cancellations that the controllers store, until the term ends. Runs on the event loop; changes
+ * are applied under the lock of the cluster.
  */
 final class StoredChangeWatcher {
     private static final long RETRY_MICROS = 300_000;
     private static final long PLAN_WATCH_MICROS = 10_000_000;
-    /** Short, since each answer proves that all cancellations up to its request are known. */
+    /** Short, since each response confirms that all cancellations stored before its request are known. */
     private static final long CANCELLATION_WATCH_MICROS = 1_000_000;
 
     private final EventLoop eventLoop;
@@ -35,12 +35,12 @@
         this.jobs = jobs;
     }
 
-    /** All cancellations have been listed; the request was sent at the given time of the steady clock. */
+    /** All cancellations have been listed by a request that was sent at the given time of the steady clock. */
     void cancellationsListed(long sentMicros) {
         cancellationsKnownUntilMicros = sentMicros;
     }
 
-    /** Follows the changes since the state was read. */
+    /** Watches for changes after the revisions at which the state was read. */
     void start(StoredState state) {
         new PlanWatch().run(state.plansRevision());
         new CancellationWatch().run(state.cancellationsRevision());
@@ -55,12 +55,12 @@
         return cancellationsKnownUntilMicros;
     }
 
-    /** Follows the changes under one prefix by one watch after the other. */
+    /** Watches the keys under one prefix by consecutive long polls. */
     private abstract class PrefixWatch {
         private final String prefix;
         private final long blockMicros;
 
-        /** @param blockMicros how long the state store may hold back an answer while nothing changes */
+        /** @param blockMicros how long the state store may block a request while nothing changes */
         PrefixWatch(String prefix, long blockMicros) {
             this.prefix = prefix;
             this.blockMicros = blockMicros;
@@ -68,7 +68,7 @@
 
         abstract void apply(WatchEvent change);
 
-        /** All changes before the given time have been applied. */
+        /** All changes that were stored before the given time have been applied. */
         void caughtUp(long sentMicros) {}
 
         void run(long sinceRevision) {
@@ -88,7 +88,7 @@
                         caughtUp(sentMicros);
                         run(result.storeRevision());
                     }
-                    // What was missed can't be told any more; the next term reads everything anew.
+                    // The missed changes are no longer available; the next term reads the whole state again.
                     case COMPACTED -> election.resign("the watch of " + prefix + " was compacted");
                     default -> eventLoop.schedule(RETRY_MICROS, () -> run(sinceRevision));
                 }
--- a/src/main/java/io/sillreel/leadership/StoredJobsAssembler.java
+++ b/src/main/java/io/sillreel/leadership/StoredJobsAssembler.java
@@ -25,9 +25,9 @@
 
 /**
  * Assembles the jobs of a stored state from pages of plans, run records and completion bitmap chunks. Plans and run
- * records come in the order of their ids, each list at its own pace. Whether the job of a plan is done is known once
- * the run records have been read up to its id; the next page of plans is accepted only then, so that at most one page
- * waits. Runs on the event loop.
+ * records arrive ordered by job id, but the two scans progress independently. Whether the job of a plan is done is
+ * known once the run records have been read up to its id. The next page of plans is requested only then, so that at
+ * most one page of plans is buffered. Runs on the event loop.
  */
 final class StoredJobsAssembler {
     private record StoredRunRecord(RunRecord runRecord, long revision) {}
@@ -46,15 +46,15 @@
     private boolean runRecordsFailed;
 
     /**
-     * @param firstVersionTasksPerChunk how many tasks the first version put into one chunk of a completion bitmap
-     * @param countsAsDemand true for the wall-clock time of an admission that still counts as demand, in microseconds
+     * @param firstVersionTasksPerChunk how many tasks the first version stored in one chunk of a completion bitmap
+     * @param countsAsDemand true for an admission time (wall clock, in microseconds) that still counts as demand
      */
     StoredJobsAssembler(int firstVersionTasksPerChunk, LongPredicate countsAsDemand) {
         this.firstVersionTasksPerChunk = firstVersionTasksPerChunk;
         this.countsAsDemand = countsAsDemand;
     }
 
-    /** Adds a page of run records, among which the first version stored its chunks as well. */
+    /** Adds a page of run records; the first version stored its chunks under the same prefix. */
     void addRunRecords(List<StoredEntry> page) {
         for (StoredEntry entry : page) {
             String suffix = keySuffix(RunRecord.PREFIX, entry);
@@ -72,9 +72,9 @@
     }
 
     /**
-     * No more run records come.
+     * Ends the scan of run records.
      *
-     * @param complete true if all of them have been read, false if the list has failed
+     * @param complete true if all of them have been read, false if the scan has failed
      */
     void endRunRecords(boolean complete) {
         if (complete) {
@@ -86,9 +86,9 @@
         }
     }
 
-    /** Adds a page of plans; completes with true once all of it has been classified, with false if it can't be. */
+    /** Adds a page of plans; completes with true once all its plans are classified, with false if they can't be. */
     CompletableFuture<Boolean> addPlans(List<StoredEntry> page) {
-        // Without the run records a plan could never be classified, and the scan of plans would wait without end.
+        // Without the run records a plan would never be classified, and the scan of plans would never end.
         if (runRecordsFailed) {
             return CompletableFuture.completedFuture(false);
         }
@@ -138,7 +138,7 @@
         }
     }
 
-    /** Everything that was read; called once all lists are complete. */
+    /** Builds the stored state from all pages; called once all scans are complete. */
     StoredState toStoredState(
             JobIdSet cancelled,
             List<ScaleOutRequest> scaleOutRequests,
--- a/src/main/java/io/sillreel/leadership/StoredState.java
+++ b/src/main/java/io/sillreel/leadership/StoredState.java
@@ -9,16 +9,16 @@
 import java.util.List;
 
 /**
- * Everything that the state store holds when a term begins.
+ * The contents of the state store at the beginning of a term.
  *
- * @param unfinished jobs whose completion is not stored, in the order of their admission
+ * @param unfinished jobs whose completion is not stored, in order of admission
  * @param done ids of the jobs whose completion is stored
- * @param recentlyDone plans of those that were admitted recently enough to count as demand, the oldest first
+ * @param recentlyDone plans of done jobs that were admitted recently enough to count as demand, oldest first
  * @param obsoleteChunkRemovals removals of completion bitmap chunks that earlier terms left behind for done jobs
  * @param cancelled ids of the jobs whose cancellation is stored
  * @param scaleOutRequests all stored scale-out requests
- * @param plansRevision the revision from which new plans have to be watched
- * @param cancellationsRevision the revision from which cancellations have to be watched
+ * @param plansRevision the revision from which to watch plans
+ * @param cancellationsRevision the revision from which to watch cancellations
  */
 record StoredState(
         List<StoredJob> unfinished,
@@ -34,8 +34,8 @@
      * A job whose completion is not stored.
      *
      * @param planRevision the revision of the plan, which gives the order of admission
-     * @param runRecord the stored record of its progress, or null if it has not been released
-     * @param runRevision the revision of that record, 0 if there is none
+     * @param runRecord the stored run record, or null if the job has not been released
+     * @param runRevision the revision of the run record, or 0 if there is none
      * @param chunks the stored chunks of its completion bitmap
      */
     record StoredJob(PlanRecord plan, long planRevision, RunRecord runRecord, long runRevision, StoredChunks chunks) {
--- a/src/main/java/io/sillreel/leadership/StoredStateLoader.java
+++ b/src/main/java/io/sillreel/leadership/StoredStateLoader.java
@@ -8,7 +8,7 @@
 import java.util.function.LongPredicate;
 import java.util.function.Supplier;
 
-/** Reads the stored state at the beginning of a term, again and again until all of it has been read at once. */
+/** Reads the stored state at the beginning of a term, and retries until a complete read succeeds. */
 final class StoredStateLoader {
     /** Receives the stored state on the event loop, unless the term has ended before. */
     interface Receiver {
@@ -26,8 +26,8 @@
     private final Receiver receiver;
 
     /**
-     * @param firstVersionValueBytes the largest value by which the first version cut completion bitmaps
-     * @param machineTypes the machine types of the cloud; nothing is read before they are known
+     * @param firstVersionValueBytes the value size limit by which the first version split completion bitmaps
+     * @param machineTypes the machine types of the cloud; reading starts once they are known
      */
     StoredStateLoader(
             EventLoop eventLoop,
--- a/src/main/java/io/sillreel/leadership/StoredStateReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredStateReader.java
@@ -22,10 +22,10 @@
 import java.util.function.LongPredicate;
 
 /**
- * Reads the stored state for a new leader. All lists are requested at once: only the leader writes run records and
- * scale-out requests, and changes of plans and cancellations are watched from the revision at which each list was read.
- * Pages are processed as they come, and of a job that is done only its id is kept, since the store may hold many more
- * of those than fit into the memory of a controller. Runs on the event loop.
+ * Reads the stored state for a new leader. All prefixes are scanned concurrently, which is consistent because only the
+ * leader writes run records and scale-out requests, and plans and cancellations are watched from the revision at which
+ * each scan was made. Pages are processed as they arrive. Only the ids of done jobs are kept, since the store may hold
+ * many more of those jobs than fit into the memory of a controller. Runs on the event loop.
  */
 final class StoredStateReader {
     private final StateStore store;
@@ -34,9 +34,9 @@
     private final BooleanSupplier isStillNeeded;
 
     /**
-     * @param firstVersionValueBytes the largest value by which the first version cut completion bitmaps
-     * @param countsAsDemand true for the wall-clock time of an admission that still counts as demand, in microseconds
-     * @param isStillNeeded false once nobody needs the result any more, which ends the reading early
+     * @param firstVersionValueBytes the value size limit by which the first version split completion bitmaps
+     * @param countsAsDemand true for an admission time (wall clock, in microseconds) that still counts as demand
+     * @param isStillNeeded false once the result is no longer needed, which ends the scans early
      */
     StoredStateReader(
             StateStore store, int firstVersionValueBytes, LongPredicate countsAsDemand, BooleanSupplier isStillNeeded) {
@@ -46,7 +46,7 @@
         this.isStillNeeded = isStillNeeded;
     }
 
-    /** Reads everything; empty if the state store did not answer all of it. */
+    /** Reads the whole state; completes empty if any read failed. */
     CompletableFuture<Optional<StoredState>> read() {
         StoredJobsAssembler jobs = new StoredJobsAssembler(firstVersionTasksPerChunk, countsAsDemand);
         JobIdSet cancelled = new JobIdSet();
@@ -89,7 +89,7 @@
         return entry.key().substring(prefix.length());
     }
 
-    /** Completes the few plans that are stored in several values; empty if one could not be read. */
+    /** Loads the overflow values of the few plans that are split; completes empty if one could not be read. */
     private CompletableFuture<Optional<StoredState>> readOverflowValues(StoredState state) {
         List<CompletableFuture<Optional<PlanRecord>>> plans = new ArrayList<>();
         state.unfinished().forEach(job -> plans.add(PlanOverflow.load(job.plan(), store)));
--- a/src/main/java/io/sillreel/leadership/TermServices.java
+++ b/src/main/java/io/sillreel/leadership/TermServices.java
@@ -5,10 +5,10 @@
 import io.sillreel.statestore.StateStore;
 
 /**
- * The clients through which a leader reaches the services that it depends on.
+ * The clients of the services that a leader depends on.
  *
  * @param store the state store
- * @param cloud the interface of the cloud
- * @param httpClient for requests to the agents of machines
+ * @param cloud the cloud provider's API
+ * @param httpClient sends requests to agents and to other controllers
  */
 public record TermServices(StateStore store, CloudClient cloud, HttpClient httpClient) {}
