--- a/src/test/java/io/sillreel/admission/JobApiHandlerTest.java
+++ b/src/test/java/io/sillreel/admission/JobApiHandlerTest.java
@@ -99,7 +99,7 @@
         assertThat(cluster.ask(0, HttpRequest.get("/up")).status()).isEqualTo(200);
     }
 
-    /** Guards the order of the checks: an accepted job is answered as such whatever its repeat now says. */
+    /** The check for an accepted job comes first: a resubmission gets its status even if the new body is invalid. */
     @Test
     void respondsWithTheStatusOfADoneJobToAMalformedResubmission() {
         cluster.submit(0, SimCluster.job("job-000001", 1));
@@ -131,7 +131,7 @@
         assertThat(cluster.submit(0, SimCluster.job("job-000004", 1)).status()).isEqualTo(503);
     }
 
-    /** Guards against waiting for a store that does not respond: after the first timeout users are answered at once. */
+    /** After the first timeout of an unresponsive state store, user requests must fail without waiting for it. */
     @Test
     void failsFastWithoutTheStateStoreAndServesAgainOnceItIsReachable() {
         int partitioned = (cluster.leader() + 1) % 3;
@@ -166,7 +166,7 @@
         assertThat(cluster.cancel(0, "job-000099").status()).isEqualTo(404);
     }
 
-    /** Guards the condition of the write of a done job: the leader does not know of the stored cancellation. */
+    /** The write of a completion must be conditional, since the leader may not know of a stored cancellation. */
     @Test
     void cancellationUnknownToTheLeaderPreventsStoringTheCompletion() {
         cluster.submit(0, SimCluster.job("job-000001", 1));
@@ -184,7 +184,7 @@
         assertThat(cluster.broken()).isEmpty();
     }
 
-    /** Guards that done and cancelled exclude each other: whichever is stored first stays, on every controller. */
+    /** A job can't be both done and cancelled: whichever is stored first is final on every controller. */
     @Test
     void allControllersAgreeWhenCancellationRacesWithCompletion() {
         for (int round = 0; round < 12; round++) {
--- a/src/test/java/io/sillreel/admission/JobApiSamplesTest.java
+++ b/src/test/java/io/sillreel/admission/JobApiSamplesTest.java
@@ -33,7 +33,7 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** The requests of users, the responses to them, and what is stored for them. */
+/** Compares requests of users, the responses to them, and the resulting writes with the golden samples. */
 class JobApiSamplesTest {
     private static final long HEAP_BYTES = 50L << 20;
     private static final Map<String, MachineType> TYPES = Map.of(
--- a/src/test/java/io/sillreel/admission/JobStatusServiceTest.java
+++ b/src/test/java/io/sillreel/admission/JobStatusServiceTest.java
@@ -34,7 +34,7 @@
         }
     }
 
-    /** Stores the plan of one more job, which depends on the one before or on none. */
+    /** Stores the plan of another job, which depends on the previous job or on none. */
     private void addJob(boolean dependsOnPrevious) throws MalformedSubmissionException {
         ObjectNode job = SimCluster.job("job-%06d".formatted(++jobCount), 1);
         if (dependsOnPrevious) {
@@ -52,7 +52,7 @@
         return answer;
     }
 
-    /** Guards memory: a long chain is found in a scan of all plans, of which only a bounded number is held. */
+    /** A long dependency chain is read by a scan of all plans, which must hold only a bounded number in memory. */
     @Test
     void failsInTimeWhenAScanExceedsTheDependentPlanLimit() throws MalformedSubmissionException {
         assertThat(queryLastJobOfChain())
--- a/src/test/java/io/sillreel/leadership/FailoverTest.java
+++ b/src/test/java/io/sillreel/leadership/FailoverTest.java
@@ -27,9 +27,12 @@
         assertThat(cluster.broken()).isEmpty();
     }
 
-    /** Guards the vote after a crash of all against the crowd that waits for it; an outage keeps nobody out. */
+    /**
+     * The public port opens only after the election, which waiting agents and users would slow down after a restart of
+     * all controllers. An outage of the state store must not keep it closed.
+     */
     @Test
-    void acceptsUserRequestsOnceTheLeaderIsKnown() {
+    void opensThePublicPortOnceTheLeaderIsKnown() {
         assertThat(cluster.leader()).isEqualTo(-1);
         assertThat(cluster.isOpen(0)).isFalse();
         cluster.until(() -> cluster.isOpen(0) && cluster.isOpen(1) && cluster.isOpen(2));
@@ -40,7 +43,7 @@
         assertThat(cluster.isOpen(0)).isTrue();
     }
 
-    /** Guards a term against everything that is late: controllers that take 30 ms over each message still hold it. */
+    /** Controllers that need 30 ms for each message must still renew the lease in time. */
     @Test
     void slowControllersKeepLeadershipAfterAFullRestart() {
         for (int node = 0; node < 3; node++) {
@@ -57,7 +60,7 @@
         int termBefore = cluster.term();
         cluster.seconds(40);
         assertThat(cluster.term() - termBefore)
-                .as("terms that ended without need")
+                .as("unnecessary changes of term")
                 .isLessThanOrEqualTo(1);
         cluster.seconds(60);
         assertThat(cluster.stage(1, "job-000001")).isEqualTo("done");
@@ -91,7 +94,7 @@
         assertThat(cluster.broken()).isEmpty();
     }
 
-    /** Guards the wait for machines that are not heard: their tasks may live for as long as their leases. */
+    /** A machine that the new leader can't reach may keep its tasks running until its lease expires. */
     @Test
     void tasksOfAnUnreachableMachineAreNotRestartedBeforeItsLeaseExpires() {
         cluster.seconds(2);
@@ -141,7 +144,7 @@
         assertThat(cluster.broken()).isEmpty();
     }
 
-    /** Guards the condition on the leader key: without it the late write would undo the successor's. */
+    /** Without the condition on the leader key, the late write would overwrite that of the successor. */
     @Test
     void lateTransactionOfAFormerLeaderIsRejected() {
         cluster.seconds(2);
@@ -185,7 +188,7 @@
         assertThat(cluster.broken()).isEmpty();
     }
 
-    /** Guards the grace period: tasks outlive an outage of the state service that is longer than a worker's lease. */
+    /** Tests the grace period: tasks survive a state store outage that is longer than the lease of a machine. */
     @Test
     void runningTasksSurviveAStateStoreOutage() {
         cluster.seconds(2);
@@ -203,7 +206,8 @@
     }
 
     /**
-     * Guards the grace period's bound: a leader that can't hear of cancellations must let the leases run out in time.
+     * Tests the end of the grace period: a leader that can't learn of cancellations must let the leases of machines
+     * expire in time.
      */
     @Test
     void leaderPartitionedFromTheStateStoreDoesNotKeepCancelledTasksAlive() {
@@ -212,7 +216,7 @@
         cluster.untilStarted(2, 600_000_000);
         int formerLeader = cluster.leader();
         String host = "10.0.0." + formerLeader;
-        // The old leader and its workers see nothing of the others.
+        // The former leader and the machines are partitioned from everything else.
         cluster.network()
                 .add((from, to, request) -> from.equals(host) && !to.startsWith("host-")
                                 || to.startsWith(host) && !from.startsWith("host-")
@@ -278,7 +282,7 @@
         assertThat(cluster.leader()).isNotNegative();
     }
 
-    /** Guards against waiting, after a crash, for machines whose tasks the earlier leader knew to be dead. */
+    /** Guards against a new leader that waits for machines whose leases had expired before the crash. */
     @Test
     void failoverDoesNotWaitForMachinesWithExpiredLeases() {
         cluster.seconds(2);
@@ -301,7 +305,8 @@
     }
 
     /**
-     * Guards against a leader that stands still, and acts on what it knew when it goes on: another one leads by then.
+     * Guards against a leader that is paused, for example by the operating system, and acts on outdated state when it
+     * resumes, after another controller has been elected.
      */
     @Test
     void pausedLeaderYieldsToItsSuccessorWhenItResumes() {
@@ -323,7 +328,7 @@
         assertThat(cluster.broken()).isEmpty();
     }
 
-    /** Guards against reports that a follower had in hand when it stood still, and hands on when it goes on. */
+    /** Guards against heartbeats that a paused follower relays to the leader only when it resumes. */
     @Test
     void outdatedHeartbeatsOfAResumedFollowerHaveNoEffect() {
         cluster.seconds(2);
@@ -341,7 +346,8 @@
     }
 
     /**
-     * Guards an election against a candidate that stands still with the lease half taken: nobody waits for it for long.
+     * Guards against a candidate that is paused between its lease request and its claim: the other controller must be
+     * elected without a long wait.
      */
     @Test
     void candidatePausedDuringAnElectionDoesNotBlockIt() {
--- a/src/test/java/io/sillreel/leadership/HeldLeaseTest.java
+++ b/src/test/java/io/sillreel/leadership/HeldLeaseTest.java
@@ -7,7 +7,7 @@
 
 class HeldLeaseTest {
     private static final long DURATION_MICROS = 3_000_000;
-    /** The drift of the clocks, a thousandth of the duration, and the lateness of timers. */
+    /** The margin for clock drift, a thousandth of the duration, and for late timers. */
     private static final long MARGIN_MICROS = 3_000 + 50_000;
 
     private final SimTime time = new SimTime();
--- a/src/test/java/io/sillreel/leadership/StoredStateReaderTest.java
+++ b/src/test/java/io/sillreel/leadership/StoredStateReaderTest.java
@@ -40,7 +40,7 @@
         state.handle(HttpRequest.post("/txn", body)).join();
     }
 
-    /** Stores jobs under ids of many lengths in a random order: some done, some released, some only admitted. */
+    /** Stores jobs with ids of different lengths: at random some done, some released, some only admitted. */
     private void store(Random random) {
         for (int job = 0; job < JOBS; job++) {
             String uid = "job-" + "0".repeat(random.nextInt(4)) + job;
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Guards against lists that arrive out of step: whatever comes first, no job is taken for another kind. */
+    /** Scans progress at different speeds; no order of their pages may lead to a wrong classification of a job. */
     @RepeatedTest(5)
     void classifiesJobsWhateverOrderThePagesArriveIn(RepetitionInfo repetition) {
         Random random = new Random(repetition.getCurrentRepetition());
@@ -88,7 +88,7 @@
         assertThat(stored.done().size()).isEqualTo(JOBS - unfinished.size());
     }
 
-    /** Guards the lease: a leader whose reading neither ends nor fails would hold it for ever and do nothing. */
+    /** A leader whose read neither completes nor fails would hold the lease forever without doing any work. */
     @Test
     void completesEmptyWhenTheRunRecordScanFailsBeforePlansArrive() {
         store(new Random(1));
