--- a/src/main/java/io/sillreel/agent/AgentCommands.java
+++ b/src/main/java/io/sillreel/agent/AgentCommands.java
@@ -7,11 +7,11 @@
 import io.sillreel.http.Json;
 
 /**
- * Encodes the commands to one worker agent, in the order in which it carries them out. They are written straight into
- * the message, since most heartbeats are answered with some. Not thread-safe.
+ * Encodes the commands to one worker agent, in the order in which the agent executes them. They are written directly
+ * into the message, since most responses carry commands. Not thread-safe.
  */
 public final class AgentCommands {
-    /** Keeps a message below the 64 KiB that an agent reads. */
+    /** Keeps a message below the 64 KiB that an agent accepts. */
     static final int MAX_COMMANDS = 400;
 
     private static final double MICROS_PER_SECOND = 1_000_000.0;
@@ -28,7 +28,7 @@
         add("halt", uid, index, attempt).put("wind_down_s", gracePeriodMicros / MICROS_PER_SECOND);
     }
 
-    /** Acknowledges the end of a task, so that the agent leaves it out of its heartbeats. */
+    /** Acknowledges the end of a task, so that the agent omits the task from its heartbeats. */
     public void acknowledge(String uid, int index, long attempt) {
         add("reap", uid, index, attempt);
     }
@@ -47,7 +47,7 @@
         return HttpResponse.of(200, toJson(fencingToken));
     }
 
-    /** Returns a direct command, which the agent carries out only if it is still in the given agent epoch. */
+    /** Returns a direct command, which the agent executes only if it is still in the given agent epoch. */
     public HttpRequest toRequest(long fencingToken, long agentEpoch) {
         return HttpRequest.post(AgentRoutes.COMMANDS, toJson(fencingToken).put("shift", agentEpoch));
     }
--- a/src/main/java/io/sillreel/agent/HeartbeatCodec.java
+++ b/src/main/java/io/sillreel/agent/HeartbeatCodec.java
@@ -13,15 +13,15 @@
 import java.util.Optional;
 
 /**
- * Decodes the heartbeats of worker agents from JSON, and encodes the responses that carry no commands. Streams instead
- * of building a tree: heartbeats are most of what a controller receives.
+ * Decodes the heartbeats of worker agents from JSON, and encodes the responses that carry no commands. Uses a streaming
+ * parser instead of a tree, since heartbeats are most of the requests that a controller receives.
  */
 public final class HeartbeatCodec {
     private static final long MICROS_PER_SECOND = 1_000_000;
 
     private HeartbeatCodec() {}
 
-    /** Decodes a heartbeat; empty if the body is no JSON object, has a malformed value or names no machine. */
+    /** Decodes a heartbeat; empty if the body is not a JSON object, has a malformed value or lacks the machine name. */
     public static Optional<Heartbeat> decode(byte[] body) {
         try (JsonParser in = Json.createParser(body)) {
             return in.nextToken() == JsonToken.START_OBJECT ? readHeartbeat(in) : Optional.empty();
@@ -66,17 +66,17 @@
                 new Heartbeat(machine, address, description, epoch, sequence, fencingToken, interruptionMicros, tasks));
     }
 
-    /** Reads a number of seconds as microseconds; -1 if the value is no number. */
+    /** Reads a number of seconds as microseconds; -1 if the value is not a number. */
     private static long readMicros(JsonParser in) throws IOException {
         return in.currentToken().isNumeric() ? Math.round(in.getDoubleValue() * MICROS_PER_SECOND) : -1;
     }
 
-    /** The response to a body that {@link #decode} did not take. */
+    /** Returns the response to a body that {@link #decode} rejected. */
     public static HttpResponse malformedResponse() {
         return HttpResponse.error(400, "hopper: is missing");
     }
 
-    /** The response that sends the agent to the controller with the given node name. */
+    /** Returns the response that redirects the agent to the controller with the given node name. */
     public static HttpResponse redirectResponse(String nodeName) {
         return HttpResponse.of(421, Json.object().put("foreman", nodeName));
     }
@@ -89,7 +89,7 @@
         return tasks;
     }
 
-    /** Reads one task; one without the index that follows the last slash of its name is left out. */
+    /** Reads one task; a task whose name lacks a slash, which precedes the index, is skipped. */
     private static void readTask(JsonParser in, List<TaskStatus> tasks) throws IOException {
         String task = "";
         long attempt = 0;
--- a/src/main/java/io/sillreel/agent/package-info.java
+++ b/src/main/java/io/sillreel/agent/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Messages between controllers and worker agents, and the only place that knows their wire format: heartbeats
+ * Messages between controllers and worker agents. Their wire format is confined to this package: heartbeats
  * ({@link io.sillreel.agent.HeartbeatCodec}) and commands ({@link io.sillreel.agent.AgentCommands}). Stateless.
  */
 package io.sillreel.agent;
--- a/src/main/java/io/sillreel/cluster/Allocation.java
+++ b/src/main/java/io/sillreel/cluster/Allocation.java
@@ -31,7 +31,7 @@
     }
 
     /**
-     * Creates an allocation for a task that is launched now. It stays unconfirmed until a heartbeat shows the task.
+     * Creates an allocation for a task that is being launched. It stays unconfirmed until a heartbeat shows the task.
      *
      * @param launchSequence sequence of the heartbeat whose response carries the launch command
      */
@@ -48,7 +48,7 @@
         return new Allocation(job, uid, index, attempt, 0, stage);
     }
 
-    /** Binds the allocation to its machine. From now on a live task counts as allocated. */
+    /** Binds the allocation to its machine. From now on its task counts as allocated if it is live. */
     void bindTo(Machine newMachine) {
         machine = newMachine;
         if (job != null && !hasEnded()) {
@@ -65,7 +65,8 @@
 
     /**
      * Records that the task is certainly not live on its machine. Only an allocation that was live when it was bound
-     * frees its task: one that was found ended after a failover must not free a task that runs elsewhere by then.
+     * deallocates its task: one that was discovered as ended after a failover must not deallocate a task that already
+     * runs elsewhere.
      */
     public void release() {
         if (isTaskAllocated) {
@@ -134,7 +135,7 @@
     }
 
     /**
-     * Marks the task as to be stopped; the machine is told until its heartbeats show the task ended.
+     * Marks the task for stopping; the stop command is repeated until a heartbeat shows that the task has ended.
      *
      * @param gracePeriodMicros how long the task may take to save a checkpoint, in microseconds
      */
@@ -143,24 +144,24 @@
         this.gracePeriodMicros = gracePeriodMicros;
     }
 
-    /** Records that the response to the heartbeat of the given sequence tells the machine to forget the ended task. */
+    /** Records that the response to the heartbeat with the given sequence acknowledges the end of the task. */
     public void recordAcknowledgementSent(long sequence) {
         if (acknowledgementSequence == 0) {
             acknowledgementSequence = sequence;
         }
     }
 
-    /** Returns the sequence of the first heartbeat whose response told the machine to forget the task, or 0. */
+    /** Returns the sequence of the first heartbeat whose response acknowledged the end of the task, or 0. */
     public long acknowledgementSequence() {
         return acknowledgementSequence;
     }
 
-    /** True once the task is to be stopped. */
+    /** True once the task is marked for stopping. */
     public boolean isStopping() {
         return isStopping;
     }
 
-    /** Returns how long a task that is to be stopped may take to save a checkpoint, in microseconds. */
+    /** Returns how long a task that is being stopped may take to save a checkpoint, in microseconds. */
     public long gracePeriodMicros() {
         return gracePeriodMicros;
     }
--- a/src/main/java/io/sillreel/cluster/AllocationIndex.java
+++ b/src/main/java/io/sillreel/cluster/AllocationIndex.java
@@ -28,12 +28,12 @@
         usage.add(allocation.job().spec(), -1);
     }
 
-    /** Returns the live allocations of the job, in the order in which they were made. */
+    /** Returns the live allocations of the job, in the order in which they were added. */
     public Set<Allocation> ofJob(ActiveJob job) {
         return byJob.getOrDefault(job, Set.of());
     }
 
-    /** Returns the quota usage of all live tasks. Callers that change it have to copy it first. */
+    /** Returns the quota usage of all live tasks. Callers must not modify it; see {@link QuotaUsage#copy}. */
     public QuotaUsage usage() {
         return usage;
     }
--- a/src/main/java/io/sillreel/cluster/Cluster.java
+++ b/src/main/java/io/sillreel/cluster/Cluster.java
@@ -61,7 +61,9 @@
         machines.put(machine.name(), machine);
     }
 
-    /** Adds a machine of an earlier term. It may hold that term's tasks until it is reconciled or its lease expires. */
+    /**
+     * Adds a machine of an earlier term. It may hold tasks of that term until it is reconciled or its lease expires.
+     */
     public void addInherited(Machine machine) {
         machine.markInherited();
         add(machine);
@@ -86,14 +88,14 @@
     }
 
     /**
-     * Returns how many steps planning and heartbeats have taken so far. Tests use it to show that their cost does not
-     * grow with machines that they do not concern.
+     * Returns how many steps planning cycles and heartbeats have taken so far. Tests use it to show that the cost does
+     * not grow with the number of unrelated machines.
      */
     public long stepCount() {
         return stepCount;
     }
 
-    /** Adds steps of planning or of processing a heartbeat. */
+    /** Counts steps of a planning cycle or of processing a heartbeat. */
     public void countSteps(long steps) {
         stepCount += steps;
     }
@@ -122,7 +124,7 @@
         return usage;
     }
 
-    /** Adds the tasks of inherited jobs that may be on unreconciled machines, as if all of them were. */
+    /** Adds all waiting tasks of inherited jobs, as if they all ran on unreconciled machines. */
     private void addWorstCase(QuotaUsage usage) {
         QuotaUsage undiscovered = new QuotaUsage();
         for (ActiveJob job : jobs.values()) {
@@ -153,8 +155,8 @@
     }
 
     /**
-     * True if tasks of the job may be launched now. Those of an inherited job may not while an unreconciled machine
-     * could hold them, since they might run twice.
+     * True if tasks of the job may be launched now. Tasks of an inherited job must not be launched while an
+     * unreconciled machine could hold them, since they might run twice.
      */
     public boolean isLaunchable(ActiveJob job, long wallMicros) {
         return job.isReleased()
--- a/src/main/java/io/sillreel/cluster/HeartbeatOrder.java
+++ b/src/main/java/io/sillreel/cluster/HeartbeatOrder.java
@@ -3,9 +3,9 @@
 import io.sillreel.agent.Heartbeat;
 
 /**
- * The order of a machine's heartbeats by agent epoch and sequence. A heartbeat that is not newer than the last accepted
- * one is stale and shows nothing; stale heartbeats with rising sequences suggest that the machine has restarted.
- * Guarded by the lock of the {@link Cluster}.
+ * Orders a machine's heartbeats by agent epoch and sequence. A heartbeat that is not newer than the last accepted one
+ * is stale and is ignored; stale heartbeats with rising sequences suggest that the machine has restarted. Guarded by
+ * the lock of the {@link Cluster}.
  */
 public final class HeartbeatOrder {
     private static final int STALE_HEARTBEATS_BEFORE_QUERY = 3;
@@ -28,12 +28,12 @@
         return sequence;
     }
 
-    /** True if the heartbeat is newer than all accepted ones, and its agent epoch has not ended. */
+    /** True if the heartbeat is newer than the last accepted one and its agent epoch has not ended. */
     boolean isNew(Heartbeat heartbeat) {
         return heartbeat.isNewerThan(epoch, sequence) && heartbeat.epoch() > endedEpoch;
     }
 
-    /** True if the heartbeat starts a new agent epoch: the tasks of the one before are dead. */
+    /** True if the heartbeat starts a new agent epoch, so that no task of the previous epoch is live. */
     boolean startsEpoch(Heartbeat heartbeat) {
         return epoch > 0 && heartbeat.epoch() > epoch;
     }
@@ -50,14 +50,14 @@
         staleCount = 0;
     }
 
-    /** Ends the agent epoch: the machine's lease has expired, whichever response it received last. */
+    /** Ends the agent epoch when the machine's lease has expired, whichever response it received last. */
     public void endEpoch() {
         endedEpoch = epoch;
     }
 
     /**
      * True if the response to a direct command has overtaken this heartbeat. The agent still waits for the response to
-     * the heartbeat, although it is stale by one.
+     * the heartbeat, although its sequence is one behind.
      *
      * @param withinMicros how long ago the response to the command may have arrived, in microseconds
      */
@@ -70,8 +70,9 @@
     }
 
     /**
-     * Counts a stale heartbeat. Returns true once several have come with rising sequences, and starts counting again.
-     * Delayed copies may rise too, so the machine has to be queried before it is taken as restarted.
+     * Counts a stale heartbeat. Returns true, and resets the count, once several have arrived with rising sequences.
+     * Delayed duplicates may have rising sequences as well, so the machine has to be queried before it is considered
+     * restarted.
      */
     public boolean suggestsRestart(Heartbeat heartbeat) {
         if (staleCount == 0 || heartbeat.isNewerThan(staleEpoch, staleSequence)) {
--- a/src/main/java/io/sillreel/cluster/ImageCache.java
+++ b/src/main/java/io/sillreel/cluster/ImageCache.java
@@ -12,7 +12,7 @@
  */
 public final class ImageCache {
     /**
-     * An image that a machine has to fetch before a task can start.
+     * A container image, which a machine has to pull before a task can start.
      *
      * @param gb size in gigabytes
      */
@@ -21,7 +21,7 @@
             return new Image(spec.image(), spec.imageGb());
         }
 
-        // Written out: linking the generated method at run time costs a failover milliseconds.
+        // Explicit, because linking the generated method at run time would delay a failover by milliseconds.
         @Override
         public boolean equals(Object other) {
             return other instanceof Image image && image.name.equals(name) && image.gb == gb;
@@ -34,7 +34,7 @@
     }
 
     private final double capacityGb;
-    /** From the least to the most recently used. */
+    /** Ordered from the least to the most recently used. */
     private final Set<Image> images = new LinkedHashSet<>();
 
     ImageCache(double capacityGb) {
--- a/src/main/java/io/sillreel/cluster/Machine.java
+++ b/src/main/java/io/sillreel/cluster/Machine.java
@@ -13,8 +13,8 @@
  */
 public final class Machine {
     /**
-     * The life cycle. PROVISIONING: no heartbeat yet. UP: it may be given tasks. DRAINING: it is given no more tasks
-     * and is returned once it is empty. RETURNING: the cloud was asked to take it back.
+     * The life cycle. PROVISIONING: no heartbeat has arrived yet. UP: the machine may get tasks. DRAINING: it gets no
+     * further tasks and is returned once it is empty. RETURNING: its return was requested from the cloud.
      */
     public enum State {
         PROVISIONING,
@@ -24,8 +24,8 @@
     }
 
     /**
-     * The most tasks that one machine is given. A heartbeat may have 64 KiB, and a task takes up to 110 bytes of it. A
-     * machine whose heartbeats are too large to be read would lose its lease, and all its tasks.
+     * Maximum number of tasks on one machine. A heartbeat is limited to 64 KiB, and a task takes up to 110 bytes. A
+     * machine whose heartbeats exceed the limit would lose its lease and all its tasks.
      */
     public static final int MAX_TASKS = 580;
 
@@ -58,7 +58,7 @@
      * Creates a machine that has sent no heartbeat yet.
      *
      * @param scaleOutRequest the request that the machine was provided for
-     * @param requestedMicros when the cloud was asked for the machine, or when this leader learnt of it
+     * @param requestedMicros when the machine was requested from the cloud, or when this leader learned of it
      * @param allocationIndex the index of the live tasks of all machines
      */
     public Machine(
@@ -105,7 +105,7 @@
         return scaleOutRequest;
     }
 
-    /** Returns when the cloud was asked for the machine, or when this leader learnt of it. */
+    /** Returns when the machine was requested from the cloud, or when this leader learned of it. */
     public long requestedMicros() {
         return requestedMicros;
     }
@@ -119,14 +119,14 @@
         return address;
     }
 
-    /** Updates the address at which the machine accepts commands. A missing one changes nothing. */
+    /** Updates the address at which the machine accepts commands; a null or empty address is ignored. */
     public void updateAddress(String newAddress) {
         if (newAddress != null && !newAddress.isEmpty()) {
             address = newAddress;
         }
     }
 
-    /** True if an earlier leader requested the machine, so that it has mostly booted already. */
+    /** True if an earlier leader requested the machine, so that it has probably booted already. */
     public boolean isInherited() {
         return isInherited;
     }
@@ -135,7 +135,7 @@
         isInherited = true;
     }
 
-    /** True once a heartbeat with the current fencing token has shown what is on the machine. */
+    /** True once a heartbeat with the current fencing token has shown which tasks are on the machine. */
     public boolean isReconciled() {
         return isReconciled;
     }
@@ -144,7 +144,7 @@
         isReconciled = true;
     }
 
-    /** Returns the order of its heartbeats, which tells stale ones. */
+    /** Returns the order of the machine's heartbeats, which identifies stale ones. */
     public HeartbeatOrder heartbeatOrder() {
         return heartbeatOrder;
     }
@@ -161,8 +161,8 @@
 
     /**
      * Accepts a heartbeat as the newest of the machine. Returns false, and changes nothing, if it is stale: a newer one
-     * was accepted already, or its agent epoch has ended. The tasks that a delayed or copied heartbeat shows may have
-     * died since.
+     * was accepted already, or its agent epoch has ended. The tasks in a delayed or duplicated heartbeat may have ended
+     * since.
      *
      * @param direct true if it came in the response to a command that was sent to the machine
      */
@@ -194,13 +194,13 @@
         extendLease(expiryMicros);
     }
 
-    /** Drains the machine and has it returned whatever runs on it, since nothing else ends those tasks for certain. */
+    /** Drains the machine and returns it even if tasks run on it, since nothing else is certain to end those tasks. */
     public void scheduleReturn() {
         drain();
         isReturnScheduled = true;
     }
 
-    /** True if the machine is returned whatever runs on it. */
+    /** True if the machine is to be returned even if tasks run on it. */
     public boolean isReturnScheduled() {
         return isReturnScheduled;
     }
@@ -215,34 +215,34 @@
         return lastHeartbeatMicros;
     }
 
-    /** Returns until when tasks may be live on the machine if no further heartbeat is answered. */
+    /** Returns the time until which tasks may be live on the machine if no further heartbeat is answered. */
     public long leaseExpiryMicros() {
         return leaseExpiryMicros;
     }
 
-    /** Records that tasks may be live on the machine until then. An earlier expiry changes nothing. */
+    /** Records that tasks may be live on the machine until the given time; an earlier expiry is ignored. */
     public void extendLease(long expiryMicros) {
         leaseExpiryMicros = Math.max(leaseExpiryMicros, expiryMicros);
     }
 
-    /** True if an earlier leader may have launched tasks here, which it does only on machines that are stored as up. */
+    /** True if an earlier leader may have launched tasks here, which it does only on machines stored as up. */
     public boolean mayHoldInheritedTasks() {
         return scaleOutRequest.isStoredAsUp(name);
     }
 
-    /** Returns when the cloud interrupts the machine, or -1 if it has not announced that. */
+    /** Returns when the spot instance is interrupted, or -1 if no interruption was announced. */
     public long interruptionAtMicros() {
         return interruptionAtMicros;
     }
 
-    /** True if the cloud has announced that it takes the machine back. */
+    /** True if the cloud has announced a spot interruption. */
     public boolean isInterrupted() {
         return interruptionAtMicros >= 0;
     }
 
     /**
-     * Returns since when the machine has been idle. Calls note that it is busy, so it is exact to the interval between
-     * them.
+     * Returns since when the machine has been idle. Only calls of this method notice that it is busy, so the result is
+     * accurate to the interval between calls.
      */
     public long idleSinceMicros(long nowMicros) {
         if (liveTaskCount() > 0) {
@@ -251,31 +251,31 @@
         return idleSinceMicros;
     }
 
-    /** True if nothing would be lost with the machine: no live task, and no completion that is not stored yet. */
+    /** True if no work would be lost with the machine: no live task and no completion that is not stored yet. */
     public boolean isEmpty() {
         return !allocations.hasUnfinishedWork();
     }
 
-    /** Returns when the machine was first seen in the cloud's list, or -1. */
+    /** Returns when the machine first appeared in the cloud's list of machines, or -1. */
     public long firstListedMicros() {
         return firstListedMicros;
     }
 
-    /** Records that the machine is in the cloud's list. */
+    /** Records that the machine is in the cloud's list of machines. */
     public void recordListed(long nowMicros) {
         if (firstListedMicros < 0) {
             firstListedMicros = nowMicros;
         }
     }
 
-    /** Gives the machine no more tasks; it is returned to the cloud once it is empty. */
+    /** Stops placing tasks on the machine; it is returned to the cloud once it is empty. */
     public void drain() {
         if (state == State.PROVISIONING || state == State.UP) {
             state = State.DRAINING;
         }
     }
 
-    /** Records that the cloud is asked to take the machine back. */
+    /** Records that the return of the machine is requested from the cloud. */
     public void markReturning() {
         state = State.RETURNING;
     }
@@ -308,7 +308,7 @@
         return allocations.clear();
     }
 
-    /** True if the image of the job is probably cached, so that a task starts without fetching it. */
+    /** True if the image of the job is probably cached, so that a task starts without pulling it. */
     public boolean hasImage(JobSpec spec) {
         return hasImage(Image.of(spec));
     }
@@ -318,7 +318,7 @@
         return images.contains(image);
     }
 
-    /** Returns the free CPUs; none on a machine whose heartbeat has no room for more tasks. */
+    /** Returns the free CPUs; 0 on a machine that has the maximum number of tasks, see {@link #MAX_TASKS}. */
     public double freeCpus() {
         return allocations.size() >= MAX_TASKS
                 ? 0
@@ -338,12 +338,12 @@
         return allocations.usage().tasks();
     }
 
-    /** Records that a task was added, has ended or was removed, so that the free resources are summed up anew. */
+    /** Invalidates the resource usage after a task was added, has ended or was removed. */
     void invalidateUsage() {
         allocations.usage().invalidate();
     }
 
-    /** Returns how many more tasks of the job fit beside those that are here. */
+    /** Returns how many more tasks of the job fit into the free resources. */
     public int fittingTasks(JobSpec spec) {
         return PlacementConstraints.fittingTasks(spec, freeCpus(), freeRamGb(), freeGpus());
     }
--- a/src/main/java/io/sillreel/cluster/MachineAllocations.java
+++ b/src/main/java/io/sillreel/cluster/MachineAllocations.java
@@ -47,7 +47,7 @@
         return removed;
     }
 
-    /** Returns the resources that the live tasks take. */
+    /** Returns the resource usage of the live tasks. */
     ResourceUsage usage() {
         return usage;
     }
--- a/src/main/java/io/sillreel/cluster/PlacementConstraints.java
+++ b/src/main/java/io/sillreel/cluster/PlacementConstraints.java
@@ -3,19 +3,19 @@
 import io.sillreel.cloud.MachineType;
 import io.sillreel.pipeline.JobSpec;
 
-/** Which machines a job allows, and how many of its tasks fit into given resources. */
+/** Determines which machines a job allows, and how many of its tasks fit into given resources. */
 public final class PlacementConstraints {
-    /** Sums of task resources are inexact; a task that lacks less than this still fits. */
+    /** Tolerance for rounding errors in sums of task resources, as a fraction of a task. */
     private static final double EPSILON = 1e-6;
 
     private PlacementConstraints() {}
 
-    /** True if the job allows the machine, whatever runs on it. */
+    /** True if the job allows the machine, regardless of its free resources. */
     public static boolean isEligible(JobSpec spec, Machine machine) {
         return isEligible(spec, machine.type(), machine.zone(), machine.isSpot());
     }
 
-    /** True if the job allows spot or ordinary machines of the type in the zone. */
+    /** True if the job allows machines of the type in the zone, spot or on-demand. */
     public static boolean isEligible(JobSpec spec, MachineType type, String zone, boolean spot) {
         return spec.allowsMachineType(type.name()) && spec.allowsZone(zone) && (spec.spotAllowed() || !spot);
     }
--- a/src/main/java/io/sillreel/cluster/QuotaUsage.java
+++ b/src/main/java/io/sillreel/cluster/QuotaUsage.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * The CPUs and GPUs that each team's live tasks take, in thousandths. It is updated as tasks start and end, so that
- * reading it does not depend on the number of tasks. Not thread-safe.
+ * The CPUs and GPUs that each team's live tasks use, in thousandths. It is updated as tasks start and end, so that the
+ * cost of reading it does not depend on the number of tasks. Not thread-safe.
  */
 public final class QuotaUsage {
     private static final long MILLI = 1_000;
@@ -52,7 +52,7 @@
         amount.gpus += tasks * toMilli(spec.gpus());
     }
 
-    /** Returns what the team uses; nothing for an unknown team. */
+    /** Returns the usage of the team; zero for an unknown team. */
     public Amount ofTeam(String team) {
         return amountByTeam.getOrDefault(team, ZERO);
     }
@@ -64,7 +64,7 @@
         return copy;
     }
 
-    /** Adds what undiscovered tasks of each team may use, limited for each team to the given CPUs and GPUs. */
+    /** Adds the potential usage of undiscovered tasks, capped for each team at the given CPUs and GPUs. */
     public void addCapped(QuotaUsage undiscovered, double maxCpus, double maxGpus) {
         undiscovered.amountByTeam.forEach((team, amount) ->
                 amountByTeam.computeIfAbsent(team, name -> new Amount()).addUpTo(amount, maxCpus, maxGpus));
--- a/src/main/java/io/sillreel/cluster/ResourceUsage.java
+++ b/src/main/java/io/sillreel/cluster/ResourceUsage.java
@@ -3,8 +3,8 @@
 import java.util.Collection;
 
 /**
- * The resources that a machine's live tasks take. They are summed up when they are first read after a change. Guarded
- * by the lock of the {@link Cluster}.
+ * The resources that a machine's live tasks use. The sums are computed on the first read after a change. Guarded by the
+ * lock of the {@link Cluster}.
  */
 final class ResourceUsage {
     private final Collection<Allocation> allocations;
@@ -18,12 +18,12 @@
         this.allocations = allocations;
     }
 
-    /** A task was added, has ended or was removed. */
+    /** Invalidates the sums after a task was added, has ended or was removed. */
     void invalidate() {
         isCurrent = false;
     }
 
-    /** Returns the CPUs of all live tasks; more than any machine has if a task's job is unknown. */
+    /** Returns the CPUs of all live tasks; {@link Double#MAX_VALUE} if the job of one of them is unknown. */
     double cpus() {
         countIfStale();
         return cpus;
@@ -59,7 +59,7 @@
             }
             tasks++;
             if (allocation.job() == null) {
-                // The resources of an unknown job are not known, so nothing else may be placed beside it.
+                // The resources of a task without a known job are unknown, so nothing else may be placed here.
                 cpus = Double.MAX_VALUE;
                 ramGb = Double.MAX_VALUE;
                 gpus = Double.MAX_VALUE;
--- a/src/main/java/io/sillreel/cluster/Responsiveness.java
+++ b/src/main/java/io/sillreel/cluster/Responsiveness.java
@@ -5,14 +5,14 @@
  * is unresponsive once several commands in a row have shown no effect. Guarded by the lock of the {@link Cluster}.
  */
 public final class Responsiveness {
-    /** Ignored commands in a row from which a machine is unresponsive. */
+    /** Number of consecutive ignored commands from which a machine is unresponsive. */
     private static final int UNRESPONSIVE_THRESHOLD = 3;
-    /** After a gap between heartbeats of this length, responses may have been lost as well and prove nothing. */
+    /** After a gap of this length between heartbeats, responses may have been lost too, so they are no evidence. */
     private static final long HEARTBEAT_GAP_MICROS = 7_000_000;
 
-    /** After this time without another ignored command, an unresponsive machine is tried with one task. */
+    /** After this time without another ignored command, an unresponsive machine is probed with one task. */
     private static final long RETRY_AFTER_MICROS = 20_000_000;
-    /** Agents send heartbeats at least 0.5 s apart; heartbeats closer than this are copies, or were delayed. */
+    /** Agents send heartbeats at least 0.5 s apart; heartbeats closer than this are duplicates or were delayed. */
     private static final long MIN_HEARTBEAT_INTERVAL_MICROS = 300_000;
 
     private int answeredHeartbeatCount;
@@ -22,20 +22,20 @@
     /**
      * Records a new heartbeat.
      *
-     * @param startsEpoch true if the agent has started a new epoch since the heartbeat before
+     * @param startsEpoch true if the agent has started a new epoch since the previous heartbeat
      * @param isUp true if the machine is up and not draining
      */
     void recordHeartbeat(boolean startsEpoch, boolean isUp, long lastHeartbeatMicros, long nowMicros) {
         // This has to come first: the lease of a machine in a partitioned zone expires because it gets no responses,
-        // and the machines of a zone that comes back are not unresponsive.
+        // and machines must not count as unresponsive when their zone is connected again.
         answeredHeartbeatCount = nowMicros - lastHeartbeatMicros < HEARTBEAT_GAP_MICROS ? answeredHeartbeatCount : 0;
         if (startsEpoch && answeredHeartbeatCount > 1) {
-            // Its lease expired although all its heartbeats were answered.
+            // The lease of the machine expired although all its heartbeats were answered.
             ignoredCommandCount = UNRESPONSIVE_THRESHOLD;
             lastIgnoredMicros = nowMicros;
         }
         if (ignoredCommandCount > 1 && isUp && nowMicros - lastIgnoredMicros > RETRY_AFTER_MICROS) {
-            // Too many machines seemed unresponsive at once for it to be returned, so it is tried again with one task.
+            // The machine was not returned, since too many were unresponsive at once, so it is probed with one task.
             ignoredCommandCount = 1;
         }
     }
@@ -44,20 +44,21 @@
         answeredHeartbeatCount++;
     }
 
-    /** A heartbeat has shown the effect of an earlier command. */
+    /** Records that a heartbeat has shown the effect of an earlier command. */
     public void recordCommandConfirmed() {
         ignoredCommandCount = 0;
     }
 
-    /** A heartbeat has shown that the command in the response before had no effect, or was not received. */
+    /** Records that a heartbeat has shown that a command in an earlier response had no effect or was not received. */
     public void recordCommandIgnored(long nowMicros) {
         ignoredCommandCount++;
         lastIgnoredMicros = nowMicros;
     }
 
     /**
-     * A heartbeat does not carry the current fencing token. At the start of a term many delayed copies of earlier
-     * heartbeats arrive at once; they do not show that responses are lost, so they count at most once per interval.
+     * Records that a heartbeat does not carry the current fencing token. At the start of a term, many delayed
+     * duplicates of earlier heartbeats may arrive at once. They do not show that responses are lost, so they count at
+     * most once per interval.
      */
     public void recordStaleToken(long nowMicros) {
         if (ignoredCommandCount == 0 || nowMicros - lastIgnoredMicros > MIN_HEARTBEAT_INTERVAL_MICROS) {
@@ -65,12 +66,12 @@
         }
     }
 
-    /** Returns how many commands in a row have had no effect. */
+    /** Returns the number of consecutive commands without effect. */
     public int ignoredCommandCount() {
         return ignoredCommandCount;
     }
 
-    /** True once several commands in a row have had no effect: heartbeats arrive, but responses are lost. */
+    /** True once several consecutive commands have had no effect: heartbeats arrive, but responses are lost. */
     public boolean isUnresponsive() {
         return ignoredCommandCount >= UNRESPONSIVE_THRESHOLD;
     }
--- a/src/main/java/io/sillreel/cluster/ScaleOutRequest.java
+++ b/src/main/java/io/sillreel/cluster/ScaleOutRequest.java
@@ -17,9 +17,9 @@
 public final class ScaleOutRequest implements PendingWrite {
     /** The prefix of all keys of scale-out requests. */
     public static final String PREFIX = "hire/";
-    /** Upper bound for a machine that is named both in the list of all and in the list of those that are up. */
+    /** Upper bound of the stored size of a machine that is in both lists, that of all machines and that of up ones. */
     private static final int MACHINE_BYTES = 40;
-    /** Upper bound for the rest of a stored value. */
+    /** Upper bound of the stored size of all other fields. */
     private static final int FIXED_BYTES = 300;
 
     private final String name;
@@ -28,9 +28,9 @@
     private final boolean isSpot;
     private final int machineCount;
     private final Set<String> machines = new LinkedHashSet<>();
-    /** The machines that are certainly stored as up. */
+    /** The machines that are known to be stored as up. */
     private final Set<String> storedUpMachines = new LinkedHashSet<>();
-    /** The machines that the write under way stores as up. */
+    /** The machines that the pending write stores as up. */
     private final Set<String> sentUpMachines = new LinkedHashSet<>();
 
     private final Set<String> upMachines = new LinkedHashSet<>();
@@ -52,9 +52,9 @@
     }
 
     /**
-     * Restores what an earlier term has stored. The request may have been executed by the cloud.
+     * Restores the state that an earlier term has stored. The cloud may have executed the request.
      *
-     * @param answered true if the cloud has told which machines it provides
+     * @param answered true if the cloud has answered with the machines that it provides
      */
     void restore(long storedRevision, boolean answered, Collection<String> names, Collection<String> upNames) {
         revision = storedRevision;
@@ -71,11 +71,11 @@
     }
 
     /**
-     * Moves the machines beyond the given number to requests of their own, which have to be stored before this one is
-     * written again. Needed when the request was stored while larger values were allowed.
+     * Moves the machines beyond the given number to overflow requests, which have to be stored before this request is
+     * written again. Needed if the request was stored when larger values were allowed.
      *
-     * @param enqueue queues this request for writing, once each of the others is stored
-     * @return the requests that are not stored yet
+     * @param enqueue queues this request for writing; called each time that an overflow request is stored
+     * @return the overflow requests that are not stored yet
      */
     public List<ScaleOutRequest> split(int maxMachines, Consumer<ScaleOutRequest> enqueue) {
         List<String> all = new ArrayList<>(machines);
@@ -115,44 +115,45 @@
         return isSpot;
     }
 
-    /** Returns how many machines the cloud is asked for. */
+    /** Returns the number of requested machines. */
     public int machineCount() {
         return machineCount;
     }
 
-    /** Returns a view of the machines that the cloud provides and that still exist; empty until it has answered. */
+    /** Returns a view of the provided machines that still exist; empty until the cloud has answered. */
     public Set<String> machines() {
         return machines;
     }
 
-    /** Returns a view of the machines that have sent a heartbeat, whether that is stored or not. */
+    /** Returns a view of the machines that have sent a heartbeat, whether they are stored as up or not. */
     Set<String> upMachines() {
         return upMachines;
     }
 
     /**
-     * True if the machine is certainly stored as up, so that the next leader waits for its heartbeat. Machines that
-     * have sent no heartbeat are not, so that those that boot or never come up do not delay a failover.
+     * True if the machine is known to be stored as up, so that the next leader waits for its heartbeat. Machines
+     * without a heartbeat are not stored as up, so that those that still boot or never come up do not delay a failover.
      */
     public boolean isStoredAsUp(String machine) {
         return storedUpMachines.contains(machine);
     }
 
-    /** Records a heartbeat of the machine. Returns true if that is not stored yet. */
+    /** Records a heartbeat of the machine. Returns true if the request has to be stored again. */
     public boolean markUp(String machine) {
         return machines.contains(machine) && upMachines.add(machine);
     }
 
     /**
-     * Records that no task is live on the machine any more. Returns true if that is not stored yet. Until it is stored
-     * as up again it is given no task and does not delay a failover, since a third of the fleet may be silent then.
+     * Records that no task is live on the machine any more. Returns true if the request has to be stored again. Until
+     * the machine is stored as up again, it gets no tasks and does not delay a failover, since a third of the fleet may
+     * be silent then.
      */
     public boolean markDown(String machine) {
         storedUpMachines.remove(machine);
         return upMachines.remove(machine);
     }
 
-    /** True once the cloud has told which machines it provides. */
+    /** True once the cloud has answered with the machines that it provides. */
     public boolean isAnswered() {
         return isAnswered;
     }
@@ -170,12 +171,12 @@
         isDiscarded = isAnswered && machines.isEmpty();
     }
 
-    /** Discards the request: the cloud provides nothing under its name, which is not used again. */
+    /** Discards the request: the cloud provides no machines under its name, which is not used again. */
     public void discard() {
         isDiscarded = true;
     }
 
-    /** True if the request is of no more use: its key is removed with the next write. */
+    /** True if the request is no longer needed; the next write removes its key. */
     public boolean isDiscarded() {
         return isDiscarded;
     }
@@ -185,7 +186,7 @@
         return mayHaveExecuted;
     }
 
-    /** Records that the cloud may have executed the request, or may do so yet. */
+    /** Records that the cloud may have executed the request, or may still execute it. */
     public void markPossiblyExecuted() {
         mayHaveExecuted = true;
     }
@@ -200,7 +201,7 @@
         lastSentMicros = micros;
     }
 
-    /** Sets what is run once the next write is stored; it is run once. */
+    /** Sets an action that runs once, when the next write is stored. */
     public void whenStored(Runnable action) {
         onStored = action;
     }
@@ -219,7 +220,7 @@
     public KeyChange change() {
         sentUpMachines.clear();
         sentUpMachines.addAll(upMachines);
-        // From now on, machines that this write lacks may be missing from the store.
+        // From now on, machines that are not part of this write may no longer be stored as up.
         storedUpMachines.retainAll(sentUpMachines);
         return isDiscarded ? KeyChange.REMOVAL : KeyChange.put(ScaleOutRequestCodec.encode(this));
     }
--- a/src/main/java/io/sillreel/cluster/ScaleOutRequestCodec.java
+++ b/src/main/java/io/sillreel/cluster/ScaleOutRequestCodec.java
@@ -9,8 +9,9 @@
 import java.util.List;
 
 /**
- * The stored form of a scale-out request. {@code machines} and {@code up} are absent until the cloud has answered; a
- * value without {@code up} was written by a version that did not record which machines were up, and all count as up.
+ * Encodes and decodes the stored form of scale-out requests. {@code machines} and {@code up} are absent until the cloud
+ * has answered. A value with {@code machines} but without {@code up} was written by a version that did not record which
+ * machines were up; all its machines count as up.
  */
 public final class ScaleOutRequestCodec {
     private static final String MACHINE_TYPE = "build";
--- a/src/main/java/io/sillreel/cluster/UnreconciledMachines.java
+++ b/src/main/java/io/sillreel/cluster/UnreconciledMachines.java
@@ -20,7 +20,7 @@
             return new MachineKind(machine.type(), machine.zone(), machine.isSpot());
         }
 
-        // Written out: linking the generated method at run time costs a failover milliseconds.
+        // Explicit, because linking the generated method at run time would delay a failover by milliseconds.
         @Override
         public boolean equals(Object other) {
             return other instanceof MachineKind kind
--- a/src/main/java/io/sillreel/heartbeat/AttemptIds.java
+++ b/src/main/java/io/sillreel/heartbeat/AttemptIds.java
@@ -1,9 +1,9 @@
 package io.sillreel.heartbeat;
 
 /**
- * Generates the attempt ids of the launches of one term, which never repeat: the term in the high 32 bits, a counter in
- * the low ones. A term that has exhausted the counter must end, since the next id would belong to the following term.
- * Guarded by the lock of the cluster.
+ * Generates the attempt ids of the tasks that one term launches. Ids are never reused: the high 32 bits hold the term,
+ * the low 32 bits a counter. A term that has exhausted the counter must end, since the next id would belong to the
+ * following term. Guarded by the lock of the cluster.
  */
 public final class AttemptIds {
     private static final int TERM_SHIFT = 32;
@@ -12,7 +12,7 @@
     private final long base;
     private long count;
 
-    /** Creates the ids of a term that has launched nothing yet. */
+    /** Creates the generator for a term that has not launched any task yet. */
     public AttemptIds(long term) {
         this(term, 0);
     }
@@ -27,13 +27,13 @@
         return attempt >>> TERM_SHIFT;
     }
 
-    /** True if there is no further id in this term. */
+    /** True if this term has no unused id left. */
     public boolean isExhausted() {
         return count >= MAX_COUNT;
     }
 
     /**
-     * Returns an id that no launch of any term has had.
+     * Returns an id that no launch in any term has used.
      *
      * @throws IllegalStateException if the counter of the term is exhausted
      */
--- a/src/main/java/io/sillreel/heartbeat/CommandWriter.java
+++ b/src/main/java/io/sillreel/heartbeat/CommandWriter.java
@@ -25,7 +25,7 @@
     private final Planner planner;
     private PlacementPlan plan = PlacementPlan.EMPTY;
 
-    /** @param attemptIds the ids of the launches of this term */
+    /** @param attemptIds generates the attempt ids of this term */
     public CommandWriter(EventLoop eventLoop, AttemptIds attemptIds, Cluster cluster, Planner planner) {
         this.eventLoop = eventLoop;
         this.attemptIds = attemptIds;
@@ -38,14 +38,14 @@
         plan = newPlan;
     }
 
-    /** True if this term can launch nothing more. */
+    /** True if this term cannot launch any more tasks. */
     boolean hasExhaustedAttemptIds() {
         return attemptIds.isExhausted();
     }
 
     /**
-     * Adds acknowledgements of ended tasks and stops of tasks that must not run. They are repeated with each heartbeat
-     * until the heartbeats show the effect.
+     * Adds acknowledgements of ended tasks and stops for tasks that must not run. They are repeated in each response
+     * until a heartbeat shows the effect.
      */
     void addCommands(Machine machine, AgentCommands commands) {
         for (Allocation allocation : machine.allocations()) {
@@ -55,7 +55,7 @@
             ActiveJob job = allocation.job();
             boolean isObsolete = job == null || job.isCancelled();
             if (allocation.hasEnded()) {
-                // Until a completion is stored, the worker has to keep it for the next leader.
+                // Until a completion is stored, the worker has to keep reporting it, for the case of a failover.
                 if (isObsolete || !job.isTaskDone(allocation.taskIndex()) || job.isTaskStored(allocation.taskIndex())) {
                     allocation.recordAcknowledgementSent(
                             machine.heartbeatOrder().sequence());
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Adds the launches that the plan has for the machine, and then further waiting tasks as far as it has room. */
+    /** Adds the launches planned for the machine, then launches of further waiting tasks that fit into it. */
     void addLaunches(Machine machine, Heartbeat heartbeat, AgentCommands commands, long now) {
         List<TaskAssignment> planned = plan.launches().remove(machine.name());
         if (!planner.acceptsLaunches(machine, now)) {
@@ -94,7 +94,7 @@
     private void addLaunches(
             Machine machine, List<TaskAssignment> assignments, Heartbeat heartbeat, AgentCommands commands, long now) {
         QuotaUsage usage = cluster.quotaUsage();
-        // A machine that ignored its last commands gets one task, to see whether it responds again.
+        // A machine that ignored its last commands gets a single task, to probe whether it responds again.
         int remainingLaunches = Math.min(
                 machine.responsiveness().ignoredCommandCount() > 0 ? 1 : Integer.MAX_VALUE,
                 Machine.MAX_TASKS - machine.allocations().size());
--- a/src/main/java/io/sillreel/heartbeat/FaultAttribution.java
+++ b/src/main/java/io/sillreel/heartbeat/FaultAttribution.java
@@ -4,19 +4,19 @@
 import io.sillreel.pipeline.ActiveJob;
 
 /**
- * Decides whether the machine or the job is at fault for a failed task. A single failure does not tell: a faulty
- * machine fails tasks of every job, a faulty job fails on every machine. Until the cause is known, the machine gets no
- * launches and the job is tried with one task on another machine.
+ * Decides whether the machine or the job is at fault for a failed task. A single failure is inconclusive: a faulty
+ * machine fails tasks of every job, a faulty job fails on every machine. Until the fault is attributed, the machine
+ * gets no launches and the job is retried with one task on another machine.
  */
 final class FaultAttribution {
-    /** What is at fault for a failed task. */
+    /** The cause of a task failure. */
     enum Fault {
         UNKNOWN,
         MACHINE,
         JOB
     }
 
-    /** A job is at fault once its tasks have failed on so many machines that are not known to be faulty. */
+    /** Number of machines, none of them known to be faulty, on which tasks of a job fail before the job is at fault. */
     private static final int MIN_FAILED_MACHINES = 2;
 
     private FaultAttribution() {}
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatBatch.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatBatch.java
@@ -10,12 +10,15 @@
 import java.util.function.Function;
 
 /**
- * The heartbeats that another controller has relayed, and the responses so far. They are processed in chunks, so that
- * neither the renewal of the lease nor the batches of other controllers wait for a whole batch. Used on the event loop.
+ * A batch of heartbeats relayed by another controller, with the responses so far. It is processed in chunks, so that
+ * neither the renewal of the leader lease nor the batches of other controllers wait for a whole batch. Used on the
+ * event loop.
  */
 final class HeartbeatBatch {
     static final int MAX_HEARTBEATS_PER_CHUNK = 12;
-    /** Limits the responses to one batch; heartbeats beyond it are refused unprocessed, and sent again. */
+    /**
+     * Limits the responses to one batch. Heartbeats beyond it are refused unprocessed; their workers send them again.
+     */
     static final int MAX_RESPONSE_BYTES = 1 << 20;
 
     private static final HttpResponse FULL = HttpResponse.retryLater(503, "too much is to be told at once", 1);
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatObserver.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatObserver.java
@@ -4,7 +4,7 @@
 
 /** Observes the heartbeats of workers before they are processed. Called on the event loop. */
 public interface HeartbeatObserver {
-    /** Observes nothing and lets every heartbeat be answered. */
+    /** An observer that ignores all heartbeats and permits every answer. */
     HeartbeatObserver NONE = new HeartbeatObserver() {
         @Override
         public void observeHeartbeat(Heartbeat heartbeat) {}
@@ -15,7 +15,7 @@
         }
     };
 
-    /** Takes note of a heartbeat that a worker has sent to this controller. */
+    /** Called for each heartbeat that a worker has sent to this controller directly. */
     void observeHeartbeat(Heartbeat heartbeat);
 
     /** False if the leader of the term must not answer the heartbeat. */
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
@@ -12,8 +12,8 @@
 
 /**
  * Processes the heartbeats of workers while this controller leads a term, and answers each with the commands for its
- * machine. Tasks are launched in no other way: a worker drops a response that comes late, so a launch that the next
- * heartbeat does not show has not happened and never will. All state is guarded by the lock of the cluster.
+ * machine. Tasks are launched only in these responses. A worker drops a response that arrives late, so a launch that
+ * the next heartbeat does not show has not happened and never will. All state is guarded by the lock of the cluster.
  */
 public final class HeartbeatProcessor {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatProcessor.class);
@@ -28,7 +28,7 @@
     private final TermOperations operations;
     private final HttpResponse noCommands;
 
-    /** @param term the term that is led, which is the fencing token of all commands */
+    /** @param term the term of this leader, which is the fencing token of all its commands */
     public HeartbeatProcessor(
             EventLoop eventLoop,
             long term,
@@ -54,19 +54,20 @@
         commandWriter.usePlan(plan);
     }
 
-    /** True if this term can launch nothing more, so that another one has to begin. */
+    /** True if this term cannot launch any more tasks, so that a new term has to begin. */
     public boolean hasExhaustedAttemptIds() {
         return commandWriter.hasExhaustedAttemptIds();
     }
 
     /**
-     * The latest time, in microseconds, to which tasks live on a machine whose heartbeat is answered at the given time.
+     * Returns the latest time, in microseconds, until which tasks may be live on a machine whose heartbeat is answered
+     * at the given time.
      */
     public long leaseExpiryMicros(long nowMicros) {
         return leases.leaseExpiryMicros(nowMicros);
     }
 
-    /** Processes a heartbeat that its worker sent by itself, here or through another controller. */
+    /** Processes a periodic heartbeat, which the worker sent to this controller or another controller relayed. */
     public HttpResponse process(Heartbeat heartbeat) {
         synchronized (cluster) {
             long now = eventLoop.nowMicros();
@@ -105,8 +106,9 @@
     }
 
     /**
-     * Answers a machine that no stored scale-out request names; it holds no tasks of this fleet. It is adopted once it
-     * shows the current fencing token: a copy of an old heartbeat, of a machine that was returned since, never does.
+     * Answers a machine that is in no stored scale-out request, and therefore holds no tasks. It is adopted once its
+     * heartbeat carries the current fencing token: a duplicate of an old heartbeat, from a machine that has been
+     * returned since, never does.
      */
     private HttpResponse handleUnknownMachine(Heartbeat heartbeat) {
         if (operations.isMachineGone(heartbeat.machine())) {
@@ -120,8 +122,9 @@
     }
 
     /**
-     * Refuses an older heartbeat or a copy: it must not extend the lease, so it is not answered 200. The exception is a
-     * heartbeat that the answer to a direct command has just overtaken: its worker still waits for the response.
+     * Refuses a delayed or duplicated heartbeat: it must not extend the lease, so it is not answered with status 200.
+     * The exception is a heartbeat that the response to a direct command has just overtaken: its worker still waits for
+     * the response.
      */
     private HttpResponse handleStaleHeartbeat(Machine machine, Heartbeat heartbeat, long now) {
         if (machine.heartbeatOrder().isOvertakenByCommand(heartbeat, Heartbeat.RESPONSE_TIMEOUT_MICROS, now)) {
@@ -135,8 +138,8 @@
     }
 
     /**
-     * Tells a machine with an older fencing token of this term. It gets no launches, since it may still obey an earlier
-     * leader, and is refused once it has ignored several responses.
+     * Sends the current fencing token to a machine with an older one. The machine gets no launches, since it may still
+     * execute commands of an earlier leader. Its heartbeats are refused once it has ignored several responses.
      */
     private HttpResponse handleStaleToken(Machine machine, long now) {
         if (unresponsiveMachines.isIsolatedUnresponsive(machine)) {
@@ -148,8 +151,8 @@
     }
 
     /**
-     * Processes the heartbeat in the answer to a direct command. It does not show that a launch did not happen, since
-     * the launch may still be under way.
+     * Processes the heartbeat in the response to a direct command. A task that it lacks may have been launched
+     * nevertheless, since the launch command may still be in flight.
      */
     public void processCommandResponse(Heartbeat heartbeat) {
         synchronized (cluster) {
@@ -163,8 +166,8 @@
     }
 
     /**
-     * Processes the answer to a status query. A sequence that is not beyond the one before the query means that the
-     * worker has restarted. If heartbeats were accepted since the query, the answer is older and is ignored.
+     * Processes the response to a status query. The worker has restarted if its sequence is not higher than the one
+     * before the query. If heartbeats have been accepted since the query, the response is stale and is ignored.
      */
     public void processStatusResponse(Heartbeat heartbeat, long epochBefore, long sequenceBefore) {
         synchronized (cluster) {
@@ -179,9 +182,10 @@
     }
 
     /**
-     * Returns a machine whose worker has restarted under the same name to the cloud: copies of heartbeats from before
-     * the restart could not be told from later ones. Its tasks stay allocated until the cloud has taken it or its lease
-     * has expired, since the restarted worker may have received some of them.
+     * Schedules the return of a machine whose worker has restarted under the same name, because duplicates of
+     * heartbeats from before the restart cannot be distinguished from later heartbeats. Its tasks stay allocated until
+     * the cloud has taken the machine back or its lease has expired, since the restarted worker may have received some
+     * of them.
      */
     private HttpResponse handleRestart(Machine machine) {
         if (!machine.isReturnScheduled()) {
@@ -191,17 +195,17 @@
         return HttpResponse.retryLater(503, "the machine is taken for one that has started again", 1);
     }
 
-    /** Adds the acknowledgements and stops for the machine; they are repeated until its heartbeats show the effect. */
+    /** Adds the acknowledgements and stops for the machine; they are repeated until a heartbeat shows the effect. */
     public void addCommands(Machine machine, AgentCommands commands) {
         commandWriter.addCommands(machine, commands);
     }
 
-    /** Queues the tasks of machines whose leases have expired again. The caller holds the lock of the cluster. */
+    /** Requeues the tasks of all machines whose leases have expired. The caller holds the lock of the cluster. */
     public void expireLeases() {
         leases.expireLeases();
     }
 
-    /** Queues all tasks of a machine again, which are certainly gone. The caller holds the lock of the cluster. */
+    /** Requeues all tasks of a machine on which none can be live. The caller holds the lock of the cluster. */
     public void clearTasks(Machine machine) {
         reconciler.clearTasks(machine);
     }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatRelay.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatRelay.java
@@ -14,14 +14,14 @@
 import java.util.function.IntSupplier;
 
 /**
- * Relays the heartbeats of workers to the leader, many in one request, and passes the leader's responses back. If a
- * batch gets no answer, its workers get status 503: launches that the leader decided for them did not happen, which
- * their next heartbeats show. Thread-safe; the mutable state is guarded by this.
+ * Relays the heartbeats of workers to the leader in batches, and returns the leader's responses to the workers. If a
+ * batch gets no response, its workers get status 503: any launches in the lost responses did not happen, which the next
+ * heartbeats show. Thread-safe; the mutable state is guarded by this.
  */
 public final class HeartbeatRelay {
     /**
-     * A batch is delayed for longer the more workers there are: each costs both sides a request whatever it carries,
-     * and with hundreds of workers batches of one or two heartbeats would be most of the work of a controller.
+     * The batch delay grows with the number of workers: each batch costs both sides a request, whatever its size, and
+     * with hundreds of workers, batches of one or two heartbeats would be most of the load of a controller.
      */
     private static final long MIN_BATCH_DELAY_MICROS = 15_000;
 
@@ -30,19 +30,19 @@
     private static final long TIMEOUT_MICROS = 2_500_000;
     private static final int MIN_BATCH_HEARTBEATS = 64;
     /**
-     * A batch may carry the heartbeats of one worker in so many: with smaller batches, the round trips to a distant
+     * One heartbeat of every worker fits into this many batches. With smaller batches, the round-trip time to a distant
      * leader would limit the rate.
      */
     private static final int BATCHES_PER_WORKER_CYCLE = 16;
-    /** The estimated size of a batch of more than one heartbeat; a leader accepts a multiple of it. */
+    /** Limit on the estimated size of a batch of more than one heartbeat; a leader accepts a multiple of it. */
     private static final int MAX_BATCH_BYTES = 1 << 20;
 
     private static final int MAX_PENDING_BATCHES = 2;
-    /** How long a leader counts as unreachable after a batch was lost. */
+    /** How long a leader is considered unreachable after a lost batch. */
     private static final long UNREACHABLE_MICROS = 2_000_000;
     /**
-     * One batch without an answer may be late at a busy leader, to which redirected workers would be more load. A batch
-     * that could not be sent, or two unanswered ones in a row, mean that the leader is unreachable.
+     * A single batch without a response may be delayed by a busy leader, and redirecting workers to it would add to its
+     * load. A batch that could not be sent, or two in a row without a response, mean that the leader is unreachable.
      */
     private static final int MAX_LATE_BATCHES = 1;
 
@@ -75,17 +75,17 @@
         return !currentLeader.equals(leaderAddress) || eventLoop.nowMicros() >= unreachableUntilMicros;
     }
 
-    /** The heartbeats that the leader has answered. */
+    /** Returns how many heartbeats the leader has answered. */
     public synchronized long relayedCount() {
         return relayedCount;
     }
 
-    /** The heartbeats whose batches got no answer. */
+    /** Returns how many heartbeats were in batches without a response. */
     public synchronized long lostCount() {
         return lostCount;
     }
 
-    /** The batches that were sent. */
+    /** Returns how many batches were sent. */
     public synchronized long batchCount() {
         return batchCount;
     }
@@ -116,9 +116,10 @@
     }
 
     /**
-     * Takes the heartbeats of the next batch off the queue. Called with the lock of this object held.
+     * Removes the heartbeats of the next batch from the queue. Called with the lock of this object held.
      *
-     * @param expired takes those whose workers no longer wait for a response; they are not worth the leader's time
+     * @param expired receives the heartbeats whose workers no longer wait for a response; relaying them would only load
+     *     the leader
      */
     private List<PendingHeartbeat> nextBatch(List<PendingHeartbeat> expired) {
         List<PendingHeartbeat> batch = new ArrayList<>();
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatRouter.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatRouter.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Routes the heartbeats of workers to the controller that decides about them: processed here if this controller leads,
- * relayed to the leader, or redirected to another controller. Used on the event loop only.
+ * Routes the heartbeats of workers: processes them if this controller is the leader, relays them to the leader, or
+ * redirects the worker to another controller. Used on the event loop only.
  */
 public final class HeartbeatRouter {
     private static final HttpResponse NO_LEADER = HttpResponse.retryLater(503, "nobody holds the lease", 1);
@@ -29,7 +29,7 @@
     private int unansweredCount;
     private int previousUnansweredCount;
 
-    /** @param observer sees all heartbeats, and may keep a leader from answering one */
+    /** @param observer observes all heartbeats, and may prevent the leader from answering one */
     public HeartbeatRouter(
             EventLoop eventLoop,
             LeaderLocator leaderLocator,
@@ -45,14 +45,15 @@
 
     /**
      * Routes the heartbeat of a worker and completes with the response to it: status 200 with commands, 400 for a
-     * malformed one, 421 with the controller to turn to, or 503 if it can't be decided now.
+     * malformed heartbeat, 421 with the controller to which the worker is redirected, or 503 if the heartbeat cannot be
+     * processed now.
      */
     public CompletableFuture<HttpResponse> route(HttpRequest request) {
         heartbeatCount++;
         LeaderHeartbeats ownTerm = leaderLocator.ownTerm();
         Optional<Member> leader = ownTerm != null ? Optional.empty() : leaderLocator.remoteLeader();
         if (ownTerm == null && leader.isEmpty()) {
-            // Not even decoded: right after a start hundreds of workers send, and the election has to go on.
+            // Not decoded: right after a start, the heartbeats of hundreds of workers must not hold up the election.
             unansweredCount++;
             return completed(NO_LEADER);
         }
@@ -75,8 +76,8 @@
     }
 
     /**
-     * Returns the node to which the worker is redirected, or null: to balance the load, or straight to the leader while
-     * this controller can't reach it.
+     * Returns the node to which the worker is redirected, or null. A worker is redirected to balance the load, or to
+     * the leader while this controller cannot reach the leader.
      *
      * @param leader the controller to which heartbeats are relayed; empty if they are processed here
      */
@@ -100,7 +101,7 @@
         });
     }
 
-    /** Processes a batch of heartbeats that another controller relays; 503 if this controller does not lead. */
+    /** Processes a batch of heartbeats relayed by another controller; 503 if this controller is not the leader. */
     public CompletableFuture<HttpResponse> handleRelayed(HttpRequest request) {
         LeaderHeartbeats ownTerm = leaderLocator.ownTerm();
         if (ownTerm == null) {
@@ -130,22 +131,22 @@
         unansweredCount = 0;
     }
 
-    /** The heartbeats that were not answered in the present window and the one before, about two seconds. */
+    /** Returns how many heartbeats were not answered in the current and the previous window, about two seconds. */
     public int recentlyUnansweredCount() {
         return unansweredCount + previousUnansweredCount;
     }
 
-    /** The heartbeats that workers have sent to this controller. */
+    /** Returns how many heartbeats workers have sent to this controller. */
     public long heartbeatCount() {
         return heartbeatCount;
     }
 
-    /** The heartbeats that other controllers have relayed to this one. */
+    /** Returns how many heartbeats other controllers have relayed to this one. */
     public long relayedCount() {
         return relayedCount;
     }
 
-    /** The heartbeats that were answered with a redirect to another controller. */
+    /** Returns how many heartbeats were answered with a redirect to another controller. */
     public long redirectCount() {
         return redirectCount;
     }
--- a/src/main/java/io/sillreel/heartbeat/LeaderHeartbeats.java
+++ b/src/main/java/io/sillreel/heartbeat/LeaderHeartbeats.java
@@ -3,14 +3,14 @@
 import io.sillreel.agent.Heartbeat;
 import io.sillreel.http.HttpResponse;
 
-/** The term that this controller leads, as far as the routing of heartbeats needs it. */
+/** Handles heartbeats for the term in which this controller is the leader. */
 public interface LeaderHeartbeats {
     /** The number of the term, which is also its fencing token. */
     long term();
 
     /**
-     * Decides about a heartbeat. Only a response with status 200 may extend the lease of the machine; all others tell
-     * the worker to try again.
+     * Processes a heartbeat. Only a response with status 200 may extend the lease of the machine; any other status
+     * tells the worker to retry.
      */
     HttpResponse handleHeartbeat(Heartbeat heartbeat);
 }
--- a/src/main/java/io/sillreel/heartbeat/LeaderLocator.java
+++ b/src/main/java/io/sillreel/heartbeat/LeaderLocator.java
@@ -3,11 +3,11 @@
 import io.sillreel.settings.Settings.Member;
 import java.util.Optional;
 
-/** Tells the routing of heartbeats which controller leads. Called on the event loop. */
+/** Locates the leader for the routing of heartbeats. Called on the event loop. */
 public interface LeaderLocator {
-    /** The term that this controller leads, or null if it leads none; asked for with every heartbeat. */
+    /** Returns the term that this controller leads, or null if it is not the leader; called for every heartbeat. */
     LeaderHeartbeats ownTerm();
 
-    /** The other controller that is known to lead, or empty if it is this one or none is known. */
+    /** Returns the leader if it is another controller; empty if it is this one or none is known. */
     Optional<Member> remoteLeader();
 }
--- a/src/main/java/io/sillreel/heartbeat/MachineLeases.java
+++ b/src/main/java/io/sillreel/heartbeat/MachineLeases.java
@@ -8,12 +8,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leases of the machines. A worker kills its tasks when its lease expires; this class computes the latest moment at
- * which that can happen, and gives the tasks free from then on. Guarded by the lock of the cluster.
+ * The leases of the machines. A worker kills its tasks when its lease expires. This class computes the latest time at
+ * which that can happen, and requeues the tasks from then on. Guarded by the lock of the cluster.
  */
 public final class MachineLeases {
     private static final Logger LOG = LoggerFactory.getLogger(MachineLeases.class);
-    /** The clocks of a worker and of a controller drift apart by at most one part in so many. */
+    /** Maximum clock drift between a worker and a controller, as a fraction: one part in this many. */
     private static final long DRIFT_DIVISOR = 1_000;
 
     private static final long EXPIRY_MARGIN_MICROS = 500_000;
@@ -38,12 +38,12 @@
         this.operations = operations;
     }
 
-    /** The latest time, in microseconds, at which the lease expires if a heartbeat is answered at the given time. */
+    /** Returns the latest time, in microseconds, at which a lease renewed by an answer at the given time expires. */
     long leaseExpiryMicros(long nowMicros) {
         return nowMicros + times.leaseMicros() + times.leaseMicros() / DRIFT_DIVISOR + EXPIRY_MARGIN_MICROS;
     }
 
-    /** Queues the tasks of all machines whose leases have expired again: none of them can be alive any more. */
+    /** Requeues the tasks of all machines whose leases have expired: none of the tasks can be live any more. */
     void expireLeases() {
         long now = eventLoop.nowMicros();
         for (Machine machine : cluster.machines()) {
@@ -61,7 +61,7 @@
         }
         if (!machine.allocations().isEmpty()) {
             LOG.info(
-                    "lease of machine {} expired, {} tasks are queued again",
+                    "lease of machine {} expired, requeueing {} tasks",
                     machine.name(),
                     machine.allocations().size());
             reconciler.clearTasks(machine);
--- a/src/main/java/io/sillreel/heartbeat/TaskEndHandler.java
+++ b/src/main/java/io/sillreel/heartbeat/TaskEndHandler.java
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Records how tasks ended: completions and failed attempts of jobs are queued to be stored, runtimes are learned, and
- * machines that are found faulty are drained. Guarded by the lock of the cluster.
+ * Handles the ends of tasks: queues completions and failed attempts of jobs for storage, updates the runtime estimates,
+ * and drains machines that are found faulty. Guarded by the lock of the cluster.
  */
 public final class TaskEndHandler {
     private static final Logger LOG = LoggerFactory.getLogger(TaskEndHandler.class);
@@ -25,8 +25,8 @@
     private final RuntimeEstimator runtimeEstimator;
 
     /**
-     * @param writeQueue takes the jobs whose records have changed
-     * @param retries the delays before a job that failed is tried again
+     * @param writeQueue receives the jobs whose records have changed
+     * @param retries the delays before a failed job is retried
      */
     public TaskEndHandler(
             EventLoop eventLoop,
@@ -41,7 +41,7 @@
         this.runtimeEstimator = runtimeEstimator;
     }
 
-    /** Records the end of a task whose job is known, and frees its place in the job. */
+    /** Handles the end of a task whose job is known, and releases its allocation. */
     void handleEnd(Machine machine, Allocation allocation, String cause, long nowMicros) {
         ActiveJob job = allocation.job();
         allocation.release();
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Drains the machines on which the job failed before: since it succeeds now, the fault was theirs. */
+    /** Drains the machines on which the job failed before: since it succeeded elsewhere, they were at fault. */
     private void drainMachinesThatFailed(ActiveJob job) {
         for (String name : job.failedMachines()) {
             Machine suspect = cluster.machine(name);
--- a/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
+++ b/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
@@ -17,7 +17,7 @@
  */
 public final class TaskReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(TaskReconciler.class);
-    /** Flags of what a heartbeat shows of the commands before it; ints, since there is one set for each heartbeat. */
+    /** Flags for the effects of earlier commands that a heartbeat shows; ints avoid an allocation per heartbeat. */
     private static final int COMMAND_CONFIRMED = 1;
 
     private static final int COMMAND_IGNORED = 2;
@@ -34,10 +34,10 @@
     }
 
     /**
-     * Takes over what a new heartbeat shows.
+     * Updates the allocations of the machine from a new heartbeat.
      *
-     * @param isPeriodic true if the worker sent the heartbeat by itself, false if it came in the answer to a direct
-     *     command: only a periodic one that lacks a launched task shows that the launch did not happen
+     * @param isPeriodic true for a periodic heartbeat, false for one in the response to a direct command. Only a
+     *     periodic heartbeat that lacks a launched task shows that the launch did not happen
      */
     void reconcile(Machine machine, Heartbeat heartbeat, boolean isPeriodic, long nowMicros) {
         if (!machine.isReconciled()) {
@@ -68,7 +68,7 @@
         operations.requestScheduling();
     }
 
-    /** Updates the allocations of the tasks in the heartbeat, adds them to the given set and returns the flags. */
+    /** Updates the allocations of the reported tasks, adds them to the given set and returns the command flags. */
     private int updateShownTasks(
             Machine machine, Heartbeat heartbeat, boolean isPeriodic, long nowMicros, Set<Allocation> shown) {
         int commandEffects = 0;
@@ -92,7 +92,7 @@
         return commandEffects;
     }
 
-    /** Removes the allocations that the heartbeat shows to be gone, or never to have started, and returns the flags. */
+    /** Removes the allocations whose tasks are gone or were never started, and returns the command flags. */
     private int removeMissingTasks(Machine machine, Heartbeat heartbeat, boolean isPeriodic, Set<Allocation> shown) {
         int commandEffects = 0;
         for (Allocation allocation : List.copyOf(machine.allocations())) {
@@ -106,7 +106,7 @@
         return commandEffects;
     }
 
-    /** Adds a task that an earlier leader launched, and stops it if the job has it on another machine too. */
+    /** Adds a task that an earlier leader launched, and stops it if it is allocated on another machine too. */
     private Allocation addDiscoveredTask(Machine machine, TaskStatus task, long nowMicros) {
         ActiveJob job = cluster.job(task.uid());
         if (job != null && (task.index() < 0 || task.index() >= job.spec().tasks())) {
@@ -141,7 +141,7 @@
         operations.requestScheduling();
     }
 
-    /** Removes all allocations of a machine whose tasks are certainly gone, so that they are queued again. */
+    /** Removes all allocations of a machine on which no task can be live, so that the tasks are requeued. */
     public void clearTasks(Machine machine) {
         machine.clearAllocations().forEach(Allocation::release);
         operations.requestScheduling();
--- a/src/main/java/io/sillreel/heartbeat/TermOperations.java
+++ b/src/main/java/io/sillreel/heartbeat/TermOperations.java
@@ -4,24 +4,26 @@
 import io.sillreel.cluster.Machine;
 
 /**
- * What the processing of heartbeats asks of the rest of the leader's term. All methods are called on the event loop
+ * The operations of the leader's term that the processing of heartbeats needs. All methods are called on the event loop
  * with the lock of the cluster held.
  */
 public interface TermOperations {
-    /** True while the lease and the cancellations are known recently enough to launch tasks and to change the fleet. */
+    /**
+     * True while the leader lease and the known cancellations are recent enough to launch tasks or change the fleet.
+     */
     boolean mayAct();
 
     /**
-     * Takes the machine of the heartbeat, which belongs to no known scale-out request, into the fleet.
+     * Adds the machine of the heartbeat, which belongs to no known scale-out request, to the fleet.
      *
-     * @return false if its machine type is not known, so that it can't be used
+     * @return false if its machine type is unknown, so that the machine cannot be used
      */
     boolean adoptMachine(Heartbeat heartbeat);
 
-    /** True if the machine was returned to the cloud or reclaimed by it: a heartbeat of it can only be an old copy. */
+    /** True if the machine was returned to or reclaimed by the cloud: any heartbeat of it is delayed or a duplicate. */
     boolean isMachineGone(String machine);
 
-    /** Records that the machine sends heartbeats; has an effect on the first one only. */
+    /** Records that the machine sends heartbeats; only the first call for a machine has an effect. */
     void markMachineUp(Machine machine);
 
     /** Records that the lease of the machine has expired and that it has sent no heartbeat since. */
@@ -30,6 +32,6 @@
     /** Requests a new plan: tasks or resources may have become available. */
     void requestScheduling();
 
-    /** Asks the machine for its present epoch and sequence, to tell a restart from copies of old heartbeats. */
+    /** Queries the machine's current epoch and sequence, to distinguish a restart from duplicates of old heartbeats. */
     void queryMachineStatus(Machine machine);
 }
--- a/src/main/java/io/sillreel/heartbeat/UnresponsiveMachines.java
+++ b/src/main/java/io/sillreel/heartbeat/UnresponsiveMachines.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Machines whose heartbeats arrive but which carry out no command, because the responses do not reach them. Guarded by
- * the lock of the cluster.
+ * Handles machines whose heartbeats arrive but which execute no commands, because the responses do not reach them.
+ * Guarded by the lock of the cluster.
  */
 public final class UnresponsiveMachines {
     private static final Logger LOG = LoggerFactory.getLogger(UnresponsiveMachines.class);
@@ -18,7 +18,7 @@
     private final FleetThresholds thresholds;
     private final TermOperations operations;
 
-    /** @param thresholds how many unresponsive machines are still a fault of the machines */
+    /** @param thresholds how many machines may be unresponsive before the network or this controller is at fault */
     public UnresponsiveMachines(Cluster cluster, FleetThresholds thresholds, TermOperations operations) {
         this.cluster = cluster;
         this.thresholds = thresholds;
@@ -26,8 +26,8 @@
     }
 
     /**
-     * True if the machine is unresponsive and only few others are. If many are, the fault lies with this controller or
-     * the network, and replacing the machines would not help.
+     * True if the machine is unresponsive and few others are. If many machines are unresponsive, this controller or the
+     * network is at fault, and replacing the machines would not help.
      */
     boolean isIsolatedUnresponsive(Machine machine) {
         if (!machine.responsiveness().isUnresponsive()) {
--- a/src/main/java/io/sillreel/heartbeat/WorkerLoadBalancer.java
+++ b/src/main/java/io/sillreel/heartbeat/WorkerLoadBalancer.java
@@ -7,16 +7,17 @@
 import java.util.Map;
 
 /**
- * Balances the workers over the controllers that can serve them: a controller with more than its share redirects some.
- * The leader has a smaller share, since it processes all heartbeats already. Thread-safe; all state is guarded by this.
+ * Balances the workers over the controllers that can serve them: a controller with more than its share redirects some
+ * of its workers. The leader has a smaller share, since it already processes all heartbeats. Thread-safe; all state is
+ * guarded by this.
  */
 public final class WorkerLoadBalancer {
     private static final double LEADER_WEIGHT = 0.25;
-    /** An excess below this number plus the fraction of an equal share that follows is tolerated. */
+    /** An excess below this number, plus {@link #MAX_EXCESS_FRACTION} of an equal share, is tolerated. */
     private static final int MAX_EXCESS_WORKERS = 3;
 
     private static final double MAX_EXCESS_FRACTION = 0.1;
-    /** A worker that returns within this time could not use the other controller, and is not redirected again. */
+    /** A worker that comes back within this time could not use the other controller, and is not redirected again. */
     private static final long REDIRECT_MEMORY_MICROS = 30_000_000;
 
     private final EventLoop eventLoop;
@@ -53,7 +54,7 @@
         return at != null && eventLoop.nowMicros() - at < REDIRECT_MEMORY_MICROS;
     }
 
-    /** The workers whose heartbeats come to this controller. */
+    /** Returns how many workers send their heartbeats to this controller. */
     public synchronized int workerCount() {
         return heartbeatMicros.size();
     }
@@ -96,7 +97,7 @@
         return node.equals(leader) ? LEADER_WEIGHT : 1;
     }
 
-    /** Returns the controller to which the worker is to be redirected, or null; uses up one of the redirects due. */
+    /** Returns the controller to redirect the worker to, or null; decrements the number of remaining redirects. */
     public synchronized String takeRedirectTarget(String machine) {
         if (remainingRedirects <= 0 || wasRedirectedRecently(machine)) {
             return null;
--- a/src/main/java/io/sillreel/peer/CancellationCodec.java
+++ b/src/main/java/io/sillreel/peer/CancellationCodec.java
@@ -13,7 +13,7 @@
 public final class CancellationCodec {
     private CancellationCodec() {}
 
-    /** Returns the request that tells the leader of a job whose cancellation has been stored. */
+    /** Returns the request that notifies the leader of a job whose cancellation has been stored. */
     public static HttpRequest toRequest(String uid) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(32);
         try (CBORGenerator out = CborStreams.FACTORY.createGenerator(bytes)) {
--- a/src/main/java/io/sillreel/peer/CborStreams.java
+++ b/src/main/java/io/sillreel/peer/CborStreams.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 
-/** The factory of CBOR parsers and generators that all codecs of this package share. Thread-safe. */
+/** Holds the factory of CBOR parsers and generators shared by all codecs of this package. Thread-safe. */
 final class CborStreams {
     static final CBORFactory FACTORY = new CBORFactory();
 
--- a/src/main/java/io/sillreel/peer/HeartbeatBatchCodec.java
+++ b/src/main/java/io/sillreel/peer/HeartbeatBatchCodec.java
@@ -17,8 +17,9 @@
 import java.util.List;
 
 /**
- * Encodes and decodes the heartbeats that a controller relays to the leader in one request, and the responses to them
- * in the same order. CBOR arrays without field names: relayed heartbeats are most of what a leader receives.
+ * Encodes and decodes batches of heartbeats that a controller relays to the leader, and the responses to them in the
+ * same order. Uses CBOR arrays without field names, since relayed heartbeats are most of the data that a leader
+ * receives.
  */
 public final class HeartbeatBatchCodec {
     private static final CBORFactory CBOR = CborStreams.FACTORY;
@@ -137,7 +138,7 @@
         return bytes.toByteArray();
     }
 
-    /** Decodes the responses to a batch; an empty list if the body is malformed, which answers no heartbeat. */
+    /** Decodes the responses to a batch; an empty list, with a response to no heartbeat, if the body is malformed. */
     public static List<HttpResponse> decodeResponses(byte[] body) {
         List<HttpResponse> responses = new ArrayList<>();
         try (CBORParser in = CBOR.createParser(body)) {
--- a/src/main/java/io/sillreel/peer/HelloCodec.java
+++ b/src/main/java/io/sillreel/peer/HelloCodec.java
@@ -11,13 +11,13 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Encodes and decodes {@link Hello} as a CBOR array of its components in their order. */
+/** Encodes and decodes {@link Hello} as a CBOR array of its components in declaration order. */
 public final class HelloCodec {
     private static final CBORFactory CBOR = CborStreams.FACTORY;
 
     private HelloCodec() {}
 
-    /** Returns the request that tells another controller the hello. */
+    /** Returns the request that sends the hello to another controller. */
     public static HttpRequest toRequest(Hello hello) {
         return new HttpRequest("POST", PeerRoutes.HELLO, encode(hello));
     }
--- a/src/main/java/io/sillreel/peer/PeerRoutes.java
+++ b/src/main/java/io/sillreel/peer/PeerRoutes.java
@@ -2,11 +2,11 @@
 
 /** The routes between controllers; all take POST requests with a CBOR body. */
 public final class PeerRoutes {
-    /** Takes a batch of relayed heartbeats; see {@link HeartbeatBatchCodec}. */
+    /** Accepts a batch of relayed heartbeats; see {@link HeartbeatBatchCodec}. */
     public static final String HEARTBEATS = "/peer/beats";
-    /** Takes a {@link Hello} and answers with one. */
+    /** Accepts a {@link Hello} and responds with one. */
     public static final String HELLO = "/peer/hello";
-    /** Takes the ids of jobs whose cancellation has been stored; see {@link CancellationCodec}. */
+    /** Accepts the ids of jobs whose cancellation has been stored; see {@link CancellationCodec}. */
     public static final String CANCELLED = "/peer/withdrawn";
 
     private PeerRoutes() {}
--- a/src/main/java/io/sillreel/peer/Peers.java
+++ b/src/main/java/io/sillreel/peer/Peers.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** The last hello of each other controller. Hellos older than three seconds are disregarded. Thread-safe. */
+/** The last hello of each other controller. Hellos older than three seconds are ignored. Thread-safe. */
 public final class Peers {
     private static final long RECENT_MICROS = 3_000_000;
 
     private final EventLoop eventLoop;
-    /** By the name of the node, as the map below; guarded by this. */
+    /** Keyed by node name, like the map below; both are guarded by this. */
     private final Map<String, Hello> hellos = new HashMap<>();
 
     private final Map<String, Long> receivedMicros = new HashMap<>();
@@ -21,19 +21,19 @@
         this.eventLoop = eventLoop;
     }
 
-    /** Keeps the hello in place of an earlier one of the same controller. */
+    /** Records a hello, which replaces an earlier one of the same controller. */
     public synchronized void recordHello(Hello hello) {
         hellos.put(hello.node(), hello);
         receivedMicros.put(hello.node(), eventLoop.nowMicros());
     }
 
-    /** True if a hello of the controller came within the given time, in microseconds, before now. */
+    /** True if a hello of the controller arrived within the last given number of microseconds. */
     public synchronized boolean wasHeardWithin(String node, long micros) {
         Long at = receivedMicros.get(node);
         return at != null && eventLoop.nowMicros() - at < micros;
     }
 
-    /** The hellos of the controllers that were heard recently. */
+    /** Returns the recent hellos of other controllers. */
     public synchronized Collection<Hello> recentHellos() {
         List<Hello> recent = new ArrayList<>();
         hellos.forEach((node, hello) -> {
@@ -44,12 +44,12 @@
         return recent;
     }
 
-    /** True if no other controller was heard recently. */
+    /** True if no other controller has sent a recent hello. */
     public boolean hasNoRecentPeer() {
         return recentHellos().isEmpty();
     }
 
-    /** True if the state store answers another controller: then it is not down for all. */
+    /** True if another controller reaches the state store, so that the store is not down for all controllers. */
     public boolean isStoreReachableElsewhere() {
         return recentHellos().stream().anyMatch(Hello::isStoreReachable);
     }
--- a/src/main/java/io/sillreel/peer/package-info.java
+++ b/src/main/java/io/sillreel/peer/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Messages between controllers, in CBOR, with one codec for each, and what the other controllers last told of
- * themselves ({@link io.sillreel.peer.Peers}).
+ * Messages between controllers, in CBOR, with one codec for each type, and the last known status of the other
+ * controllers ({@link io.sillreel.peer.Peers}).
  */
 package io.sillreel.peer;
--- a/src/test/java/io/sillreel/agent/AgentSamplesTest.java
+++ b/src/test/java/io/sillreel/agent/AgentSamplesTest.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The heartbeats of worker agents and the commands to them. */
+/** Compares the wire format of heartbeats and agent commands with golden samples. */
 class AgentSamplesTest {
     @Test
     void readsHeartbeats() throws Exception {
--- a/src/test/java/io/sillreel/agent/HeartbeatTest.java
+++ b/src/test/java/io/sillreel/agent/HeartbeatTest.java
@@ -19,7 +19,7 @@
         return world.cloud().machines().firstEntry().getValue();
     }
 
-    /** The machine on which the first task runs. */
+    /** Waits until a machine runs a task, and returns it. */
     private SimWorker firstBusyMachine() {
         world.until(() -> world.cloud().machines().values().stream()
                 .anyMatch(worker -> !worker.running().isEmpty()));
@@ -33,7 +33,7 @@
         return from.equals(worker.name()) && request.route().equals("/agent/beat");
     }
 
-    /** Guards the rule that a launch which the next report lacks did not happen. */
+    /** Guards the rule that a launch did not happen if the next heartbeat does not show it. */
     @Test
     void relaunchesTaskWhenResponseIsLost() {
         world.seconds(2);
@@ -41,7 +41,7 @@
         SimWorker worker = firstMachine();
         boolean[] lost = {false};
         world.network().add((from, to, request) -> {
-            // The first report that shows the current token is the one whose response launches.
+            // The response to the first heartbeat with the current fencing token carries the launch.
             if (lost[0]
                     || !isHeartbeatOf(worker, from, request)
                     || !Json.parse(request.body()).path("baton").asText().equals("1")) {
@@ -75,8 +75,8 @@
     }
 
     /**
-     * Guards against reports that were held back: after the lease ran out and the tasks were started elsewhere, an old
-     * report shows them alive, and the one after it lacks them. Once that freed pieces that ran on another machine.
+     * Guards against delayed heartbeats: after the lease has expired and the tasks were started elsewhere, an old
+     * heartbeat shows them as live and the next one lacks them. That released tasks that ran on another machine.
      */
     @Test
     void ignoresDelayedHeartbeatsAfterLeaseExpiry() {
@@ -124,7 +124,7 @@
         assertThat(world.broken()).isEmpty();
     }
 
-    /** Guards against a suspect that is never judged: it was kept, paid for and idle, after the job had succeeded. */
+    /** Guards against a machine that stays suspect: it was kept idle, at full cost, after the job had succeeded. */
     @Test
     void returnsMachineWhoseFailedJobSucceedsElsewhere() {
         world.seconds(2);
@@ -139,7 +139,7 @@
         assertThat(world.broken()).isEmpty();
     }
 
-    /** Guards the difference between a slow machine and a wrong estimate: tasks of one job alone say nothing. */
+    /** Guards the distinction between a slow machine and a wrong estimate: tasks of a single job are inconclusive. */
     @Test
     void returnsSlowMachineButToleratesWrongEstimate() {
         world.seconds(2);
@@ -154,14 +154,14 @@
         worker.runMicros(30_000_000);
         world.submit(0, SimCluster.job("job-000003", 1));
         world.submit(0, SimCluster.job("job-000004", 1));
-        // Returned when its tasks have ended, long before an idle machine would be.
+        // The machine is returned once its tasks have ended, long before an idle machine would be.
         world.seconds(36);
         assertThat(world.cloud().machines()).doesNotContainKey(worker.name());
         world.seconds(10);
         assertThat(world.stage(0, "job-000004")).isEqualTo("done");
     }
 
-    /** Guards the worst case: a machine that a new leader has not heard of may run anything of the team's. */
+    /** Guards the worst case: a machine without a heartbeat to the new leader may run any tasks of the team. */
     @Test
     void countsUnreconciledMachineAgainstQuota() {
         SimCluster limited = new SimCluster(6, 6);
--- a/src/test/java/io/sillreel/agent/MessageSizeTest.java
+++ b/src/test/java/io/sillreel/agent/MessageSizeTest.java
@@ -9,7 +9,7 @@
 import io.sillreel.http.NettyHttpServer;
 import org.junit.jupiter.api.Test;
 
-/** The protocol allows 64 KiB for a report and for a line of an answer: the largest ones stay below. */
+/** Checks that the largest heartbeats and command messages stay below the protocol limit of 64 KiB. */
 class MessageSizeTest {
     private static final String LONGEST_UID = "job-" + "9".repeat(18);
     private static final int LAST_TASK = 99_999;
@@ -23,7 +23,7 @@
         assertThat(Json.bytes(commands.toJson(Long.MAX_VALUE)).length).isLessThan(NettyHttpServer.MAX_BODY_BYTES);
     }
 
-    /** Guards a machine with hundreds of tasks: a report that is refused for its size ends its lease. */
+    /** Guards a machine with hundreds of tasks: its lease expires if its heartbeats are rejected for their size. */
     @Test
     void heartbeatOfFullMachineFitsSizeLimit() {
         ObjectNode heartbeat = Json.object()
--- a/src/test/java/io/sillreel/cluster/ScaleOutRequestSamplesTest.java
+++ b/src/test/java/io/sillreel/cluster/ScaleOutRequestSamplesTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The stored form of scale-out requests. */
+/** Compares the stored form of scale-out requests with golden samples. */
 class ScaleOutRequestSamplesTest {
     @Test
     void readsAndWritesScaleOutRequests() throws Exception {
--- a/src/test/java/io/sillreel/cluster/ScaleOutRequestTest.java
+++ b/src/test/java/io/sillreel/cluster/ScaleOutRequestTest.java
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Guards the stored request when the response to its own write is lost: the cloud is asked twice and answers alike.
-     * The second answer provides no further machine, and made the request be discarded while its machines had tasks.
+     * Guards the stored request when the response to its own write is lost: the request is sent twice, with the same
+     * answer. The second answer adds no machine, which caused the request to be discarded while its machines had tasks.
      */
     @Test
     void keepsMachinesOfRequestAnsweredTwice() {
@@ -81,7 +81,7 @@
         world.submit(0, SimCluster.job("job-000001", 6));
         world.seconds(20);
         assertThat(world.cloud().machines()).isNotEmpty();
-        // They are kept for a while because of the recent demand, and then returned.
+        // Idle machines are kept for a while because of the recent demand, and then returned.
         world.seconds(240);
         assertThat(world.cloud().machines()).isEmpty();
         assertThat(world.state().keysUnder("hire/")).isEmpty();
@@ -103,7 +103,7 @@
         assertThat(world.stage(0, "job-000002")).isEqualTo("done");
     }
 
-    /** Guards against machines of a partitioned zone that count as capacity for as long as they might come back. */
+    /** Guards against counting machines of a partitioned zone as capacity for as long as they might come back. */
     @Test
     void replacesMachinesPartitionedBeyondLeaseExpiry() {
         world.seconds(2);
@@ -121,11 +121,11 @@
     }
 
     /**
-     * Guards jobs that may not use spot machines: one ordinary machine, however busy, counted as room for them, and a
-     * few tasks waited for minutes.
+     * Guards jobs that may not use spot machines: a single on-demand machine, however busy, counted as capacity for
+     * them, and a few tasks waited for minutes.
      */
     @Test
-    void requestsOrdinaryMachineForJobWithoutSpot() {
+    void requestsOnDemandMachineForJobWithoutSpot() {
         world.seconds(2);
         world.submit(0, SimCluster.job("job-000001", 4).put("loaners", false));
         world.untilStarted(4, 200_000_000);
--- a/src/test/java/io/sillreel/heartbeat/AttemptIdsTest.java
+++ b/src/test/java/io/sillreel/heartbeat/AttemptIdsTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 
 class AttemptIdsTest {
-    /** Guards a term of some weeks: its next id would be the first of the following term. */
+    /** After some weeks, a term has used its last id; the next number is the first id of the following term. */
     @Test
     void neverReturnsIdOfFollowingTerm() {
         AttemptIds ids = new AttemptIds(7, (1L << 32) - 2);
--- a/src/test/java/io/sillreel/heartbeat/HeartbeatBatchTest.java
+++ b/src/test/java/io/sillreel/heartbeat/HeartbeatBatchTest.java
@@ -29,7 +29,7 @@
         return batch.start();
     }
 
-    /** Guards the renewal of the lease, which a large batch would hold up. */
+    /** Guards the renewal of the leader lease, which a large batch would delay. */
     @Test
     void runsOtherEventsBetweenChunksOfBatch() {
         List<Heartbeat> processed = new ArrayList<>();
@@ -42,7 +42,9 @@
                 .allMatch(HttpResponse::isOk);
     }
 
-    /** Guards memory: what finds no room in the answer is not decided, so that no launch is lost with it. */
+    /**
+     * Guards the memory limit: a heartbeat whose response would not fit is not processed, so that no launch is lost.
+     */
     @Test
     void refusesHeartbeatsBeyondResponseLimitUnprocessed() {
         List<Heartbeat> processed = new ArrayList<>();
--- a/src/test/java/io/sillreel/heartbeat/HeartbeatRelayTest.java
+++ b/src/test/java/io/sillreel/heartbeat/HeartbeatRelayTest.java
@@ -32,7 +32,7 @@
                 new HttpResponse(200, HeartbeatBatchCodec.encodeResponses(responses), 0));
     }
 
-    /** Hands on a report every 10 ms for a second, and returns how many had been answered 15 ms after they came. */
+    /** Relays 100 heartbeats, one every 15 ms, and returns how many were answered within 15 ms of their arrival. */
     private int countPromptResponses(int workerCount) {
         HeartbeatRelay heartbeatRelay = new HeartbeatRelay(
                 time.new Process(), (address, request, timeout) -> respond(request), () -> workerCount);
@@ -50,7 +50,7 @@
     }
 
     /**
-     * Guards the leader against a request for each report or two: with hundreds of workers that was most of its work.
+     * Guards the leader against batches of one or two heartbeats: with hundreds of workers they were most of its load.
      */
     @Test
     void delaysBatchesLongerWithManyWorkers() {
@@ -69,7 +69,10 @@
                 "host-%06d".formatted(machineNumber), "", new MachineDescription("c4", "a", true), 1, 1, 1, -1, tasks);
     }
 
-    /** Guards a follower of thousands: two batches of 64 a round trip were 1,300 reports a second at 100 ms. */
+    /**
+     * Guards a follower with thousands of workers: two batches of 64 heartbeats per round trip of 100 ms limited it to
+     * 1,300 heartbeats per second.
+     */
     @Test
     void scalesBatchesWithWorkersUpToByteLimit() {
         HeartbeatRelay heartbeatRelay =
@@ -90,7 +93,7 @@
         assertThat(batchSizes).allMatch(size -> size < 30);
     }
 
-    /** Guards a leader that is behind against reports whose workers have long asked elsewhere. */
+    /** Guards an overloaded leader against heartbeats whose workers have already retried at another controller. */
     @Test
     void dropsHeartbeatsAfterResponseTimeout() {
         List<CompletableFuture<HttpResponse>> pendingResponses = new ArrayList<>();
@@ -130,7 +133,7 @@
         return heartbeatRelay;
     }
 
-    /** Guards a leader that is only late against the workers themselves, who would be more work than their batches. */
+    /** Guards a slow leader against redirected workers, whose heartbeats would cost it more than relayed batches. */
     @Test
     void toleratesOneLateBatchBeforeLeaderIsUnreachable() {
         assertThat(relayBatches(HttpResponse.noResponse(), 1).isReachable("leader:1"))
--- a/src/test/java/io/sillreel/heartbeat/MachineFailureTest.java
+++ b/src/test/java/io/sillreel/heartbeat/MachineFailureTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Troubles between machines and controllers that are no plain cut: unanswered machines, copies, restarts, isolated
- * controllers.
+ * Failures of machines and of their connections to controllers: lost responses, duplicated heartbeats, restarts,
+ * isolated controllers, spot interruptions and silent machines.
  */
 class MachineFailureTest {
     private final SimCluster world = new SimCluster(11);
@@ -26,7 +26,7 @@
                 .orElseThrow();
     }
 
-    /** Guards against launches given for ever to a machine that never hears them. */
+    /** Guards against sending launches forever to a machine that receives no responses. */
     @Test
     void replacesUnresponsiveMachine() {
         world.seconds(2);
@@ -41,7 +41,7 @@
         assertThat(world.broken()).isEmpty();
     }
 
-    /** Guards a takeover against a machine that reports for ever without hearing of the new term. */
+    /** Guards a failover against a machine that keeps sending heartbeats but never receives the new fencing token. */
     @Test
     void replacesUnresponsiveMachineAfterFailover() {
         world.seconds(2);
@@ -59,7 +59,7 @@
         assertThat(world.broken()).isEmpty();
     }
 
-    /** Guards a takeover against one dead machine among several, and against those that only boot. */
+    /** Guards against a failover that is delayed by one dead machine among several, or by machines that still boot. */
     @Test
     void returnsSilentMachineAfterFailoverBeforeLeaseExpiry() {
         world.seconds(2);
@@ -71,7 +71,7 @@
         int leader = world.leader();
         int starts = world.starts();
         world.kill(leader);
-        // The bound that earlier tasks may live to is 27 s after the takeover; evidence is to be had sooner.
+        // Tasks of the earlier term may live until 27 s after the failover; evidence of their end comes sooner.
         world.seconds(18);
         assertThat(world.cloud().machines()).doesNotContainKey(silent);
         assertThat(world.starts()).isGreaterThan(starts);
@@ -80,7 +80,7 @@
         assertThat(world.broken()).isEmpty();
     }
 
-    /** Guards against copies that show what was long ago: they free nothing, and nobody that is gone is taken in. */
+    /** Outdated duplicates of heartbeats must not release tasks, nor cause a returned machine to be adopted. */
     @Test
     void ignoresDuplicatedHeartbeats() {
         world.network()
@@ -107,7 +107,7 @@
         assertThat(world.broken()).isEmpty();
     }
 
-    /** Guards against a machine that is back with its numbers begun anew and would be taken for a copy for ever. */
+    /** Guards against ignoring a restarted worker forever: its sequence starts anew, so its heartbeats look stale. */
     @Test
     void completesJobAfterWorkerRestartsWithResetSequence() {
         world.seconds(2);
@@ -121,7 +121,7 @@
         assertThat(world.broken()).isEmpty();
     }
 
-    /** Guards the tasks of a leader that is cut off from everything but its workers: another one keeps them alive. */
+    /** A leader that reaches only its workers must release them, so that the next leader keeps their tasks alive. */
     @Test
     void isolatedLeaderReleasesWorkersBeforeLeaseExpiry() {
         world.seconds(2);
@@ -136,7 +136,7 @@
         assertThat(world.broken()).isEmpty();
     }
 
-    /** Guards against a leader that nobody can reach: it resigns, and one that is heard leads. */
+    /** Guards against a leader that no worker or peer can reach: it has to resign, so that a reachable one leads. */
     @Test
     void leaderResignsWhenNoWorkerReachesIt() {
         world.seconds(2);
@@ -155,7 +155,7 @@
         assertThat(world.broken()).isEmpty();
     }
 
-    /** Workers end up spread over the controllers, also after one of them was away. */
+    /** Workers are balanced over the controllers, also after one of the controllers was down. */
     @Test
     void rebalancesWorkersAfterControllerRestart() {
         SimCluster cluster = new SimCluster(12, 0, 5, SimCluster.Version.CURRENT);
@@ -190,7 +190,10 @@
         return max;
     }
 
-    /** Some machines with tasks that run for long, on one of them at least two; the cloud's list tells nothing. */
+    /**
+     * Starts several machines with long-running tasks, and returns one that runs at least two tasks. The cloud's list
+     * of machines is unavailable, so it gives no evidence of a loss.
+     */
     private SimWorker startFleetWithLongTasks() {
         world.network()
                 .add((from, to, request) -> to.startsWith("cloud")
@@ -205,7 +208,7 @@
         return untilMachineRuns(2);
     }
 
-    /** Guards against waiting for the lease of a machine whose end was announced: its tasks started 12 s later. */
+    /** Guards against waiting for the lease of an interrupted spot instance, which delayed its tasks by 12 s. */
     @Test
     void restartsTasksOfInterruptedMachineBeforeLeaseExpiry() {
         SimWorker worker = startFleetWithLongTasks();
@@ -219,7 +222,8 @@
     }
 
     /**
-     * Guards against work on a recalled machine that can't end there: it held its pieces until the machine was gone.
+     * Guards against tasks that cannot end before a spot interruption but keep running until the machine is reclaimed,
+     * which delays their restart on another machine.
      */
     @Test
     void stopsTasksThatCannotEndBeforeInterruption() {
@@ -236,7 +240,7 @@
         assertThat(world.broken()).isEmpty();
     }
 
-    /** Guards against waiting for the lease of a single machine that has been taken without a word. */
+    /** Guards against waiting for the lease of a single machine that was reclaimed without notice. */
     @Test
     void returnsSingleSilentMachineBeforeLeaseExpiry() {
         SimWorker worker = startFleetWithLongTasks();
@@ -249,7 +253,7 @@
     }
 
     /**
-     * Guards against waiting, for a machine that was taken without a word, as if it might be on its way to another
+     * Guards against waiting for a machine that was reclaimed without notice as if it might be switching to another
      * controller.
      */
     @Test
@@ -264,7 +268,7 @@
         assertThat(world.broken()).isEmpty();
     }
 
-    /** Guards against giving away, in vain, machines that only can't be heard for a while. */
+    /** Guards against returning machines that are only unreachable for a while. */
     @Test
     void keepsMachinesThatFallSilentTogether() {
         startFleetWithLongTasks();
@@ -279,7 +283,8 @@
     }
 
     /**
-     * Guards against giving a cut zone away two machines at a time, as their silence is noticed one after the other.
+     * Guards against returning the machines of a partitioned zone two at a time, as the silence of one after the other
+     * is detected.
      */
     @Test
     void keepsMostMachinesThatFallSilentInSequence() {
--- a/src/test/java/io/sillreel/peer/PeerSamplesTest.java
+++ b/src/test/java/io/sillreel/peer/PeerSamplesTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The messages between controllers and their routes. */
+/** Compares the wire format and the routes of the messages between controllers with golden samples. */
 class PeerSamplesTest {
     @Test
     void readsAndWritesHellos() throws Exception {
