--- a/src/main/java/io/sillreel/heartbeat/HeartbeatBatch.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatBatch.java
@@ -21,7 +21,8 @@
      */
     static final int MAX_RESPONSE_BYTES = 1 << 20;
 
-    private static final HttpResponse FULL = HttpResponse.retryLater(503, "too much is to be told at once", 1);
+    private static final HttpResponse RESPONSE_LIMIT_REACHED =
+            HttpResponse.retryLater(503, "too much is to be told at once", 1);
 
     private final EventLoop eventLoop;
     private final List<Heartbeat> heartbeats;
@@ -46,8 +47,9 @@
     private void processNextChunk() {
         int upTo = Math.min(heartbeats.size(), responses.size() + MAX_HEARTBEATS_PER_CHUNK);
         while (responses.size() < upTo) {
-            HttpResponse response =
-                    responseBytes > MAX_RESPONSE_BYTES ? FULL : process.apply(heartbeats.get(responses.size()));
+            HttpResponse response = responseBytes > MAX_RESPONSE_BYTES
+                    ? RESPONSE_LIMIT_REACHED
+                    : process.apply(heartbeats.get(responses.size()));
             responseBytes += response.body().length;
             responses.add(response);
         }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatRelay.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatRelay.java
@@ -46,14 +46,15 @@
      */
     private static final int MAX_LATE_BATCHES = 1;
 
-    private static final HttpResponse LOST = HttpResponse.retryLater(503, "the leader can't be reached", 1);
+    private static final HttpResponse LEADER_UNREACHABLE =
+            HttpResponse.retryLater(503, "the leader can't be reached", 1);
 
     private record PendingHeartbeat(Heartbeat heartbeat, long receivedMicros, CompletableFuture<HttpResponse> result) {}
 
     private final EventLoop eventLoop;
     private final HttpClient httpClient;
     private final IntSupplier workerCount;
-    private final Deque<PendingHeartbeat> waiting = new ArrayDeque<>();
+    private final Deque<PendingHeartbeat> queue = new ArrayDeque<>();
     private String currentLeader = "";
     private int pendingBatches;
     private int consecutiveLateBatches;
@@ -99,7 +100,7 @@
                 unreachableUntilMicros = Long.MIN_VALUE;
                 consecutiveLateBatches = 0;
             }
-            waiting.add(new PendingHeartbeat(heartbeat, eventLoop.nowMicros(), result));
+            queue.add(new PendingHeartbeat(heartbeat, eventLoop.nowMicros(), result));
             if (sendScheduled || pendingBatches >= MAX_PENDING_BATCHES) {
                 return result;
             }
@@ -125,17 +126,17 @@
         List<PendingHeartbeat> batch = new ArrayList<>();
         int maxHeartbeats = Math.max(MIN_BATCH_HEARTBEATS, workerCount.getAsInt() / BATCHES_PER_WORKER_CYCLE);
         int bytes = 0;
-        while (!waiting.isEmpty() && batch.size() < maxHeartbeats) {
-            PendingHeartbeat next = waiting.peek();
+        while (!queue.isEmpty() && batch.size() < maxHeartbeats) {
+            PendingHeartbeat next = queue.peek();
             if (eventLoop.nowMicros() - next.receivedMicros() > Heartbeat.RESPONSE_TIMEOUT_MICROS) {
-                expired.add(waiting.poll());
+                expired.add(queue.poll());
                 continue;
             }
             bytes += HeartbeatBatchCodec.estimateBytes(next.heartbeat());
             if (bytes > MAX_BATCH_BYTES && !batch.isEmpty()) {
                 break;
             }
-            batch.add(waiting.poll());
+            batch.add(queue.poll());
         }
         return batch;
     }
@@ -151,7 +152,7 @@
             batchCount += batch.isEmpty() ? 0 : 1;
             leaderAddress = currentLeader;
         }
-        expired.forEach(each -> each.result().complete(LOST));
+        expired.forEach(each -> each.result().complete(LEADER_UNREACHABLE));
         if (batch.isEmpty()) {
             return;
         }
@@ -166,7 +167,7 @@
         List<HttpResponse> responses =
                 response.isOk() ? HeartbeatBatchCodec.decodeResponses(response.body()) : List.of();
         boolean isAnswered = responses.size() == batch.size();
-        boolean isNextDue;
+        boolean hasNextBatch;
         synchronized (this) {
             pendingBatches--;
             if (isAnswered) {
@@ -175,13 +176,13 @@
             } else {
                 recordLostBatch(batch, leaderAddress, response);
             }
-            isNextDue = !waiting.isEmpty() && !sendScheduled;
-            sendScheduled |= isNextDue;
+            hasNextBatch = !queue.isEmpty() && !sendScheduled;
+            sendScheduled |= hasNextBatch;
         }
         for (int i = 0; i < batch.size(); i++) {
-            batch.get(i).result().complete(isAnswered ? responses.get(i) : LOST);
+            batch.get(i).result().complete(isAnswered ? responses.get(i) : LEADER_UNREACHABLE);
         }
-        if (isNextDue) {
+        if (hasNextBatch) {
             eventLoop.schedule(0, this::sendBatch);
         }
     }
