--- a/src/main/java/io/sillreel/leadership/LeaderReachability.java
+++ b/src/main/java/io/sillreel/leadership/LeaderReachability.java
@@ -71,7 +71,7 @@
         if (peers.isStoreReachableElsewhere()) {
             return true;
         }
-        return settings.controllerCount() > 1 && peers.isNoneHeard() && redirectedMachines.add(machine);
+        return settings.controllerCount() > 1 && peers.hasNoRecentPeer() && redirectedMachines.add(machine);
     }
 
     /**
@@ -119,7 +119,7 @@
 
     /** False if there is no other controller, or if others are reachable and none has unanswered heartbeats. */
     private boolean mayOthersReachAgents(boolean heartbeatsUnansweredElsewhere) {
-        return settings.controllerCount() > 1 && (heartbeatsUnansweredElsewhere || peers.isNoneHeard());
+        return settings.controllerCount() > 1 && (heartbeatsUnansweredElsewhere || peers.hasNoRecentPeer());
     }
 
     private static long maxSilenceMicros(boolean heartbeatsUnansweredElsewhere) {
