--- a/src/main/java/io/sillreel/cli/ArchiveTrainingRun.java
+++ b/src/main/java/io/sillreel/cli/ArchiveTrainingRun.java
@@ -36,14 +36,14 @@
     private static final int MAX_ROUNDS = 100;
 
     private static final int ROUND_MILLIS = 300;
-    private static final int IDLE_MILLIS = 2_300;
+    private static final int IDLE_WAIT_MILLIS = 2_300;
     private static final int MAX_IDLE_WAITS = 5;
     private static final int FIRST_PORT = 15_000;
     private static final int PORTS = 15_000;
     private static final int PORT_STEP = 16;
     private static final String CLASS_SUFFIX = ".class";
     /** Classes of the JDK whose nested ones are needed now and then, as a future that is not yet complete is. */
-    private static final List<Class<?>> WITH_NESTED_CLASSES = List.of(
+    private static final List<Class<?>> TYPES_WITH_NESTED_CLASSES = List.of(
             ArrayDeque.class,
             ArrayList.class,
             CompletableFuture.class,
@@ -52,55 +52,55 @@
             PriorityQueue.class,
             TreeMap.class);
 
-    private static int portsTaken;
+    private static int portsTried;
 
     private ArchiveTrainingRun() {}
 
     static void run() throws IOException, InterruptedException {
         loadOwnClasses();
-        for (Class<?> type : WITH_NESTED_CLASSES) {
+        for (Class<?> type : TYPES_WITH_NESTED_CLASSES) {
             type.getDeclaredClasses();
         }
-        int stagePort = freePort();
+        int servicesPort = freePort();
         int[] publicPorts = {freePort(), freePort()};
         int[] internalPorts = {freePort(), freePort()};
         EventLoopGroup[] daemons = new EventLoopGroup[2];
         for (int i = 0; i < 2; i++) {
-            String settings = settings(i, publicPorts[i], internalPorts[i], internalPorts[1 - i], stagePort);
+            String settings = settings(i, publicPorts[i], internalPorts[i], internalPorts[1 - i], servicesPort);
             daemons[i] = Main.run(SettingsReader.parse(settings), OperatorProperties.defaults());
             if (i == 0) {
                 new NettyHttpServer(daemons[0], NettyHttpServer.MAX_BODY_BYTES, 100)
-                        .listen(new InetSocketAddress("127.0.0.1", stagePort), new TrainingServices()::handle);
+                        .listen(new InetSocketAddress("127.0.0.1", servicesPort), new TrainingServices()::handle);
             }
         }
         Thread.sleep(1_500);
-        String self = "http://127.0.0.1:" + publicPorts[0];
-        submitJobs(self);
+        String controllerUrl = "http://127.0.0.1:" + publicPorts[0];
+        submitJobs(controllerUrl);
         ObjectNode heartbeat = heartbeat();
         int round = 0;
-        while (round < MIN_ROUNDS || (round < MAX_ROUNDS && !isDone(self, "job-000001"))) {
+        while (round < MIN_ROUNDS || (round < MAX_ROUNDS && !isDone(controllerUrl, "job-000001"))) {
             round++;
-            report(heartbeat, round, "http://127.0.0.1:" + publicPorts[round % 2]);
-            ask(self + "/up", null);
+            sendHeartbeat(heartbeat, round, "http://127.0.0.1:" + publicPorts[round % 2]);
+            send(controllerUrl + "/up", null);
             Thread.sleep(ROUND_MILLIS);
         }
-        planForAnIdleMachine(self, heartbeat, round + 1);
-        ask("http://127.0.0.1:" + internalPorts[0] + "/metrics", null);
+        scheduleOnIdleMachine(controllerUrl, heartbeat, round + 1);
+        send("http://127.0.0.1:" + internalPorts[0] + "/metrics", null);
         FailureTraining.run();
         for (EventLoopGroup daemon : daemons) {
             daemon.shutdownGracefully(0, 1, TimeUnit.SECONDS).await();
         }
     }
 
-    private static void submitJobs(String self) throws IOException {
-        ask(self + "/v2/runs", job("job-000001"));
-        ask(self + "/v2/runs", job("job-000002"));
-        ask(self + "/v2/runs", Json.object().put("uid", "job-000003"));
-        ObjectNode behind = job("job-000004");
-        behind.putArray("awaits").add("job-000001").add("job-000002");
-        ask(self + "/v2/runs", behind);
-        ask(self + "/v2/runs/job-000004", null);
-        ask(self + "/v2/runs/job-000002/withdraw", Json.object());
+    private static void submitJobs(String controllerUrl) throws IOException {
+        send(controllerUrl + "/v2/runs", job("job-000001"));
+        send(controllerUrl + "/v2/runs", job("job-000002"));
+        send(controllerUrl + "/v2/runs", Json.object().put("uid", "job-000003"));
+        ObjectNode dependent = job("job-000004");
+        dependent.putArray("awaits").add("job-000001").add("job-000002");
+        send(controllerUrl + "/v2/runs", dependent);
+        send(controllerUrl + "/v2/runs/job-000004", null);
+        send(controllerUrl + "/v2/runs/job-000002/withdraw", Json.object());
     }
 
     /**
@@ -126,8 +126,11 @@
         }
     }
 
-    private static boolean isDone(String self, String uid) throws IOException {
-        return ask(self + "/v2/runs/" + uid, null).path("stage").asText().equals("done");
+    private static boolean isDone(String controllerUrl, String uid) throws IOException {
+        return send(controllerUrl + "/v2/runs/" + uid, null)
+                .path("stage")
+                .asText()
+                .equals("done");
     }
 
     /**
@@ -135,12 +138,12 @@
      * placed by the report that brings the room, so that no plan ever looks for places. Nothing is reported until the
      * job's release is stored and a plan has been made after that, which usually takes two seconds at most.
      */
-    private static void planForAnIdleMachine(String self, ObjectNode heartbeat, int sequence)
+    private static void scheduleOnIdleMachine(String controllerUrl, ObjectNode heartbeat, int sequence)
             throws IOException, InterruptedException {
-        ask(self + "/v2/runs", job("job-000005").put("reel", "img-that-is-nowhere"));
+        send(controllerUrl + "/v2/runs", job("job-000005").put("reel", "img-that-is-nowhere"));
         for (int waits = 0; waits < MAX_IDLE_WAITS && heartbeat.path("pieces").isEmpty(); waits++) {
-            Thread.sleep(IDLE_MILLIS);
-            report(heartbeat, sequence + waits, self);
+            Thread.sleep(IDLE_WAIT_MILLIS);
+            sendHeartbeat(heartbeat, sequence + waits, controllerUrl);
         }
     }
 
@@ -159,15 +162,16 @@
     }
 
     /** Reports what the machine runs, and takes up what it is told to launch; that has ended by the next report. */
-    private static void report(ObjectNode heartbeat, int sequence, String controller) throws IOException {
+    private static void sendHeartbeat(ObjectNode heartbeat, int sequence, String controllerUrl) throws IOException {
         heartbeat.put("tally", sequence);
-        JsonNode answer = ask(controller + "/agent/beat", heartbeat);
+        JsonNode response = send(controllerUrl + "/agent/beat", heartbeat);
         heartbeat.put(
                 "baton",
-                Math.max(heartbeat.path("baton").asLong(), answer.path("baton").asLong()));
+                Math.max(
+                        heartbeat.path("baton").asLong(), response.path("baton").asLong()));
         ArrayNode tasks = heartbeat.withArray("pieces");
         tasks.forEach(task -> ((ObjectNode) task).put("stage", "ended").put("cause", "done"));
-        for (JsonNode order : answer.path("orders")) {
+        for (JsonNode order : response.path("orders")) {
             if (order.path("verb").asText().equals("launch")) {
                 tasks.addObject()
                         .put("piece", order.path("piece").asText())
@@ -177,7 +181,7 @@
         }
     }
 
-    static String settings(int number, int publicPort, int internalPort, int otherPort, int stagePort) {
+    static String settings(int number, int publicPort, int internalPort, int otherPort, int servicesPort) {
         return """
                 node_name = "rehearsal-%1$d"
                 area = "a"
@@ -213,7 +217,7 @@
                 cores = 1.0
                 memory_mb = 200.0
                 max_sockets = 100
-                """.formatted(number, publicPort, internalPort, otherPort, stagePort, 1 - number);
+                """.formatted(number, publicPort, internalPort, otherPort, servicesPort, 1 - number);
     }
 
     private static ObjectNode job(String uid) {
@@ -245,9 +249,9 @@
     static int freePort() throws IOException {
         int first = (int) (ProcessHandle.current().pid() * PORT_STEP % PORTS);
         for (int offset = 0; offset < PORTS; offset++) {
-            int port = FIRST_PORT + (first + offset + portsTaken) % PORTS;
+            int port = FIRST_PORT + (first + offset + portsTried) % PORTS;
             try (ServerSocket socket = new ServerSocket(port)) {
-                portsTaken += offset + 1;
+                portsTried += offset + 1;
                 return socket.getLocalPort();
             } catch (BindException e) {
                 // somebody else listens there
@@ -256,7 +260,7 @@
         throw new IOException("no port is free");
     }
 
-    private static JsonNode ask(String url, JsonNode body) throws IOException {
+    private static JsonNode send(String url, JsonNode body) throws IOException {
         return (body == null ? JsonClient.get(url) : JsonClient.post(url, body)).body();
     }
 }
--- a/src/main/java/io/sillreel/cli/ClientFailures.java
+++ b/src/main/java/io/sillreel/cli/ClientFailures.java
@@ -19,27 +19,27 @@
         this.port = port;
     }
 
-    void cause() throws IOException, InterruptedException {
-        resetWhileIdle();
-        resetWhileARequestIsRead();
-        resetWhileAnAnswerIsWritten();
-        closedBeforeAnAnswerIsWritten();
+    void causeAll() throws IOException, InterruptedException {
+        resetIdleConnection();
+        resetDuringRequestRead();
+        resetDuringResponseWrite();
+        closedBeforeResponse();
         inputHalfClosed();
         malformedRequests();
         oversizedRequests();
         closedWithUnreadRequests();
-        manyRequestsBeforeAnAnswer();
+        manyPipelinedRequests();
         failingHandlers();
         tooManyConnections();
     }
 
-    private void resetWhileIdle() throws IOException, InterruptedException {
+    private void resetIdleConnection() throws IOException, InterruptedException {
         Socket socket = connect();
         Thread.sleep(FailureTraining.PAUSE_MILLIS);
         FailureTraining.reset(socket);
     }
 
-    private void resetWhileARequestIsRead() throws IOException, InterruptedException {
+    private void resetDuringRequestRead() throws IOException, InterruptedException {
         for (String part : List.of("GET / HT", post(100) + "{")) {
             Socket socket = connect();
             FailureTraining.send(socket, part);
@@ -48,7 +48,7 @@
         }
     }
 
-    private void resetWhileAnAnswerIsWritten() throws IOException, InterruptedException {
+    private void resetDuringResponseWrite() throws IOException, InterruptedException {
         for (String request : List.of(get("/large", ""), get("/large", "Connection: close" + CRLF))) {
             Socket socket = connect();
             FailureTraining.send(socket, request);
@@ -58,7 +58,7 @@
         }
     }
 
-    private void closedBeforeAnAnswerIsWritten() throws IOException, InterruptedException {
+    private void closedBeforeResponse() throws IOException, InterruptedException {
         for (String header : List.of("", "Connection: close" + CRLF)) {
             Socket closed = connect();
             FailureTraining.send(closed, get("/late", header));
@@ -112,7 +112,7 @@
     }
 
     /** Past some dozens of unanswered requests on a connection Netty keeps their methods in another way. */
-    private void manyRequestsBeforeAnAnswer() throws IOException {
+    private void manyPipelinedRequests() throws IOException {
         exchange(get("/late", "").repeat(PIPELINED));
     }
 
--- a/src/main/java/io/sillreel/cli/FailureTraining.java
+++ b/src/main/java/io/sillreel/cli/FailureTraining.java
@@ -45,7 +45,7 @@
     static final int MAX_WAIT_MILLIS = 1_000;
     static final int PAUSE_MILLIS = 30;
     /** Classes of failures that no connection can be made to show at will, as they depend on the order of events. */
-    private static final List<String> NOT_CAUSED = List.of(
+    private static final List<String> TIMING_DEPENDENT_CLASSES = List.of(
             // reading can't be begun, as the selector's key has been cancelled since the last event
             "io.netty.channel.AbstractChannel$AbstractUnsafe$7",
             // what is queued falls below the limit while a write is being failed, which is told by a later event
@@ -66,23 +66,23 @@
     private FailureTraining() {}
 
     static void run() throws IOException, InterruptedException {
-        loadNotCaused();
+        loadTimingDependentClasses();
         FailureTraining training = new FailureTraining();
         try {
             training.listen();
-            new ClientFailures(training.port).cause();
+            new ClientFailures(training.port).causeAll();
             training.tooManyOpenFilesOnAccept();
-            new PeerFailures(training.nettyLoop, training.client).cause();
+            new PeerFailures(training.nettyLoop, training.client).causeAll();
             malformedJson();
-            training.failuresOfTasks();
+            training.failingTasks();
         } finally {
             training.shutDownWithOpenConnections();
         }
     }
 
-    private static void loadNotCaused() throws IOException {
+    private static void loadTimingDependentClasses() throws IOException {
         try {
-            for (String name : NOT_CAUSED) {
+            for (String name : TIMING_DEPENDENT_CLASSES) {
                 Class.forName(name, false, FailureTraining.class.getClassLoader());
             }
         } catch (ClassNotFoundException e) {
@@ -99,14 +99,14 @@
     private CompletableFuture<HttpResponse> handle(HttpRequest request) {
         return switch (request.route()) {
             case "/large" -> CompletableFuture.completedFuture(new HttpResponse(200, new byte[LARGE_BYTES], 0));
-            case "/late" -> late();
-            case "/failed" -> CompletableFuture.failedFuture(failure());
-            case "/thrown" -> throw failure();
+            case "/late" -> delayedResponse();
+            case "/failed" -> CompletableFuture.failedFuture(newFailure());
+            case "/thrown" -> throw newFailure();
             default -> CompletableFuture.completedFuture(new HttpResponse(200, new byte[0], 0));
         };
     }
 
-    private CompletableFuture<HttpResponse> late() {
+    private CompletableFuture<HttpResponse> delayedResponse() {
         CompletableFuture<HttpResponse> reply = new CompletableFuture<>();
         nettyLoop.schedule(
                 () -> reply.complete(new HttpResponse(200, new byte[0], 0)), 2L * PAUSE_MILLIS, TimeUnit.MILLISECONDS);
@@ -114,7 +114,7 @@
     }
 
     /** A failure whose stack trace has all the parts that one can have: a cause and a suppressed exception. */
-    private static IllegalStateException failure() {
+    private static IllegalStateException newFailure() {
         IllegalStateException failure =
                 new IllegalStateException("caused by the training run of the build", new IOException("the cause"));
         failure.addSuppressed(new IOException("suppressed"));
@@ -141,11 +141,11 @@
         }
         Json.parse(new byte[] {'"', (byte) 0xC3, '"'});
         Json.parse(new byte[] {'"', (byte) 0xFF, '"'});
-        nestedTooDeep();
+        excessiveNesting();
     }
 
     /** Read token by token: a tree of so many levels needs a deeper stack than the run command gives. */
-    private static void nestedTooDeep() throws IOException {
+    private static void excessiveNesting() throws IOException {
         try (JsonParser parser = Json.createParser("[".repeat(MAX_BYTES).getBytes(StandardCharsets.UTF_8))) {
             while (parser.nextToken() != null) {
                 // the parser refuses the level that is past its limit
@@ -160,35 +160,35 @@
         listener.pipeline().fireExceptionCaught(new IOException("Too many open files"));
     }
 
-    private void failuresOfTasks() throws InterruptedException {
+    private void failingTasks() throws InterruptedException {
         NettyEventLoop loop = new NettyEventLoop(nettyLoop);
-        loop.execute(FailureTraining::fail);
-        loop.schedule(0, FailureTraining::fail);
-        nettyLoop.execute(FailureTraining::fail);
-        nettyLoop.schedule(FailureTraining::fail, 0, TimeUnit.MILLISECONDS);
-        nettyLoop.newSucceededFuture(null).addListener(done -> fail());
+        loop.execute(FailureTraining::throwFailure);
+        loop.schedule(0, FailureTraining::throwFailure);
+        nettyLoop.execute(FailureTraining::throwFailure);
+        nettyLoop.schedule(FailureTraining::throwFailure, 0, TimeUnit.MILLISECONDS);
+        nettyLoop.newSucceededFuture(null).addListener(done -> throwFailure());
         CompletableFuture<HttpResponse> reply =
                 client.send(address(port), new HttpRequest("GET", "/", new byte[0]), MAX_WAIT_MILLIS * 1_000L);
         await(reply.thenApply(answer -> {
-            throw failure();
+            throw newFailure();
         }));
     }
 
-    private static void fail() {
-        throw failure();
+    private static void throwFailure() {
+        throw newFailure();
     }
 
     private void shutDownWithOpenConnections() throws IOException, InterruptedException {
-        try (ServerSocket silent = new ServerSocket(0, 1, LOOPBACK);
-                Socket idle = new Socket()) {
+        try (ServerSocket unresponsiveServer = new ServerSocket(0, 1, LOOPBACK);
+                Socket idleConnection = new Socket()) {
             if (port > 0) {
-                idle.connect(new InetSocketAddress(LOOPBACK, port));
+                idleConnection.connect(new InetSocketAddress(LOOPBACK, port));
             }
-            CompletableFuture<HttpResponse> unanswered =
-                    client.send(address(silent.getLocalPort()), new HttpRequest("GET", "/", new byte[0]), 1_000_000);
+            CompletableFuture<HttpResponse> pendingResponse = client.send(
+                    address(unresponsiveServer.getLocalPort()), new HttpRequest("GET", "/", new byte[0]), 1_000_000);
             Thread.sleep(PAUSE_MILLIS);
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(2 * MAX_WAIT_MILLIS);
-            unanswered.cancel(false);
+            pendingResponse.cancel(false);
         }
         try {
             nettyLoop.execute(() -> {});
--- a/src/main/java/io/sillreel/cli/JsonClient.java
+++ b/src/main/java/io/sillreel/cli/JsonClient.java
@@ -9,32 +9,32 @@
 
 /** Asks one question after the other over HTTP, and waits for each answer. */
 final class JsonClient {
-    private static final int CONNECT_MILLIS = 10_000;
-    private static final int ANSWER_MILLIS = 20_000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 10_000;
+    private static final int READ_TIMEOUT_MILLIS = 20_000;
     private static final int FIRST_ERROR_STATUS = 400;
 
     /** An answer; the body is a missing node if it is not JSON. */
-    record Answer(int status, JsonNode body) {
-        boolean ok() {
+    record Response(int status, JsonNode body) {
+        boolean isOk() {
             return status < FIRST_ERROR_STATUS;
         }
     }
 
     private JsonClient() {}
 
-    static Answer get(String url) throws IOException {
-        return ask(url, null);
+    static Response get(String url) throws IOException {
+        return send(url, null);
     }
 
-    static Answer post(String url, JsonNode body) throws IOException {
-        return ask(url, body);
+    static Response post(String url, JsonNode body) throws IOException {
+        return send(url, body);
     }
 
-    private static Answer ask(String url, JsonNode body) throws IOException {
+    private static Response send(String url, JsonNode body) throws IOException {
         HttpURLConnection connection =
                 (HttpURLConnection) URI.create(url).toURL().openConnection();
-        connection.setConnectTimeout(CONNECT_MILLIS);
-        connection.setReadTimeout(ANSWER_MILLIS);
+        connection.setConnectTimeout(CONNECT_TIMEOUT_MILLIS);
+        connection.setReadTimeout(READ_TIMEOUT_MILLIS);
         if (body != null) {
             connection.setDoOutput(true);
             connection.getOutputStream().write(Json.bytes(body));
@@ -42,7 +42,7 @@
         int status = connection.getResponseCode();
         boolean failed = status >= FIRST_ERROR_STATUS;
         try (InputStream in = failed ? connection.getErrorStream() : connection.getInputStream()) {
-            return new Answer(status, Json.parse(in == null ? new byte[0] : in.readAllBytes()));
+            return new Response(status, Json.parse(in == null ? new byte[0] : in.readAllBytes()));
         } finally {
             connection.disconnect();
         }
--- a/src/main/java/io/sillreel/cli/Main.java
+++ b/src/main/java/io/sillreel/cli/Main.java
@@ -36,8 +36,8 @@
         description = "Runs one controller of the cluster scheduler.",
         footer = "Logs go to standard error; LOG_LEVEL sets how much (error, info, debug).")
 public final class Main implements Callable<Integer> {
-    private static final int BAD_SETTINGS = 2;
-    private static final int THREAD_ENDED = 3;
+    private static final int EXIT_INVALID_SETTINGS = 2;
+    private static final int EXIT_THREAD_DIED = 3;
     private static final int CONNECTIONS_PER_ADDRESS = 24;
     private static final int LEASE_CONNECTIONS = 2;
     /** What a batch of the longest reports may take. */
@@ -47,7 +47,7 @@
      * What the libraries would else find out at a start, which at a small share of a core takes seconds: the logger's
      * backend, the host's network cards for an id that nobody uses, an allocator's arenas and flight recordings.
      */
-    private static final Map<String, String> LIBRARY_SETTINGS = Map.of(
+    private static final Map<String, String> LIBRARY_PROPERTIES = Map.of(
             "slf4j.provider", "org.slf4j.simple.SimpleServiceProvider",
             "slf4j.internal.verbosity", "WARN",
             "io.netty.machineId", "00:00:00:00:00:00:00:01",
@@ -55,9 +55,9 @@
             "io.netty.allocator.type", "unpooled",
             "io.netty.jfr.enabled", "false");
 
-    private static final String CONFIG = "--config";
+    private static final String CONFIG_OPTION = "--config";
 
-    @Option(names = CONFIG, paramLabel = "FILE", description = "The platform's settings (TOML).")
+    @Option(names = CONFIG_OPTION, paramLabel = "FILE", description = "The platform's settings (TOML).")
     private Path config;
 
     @Option(names = "--properties", paramLabel = "FILE", description = "The operators' own settings (Java properties).")
@@ -90,11 +90,11 @@
     }
 
     /** A controller whose event loop has died serves nobody, and is only started again once its process has ended. */
-    private static void endProcess(Thread thread, Throwable error) {
+    private static void exitOnUncaughtException(Thread thread, Throwable error) {
         try {
             System.err.println("sillreel: thread " + thread.getName() + " ended: " + error);
         } finally {
-            Runtime.getRuntime().halt(THREAD_ENDED);
+            Runtime.getRuntime().halt(EXIT_THREAD_DIED);
         }
     }
 
@@ -102,15 +102,15 @@
     public static void main(String[] args) throws Exception {
         String level = System.getenv().getOrDefault("LOG_LEVEL", "info").toLowerCase(Locale.ROOT);
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level);
-        for (Map.Entry<String, String> setting : LIBRARY_SETTINGS.entrySet()) {
-            System.setProperty(setting.getKey(), setting.getValue());
+        for (Map.Entry<String, String> property : LIBRARY_PROPERTIES.entrySet()) {
+            System.setProperty(property.getKey(), property.getValue());
         }
-        Thread.setDefaultUncaughtExceptionHandler(Main::endProcess);
+        Thread.setDefaultUncaughtExceptionHandler(Main::exitOnUncaughtException);
         if (System.getProperty("os.name").equals("Linux")) {
             // Else every archive of the class path is opened to look for another one.
             System.setProperty("java.nio.channels.spi.SelectorProvider", "sun.nio.ch.EPollSelectorProvider");
         }
-        if (args.length == 2 && args[0].equals(CONFIG)) {
+        if (args.length == 2 && args[0].equals(CONFIG_OPTION)) {
             // As the platform starts it: building the parser would be the costliest part of a start.
             Main main = new Main();
             main.config = Path.of(args[1]);
@@ -135,16 +135,16 @@
                 throw new SettingsException("--config", "is missing");
             }
             Settings settings = SettingsReader.read(config);
-            OperatorProperties operator =
+            OperatorProperties operatorProperties =
                     properties == null ? OperatorProperties.defaults() : OperatorProperties.read(properties);
             if (check) {
                 return check(settings);
             }
-            run(settings, operator).terminationFuture().await();
+            run(settings, operatorProperties).terminationFuture().await();
             return 0;
         } catch (SettingsException e) {
             System.err.println("sillreel: " + e.getMessage());
-            return BAD_SETTINGS;
+            return EXIT_INVALID_SETTINGS;
         }
     }
 
@@ -166,7 +166,7 @@
     }
 
     /** Starts a controller on one event loop. */
-    static EventLoopGroup run(Settings settings, OperatorProperties operator) {
+    static EventLoopGroup run(Settings settings, OperatorProperties operatorProperties) {
         LoggerFactory.getLogger(Main.class)
                 .info(
                         "{} in {} starts, version {}, {} UTC",
@@ -180,8 +180,8 @@
         NettyEventLoop loop = new NettyEventLoop(group.next());
         NettyHttpClient client = new NettyHttpClient(group.next(), CONNECTIONS_PER_ADDRESS, limits.maxResponseBytes());
         NettyHttpClient leaseClient = new NettyHttpClient(group.next(), LEASE_CONNECTIONS, limits.maxResponseBytes());
-        Controller controller = new Controller(loop, client, leaseClient, settings, operator, limits);
-        NettyHttpServer users = new NettyHttpServer(
+        Controller controller = new Controller(loop, client, leaseClient, settings, operatorProperties, limits);
+        NettyHttpServer publicServer = new NettyHttpServer(
                 group,
                 NettyHttpServer.MAX_BODY_BYTES,
                 limits.maxPublicConnections(),
@@ -190,15 +190,15 @@
                 limits.maxWorkerConnections());
         new NettyHttpServer(group, MAX_BATCH_BYTES, limits.maxInternalConnections())
                 .listen(settings.localController().internalAddress(), controller::handleInternal);
-        loop.execute(() ->
-                controller.start(() -> users.bind(settings.localController().publicAddress(), controller::handlePublic)
-                        .addListener(bound -> {
-                            if (!bound.isSuccess()) {
-                                System.err.println("sillreel: public_addr: can't be listened on: "
-                                        + bound.cause().getMessage());
-                                System.exit(BAD_SETTINGS);
-                            }
-                        })));
+        loop.execute(() -> controller.start(() -> publicServer
+                .bind(settings.localController().publicAddress(), controller::handlePublic)
+                .addListener(bound -> {
+                    if (!bound.isSuccess()) {
+                        System.err.println("sillreel: public_addr: can't be listened on: "
+                                + bound.cause().getMessage());
+                        System.exit(EXIT_INVALID_SETTINGS);
+                    }
+                })));
         return group;
     }
 }
--- a/src/main/java/io/sillreel/cli/PeerFailures.java
+++ b/src/main/java/io/sillreel/cli/PeerFailures.java
@@ -25,7 +25,7 @@
     private static final String END = CRLF + CRLF;
 
     /** What a peer does with a connection that it has accepted. */
-    private interface Peer {
+    private interface PeerBehavior {
         void serve(Socket connection) throws IOException, InterruptedException;
     }
 
@@ -38,42 +38,42 @@
         this.client = client;
     }
 
-    void cause() throws IOException, InterruptedException {
+    void causeAll() throws IOException, InterruptedException {
         String head = "HTTP/1.1 200 OK" + CRLF;
         String large = "x".repeat(8 * FailureTraining.MAX_BYTES);
         callPeer(FailureTraining::reset);
         callPeer(Socket::close);
         callPeer(Socket::shutdownOutput);
-        callPeer(peer -> answer(peer, ""));
-        callPeer(peer -> answerAndReset(peer, "HTTP/1."));
-        callPeer(peer -> answerAndReset(peer, head + "Content-Length: 9" + END + "{"));
-        callPeer(peer -> answerAndReset(peer, head + "Content-Length: 0" + END));
-        callPeer(peer -> answerAndClose(peer, head + "Content-Length: 9" + END + "{"));
-        callPeer(peer -> answerAndClose(peer, head + CRLF + "{}"));
-        callPeer(peer -> answerAndClose(peer, head + "Content-Length: 0" + END));
-        callPeer(peer -> answerAndShutDownOutput(peer, head + "Content-Length: 9" + END + "{"));
-        callPeer(peer -> answer(peer, "\0\1\2\3 garbage" + END));
-        callPeer(peer -> answer(peer, head + "Content-Length: x" + END));
-        callPeer(peer -> answer(peer, head + "Transfer-Encoding: chunked" + END + "zz" + CRLF));
-        callPeer(peer -> answer(peer, head + "Long: " + large + END));
-        callPeer(peer -> answer(peer, head + "Content-Length: " + large.length() + END + large));
-        callPeer(peer -> answer(peer, head + "Transfer-Encoding: chunked" + END + "20000" + CRLF + large));
-        callPeer(peer -> answer(peer, "HTTP/1.1 100 Continue" + END + head + "Content-Length: 0" + END));
-        callPeer(peer -> answer(peer, (head + "Content-Length: 0" + END).repeat(2)));
-        answersAfterAClose();
-        resetWhileARequestIsWritten();
+        callPeer(peer -> respond(peer, ""));
+        callPeer(peer -> respondAndReset(peer, "HTTP/1."));
+        callPeer(peer -> respondAndReset(peer, head + "Content-Length: 9" + END + "{"));
+        callPeer(peer -> respondAndReset(peer, head + "Content-Length: 0" + END));
+        callPeer(peer -> respondAndClose(peer, head + "Content-Length: 9" + END + "{"));
+        callPeer(peer -> respondAndClose(peer, head + CRLF + "{}"));
+        callPeer(peer -> respondAndClose(peer, head + "Content-Length: 0" + END));
+        callPeer(peer -> respondAndShutDownOutput(peer, head + "Content-Length: 9" + END + "{"));
+        callPeer(peer -> respond(peer, "\0\1\2\3 garbage" + END));
+        callPeer(peer -> respond(peer, head + "Content-Length: x" + END));
+        callPeer(peer -> respond(peer, head + "Transfer-Encoding: chunked" + END + "zz" + CRLF));
+        callPeer(peer -> respond(peer, head + "Long: " + large + END));
+        callPeer(peer -> respond(peer, head + "Content-Length: " + large.length() + END + large));
+        callPeer(peer -> respond(peer, head + "Transfer-Encoding: chunked" + END + "20000" + CRLF + large));
+        callPeer(peer -> respond(peer, "HTTP/1.1 100 Continue" + END + head + "Content-Length: 0" + END));
+        callPeer(peer -> respond(peer, (head + "Content-Length: 0" + END).repeat(2)));
+        responsesAfterClose();
+        resetDuringRequestWrite();
         connectionRefused();
         connectTimeout();
         tooManyOpenFilesOnConnect();
     }
 
     /** The connection is closed by the first answer, while more than one read's worth of bytes follows it. */
-    private void answersAfterAClose() throws IOException, InterruptedException {
-        String answer = "HTTP/1.1 200 OK" + CRLF + "Connection: close" + CRLF + "Content-Length: 0" + END;
-        callPeer(peer -> answer(peer, answer.repeat(FailureTraining.LARGE_BYTES / 16 / answer.length())));
+    private void responsesAfterClose() throws IOException, InterruptedException {
+        String response = "HTTP/1.1 200 OK" + CRLF + "Connection: close" + CRLF + "Content-Length: 0" + END;
+        callPeer(peer -> respond(peer, response.repeat(FailureTraining.LARGE_BYTES / 16 / response.length())));
     }
 
-    private void resetWhileARequestIsWritten() throws IOException, InterruptedException {
+    private void resetDuringRequestWrite() throws IOException, InterruptedException {
         callPeer(new HttpRequest("POST", "/", new byte[FailureTraining.LARGE_BYTES]), peer -> {
             Thread.sleep(FailureTraining.PAUSE_MILLIS);
             FailureTraining.reset(peer);
@@ -122,11 +122,11 @@
     }
 
     /** Asks a peer that treats its one connection as told, and waits for the end of the call. */
-    private void callPeer(Peer peer) throws IOException, InterruptedException {
+    private void callPeer(PeerBehavior peer) throws IOException, InterruptedException {
         callPeer(new HttpRequest("POST", "/", new byte[10]), peer);
     }
 
-    private void callPeer(HttpRequest request, Peer peer) throws IOException, InterruptedException {
+    private void callPeer(HttpRequest request, PeerBehavior peer) throws IOException, InterruptedException {
         try (ServerSocket server = new ServerSocket(0, 1, FailureTraining.LOOPBACK)) {
             server.setSoTimeout(FailureTraining.MAX_WAIT_MILLIS);
             String address = FailureTraining.address(server.getLocalPort());
@@ -141,25 +141,25 @@
         }
     }
 
-    private static void answer(Socket peer, String answer) throws IOException {
+    private static void respond(Socket peer, String response) throws IOException {
         peer.getInputStream().read(new byte[1_024]);
-        FailureTraining.send(peer, answer);
+        FailureTraining.send(peer, response);
     }
 
-    private static void answerAndReset(Socket peer, String answer) throws IOException, InterruptedException {
-        answer(peer, answer);
+    private static void respondAndReset(Socket peer, String response) throws IOException, InterruptedException {
+        respond(peer, response);
         Thread.sleep(FailureTraining.PAUSE_MILLIS);
         FailureTraining.reset(peer);
         Thread.sleep(FailureTraining.PAUSE_MILLIS);
     }
 
-    private static void answerAndClose(Socket peer, String answer) throws IOException {
-        answer(peer, answer);
+    private static void respondAndClose(Socket peer, String response) throws IOException {
+        respond(peer, response);
         peer.close();
     }
 
-    private static void answerAndShutDownOutput(Socket peer, String answer) throws IOException {
-        answer(peer, answer);
+    private static void respondAndShutDownOutput(Socket peer, String response) throws IOException {
+        respond(peer, response);
         peer.shutdownOutput();
     }
 }
--- a/src/main/java/io/sillreel/cli/RecoveryCommand.java
+++ b/src/main/java/io/sillreel/cli/RecoveryCommand.java
@@ -12,7 +12,7 @@
         mixinStandardHelpOptions = true,
         description = "Asks a controller about writes that the state service has lost.")
 final class RecoveryCommand {
-    private static final int REFUSED = 1;
+    private static final int EXIT_FAILURE = 1;
 
     @Option(
             names = "--address",
@@ -22,26 +22,26 @@
     private String address;
 
     /** A question and its answer, printed as it is. */
-    private int ask(String path, JsonNode body) {
+    private int send(String path, JsonNode body) {
         String url = "http://" + address + path;
         try {
-            JsonClient.Answer answer = body == null ? JsonClient.get(url) : JsonClient.post(url, body);
-            if (answer.ok()) {
-                System.out.println(answer.body().toPrettyString());
+            JsonClient.Response response = body == null ? JsonClient.get(url) : JsonClient.post(url, body);
+            if (response.isOk()) {
+                System.out.println(response.body().toPrettyString());
                 return 0;
             }
-            System.err.println("sillreel: " + answer.body().path("error").asText("status " + answer.status()));
+            System.err.println("sillreel: " + response.body().path("error").asText("status " + response.status()));
         } catch (IOException | IllegalArgumentException e) {
             System.err.println("sillreel: " + address + " can't be asked (" + e.getMessage() + ")");
         }
-        return REFUSED;
+        return EXIT_FAILURE;
     }
 
     @Command(
             mixinStandardHelpOptions = true,
             description = "Whether a loss is known, what showed it, and how far it has been made good.")
     int status() {
-        return ask("/recovery/status", null);
+        return send("/recovery/status", null);
     }
 
     @Command(
@@ -49,6 +49,6 @@
             mixinStandardHelpOptions = true,
             description = "Lets the service go on without the writes that no controller remembers. Ask the leader.")
     int acceptLoss() {
-        return ask("/recovery/accept-loss", Json.object());
+        return send("/recovery/accept-loss", Json.object());
     }
 }
--- a/src/main/java/io/sillreel/cli/TrainingServices.java
+++ b/src/main/java/io/sillreel/cli/TrainingServices.java
@@ -16,21 +16,21 @@
  * load the classes that a lease leader needs, and checks nothing.
  */
 final class TrainingServices {
-    private record Watcher(String prefix, long since, CompletableFuture<HttpResponse> answer) {}
+    private record PendingWatch(String prefix, long since, CompletableFuture<HttpResponse> response) {}
 
     private final TreeMap<String, ObjectNode> keys = new TreeMap<>();
     private final List<ObjectNode> changes = new ArrayList<>();
-    private final List<Watcher> watchers = new ArrayList<>();
+    private final List<PendingWatch> pendingWatches = new ArrayList<>();
     private long storeRevision = 1;
 
     synchronized CompletableFuture<HttpResponse> handle(HttpRequest request) {
         String route = request.route();
         if (route.equals("/watch")) {
-            Watcher watcher = new Watcher(
+            PendingWatch watch = new PendingWatch(
                     request.query("prefix"), Long.parseLong(request.query("since")), new CompletableFuture<>());
-            watchers.add(watcher);
-            wake();
-            return watcher.answer();
+            pendingWatches.add(watch);
+            notifyWatchers();
+            return watch.response();
         }
         return CompletableFuture.completedFuture(
                 switch (route) {
@@ -57,22 +57,22 @@
                         .set("v", change.path("v")));
             }
         }
-        wake();
+        notifyWatchers();
         return HttpResponse.of(200, Json.object().put("ledger", storeRevision));
     }
 
-    private void wake() {
-        watchers.removeIf(watcher -> {
-            ArrayNode result = Json.array();
+    private void notifyWatchers() {
+        pendingWatches.removeIf(watch -> {
+            ArrayNode events = Json.array();
             for (ObjectNode change : changes) {
-                if (change.path("stamp").asLong() > watcher.since()
-                        && change.path("set").asText().startsWith(watcher.prefix())) {
-                    result.add(change);
+                if (change.path("stamp").asLong() > watch.since()
+                        && change.path("set").asText().startsWith(watch.prefix())) {
+                    events.add(change);
                 }
             }
             ObjectNode body = Json.object().put("ledger", storeRevision);
-            body.set("news", result);
-            return !result.isEmpty() && watcher.answer().complete(HttpResponse.of(200, body));
+            body.set("news", events);
+            return !events.isEmpty() && watch.response().complete(HttpResponse.of(200, body));
         });
     }
 
--- a/src/test/java/io/sillreel/cli/ClassArchiveIT.java
+++ b/src/test/java/io/sillreel/cli/ClassArchiveIT.java
@@ -31,10 +31,10 @@
  * build has made. The rehearsal is the start of the daemon and a short term as leader, and ends by itself.
  */
 class ClassArchiveIT {
-    private static final Pattern LOADED = Pattern.compile("\\[class,load\\] (\\S+) source: (.*)");
-    private static final String ARCHIVED = "shared objects file";
+    private static final Pattern CLASS_LOAD_LINE = Pattern.compile("\\[class,load\\] (\\S+) source: (.*)");
+    private static final String ARCHIVE_SOURCE = "shared objects file";
     /** Made while the program runs: proxies, method handles, accessors, and the JDK's serializable comparators. */
-    private static final Pattern MADE_AT_RUN_TIME = Pattern.compile("java\\.lang\\.invoke\\..*|.*\\$Proxy\\d+"
+    private static final Pattern GENERATED_AT_RUN_TIME = Pattern.compile("java\\.lang\\.invoke\\..*|.*\\$Proxy\\d+"
             + "|jdk\\.internal\\.reflect\\..*|java\\.util\\.Comparator\\$\\$Lambda.*");
     /** Classes of the JDK that the rehearsal loads now and then, or that can't be archived. */
     private static final Set<String> NOT_ARCHIVED = Set.of(
@@ -47,12 +47,12 @@
     private static final Pattern LAMBDA = Pattern.compile(".*\\$\\$Lambda\\$.*");
 
     private static final int MAX_LAMBDAS_LINKED_TWICE = 9;
-    private static final int MAX_REHEARSALS = 3;
+    private static final int MAX_TRAINING_RUNS = 3;
     private static final int MIN_ARCHIVED = 1_000;
-    private static final int MAX_SECONDS = 120;
+    private static final int TIMEOUT_SECONDS = 120;
     private static final int POLL_MILLIS = 200;
     /** The exit status of a process that SIGTERM has ended. */
-    private static final int STOPPED_BY_SIGNAL = 143;
+    private static final int SIGTERM_EXIT_STATUS = 143;
 
     private static List<String> command(String argument) throws IOException {
         List<String> command = new ArrayList<>();
@@ -68,39 +68,39 @@
     }
 
     /** Classes by where they came from, over a run of the program that ends by itself. */
-    private record Loaded(int archived, Set<String> names, List<String> outside) {}
+    private record LoadedClasses(int archivedCount, Set<String> archived, List<String> notArchived) {}
 
-    private static Loaded run(Path folder, String argument) throws IOException, InterruptedException {
+    private static LoadedClasses run(Path directory, String argument) throws IOException, InterruptedException {
         Process process = new ProcessBuilder(command(argument))
-                .directory(folder.toFile())
+                .directory(directory.toFile())
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
                 .start();
-        Loaded loaded;
+        LoadedClasses loaded;
         try (BufferedReader output = process.inputReader()) {
-            loaded = read(output);
+            loaded = parse(output);
         }
         assertThat(process.waitFor()).isZero();
         return loaded;
     }
 
-    private static Loaded read(BufferedReader output) throws IOException {
-        List<String> outside = new ArrayList<>();
-        Set<String> names = new TreeSet<>();
-        int archived = 0;
+    private static LoadedClasses parse(BufferedReader output) throws IOException {
+        List<String> notArchived = new ArrayList<>();
+        Set<String> archivedNames = new TreeSet<>();
+        int archivedCount = 0;
         for (String line = output.readLine(); line != null; line = output.readLine()) {
-            Matcher loaded = LOADED.matcher(line);
-            if (!loaded.find()) {
+            Matcher matcher = CLASS_LOAD_LINE.matcher(line);
+            if (!matcher.find()) {
                 continue;
             }
-            if (loaded.group(2).startsWith(ARCHIVED)) {
-                archived++;
-                names.add(loaded.group(1));
+            if (matcher.group(2).startsWith(ARCHIVE_SOURCE)) {
+                archivedCount++;
+                archivedNames.add(matcher.group(1));
             } else {
-                outside.add(loaded.group(1));
+                notArchived.add(matcher.group(1));
             }
         }
-        outside.removeIf(name -> MADE_AT_RUN_TIME.matcher(name).matches() || NOT_ARCHIVED.contains(name));
-        return new Loaded(archived, names, outside);
+        notArchived.removeIf(name -> GENERATED_AT_RUN_TIME.matcher(name).matches() || NOT_ARCHIVED.contains(name));
+        return new LoadedClasses(archivedCount, archivedNames, notArchived);
     }
 
     /**
@@ -108,19 +108,19 @@
      * rehearsal and not by another. What every start loads is missed by each of them.
      */
     @Test
-    void whatTheProgramLoadsComesFromTheClassArchive() throws IOException, InterruptedException {
-        Loaded loaded = run(Path.of("."), "--rehearse");
-        assertThat(loaded.archived()).isGreaterThan(MIN_ARCHIVED);
-        assertThat(loaded.outside()).hasSizeLessThanOrEqualTo(MAX_LAMBDAS_LINKED_TWICE);
+    void loadsClassesOfTrainingRunFromArchive() throws IOException, InterruptedException {
+        LoadedClasses loaded = run(Path.of("."), "--rehearse");
+        assertThat(loaded.archivedCount()).isGreaterThan(MIN_ARCHIVED);
+        assertThat(loaded.notArchived()).hasSizeLessThanOrEqualTo(MAX_LAMBDAS_LINKED_TWICE);
         Set<String> missed = missed(loaded);
-        for (int more = 1; more < MAX_REHEARSALS && !missed.isEmpty(); more++) {
+        for (int more = 1; more < MAX_TRAINING_RUNS && !missed.isEmpty(); more++) {
             missed.retainAll(missed(run(Path.of("."), "--rehearse")));
         }
         assertThat(missed).isEmpty();
     }
 
-    private static Set<String> missed(Loaded loaded) {
-        return loaded.outside().stream()
+    private static Set<String> missed(LoadedClasses loaded) {
+        return loaded.notArchived().stream()
                 .filter(name -> !LAMBDA.matcher(name).matches())
                 .collect(Collectors.toCollection(TreeSet::new));
     }
@@ -130,8 +130,7 @@
      * loop that can't load a class ends. A lambda is made from a class that is loaded already and reads no jar.
      */
     @Test
-    void whatFailuresOfConnectionsNeedComesFromTheClassArchive(@TempDir Path folder)
-            throws IOException, InterruptedException {
+    void loadsClassesForConnectionFailuresFromArchive(@TempDir Path folder) throws IOException, InterruptedException {
         int publicPort = ArchiveTrainingRun.freePort();
         int internalPort = ArchiveTrainingRun.freePort();
         int faultyPort = ArchiveTrainingRun.freePort();
@@ -145,21 +144,21 @@
                 .listen(new InetSocketAddress("127.0.0.1", statePort), new TrainingServices()::handle);
         Process daemon = start(config, output);
         try (FaultyPeers peers = new FaultyPeers(faultyPort)) {
-            awaitTrue(() -> answers(publicPort));
+            awaitTrue(() -> isResponding(publicPort));
             new FaultyClients(publicPort).causeAll();
             new FaultyClients(internalPort).causeAll();
-            awaitTrue(peers::allCaused);
-            awaitTrue(() -> answers(publicPort));
+            awaitTrue(peers::allFaultsCaused);
+            awaitTrue(() -> isResponding(publicPort));
         } finally {
             daemon.destroy();
             daemon.waitFor();
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await();
         }
-        assertThat(daemon.exitValue()).isEqualTo(STOPPED_BY_SIGNAL);
+        assertThat(daemon.exitValue()).isEqualTo(SIGTERM_EXIT_STATUS);
         try (BufferedReader lines = Files.newBufferedReader(output)) {
-            Loaded loaded = read(lines);
+            LoadedClasses loaded = parse(lines);
             assertThat(missed(loaded)).isEmpty();
-            assertThat(loaded.names()).contains(ChannelInputShutdownReadComplete.class.getName());
+            assertThat(loaded.archived()).contains(ChannelInputShutdownReadComplete.class.getName());
         }
     }
 
@@ -174,14 +173,14 @@
     }
 
     private static void awaitTrue(BooleanSupplier condition) throws InterruptedException {
-        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_SECONDS);
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (!condition.getAsBoolean()) {
             assertThat(System.nanoTime()).isLessThan(deadline);
             Thread.sleep(POLL_MILLIS);
         }
     }
 
-    private static boolean answers(int port) {
+    private static boolean isResponding(int port) {
         try {
             return JsonClient.get("http://127.0.0.1:" + port + "/up").status() > 0;
         } catch (IOException e) {
@@ -191,14 +190,14 @@
 
     /** Guards the ceilings of the run command: without its archive the program keeps all classes in the metaspace. */
     @Test
-    void theProgramRunsWithoutItsClassArchive() throws IOException, InterruptedException {
+    void runsWithoutClassArchive() throws IOException, InterruptedException {
         List<String> command = command("--rehearse");
         command.set(command.indexOf("-Xshare:auto"), "-Xshare:off");
         Process process = new ProcessBuilder(command)
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
                 .start();
-        boolean ended = process.waitFor(MAX_SECONDS, TimeUnit.SECONDS);
+        boolean ended = process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         process.destroyForcibly();
         assertThat(ended).isTrue();
         assertThat(process.exitValue()).isZero();
@@ -206,15 +205,15 @@
 
     /** Guards a deployment that builds in one folder and runs in another. */
     @Test
-    void aBuildThatIsMovedKeepsItsClassArchive(@TempDir Path elsewhere) throws IOException, InterruptedException {
+    void usesClassArchiveAfterBuildIsMoved(@TempDir Path target) throws IOException, InterruptedException {
         for (String folder : List.of("target", "target/lib")) {
-            Files.createDirectories(elsewhere.resolve(folder));
+            Files.createDirectories(target.resolve(folder));
             try (DirectoryStream<Path> files = Files.newDirectoryStream(Path.of(folder), "*.{jar,jsa}")) {
                 for (Path file : files) {
-                    Files.copy(file, elsewhere.resolve(file), StandardCopyOption.COPY_ATTRIBUTES);
+                    Files.copy(file, target.resolve(file), StandardCopyOption.COPY_ATTRIBUTES);
                 }
             }
         }
-        assertThat(run(elsewhere, "--version").archived()).isGreaterThan(MIN_ARCHIVED);
+        assertThat(run(target, "--version").archivedCount()).isGreaterThan(MIN_ARCHIVED);
     }
 }
--- a/src/test/java/io/sillreel/cli/CommandRun.java
+++ b/src/test/java/io/sillreel/cli/CommandResult.java
@@ -6,13 +6,13 @@
 import picocli.CommandLine;
 
 /** One run of the command line: its exit status, and what it printed. */
-record CommandRun(int status, String printed) {
-    static CommandRun of(String... args) {
+record CommandResult(int exitStatus, String output) {
+    static CommandResult run(String... args) {
         PrintStream out = System.out;
         PrintStream err = System.err;
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+        ByteArrayOutputStream buffer = new ByteArrayOutputStream();
         int status;
-        try (PrintStream capture = new PrintStream(bytes, true, StandardCharsets.UTF_8)) {
+        try (PrintStream capture = new PrintStream(buffer, true, StandardCharsets.UTF_8)) {
             System.setOut(capture);
             System.setErr(capture);
             status = new CommandLine(new Main()).execute(args);
@@ -20,6 +20,6 @@
             System.setOut(out);
             System.setErr(err);
         }
-        return new CommandRun(status, bytes.toString(StandardCharsets.UTF_8));
+        return new CommandResult(status, buffer.toString(StandardCharsets.UTF_8));
     }
 }
--- a/src/test/java/io/sillreel/cli/FaultyClients.java
+++ b/src/test/java/io/sillreel/cli/FaultyClients.java
@@ -10,25 +10,25 @@
 /** Clients of a daemon that break off, send what is not HTTP, or send too much. */
 final class FaultyClients {
     private static final int PAUSE_MILLIS = 50;
-    private static final int MANY = 150;
-    private static final String HOST = " HTTP/1.1\r\nHost: localhost\r\n";
+    private static final int CONNECTION_COUNT = 150;
+    private static final String HTTP_VERSION_AND_HOST = " HTTP/1.1\r\nHost: localhost\r\n";
     private static final String CLOSE = "Connection: close\r\n\r\n";
     private static final List<String> REQUESTS = List.of(
             "",
             "GET / HT",
             "garbage\r\n\r\n",
-            "GET /up" + HOST + "\r\n",
-            "GET /up" + HOST + CLOSE,
-            ("GET /up" + HOST + CLOSE).repeat(10_000),
-            ("GET /metrics" + HOST + "\r\n").repeat(300),
-            "GET /" + "x".repeat(100_000) + HOST + "\r\n",
-            "GET /" + HOST + "Long: " + "x".repeat(100_000) + "\r\n\r\n",
-            "POST /v2/runs" + HOST + "Content-Length: 100\r\n\r\n{",
-            "POST /v2/runs" + HOST + "Content-Length: 3\r\n\r\n{\"a",
-            "POST /v2/runs" + HOST + "Content-Length: x\r\n\r\n",
-            "POST /v2/runs" + HOST + "Content-Length: 9000000\r\n\r\n" + "x".repeat(9_000_000),
-            "POST /v2/runs" + HOST + "Content-Length: 9000000\r\nExpect: 100-continue\r\n\r\n",
-            "POST /v2/runs" + HOST + "Transfer-Encoding: chunked\r\n\r\nzz\r\n");
+            "GET /up" + HTTP_VERSION_AND_HOST + "\r\n",
+            "GET /up" + HTTP_VERSION_AND_HOST + CLOSE,
+            ("GET /up" + HTTP_VERSION_AND_HOST + CLOSE).repeat(10_000),
+            ("GET /metrics" + HTTP_VERSION_AND_HOST + "\r\n").repeat(300),
+            "GET /" + "x".repeat(100_000) + HTTP_VERSION_AND_HOST + "\r\n",
+            "GET /" + HTTP_VERSION_AND_HOST + "Long: " + "x".repeat(100_000) + "\r\n\r\n",
+            "POST /v2/runs" + HTTP_VERSION_AND_HOST + "Content-Length: 100\r\n\r\n{",
+            "POST /v2/runs" + HTTP_VERSION_AND_HOST + "Content-Length: 3\r\n\r\n{\"a",
+            "POST /v2/runs" + HTTP_VERSION_AND_HOST + "Content-Length: x\r\n\r\n",
+            "POST /v2/runs" + HTTP_VERSION_AND_HOST + "Content-Length: 9000000\r\n\r\n" + "x".repeat(9_000_000),
+            "POST /v2/runs" + HTTP_VERSION_AND_HOST + "Content-Length: 9000000\r\nExpect: 100-continue\r\n\r\n",
+            "POST /v2/runs" + HTTP_VERSION_AND_HOST + "Transfer-Encoding: chunked\r\n\r\nzz\r\n");
 
     private final int port;
 
@@ -50,12 +50,12 @@
                 Thread.sleep(PAUSE_MILLIS);
             }
         }
-        connectTooOften();
+        openTooManyConnections();
     }
 
-    private void connectTooOften() throws IOException, InterruptedException {
+    private void openTooManyConnections() throws IOException, InterruptedException {
         List<Socket> sockets = new ArrayList<>();
-        for (int i = 0; i < MANY; i++) {
+        for (int i = 0; i < CONNECTION_COUNT; i++) {
             sockets.add(new Socket(InetAddress.getLoopbackAddress(), port));
         }
         Thread.sleep(PAUSE_MILLIS);
--- a/src/test/java/io/sillreel/cli/FaultyPeers.java
+++ b/src/test/java/io/sillreel/cli/FaultyPeers.java
@@ -15,7 +15,7 @@
     private static final String CLOSE = OK + "Connection: close\r\nContent-Length: 2\r\n\r\n{}";
 
     private interface Fault {
-        void cause(Socket connection) throws IOException;
+        void inject(Socket connection) throws IOException;
     }
 
     private static final List<Fault> FAULTS = List.of(
@@ -45,7 +45,7 @@
     }
 
     /** True once every fault has been caused at least once. */
-    boolean allCaused() {
+    boolean allFaultsCaused() {
         return connections.size() > FAULTS.size();
     }
 
@@ -57,21 +57,21 @@
                 connections.add(connection);
                 connection.setSoTimeout(1_000);
                 connection.getInputStream().read(new byte[4_096]);
-                fault.cause(connection);
+                fault.inject(connection);
             } catch (IOException e) {
                 // the daemon has closed the connection first, or the test is over
             }
         }
     }
 
-    private static void send(Socket connection, String answer) throws IOException {
+    private static void send(Socket connection, String response) throws IOException {
         OutputStream output = connection.getOutputStream();
-        output.write(answer.getBytes(StandardCharsets.ISO_8859_1));
+        output.write(response.getBytes(StandardCharsets.ISO_8859_1));
         output.flush();
     }
 
-    private static void sendAndReset(Socket connection, String answer) throws IOException {
-        send(connection, answer);
+    private static void sendAndReset(Socket connection, String response) throws IOException {
+        send(connection, response);
         try {
             Thread.sleep(50);
         } catch (InterruptedException e) {
--- a/src/test/java/io/sillreel/cli/RecoveryCommandTest.java
+++ b/src/test/java/io/sillreel/cli/RecoveryCommandTest.java
@@ -17,15 +17,15 @@
 
 class RecoveryCommandTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private String printed;
+    private String output;
 
     @AfterEach
-    void end() {
+    void shutDown() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
     /** A controller that tells its state, and lets nobody accept a loss. */
-    private String controller() {
+    private String startController() {
         Channel channel = new NettyHttpServer(group, NettyHttpServer.MAX_BODY_BYTES, 10)
                 .listen(
                         new InetSocketAddress("127.0.0.1", 0),
@@ -37,23 +37,23 @@
     }
 
     private int run(String... args) {
-        CommandRun run = CommandRun.of(args);
-        printed = run.printed();
-        return run.status();
+        CommandResult result = CommandResult.run(args);
+        output = result.output();
+        return result.exitStatus();
     }
 
     @Test
-    void operatorsSeeTheStateAndWhyTheyAreRefused() {
-        String address = controller();
+    void printsStatusAndReasonOfRefusal() {
+        String address = startController();
         assertThat(run("recovery", "--address", address, "status")).isZero();
-        assertThat(printed).contains("\"generation\" : 3");
+        assertThat(output).contains("\"generation\" : 3");
         assertThat(run("recovery", "--address", address, "accept-loss")).isEqualTo(1);
-        assertThat(printed).contains("ask the controller that leads: hopper-1").hasLineCount(1);
+        assertThat(output).contains("ask the controller that leads: hopper-1").hasLineCount(1);
     }
 
     @Test
-    void aControllerThatIsNotThereIsOneLine() {
+    void printsOneLineWhenControllerIsUnreachable() {
         assertThat(run("recovery", "--address", "nowhere", "status")).isEqualTo(1);
-        assertThat(printed).contains("nowhere can't be asked").hasLineCount(1);
+        assertThat(output).contains("nowhere can't be asked").hasLineCount(1);
     }
 }
--- a/src/test/java/io/sillreel/cli/RecoveryOffIT.java
+++ b/src/test/java/io/sillreel/cli/RecoveryOffIT.java
@@ -19,17 +19,17 @@
     private static final String STARTED = "io.sillreel.leadership.LeaderElection$$Lambda";
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
     /** The classes that a start of the daemon loads; then it is ended. */
-    private List<String> loaded(String... properties) throws IOException {
+    private List<String> classesLoadedAtStart(String... properties) throws IOException {
         String settings =
                 new SimCluster(1).settingsFile(0).replaceAll("(10\\.0\\.0\\.\\d|state|cloud):\\d+", "127.0.0.1:0");
-        Path config = Files.writeString(folder.resolve("settings.toml"), settings);
+        Path config = Files.writeString(directory.resolve("settings.toml"), settings);
         List<String> command = new ArrayList<>(
                 List.of("java", "-Xlog:class+load:stdout", "-cp", "target/sillreel.jar", "io.sillreel.cli.Main"));
         if (properties.length > 0) {
-            Path file = Files.writeString(folder.resolve("operator.properties"), String.join("\n", properties));
+            Path file = Files.writeString(directory.resolve("operator.properties"), String.join("\n", properties));
             command.addAll(List.of("--properties", file.toString()));
         }
         command.addAll(List.of("--config", config.toString()));
@@ -50,8 +50,10 @@
     }
 
     @Test
-    void whatIsOffLoadsNoClass() throws IOException {
-        assertThat(loaded()).anyMatch(line -> line.contains(STARTED)).noneMatch(line -> line.contains(PACKAGE));
-        assertThat(loaded("recovery.enabled = 1")).anyMatch(line -> line.contains(PACKAGE + "Recovery "));
+    void loadsNoRecoveryClassUnlessRecoveryIsEnabled() throws IOException {
+        assertThat(classesLoadedAtStart())
+                .anyMatch(line -> line.contains(STARTED))
+                .noneMatch(line -> line.contains(PACKAGE));
+        assertThat(classesLoadedAtStart("recovery.enabled = 1")).anyMatch(line -> line.contains(PACKAGE + "Recovery "));
     }
 }
