--- a/src/test/java/io/sillreel/CancellationFailuresTest.java
+++ b/src/test/java/io/sillreel/CancellationFailuresTest.java
@@ -10,7 +10,7 @@
 
 import io.sillreel.sim.FailureInjector;
 import io.sillreel.sim.SimCluster;
-import io.sillreel.sim.SimNetwork.Fate;
+import io.sillreel.sim.SimNetwork.Action;
 import io.sillreel.sim.SimNetwork.Rule;
 import java.util.HashSet;
 import java.util.List;
@@ -32,30 +32,33 @@
     @Test
     void whatIsCancelledWhileTheLeaderAloneIsRefusedIsGoneInTimeThroughAnOutage() {
         for (int tenths : new int[] {2, 8, 15, 22, 29, 31, 33, 35, 38, 45}) {
-            SimCluster world = begun(100 + tenths);
-            world.submit(0, SimCluster.job("job-000001", 6));
-            world.submit(1, SimCluster.job("job-000002", 6));
-            world.untilStarted(12, FOR_LONG);
-            int leader = world.leader();
-            Rule refused = world.network().add(FailureInjector.refused(leader));
+            SimCluster cluster = begun(100 + tenths);
+            cluster.submit(0, SimCluster.job("job-000001", 6));
+            cluster.submit(1, SimCluster.job("job-000002", 6));
+            cluster.runUntilStarted(12, FOR_LONG);
+            int leader = cluster.leader();
+            Rule refused = cluster.network().addRule(FailureInjector.rejectedByStateService(leader));
             // It must hold without the word of the controller that confirms, which may get lost as well.
-            world.network().add((from, to, request) -> request.route().equals("/peer/withdrawn") ? Fate.LOSE : null);
-            world.seconds(0.05);
-            world.cancelMeanwhile(other(world, leader), "job-000001");
-            world.seconds(0.05);
-            world.cancelMeanwhile((leader + 2) % 3, "job-000002");
-            world.cloud().machines().values().stream().limit(2).forEach(worker -> worker.hang(9 * SECOND));
-            world.seconds(tenths / 10.0 - 0.1);
-            world.state().outage(true);
-            assertThat(world.told("job-000001")).as("after %d tenths", tenths).isEqualTo("withdrawn");
-            world.seconds(60);
-            world.network().remove(refused);
-            assertThat(running(world)).as("after %d tenths", tenths).isZero();
-            world.state().outage(false);
-            world.seconds(20);
-            everyNodeSays(world, "job-000001", "withdrawn");
-            everyNodeSays(world, "job-000002", "withdrawn");
-            nothingBroken(world);
+            cluster.network()
+                    .addRule((from, to, request) -> request.route().equals("/peer/withdrawn") ? Action.DROP : null);
+            cluster.runSeconds(0.05);
+            cluster.cancelAsync(other(cluster, leader), "job-000001");
+            cluster.runSeconds(0.05);
+            cluster.cancelAsync((leader + 2) % 3, "job-000002");
+            cluster.cloud().machines().values().stream().limit(2).forEach(worker -> worker.pause(9 * SECOND));
+            cluster.runSeconds(tenths / 10.0 - 0.1);
+            cluster.store().setOutage(true);
+            assertThat(cluster.known("job-000001"))
+                    .as("after %d tenths", tenths)
+                    .isEqualTo("withdrawn");
+            cluster.runSeconds(60);
+            cluster.network().removeRule(refused);
+            assertThat(running(cluster)).as("after %d tenths", tenths).isZero();
+            cluster.store().setOutage(false);
+            cluster.runSeconds(20);
+            everyNodeSays(cluster, "job-000001", "withdrawn");
+            everyNodeSays(cluster, "job-000002", "withdrawn");
+            nothingBroken(cluster);
         }
     }
 
@@ -64,42 +67,42 @@
      */
     @Test
     void aLeaderThatIsRefusedAloneIsToldOfCancellations() {
-        SimCluster world = begun(16);
-        world.submit(0, SimCluster.job("job-000001", 12));
-        world.untilStarted(12, FOR_LONG);
-        int leader = world.leader();
-        world.network().add(FailureInjector.refused(leader));
-        world.seconds(0.2);
-        world.cancel(other(world, leader), "job-000001");
-        world.state().outage(true);
-        world.seconds(2);
-        assertThat(running(world)).isZero();
-        assertThat(world.startsOfCancelled()).isEmpty();
-        nothingBroken(world);
+        SimCluster cluster = begun(16);
+        cluster.submit(0, SimCluster.job("job-000001", 12));
+        cluster.runUntilStarted(12, FOR_LONG);
+        int leader = cluster.leader();
+        cluster.network().addRule(FailureInjector.rejectedByStateService(leader));
+        cluster.runSeconds(0.2);
+        cluster.cancel(other(cluster, leader), "job-000001");
+        cluster.store().setOutage(true);
+        cluster.runSeconds(2);
+        assertThat(running(cluster)).isZero();
+        assertThat(cluster.startsAfterCancellation()).isEmpty();
+        nothingBroken(cluster);
     }
 
     /** Guards launches against a watch that is not answered: what was not asked for lately may have been cancelled. */
     @Test
     void aLeaderThatCanNotFollowCancellationsLaunchesNothingAndLetsItsTasksGo() {
-        SimCluster world = begun(17);
-        world.submit(0, SimCluster.job("job-000001", 300).put("guess_s", 60.0));
-        world.untilStarted(1, FOR_LONG);
+        SimCluster cluster = begun(17);
+        cluster.submit(0, SimCluster.job("job-000001", 300).put("guess_s", 60.0));
+        cluster.runUntilStarted(1, FOR_LONG);
         // More machines come up only when what is known is too old; no task ends, so no write tells of the
         // cancellation.
-        world.cloud().bootMicros(8 * SECOND);
-        world.network()
-                .add((from, to, request) -> request.route().equals("/peer/withdrawn")
+        cluster.cloud().setBootMicros(8 * SECOND);
+        cluster.network()
+                .addRule((from, to, request) -> request.route().equals("/peer/withdrawn")
                                 || request.path().startsWith("/watch?prefix=withdraw/")
-                        ? Fate.LOSE
+                        ? Action.DROP
                         : null);
-        world.cancel(other(world, world.leader()), "job-000001");
-        world.seconds(5.5);
-        int starts = world.starts();
-        world.seconds(8);
-        world.cloud().machines().values().forEach(worker -> worker.runMicros(FOR_LONG));
-        world.seconds(32);
-        assertThat(world.starts()).isEqualTo(starts);
-        nothingBroken(world);
+        cluster.cancel(other(cluster, cluster.leader()), "job-000001");
+        cluster.runSeconds(5.5);
+        int starts = cluster.startCount();
+        cluster.runSeconds(8);
+        cluster.cloud().machines().values().forEach(worker -> worker.setRunMicros(FOR_LONG));
+        cluster.runSeconds(32);
+        assertThat(cluster.startCount()).isEqualTo(starts);
+        nothingBroken(cluster);
     }
 
     /**
@@ -107,19 +110,19 @@
      */
     @Test
     void aLeaderThatAloneCanNotFollowCancellationsIsSucceeded() {
-        SimCluster world = begun(19);
-        world.submit(0, SimCluster.job("job-000001", 60));
-        world.untilStarted(8, 5 * SECOND);
-        int cancellationsUnknown = world.leader();
-        world.network()
-                .add((from, to, request) -> from.equals(FailureInjector.host(cancellationsUnknown))
+        SimCluster cluster = begun(19);
+        cluster.submit(0, SimCluster.job("job-000001", 60));
+        cluster.runUntilStarted(8, 5 * SECOND);
+        int cancellationsUnknown = cluster.leader();
+        cluster.network()
+                .addRule((from, to, request) -> from.equals(FailureInjector.host(cancellationsUnknown))
                                 && request.path().startsWith("/watch?prefix=withdraw/")
-                        ? Fate.LOSE
+                        ? Action.DROP
                         : null);
-        world.until(() -> world.leader() >= 0 && world.leader() != cancellationsUnknown);
-        world.seconds(60);
-        everyNodeSays(world, "job-000001", "done");
-        nothingBroken(world);
+        cluster.runUntil(() -> cluster.leader() >= 0 && cluster.leader() != cancellationsUnknown);
+        cluster.runSeconds(60);
+        everyNodeSays(cluster, "job-000001", "done");
+        nothingBroken(cluster);
     }
 
     /**
@@ -128,22 +131,22 @@
      */
     @Test
     void aLeaderThatIsAnsweredAgainLaunchesNothingOfWhatWasCancelledMeanwhile() {
-        SimCluster world = begun(3);
-        int leader = world.leader();
-        world.submit(0, SimCluster.job("job-000001", 90));
-        world.untilStarted(20, 6 * SECOND);
-        Rule refused = world.network().add(FailureInjector.refused(leader));
-        world.seconds(1);
-        world.cancel(other(world, leader), "job-000001");
-        world.state().outage(true);
-        world.network().remove(refused);
-        world.seconds(1);
-        world.state().outage(false);
-        int starts = world.starts();
-        world.seconds(30);
-        assertThat(world.starts()).isEqualTo(starts);
-        assertThat(world.startsOfCancelled()).isEmpty();
-        nothingBroken(world);
+        SimCluster cluster = begun(3);
+        int leader = cluster.leader();
+        cluster.submit(0, SimCluster.job("job-000001", 90));
+        cluster.runUntilStarted(20, 6 * SECOND);
+        Rule refused = cluster.network().addRule(FailureInjector.rejectedByStateService(leader));
+        cluster.runSeconds(1);
+        cluster.cancel(other(cluster, leader), "job-000001");
+        cluster.store().setOutage(true);
+        cluster.network().removeRule(refused);
+        cluster.runSeconds(1);
+        cluster.store().setOutage(false);
+        int starts = cluster.startCount();
+        cluster.runSeconds(30);
+        assertThat(cluster.startCount()).isEqualTo(starts);
+        assertThat(cluster.startsAfterCancellation()).isEmpty();
+        nothingBroken(cluster);
     }
 
     /**
@@ -153,33 +156,34 @@
     @Test
     void theLimitHoldsWhileCancelledTasksCanNotBeReachedAndTheLeaderChanges() {
         for (int seed = 1; seed <= 6; seed++) {
-            SimCluster world = begun(seed, 10);
-            world.submit(
+            SimCluster cluster = begun(seed, 10);
+            cluster.submit(
                     0, SimCluster.job("job-000001", 10).put("guess_s", 60.0).put("due_s", 90.0));
-            world.untilStarted(10, FOR_LONG);
+            cluster.runUntilStarted(10, FOR_LONG);
             Random random = new Random(seed);
-            Set<String> cut = new HashSet<>(machines(world).subList(0, 1 + seed % 2));
-            world.network().add(FailureInjector.away(cut, random.nextBoolean() ? Fate.HOLD : Fate.LOSE));
-            world.cloud().machines().values().stream().skip(2).limit(1).forEach(worker -> worker.hang(10 * SECOND));
-            int leader = world.leader();
-            world.seconds(random.nextDouble() * 2);
+            Set<String> cut = new HashSet<>(machines(cluster).subList(0, 1 + seed % 2));
+            cluster.network()
+                    .addRule(FailureInjector.machineTraffic(cut, random.nextBoolean() ? Action.HOLD : Action.DROP));
+            cluster.cloud().machines().values().stream().skip(2).limit(1).forEach(worker -> worker.pause(10 * SECOND));
+            int leader = cluster.leader();
+            cluster.runSeconds(random.nextDouble() * 2);
             boolean before = random.nextBoolean();
             if (before) {
-                world.cancel(other(world, leader), "job-000001");
+                cluster.cancel(other(cluster, leader), "job-000001");
             }
-            world.kill(leader);
-            world.submit(other(world, leader), SimCluster.job("job-000002", 10));
+            cluster.kill(leader);
+            cluster.submit(other(cluster, leader), SimCluster.job("job-000002", 10));
             if (!before) {
-                world.cancel(other(world, leader), "job-000001");
+                cluster.cancel(other(cluster, leader), "job-000001");
             }
-            world.cloud().machines().values().forEach(worker -> worker.runMicros(8 * SECOND));
-            world.seconds(15);
-            world.network().release();
-            world.seconds(75);
-            assertThat(world.stage(other(world, leader), "job-000002"))
+            cluster.cloud().machines().values().forEach(worker -> worker.setRunMicros(8 * SECOND));
+            cluster.runSeconds(15);
+            cluster.network().releaseHeld();
+            cluster.runSeconds(75);
+            assertThat(cluster.stage(other(cluster, leader), "job-000002"))
                     .as("seed %d", seed)
                     .isEqualTo("done");
-            nothingBroken(world);
+            nothingBroken(cluster);
         }
     }
 
@@ -189,79 +193,80 @@
      */
     @Test
     void aCancellationThatOvertakesTheAnswerToAReleaseStopsNoWrites() {
-        SimCluster world = begun(18);
-        Rule slow = world.network().add(FailureInjector.writes("\"run/", Fate.SLOW_ANSWER, 1, new Random(18)));
+        SimCluster cluster = begun(18);
+        Rule slow = cluster.network()
+                .addRule(FailureInjector.transactions("\"run/", Action.DELAY_RESPONSE, 1, new Random(18)));
         for (int i = 1; i <= 12; i++) {
             String uid = "job-%06d".formatted(i);
-            world.submit(i % 3, SimCluster.job(uid, 2));
+            cluster.submit(i % 3, SimCluster.job(uid, 2));
             if (i % 2 == 0) {
-                world.until(() -> world.state().value("run/" + uid) != null);
-                world.cancel(i % 3, uid);
+                cluster.runUntil(() -> cluster.store().value("run/" + uid) != null);
+                cluster.cancel(i % 3, uid);
             }
         }
-        world.network().remove(slow);
-        world.seconds(40);
+        cluster.network().removeRule(slow);
+        cluster.runSeconds(40);
         for (int i = 1; i <= 12; i++) {
-            everyNodeSays(world, "job-%06d".formatted(i), i % 2 == 0 ? "withdrawn" : "done");
+            everyNodeSays(cluster, "job-%06d".formatted(i), i % 2 == 0 ? "withdrawn" : "done");
         }
-        nothingBroken(world);
+        nothingBroken(cluster);
     }
 
     /** Guards the hand-over: a successor that reads lists while jobs are cancelled misses none. */
     @Test
     void whatIsCancelledWhileTheWorkChangesHandsStops() {
         for (int seed = 1; seed <= 3; seed++) {
-            SimCluster world = begun(seed);
+            SimCluster cluster = begun(seed);
             for (int i = 1; i <= 20; i++) {
-                world.submit(i % 3, SimCluster.job("job-%06d".formatted(i), 4));
+                cluster.submit(i % 3, SimCluster.job("job-%06d".formatted(i), 4));
             }
-            world.untilStarted(60, FOR_LONG);
-            int leader = world.leader();
-            world.kill(leader);
+            cluster.runUntilStarted(60, FOR_LONG);
+            int leader = cluster.leader();
+            cluster.kill(leader);
             for (int i = 1; i <= 20; i++) {
-                world.cancelMeanwhile((leader + 1 + i % 2) % 3, "job-%06d".formatted(i));
-                world.seconds(0.17 + 0.03 * seed);
+                cluster.cancelAsync((leader + 1 + i % 2) % 3, "job-%06d".formatted(i));
+                cluster.runSeconds(0.17 + 0.03 * seed);
                 if (i == 10 && seed == 2) {
-                    world.restart(leader);
+                    cluster.restart(leader);
                 }
             }
-            world.seconds(10);
+            cluster.runSeconds(10);
             for (int i = 1; i <= 20; i++) {
                 String uid = "job-%06d".formatted(i);
-                if (!"withdrawn".equals(world.told(uid))) {
-                    world.cancel(other(world, leader), uid);
+                if (!"withdrawn".equals(cluster.known(uid))) {
+                    cluster.cancel(other(cluster, leader), uid);
                 }
             }
-            world.seconds(15);
-            assertThat(running(world)).as("seed %d", seed).isZero();
-            nothingBroken(world);
+            cluster.runSeconds(15);
+            assertThat(running(cluster)).as("seed %d", seed).isZero();
+            nothingBroken(cluster);
         }
     }
 
     /** Guards the rate of small jobs: each is stored, run and ended, a quarter cancelled, and none is left behind. */
     @Test
     void manySmallJobsAreServedAndCancelledAtOnce() {
-        SimCluster world = begun(6);
+        SimCluster cluster = begun(6);
         Random random = new Random(6);
         Set<String> cancelled = new HashSet<>();
         for (int i = 1; i <= 480; i++) {
             String uid = "job-%06d".formatted(i);
-            world.submitMeanwhile(random.nextInt(3), SimCluster.job(uid, 1));
-            world.seconds(0.25);
+            cluster.submitAsync(random.nextInt(3), SimCluster.job(uid, 1));
+            cluster.runSeconds(0.25);
             if (i > 4 && random.nextInt(4) == 0) {
                 String earlier = "job-%06d".formatted(i - random.nextInt(4));
-                world.cancelMeanwhile(random.nextInt(3), earlier);
+                cluster.cancelAsync(random.nextInt(3), earlier);
                 cancelled.add(earlier);
             }
         }
-        world.seconds(20);
+        cluster.runSeconds(20);
         for (int i = 1; i <= 480; i++) {
             String uid = "job-%06d".formatted(i);
-            assertThat(world.stage(i % 3, uid))
+            assertThat(cluster.stage(i % 3, uid))
                     .as(uid)
                     .isIn(cancelled.contains(uid) ? List.of("done", "withdrawn") : List.of("done"));
         }
-        nothingBroken(world);
+        nothingBroken(cluster);
     }
 
     /**
@@ -270,24 +275,24 @@
      */
     @Test
     void whatIsCancelledThroughANewLeaderStopsThoughWorkersStillReachTheOldOne() {
-        SimCluster world = begun(7);
-        world.submit(0, SimCluster.job("job-000001", 8));
-        world.submit(0, SimCluster.job("job-000002", 8));
-        world.untilStarted(16, 40 * SECOND);
-        int old = world.leader();
-        Rule isolated = world.network().add(FailureInjector.isolated(old));
-        world.until(() -> world.leader() >= 0 && world.leader() != old);
-        world.cancel(world.leader(), "job-000001");
+        SimCluster cluster = begun(7);
+        cluster.submit(0, SimCluster.job("job-000001", 8));
+        cluster.submit(0, SimCluster.job("job-000002", 8));
+        cluster.runUntilStarted(16, 40 * SECOND);
+        int old = cluster.leader();
+        Rule isolated = cluster.network().addRule(FailureInjector.isolated(old));
+        cluster.runUntil(() -> cluster.leader() >= 0 && cluster.leader() != old);
+        cluster.cancel(cluster.leader(), "job-000001");
         for (int i = 0; i < 30; i++) {
-            world.pollMeanwhile(old, "job-000001");
-            world.cancelMeanwhile(old, "job-000002");
-            world.seconds(1);
+            cluster.pollAsync(old, "job-000001");
+            cluster.cancelAsync(old, "job-000002");
+            cluster.runSeconds(1);
         }
-        assertThat(world.cloud().machines().values())
-                .noneMatch(worker -> worker.running().stream().anyMatch(task -> task.startsWith("job-000001/")));
-        world.network().remove(isolated);
-        world.seconds(40);
-        everyNodeSays(world, "job-000001", "withdrawn");
-        nothingBroken(world);
+        assertThat(cluster.cloud().machines().values())
+                .noneMatch(worker -> worker.runningTasks().stream().anyMatch(task -> task.startsWith("job-000001/")));
+        cluster.network().removeRule(isolated);
+        cluster.runSeconds(40);
+        everyNodeSays(cluster, "job-000001", "withdrawn");
+        nothingBroken(cluster);
     }
 }
--- a/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
+++ b/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
@@ -17,7 +17,7 @@
 import io.sillreel.settings.ValueLimits;
 import io.sillreel.sim.PreviousVersion;
 import io.sillreel.sim.SimNetwork;
-import io.sillreel.sim.SimStateStore;
+import io.sillreel.sim.SimStateService;
 import io.sillreel.sim.SimTime;
 import io.sillreel.statestore.PendingWrite;
 import io.sillreel.statestore.StateStore;
@@ -48,7 +48,7 @@
         List.of(0, 3, 6_999).forEach(job::markTaskDone);
         assertThat(job.recordWrite().prerequisites()).isEmpty();
         JsonNode head = storedValue(job.recordWrite(), "run/job-000412");
-        assertThat(PreviousVersion.understood("run/job-000412", head)).isEqualTo(head);
+        assertThat(PreviousVersion.withoutNewerFields("run/job-000412", head)).isEqualTo(head);
         assertThat(CompletionBitmapCodec.decode(
                         RunRecordCodec.decode(head).bitmap().inline())
                         .stream())
@@ -72,7 +72,7 @@
 
     /** A job of 400 tasks whose done set that version cut by larger values, and a writer under today's limits. */
     private final class ChunkedJob {
-        final SimStateStore state = new SimStateStore(time, 20, 8 * 1024, 1_000);
+        final SimStateService stateService = new SimStateService(time, 20, 8 * 1024, 1_000);
         final JobSpec spec = spec("job-000413", 400);
         final StateStore store;
         final WriteQueue writeQueue;
@@ -80,14 +80,14 @@
 
         ChunkedJob() {
             SimNetwork network = new SimNetwork(time, 1);
-            network.listen("state:1", state);
+            network.listen("state:1", stateService);
             SimTime.Process process = time.new Process();
-            store = network.stateStore(process, 1_000, 1_000);
+            store = network.newStateStoreClient(process, 1_000, 1_000);
             Transaction transaction = new Transaction().set("leader", Json.object());
             CHUNKED.forEach((key, value) -> transaction.set(key, json(value)));
             store.commit(transaction);
             time.runFor(100_000);
-            state.limits(2, 160, 1_000);
+            stateService.setLimits(2, 160, 1_000);
             writeQueue = new WriteQueue(store, process, "leader", 101, 2, () -> {});
             watcher = new IgnoringListener() {
                 @Override
@@ -116,13 +116,14 @@
         /** The job as the next leader takes it over. */
         ActiveJob succeeded() {
             Map<String, String> values = new HashMap<>();
-            state.keysUnder("bits/")
-                    .forEach(
-                            key -> values.put(key, state.value(key).path("bits").asText()));
+            stateService
+                    .keysWithPrefix("bits/")
+                    .forEach(key ->
+                            values.put(key, stateService.value(key).path("bits").asText()));
             ActiveJob job = new ActiveJob(spec, 7, 0, ValueLimits.fixed(32), watcher);
             job.inherit(
                     102,
-                    RunRecordCodec.decode(state.value("run/job-000413")),
+                    RunRecordCodec.decode(stateService.value("run/job-000413")),
                     new StoredChunks(values, new HashMap<>(), 0));
             return job;
         }
@@ -145,8 +146,8 @@
         job.markTaskDone(200);
         chunked.write(job);
         assertThat(job.isTaskStored(200)).isTrue();
-        assertThat(chunked.state.keysUnder("run/")).containsExactly("run/job-000413");
-        assertThat(chunked.state.refusedForSize()).isZero();
+        assertThat(chunked.stateService.keysWithPrefix("run/")).containsExactly("run/job-000413");
+        assertThat(chunked.stateService.rejectedForSize()).isZero();
 
         ActiveJob successor = chunked.succeeded();
         assertThat(successor.doneCount()).isEqualTo(5);
@@ -157,7 +158,7 @@
         }
         chunked.write(job);
         assertThat(job.isCompletionStored()).isTrue();
-        assertThat(chunked.state.keysUnder("bits/")).isEmpty();
+        assertThat(chunked.stateService.keysWithPrefix("bits/")).isEmpty();
     }
 
     /** Guards against a write that its last leader gave up on: it comes late, and finds another leader. */
--- a/src/test/java/io/sillreel/FailoverFailuresTest.java
+++ b/src/test/java/io/sillreel/FailoverFailuresTest.java
@@ -12,7 +12,7 @@
 
 import io.sillreel.sim.FailureInjector;
 import io.sillreel.sim.SimCluster;
-import io.sillreel.sim.SimNetwork.Fate;
+import io.sillreel.sim.SimNetwork.Action;
 import io.sillreel.sim.SimNetwork.Rule;
 import java.util.HashSet;
 import java.util.List;
@@ -31,17 +31,17 @@
     @Test
     void oldReportsThatReachEveryControllerAsATermBeginsChangeNothing() {
         for (int seed = 1; seed <= 3; seed++) {
-            SimCluster world = begun(seed);
-            world.network().add(FailureInjector.reports(Fate.KEEP, 0.7, new Random(seed)));
-            world.submit(0, SimCluster.job("job-000001", 30));
-            world.untilStarted(20, 15 * SECOND);
-            Set<String> before = new HashSet<>(machines(world));
-            succeed(world);
-            world.seconds(10);
-            assertThat(machines(world)).as("seed %d", seed).containsAll(before);
-            world.seconds(60);
-            everyNodeSays(world, "job-000001", "done");
-            nothingBroken(world);
+            SimCluster cluster = begun(seed);
+            cluster.network().addRule(FailureInjector.heartbeats(Action.RECORD, 0.7, new Random(seed)));
+            cluster.submit(0, SimCluster.job("job-000001", 30));
+            cluster.runUntilStarted(20, 15 * SECOND);
+            Set<String> before = new HashSet<>(machines(cluster));
+            succeed(cluster);
+            cluster.runSeconds(10);
+            assertThat(machines(cluster)).as("seed %d", seed).containsAll(before);
+            cluster.runSeconds(60);
+            everyNodeSays(cluster, "job-000001", "done");
+            nothingBroken(cluster);
         }
     }
 
@@ -49,18 +49,18 @@
     @Test
     void tasksThatEndFarApartAcrossAChangeOfLeaderAreDoneOnce() {
         for (int after = 0; after < 6; after++) {
-            SimCluster world = begun(20 + after);
+            SimCluster cluster = begun(20 + after);
             // Each of them fills a machine.
-            world.submit(0, SimCluster.job("job-000001", 3).put("vcpus", 4.0));
-            world.untilStarted(3, 30 * SECOND);
-            fullest(world).prolong(30 * SECOND);
-            world.until(() -> running(world) < 3);
-            world.seconds(after * 0.4);
-            succeed(world);
-            world.seconds(60);
-            assertThat(world.stage(world.leader(), "job-000001")).isEqualTo("done");
-            assertThat(world.starts()).as("after %d times 0.4 s", after).isEqualTo(3);
-            nothingBroken(world);
+            cluster.submit(0, SimCluster.job("job-000001", 3).put("vcpus", 4.0));
+            cluster.runUntilStarted(3, 30 * SECOND);
+            fullest(cluster).extendRunningTasks(30 * SECOND);
+            cluster.runUntil(() -> running(cluster) < 3);
+            cluster.runSeconds(after * 0.4);
+            succeed(cluster);
+            cluster.runSeconds(60);
+            assertThat(cluster.stage(cluster.leader(), "job-000001")).isEqualTo("done");
+            assertThat(cluster.startCount()).as("after %d times 0.4 s", after).isEqualTo(3);
+            nothingBroken(cluster);
         }
     }
 
@@ -70,34 +70,34 @@
     @Test
     void jobsOfOneZoneThatLoseMachinesStayInOneZone() {
         for (int seed = 1; seed <= 4; seed++) {
-            SimCluster world = begun(seed);
+            SimCluster cluster = begun(seed);
             Random random = new Random(seed);
             for (int i = 1; i <= 3; i++) {
-                world.submit(0, SimCluster.job("job-%06d".formatted(i), 8).put("one_zone", true));
+                cluster.submit(0, SimCluster.job("job-%06d".formatted(i), 8).put("one_zone", true));
             }
-            world.submit(
+            cluster.submit(
                     0, SimCluster.job("job-000004", 1).put("one_zone", true).put("yard", "b"));
-            world.untilStarted(20, 12 * SECOND);
+            cluster.runUntilStarted(20, 12 * SECOND);
             for (int i = 0; i < 3; i++) {
-                List<String> machines = machines(world);
+                List<String> machines = machines(cluster);
                 String lost = machines.get(random.nextInt(machines.size()));
                 if (i == 1) {
-                    world.network().add(FailureInjector.away(Set.of(lost), Fate.HOLD));
+                    cluster.network().addRule(FailureInjector.machineTraffic(Set.of(lost), Action.HOLD));
                 } else {
-                    world.cloud().take(lost);
+                    cluster.cloud().reclaim(lost);
                 }
-                world.seconds(3);
+                cluster.runSeconds(3);
             }
-            succeed(world);
-            world.seconds(20);
-            world.network().release();
-            world.seconds(100);
+            succeed(cluster);
+            cluster.runSeconds(20);
+            cluster.network().releaseHeld();
+            cluster.runSeconds(100);
             for (int i = 1; i <= 4; i++) {
-                assertThat(world.stage(world.leader(), "job-%06d".formatted(i)))
+                assertThat(cluster.stage(cluster.leader(), "job-%06d".formatted(i)))
                         .as("seed %d", seed)
                         .isEqualTo("done");
             }
-            nothingBroken(world);
+            nothingBroken(cluster);
         }
     }
 
@@ -106,102 +106,102 @@
      */
     @Test
     void commandsHeldUpUntilTheirMachineGoesOnHurtNobody() {
-        SimCluster world = begun(8);
-        world.submit(0, SimCluster.job("job-000001", 6));
-        world.submit(0, SimCluster.job("job-000002", 6));
-        world.untilStarted(12, 30 * SECOND);
-        Rule held = world.network().add(FailureInjector.commands(Fate.HOLD));
-        world.cloud().machines().values().stream().limit(3).forEach(worker -> worker.hang(9 * SECOND));
-        world.cancel(0, "job-000001");
-        world.seconds(5);
-        world.submit(1, SimCluster.job("job-000003", 6));
-        succeed(world);
-        world.seconds(6);
-        world.network().remove(held);
-        world.network().release();
-        world.seconds(60);
-        assertThat(world.stage(world.leader(), "job-000002")).isEqualTo("done");
-        assertThat(world.stage(world.leader(), "job-000003")).isEqualTo("done");
-        nothingBroken(world);
+        SimCluster cluster = begun(8);
+        cluster.submit(0, SimCluster.job("job-000001", 6));
+        cluster.submit(0, SimCluster.job("job-000002", 6));
+        cluster.runUntilStarted(12, 30 * SECOND);
+        Rule held = cluster.network().addRule(FailureInjector.commands(Action.HOLD));
+        cluster.cloud().machines().values().stream().limit(3).forEach(worker -> worker.pause(9 * SECOND));
+        cluster.cancel(0, "job-000001");
+        cluster.runSeconds(5);
+        cluster.submit(1, SimCluster.job("job-000003", 6));
+        succeed(cluster);
+        cluster.runSeconds(6);
+        cluster.network().removeRule(held);
+        cluster.network().releaseHeld();
+        cluster.runSeconds(60);
+        assertThat(cluster.stage(cluster.leader(), "job-000002")).isEqualTo("done");
+        assertThat(cluster.stage(cluster.leader(), "job-000003")).isEqualTo("done");
+        nothingBroken(cluster);
     }
 
     /** Guards the reports of an earlier term that come in once the next one has acted. */
     @Test
     void reportsHeldBackUntilTheNextLeaderHasActedFreeNothing() {
         for (int seed = 1; seed <= 4; seed++) {
-            SimCluster world = begun(seed);
-            world.submit(0, SimCluster.job("job-000001", 12));
-            world.untilStarted(12, 25 * SECOND);
-            Set<String> some = new HashSet<>(machines(world).subList(0, 2));
-            Rule held = world.network().add((from, to, request) -> some.contains(from) ? Fate.HOLD : null);
-            world.seconds(1.5);
-            succeed(world);
-            world.seconds(3 + 4 * seed);
-            world.network().remove(held);
-            world.network().release();
-            world.seconds(80);
-            assertThat(world.stage(world.leader(), "job-000001"))
+            SimCluster cluster = begun(seed);
+            cluster.submit(0, SimCluster.job("job-000001", 12));
+            cluster.runUntilStarted(12, 25 * SECOND);
+            Set<String> some = new HashSet<>(machines(cluster).subList(0, 2));
+            Rule held = cluster.network().addRule((from, to, request) -> some.contains(from) ? Action.HOLD : null);
+            cluster.runSeconds(1.5);
+            succeed(cluster);
+            cluster.runSeconds(3 + 4 * seed);
+            cluster.network().removeRule(held);
+            cluster.network().releaseHeld();
+            cluster.runSeconds(80);
+            assertThat(cluster.stage(cluster.leader(), "job-000001"))
                     .as("seed %d", seed)
                     .isEqualTo("done");
-            nothingBroken(world);
+            nothingBroken(cluster);
         }
     }
 
     /** Guards terms that follow each other within seconds, and within an outage, in which nobody can take one. */
     @Test
     void tenLeadersInTwoMinutesRunEverythingOnce() {
-        SimCluster world = begun(9);
+        SimCluster cluster = begun(9);
         Random random = new Random(9);
-        world.submit(0, SimCluster.job("job-000001", 30));
-        world.submit(1, SimCluster.job("job-000002", 10));
-        world.untilStarted(20, 15 * SECOND);
+        cluster.submit(0, SimCluster.job("job-000001", 30));
+        cluster.submit(1, SimCluster.job("job-000002", 10));
+        cluster.runUntilStarted(20, 15 * SECOND);
         for (int change = 0; change < 10; change++) {
-            int old = Math.max(0, world.leader());
+            int old = Math.max(0, cluster.leader());
             if (change == 4) {
-                world.state().outage(true);
+                cluster.store().setOutage(true);
             } else if (change == 6) {
-                world.state().outage(false);
+                cluster.store().setOutage(false);
             }
-            world.kill(old);
-            world.seconds(random.nextDouble() * 6);
-            world.restart(old);
+            cluster.kill(old);
+            cluster.runSeconds(random.nextDouble() * 6);
+            cluster.restart(old);
             if (change % 3 == 1) {
                 // Back at once, in the middle of the election, with one more.
-                world.seconds(random.nextDouble() * 0.4);
-                world.restart(old);
-                world.restart(other(world, old));
+                cluster.runSeconds(random.nextDouble() * 0.4);
+                cluster.restart(old);
+                cluster.restart(other(cluster, old));
             }
-            world.seconds(random.nextDouble() * 8);
-            world.pollMeanwhile(random.nextInt(3), "job-000001");
+            cluster.runSeconds(random.nextDouble() * 8);
+            cluster.pollAsync(random.nextInt(3), "job-000001");
         }
-        world.seconds(100);
-        everyNodeSays(world, "job-000001", "done");
-        everyNodeSays(world, "job-000002", "done");
-        nothingBroken(world);
+        cluster.runSeconds(100);
+        everyNodeSays(cluster, "job-000001", "done");
+        everyNodeSays(cluster, "job-000002", "done");
+        nothingBroken(cluster);
     }
 
     /** Guards against waiting for ever, and against guessing, after all leases have ended with nobody there. */
     @Test
     void allControllersAreAwayForLongerThanALeaseAndOneComesBackFirst() {
-        SimCluster world = begun(10);
-        world.submit(0, SimCluster.job("job-000001", 12));
-        world.submit(1, SimCluster.job("job-000002", 2));
-        world.untilStarted(14, 20 * SECOND);
-        world.cancel(0, "job-000002");
+        SimCluster cluster = begun(10);
+        cluster.submit(0, SimCluster.job("job-000001", 12));
+        cluster.submit(1, SimCluster.job("job-000002", 2));
+        cluster.runUntilStarted(14, 20 * SECOND);
+        cluster.cancel(0, "job-000002");
         for (int node = 0; node < 3; node++) {
-            world.kill(node);
+            cluster.kill(node);
         }
-        world.seconds(16);
-        world.restart(1);
-        world.seconds(0.4);
-        world.restart(1);
-        world.seconds(60);
-        assertThat(world.stage(1, "job-000001")).isEqualTo("done");
-        world.restart(0);
-        world.restart(2);
-        world.seconds(3);
-        everyNodeSays(world, "job-000002", "withdrawn");
-        nothingBroken(world);
+        cluster.runSeconds(16);
+        cluster.restart(1);
+        cluster.runSeconds(0.4);
+        cluster.restart(1);
+        cluster.runSeconds(60);
+        assertThat(cluster.stage(1, "job-000001")).isEqualTo("done");
+        cluster.restart(0);
+        cluster.restart(2);
+        cluster.runSeconds(3);
+        everyNodeSays(cluster, "job-000002", "withdrawn");
+        nothingBroken(cluster);
     }
 
     /**
@@ -209,27 +209,27 @@
      */
     @Test
     void aZoneThatIsCutOffWithTheLeaderForLongerThanALeaseRunsNothingTwice() {
-        for (Fate fate : List.of(Fate.LOSE, Fate.HOLD)) {
-            SimCluster world = begun(11);
-            world.submit(0, SimCluster.job("job-000001", 24));
-            world.untilStarted(24, 30 * SECOND);
-            int inside = world.leader();
+        for (Action action : List.of(Action.DROP, Action.HOLD)) {
+            SimCluster cluster = begun(11);
+            cluster.submit(0, SimCluster.job("job-000001", 24));
+            cluster.runUntilStarted(24, 30 * SECOND);
+            int inside = cluster.leader();
             Set<String> zone =
-                    new HashSet<>(machines(world).subList(0, machines(world).size() / 2));
+                    new HashSet<>(machines(cluster).subList(0, machines(cluster).size() / 2));
             zone.add(FailureInjector.host(inside));
-            Rule cut = world.network()
-                    .add((from, to, request) ->
-                            zone.contains(from) != zone.stream().anyMatch(to::startsWith) ? fate : null);
-            world.seconds(10);
-            world.cancelMeanwhile(other(world, inside), "job-000001");
-            world.submitMeanwhile(other(world, inside), SimCluster.job("job-000002", 12));
-            world.seconds(20);
-            world.network().remove(cut);
-            world.network().release();
-            world.seconds(60);
-            everyNodeSays(world, "job-000001", "withdrawn");
-            everyNodeSays(world, "job-000002", "done");
-            nothingBroken(world);
+            Rule cut = cluster.network()
+                    .addRule((from, to, request) ->
+                            zone.contains(from) != zone.stream().anyMatch(to::startsWith) ? action : null);
+            cluster.runSeconds(10);
+            cluster.cancelAsync(other(cluster, inside), "job-000001");
+            cluster.submitAsync(other(cluster, inside), SimCluster.job("job-000002", 12));
+            cluster.runSeconds(20);
+            cluster.network().removeRule(cut);
+            cluster.network().releaseHeld();
+            cluster.runSeconds(60);
+            everyNodeSays(cluster, "job-000001", "withdrawn");
+            everyNodeSays(cluster, "job-000002", "done");
+            nothingBroken(cluster);
         }
     }
 
@@ -238,21 +238,21 @@
      */
     @Test
     void machinesThatReachNoControllerKeepNoTasks() {
-        SimCluster world = begun(12);
-        world.submit(0, SimCluster.job("job-000001", 8));
-        world.submit(0, SimCluster.job("job-000002", 4));
-        world.untilStarted(12, 25 * SECOND);
-        Set<String> mute = new HashSet<>(machines(world).subList(0, 3));
-        Rule rule = world.network().add(FailureInjector.mute(mute));
-        world.seconds(1);
-        world.cancel(1, "job-000002");
-        world.seconds(1);
-        assertThat(world.cloud().machines().values())
-                .noneMatch(worker -> worker.running().stream().anyMatch(task -> task.startsWith("job-000002/")));
-        world.seconds(40);
-        world.network().remove(rule);
-        world.seconds(60);
-        everyNodeSays(world, "job-000001", "done");
-        nothingBroken(world);
+        SimCluster cluster = begun(12);
+        cluster.submit(0, SimCluster.job("job-000001", 8));
+        cluster.submit(0, SimCluster.job("job-000002", 4));
+        cluster.runUntilStarted(12, 25 * SECOND);
+        Set<String> mute = new HashSet<>(machines(cluster).subList(0, 3));
+        Rule rule = cluster.network().addRule(FailureInjector.dropOutbound(mute));
+        cluster.runSeconds(1);
+        cluster.cancel(1, "job-000002");
+        cluster.runSeconds(1);
+        assertThat(cluster.cloud().machines().values())
+                .noneMatch(worker -> worker.runningTasks().stream().anyMatch(task -> task.startsWith("job-000002/")));
+        cluster.runSeconds(40);
+        cluster.network().removeRule(rule);
+        cluster.runSeconds(60);
+        everyNodeSays(cluster, "job-000001", "done");
+        nothingBroken(cluster);
     }
 }
--- a/src/test/java/io/sillreel/FailureScenario.java
+++ b/src/test/java/io/sillreel/FailureScenario.java
@@ -16,48 +16,48 @@
     }
 
     static SimCluster begun(long seed, double cpusMax) {
-        SimCluster world = new SimCluster(seed, cpusMax);
-        world.seconds(2);
-        return world;
+        SimCluster cluster = new SimCluster(seed, cpusMax);
+        cluster.runSeconds(2);
+        return cluster;
     }
 
-    static int other(SimCluster world, int than) {
-        return (than + 1) % world.nodes();
+    static int other(SimCluster cluster, int than) {
+        return (than + 1) % cluster.nodes();
     }
 
-    static List<String> machines(SimCluster world) {
-        return List.copyOf(world.cloud().machines().keySet());
+    static List<String> machines(SimCluster cluster) {
+        return List.copyOf(cluster.cloud().machines().keySet());
     }
 
-    static long running(SimCluster world) {
-        return world.cloud().machines().values().stream()
-                .mapToLong(worker -> worker.running().size())
+    static long running(SimCluster cluster) {
+        return cluster.cloud().machines().values().stream()
+                .mapToLong(worker -> worker.runningTasks().size())
                 .sum();
     }
 
-    static SimWorker fullest(SimCluster world) {
-        return world.cloud().machines().values().stream()
-                .max(Comparator.comparingInt(worker -> worker.running().size()))
+    static SimWorker fullest(SimCluster cluster) {
+        return cluster.cloud().machines().values().stream()
+                .max(Comparator.comparingInt(worker -> worker.runningTasks().size()))
                 .orElseThrow();
     }
 
     /** Kills the lease leader, and waits until another one leads. */
-    static void succeed(SimCluster world) {
-        int old = world.leader();
-        world.kill(old);
-        world.until(() -> world.leader() >= 0 && world.leader() != old);
+    static void succeed(SimCluster cluster) {
+        int old = cluster.leader();
+        cluster.kill(old);
+        cluster.runUntil(() -> cluster.leader() >= 0 && cluster.leader() != old);
     }
 
     /** Asks every controller that is up. */
-    public static void everyNodeSays(SimCluster world, String uid, String stage) {
-        for (int node = 0; node < world.nodes(); node++) {
-            if (world.isUp(node)) {
-                assertThat(world.stage(node, uid)).as("%s at %d", uid, node).isEqualTo(stage);
+    public static void everyNodeSays(SimCluster cluster, String uid, String stage) {
+        for (int node = 0; node < cluster.nodes(); node++) {
+            if (cluster.isUp(node)) {
+                assertThat(cluster.stage(node, uid)).as("%s at %d", uid, node).isEqualTo(stage);
             }
         }
     }
 
-    static void nothingBroken(SimCluster world) {
-        assertThat(world.broken()).isEmpty();
+    static void nothingBroken(SimCluster cluster) {
+        assertThat(cluster.violations()).isEmpty();
     }
 }
--- a/src/test/java/io/sillreel/RandomScheduleTest.java
+++ b/src/test/java/io/sillreel/RandomScheduleTest.java
@@ -90,13 +90,13 @@
     }
 
     private static void play(long seed, boolean together) {
-        SimCluster world = world(seed);
-        int nodes = world.nodes();
+        SimCluster cluster = world(seed);
+        int nodes = cluster.nodes();
         Random random = new Random(seed);
-        RandomFailures troubles = new RandomFailures(world, random);
+        RandomFailures troubles = new RandomFailures(cluster, random);
         List<String> jobs = new ArrayList<>();
         List<String> cancelled = new ArrayList<>();
-        world.seconds(2);
+        cluster.runSeconds(2);
         for (int step = 0; step < STEPS; step++) {
             if (together && random.nextBoolean()) {
                 troubles.forMany();
@@ -104,44 +104,44 @@
                 troubles.one();
             }
             int node = random.nextInt(nodes);
-            if (world.isUp(node) && random.nextInt(3) == 0) {
+            if (cluster.isUp(node) && random.nextInt(3) == 0) {
                 String uid = "job-%06d".formatted(step + 1);
-                if (world.submit(node, SimCluster.job(uid, 1 + random.nextInt(8)))
+                if (cluster.submit(node, SimCluster.job(uid, 1 + random.nextInt(8)))
                                 .status()
                         == 201) {
                     jobs.add(uid);
                 }
             }
-            if (world.isUp(node) && !jobs.isEmpty()) {
+            if (cluster.isUp(node) && !jobs.isEmpty()) {
                 String uid = jobs.get(random.nextInt(jobs.size()));
-                world.poll(node, uid);
+                cluster.poll(node, uid);
                 if (random.nextInt(8) == 0) {
-                    HttpResponse response = world.cancel(node, uid);
+                    HttpResponse response = cluster.cancel(node, uid);
                     // Without an answer it may be carried out later, by a controller that stood still.
                     if (response.isOk() || response.status() <= 0) {
                         cancelled.add(uid);
                     }
                 }
             }
-            world.seconds(random.nextDouble() * 5);
+            cluster.runSeconds(random.nextDouble() * 5);
         }
         troubles.end();
-        everythingEnds(world, random, jobs, cancelled, seed);
+        everythingEnds(cluster, random, jobs, cancelled, seed);
     }
 
     private static void everythingEnds(
-            SimCluster world, Random random, Collection<String> jobs, Collection<String> cancelled, long seed) {
-        world.seconds(240);
-        assertThat(world.broken()).as("seed %d", seed).isEmpty();
+            SimCluster cluster, Random random, Collection<String> jobs, Collection<String> cancelled, long seed) {
+        cluster.runSeconds(240);
+        assertThat(cluster.violations()).as("seed %d", seed).isEmpty();
         for (String uid : jobs) {
-            assertThat(world.stage(random.nextInt(world.nodes()), uid))
+            assertThat(cluster.stage(random.nextInt(cluster.nodes()), uid))
                     .as("seed %d, %s", seed, uid)
                     .isIn(
-                            world.neededBy(uid).anyMatch(cancelled::contains)
+                            cluster.dependencyClosure(uid).anyMatch(cancelled::contains)
                                     ? List.of("done", "withdrawn")
                                     : List.of("done"));
         }
-        assertThat(world.broken()).as("seed %d", seed).isEmpty();
+        assertThat(cluster.violations()).as("seed %d", seed).isEmpty();
     }
 
     private static void playMeetings(long seed) {
@@ -153,8 +153,8 @@
     }
 
     private static void playUpgrade(long seed) {
-        SimCluster world = new SimCluster(seed, TEAM_CPUS, seed % 3 == 0 ? 5 : 3, Version.PREVIOUS);
-        playMeetings(world, seed, Play.UPGRADE);
+        SimCluster cluster = new SimCluster(seed, TEAM_CPUS, seed % 3 == 0 ? 5 : 3, Version.PREVIOUS);
+        playMeetings(cluster, seed, Play.UPGRADE);
     }
 
     /** What is played besides the troubles. */
@@ -164,12 +164,12 @@
         UPGRADE
     }
 
-    private static void playMeetings(SimCluster world, long seed, Play play) {
+    private static void playMeetings(SimCluster cluster, long seed, Play play) {
         Random random = new Random(seed);
         Set<String> submitted = new LinkedHashSet<>();
         Set<String> cancelled = new HashSet<>();
-        RandomFailures troubles = new RandomFailures(world, random);
-        world.seconds(2);
+        RandomFailures troubles = new RandomFailures(cluster, random);
+        cluster.runSeconds(2);
         for (int step = 0; step < STEPS / 2; step++) {
             int meeting = 2 + random.nextInt(2);
             for (int each = 0; each < meeting; each++) {
@@ -179,40 +179,40 @@
                     submitted.add(uid);
                     ObjectNode submission = someJob(uid);
                     if (play == Play.CHAINS) {
-                        await(world, random, submission);
+                        await(cluster, random, submission);
                     }
-                    world.submitMeanwhile(random.nextInt(world.nodes()), submission);
+                    cluster.submitAsync(random.nextInt(cluster.nodes()), submission);
                 }
                 if (play == Play.UPGRADE) {
-                    changeVersions(world, random);
+                    changeVersions(cluster, random);
                 }
-                world.seconds(random.nextDouble() * 3);
+                cluster.runSeconds(random.nextDouble() * 3);
                 troubles.cancelSome(List.copyOf(submitted), cancelled, random.nextInt(3));
             }
-            world.seconds(random.nextDouble() * 12);
+            cluster.runSeconds(random.nextDouble() * 12);
             if (random.nextInt(3) > 0) {
                 troubles.end();
             }
-            for (SimWorker machine : world.cloud().machines().values()) {
-                machine.runMicros(1_000_000 + random.nextInt(12_000_000));
+            for (SimWorker machine : cluster.cloud().machines().values()) {
+                machine.setRunMicros(1_000_000 + random.nextInt(12_000_000));
             }
         }
         if (play != Play.JOBS) {
-            world.state().limits(6, 2 * 1024, 60);
+            cluster.store().setLimits(6, 2 * 1024, 60);
         }
-        for (int node = 0; node < world.nodes(); node++) {
-            if (world.version(node) == Version.PREVIOUS) {
-                world.restart(node, Version.CURRENT);
-                world.seconds(random.nextDouble());
+        for (int node = 0; node < cluster.nodes(); node++) {
+            if (cluster.version(node) == Version.PREVIOUS) {
+                cluster.restart(node, Version.CURRENT);
+                cluster.runSeconds(random.nextDouble());
             }
         }
         troubles.end();
         if (play == Play.UPGRADE) {
-            submitChains(world, random, submitted);
+            submitChains(cluster, random, submitted);
         }
-        world.cloud().machines().values().forEach(machine -> machine.runMicros(3_000_000));
-        submitted.removeIf(uid -> world.told(uid) == null && world.state().value("plan/" + uid) == null);
-        everythingEnds(world, random, submitted, cancelled, seed);
+        cluster.cloud().machines().values().forEach(machine -> machine.setRunMicros(3_000_000));
+        submitted.removeIf(uid -> cluster.known(uid) == null && cluster.store().value("plan/" + uid) == null);
+        everythingEnds(cluster, random, submitted, cancelled, seed);
     }
 
     /** The same for the same name, since users repeat what they submit. */
@@ -221,38 +221,38 @@
     }
 
     /** Names up to three jobs that were told to be accepted, most of them young, some long over. */
-    private static void await(SimCluster world, Random random, ObjectNode job) {
+    private static void await(SimCluster cluster, Random random, ObjectNode job) {
         int number = Integer.parseInt(job.path("uid").asText().substring(4));
         ArrayNode awaits = job.putArray("awaits");
         for (int each = random.nextInt(4); each > 0 && number > 1; each--) {
             int back = random.nextInt(4) == 0 ? random.nextInt(number - 1) : random.nextInt(Math.min(6, number - 1));
             String earlier = "job-%06d".formatted(number - 1 - back);
-            if (world.told(earlier) != null) {
+            if (cluster.known(earlier) != null) {
                 awaits.add(earlier);
             }
         }
     }
 
     /** Some get the present version; a process that dies may find the previous one again. */
-    private static void changeVersions(SimCluster world, Random random) {
-        for (int node = 0; node < world.nodes(); node++) {
+    private static void changeVersions(SimCluster cluster, Random random) {
+        for (int node = 0; node < cluster.nodes(); node++) {
             switch (random.nextInt(10)) {
-                case 0, 1 -> world.restart(node, Version.CURRENT);
-                case 2 -> world.restart(node, Version.PREVIOUS);
+                case 0, 1 -> cluster.restart(node, Version.CURRENT);
+                case 2 -> cluster.restart(node, Version.PREVIOUS);
                 default -> {}
             }
         }
     }
 
     /** Jobs that await what both versions accepted, done, cancelled or neither. */
-    private static void submitChains(SimCluster world, Random random, Set<String> submitted) {
-        world.seconds(10);
+    private static void submitChains(SimCluster cluster, Random random, Set<String> submitted) {
+        cluster.runSeconds(10);
         for (int each = 0; each < 8; each++) {
             ObjectNode job = someJob("job-%06d".formatted(submitted.size() + 1));
-            await(world, random, job);
+            await(cluster, random, job);
             submitted.add(job.path("uid").asText());
-            world.submitMeanwhile(random.nextInt(world.nodes()), job);
-            world.seconds(random.nextDouble());
+            cluster.submitAsync(random.nextInt(cluster.nodes()), job);
+            cluster.runSeconds(random.nextDouble());
         }
     }
 }
--- a/src/test/java/io/sillreel/StoreFailuresTest.java
+++ b/src/test/java/io/sillreel/StoreFailuresTest.java
@@ -10,7 +10,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.sim.FailureInjector;
 import io.sillreel.sim.SimCluster;
-import io.sillreel.sim.SimNetwork.Fate;
+import io.sillreel.sim.SimNetwork.Action;
 import io.sillreel.sim.SimNetwork.Rule;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -28,39 +28,39 @@
     /** Guards what is told against everything remembered: no node says something older, however soon it is asked. */
     @Test
     void whoAsksEverywhereWithinMillisecondsHearsNothingOlder() {
-        SimCluster world = begun(4);
+        SimCluster cluster = begun(4);
         Random random = new Random(4);
         for (int i = 1; i <= 40; i++) {
             String uid = "job-%06d".formatted(i);
             int node = random.nextInt(3);
             ObjectNode job = SimCluster.job(uid, 1 + i % 2);
-            world.submit(node, job);
-            lookClosely(world, uid, job);
+            cluster.submit(node, job);
+            lookClosely(cluster, uid, job);
             if (i % 4 == 0) {
-                world.cancelMeanwhile(random.nextInt(3), uid);
-                lookClosely(world, uid, job);
+                cluster.cancelAsync(random.nextInt(3), uid);
+                lookClosely(cluster, uid, job);
             } else if (i % 4 == 1) {
-                int starts = world.starts();
-                world.until(() -> world.starts() > starts);
-                world.seconds(2.95);
-                lookClosely(world, uid, job);
-                world.cancelMeanwhile(random.nextInt(3), uid);
-                lookClosely(world, uid, job);
+                int starts = cluster.startCount();
+                cluster.runUntil(() -> cluster.startCount() > starts);
+                cluster.runSeconds(2.95);
+                lookClosely(cluster, uid, job);
+                cluster.cancelAsync(random.nextInt(3), uid);
+                lookClosely(cluster, uid, job);
             }
         }
-        world.seconds(60);
-        nothingBroken(world);
+        cluster.runSeconds(60);
+        nothingBroken(cluster);
     }
 
-    private static void lookClosely(SimCluster world, String uid, ObjectNode job) {
+    private static void lookClosely(SimCluster cluster, String uid, ObjectNode job) {
         for (int look = 0; look < 12; look++) {
-            for (int node = 0; node < world.nodes(); node++) {
-                world.pollMeanwhile(node, uid);
+            for (int node = 0; node < cluster.nodes(); node++) {
+                cluster.pollAsync(node, uid);
                 if (look % 4 == 1) {
-                    world.submitMeanwhile(node, job);
+                    cluster.submitAsync(node, job);
                 }
             }
-            world.seconds(0.002 + 0.01 * (look % 3));
+            cluster.runSeconds(0.002 + 0.01 * (look % 3));
         }
     }
 
@@ -68,72 +68,76 @@
     @Test
     void whatIsWrittenThoughItsAnswerIsLostIsToldAlikeEverywhere() {
         for (String of : List.of("\"plan/", "\"withdraw/", "\"run/", "\"set\"")) {
-            SimCluster world = begun(5);
-            Rule lost = world.network().add(FailureInjector.writes(of, Fate.LOSE_ANSWER, 0.7, new Random(5)));
+            SimCluster cluster = begun(5);
+            Rule lost = cluster.network()
+                    .addRule(FailureInjector.transactions(of, Action.DROP_RESPONSE, 0.7, new Random(5)));
             for (int i = 1; i <= 8; i++) {
                 String uid = "job-%06d".formatted(i);
                 ObjectNode job = SimCluster.job(uid, 2);
-                world.submitMeanwhile(i % 3, job);
-                lookClosely(world, uid, job);
+                cluster.submitAsync(i % 3, job);
+                lookClosely(cluster, uid, job);
                 if (i % 2 == 0) {
-                    world.cancelMeanwhile(i % 3, uid);
-                    lookClosely(world, uid, job);
+                    cluster.cancelAsync(i % 3, uid);
+                    lookClosely(cluster, uid, job);
                 }
-                world.seconds(2);
+                cluster.runSeconds(2);
             }
-            world.network().remove(lost);
-            world.seconds(40);
+            cluster.network().removeRule(lost);
+            cluster.runSeconds(40);
             for (int i = 1; i <= 8; i += 2) {
-                everyNodeSays(world, "job-%06d".formatted(i), "done");
+                everyNodeSays(cluster, "job-%06d".formatted(i), "done");
             }
-            nothingBroken(world);
+            nothingBroken(cluster);
         }
     }
 
     /** Guards polls against transactions that go unanswered while everything else is answered. */
     @Test
     void questionsAreAnsweredThoughTransactionsAreNot() {
-        SimCluster world = begun(15);
-        world.submit(0, SimCluster.job("job-000001", 2));
-        world.untilStarted(2, 60 * SECOND);
-        world.network().add((from, to, request) -> request.route().equals("/txn") ? Fate.LATE : null);
+        SimCluster cluster = begun(15);
+        cluster.submit(0, SimCluster.job("job-000001", 2));
+        cluster.runUntilStarted(2, 60 * SECOND);
+        cluster.network()
+                .addRule((from, to, request) -> request.route().equals("/txn") ? Action.DELAY_AND_DROP_RESPONSE : null);
         for (int i = 0; i < 12; i++) {
-            assertThat(world.poll(i % 3, "job-000001").status()).isEqualTo(200);
-            assertThat(world.poll(i % 3, "job-000009").status()).isEqualTo(404);
+            assertThat(cluster.poll(i % 3, "job-000001").status()).isEqualTo(200);
+            assertThat(cluster.poll(i % 3, "job-000009").status()).isEqualTo(404);
         }
-        nothingBroken(world);
+        nothingBroken(cluster);
     }
 
     /** Guards the order of a controller's own writes: what got no answer is carried out after newer ones. */
     @Test
     void writesThatAreCarriedOutAfterNewerOnesUndoNothing() {
         for (int seed = 1; seed <= 4; seed++) {
-            SimCluster world = begun(seed);
-            Rule late = world.network().add(FailureInjector.writes("\"set\"", Fate.LATE, 0.3, new Random(seed)));
+            SimCluster cluster = begun(seed);
+            Rule late = cluster.network()
+                    .addRule(FailureInjector.transactions(
+                            "\"set\"", Action.DELAY_AND_DROP_RESPONSE, 0.3, new Random(seed)));
             List<String> jobs = new ArrayList<>();
             for (int i = 1; i <= 10; i++) {
                 String uid = "job-%06d".formatted(i);
                 int node = i % 3;
                 ObjectNode job = SimCluster.job(uid, 3);
-                for (int tries = 0; tries < 12 && world.submit(node, job).status() / 100 != 2; tries++) {
-                    world.seconds(1);
+                for (int tries = 0; tries < 12 && cluster.submit(node, job).status() / 100 != 2; tries++) {
+                    cluster.runSeconds(1);
                 }
                 jobs.add(uid);
                 if (i % 3 == 0) {
-                    world.cancelMeanwhile(node, uid);
+                    cluster.cancelAsync(node, uid);
                 }
-                world.seconds(2);
+                cluster.runSeconds(2);
             }
-            succeed(world);
-            world.seconds(10);
-            world.network().remove(late);
-            world.seconds(60);
+            succeed(cluster);
+            cluster.runSeconds(10);
+            cluster.network().removeRule(late);
+            cluster.runSeconds(60);
             for (String uid : jobs) {
-                assertThat(world.stage(world.leader(), uid))
+                assertThat(cluster.stage(cluster.leader(), uid))
                         .as("seed %d, %s", seed, uid)
                         .isIn("done", "withdrawn");
             }
-            nothingBroken(world);
+            nothingBroken(cluster);
         }
     }
 
@@ -144,23 +148,24 @@
     @Test
     void newMachinesAreStoredBeforeTheyWorkThoughWritesLagAndTheLeaderEnds() {
         for (int seed = 1; seed <= 5; seed++) {
-            SimCluster world = begun(seed);
-            world.cloud().bootMicros(SECOND);
+            SimCluster cluster = begun(seed);
+            cluster.cloud().setBootMicros(SECOND);
             Random random = new Random(seed);
-            Rule late = world.network().add(FailureInjector.writes("\"hire/", Fate.LATE, 0.6, random));
-            world.submit(0, SimCluster.job("job-000001", 40));
-            world.untilStarted(4, 12 * SECOND);
-            Set<String> cut = new HashSet<>(machines(world).subList(0, 1));
-            Rule away = world.network().add(FailureInjector.away(cut, Fate.LOSE));
-            succeed(world);
-            world.seconds(5 + random.nextInt(12));
-            world.network().remove(away);
-            world.network().remove(late);
-            world.seconds(90);
-            assertThat(world.stage(world.leader(), "job-000001"))
+            Rule late = cluster.network()
+                    .addRule(FailureInjector.transactions("\"hire/", Action.DELAY_AND_DROP_RESPONSE, 0.6, random));
+            cluster.submit(0, SimCluster.job("job-000001", 40));
+            cluster.runUntilStarted(4, 12 * SECOND);
+            Set<String> cut = new HashSet<>(machines(cluster).subList(0, 1));
+            Rule away = cluster.network().addRule(FailureInjector.machineTraffic(cut, Action.DROP));
+            succeed(cluster);
+            cluster.runSeconds(5 + random.nextInt(12));
+            cluster.network().removeRule(away);
+            cluster.network().removeRule(late);
+            cluster.runSeconds(90);
+            assertThat(cluster.stage(cluster.leader(), "job-000001"))
                     .as("seed %d", seed)
                     .isEqualTo("done");
-            nothingBroken(world);
+            nothingBroken(cluster);
         }
     }
 
@@ -169,22 +174,22 @@
      */
     @Test
     void moreWorkThanRoomOverSlowLinksIsAllServed() {
-        SimCluster world = begun(13);
-        world.network().slowness(60);
+        SimCluster cluster = begun(13);
+        cluster.network().setLatencyFactor(60);
         String[] ranks = {"best_effort", "high", "normal", "production"};
         for (int i = 1; i <= 24; i++) {
             String uid = "job-%06d".formatted(i);
             ObjectNode job = SimCluster.job(uid, 12).put("rank", ranks[i % 4]);
-            while (world.submit(i % 3, job).status() / 100 != 2) {
-                world.seconds(1);
+            while (cluster.submit(i % 3, job).status() / 100 != 2) {
+                cluster.runSeconds(1);
             }
-            world.seconds(0.5);
+            cluster.runSeconds(0.5);
         }
-        world.seconds(180);
+        cluster.runSeconds(180);
         for (int i = 1; i <= 24; i++) {
-            assertThat(world.stage(i % 3, "job-%06d".formatted(i))).isEqualTo("done");
+            assertThat(cluster.stage(i % 3, "job-%06d".formatted(i))).isEqualTo("done");
         }
-        nothingBroken(world);
+        nothingBroken(cluster);
     }
 
     /**
@@ -193,39 +198,39 @@
      */
     @Test
     void oddRequestsGetTheirStatusesAndChangeNothing() {
-        SimCluster world = begun(14);
-        world.submit(0, SimCluster.job("job-000001", 2));
-        world.submit(0, SimCluster.job("job-000002", 2));
+        SimCluster cluster = begun(14);
+        cluster.submit(0, SimCluster.job("job-000001", 2));
+        cluster.submit(0, SimCluster.job("job-000002", 2));
         ObjectNode lacking = SimCluster.job("job-000003", 2);
         lacking.remove("reel");
         for (int node = 0; node < 3; node++) {
-            assertThat(world.submit(node, SimCluster.job("job-000001", 2)).status())
+            assertThat(cluster.submit(node, SimCluster.job("job-000001", 2)).status())
                     .isEqualTo(200);
-            assertThat(world.submit(node, lacking).status()).isEqualTo(400);
-            assertThat(world.submit(node, SimCluster.job("job-000004", 1).put("vcpus", 64.0))
+            assertThat(cluster.submit(node, lacking).status()).isEqualTo(400);
+            assertThat(cluster.submit(node, SimCluster.job("job-000004", 1).put("vcpus", 64.0))
                             .status())
                     .isEqualTo(422);
-            assertThat(world.poll(node, "job-000003").status()).isEqualTo(404);
-            assertThat(world.poll(node, "job-000004").status()).isEqualTo(404);
-            assertThat(world.cancel(node, "job-000004").status()).isEqualTo(404);
+            assertThat(cluster.poll(node, "job-000003").status()).isEqualTo(404);
+            assertThat(cluster.poll(node, "job-000004").status()).isEqualTo(404);
+            assertThat(cluster.cancel(node, "job-000004").status()).isEqualTo(404);
         }
-        world.cancel(2, "job-000002");
-        world.seconds(30);
+        cluster.cancel(2, "job-000002");
+        cluster.runSeconds(30);
         for (int node = 0; node < 3; node++) {
-            assertThat(world.cancel(node, "job-000001").json().path("stage").asText())
+            assertThat(cluster.cancel(node, "job-000001").json().path("stage").asText())
                     .isEqualTo("done");
-            assertThat(world.submit(node, SimCluster.job("job-000001", 2))
+            assertThat(cluster.submit(node, SimCluster.job("job-000001", 2))
                             .json()
                             .path("stage")
                             .asText())
                     .isEqualTo("done");
-            assertThat(world.submit(node, SimCluster.job("job-000002", 2))
+            assertThat(cluster.submit(node, SimCluster.job("job-000002", 2))
                             .json()
                             .path("stage")
                             .asText())
                     .isEqualTo("withdrawn");
-            assertThat(world.poll(node, "job-000003").status()).isEqualTo(404);
+            assertThat(cluster.poll(node, "job-000003").status()).isEqualTo(404);
         }
-        nothingBroken(world);
+        nothingBroken(cluster);
     }
 }
--- a/src/test/java/io/sillreel/UpgradeTest.java
+++ b/src/test/java/io/sillreel/UpgradeTest.java
@@ -1,15 +1,15 @@
 package io.sillreel;
 
 import static io.sillreel.sim.SimJobs.uid;
-import static io.sillreel.sim.UpgradeSteps.LEADER_GONE_SECONDS;
+import static io.sillreel.sim.UpgradeSteps.LEADER_EXPIRY_SECONDS;
 import static io.sillreel.sim.UpgradeSteps.NODES;
-import static io.sillreel.sim.UpgradeSteps.everyNodeSays;
-import static io.sillreel.sim.UpgradeSteps.everythingEnds;
-import static io.sillreel.sim.UpgradeSteps.leadAlone;
-import static io.sillreel.sim.UpgradeSteps.leadNext;
-import static io.sillreel.sim.UpgradeSteps.other;
-import static io.sillreel.sim.UpgradeSteps.previousVersion;
-import static io.sillreel.sim.UpgradeSteps.submitMeanwhile;
+import static io.sillreel.sim.UpgradeSteps.assertAllJobsFinish;
+import static io.sillreel.sim.UpgradeSteps.assertStageOnAllNodes;
+import static io.sillreel.sim.UpgradeSteps.failOverTo;
+import static io.sillreel.sim.UpgradeSteps.leadWithMixedVersions;
+import static io.sillreel.sim.UpgradeSteps.otherVersion;
+import static io.sillreel.sim.UpgradeSteps.startPreviousVersion;
+import static io.sillreel.sim.UpgradeSteps.submitAsync;
 import static io.sillreel.sim.UpgradeSteps.upgradeAll;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -20,7 +20,7 @@
 import io.sillreel.sim.FailureInjector;
 import io.sillreel.sim.SimCluster;
 import io.sillreel.sim.SimCluster.Version;
-import io.sillreel.sim.SimNetwork.Fate;
+import io.sillreel.sim.SimNetwork.Action;
 import io.sillreel.sim.SimNetwork.Rule;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -41,120 +41,121 @@
     @ParameterizedTest
     @EnumSource
     void allJobsAreServedWhileOneVersionLeadsAndTheOthersFollow(Version leading) {
-        SimCluster world = previousVersion(51);
-        int leader = leadAlone(world, leading);
+        SimCluster cluster = startPreviousVersion(51);
+        int leader = leadWithMixedVersions(cluster, leading);
         int follower = (leader + 1) % NODES;
         for (int number = 1; number <= 9; number++) {
-            assertThat(world.submit(number % NODES, SimCluster.job(uid(number), 4))
+            assertThat(cluster.submit(number % NODES, SimCluster.job(uid(number), 4))
                             .status())
                     .isEqualTo(201);
-            world.seconds(0.5);
+            cluster.runSeconds(0.5);
         }
-        assertThat(world.cancel(follower, uid(8)).isOk()).isTrue();
-        assertThat(world.cancel(leader, uid(9)).isOk()).isTrue();
-        everythingEnds(world, 9, List.of(uid(8), uid(9)));
-        assertThat(world.leader()).isEqualTo(leader);
+        assertThat(cluster.cancel(follower, uid(8)).isOk()).isTrue();
+        assertThat(cluster.cancel(leader, uid(9)).isOk()).isTrue();
+        assertAllJobsFinish(cluster, 9, List.of(uid(8), uid(9)));
+        assertThat(cluster.leader()).isEqualTo(leader);
     }
 
     @Test
     void jobsSurviveTenChangesOfLeaderBetweenVersionsInTwoMinutes() {
-        SimCluster world = previousVersion(52);
-        leadAlone(world, Version.PREVIOUS);
-        world.restart((world.leader() + 1) % NODES, Version.PREVIOUS);
+        SimCluster cluster = startPreviousVersion(52);
+        leadWithMixedVersions(cluster, Version.PREVIOUS);
+        cluster.restart((cluster.leader() + 1) % NODES, Version.PREVIOUS);
         Random random = new Random(52);
         List<String> cancelled = new ArrayList<>();
         int jobs = 0;
         for (int change = 0; change < 10; change++) {
-            leadNext(world, change % 2 == 0 ? Version.CURRENT : Version.PREVIOUS);
+            failOverTo(cluster, change % 2 == 0 ? Version.CURRENT : Version.PREVIOUS);
             for (int each = 0; each < 4; each++) {
-                submitMeanwhile(world, ++jobs, 1 + random.nextInt(6));
-                world.seconds(random.nextDouble() * 3);
+                submitAsync(cluster, ++jobs, 1 + random.nextInt(6));
+                cluster.runSeconds(random.nextDouble() * 3);
                 if (random.nextInt(4) == 0) {
                     cancelled.add(uid(jobs));
-                    world.cancelMeanwhile(random.nextInt(NODES), uid(jobs));
+                    cluster.cancelAsync(random.nextInt(NODES), uid(jobs));
                 }
-                world.pollMeanwhile(random.nextInt(NODES), uid(1 + random.nextInt(jobs)));
+                cluster.pollAsync(random.nextInt(NODES), uid(1 + random.nextInt(jobs)));
             }
         }
-        everythingEnds(world, jobs, cancelled);
+        assertAllJobsFinish(cluster, jobs, cancelled);
     }
 
     /** The moments run from the start of the process to well after the end of the election. */
     @ParameterizedTest
     @ValueSource(doubles = {0.01, 0.05, 0.3, 1, 2, 3, 3.5, 4, 5, 7})
     void aControllerThatDiesInAnElectionComesBackAsThePreviousVersion(double seconds) {
-        SimCluster world = previousVersion(53);
+        SimCluster cluster = startPreviousVersion(53);
         for (int number = 1; number <= 6; number++) {
-            submitMeanwhile(world, number, 5);
+            submitAsync(cluster, number, 5);
         }
-        world.untilStarted(4, 6 * SECOND);
-        int leader = world.leader();
-        world.kill(leader);
+        cluster.runUntilStarted(4, 6 * SECOND);
+        int leader = cluster.leader();
+        cluster.kill(leader);
         int upgraded = (leader + 1) % NODES;
-        world.restart(upgraded, Version.CURRENT);
-        world.seconds(seconds);
-        world.restart(upgraded, Version.PREVIOUS);
-        world.seconds(1);
-        world.restart(leader, Version.CURRENT);
-        world.seconds(20);
-        upgradeAll(world);
-        everythingEnds(world, 6, List.of());
+        cluster.restart(upgraded, Version.CURRENT);
+        cluster.runSeconds(seconds);
+        cluster.restart(upgraded, Version.PREVIOUS);
+        cluster.runSeconds(1);
+        cluster.restart(leader, Version.CURRENT);
+        cluster.runSeconds(20);
+        upgradeAll(cluster);
+        assertAllJobsFinish(cluster, 6, List.of());
     }
 
     /** Guards everything that is stored against writes and reports that were held up until their sender was gone. */
     @Test
     void lateMessagesOfThePreviousVersionChangeNothingAfterTheUpgrade() {
-        SimCluster world = previousVersion(54);
+        SimCluster cluster = startPreviousVersion(54);
         for (int number = 1; number <= 8; number++) {
-            submitMeanwhile(world, number, 4);
+            submitAsync(cluster, number, 4);
         }
-        world.untilStarted(6, 4 * SECOND);
-        Rule held = world.network()
-                .add((from, to, request) -> from.startsWith("10.0.0.")
+        cluster.runUntilStarted(6, 4 * SECOND);
+        Rule held = cluster.network()
+                .addRule((from, to, request) -> from.startsWith("10.0.0.")
                                 && (request.route().equals("/txn")
                                                 && text(request).contains("\"set\"")
                                         || request.route().equals("/peer/beats"))
-                        ? Fate.HOLD
+                        ? Action.HOLD
                         : null);
-        world.seconds(3);
+        cluster.runSeconds(3);
         for (int node = 0; node < NODES; node++) {
-            world.kill(node);
+            cluster.kill(node);
         }
-        world.network().remove(held);
-        world.seconds(1);
+        cluster.network().removeRule(held);
+        cluster.runSeconds(1);
         for (int node = 0; node < NODES; node++) {
-            world.restart(node, Version.CURRENT);
+            cluster.restart(node, Version.CURRENT);
         }
-        world.until(() -> world.leader() >= 0);
-        world.seconds(12);
+        cluster.runUntil(() -> cluster.leader() >= 0);
+        cluster.runSeconds(12);
         String cancelled = uid(8);
-        world.cancel(0, cancelled);
-        world.network().release();
-        everythingEnds(world, 8, List.of(cancelled));
+        cluster.cancel(0, cancelled);
+        cluster.network().releaseHeld();
+        assertAllJobsFinish(cluster, 8, List.of(cancelled));
     }
 
     /** The write may have been carried out or not; who leads next has to find out from the store. */
     @ParameterizedTest
     @EnumSource
     void writesWhoseAnswersAreLostAtTheChangeOfLeaderCountForTheOtherVersion(Version leading) {
-        SimCluster world = previousVersion(55);
-        int leader = leadAlone(world, leading);
+        SimCluster cluster = startPreviousVersion(55);
+        int leader = leadWithMixedVersions(cluster, leading);
         for (int number = 1; number <= 6; number++) {
-            submitMeanwhile(world, number, 4);
+            submitAsync(cluster, number, 4);
         }
-        world.untilStarted(5, 3 * SECOND);
+        cluster.runUntilStarted(5, 3 * SECOND);
         Random random = new Random(55);
-        Rule unanswered = world.network().add(FailureInjector.writes("\"set\"", Fate.LOSE_ANSWER, 0.7, random));
-        world.seconds(4);
-        submitMeanwhile(world, 7, 2);
-        world.cancelMeanwhile((leader + 1) % NODES, uid(6));
-        world.seconds(0.2);
-        world.kill(leader);
-        world.seconds(LEADER_GONE_SECONDS);
-        world.network().remove(unanswered);
-        world.until(() -> world.leader() >= 0 && world.version(world.leader()) == other(leading));
-        world.restart(leader, Version.CURRENT);
-        everythingEnds(world, 7, List.of(uid(6)));
+        Rule unanswered =
+                cluster.network().addRule(FailureInjector.transactions("\"set\"", Action.DROP_RESPONSE, 0.7, random));
+        cluster.runSeconds(4);
+        submitAsync(cluster, 7, 2);
+        cluster.cancelAsync((leader + 1) % NODES, uid(6));
+        cluster.runSeconds(0.2);
+        cluster.kill(leader);
+        cluster.runSeconds(LEADER_EXPIRY_SECONDS);
+        cluster.network().removeRule(unanswered);
+        cluster.runUntil(() -> cluster.leader() >= 0 && cluster.version(cluster.leader()) == otherVersion(leading));
+        cluster.restart(leader, Version.CURRENT);
+        assertAllJobsFinish(cluster, 7, List.of(uid(6)));
     }
 
     /**
@@ -163,28 +164,30 @@
     @ParameterizedTest
     @EnumSource
     void tasksOfAJobThatTheOtherVersionCancelledEndInTime(Version leading) {
-        SimCluster world = previousVersion(56);
-        int leader = leadAlone(world, leading);
+        SimCluster cluster = startPreviousVersion(56);
+        int leader = leadWithMixedVersions(cluster, leading);
         int follower = (leader + 1) % NODES;
         for (int number = 1; number <= 3; number++) {
-            submitMeanwhile(world, number, 3);
+            submitAsync(cluster, number, 3);
         }
-        world.untilStarted(9, 200 * SECOND);
-        assertThat(world.cancel(follower, uid(1)).json().path("stage").asText()).isEqualTo("withdrawn");
-        everyNodeSays(world, uid(1), "withdrawn");
-        world.seconds(3);
-        Rule refused = world.network().add(FailureInjector.refused(leader));
-        world.seconds(1);
-        assertThat(world.cancel(follower, uid(2)).json().path("stage").asText()).isEqualTo("withdrawn");
-        world.state().outage(true);
-        world.seconds(35);
-        world.state().outage(false);
-        world.network().remove(refused);
-        upgradeAll(world);
-        world.cloud().machines().values().forEach(machine -> machine.runMicros(3 * SECOND));
-        world.seconds(200);
-        everyNodeSays(world, uid(2), "withdrawn");
-        everythingEnds(world, 3, List.of(uid(1), uid(2)));
+        cluster.runUntilStarted(9, 200 * SECOND);
+        assertThat(cluster.cancel(follower, uid(1)).json().path("stage").asText())
+                .isEqualTo("withdrawn");
+        assertStageOnAllNodes(cluster, uid(1), "withdrawn");
+        cluster.runSeconds(3);
+        Rule refused = cluster.network().addRule(FailureInjector.rejectedByStateService(leader));
+        cluster.runSeconds(1);
+        assertThat(cluster.cancel(follower, uid(2)).json().path("stage").asText())
+                .isEqualTo("withdrawn");
+        cluster.store().setOutage(true);
+        cluster.runSeconds(35);
+        cluster.store().setOutage(false);
+        cluster.network().removeRule(refused);
+        upgradeAll(cluster);
+        cluster.cloud().machines().values().forEach(machine -> machine.setRunMicros(3 * SECOND));
+        cluster.runSeconds(200);
+        assertStageOnAllNodes(cluster, uid(2), "withdrawn");
+        assertAllJobsFinish(cluster, 3, List.of(uid(1), uid(2)));
     }
 
     /**
@@ -194,48 +197,49 @@
     @ParameterizedTest
     @EnumSource
     void tasksEndInTimeUnderALeaderThatCanNotHearOfTheirCancellation(Version leading) {
-        SimCluster world = previousVersion(62);
-        int leader = leadAlone(world, leading);
+        SimCluster cluster = startPreviousVersion(62);
+        int leader = leadWithMixedVersions(cluster, leading);
         int follower = (leader + 1) % NODES;
-        submitMeanwhile(world, 1, 4);
-        world.untilStarted(4, 200 * SECOND);
-        Rule alone = world.network().add(FailureInjector.isolated(leader));
-        world.seconds(1);
-        assertThat(world.cancel(follower, uid(1)).json().path("stage").asText()).isEqualTo("withdrawn");
-        world.state().outage(true);
-        world.seconds(60);
-        assertThat(world.broken()).isEmpty();
-        world.state().outage(false);
-        world.network().remove(alone);
-        everythingEnds(world, 1, List.of(uid(1)));
+        submitAsync(cluster, 1, 4);
+        cluster.runUntilStarted(4, 200 * SECOND);
+        Rule alone = cluster.network().addRule(FailureInjector.isolated(leader));
+        cluster.runSeconds(1);
+        assertThat(cluster.cancel(follower, uid(1)).json().path("stage").asText())
+                .isEqualTo("withdrawn");
+        cluster.store().setOutage(true);
+        cluster.runSeconds(60);
+        assertThat(cluster.violations()).isEmpty();
+        cluster.store().setOutage(false);
+        cluster.network().removeRule(alone);
+        assertAllJobsFinish(cluster, 1, List.of(uid(1)));
     }
 
     /** The write of the end is on its way while another controller confirms the cancellation. */
     @ParameterizedTest
     @EnumSource
     void aCancellationThatOvertakesTheWriteOfTheEndHoldsForBothVersions(Version leading) {
-        SimCluster world = previousVersion(63);
-        int follower = (leadAlone(world, leading) + 1) % NODES;
+        SimCluster cluster = startPreviousVersion(63);
+        int follower = (leadWithMixedVersions(cluster, leading) + 1) % NODES;
         for (int round = 1; round <= 4; round++) {
             boolean[] held = {false};
-            Rule endHeld = world.network().add((from, to, request) -> {
+            Rule endHeld = cluster.network().addRule((from, to, request) -> {
                 boolean end = request.route().equals("/txn") && text(request).contains("\"stage\":\"done\"");
                 held[0] |= end;
-                return end ? Fate.HOLD : null;
+                return end ? Action.HOLD : null;
             });
-            submitMeanwhile(world, round, 1);
-            world.until(() -> held[0]);
-            HttpResponse response = world.cancel(follower, uid(round));
+            submitAsync(cluster, round, 1);
+            cluster.runUntil(() -> held[0]);
+            HttpResponse response = cluster.cancel(follower, uid(round));
             assertThat(response.json().path("stage").asText()).isEqualTo("withdrawn");
-            world.network().remove(endHeld);
-            world.network().release();
-            world.seconds(3);
-            everyNodeSays(world, uid(round), "withdrawn");
+            cluster.network().removeRule(endHeld);
+            cluster.network().releaseHeld();
+            cluster.runSeconds(3);
+            assertStageOnAllNodes(cluster, uid(round), "withdrawn");
             // An end and a cancellation exclude each other in the store, not only in what readers make of them.
-            assertThat(world.state().value("run/" + uid(round)).path("stage").asText())
+            assertThat(cluster.store().value("run/" + uid(round)).path("stage").asText())
                     .isNotEqualTo("done");
         }
-        assertThat(world.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     private static String text(HttpRequest request) {
@@ -246,47 +250,47 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3})
     void nothingIsLostWhenTheLimitsFallDuringTheUpgrade(int upgradedBefore) {
-        SimCluster world = previousVersion(57 + upgradedBefore);
+        SimCluster cluster = startPreviousVersion(57 + upgradedBefore);
         int jobs = 0;
         for (int node = 0; node < NODES; node++) {
             if (node == upgradedBefore) {
-                world.state().limits(6, 2 * 1024, 30);
+                cluster.store().setLimits(6, 2 * 1024, 30);
             }
             for (int each = 0; each < 5; each++) {
-                submitMeanwhile(world, ++jobs, 4);
-                world.seconds(0.3);
+                submitAsync(cluster, ++jobs, 4);
+                cluster.runSeconds(0.3);
             }
-            world.restart(node, Version.CURRENT);
-            world.seconds(3);
+            cluster.restart(node, Version.CURRENT);
+            cluster.runSeconds(3);
         }
-        world.state().limits(6, 2 * 1024, 30);
-        world.seconds(40);
-        everythingEnds(world, jobs, List.of());
+        cluster.store().setLimits(6, 2 * 1024, 30);
+        cluster.runSeconds(40);
+        assertAllJobsFinish(cluster, jobs, List.of());
     }
 
     /** A description with long names that was always accepted stays acceptable, whichever limits hold. */
     @Test
     void aDescriptionThatFitsOnlyThePresentLimitIsAcceptedBeforeAndAfterTheLimitsFall() {
-        SimCluster world = previousVersion(64);
-        leadAlone(world, Version.PREVIOUS);
+        SimCluster cluster = startPreviousVersion(64);
+        leadWithMixedVersions(cluster, Version.PREVIOUS);
         for (int node = 0; node < NODES; node++) {
-            assertThat(world.submit(node, withLongNames(uid(1 + node))).status())
+            assertThat(cluster.submit(node, withLongNames(uid(1 + node))).status())
                     .isEqualTo(201);
         }
-        assertThat(world.state().keysUnder("plan-overflow/")).isEmpty();
-        upgradeAll(world);
-        world.state().limits(6, 2 * 1024, 30);
+        assertThat(cluster.store().keysWithPrefix("plan-overflow/")).isEmpty();
+        upgradeAll(cluster);
+        cluster.store().setLimits(6, 2 * 1024, 30);
         for (int node = 0; node < NODES; node++) {
-            assertThat(world.submit(node, withLongNames(uid(11 + node))).status())
+            assertThat(cluster.submit(node, withLongNames(uid(11 + node))).status())
                     .isEqualTo(201);
-            assertThat(world.submit(node, withLongNames(uid(11 + node))).status())
+            assertThat(cluster.submit(node, withLongNames(uid(11 + node))).status())
                     .isEqualTo(200);
         }
-        assertThat(world.state().keysUnder("plan-overflow/")).isNotEmpty();
-        world.kill(world.leader());
-        world.seconds(10);
-        upgradeAll(world);
-        everythingEnds(world, 13, List.of());
+        assertThat(cluster.store().keysWithPrefix("plan-overflow/")).isNotEmpty();
+        cluster.kill(cluster.leader());
+        cluster.runSeconds(10);
+        upgradeAll(cluster);
+        assertAllJobsFinish(cluster, 13, List.of());
     }
 
     private static ObjectNode withLongNames(String uid) {
@@ -300,50 +304,51 @@
 
     @Test
     void afterTheUpgradeJobsMayAwaitWhatThePreviousVersionAccepted() {
-        SimCluster world = previousVersion(61);
+        SimCluster cluster = startPreviousVersion(61);
         int done = 1;
         int running = 2;
         int cancelled = 3;
-        world.submit(0, SimCluster.job(uid(done), 2));
-        world.untilStarted(2, SECOND);
-        world.until(() -> world.stage(1, uid(done)).equals("done"));
-        world.submit(1, SimCluster.job(uid(running), 2));
-        world.submit(2, SimCluster.job(uid(cancelled), 2));
-        world.untilStarted(5, 30 * SECOND);
-        world.cancel(1, uid(cancelled));
-        upgradeAll(world);
+        cluster.submit(0, SimCluster.job(uid(done), 2));
+        cluster.runUntilStarted(2, SECOND);
+        cluster.runUntil(() -> cluster.stage(1, uid(done)).equals("done"));
+        cluster.submit(1, SimCluster.job(uid(running), 2));
+        cluster.submit(2, SimCluster.job(uid(cancelled), 2));
+        cluster.runUntilStarted(5, 30 * SECOND);
+        cluster.cancel(1, uid(cancelled));
+        upgradeAll(cluster);
         for (int node = 0; node < NODES; node++) {
             int number = 10 + 10 * node;
             ObjectNode awaitsNothing = SimCluster.job(uid(number), 1).putNull("awaits");
-            assertThat(world.submit(node, awaitsNothing).status()).isEqualTo(201);
-            assertThat(world.submit(node, SimCluster.job(uid(number + 1), 1, uid(done)))
+            assertThat(cluster.submit(node, awaitsNothing).status()).isEqualTo(201);
+            assertThat(cluster.submit(node, SimCluster.job(uid(number + 1), 1, uid(done)))
                             .status())
                     .isEqualTo(201);
-            assertThat(world.submit(node, SimCluster.job(uid(number + 2), 1, uid(running), uid(done)))
+            assertThat(cluster.submit(node, SimCluster.job(uid(number + 2), 1, uid(running), uid(done)))
                             .status())
                     .isEqualTo(201);
-            HttpResponse closed = world.submit(node, SimCluster.job(uid(number + 3), 1, uid(running), uid(cancelled)));
+            HttpResponse closed =
+                    cluster.submit(node, SimCluster.job(uid(number + 3), 1, uid(running), uid(cancelled)));
             assertThat(closed.status()).isEqualTo(201);
             assertThat(closed.json().path("stage").asText()).isEqualTo("withdrawn");
-            assertThat(world.submit(node, SimCluster.job(uid(number + 4), 1, uid(99)))
+            assertThat(cluster.submit(node, SimCluster.job(uid(number + 4), 1, uid(99)))
                             .status())
                     .isEqualTo(422);
             ObjectNode malformed = SimCluster.job(uid(number + 5), 1).put("awaits", uid(done));
-            assertThat(world.submit(node, malformed).status()).isEqualTo(400);
+            assertThat(cluster.submit(node, malformed).status()).isEqualTo(400);
             // A job that the previous version accepted stays as it was, whatever a repeat names.
-            assertThat(world.submit(node, SimCluster.job(uid(done), 2, uid(99)))
+            assertThat(cluster.submit(node, SimCluster.job(uid(done), 2, uid(99)))
                             .json()
                             .path("stage")
                             .asText())
                     .isEqualTo("done");
         }
-        world.seconds(60);
+        cluster.runSeconds(60);
         for (int number = 10; number <= 30; number += 10) {
-            everyNodeSays(world, uid(number), "done");
-            everyNodeSays(world, uid(number + 1), "done");
-            everyNodeSays(world, uid(number + 2), "done");
-            everyNodeSays(world, uid(number + 3), "withdrawn");
+            assertStageOnAllNodes(cluster, uid(number), "done");
+            assertStageOnAllNodes(cluster, uid(number + 1), "done");
+            assertStageOnAllNodes(cluster, uid(number + 2), "done");
+            assertStageOnAllNodes(cluster, uid(number + 3), "withdrawn");
         }
-        assertThat(world.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 }
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -139,13 +139,15 @@
                 "hire/r-5-12",
                 RENTAL));
         samples.forEach((key, value) ->
-                assertThat(PreviousVersion.understood(key, json(value))).isEqualTo(json(value)));
+                assertThat(PreviousVersion.withoutNewerFields(key, json(value))).isEqualTo(json(value)));
         ObjectNode chained = (ObjectNode) json(PLAN);
         ((ObjectNode) chained.path("job")).putArray("awaits").add("job-000398");
-        assertThat(PreviousVersion.understood("plan/job-000412", chained)).isEqualTo(json(PLAN));
+        assertThat(PreviousVersion.withoutNewerFields("plan/job-000412", chained))
+                .isEqualTo(json(PLAN));
         ObjectNode inParts = ((ObjectNode) json(RUNNING)).put("per", 8).put("ready_us", 7);
         inParts.putArray("gens").add(1);
-        assertThat(PreviousVersion.understood("run/job-000412", inParts)).isEqualTo(json(RUNNING));
+        assertThat(PreviousVersion.withoutNewerFields("run/job-000412", inParts))
+                .isEqualTo(json(RUNNING));
     }
 
     /** Guards its readers: nothing is added or ordered otherwise in what they take up. */
@@ -206,20 +208,20 @@
     /** Guards its takeover: it takes whatever follows a slash under run/ for a number, and lists no other prefix. */
     @Test
     void itsListsHoldOnlyWhatItKnows() {
-        SimCluster world = new SimCluster(41);
-        world.seconds(2);
+        SimCluster cluster = new SimCluster(41);
+        cluster.runSeconds(2);
         for (int job = 1; job <= 6; job++) {
-            world.submit(job % 3, SimCluster.job("job-%06d".formatted(job), 5));
+            cluster.submit(job % 3, SimCluster.job("job-%06d".formatted(job), 5));
         }
-        world.cancel(0, "job-000003");
-        world.seconds(20);
-        assertThat(world.state().keysUnder(""))
+        cluster.cancel(0, "job-000003");
+        cluster.runSeconds(20);
+        assertThat(cluster.store().keysWithPrefix(""))
                 .allMatch(key ->
                         key.matches("plan/job-[0-9]+|run/job-[0-9]+(/[0-9]+)?|withdraw/job-[0-9]+|hire/[a-z0-9.-]+"
                                 + "|term|leader|flavors"));
-        for (String key : world.state().keysUnder("run/")) {
-            assertThat(world.state().value(key).path("bits").isTextual()
-                            || world.state().value(key).path("stage").asText().equals("done"))
+        for (String key : cluster.store().keysWithPrefix("run/")) {
+            assertThat(cluster.store().value(key).path("bits").isTextual()
+                            || cluster.store().value(key).path("stage").asText().equals("done"))
                     .as(key)
                     .isTrue();
         }
--- a/src/test/java/io/sillreel/admission/AdmissionTest.java
+++ b/src/test/java/io/sillreel/admission/AdmissionTest.java
@@ -15,15 +15,15 @@
 import org.junit.jupiter.api.Test;
 
 class AdmissionTest {
-    private final SimCluster world = new SimCluster(5);
+    private final SimCluster cluster = new SimCluster(5);
 
     @BeforeEach
     void begin() {
-        world.seconds(2);
+        cluster.runSeconds(2);
     }
 
     private HttpResponse submit(String body) {
-        return world.ask(0, new HttpRequest("POST", "/v2/runs", body.getBytes(StandardCharsets.UTF_8)));
+        return cluster.send(0, new HttpRequest("POST", "/v2/runs", body.getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
@@ -47,11 +47,11 @@
         for (Consumer<ObjectNode> mistake : mistakes) {
             ObjectNode job = SimCluster.job("job-000001", 1);
             mistake.accept(job);
-            HttpResponse response = world.submit(0, job);
+            HttpResponse response = cluster.submit(0, job);
             assertThat(response.status()).as(job.toString()).isEqualTo(400);
             assertThat(response.json().path("error").asText()).isNotBlank();
         }
-        assertThat(world.poll(0, "job-000001").status()).isEqualTo(404);
+        assertThat(cluster.poll(0, "job-000001").status()).isEqualTo(404);
     }
 
     @Test
@@ -59,7 +59,7 @@
         assertThat(submit("not json").status()).isEqualTo(400);
         assertThat(submit("[1]").status()).isEqualTo(400);
         assertThat(submit("{} {}").status()).isEqualTo(400);
-        assertThat(world.poll(0, "job-000001").status()).isEqualTo(404);
+        assertThat(cluster.poll(0, "job-000001").status()).isEqualTo(404);
     }
 
     @Test
@@ -74,108 +74,114 @@
         for (Consumer<ObjectNode> mistake : mistakes) {
             ObjectNode job = SimCluster.job("job-000001", 1);
             mistake.accept(job);
-            assertThat(world.submit(0, job).status()).as(job.toString()).isEqualTo(422);
+            assertThat(cluster.submit(0, job).status()).as(job.toString()).isEqualTo(422);
         }
     }
 
     @Test
     void unknownPathsAreNotFound() {
-        assertThat(world.ask(0, HttpRequest.get("/v2/else")).status()).isEqualTo(404);
+        assertThat(cluster.send(0, HttpRequest.get("/v2/else")).status()).isEqualTo(404);
     }
 
     @Test
     void otherMethodsOfAKnownPathAreNotAllowed() {
-        assertThat(world.ask(0, HttpRequest.get("/v2/runs")).status()).isEqualTo(405);
-        assertThat(world.ask(0, HttpRequest.post("/v2/runs/job-000001", Json.object()))
+        assertThat(cluster.send(0, HttpRequest.get("/v2/runs")).status()).isEqualTo(405);
+        assertThat(cluster.send(0, HttpRequest.post("/v2/runs/job-000001", Json.object()))
                         .status())
                 .isEqualTo(405);
-        assertThat(world.ask(0, HttpRequest.get("/v2/runs/job-000001/withdraw")).status())
+        assertThat(cluster.send(0, HttpRequest.get("/v2/runs/job-000001/withdraw"))
+                        .status())
                 .isEqualTo(405);
     }
 
     @Test
     void healthCheckIsAnswered() {
-        assertThat(world.ask(0, HttpRequest.get("/up")).status()).isEqualTo(200);
+        assertThat(cluster.send(0, HttpRequest.get("/up")).status()).isEqualTo(200);
     }
 
     /** Guards the order of the checks: an accepted job is answered as such whatever its repeat now says. */
     @Test
     void aRepeatedSubmissionOfADoneJobIsAnsweredWithItsStatusThoughMalformed() {
-        world.submit(0, SimCluster.job("job-000001", 1));
-        world.seconds(30);
+        cluster.submit(0, SimCluster.job("job-000001", 1));
+        cluster.runSeconds(30);
         for (int node = 0; node < 3; node++) {
-            world.restart(node);
+            cluster.restart(node);
         }
-        world.seconds(3);
+        cluster.runSeconds(3);
         ObjectNode odd = SimCluster.job("job-000001", 1);
         odd.put("crew", "nobody").remove("rank");
-        HttpResponse response = world.submit(1, odd);
+        HttpResponse response = cluster.submit(1, odd);
         assertThat(response.status()).isEqualTo(200);
         assertThat(response.json().path("stage").asText()).isEqualTo("done");
-        assertThat(world.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     @Test
     void duringAnOutageOfTheStoreOnlyFinalStatusesAreTold() {
-        world.submit(0, SimCluster.job("job-000001", 1));
-        world.seconds(30);
-        assertThat(world.stage(0, "job-000001")).isEqualTo("done");
-        world.submit(0, SimCluster.job("job-000002", 1));
-        world.state().outage(true);
-        assertThat(world.stage(0, "job-000001")).isEqualTo("done");
-        HttpResponse unfinished = world.poll(0, "job-000002");
+        cluster.submit(0, SimCluster.job("job-000001", 1));
+        cluster.runSeconds(30);
+        assertThat(cluster.stage(0, "job-000001")).isEqualTo("done");
+        cluster.submit(0, SimCluster.job("job-000002", 1));
+        cluster.store().setOutage(true);
+        assertThat(cluster.stage(0, "job-000001")).isEqualTo("done");
+        HttpResponse unfinished = cluster.poll(0, "job-000002");
         assertThat(unfinished.status()).isEqualTo(503);
         assertThat(unfinished.retryAfterSeconds()).isPositive();
-        assertThat(world.poll(0, "job-000003").status()).isEqualTo(503);
-        assertThat(world.submit(0, SimCluster.job("job-000004", 1)).status()).isEqualTo(503);
+        assertThat(cluster.poll(0, "job-000003").status()).isEqualTo(503);
+        assertThat(cluster.submit(0, SimCluster.job("job-000004", 1)).status()).isEqualTo(503);
     }
 
     /** Guards against waiting for a store that does not respond: after the first timeout users are answered at once. */
     @Test
     void aControllerWithoutTheStoreRefusesAtOnceAndServesAgainOnceItIsBack() {
-        int cut = (world.leader() + 1) % 3;
-        SimNetwork.Rule rule = world.network()
-                .add((from, to, request) ->
-                        from.equals("10.0.0." + cut) && to.equals("state:1") ? SimNetwork.Fate.LOSE : null);
-        world.seconds(15);
-        long before = world.time().nowMicros();
-        assertThat(world.submit(cut, SimCluster.job("job-000001", 1)).status()).isEqualTo(503);
-        assertThat(world.poll(cut, "job-000002").status()).isEqualTo(503);
-        assertThat(world.time().nowMicros() - before).isLessThan(100_000);
-        world.network().remove(rule);
-        world.seconds(5);
-        assertThat(world.submit(cut, SimCluster.job("job-000001", 1)).status()).isEqualTo(201);
+        int cut = (cluster.leader() + 1) % 3;
+        SimNetwork.Rule rule = cluster.network()
+                .addRule((from, to, request) ->
+                        from.equals("10.0.0." + cut) && to.equals("state:1") ? SimNetwork.Action.DROP : null);
+        cluster.runSeconds(15);
+        long before = cluster.time().nowMicros();
+        assertThat(cluster.submit(cut, SimCluster.job("job-000001", 1)).status())
+                .isEqualTo(503);
+        assertThat(cluster.poll(cut, "job-000002").status()).isEqualTo(503);
+        assertThat(cluster.time().nowMicros() - before).isLessThan(100_000);
+        cluster.network().removeRule(rule);
+        cluster.runSeconds(5);
+        assertThat(cluster.submit(cut, SimCluster.job("job-000001", 1)).status())
+                .isEqualTo(201);
     }
 
     @Test
     void aCancelledJobStaysCancelledAndItsTasksEnd() {
-        world.submit(0, SimCluster.job("job-000001", 4));
-        world.until(() -> {
-            world.cloud().machines().values().forEach(worker -> worker.runMicros(500_000_000));
-            return world.starts() >= 4;
+        cluster.submit(0, SimCluster.job("job-000001", 4));
+        cluster.runUntil(() -> {
+            cluster.cloud().machines().values().forEach(worker -> worker.setRunMicros(500_000_000));
+            return cluster.startCount() >= 4;
         });
-        assertThat(world.cancel(1, "job-000001").json().path("stage").asText()).isEqualTo("withdrawn");
-        world.seconds(3);
-        assertThat(world.cloud().machines().values())
-                .allMatch(worker -> worker.running().isEmpty());
-        assertThat(world.stage(2, "job-000001")).isEqualTo("withdrawn");
-        assertThat(world.cancel(0, "job-000099").status()).isEqualTo(404);
+        assertThat(cluster.cancel(1, "job-000001").json().path("stage").asText())
+                .isEqualTo("withdrawn");
+        cluster.runSeconds(3);
+        assertThat(cluster.cloud().machines().values())
+                .allMatch(worker -> worker.runningTasks().isEmpty());
+        assertThat(cluster.stage(2, "job-000001")).isEqualTo("withdrawn");
+        assertThat(cluster.cancel(0, "job-000099").status()).isEqualTo(404);
     }
 
     /** Guards the condition of the write of a done job: the leader does not know of the stored cancellation. */
     @Test
     void aCancellationUnknownToTheLeaderKeepsTheJobFromBeingStoredAsDone() {
-        world.submit(0, SimCluster.job("job-000001", 1));
-        world.until(() -> world.starts() >= 1);
-        world.network()
-                .add((from, to, request) ->
-                        request.path().startsWith("/watch?prefix=withdraw/") ? SimNetwork.Fate.LOSE : null);
-        world.seconds(1.2);
-        assertThat(world.cancel(1, "job-000001").json().path("stage").asText()).isEqualTo("withdrawn");
-        world.seconds(5);
-        assertThat(world.state().value("run/job-000001").path("stage").asText()).isNotEqualTo("done");
-        assertThat(world.stage(2, "job-000001")).isEqualTo("withdrawn");
-        assertThat(world.broken()).isEmpty();
+        cluster.submit(0, SimCluster.job("job-000001", 1));
+        cluster.runUntil(() -> cluster.startCount() >= 1);
+        cluster.network()
+                .addRule((from, to, request) ->
+                        request.path().startsWith("/watch?prefix=withdraw/") ? SimNetwork.Action.DROP : null);
+        cluster.runSeconds(1.2);
+        assertThat(cluster.cancel(1, "job-000001").json().path("stage").asText())
+                .isEqualTo("withdrawn");
+        cluster.runSeconds(5);
+        assertThat(cluster.store().value("run/job-000001").path("stage").asText())
+                .isNotEqualTo("done");
+        assertThat(cluster.stage(2, "job-000001")).isEqualTo("withdrawn");
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards that done and cancelled exclude each other: whichever is stored first stays, on every controller. */
@@ -183,16 +189,16 @@
     void aCancellationThatRacesWithTheEndIsToldAlikeByAllControllers() {
         for (int round = 0; round < 12; round++) {
             String uid = "job-00010" + round;
-            world.submit(0, SimCluster.job(uid, 1));
-            int starts = world.starts();
-            world.until(() -> world.starts() > starts);
-            world.seconds(2.9 + 0.05 * round);
-            String told = world.cancel(round % 3, uid).json().path("stage").asText();
-            world.seconds(2);
+            cluster.submit(0, SimCluster.job(uid, 1));
+            int starts = cluster.startCount();
+            cluster.runUntil(() -> cluster.startCount() > starts);
+            cluster.runSeconds(2.9 + 0.05 * round);
+            String told = cluster.cancel(round % 3, uid).json().path("stage").asText();
+            cluster.runSeconds(2);
             for (int node = 0; node < 3; node++) {
-                assertThat(world.stage(node, uid)).isEqualTo(told);
+                assertThat(cluster.stage(node, uid)).isEqualTo(told);
             }
         }
-        assertThat(world.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 }
--- a/src/test/java/io/sillreel/admission/JobStatusServiceTest.java
+++ b/src/test/java/io/sillreel/admission/JobStatusServiceTest.java
@@ -7,7 +7,7 @@
 import io.sillreel.pipeline.PlanRecordCodec;
 import io.sillreel.sim.SimCluster;
 import io.sillreel.sim.SimNetwork;
-import io.sillreel.sim.SimStateStore;
+import io.sillreel.sim.SimStateService;
 import io.sillreel.sim.SimTime;
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.Transaction;
@@ -27,8 +27,8 @@
     private int jobs;
 
     JobStatusServiceTest() throws MalformedSubmissionException {
-        network.listen("state:1", new SimStateStore(time, 100, 8192, 10_000));
-        store = network.stateStore(process, 1_000, 10_000);
+        network.listen("state:1", new SimStateService(time, 100, 8192, 10_000));
+        store = network.newStateStoreClient(process, 1_000, 10_000);
         for (int step = 0; step < CHAIN; step++) {
             addJob(step > 0);
         }
--- a/src/test/java/io/sillreel/admission/UserSamplesTest.java
+++ b/src/test/java/io/sillreel/admission/UserSamplesTest.java
@@ -22,7 +22,7 @@
 import io.sillreel.settings.Settings;
 import io.sillreel.settings.SettingsReader;
 import io.sillreel.sim.SimCluster;
-import io.sillreel.sim.SimStateStore;
+import io.sillreel.sim.SimStateService;
 import io.sillreel.sim.SimTime;
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.Transaction;
@@ -41,8 +41,8 @@
 
     private final Settings settings = SettingsReader.parse(GoldenSamples.read("settings.toml"));
     private final SimTime time = new SimTime();
-    private final SimStateStore state = new SimStateStore(time, 20, 8_192, 1_000);
-    private final Transcript transcript = new Transcript(state::handle);
+    private final SimStateService stateService = new SimStateService(time, 20, 8_192, 1_000);
+    private final Transcript transcript = new Transcript(stateService::handle);
     private final SimTime.Process process = time.new Process();
     private final StateStore store = new StateStore(
             transcript,
@@ -146,7 +146,7 @@
         machineTypes = Map.of();
         submit("job-1", job -> {});
         machineTypes = TYPES;
-        state.outage(true);
+        stateService.setOutage(true);
         submit("job-1", job -> {});
         send(HttpRequest.get("/v2/runs/job-1"));
         send(HttpRequest.post("/v2/runs/job-1/withdraw", Json.object()));
--- a/src/test/java/io/sillreel/agent/HeartbeatTest.java
+++ b/src/test/java/io/sillreel/agent/HeartbeatTest.java
@@ -5,26 +5,26 @@
 import io.sillreel.http.HttpRequest;
 import io.sillreel.http.Json;
 import io.sillreel.sim.SimCluster;
-import io.sillreel.sim.SimNetwork.Fate;
+import io.sillreel.sim.SimNetwork.Action;
 import io.sillreel.sim.SimNetwork.Rule;
 import io.sillreel.sim.SimWorker;
 import io.sillreel.sim.TaskSteps;
 import org.junit.jupiter.api.Test;
 
 class HeartbeatTest {
-    private final SimCluster world = new SimCluster(2);
+    private final SimCluster cluster = new SimCluster(2);
 
     private SimWorker firstMachine() {
-        world.until(() -> !world.cloud().machines().isEmpty());
-        return world.cloud().machines().firstEntry().getValue();
+        cluster.runUntil(() -> !cluster.cloud().machines().isEmpty());
+        return cluster.cloud().machines().firstEntry().getValue();
     }
 
     /** The machine on which the first task runs. */
     private SimWorker firstBusyMachine() {
-        world.until(() -> world.cloud().machines().values().stream()
-                .anyMatch(worker -> !worker.running().isEmpty()));
-        return world.cloud().machines().values().stream()
-                .filter(worker -> !worker.running().isEmpty())
+        cluster.runUntil(() -> cluster.cloud().machines().values().stream()
+                .anyMatch(worker -> !worker.runningTasks().isEmpty()));
+        return cluster.cloud().machines().values().stream()
+                .filter(worker -> !worker.runningTasks().isEmpty())
                 .findFirst()
                 .orElseThrow();
     }
@@ -36,11 +36,11 @@
     /** Guards the rule that a launch which the next report lacks did not happen. */
     @Test
     void aLaunchWhoseResponseIsLostIsGivenAgain() {
-        world.seconds(2);
-        world.submit(0, SimCluster.job("job-000001", 1));
+        cluster.runSeconds(2);
+        cluster.submit(0, SimCluster.job("job-000001", 1));
         SimWorker worker = firstMachine();
         boolean[] lost = {false};
-        world.network().add((from, to, request) -> {
+        cluster.network().addRule((from, to, request) -> {
             // The first report that shows the current token is the one whose response launches.
             if (lost[0]
                     || !isHeartbeatOf(worker, from, request)
@@ -48,30 +48,31 @@
                 return null;
             }
             lost[0] = true;
-            return Fate.LOSE_ANSWER;
+            return Action.DROP_RESPONSE;
         });
-        world.until(() -> lost[0]);
-        assertThat(world.starts()).isZero();
-        world.seconds(4 + 1 + 1 + 2);
-        assertThat(world.starts()).isEqualTo(1);
-        world.seconds(10);
-        assertThat(world.stage(0, "job-000001")).isEqualTo("done");
-        assertThat(world.broken()).isEmpty();
+        cluster.runUntil(() -> lost[0]);
+        assertThat(cluster.startCount()).isZero();
+        cluster.runSeconds(4 + 1 + 1 + 2);
+        assertThat(cluster.startCount()).isEqualTo(1);
+        cluster.runSeconds(10);
+        assertThat(cluster.stage(0, "job-000001")).isEqualTo("done");
+        assertThat(cluster.violations()).isEmpty();
     }
 
     @Test
     void aMachineSilentWithinItsLeaseKeepsItsTasks() {
-        world.seconds(2);
-        world.submit(0, SimCluster.job("job-000001", 2));
+        cluster.runSeconds(2);
+        cluster.submit(0, SimCluster.job("job-000001", 2));
         SimWorker worker = firstBusyMachine();
-        worker.prolong(12_000_000);
-        Rule cut = world.network().add((from, to, request) -> isHeartbeatOf(worker, from, request) ? Fate.LOSE : null);
-        world.seconds(3);
-        world.network().remove(cut);
-        world.seconds(40);
-        assertThat(world.stage(0, "job-000001")).isEqualTo("done");
-        assertThat(world.starts()).isEqualTo(2);
-        assertThat(world.broken()).isEmpty();
+        worker.extendRunningTasks(12_000_000);
+        Rule cut = cluster.network()
+                .addRule((from, to, request) -> isHeartbeatOf(worker, from, request) ? Action.DROP : null);
+        cluster.runSeconds(3);
+        cluster.network().removeRule(cut);
+        cluster.runSeconds(40);
+        assertThat(cluster.stage(0, "job-000001")).isEqualTo("done");
+        assertThat(cluster.startCount()).isEqualTo(2);
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /**
@@ -80,116 +81,118 @@
      */
     @Test
     void aMachineSilentBeyondItsLeaseSendsAnOldReportLater() {
-        world.seconds(2);
-        world.submit(0, SimCluster.job("job-000001", 4));
+        cluster.runSeconds(2);
+        cluster.submit(0, SimCluster.job("job-000001", 4));
         SimWorker worker = firstBusyMachine();
-        worker.prolong(60_000_000);
-        Rule hold = world.network().add((from, to, request) -> isHeartbeatOf(worker, from, request) ? Fate.HOLD : null);
-        world.seconds(13.5);
-        world.until(() -> world.starts() >= 5);
-        world.cloud().machines().values().forEach(machine -> machine.runMicros(20_000_000));
-        world.network().remove(hold);
-        world.network().release();
-        world.seconds(60);
-        assertThat(world.stage(0, "job-000001")).isEqualTo("done");
-        assertThat(world.broken()).isEmpty();
+        worker.extendRunningTasks(60_000_000);
+        Rule hold = cluster.network()
+                .addRule((from, to, request) -> isHeartbeatOf(worker, from, request) ? Action.HOLD : null);
+        cluster.runSeconds(13.5);
+        cluster.runUntil(() -> cluster.startCount() >= 5);
+        cluster.cloud().machines().values().forEach(machine -> machine.setRunMicros(20_000_000));
+        cluster.network().removeRule(hold);
+        cluster.network().releaseHeld();
+        cluster.runSeconds(60);
+        assertThat(cluster.stage(0, "job-000001")).isEqualTo("done");
+        assertThat(cluster.violations()).isEmpty();
     }
 
     @Test
     void aDeadMachinesTasksRunElsewhere() {
-        world.seconds(2);
-        world.submit(0, SimCluster.job("job-000001", 2));
+        cluster.runSeconds(2);
+        cluster.submit(0, SimCluster.job("job-000001", 2));
         SimWorker worker = firstBusyMachine();
-        worker.prolong(60_000_000);
-        world.cloud().take(worker.name());
-        world.seconds(40);
-        assertThat(world.stage(0, "job-000001")).isEqualTo("done");
-        assertThat(world.broken()).isEmpty();
+        worker.extendRunningTasks(60_000_000);
+        cluster.cloud().reclaim(worker.name());
+        cluster.runSeconds(40);
+        assertThat(cluster.stage(0, "job-000001")).isEqualTo("done");
+        assertThat(cluster.violations()).isEmpty();
     }
 
     @Test
     void aFaultyMachineIsToldFromAMistakenJob() {
-        world.seconds(2);
-        world.mistaken("job-000002");
-        world.submit(0, SimCluster.job("job-000001", 3));
-        world.seconds(15);
+        cluster.runSeconds(2);
+        cluster.failTasksOf("job-000002");
+        cluster.submit(0, SimCluster.job("job-000001", 3));
+        cluster.runSeconds(15);
         SimWorker worker = firstMachine();
-        worker.faulty(true);
-        world.submit(0, SimCluster.job("job-000002", 2));
-        world.submit(0, SimCluster.job("job-000003", 6));
-        world.seconds(90);
-        assertThat(world.stage(0, "job-000003")).isEqualTo("done");
-        assertThat(world.cloud().machines()).doesNotContainKey(worker.name());
-        assertThat(world.poll(0, "job-000002").json().path("reason").asText()).contains("failed on");
-        assertThat(world.broken()).isEmpty();
+        worker.setTasksFail(true);
+        cluster.submit(0, SimCluster.job("job-000002", 2));
+        cluster.submit(0, SimCluster.job("job-000003", 6));
+        cluster.runSeconds(90);
+        assertThat(cluster.stage(0, "job-000003")).isEqualTo("done");
+        assertThat(cluster.cloud().machines()).doesNotContainKey(worker.name());
+        assertThat(cluster.poll(0, "job-000002").json().path("reason").asText()).contains("failed on");
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards against a suspect that is never judged: it was kept, paid for and idle, after the job had succeeded. */
     @Test
     void aMachineThatFailedAJobWhichThenSucceedsElsewhereIsReturned() {
-        world.seconds(2);
-        world.submit(0, SimCluster.job("job-000001", 2));
+        cluster.runSeconds(2);
+        cluster.submit(0, SimCluster.job("job-000001", 2));
         SimWorker worker = firstMachine();
-        worker.faulty(true);
-        world.submit(0, SimCluster.job("job-000002", 8));
-        world.seconds(60);
-        assertThat(world.stage(0, "job-000001")).isEqualTo("done");
-        assertThat(world.stage(0, "job-000002")).isEqualTo("done");
-        assertThat(world.cloud().machines()).doesNotContainKey(worker.name());
-        assertThat(world.broken()).isEmpty();
+        worker.setTasksFail(true);
+        cluster.submit(0, SimCluster.job("job-000002", 8));
+        cluster.runSeconds(60);
+        assertThat(cluster.stage(0, "job-000001")).isEqualTo("done");
+        assertThat(cluster.stage(0, "job-000002")).isEqualTo("done");
+        assertThat(cluster.cloud().machines()).doesNotContainKey(worker.name());
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards the difference between a slow machine and a wrong estimate: tasks of one job alone say nothing. */
     @Test
     void aSlowMachineIsReturnedAndAWrongEstimateIsNotHeldAgainstIt() {
-        world.seconds(2);
-        world.submit(0, SimCluster.job("job-000001", 4));
+        cluster.runSeconds(2);
+        cluster.submit(0, SimCluster.job("job-000001", 4));
         SimWorker worker = firstBusyMachine();
-        world.until(() -> world.stage(0, "job-000001").equals("done"));
-        world.submit(0, SimCluster.job("job-000002", 2));
-        world.until(() -> !worker.running().isEmpty());
-        worker.prolong(15_000_000);
-        world.seconds(20);
-        assertThat(world.cloud().machines()).containsKey(worker.name());
-        worker.runMicros(30_000_000);
-        world.submit(0, SimCluster.job("job-000003", 1));
-        world.submit(0, SimCluster.job("job-000004", 1));
+        cluster.runUntil(() -> cluster.stage(0, "job-000001").equals("done"));
+        cluster.submit(0, SimCluster.job("job-000002", 2));
+        cluster.runUntil(() -> !worker.runningTasks().isEmpty());
+        worker.extendRunningTasks(15_000_000);
+        cluster.runSeconds(20);
+        assertThat(cluster.cloud().machines()).containsKey(worker.name());
+        worker.setRunMicros(30_000_000);
+        cluster.submit(0, SimCluster.job("job-000003", 1));
+        cluster.submit(0, SimCluster.job("job-000004", 1));
         // Returned when its tasks have ended, long before an idle machine would be.
-        world.seconds(36);
-        assertThat(world.cloud().machines()).doesNotContainKey(worker.name());
-        world.seconds(10);
-        assertThat(world.stage(0, "job-000004")).isEqualTo("done");
+        cluster.runSeconds(36);
+        assertThat(cluster.cloud().machines()).doesNotContainKey(worker.name());
+        cluster.runSeconds(10);
+        assertThat(cluster.stage(0, "job-000004")).isEqualTo("done");
     }
 
     /** Guards the worst case: a machine that a new leader has not heard of may run anything of the team's. */
     @Test
     void aMachineNotHeardOfCountsAgainstTheTeamsLimit() {
         SimCluster limited = new SimCluster(6, 6);
-        limited.seconds(2);
+        limited.runSeconds(2);
         limited.submit(0, SimCluster.job("job-000001", 6));
         String machine = TaskSteps.leaveTasksOnOneMachine(limited, 6);
         int leader = limited.leader();
         int other = (leader + 1) % 3;
         limited.kill(leader);
-        limited.network().add((from, to, request) -> from.equals(machine) || to.startsWith(machine) ? Fate.LOSE : null);
+        limited.network()
+                .addRule((from, to, request) -> from.equals(machine) || to.startsWith(machine) ? Action.DROP : null);
         limited.submit(other, SimCluster.job("job-000002", 6));
-        limited.seconds(60);
-        assertThat(limited.starts()).isGreaterThan(6);
-        assertThat(limited.broken()).isEmpty();
+        limited.runSeconds(60);
+        assertThat(limited.startCount()).isGreaterThan(6);
+        assertThat(limited.violations()).isEmpty();
     }
 
     @Test
     void theTeamsLimitHoldsWhileTheLeaderChanges() {
         SimCluster limited = new SimCluster(3, 6);
-        limited.seconds(2);
+        limited.runSeconds(2);
         limited.submit(0, SimCluster.job("job-000001", 20));
         limited.submit(1, SimCluster.job("job-000002", 20));
-        limited.seconds(12);
+        limited.runSeconds(12);
         limited.kill(limited.leader());
-        limited.seconds(120);
+        limited.runSeconds(120);
         int up = limited.isUp(0) ? 0 : 1;
         assertThat(limited.stage(up, "job-000001")).isEqualTo("done");
         assertThat(limited.stage(up, "job-000002")).isEqualTo("done");
-        assertThat(limited.broken()).isEmpty();
+        assertThat(limited.violations()).isEmpty();
     }
 }
--- a/src/test/java/io/sillreel/cloud/CloudClientTest.java
+++ b/src/test/java/io/sillreel/cloud/CloudClientTest.java
@@ -12,7 +12,7 @@
 import io.sillreel.http.Json;
 import io.sillreel.overload.RateLimiter;
 import io.sillreel.sim.SimNetwork;
-import io.sillreel.sim.SimNetwork.Fate;
+import io.sillreel.sim.SimNetwork.Action;
 import io.sillreel.sim.SimTime;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -29,7 +29,8 @@
     private final SimNetwork network = new SimNetwork(time, 1);
     private final SimTime.Process process = time.new Process();
     private final RateLimiter rateLimiter = new RateLimiter(process, RATE, RATE);
-    private final CloudClient cloud = new CloudClient(network.from("node", process), process, "cloud:1", rateLimiter);
+    private final CloudClient cloud =
+            new CloudClient(network.clientOf("node", process), process, "cloud:1", rateLimiter);
     private int requests;
 
     CloudClientTest() {
@@ -82,7 +83,7 @@
         List<String> many =
                 IntStream.range(0, 250).mapToObj("host-%06d"::formatted).toList();
         int[] named = new int[1];
-        network.add((from, to, request) -> {
+        network.addRule((from, to, request) -> {
             named[0] = Json.parse(request.body()).path("hoppers").size();
             return null;
         });
@@ -93,7 +94,7 @@
 
     @Test
     void aRefusedPageIsRequestedAgain() {
-        network.add((from, to, request) -> requests++ % 3 == 0 ? Fate.REFUSE : null);
+        network.addRule((from, to, request) -> requests++ % 3 == 0 ? Action.REJECT : null);
         CompletableFuture<MachineList> list = cloud.listMachines();
         time.runFor(60 * SECOND);
         assertThat(list.join().machines()).hasSize(MACHINES);
@@ -101,8 +102,8 @@
 
     @Test
     void anOutageEndsTheList() {
-        network.add((from, to, request) -> Fate.REFUSE);
-        network.silence("cloud:1");
+        network.addRule((from, to, request) -> Action.REJECT);
+        network.stopListening("cloud:1");
         CompletableFuture<MachineList> refused = cloud.listMachines();
         time.runFor(60 * SECOND);
         assertThat(refused.join().outcome()).isNotEqualTo(Outcome.OK);
--- a/src/test/java/io/sillreel/cloud/CloudSamplesTest.java
+++ b/src/test/java/io/sillreel/cloud/CloudSamplesTest.java
@@ -9,7 +9,7 @@
 import io.sillreel.golden.GoldenSamples;
 import io.sillreel.golden.GoldenSamples.Transcript;
 import io.sillreel.overload.RateLimiter;
-import io.sillreel.sim.SimStateStore;
+import io.sillreel.sim.SimStateService;
 import io.sillreel.sim.SimTime;
 import io.sillreel.statestore.StateStore;
 import java.util.ArrayDeque;
@@ -85,10 +85,10 @@
 
     @Test
     void storesTheMachineTypesAndReadsThemBack() {
-        SimStateStore state = new SimStateStore(time, 20, 8_192, 1_000);
+        SimStateService stateService = new SimStateService(time, 20, 8_192, 1_000);
         Transcript transcript = new Transcript(request -> request.path().equals("/flavors")
                 ? CompletableFuture.completedFuture(response(TYPES))
-                : state.handle(request));
+                : stateService.handle(request));
         StateStore store = new StateStore(transcript, transcript, process, "state:1", unlimited(), unlimited());
         for (int start = 0; start < 2; start++) {
             MachineTypeCatalog catalog = new MachineTypeCatalog(store, cloud(transcript), process, () -> false);
@@ -96,7 +96,7 @@
             time.runFor(500_000);
             transcript.note(String.join(",", catalog.types().keySet()));
         }
-        transcript.note(values(state.value("flavors")));
+        transcript.note(values(stateService.value("flavors")));
         GoldenSamples.assertMatches("machine-types.txt", transcript.toString());
     }
 }
--- a/src/test/java/io/sillreel/cloud/MachineTypeCatalogTest.java
+++ b/src/test/java/io/sillreel/cloud/MachineTypeCatalogTest.java
@@ -7,7 +7,7 @@
 import io.sillreel.http.Json;
 import io.sillreel.overload.RateLimiter;
 import io.sillreel.sim.SimNetwork;
-import io.sillreel.sim.SimStateStore;
+import io.sillreel.sim.SimStateService;
 import io.sillreel.sim.SimTime;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
@@ -17,13 +17,13 @@
 
     private final SimTime time = new SimTime();
     private final SimNetwork network = new SimNetwork(time, 1);
-    private final SimStateStore state = new SimStateStore(time, 100, 8192, 100);
+    private final SimStateService stateService = new SimStateService(time, 100, 8192, 100);
     private final ObjectNode offered = Json.object().put("unknown", "kept");
     private boolean isCloudAvailable = true;
     private int requests;
 
     MachineTypeCatalogTest() {
-        network.listen("state:1", state);
+        network.listen("state:1", stateService);
         network.listen("cloud:1", request -> {
             requests++;
             return CompletableFuture.completedFuture(
@@ -36,10 +36,10 @@
 
     private MachineTypeCatalog start(boolean isLeader) {
         SimTime.Process process = time.new Process();
-        CloudClient cloud =
-                new CloudClient(network.from("node", process), process, "cloud:1", new RateLimiter(process, 10, 10));
+        CloudClient cloud = new CloudClient(
+                network.clientOf("node", process), process, "cloud:1", new RateLimiter(process, 10, 10));
         MachineTypeCatalog catalog =
-                new MachineTypeCatalog(network.stateStore(process, 10, 100), cloud, process, () -> isLeader);
+                new MachineTypeCatalog(network.newStateStoreClient(process, 10, 100), cloud, process, () -> isLeader);
         catalog.start();
         time.runFor(5 * SECOND);
         return catalog;
@@ -57,7 +57,7 @@
     @Test
     void theAnswerOfTheCloudIsStoredUnchanged() {
         start(true);
-        assertThat(state.value("flavors")).isEqualTo(Json.parse(Json.bytes(offered)));
+        assertThat(stateService.value("flavors")).isEqualTo(Json.parse(Json.bytes(offered)));
     }
 
     @Test
--- a/src/test/java/io/sillreel/cluster/ScaleOutRequestTest.java
+++ b/src/test/java/io/sillreel/cluster/ScaleOutRequestTest.java
@@ -4,7 +4,7 @@
 
 import io.sillreel.http.HttpRequest;
 import io.sillreel.sim.SimCluster;
-import io.sillreel.sim.SimNetwork.Fate;
+import io.sillreel.sim.SimNetwork.Action;
 import io.sillreel.sim.SimNetwork.Rule;
 import io.sillreel.sim.SimWorker;
 import java.nio.charset.StandardCharsets;
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 class ScaleOutRequestTest {
-    private final SimCluster world = new SimCluster(4);
+    private final SimCluster cluster = new SimCluster(4);
 
     private static boolean isProvisioning(HttpRequest request) {
         return request.method().equals("POST") && request.route().equals("/machines");
@@ -20,16 +20,17 @@
 
     @Test
     void anUnansweredRequestIsRetriedUnderItsName() {
-        Rule lose = world.network().add((from, to, request) -> isProvisioning(request) ? Fate.LOSE_ANSWER : null);
-        world.seconds(2);
-        world.submit(0, SimCluster.job("job-000001", 2));
-        world.seconds(4);
-        int machineCount = world.cloud().machines().size();
-        world.network().remove(lose);
-        world.seconds(40);
-        assertThat(world.stage(0, "job-000001")).isEqualTo("done");
+        Rule lose =
+                cluster.network().addRule((from, to, request) -> isProvisioning(request) ? Action.DROP_RESPONSE : null);
+        cluster.runSeconds(2);
+        cluster.submit(0, SimCluster.job("job-000001", 2));
+        cluster.runSeconds(4);
+        int machineCount = cluster.cloud().machines().size();
+        cluster.network().removeRule(lose);
+        cluster.runSeconds(40);
+        assertThat(cluster.stage(0, "job-000001")).isEqualTo("done");
         assertThat(machineCount).isLessThanOrEqualTo(1);
-        assertThat(world.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /**
@@ -38,85 +39,85 @@
      */
     @Test
     void aRequestThatIsAnsweredTwiceKeepsItsMachines() {
-        Rule lose = world.network()
-                .add((from, to, request) -> request.route().equals("/txn")
+        Rule lose = cluster.network()
+                .addRule((from, to, request) -> request.route().equals("/txn")
                                 && new String(request.body(), StandardCharsets.UTF_8).contains("\"hire/")
-                        ? Fate.LOSE_ANSWER
+                        ? Action.DROP_RESPONSE
                         : null);
-        world.seconds(2);
-        world.submit(0, SimCluster.job("job-000001", 4));
-        world.seconds(25);
-        world.network().remove(lose);
-        world.untilStarted(4, 30_000_000);
-        for (String machine : world.cloud().machines().keySet()) {
-            assertThat(world.state().keysUnder("hire/").stream().map(world.state()::value))
+        cluster.runSeconds(2);
+        cluster.submit(0, SimCluster.job("job-000001", 4));
+        cluster.runSeconds(25);
+        cluster.network().removeRule(lose);
+        cluster.runUntilStarted(4, 30_000_000);
+        for (String machine : cluster.cloud().machines().keySet()) {
+            assertThat(cluster.store().keysWithPrefix("hire/").stream().map(cluster.store()::value))
                     .as(machine)
                     .anyMatch(request -> request.path("machines").toString().contains(machine));
         }
-        assertThat(world.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     @Test
     void machinesOfARequestExecutedLongAfterItsLeaderDiedAreUsedOrReturned() {
-        Rule hold = world.network().add((from, to, request) -> isProvisioning(request) ? Fate.HOLD : null);
-        world.seconds(2);
-        world.submit(0, SimCluster.job("job-000001", 2));
-        world.seconds(3);
-        int leader = world.leader();
-        world.network().remove(hold);
-        world.kill(leader);
-        world.seconds(30);
-        world.network().release();
-        world.seconds(240);
+        Rule hold = cluster.network().addRule((from, to, request) -> isProvisioning(request) ? Action.HOLD : null);
+        cluster.runSeconds(2);
+        cluster.submit(0, SimCluster.job("job-000001", 2));
+        cluster.runSeconds(3);
+        int leader = cluster.leader();
+        cluster.network().removeRule(hold);
+        cluster.kill(leader);
+        cluster.runSeconds(30);
+        cluster.network().releaseHeld();
+        cluster.runSeconds(240);
         int up = (leader + 1) % 3;
-        assertThat(world.stage(up, "job-000001")).isEqualTo("done");
-        assertThat(world.cloud().machines()).isEmpty();
-        assertThat(world.state().keysUnder("hire/")).isEmpty();
-        assertThat(world.broken()).isEmpty();
+        assertThat(cluster.stage(up, "job-000001")).isEqualTo("done");
+        assertThat(cluster.cloud().machines()).isEmpty();
+        assertThat(cluster.store().keysWithPrefix("hire/")).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     @Test
     void machinesWithoutWorkAreReturnedAndForgotten() {
-        world.seconds(2);
-        world.submit(0, SimCluster.job("job-000001", 6));
-        world.seconds(20);
-        assertThat(world.cloud().machines()).isNotEmpty();
+        cluster.runSeconds(2);
+        cluster.submit(0, SimCluster.job("job-000001", 6));
+        cluster.runSeconds(20);
+        assertThat(cluster.cloud().machines()).isNotEmpty();
         // They are kept for a while because of the recent demand, and then returned.
-        world.seconds(240);
-        assertThat(world.cloud().machines()).isEmpty();
-        assertThat(world.state().keysUnder("hire/")).isEmpty();
+        cluster.runSeconds(240);
+        assertThat(cluster.cloud().machines()).isEmpty();
+        assertThat(cluster.store().keysWithPrefix("hire/")).isEmpty();
     }
 
     @Test
     void aCloudThatIsDownLosesNoJob() {
-        world.seconds(2);
-        world.cloud().outage(true);
-        assertThat(world.submit(0, SimCluster.job("job-000001", 2)).status()).isEqualTo(201);
-        world.seconds(10);
+        cluster.runSeconds(2);
+        cluster.cloud().setOutage(true);
+        assertThat(cluster.submit(0, SimCluster.job("job-000001", 2)).status()).isEqualTo(201);
+        cluster.runSeconds(10);
         // A controller that restarts during the outage uses the stored machine types.
-        world.restart(1);
-        world.seconds(1);
-        assertThat(world.submit(1, SimCluster.job("job-000002", 2)).status()).isEqualTo(201);
-        world.cloud().outage(false);
-        world.seconds(40);
-        assertThat(world.stage(0, "job-000001")).isEqualTo("done");
-        assertThat(world.stage(0, "job-000002")).isEqualTo("done");
+        cluster.restart(1);
+        cluster.runSeconds(1);
+        assertThat(cluster.submit(1, SimCluster.job("job-000002", 2)).status()).isEqualTo(201);
+        cluster.cloud().setOutage(false);
+        cluster.runSeconds(40);
+        assertThat(cluster.stage(0, "job-000001")).isEqualTo("done");
+        assertThat(cluster.stage(0, "job-000002")).isEqualTo("done");
     }
 
     /** Guards against machines of a partitioned zone that count as capacity for as long as they might come back. */
     @Test
     void machinesThatAreAwayForLongerThanTheirLeasesAreReplaced() {
-        world.seconds(2);
-        world.submit(0, SimCluster.job("job-000001", 20));
-        world.untilStarted(20, 40_000_000);
-        List<String> away = List.copyOf(world.cloud().machines().keySet()).subList(0, 3);
-        int machineCount = world.cloud().machines().size();
+        cluster.runSeconds(2);
+        cluster.submit(0, SimCluster.job("job-000001", 20));
+        cluster.runUntilStarted(20, 40_000_000);
+        List<String> away = List.copyOf(cluster.cloud().machines().keySet()).subList(0, 3);
+        int machineCount = cluster.cloud().machines().size();
         assertThat(machineCount).isBetween(4, 10);
-        world.network().add((from, to, request) -> away.contains(from) ? Fate.LOSE : null);
-        world.seconds(28);
-        assertThat(world.cloud().machines().keySet()).containsAll(away);
-        assertThat(world.cloud().machines().size()).isGreaterThan(machineCount);
-        assertThat(world.broken()).isEmpty();
+        cluster.network().addRule((from, to, request) -> away.contains(from) ? Action.DROP : null);
+        cluster.runSeconds(28);
+        assertThat(cluster.cloud().machines().keySet()).containsAll(away);
+        assertThat(cluster.cloud().machines().size()).isGreaterThan(machineCount);
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /**
@@ -125,17 +126,17 @@
      */
     @Test
     void aJobThatMayNotUseSpotMachinesGetsAnOrdinaryOne() {
-        world.seconds(2);
-        world.submit(0, SimCluster.job("job-000001", 4).put("loaners", false));
-        world.untilStarted(4, 200_000_000);
-        world.cloud().machines().values().forEach(worker -> worker.runMicros(3_000_000));
+        cluster.runSeconds(2);
+        cluster.submit(0, SimCluster.job("job-000001", 4).put("loaners", false));
+        cluster.runUntilStarted(4, 200_000_000);
+        cluster.cloud().machines().values().forEach(worker -> worker.setRunMicros(3_000_000));
         for (int job = 2; job <= 20; job++) {
-            world.submit(job % 3, SimCluster.job("job-%06d".formatted(job), 4));
+            cluster.submit(job % 3, SimCluster.job("job-%06d".formatted(job), 4));
         }
-        world.submit(0, SimCluster.job("job-000099", 2).put("loaners", false));
-        world.seconds(30);
-        assertThat(world.stage(0, "job-000099")).isEqualTo("done");
-        assertThat(world.cloud().machines().values()).anyMatch(SimWorker::spot);
-        assertThat(world.broken()).isEmpty();
+        cluster.submit(0, SimCluster.job("job-000099", 2).put("loaners", false));
+        cluster.runSeconds(30);
+        assertThat(cluster.stage(0, "job-000099")).isEqualTo("done");
+        assertThat(cluster.cloud().machines().values()).anyMatch(SimWorker::spot);
+        assertThat(cluster.violations()).isEmpty();
     }
 }
--- a/src/test/java/io/sillreel/fleet/FleetRegistryTest.java
+++ b/src/test/java/io/sillreel/fleet/FleetRegistryTest.java
@@ -23,7 +23,7 @@
     private final SimTime.Process process = time.new Process();
     private final SimNetwork network = new SimNetwork(time, 1);
     private final Cluster cluster = new Cluster(Map.of());
-    private final StateStore store = network.stateStore(process, 10, 10);
+    private final StateStore store = network.newStateStoreClient(process, 10, 10);
     private final FleetRegistry registry = new FleetRegistry(
             process,
             1,
--- a/src/test/java/io/sillreel/golden/AgentResponsesSamplesTest.java
+++ b/src/test/java/io/sillreel/golden/AgentResponsesSamplesTest.java
@@ -12,7 +12,7 @@
 import io.sillreel.settings.OperatorProperties;
 import io.sillreel.settings.Settings;
 import io.sillreel.settings.SettingsReader;
-import io.sillreel.sim.SimStateStore;
+import io.sillreel.sim.SimStateService;
 import io.sillreel.sim.SimTime;
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
@@ -22,8 +22,8 @@
     private static final long HEAP_BYTES = 50L << 20;
 
     private final SimTime time = new SimTime();
-    private final SimStateStore state = new SimStateStore(time, 20, 8_192, 1_000);
-    private final Transcript transcript = new Transcript(state::handle);
+    private final SimStateService stateService = new SimStateService(time, 20, 8_192, 1_000);
+    private final Transcript transcript = new Transcript(stateService::handle);
     private final Controller controller = newController();
 
     /** The other controllers can't be reached. */
@@ -32,9 +32,9 @@
         return new Controller(
                 time.new Process(),
                 (address, request, timeout) -> address.equals("state:1")
-                        ? state.handle(request)
+                        ? stateService.handle(request)
                         : CompletableFuture.completedFuture(HttpResponse.notSent()),
-                (address, request, timeout) -> state.handle(request),
+                (address, request, timeout) -> stateService.handle(request),
                 settings,
                 OperatorProperties.defaults(),
                 ProcessLimits.of(settings, HEAP_BYTES));
@@ -42,7 +42,7 @@
 
     @Test
     void redirectsAgentsToTheLeaderWhileItCanNotReachIt() {
-        state.handle(HttpRequest.post(
+        stateService.handle(HttpRequest.post(
                 "/txn", json("{\"then\":[{\"set\":\"leader\",\"v\":{\"node\":\"hopper-2\",\"term\":3}}]}")));
         sendHeartbeats();
         controller.start(() -> {});
--- a/src/test/java/io/sillreel/golden/ControllerSamplesTest.java
+++ b/src/test/java/io/sillreel/golden/ControllerSamplesTest.java
@@ -8,7 +8,7 @@
 import io.sillreel.settings.OperatorProperties;
 import io.sillreel.settings.Settings;
 import io.sillreel.settings.SettingsReader;
-import io.sillreel.sim.SimStateStore;
+import io.sillreel.sim.SimStateService;
 import io.sillreel.sim.SimTime;
 import java.util.List;
 import java.util.Properties;
@@ -49,16 +49,16 @@
 
     /** A controller whose cloud and peers can't be reached, some time after its start. */
     private Controller start(String recoveryEnabled) {
-        SimStateStore state = new SimStateStore(time, 20, 8_192, 1_000);
+        SimStateService stateService = new SimStateService(time, 20, 8_192, 1_000);
         Settings settings = SettingsReader.parse(GoldenSamples.read("settings.toml"));
         Properties properties = new Properties();
         properties.setProperty("recovery.enabled", recoveryEnabled);
         Controller controller = new Controller(
                 time.new Process(),
                 (address, request, timeout) -> address.equals("state:1")
-                        ? state.handle(request)
+                        ? stateService.handle(request)
                         : CompletableFuture.completedFuture(HttpResponse.notSent()),
-                (address, request, timeout) -> state.handle(request),
+                (address, request, timeout) -> stateService.handle(request),
                 settings,
                 OperatorProperties.of(properties),
                 ProcessLimits.of(settings, HEAP_BYTES));
--- a/src/test/java/io/sillreel/golden/LeadershipSamplesTest.java
+++ b/src/test/java/io/sillreel/golden/LeadershipSamplesTest.java
@@ -7,7 +7,7 @@
 import io.sillreel.leadership.LeaderElection;
 import io.sillreel.leadership.TermGrant;
 import io.sillreel.overload.RateLimiter;
-import io.sillreel.sim.SimStateStore;
+import io.sillreel.sim.SimStateService;
 import io.sillreel.sim.SimTime;
 import io.sillreel.statestore.StateStore;
 import io.sillreel.statestore.Transaction;
@@ -16,8 +16,8 @@
 /** The leader key, the term key and the requests of an election. */
 class LeadershipSamplesTest {
     private final SimTime time = new SimTime();
-    private final SimStateStore state = new SimStateStore(time, 20, 8_192, 1_000);
-    private final Transcript transcript = new Transcript(state::handle);
+    private final SimStateService stateService = new SimStateService(time, 20, 8_192, 1_000);
+    private final Transcript transcript = new Transcript(stateService::handle);
     private final SimTime.Process process = time.new Process();
     private final StateStore store = new StateStore(
             transcript,
@@ -49,7 +49,7 @@
         store.commit(new Transaction().set("term", json("{\"term\":4294967296}")));
         LeaderElection election = startCandidate(7);
         time.runFor(1_500_000);
-        transcript.note(values(state.value("leader")) + " " + values(state.value("term")));
+        transcript.note(values(stateService.value("leader")) + " " + values(stateService.value("term")));
         election.resign("the end");
         time.runFor(100_000);
         GoldenSamples.assertMatches("leadership.txt", transcript.toString());
--- a/src/test/java/io/sillreel/heartbeat/TaskFailureTest.java
+++ b/src/test/java/io/sillreel/heartbeat/TaskFailureTest.java
@@ -4,7 +4,7 @@
 
 import io.sillreel.sim.FailureInjector;
 import io.sillreel.sim.SimCluster;
-import io.sillreel.sim.SimNetwork.Fate;
+import io.sillreel.sim.SimNetwork.Action;
 import io.sillreel.sim.SimNetwork.Rule;
 import io.sillreel.sim.SimWorker;
 import java.util.List;
@@ -15,13 +15,13 @@
  * controllers.
  */
 class TaskFailureTest {
-    private final SimCluster world = new SimCluster(11);
+    private final SimCluster cluster = new SimCluster(11);
 
     private SimWorker busyMachine(int running) {
-        world.until(() -> world.cloud().machines().values().stream()
-                .anyMatch(worker -> worker.running().size() >= running));
-        return world.cloud().machines().values().stream()
-                .filter(worker -> worker.running().size() >= running)
+        cluster.runUntil(() -> cluster.cloud().machines().values().stream()
+                .anyMatch(worker -> worker.runningTasks().size() >= running));
+        return cluster.cloud().machines().values().stream()
+                .filter(worker -> worker.runningTasks().size() >= running)
                 .findFirst()
                 .orElseThrow();
     }
@@ -29,152 +29,153 @@
     /** Guards against launches given for ever to a machine that never hears them. */
     @Test
     void aMachineThatHearsNothingIsGivenNothingMoreAndReplaced() {
-        world.seconds(2);
-        world.submit(0, SimCluster.job("job-000001", 2));
+        cluster.runSeconds(2);
+        cluster.submit(0, SimCluster.job("job-000001", 2));
         SimWorker worker = busyMachine(2);
-        world.network().add(FailureInjector.unresponsive(worker.name()));
-        world.submit(0, SimCluster.job("job-000002", 2));
-        world.seconds(60);
-        assertThat(world.cloud().machines()).doesNotContainKey(worker.name());
-        assertThat(world.stage(0, "job-000001")).isEqualTo("done");
-        assertThat(world.stage(0, "job-000002")).isEqualTo("done");
-        assertThat(world.broken()).isEmpty();
+        cluster.network().addRule(FailureInjector.dropInbound(worker.name()));
+        cluster.submit(0, SimCluster.job("job-000002", 2));
+        cluster.runSeconds(60);
+        assertThat(cluster.cloud().machines()).doesNotContainKey(worker.name());
+        assertThat(cluster.stage(0, "job-000001")).isEqualTo("done");
+        assertThat(cluster.stage(0, "job-000002")).isEqualTo("done");
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards a takeover against a machine that reports for ever without hearing of the new term. */
     @Test
     void aMachineThatHearsNothingDoesNotHoldUpATakeover() {
-        world.seconds(2);
-        world.submit(0, SimCluster.job("job-000001", 90));
-        world.until(() -> world.cloud().machines().size() >= 5 && world.starts() >= 15);
-        SimWorker worker = world.cloud().machines().firstEntry().getValue();
-        worker.prolong(300_000_000);
-        world.network().add(FailureInjector.unresponsive(worker.name()));
-        int leader = world.leader();
-        world.kill(leader);
-        world.seconds(30);
-        assertThat(world.cloud().machines()).doesNotContainKey(worker.name());
-        world.seconds(20);
-        assertThat(world.stage((leader + 1) % 3, "job-000001")).isEqualTo("done");
-        assertThat(world.broken()).isEmpty();
+        cluster.runSeconds(2);
+        cluster.submit(0, SimCluster.job("job-000001", 90));
+        cluster.runUntil(() -> cluster.cloud().machines().size() >= 5 && cluster.startCount() >= 15);
+        SimWorker worker = cluster.cloud().machines().firstEntry().getValue();
+        worker.extendRunningTasks(300_000_000);
+        cluster.network().addRule(FailureInjector.dropInbound(worker.name()));
+        int leader = cluster.leader();
+        cluster.kill(leader);
+        cluster.runSeconds(30);
+        assertThat(cluster.cloud().machines()).doesNotContainKey(worker.name());
+        cluster.runSeconds(20);
+        assertThat(cluster.stage((leader + 1) % 3, "job-000001")).isEqualTo("done");
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards a takeover against one dead machine among several, and against those that only boot. */
     @Test
     void theFewMachinesThatStaySilentAfterATakeoverAreReturnedAndHoldUpNobody() {
-        world.seconds(2);
-        world.submit(0, SimCluster.job("job-000001", 90));
-        world.until(() -> world.cloud().machines().size() >= 5 && world.starts() >= 15);
-        String silent = world.cloud().machines().firstKey();
-        world.cloud().machines().get(silent).prolong(300_000_000);
-        world.network().add((from, to, request) -> from.equals(silent) || to.startsWith(silent) ? Fate.LOSE : null);
-        int leader = world.leader();
-        int starts = world.starts();
-        world.kill(leader);
+        cluster.runSeconds(2);
+        cluster.submit(0, SimCluster.job("job-000001", 90));
+        cluster.runUntil(() -> cluster.cloud().machines().size() >= 5 && cluster.startCount() >= 15);
+        String silent = cluster.cloud().machines().firstKey();
+        cluster.cloud().machines().get(silent).extendRunningTasks(300_000_000);
+        cluster.network()
+                .addRule((from, to, request) -> from.equals(silent) || to.startsWith(silent) ? Action.DROP : null);
+        int leader = cluster.leader();
+        int starts = cluster.startCount();
+        cluster.kill(leader);
         // The bound that earlier tasks may live to is 27 s after the takeover; evidence is to be had sooner.
-        world.seconds(18);
-        assertThat(world.cloud().machines()).doesNotContainKey(silent);
-        assertThat(world.starts()).isGreaterThan(starts);
-        world.seconds(40);
-        assertThat(world.stage((leader + 1) % 3, "job-000001")).isEqualTo("done");
-        assertThat(world.broken()).isEmpty();
+        cluster.runSeconds(18);
+        assertThat(cluster.cloud().machines()).doesNotContainKey(silent);
+        assertThat(cluster.startCount()).isGreaterThan(starts);
+        cluster.runSeconds(40);
+        assertThat(cluster.stage((leader + 1) % 3, "job-000001")).isEqualTo("done");
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards against copies that show what was long ago: they free nothing, and nobody that is gone is taken in. */
     @Test
     void lateCopiesOfReportsChangeNothing() {
-        world.network()
-                .add((from, to, request) ->
+        cluster.network()
+                .addRule((from, to, request) ->
                         request.route().equals("/agent/beat") || request.route().equals("/peer/beats")
-                                ? Fate.COPY
+                                ? Action.DUPLICATE
                                 : null);
-        world.seconds(2);
+        cluster.runSeconds(2);
         for (int i = 1; i <= 6; i++) {
-            world.submit(0, SimCluster.job("job-00000" + i, 6));
-            world.seconds(3);
+            cluster.submit(0, SimCluster.job("job-00000" + i, 6));
+            cluster.runSeconds(3);
         }
-        String taken = world.cloud().machines().firstKey();
-        world.cloud().take(taken);
-        int leader = world.leader();
-        world.kill(leader);
-        world.seconds(5);
-        world.restart(leader);
-        world.seconds(70);
+        String taken = cluster.cloud().machines().firstKey();
+        cluster.cloud().reclaim(taken);
+        int leader = cluster.leader();
+        cluster.kill(leader);
+        cluster.runSeconds(5);
+        cluster.restart(leader);
+        cluster.runSeconds(70);
         for (int i = 1; i <= 6; i++) {
-            assertThat(world.stage(0, "job-00000" + i)).isEqualTo("done");
+            assertThat(cluster.stage(0, "job-00000" + i)).isEqualTo("done");
         }
-        assertThat(world.state().keysUnder("hire/")).noneMatch(key -> key.startsWith("hire/adopted"));
-        assertThat(world.broken()).isEmpty();
+        assertThat(cluster.store().keysWithPrefix("hire/")).noneMatch(key -> key.startsWith("hire/adopted"));
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards against a machine that is back with its numbers begun anew and would be taken for a copy for ever. */
     @Test
     void aMachineThatStartsAgainAndCountsAnewIsNotIgnoredForEver() {
-        world.seconds(2);
-        world.submit(0, SimCluster.job("job-000001", 2));
+        cluster.runSeconds(2);
+        cluster.submit(0, SimCluster.job("job-000001", 2));
         SimWorker worker = busyMachine(2);
-        worker.prolong(60_000_000);
-        world.seconds(10);
+        worker.extendRunningTasks(60_000_000);
+        cluster.runSeconds(10);
         worker.reboot();
-        world.seconds(30);
-        assertThat(world.stage(0, "job-000001")).isEqualTo("done");
-        assertThat(world.broken()).isEmpty();
+        cluster.runSeconds(30);
+        assertThat(cluster.stage(0, "job-000001")).isEqualTo("done");
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards the tasks of a leader that is cut off from everything but its workers: another one keeps them alive. */
     @Test
     void aLoneLeaderLetsItsWorkersGoBeforeTheirTasksDie() {
-        world.seconds(2);
-        world.submit(0, SimCluster.job("job-000001", 4));
-        world.untilStarted(4, 25_000_000);
-        int isolated = world.leader();
-        world.network().add(FailureInjector.isolated(isolated));
-        world.seconds(45);
-        assertThat(world.leader()).isNotEqualTo(isolated);
-        assertThat(world.stage((isolated + 1) % 3, "job-000001")).isEqualTo("done");
-        assertThat(world.starts()).isEqualTo(4);
-        assertThat(world.broken()).isEmpty();
+        cluster.runSeconds(2);
+        cluster.submit(0, SimCluster.job("job-000001", 4));
+        cluster.runUntilStarted(4, 25_000_000);
+        int isolated = cluster.leader();
+        cluster.network().addRule(FailureInjector.isolated(isolated));
+        cluster.runSeconds(45);
+        assertThat(cluster.leader()).isNotEqualTo(isolated);
+        assertThat(cluster.stage((isolated + 1) % 3, "job-000001")).isEqualTo("done");
+        assertThat(cluster.startCount()).isEqualTo(4);
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards against a leader that nobody can reach: it resigns, and one that is heard leads. */
     @Test
     void aLeaderThatNoWorkerReachesResigns() {
-        world.seconds(2);
-        world.submit(0, SimCluster.job("job-000001", 4));
-        world.until(() -> world.starts() >= 4);
-        int unresponsive = world.leader();
+        cluster.runSeconds(2);
+        cluster.submit(0, SimCluster.job("job-000001", 4));
+        cluster.runUntil(() -> cluster.startCount() >= 4);
+        int unresponsive = cluster.leader();
         String host = "10.0.0." + unresponsive;
-        world.network()
-                .add((from, to, request) -> to.startsWith(host)
+        cluster.network()
+                .addRule((from, to, request) -> to.startsWith(host)
                                 && (from.startsWith("host-") || request.route().equals("/peer/beats"))
-                        ? Fate.LOSE
+                        ? Action.DROP
                         : null);
-        world.until(() -> world.leader() >= 0 && world.leader() != unresponsive);
-        world.seconds(40);
-        assertThat(world.stage((unresponsive + 1) % 3, "job-000001")).isEqualTo("done");
-        assertThat(world.broken()).isEmpty();
+        cluster.runUntil(() -> cluster.leader() >= 0 && cluster.leader() != unresponsive);
+        cluster.runSeconds(40);
+        assertThat(cluster.stage((unresponsive + 1) % 3, "job-000001")).isEqualTo("done");
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Workers end up spread over the controllers, also after one of them was away. */
     @Test
     void workersAreSpreadAndEvenOutAgain() {
         SimCluster many = new SimCluster(12, 0, 5, SimCluster.Version.CURRENT);
-        many.seconds(2);
+        many.runSeconds(2);
         many.submit(0, SimCluster.job("job-000001", 400));
-        many.until(() -> {
-            many.cloud().machines().values().forEach(worker -> worker.runMicros(90_000_000));
+        many.runUntil(() -> {
+            many.cloud().machines().values().forEach(worker -> worker.setRunMicros(90_000_000));
             return many.cloud().machines().size() >= 18;
         });
-        many.seconds(15);
+        many.runSeconds(15);
         assertThat(most(many)).isLessThanOrEqualTo(9);
         int away = (many.leader() + 1) % 5;
         many.kill(away);
-        many.seconds(10);
+        many.runSeconds(10);
         assertThat(many.cloud().machines().values()).noneMatch(worker -> worker.node() == away);
         many.restart(away);
-        many.seconds(40);
+        many.runSeconds(40);
         assertThat(most(many)).isLessThanOrEqualTo(9);
-        assertThat(many.broken()).isEmpty();
+        assertThat(many.violations()).isEmpty();
     }
 
     private static long most(SimCluster many) {
@@ -192,16 +193,16 @@
 
     /** Some machines with tasks that run for long, on one of them at least two; the cloud's list tells nothing. */
     private SimWorker fleetWithLongTasks() {
-        world.network()
-                .add((from, to, request) -> to.startsWith("cloud")
+        cluster.network()
+                .addRule((from, to, request) -> to.startsWith("cloud")
                                 && request.method().equals("GET")
                                 && request.route().equals("/machines")
-                        ? Fate.LOSE
+                        ? Action.DROP
                         : null);
-        world.seconds(2);
-        world.submit(0, SimCluster.job("job-000001", 20));
-        world.untilStarted(20, 40_000_000);
-        assertThat(world.cloud().machines().size()).isGreaterThan(3);
+        cluster.runSeconds(2);
+        cluster.submit(0, SimCluster.job("job-000001", 20));
+        cluster.runUntilStarted(20, 40_000_000);
+        assertThat(cluster.cloud().machines().size()).isGreaterThan(3);
         return busyMachine(2);
     }
 
@@ -209,13 +210,13 @@
     @Test
     void whatIsLostWithARecalledMachineStartsElsewhereAtOnce() {
         SimWorker worker = fleetWithLongTasks();
-        int lost = worker.running().size();
-        int before = world.starts();
-        world.cloud().recall(worker.name(), 10_000_000);
-        world.seconds(12);
-        assertThat(world.cloud().machines()).doesNotContainKey(worker.name());
-        assertThat(world.starts()).isEqualTo(before + lost);
-        assertThat(world.broken()).isEmpty();
+        int lost = worker.runningTasks().size();
+        int before = cluster.startCount();
+        cluster.cloud().reclaimWithNotice(worker.name(), 10_000_000);
+        cluster.runSeconds(12);
+        assertThat(cluster.cloud().machines()).doesNotContainKey(worker.name());
+        assertThat(cluster.startCount()).isEqualTo(before + lost);
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /**
@@ -223,29 +224,29 @@
      */
     @Test
     void aTaskThatCanNotEndOnARecalledMachineIsStoppedAtOnce() {
-        world.seconds(2);
-        world.submit(0, SimCluster.job("job-000001", 20).put("guess_s", 60.0));
-        world.untilStarted(20, 60_000_000);
+        cluster.runSeconds(2);
+        cluster.submit(0, SimCluster.job("job-000001", 20).put("guess_s", 60.0));
+        cluster.runUntilStarted(20, 60_000_000);
         SimWorker worker = busyMachine(2);
-        world.cloud().recall(worker.name(), 30_000_000);
-        world.seconds(2);
-        assertThat(worker.running()).isEmpty();
-        world.until(() -> world.starts() > 20);
-        world.seconds(150);
-        assertThat(world.stage(0, "job-000001")).isEqualTo("done");
-        assertThat(world.broken()).isEmpty();
+        cluster.cloud().reclaimWithNotice(worker.name(), 30_000_000);
+        cluster.runSeconds(2);
+        assertThat(worker.runningTasks()).isEmpty();
+        cluster.runUntil(() -> cluster.startCount() > 20);
+        cluster.runSeconds(150);
+        assertThat(cluster.stage(0, "job-000001")).isEqualTo("done");
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards against waiting for the lease of a single machine that has been taken without a word. */
     @Test
     void aSingleMachineThatFallsSilentIsReturnedBeforeItsLeaseRunsOut() {
         SimWorker worker = fleetWithLongTasks();
-        int lost = worker.running().size();
-        int before = world.starts();
-        world.cloud().take(worker.name());
-        world.seconds(10);
-        assertThat(world.starts()).isEqualTo(before + lost);
-        assertThat(world.broken()).isEmpty();
+        int lost = worker.runningTasks().size();
+        int before = cluster.startCount();
+        cluster.cloud().reclaim(worker.name());
+        cluster.runSeconds(10);
+        assertThat(cluster.startCount()).isEqualTo(before + lost);
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /**
@@ -255,27 +256,27 @@
     @Test
     void aMachineThatFallsSilentWhileNothingElseFailsIsReturnedSooner() {
         SimWorker worker = fleetWithLongTasks();
-        world.seconds(14);
-        int lost = worker.running().size();
-        int before = world.starts();
-        world.cloud().take(worker.name());
-        world.seconds(5);
-        assertThat(world.starts()).isEqualTo(before + lost);
-        assertThat(world.broken()).isEmpty();
+        cluster.runSeconds(14);
+        int lost = worker.runningTasks().size();
+        int before = cluster.startCount();
+        cluster.cloud().reclaim(worker.name());
+        cluster.runSeconds(5);
+        assertThat(cluster.startCount()).isEqualTo(before + lost);
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards against giving away, in vain, machines that only can't be heard for a while. */
     @Test
     void machinesThatFallSilentTogetherAreWaitedFor() {
         fleetWithLongTasks();
-        List<String> names = List.copyOf(world.cloud().machines().keySet());
+        List<String> names = List.copyOf(cluster.cloud().machines().keySet());
         List<String> silent = names.subList(0, 3);
-        Rule cut = world.network().add((from, to, request) -> silent.contains(from) ? Fate.LOSE : null);
-        world.seconds(10);
-        world.network().remove(cut);
-        world.seconds(25);
-        assertThat(world.cloud().machines().keySet()).containsAll(silent);
-        assertThat(world.broken()).isEmpty();
+        Rule cut = cluster.network().addRule((from, to, request) -> silent.contains(from) ? Action.DROP : null);
+        cluster.runSeconds(10);
+        cluster.network().removeRule(cut);
+        cluster.runSeconds(25);
+        assertThat(cluster.cloud().machines().keySet()).containsAll(silent);
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /**
@@ -284,17 +285,17 @@
     @Test
     void machinesThatFallSilentOneAfterTheOtherAreNotAllGivenAway() {
         SimCluster many = new SimCluster(13);
-        many.seconds(2);
+        many.runSeconds(2);
         many.submit(0, SimCluster.job("job-000001", 60));
-        many.untilStarted(50, 60_000_000);
+        many.runUntilStarted(50, 60_000_000);
         List<String> silent = List.copyOf(many.cloud().machines().keySet()).subList(0, 6);
         for (String name : silent) {
-            many.network().add((from, to, request) -> from.equals(name) ? Fate.LOSE : null);
-            many.seconds(1);
+            many.network().addRule((from, to, request) -> from.equals(name) ? Action.DROP : null);
+            many.runSeconds(1);
         }
-        many.seconds(9);
+        many.runSeconds(9);
         assertThat(silent.stream().filter(many.cloud().machines()::containsKey).count())
                 .isGreaterThanOrEqualTo(4);
-        assertThat(many.broken()).isEmpty();
+        assertThat(many.violations()).isEmpty();
     }
 }
--- a/src/test/java/io/sillreel/http/RequestQueueTest.java
+++ b/src/test/java/io/sillreel/http/RequestQueueTest.java
@@ -19,7 +19,7 @@
     private void enqueue(RequestClass requestClass, String client, long givesUpAfterMicros) {
         long until = time.nowMicros() + givesUpAfterMicros;
         requestQueue.enqueue(requestClass, 1_000, () -> time.nowMicros() < until, () -> {
-            process.works(WORK_MICROS);
+            process.occupy(WORK_MICROS);
             served.add(client);
         });
     }
@@ -53,7 +53,7 @@
     /** Guards against work for clients that have given up, of which there are most under load. */
     @Test
     void requestsOfClientsThatGaveUpAreDropped() {
-        process.freeze(5_000_000);
+        process.pause(5_000_000);
         enqueueWorkers(50);
         time.runFor(5_000_000);
         enqueue(RequestClass.WORKERS, "late", 4_000_000);
@@ -66,7 +66,7 @@
     /** Guards against serving every client just too late: the oldest request is the next to time out. */
     @Test
     void theNewestRequestIsServedFirstOnceTheOldestIsLate() {
-        process.freeze(2_000_000);
+        process.pause(2_000_000);
         enqueue(RequestClass.WORKERS, "old", 4_000_000);
         enqueue(RequestClass.WORKERS, "older than new", 4_000_000);
         time.runFor(1_900_000);
--- a/src/test/java/io/sillreel/leadership/StoredStateReaderTest.java
+++ b/src/test/java/io/sillreel/leadership/StoredStateReaderTest.java
@@ -9,8 +9,8 @@
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.sim.SimCluster;
 import io.sillreel.sim.SimNetwork;
-import io.sillreel.sim.SimNetwork.Fate;
-import io.sillreel.sim.SimStateStore;
+import io.sillreel.sim.SimNetwork.Action;
+import io.sillreel.sim.SimStateService;
 import io.sillreel.sim.SimTime;
 import io.sillreel.statestore.StateStore;
 import java.util.ArrayList;
@@ -27,7 +27,7 @@
     private static final int VALUE_BYTES = 8 * 1024;
 
     private final SimTime time = new SimTime();
-    private final SimStateStore state = new SimStateStore(time, 20, VALUE_BYTES, 1e9);
+    private final SimStateService stateService = new SimStateService(time, 20, VALUE_BYTES, 1e9);
     private final List<String> unfinished = new ArrayList<>();
     private final List<String> released = new ArrayList<>();
 
@@ -37,7 +37,7 @@
                 .addObject()
                 .put("set", key)
                 .set("v", Json.parse(value.toString().getBytes()));
-        state.handle(HttpRequest.post("/txn", body)).join();
+        stateService.handle(HttpRequest.post("/txn", body)).join();
     }
 
     /** Stores jobs under ids of many lengths in a random order: some done, some released, some only admitted. */
@@ -67,14 +67,14 @@
         Random random = new Random(repetition.getCurrentRepetition());
         store(random);
         SimNetwork network = new SimNetwork(time, repetition.getCurrentRepetition());
-        network.listen("state:1", state);
-        network.add((from, to, request) -> switch (random.nextInt(6)) {
-            case 0 -> Fate.SLOW_ANSWER;
-            case 1 -> Fate.REFUSE;
+        network.listen("state:1", stateService);
+        network.addRule((from, to, request) -> switch (random.nextInt(6)) {
+            case 0 -> Action.DELAY_RESPONSE;
+            case 1 -> Action.REJECT;
             default -> null;
         });
         SimTime.Process process = time.new Process();
-        StateStore store = network.stateStore(process, 1_000, 1_000);
+        StateStore store = network.newStateStoreClient(process, 1_000, 1_000);
         CompletableFuture<Optional<StoredState>> read =
                 new StoredStateReader(store, VALUE_BYTES, admitted -> false, () -> true).read();
         time.runFor(120_000_000);
@@ -93,17 +93,17 @@
     void aListOfRecordsThatFailsEndsTheReadingWhenPlansComeLater() {
         store(new Random(1));
         SimNetwork network = new SimNetwork(time, 1);
-        network.listen("state:1", state);
+        network.listen("state:1", stateService);
         int[] plans = new int[1];
-        network.add((from, to, request) -> {
+        network.addRule((from, to, request) -> {
             if (request.path().contains("prefix=run/")) {
-                return Fate.REFUSE;
+                return Action.REJECT;
             }
-            return request.path().contains("prefix=plan/") && plans[0]++ == 0 ? Fate.LOSE : null;
+            return request.path().contains("prefix=plan/") && plans[0]++ == 0 ? Action.DROP : null;
         });
         SimTime.Process process = time.new Process();
         CompletableFuture<Optional<StoredState>> read = new StoredStateReader(
-                        network.stateStore(process, 1_000, 1_000), VALUE_BYTES, admitted -> false, () -> true)
+                        network.newStateStoreClient(process, 1_000, 1_000), VALUE_BYTES, admitted -> false, () -> true)
                 .read();
         time.runFor(30_000_000);
         assertThat(read).isCompletedWithValue(Optional.empty());
--- a/src/test/java/io/sillreel/load/LoadDriver.java
+++ b/src/test/java/io/sillreel/load/LoadDriver.java
@@ -8,7 +8,7 @@
 import io.sillreel.http.NettyEventLoop;
 import io.sillreel.http.NettyHttpClient;
 import io.sillreel.http.NettyHttpServer;
-import io.sillreel.sim.SimStateStore;
+import io.sillreel.sim.SimStateService;
 import io.sillreel.sim.SimTime;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -90,7 +90,7 @@
     private final List<String> internalAddresses = new ArrayList<>();
     private final List<Path> configs = new ArrayList<>();
     private Process[] processes = {};
-    private SimStateStore state;
+    private SimStateService stateService;
     private SimulatedServices standIns;
     private SimulatedServices.Users users;
 
@@ -111,12 +111,13 @@
         standIns = new SimulatedServices(
                 group.next(), loop, publicAddresses, workers, Math.round(reportSeconds * SECOND), cloudRate);
         users = new SimulatedServices.Users(group.next(), loop, publicAddresses);
-        state = new SimStateStore(time, 48, 32 * 1024, Double.MAX_VALUE);
-        StoredJobs stored = new StoredJobs(state);
+        stateService = new SimStateService(time, 48, 32 * 1024, Double.MAX_VALUE);
+        StoredJobs stored = new StoredJobs(stateService);
         stored.addDone(done);
         stored.addAwaiting(awaiting);
-        state.limits(48, 32 * 1024, 100);
-        new NettyHttpServer(group, 128 * 1024, 1_000).listen(new InetSocketAddress("127.0.0.1", statePort), state);
+        stateService.setLimits(48, 32 * 1024, 100);
+        new NettyHttpServer(group, 128 * 1024, 1_000)
+                .listen(new InetSocketAddress("127.0.0.1", statePort), stateService);
         new NettyHttpServer(group, 128 * 1024, 1_000)
                 .listen(new InetSocketAddress("127.0.0.1", cloudPort), standIns::cloud);
         Path folder = Files.createTempDirectory("sillreel-load");
@@ -262,7 +263,7 @@
         busy("first busy minute");
         busy("later");
         if (lostSeconds > 0) {
-            new LossMeasurement(loop, state, standIns, this::recoveryStatus).measure(lostSeconds);
+            new LossMeasurement(loop, stateService, standIns, this::recoveryStatus).measure(lostSeconds);
             busy("after the loss");
             return;
         }
@@ -332,8 +333,8 @@
                     what,
                     node == leader ? "leader" : "follower",
                     spent / seconds,
-                    ProcessFigures.residentMb(processes[node]),
-                    ProcessFigures.openSockets(processes[node]),
+                    ProcessMetrics.residentMb(processes[node]),
+                    ProcessMetrics.openSockets(processes[node]),
                     metrics.path("sillreel.workers").asInt(),
                     metrics.path("sillreel.plans.ms").asDouble()
                             / Math.max(1, metrics.path("sillreel.plans").asDouble()));
@@ -362,7 +363,7 @@
                 taken,
                 (loop.nowMicros() - begun) / 1e6,
                 used(leader) - before[leader],
-                ProcessFigures.residentMb(processes[leader]));
+                ProcessMetrics.residentMb(processes[leader]));
     }
 
     @Override
--- a/src/test/java/io/sillreel/load/LossMeasurement.java
+++ b/src/test/java/io/sillreel/load/LossMeasurement.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.sillreel.http.EventLoop;
-import io.sillreel.sim.SimStateStore;
-import io.sillreel.sim.SimStateStore.Image;
+import io.sillreel.sim.SimStateService;
+import io.sillreel.sim.SimStateService.Snapshot;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
@@ -14,29 +14,30 @@
     private static final long GIVE_UP_MICROS = 120_000_000;
 
     private final EventLoop eventLoop;
-    private final SimStateStore state;
+    private final SimStateService stateService;
     private final SimulatedServices standIns;
     private final Supplier<JsonNode> status;
 
     /** @param status what the controller that leads says of the loss */
-    LossMeasurement(EventLoop eventLoop, SimStateStore state, SimulatedServices standIns, Supplier<JsonNode> status) {
+    LossMeasurement(
+            EventLoop eventLoop, SimStateService stateService, SimulatedServices standIns, Supplier<JsonNode> status) {
         this.eventLoop = eventLoop;
-        this.state = state;
+        this.stateService = stateService;
         this.standIns = standIns;
         this.status = status;
     }
 
     /** Loses what is written within so many seconds, and prints what becomes of it. */
     void measure(int lostSeconds) throws InterruptedException {
-        Image image = inLoop(state::image);
+        Snapshot image = inLoop(stateService::snapshot);
         TimeUnit.SECONDS.sleep(lostSeconds);
-        long storeRevision = inLoop(state::ledger);
+        long storeRevision = inLoop(stateService::revision);
         long begun = eventLoop.nowMicros();
         inLoop(() -> {
-            state.turnBack(image);
+            stateService.restore(image);
             return true;
         });
-        long lost = storeRevision - inLoop(state::ledger);
+        long lost = storeRevision - inLoop(stateService::revision);
         double noticed =
                 untilSeconds(begun, () -> status.get().path("generation").asLong() > 0);
         double closed =
--- a/src/test/java/io/sillreel/load/ProcessFigures.java
+++ b/src/test/java/io/sillreel/load/ProcessMetrics.java
@@ -6,8 +6,8 @@
 import java.nio.file.Path;
 
 /** What the system tells of a running process. */
-final class ProcessFigures {
-    private ProcessFigures() {}
+final class ProcessMetrics {
+    private ProcessMetrics() {}
 
     static long residentMb(Process process) throws IOException {
         for (String line : Files.readAllLines(Path.of("/proc/" + process.pid() + "/status"))) {
--- a/src/test/java/io/sillreel/load/StoredJobs.java
+++ b/src/test/java/io/sillreel/load/StoredJobs.java
@@ -14,7 +14,7 @@
 import io.sillreel.pipeline.RunRecord;
 import io.sillreel.pipeline.TaskSpec;
 import io.sillreel.pipeline.Urgency;
-import io.sillreel.sim.SimStateStore;
+import io.sillreel.sim.SimStateService;
 import java.util.List;
 
 /** What earlier terms left in the state service: jobs that are done, and jobs that await one which never starts. */
@@ -25,11 +25,11 @@
     /** Half of the unfinished jobs await the one before them, half await the first. */
     private static final int FANS = 2;
 
-    private final SimStateStore state;
+    private final SimStateService stateService;
     private int next = FIRST_UID;
 
-    StoredJobs(SimStateStore state) {
-        this.state = state;
+    StoredJobs(SimStateService stateService) {
+        this.stateService = stateService;
     }
 
     void addDone(int count) {
@@ -64,7 +64,7 @@
     private void store(String key, ObjectNode value) {
         ObjectNode body = Json.object();
         body.putArray("then").addObject().put("set", key).set("v", value);
-        state.handle(HttpRequest.post("/txn", body)).join();
+        stateService.handle(HttpRequest.post("/txn", body)).join();
     }
 
     private static JobSpec spec(String uid, List<String> builds, List<String> awaits) {
