--- a/src/test/java/io/sillreel/pipeline/JobChainTest.java
+++ b/src/test/java/io/sillreel/pipeline/JobChainTest.java
@@ -7,7 +7,7 @@
 import io.sillreel.http.HttpResponse;
 import io.sillreel.sim.FailureInjector;
 import io.sillreel.sim.SimCluster;
-import io.sillreel.sim.SimNetwork.Fate;
+import io.sillreel.sim.SimNetwork.Action;
 import io.sillreel.sim.SimNetwork.Rule;
 import java.util.List;
 import java.util.function.Consumer;
@@ -17,61 +17,62 @@
 /** Jobs that await others, seen from outside; the world checks that none starts too early and that none is orphaned. */
 class JobChainTest {
     private static final long SECOND = 1_000_000;
-    private final SimCluster world = new SimCluster(31);
+    private final SimCluster cluster = new SimCluster(31);
 
     @BeforeEach
     void begin() {
-        world.seconds(2);
+        cluster.runSeconds(2);
     }
 
     private int accepted(int node, ObjectNode job) {
-        HttpResponse response = world.submit(node, job);
+        HttpResponse response = cluster.submit(node, job);
         for (int tries = 0; tries < 20 && response.status() / 100 != 2; tries++) {
-            world.seconds(1);
-            response = world.submit(node, job);
+            cluster.runSeconds(1);
+            response = cluster.submit(node, job);
         }
         return response.status();
     }
 
     private void everyNodeSays(String uid, String stage) {
-        for (int node = 0; node < world.nodes(); node++) {
-            if (world.isUp(node)) {
-                assertThat(world.stage(node, uid)).as("%s at %d", uid, node).isEqualTo(stage);
+        for (int node = 0; node < cluster.nodes(); node++) {
+            if (cluster.isUp(node)) {
+                assertThat(cluster.stage(node, uid)).as("%s at %d", uid, node).isEqualTo(stage);
             }
         }
     }
 
     private int someNode() {
-        return world.isUp(0) ? 0 : 1;
+        return cluster.isUp(0) ? 0 : 1;
     }
 
     /** The chain of the users: one, then two beside each other, then one that needs the first as well. */
     @Test
     void eachStepStartsOnlyOnceAllThatItAwaitsIsDone() {
-        world.submit(0, SimCluster.job(uid(1), 3));
-        world.submit(1, SimCluster.job(uid(2), 4, uid(1)));
-        world.submit(2, SimCluster.job(uid(3), 2, uid(1)));
-        assertThat(world.submit(0, SimCluster.job(uid(4), 2, uid(2), uid(3), uid(1)))
+        cluster.submit(0, SimCluster.job(uid(1), 3));
+        cluster.submit(1, SimCluster.job(uid(2), 4, uid(1)));
+        cluster.submit(2, SimCluster.job(uid(3), 2, uid(1)));
+        assertThat(cluster.submit(0, SimCluster.job(uid(4), 2, uid(2), uid(3), uid(1)))
                         .status())
                 .isEqualTo(201);
         everyNodeSays(uid(4), "queued");
-        world.untilStarted(3, 3 * SECOND);
-        assertThat(world.state().value("run/" + uid(2))).isNull();
-        world.seconds(60);
+        cluster.runUntilStarted(3, 3 * SECOND);
+        assertThat(cluster.store().value("run/" + uid(2))).isNull();
+        cluster.runSeconds(60);
         for (int job = 1; job <= 4; job++) {
             everyNodeSays(uid(job), "done");
         }
-        assertThat(world.starts()).isEqualTo(11);
-        assertThat(world.broken()).isEmpty();
+        assertThat(cluster.startCount()).isEqualTo(11);
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards what a submission may name, and who says so: the state service, and nobody's memory. */
     @Test
     void whatASubmissionNamesIsChecked() {
-        world.submit(0, SimCluster.job(uid(1), 1));
-        assertThat(world.submit(1, SimCluster.job(uid(2), 1).putNull("awaits")).status())
+        cluster.submit(0, SimCluster.job(uid(1), 1));
+        assertThat(cluster.submit(1, SimCluster.job(uid(2), 1).putNull("awaits"))
+                        .status())
                 .isEqualTo(201);
-        assertThat(world.submit(1, SimCluster.job(uid(3), 1, new String[0])).status())
+        assertThat(cluster.submit(1, SimCluster.job(uid(3), 1, new String[0])).status())
                 .isEqualTo(201);
         List<Consumer<ObjectNode>> mistakes = List.of(
                 job -> job.put("awaits", uid(1)),
@@ -84,31 +85,34 @@
         for (Consumer<ObjectNode> mistake : mistakes) {
             ObjectNode job = SimCluster.job(uid(4), 1);
             mistake.accept(job);
-            assertThat(world.submit(2, job).status()).as(job.toString()).isEqualTo(400);
+            assertThat(cluster.submit(2, job).status()).as(job.toString()).isEqualTo(400);
         }
-        assertThat(world.submit(2, SimCluster.job(uid(4), 1, uid(1), uid(99))).status())
+        assertThat(cluster.submit(2, SimCluster.job(uid(4), 1, uid(1), uid(99))).status())
+                .isEqualTo(422);
+        assertThat(cluster.submit(2, SimCluster.job(uid(4), 1, uid(4))).status())
                 .isEqualTo(422);
-        assertThat(world.submit(2, SimCluster.job(uid(4), 1, uid(4))).status()).isEqualTo(422);
-        assertThat(world.submit(2, SimCluster.job(uid(4), 1, uid(1)).put("vcpus", 64.0))
+        assertThat(cluster.submit(2, SimCluster.job(uid(4), 1, uid(1)).put("vcpus", 64.0))
                         .status())
                 .isEqualTo(422);
-        assertThat(world.poll(0, uid(4)).status()).isEqualTo(404);
-        assertThat(world.submit(2, SimCluster.job(uid(4), 1, uid(1), uid(1))).status())
+        assertThat(cluster.poll(0, uid(4)).status()).isEqualTo(404);
+        assertThat(cluster.submit(2, SimCluster.job(uid(4), 1, uid(1), uid(1))).status())
                 .isEqualTo(201);
-        assertThat(world.state().value("plan/" + uid(4)).path("job").path("awaits"))
+        assertThat(cluster.store().value("plan/" + uid(4)).path("job").path("awaits"))
                 .hasSize(1);
-        world.state().outage(true);
-        assertThat(world.submit(2, SimCluster.job(uid(5), 1, uid(99))).status()).isEqualTo(503);
-        world.state().outage(false);
-        world.seconds(30);
+        cluster.store().setOutage(true);
+        assertThat(cluster.submit(2, SimCluster.job(uid(5), 1, uid(99))).status())
+                .isEqualTo(503);
+        cluster.store().setOutage(false);
+        cluster.runSeconds(30);
         // A repeat is answered with the state, whatever became of what it names.
-        assertThat(world.submit(0, SimCluster.job(uid(4), 1, uid(1)))
+        assertThat(cluster.submit(0, SimCluster.job(uid(4), 1, uid(1)))
                         .json()
                         .path("stage")
                         .asText())
                 .isEqualTo("done");
-        assertThat(world.submit(0, SimCluster.job(uid(4), 1, uid(98))).status()).isEqualTo(200);
-        assertThat(world.broken()).isEmpty();
+        assertThat(cluster.submit(0, SimCluster.job(uid(4), 1, uid(98))).status())
+                .isEqualTo(200);
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards a name that was accepted a moment ago, by a controller whose answer to that was lost. */
@@ -116,48 +120,50 @@
     void whatAnotherControllerAcceptedThisVeryMomentIsFound() {
         for (int i = 1; i <= 20; i++) {
             String first = uid(2 * i);
-            world.submitMeanwhile(i % 3, SimCluster.job(first, 1));
-            world.until(() -> world.state().value("plan/" + first) != null);
-            assertThat(world.submit((i + 1) % 3, SimCluster.job(uid(2 * i + 1), 1, first))
+            cluster.submitAsync(i % 3, SimCluster.job(first, 1));
+            cluster.runUntil(() -> cluster.store().value("plan/" + first) != null);
+            assertThat(cluster.submit((i + 1) % 3, SimCluster.job(uid(2 * i + 1), 1, first))
                             .status())
                     .isEqualTo(201);
         }
-        world.seconds(60);
+        cluster.runSeconds(60);
         everyNodeSays(uid(41), "done");
-        assertThat(world.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards readers: what follows a cancelled job is cancelled at once, though nobody has written that down yet. */
     @Test
     void aCancellationClosesAllThatFollowsWhoeverIsAsked() {
-        world.submit(0, SimCluster.job(uid(1), 4).put("guess_s", 60.0));
-        world.submit(1, SimCluster.job(uid(2), 2, uid(1)));
-        world.submit(2, SimCluster.job(uid(3), 2, uid(2)));
-        world.submit(0, SimCluster.job(uid(4), 2, uid(3)));
-        world.submit(0, SimCluster.job(uid(5), 2).put("guess_s", 60.0));
-        world.untilStarted(6, 600 * SECOND);
-        int leader = world.leader();
+        cluster.submit(0, SimCluster.job(uid(1), 4).put("guess_s", 60.0));
+        cluster.submit(1, SimCluster.job(uid(2), 2, uid(1)));
+        cluster.submit(2, SimCluster.job(uid(3), 2, uid(2)));
+        cluster.submit(0, SimCluster.job(uid(4), 2, uid(3)));
+        cluster.submit(0, SimCluster.job(uid(5), 2).put("guess_s", 60.0));
+        cluster.runUntilStarted(6, 600 * SECOND);
+        int leader = cluster.leader();
         // Nobody leads for the next seconds, so nobody writes what follows.
-        world.kill(leader);
+        cluster.kill(leader);
         int other = (leader + 1) % 3;
-        assertThat(world.cancel(other, uid(1)).json().path("stage").asText()).isEqualTo("withdrawn");
+        assertThat(cluster.cancel(other, uid(1)).json().path("stage").asText()).isEqualTo("withdrawn");
         for (int job = 2; job <= 4; job++) {
-            assertThat(world.state().value("withdraw/" + uid(job))).isNull();
+            assertThat(cluster.store().value("withdraw/" + uid(job))).isNull();
             everyNodeSays(uid(job), "withdrawn");
-            assertThat(world.cancel(other, uid(job)).json().path("stage").asText())
+            assertThat(cluster.cancel(other, uid(job)).json().path("stage").asText())
                     .isEqualTo("withdrawn");
         }
         // Who names one of them now is accepted, and cancelled with them.
-        HttpResponse late = world.submit(other, SimCluster.job(uid(6), 1, uid(4)));
+        HttpResponse late = cluster.submit(other, SimCluster.job(uid(6), 1, uid(4)));
         assertThat(late.status()).isEqualTo(201);
         assertThat(late.json().path("stage").asText()).isEqualTo("withdrawn");
         everyNodeSays(uid(6), "withdrawn");
-        world.seconds(15);
+        cluster.runSeconds(15);
         for (int job = 1; job <= 4; job++) {
-            assertThat(world.state().value("withdraw/" + uid(job))).as(uid(job)).isNotNull();
+            assertThat(cluster.store().value("withdraw/" + uid(job)))
+                    .as(uid(job))
+                    .isNotNull();
         }
-        assertThat(world.stage(other, uid(5))).isIn("queued", "running");
-        assertThat(world.broken()).isEmpty();
+        assertThat(cluster.stage(other, uid(5))).isIn("queued", "running");
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards what a reader says against a cancellation of any step, first, middle or last, at any moment. */
@@ -165,23 +171,23 @@
     void aCancellationInEachSecondOfAChainClosesWhatFollowsAndNothingElse() {
         for (int half = 0; half < 24; half++) {
             SimCluster each = new SimCluster(200 + half);
-            each.seconds(2);
+            each.runSeconds(2);
             each.submit(0, SimCluster.job(uid(1), 2));
             each.submit(1, SimCluster.job(uid(2), 2, uid(1)));
             each.submit(2, SimCluster.job(uid(3), 2, uid(2)));
-            each.seconds(half * 0.9);
+            each.runSeconds(half * 0.9);
             int step = 1 + half % 3;
             String told = each.cancel(half % 3, uid(step)).json().path("stage").asText();
-            each.seconds(3);
+            each.runSeconds(3);
             if (told.equals("withdrawn")) {
                 // The leader has written down what follows.
                 for (int job = step; job <= 3; job++) {
-                    assertThat(each.state().value("withdraw/" + uid(job)))
+                    assertThat(each.store().value("withdraw/" + uid(job)))
                             .as("after %d", half)
                             .isNotNull();
                 }
             }
-            each.seconds(47);
+            each.runSeconds(47);
             for (int job = 1; job <= 3; job++) {
                 String expected = told.equals("withdrawn") && job >= step ? "withdrawn" : "done";
                 for (int node = 0; node < 3; node++) {
@@ -190,7 +196,7 @@
                             .isEqualTo(expected);
                 }
             }
-            assertThat(each.broken()).isEmpty();
+            assertThat(each.violations()).isEmpty();
         }
     }
 
@@ -199,57 +205,58 @@
     void aChainGoesOnThroughTakeoversLateReportsAndLostAnswers() {
         for (int seed = 1; seed <= 5; seed++) {
             SimCluster each = new SimCluster(300 + seed);
-            each.seconds(2);
+            each.runSeconds(2);
             for (int job = 1; job <= 8; job++) {
                 each.submit(job % 3, job == 1 ? SimCluster.job(uid(1), 3) : SimCluster.job(uid(job), 3, uid(job - 1)));
             }
             int lost = seed;
             Rule rule = each.network()
-                    .add((from, to, request) -> request.route().equals("/txn")
+                    .addRule((from, to, request) -> request.route().equals("/txn")
                                     && new String(request.body(), java.nio.charset.StandardCharsets.UTF_8)
                                             .contains("\"run/")
                                     && (from.hashCode() + request.body().length + lost) % 3 == 0
-                            ? Fate.LOSE_ANSWER
+                            ? Action.DROP_RESPONSE
                             : null);
-            each.network().add((from, to, request) -> request.route().equals("/agent/beat") ? Fate.COPY : null);
+            each.network()
+                    .addRule((from, to, request) -> request.route().equals("/agent/beat") ? Action.DUPLICATE : null);
             for (int change = 0; change < 4; change++) {
-                each.seconds(7 + seed);
+                each.runSeconds(7 + seed);
                 int leader = each.leader();
                 if (leader >= 0) {
                     each.kill(leader);
-                    each.seconds(4);
+                    each.runSeconds(4);
                     each.restart(leader);
                 }
             }
-            each.network().remove(rule);
-            each.seconds(150);
+            each.network().removeRule(rule);
+            each.runSeconds(150);
             for (int job = 1; job <= 8; job++) {
                 assertThat(each.stage(0, uid(job)))
                         .as("seed %d, %s", seed, uid(job))
                         .isEqualTo("done");
             }
-            assertThat(each.broken()).isEmpty();
+            assertThat(each.violations()).isEmpty();
         }
     }
 
     /** Guards what is awaited and was done long ago, before this term and before this controller. */
     @Test
     void whatIsAwaitedMayBeDoneLongAgo() {
-        world.submit(0, SimCluster.job(uid(1), 1));
-        world.submit(0, SimCluster.job(uid(2), 1));
-        world.seconds(25);
+        cluster.submit(0, SimCluster.job(uid(1), 1));
+        cluster.submit(0, SimCluster.job(uid(2), 1));
+        cluster.runSeconds(25);
         everyNodeSays(uid(1), "done");
-        world.submit(1, SimCluster.job(uid(3), 1, uid(1), uid(2)));
+        cluster.submit(1, SimCluster.job(uid(3), 1, uid(1), uid(2)));
         for (int node = 0; node < 3; node++) {
-            world.restart(node);
+            cluster.restart(node);
         }
-        world.seconds(5);
-        assertThat(world.submit(2, SimCluster.job(uid(4), 1, uid(1), uid(3))).status())
+        cluster.runSeconds(5);
+        assertThat(cluster.submit(2, SimCluster.job(uid(4), 1, uid(1), uid(3))).status())
                 .isEqualTo(201);
-        world.seconds(40);
+        cluster.runSeconds(40);
         everyNodeSays(uid(3), "done");
         everyNodeSays(uid(4), "done");
-        assertThat(world.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /**
@@ -257,61 +264,61 @@
      */
     @Test
     void whatIsReadBeforeThePlanOfWhatItAwaitsIsNotReleased() {
-        world.cloud().outage(true);
+        cluster.cloud().setOutage(true);
         for (int job = 1; job <= 220; job++) {
-            world.submitMeanwhile(job % 3, SimCluster.job(uid(job), 1));
-            world.seconds(0.05);
+            cluster.submitAsync(job % 3, SimCluster.job(uid(job), 1));
+            cluster.runSeconds(0.05);
         }
-        world.seconds(10);
-        int leader = world.leader();
+        cluster.runSeconds(10);
+        int leader = cluster.leader();
         boolean[] reading = {false};
-        world.network().add((from, to, request) -> {
+        cluster.network().addRule((from, to, request) -> {
             if (request.path().startsWith("/kv?prefix=plan/&since=") && !reading[0]) {
                 reading[0] = true;
-                world.network().slowness(250);
+                cluster.network().setLatencyFactor(250);
             }
             return null;
         });
-        world.kill(leader);
-        world.until(() -> reading[0]);
+        cluster.kill(leader);
+        cluster.runUntil(() -> reading[0]);
         // Only the second page is on its way for so long, and what came meanwhile is not seen either for some seconds.
-        world.network().slowness(1);
-        Rule unseen = world.network()
-                .add((from, to, request) -> request.path().startsWith("/watch?prefix=plan/") ? Fate.LOSE : null);
+        cluster.network().setLatencyFactor(1);
+        Rule unseen = cluster.network()
+                .addRule((from, to, request) -> request.path().startsWith("/watch?prefix=plan/") ? Action.DROP : null);
         int node = (leader + 1) % 3;
         assertThat(accepted(node, SimCluster.job(uid(0), 1))).isEqualTo(201);
         assertThat(accepted(node, SimCluster.job(uid(999), 1, uid(0)))).isEqualTo(201);
-        world.seconds(8);
-        world.network().remove(unseen);
-        assertThat(world.state().value("run/" + uid(999))).isNull();
-        world.until(() -> world.state().value("run/" + uid(0)) != null);
-        world.seconds(5);
-        assertThat(world.state().value("run/" + uid(999))).isNull();
-        world.cloud().outage(false);
-        world.seconds(60);
+        cluster.runSeconds(8);
+        cluster.network().removeRule(unseen);
+        assertThat(cluster.store().value("run/" + uid(999))).isNull();
+        cluster.runUntil(() -> cluster.store().value("run/" + uid(0)) != null);
+        cluster.runSeconds(5);
+        assertThat(cluster.store().value("run/" + uid(999))).isNull();
+        cluster.cloud().setOutage(false);
+        cluster.runSeconds(60);
         everyNodeSays(uid(999), "done");
-        assertThat(world.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards the way through a long chain: its links are settled one by one, and polls of its end stay answered. */
     @Test
     void aChainOfHundredsIsClosedFromItsBeginning() {
-        world.submit(0, SimCluster.job(uid(1), 1));
-        world.untilStarted(1, 600 * SECOND);
+        cluster.submit(0, SimCluster.job(uid(1), 1));
+        cluster.runUntilStarted(1, 600 * SECOND);
         for (int job = 2; job <= 300; job++) {
             assertThat(accepted(job % 3, SimCluster.job(uid(job), 1, uid(job - 1))))
                     .isEqualTo(201);
         }
-        world.seconds(2);
-        assertThat(world.stage(1, uid(300))).isEqualTo("queued");
+        cluster.runSeconds(2);
+        assertThat(cluster.stage(1, uid(300))).isEqualTo("queued");
         // A successor reads the chain in the order of its keys, and closes it in that of its links.
-        world.kill(world.leader());
-        world.cancel(someNode(), uid(1));
-        world.seconds(5);
-        assertThat(world.stage(someNode(), uid(300))).isEqualTo("withdrawn");
-        world.seconds(25);
-        assertThat(world.state().keysUnder("withdraw/")).hasSize(300);
-        assertThat(world.broken()).isEmpty();
+        cluster.kill(cluster.leader());
+        cluster.cancel(someNode(), uid(1));
+        cluster.runSeconds(5);
+        assertThat(cluster.stage(someNode(), uid(300))).isEqualTo("withdrawn");
+        cluster.runSeconds(25);
+        assertThat(cluster.store().keysWithPrefix("withdraw/")).hasSize(300);
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /**
@@ -319,50 +326,50 @@
      */
     @Test
     void theFirstPollAtTheEndOfALongChainTakesFewRequests() {
-        world.cloud().outage(true);
+        cluster.cloud().setOutage(true);
         for (int job = 1; job <= 500; job++) {
             ObjectNode next = job == 1 ? SimCluster.job(uid(1), 1) : SimCluster.job(uid(job), 1, uid(job - 1));
             assertThat(accepted(0, next)).isIn(200, 201);
         }
-        int asked = world.leader() == 1 ? 2 : 1;
-        world.restart(asked);
-        world.until(() -> world.isOpen(asked));
-        world.seconds(3);
+        int asked = cluster.leader() == 1 ? 2 : 1;
+        cluster.restart(asked);
+        cluster.runUntil(() -> cluster.isServing(asked));
+        cluster.runSeconds(3);
         int[] requests = {0};
-        world.network().add((from, to, request) -> {
+        cluster.network().addRule((from, to, request) -> {
             boolean counts = from.equals(FailureInjector.host(asked))
                     && to.startsWith("state")
                     && !request.path().contains("grants");
             requests[0] += counts ? 1 : 0;
             return null;
         });
-        assertThat(world.stage(asked, uid(500))).isEqualTo("queued");
+        assertThat(cluster.stage(asked, uid(500))).isEqualTo("queued");
         assertThat(requests[0]).isLessThan(60);
-        assertThat(world.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards a step that thousands await: each of them costs its own links and no more. */
     @Test
     void manyFollowersOfOneJobAreAllReleasedByItsEnd() {
-        world.submit(0, SimCluster.job(uid(1), 1));
-        world.untilStarted(1, 90 * SECOND);
+        cluster.submit(0, SimCluster.job(uid(1), 1));
+        cluster.runUntilStarted(1, 90 * SECOND);
         for (int job = 2; job <= 400; job++) {
-            world.submitMeanwhile(job % 3, SimCluster.job(uid(job), 1, uid(1)));
-            world.seconds(0.06);
+            cluster.submitAsync(job % 3, SimCluster.job(uid(job), 1, uid(1)));
+            cluster.runSeconds(0.06);
         }
-        world.seconds(10);
-        assertThat(world.state().keysUnder("run/")).hasSize(1);
-        world.cloud().machines().values().forEach(worker -> worker.runMicros(SECOND / 2));
-        world.seconds(160);
+        cluster.runSeconds(10);
+        assertThat(cluster.store().keysWithPrefix("run/")).hasSize(1);
+        cluster.cloud().machines().values().forEach(worker -> worker.setRunMicros(SECOND / 2));
+        cluster.runSeconds(160);
         int done = 0;
         for (int job = 2; job <= 400; job++) {
-            done += world.told(uid(job)) != null
-                            && world.stage(job % 3, uid(job)).equals("done")
+            done += cluster.known(uid(job)) != null
+                            && cluster.stage(job % 3, uid(job)).equals("done")
                     ? 1
                     : 0;
         }
         assertThat(done).isGreaterThan(380);
-        assertThat(world.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /**
@@ -371,18 +378,18 @@
     @Test
     void limitsThatFallInTheMiddleLoseNothing() {
         for (int job = 1; job <= 30; job++) {
-            world.submitMeanwhile(
+            cluster.submitAsync(
                     job % 3, job % 3 == 1 ? SimCluster.job(uid(job), 6) : SimCluster.job(uid(job), 6, uid(job - 1)));
-            world.seconds(0.4);
+            cluster.runSeconds(0.4);
             if (job == 14) {
-                world.state().limits(6, 2 * 1024, 15);
+                cluster.store().setLimits(6, 2 * 1024, 15);
             }
         }
-        world.seconds(200);
+        cluster.runSeconds(200);
         for (int job = 1; job <= 30; job++) {
             everyNodeSays(uid(job), "done");
         }
-        assertThat(world.state().refusedForSize()).isZero();
-        assertThat(world.broken()).isEmpty();
+        assertThat(cluster.store().rejectedForSize()).isZero();
+        assertThat(cluster.violations()).isEmpty();
     }
 }
--- a/src/test/java/io/sillreel/placement/ShortageTest.java
+++ b/src/test/java/io/sillreel/placement/ShortageTest.java
@@ -16,7 +16,7 @@
     private static final int STEPS = 120;
     private static final double STEP_SECONDS = 2.5;
 
-    private final SimCluster world = new SimCluster(21);
+    private final SimCluster cluster = new SimCluster(21);
     private final Random random = new Random(21);
     private final Map<String, Double> askedAt = new HashMap<>();
     private final Map<String, String> classes = new HashMap<>();
@@ -35,8 +35,8 @@
                         .put("vcpus", 4.0)
                         .putNull("due_s");
         };
-        if (world.submit(number % 3, job).status() == 201) {
-            askedAt.put(uid, world.time().nowMicros() / 1e6);
+        if (cluster.submit(number % 3, job).status() == 201) {
+            askedAt.put(uid, cluster.time().nowMicros() / 1e6);
             classes.put(uid, job.path("lot").asText());
             unbegun.add(uid);
         }
@@ -44,8 +44,8 @@
 
     private void look() {
         for (String uid : List.copyOf(unbegun)) {
-            var answer = world.poll(0, uid).json();
-            double waited = world.time().nowMicros() / 1e6 - askedAt.get(uid);
+            var answer = cluster.poll(0, uid).json();
+            double waited = cluster.time().nowMicros() / 1e6 - askedAt.get(uid);
             if (answer.path("done").asInt() + answer.path("running").asInt() > 0) {
                 assertThat(waited).as("%s of %s", uid, classes.get(uid)).isLessThan(240);
                 unbegun.remove(uid);
@@ -56,32 +56,32 @@
     /** Guards low ranks and large tasks against waiting for as long as anything else comes. */
     @Test
     void everyJobBeginsWithinFourMinutesAndHalfOfEachClassIsServed() {
-        world.seconds(2);
+        cluster.runSeconds(2);
         for (int step = 1; step <= STEPS; step++) {
             submit(step);
-            world.cloud().machines().values().forEach(worker -> worker.runMicros(8_000_000));
-            world.seconds(STEP_SECONDS);
+            cluster.cloud().machines().values().forEach(worker -> worker.setRunMicros(8_000_000));
+            cluster.runSeconds(STEP_SECONDS);
             if (step % 5 == 0) {
                 look();
             }
         }
         Map<String, Integer> all = new HashMap<>();
         Map<String, Integer> served = new HashMap<>();
-        double now = world.time().nowMicros() / 1e6;
+        double now = cluster.time().nowMicros() / 1e6;
         for (String uid : askedAt.keySet()) {
             if (now - askedAt.get(uid) > 200) {
                 all.merge(classes.get(uid), 1, Integer::sum);
-                served.merge(classes.get(uid), world.stage(0, uid).equals("done") ? 1 : 0, Integer::sum);
+                served.merge(classes.get(uid), cluster.stage(0, uid).equals("done") ? 1 : 0, Integer::sum);
             }
         }
         assertThat(all).hasSize(3);
         all.forEach((jobClass, count) ->
                 assertThat(served.get(jobClass)).as(jobClass).isGreaterThanOrEqualTo((count + 1) / 2));
         for (int more = 0; more < 20; more++) {
-            world.seconds(10);
+            cluster.runSeconds(10);
             look();
         }
         assertThat(unbegun).isEmpty();
-        assertThat(world.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 }
--- a/src/test/java/io/sillreel/recovery/RecoveryClusters.java
+++ b/src/test/java/io/sillreel/recovery/RecoveryClusters.java
@@ -17,12 +17,12 @@
         Properties properties = new Properties();
         properties.setProperty("recovery.enabled", "1");
         return new SimCluster(
-                seed, SimClusterSettings.usual(NODES, 0), Version.CURRENT, OperatorProperties.of(properties));
+                seed, SimClusterSettings.small(NODES, 0), Version.CURRENT, OperatorProperties.of(properties));
     }
 
     /** True while a loss is stored that has not been made good. */
-    static boolean open(SimCluster world) {
-        JsonNode record = world.state().value(RecoveryRecord.KEY);
+    static boolean open(SimCluster cluster) {
+        JsonNode record = cluster.store().value(RecoveryRecord.KEY);
         return record != null && record.path("open").asBoolean();
     }
 }
--- a/src/test/java/io/sillreel/sim/FailureInjector.java
+++ b/src/test/java/io/sillreel/sim/FailureInjector.java
@@ -1,7 +1,7 @@
 package io.sillreel.sim;
 
 import io.sillreel.http.HttpRequest;
-import io.sillreel.sim.SimNetwork.Fate;
+import io.sillreel.sim.SimNetwork.Action;
 import io.sillreel.sim.SimNetwork.Rule;
 import java.nio.charset.StandardCharsets;
 import java.util.Collection;
@@ -19,25 +19,25 @@
     }
 
     /** The machine's reports arrive, but neither answers nor commands reach it. */
-    public static Rule unresponsive(String machine) {
+    public static Rule dropInbound(String machine) {
         return (from, to, request) ->
-                from.equals(machine) ? Fate.LOSE_ANSWER : to.startsWith(machine) ? Fate.LOSE : null;
+                from.equals(machine) ? Action.DROP_RESPONSE : to.startsWith(machine) ? Action.DROP : null;
     }
 
     /** The machines reach no controller, while direct commands reach them. */
-    public static Rule mute(Collection<String> machines) {
-        return (from, to, request) -> machines.contains(from) ? Fate.LOSE : null;
+    public static Rule dropOutbound(Collection<String> machines) {
+        return (from, to, request) -> machines.contains(from) ? Action.DROP : null;
     }
 
     /** Nothing gets to the machines or away from them. */
-    public static Rule away(Collection<String> machines, Fate fate) {
+    public static Rule machineTraffic(Collection<String> machines, Action action) {
         return (from, to, request) ->
-                machines.contains(from) || machines.stream().anyMatch(to::startsWith) ? fate : null;
+                machines.contains(from) || machines.stream().anyMatch(to::startsWith) ? action : null;
     }
 
     /** The state service refuses this controller alone. */
-    public static Rule refused(int node) {
-        return (from, to, request) -> from.equals(host(node)) && to.startsWith(STATE) ? Fate.REFUSE : null;
+    public static Rule rejectedByStateService(int node) {
+        return (from, to, request) -> from.equals(host(node)) && to.startsWith(STATE) ? Action.REJECT : null;
     }
 
     /**
@@ -47,29 +47,29 @@
         String host = host(node);
         return (from, to, request) -> from.equals(host) && (to.startsWith(CONTROLLERS) || to.startsWith(STATE))
                         || to.startsWith(host) && from.startsWith(CONTROLLERS)
-                ? Fate.LOSE
+                ? Action.DROP
                 : null;
     }
 
     /** That part of the transactions that match gets no answer; they are carried out late, or at once. */
-    public static Rule writes(String with, Fate fate, double share, Random random) {
+    public static Rule transactions(String with, Action action, double share, Random random) {
         return (from, to, request) -> to.startsWith(STATE)
                         && request.route().equals("/txn")
                         && text(request).contains(with)
                         && random.nextDouble() < share
-                ? fate
+                ? action
                 : null;
     }
 
     /** That becomes of this part of the workers' reports. */
-    public static Rule reports(Fate fate, double share, Random random) {
+    public static Rule heartbeats(Action action, double share, Random random) {
         return (from, to, request) ->
-                request.route().equals("/agent/beat") && random.nextDouble() < share ? fate : null;
+                request.route().equals("/agent/beat") && random.nextDouble() < share ? action : null;
     }
 
     /** That becomes of direct commands. */
-    public static Rule commands(Fate fate) {
-        return (from, to, request) -> request.route().equals("/do") ? fate : null;
+    public static Rule commands(Action action) {
+        return (from, to, request) -> request.route().equals("/do") ? action : null;
     }
 
     private static String text(HttpRequest request) {
--- a/src/test/java/io/sillreel/sim/InvariantChecker.java
+++ b/src/test/java/io/sillreel/sim/InvariantChecker.java
@@ -18,7 +18,7 @@
 final class InvariantChecker {
     private static final long SECOND = 1_000_000;
 
-    private final SimCluster world;
+    private final SimCluster cluster;
     private final Set<String> completed = new HashSet<>();
     private final Set<String> mistaken = new HashSet<>();
     private final Map<String, Integer> pieces = new HashMap<>();
@@ -37,8 +37,8 @@
     private long storedUpLedger = -1;
     private int starts;
 
-    InvariantChecker(SimCluster world) {
-        this.world = world;
+    InvariantChecker(SimCluster cluster) {
+        this.cluster = cluster;
     }
 
     /** A user has asked for the job to be run. */
@@ -121,10 +121,10 @@
         }
         told.put(uid, stage);
         if (before == null || !over && (stage.equals("done") || stage.equals("withdrawn"))) {
-            toldMicros.put(uid, world.time().nowMicros());
+            toldMicros.put(uid, cluster.time().nowMicros());
         }
         if (stage.equals("withdrawn")) {
-            cancelledAt.putIfAbsent(uid, world.time().nowMicros());
+            cancelledAt.putIfAbsent(uid, cluster.time().nowMicros());
             if (neededBy(uid).noneMatch(cancelAsked::contains)) {
                 broken.add("went_back " + uid + " is called withdrawn, and nobody asked for that");
             }
@@ -132,7 +132,7 @@
                 && neededBy(uid)
                         .anyMatch(needed -> cancelledAt.containsKey(needed)
                                 && cancelledAt.get(needed)
-                                                + world.settings().workers().cancelMicros()
+                                                + cluster.settings().workers().cancelMicros()
                                         < asked)) {
             broken.add("orphaned " + uid + " is called " + stage);
         }
@@ -178,14 +178,14 @@
     void started(SimWorker worker, String piece) {
         starts++;
         for (SimWorker other : startedOn.computeIfAbsent(piece, each -> new LinkedHashSet<>())) {
-            long here = other.running().stream().filter(piece::equals).count();
+            long here = other.runningTasks().stream().filter(piece::equals).count();
             if (here > (other == worker ? 1 : 0)) {
                 broken.add("ran_twice " + piece + " on " + other.name() + " and " + worker.name());
             }
         }
         startedOn.get(piece).add(worker);
-        double most = world.settings().teams().get("t").maxCpus();
-        if (most > 0 && world.running() > most) {
+        double most = cluster.settings().teams().get("t").maxCpus();
+        if (most > 0 && cluster.runningTaskCount() > most) {
             broken.add("quota at " + piece);
         }
         if (!storedAsUp(worker.name())) {
@@ -205,12 +205,12 @@
                 .min(Long::compare)
                 .orElse(null);
         if (cancelled != null) {
-            startsOfCancelled.add(piece + " after " + (world.time().nowMicros() - cancelled) / 1_000 + " ms");
+            startsOfCancelled.add(piece + " after " + (cluster.time().nowMicros() - cancelled) / 1_000 + " ms");
         }
         boolean apart = oneZone.contains(uid)
-                && world.cloud().machines().values().stream()
+                && cluster.cloud().machines().values().stream()
                         .anyMatch(other -> !other.zone().equals(worker.zone())
-                                && other.running().stream().anyMatch(task -> task.startsWith(uid + "/")));
+                                && other.runningTasks().stream().anyMatch(task -> task.startsWith(uid + "/")));
         if (apart) {
             broken.add("wrong_place " + piece + " in " + worker.zone());
         }
@@ -218,11 +218,11 @@
 
     /** A successor looks for tasks where the stored rentals say that they can be. */
     private boolean storedAsUp(String machine) {
-        if (world.state().ledger() != storedUpLedger) {
-            storedUpLedger = world.state().ledger();
+        if (cluster.store().revision() != storedUpLedger) {
+            storedUpLedger = cluster.store().revision();
             storedUp.clear();
-            for (String key : world.state().keysUnder("hire/")) {
-                for (JsonNode up : world.state().value(key).path("up")) {
+            for (String key : cluster.store().keysWithPrefix("hire/")) {
+                for (JsonNode up : cluster.store().value(key).path("up")) {
                     storedUp.add(up.asText());
                 }
             }
@@ -232,13 +232,13 @@
 
     /** Looks from now on whether tasks of cancelled jobs are gone in time. */
     void watch() {
-        world.time().after(SECOND / 5, this::watch);
-        for (SimWorker worker : world.cloud().machines().values()) {
-            for (String piece : worker.running()) {
+        cluster.time().after(SECOND / 5, this::watch);
+        for (SimWorker worker : cluster.cloud().machines().values()) {
+            for (String piece : worker.runningTasks()) {
                 Long at = cancelledAt.get(piece.substring(0, piece.indexOf('/')));
                 if (at != null
-                        && world.time().nowMicros() - at
-                                > world.settings().workers().cancelMicros()) {
+                        && cluster.time().nowMicros() - at
+                                > cluster.settings().workers().cancelMicros()) {
                     broken.add("ran_cancelled " + piece + " on " + worker.name());
                 }
             }
--- a/src/test/java/io/sillreel/sim/PreviousVersion.java
+++ b/src/test/java/io/sillreel/sim/PreviousVersion.java
@@ -40,7 +40,7 @@
     }
 
     /** The network as the version uses it. */
-    public CompletableFuture<HttpResponse> call(String address, HttpRequest request, long timeoutMicros) {
+    public CompletableFuture<HttpResponse> send(String address, HttpRequest request, long timeoutMicros) {
         if (request.path().contains(PARTS_PREFIX)) {
             // The version never lists these keys.
             ObjectNode nothing = Json.object().put("truncated", false).put("ledger", 0);
@@ -56,7 +56,7 @@
     }
 
     /** A user's request as the version understands it. */
-    public static HttpRequest understood(HttpRequest request) {
+    public static HttpRequest withoutNewerFields(HttpRequest request) {
         if (!request.route().equals("/v2/runs") || !(Json.parse(request.body()) instanceof ObjectNode submission)) {
             return request;
         }
@@ -64,7 +64,7 @@
     }
 
     /** A stored value as the version understands it. */
-    public static JsonNode understood(String key, JsonNode value) {
+    public static JsonNode withoutNewerFields(String key, JsonNode value) {
         if (key.startsWith("plan/")) {
             ObjectNode plan = value.deepCopy();
             ((ObjectNode) plan.path("job")).remove(PLAN_FIELDS_SINCE);
@@ -82,7 +82,7 @@
         }
         String key = change.path("set").asText();
         if (!KNOWN_KEYS.matcher(key).matches()
-                || !understood(key, change.path("v")).equals(change.path("v"))) {
+                || !withoutNewerFields(key, change.path("v")).equals(change.path("v"))) {
             violation.accept("written by the previous version: " + change);
         }
     }
@@ -109,6 +109,6 @@
         if (key.startsWith("run/") && !READABLE_RECORD.matcher(key).matches()) {
             violation.accept("read by the previous version: " + key);
         }
-        entry.set("v", understood(key, entry.path("v")));
+        entry.set("v", withoutNewerFields(key, entry.path("v")));
     }
 }
--- a/src/test/java/io/sillreel/sim/SimCloud.java
+++ b/src/test/java/io/sillreel/sim/SimCloud.java
@@ -14,7 +14,7 @@
 
 /** A cloud in memory: one machine type in two zones, a list without lag. */
 public final class SimCloud implements HttpHandler {
-    private final SimCluster world;
+    private final SimCluster cluster;
     private final TreeMap<String, SimWorker> machines = new TreeMap<>();
     private final TreeMap<String, String> booting = new TreeMap<>();
     private final Map<String, ArrayNode> answers = new LinkedHashMap<>();
@@ -23,17 +23,17 @@
     private long bootMicros = 4_000_000;
     private final int capacity;
 
-    SimCloud(SimCluster world, int capacity) {
-        this.world = world;
+    SimCloud(SimCluster cluster, int capacity) {
+        this.cluster = cluster;
         this.capacity = capacity;
     }
 
-    public void outage(boolean down) {
+    public void setOutage(boolean down) {
         outage = down;
     }
 
     /** How long machines rented from now on take to come up. */
-    public void bootMicros(long micros) {
+    public void setBootMicros(long micros) {
         bootMicros = micros;
     }
 
@@ -42,17 +42,17 @@
     }
 
     /** The cloud takes a machine back without a word. */
-    public void take(String name) {
+    public void reclaim(String name) {
         SimWorker worker = machines.remove(name);
         if (worker != null) {
-            worker.die();
+            worker.terminate();
         }
     }
 
     /** The cloud takes a machine back after some time, and its worker is told. */
-    public void recall(String name, long afterMicros) {
-        machines.get(name).recalled(afterMicros);
-        world.time().after(afterMicros, () -> take(name));
+    public void reclaimWithNotice(String name, long afterMicros) {
+        machines.get(name).noticeInterruption(afterMicros);
+        cluster.time().after(afterMicros, () -> reclaim(name));
     }
 
     @Override
@@ -110,9 +110,9 @@
     private String boot(String machineType, String zone, boolean spot) {
         String name = "host-%06d".formatted(created++);
         booting.put(name, machineType);
-        world.time().after(bootMicros, () -> {
+        cluster.time().after(bootMicros, () -> {
             if (booting.remove(name) != null) {
-                machines.put(name, new SimWorker(world, name, machineType, zone, spot, created % world.nodes()));
+                machines.put(name, new SimWorker(cluster, name, machineType, zone, spot, created % cluster.nodes()));
             }
         });
         return name;
@@ -121,7 +121,7 @@
     private HttpResponse giveBack(JsonNode body) {
         for (JsonNode name : body.path("hoppers")) {
             booting.remove(name.asText());
-            take(name.asText());
+            reclaim(name.asText());
         }
         return HttpResponse.of(200, Json.object());
     }
@@ -131,7 +131,7 @@
                 request,
                 machines,
                 (worker, entry) -> entry.put("addr", worker.address())
-                        .put("build", worker.build())
+                        .put("build", worker.machineType())
                         .put("yard", worker.zone())
                         .put("loaners", worker.spot()));
     }
--- a/src/test/java/io/sillreel/sim/SimCluster.java
+++ b/src/test/java/io/sillreel/sim/SimCluster.java
@@ -27,9 +27,9 @@
  */
 public final class SimCluster {
     private static final long SECOND = 1_000_000;
-    private static final int USUAL_NODES = 3;
+    private static final int DEFAULT_NODES = 3;
     private static final long HEAP_BYTES = 50L << 20;
-    private static final long ASKER_WAITS_MICROS = 4 * SECOND;
+    private static final long REQUEST_DEADLINE_MICROS = 4 * SECOND;
 
     /** What a controller runs: the version before chains of jobs (5806758), or the present one. */
     public enum Version {
@@ -39,18 +39,18 @@
 
     private final SimTime time = new SimTime();
     private final SimNetwork network;
-    private final SimStateStore state;
+    private final SimStateService stateService;
     private final SimCloud cloud;
     private final Settings settings;
     private final int nodes;
     private final Controller[] controllers;
     private final SimTime.Process[] processes;
     private final Version[] versions;
-    private final SimClusterSettings worldSettings;
-    private final OperatorProperties operator;
-    private final HttpClient users;
+    private final SimClusterSettings clusterSettings;
+    private final OperatorProperties properties;
+    private final HttpClient userClient;
     private final Map<String, ObjectNode> submitted = new HashMap<>();
-    private final InvariantChecker rules;
+    private final InvariantChecker checker;
 
     public SimCluster(long seed) {
         this(seed, 0);
@@ -58,102 +58,102 @@
 
     /** @param cpusMax the team's limit, 0 for none */
     public SimCluster(long seed, double cpusMax) {
-        this(seed, cpusMax, USUAL_NODES, Version.CURRENT);
+        this(seed, cpusMax, DEFAULT_NODES, Version.CURRENT);
     }
 
     /** @param version what all controllers run at first */
     public SimCluster(long seed, double cpusMax, int nodes, Version version) {
-        this(seed, SimClusterSettings.usual(nodes, cpusMax), version);
+        this(seed, SimClusterSettings.small(nodes, cpusMax), version);
     }
 
     /** @param version what all controllers run at first */
-    public SimCluster(long seed, SimClusterSettings worldSettings, Version version) {
-        this(seed, worldSettings, version, OperatorProperties.defaults());
+    public SimCluster(long seed, SimClusterSettings clusterSettings, Version version) {
+        this(seed, clusterSettings, version, OperatorProperties.defaults());
     }
 
     /** @param version what all controllers run at first */
-    public SimCluster(long seed, SimClusterSettings worldSettings, Version version, OperatorProperties operator) {
-        this.worldSettings = worldSettings;
-        this.operator = operator;
-        this.nodes = worldSettings.nodes();
+    public SimCluster(long seed, SimClusterSettings clusterSettings, Version version, OperatorProperties properties) {
+        this.clusterSettings = clusterSettings;
+        this.properties = properties;
+        this.nodes = clusterSettings.nodes();
         controllers = new Controller[nodes];
         processes = new SimTime.Process[nodes];
         versions = new Version[nodes];
         Arrays.fill(versions, version);
         settings = SettingsReader.parse(settingsFile(0));
         network = new SimNetwork(time, seed);
-        state = new SimStateStore(time, 20, 8 * 1024, 100);
-        cloud = new SimCloud(this, worldSettings.machines());
-        network.listen("state:1", state);
+        stateService = new SimStateService(time, 20, 8 * 1024, 100);
+        cloud = new SimCloud(this, clusterSettings.machines());
+        network.listen("state:1", stateService);
         network.listen("cloud:1", cloud);
-        rules = new InvariantChecker(this);
-        users = network.from("users", time.new Process());
-        state.onLeader(() -> network.letKeptGo(publicAddresses()));
+        checker = new InvariantChecker(this);
+        userClient = network.clientOf("users", time.new Process());
+        stateService.onLeaderWritten(() -> network.replayRecorded(publicAddresses()));
         for (int node = 0; node < nodes; node++) {
             start(node);
         }
-        rules.watch();
+        checker.watch();
     }
 
     /** The settings file of the controller. */
     public String settingsFile(int node) {
-        return worldSettings.toml(node, versions[node] == Version.CURRENT);
+        return clusterSettings.toml(node, versions[node] == Version.CURRENT);
     }
 
     private void start(int node) {
         SimTime.Process process = time.new Process();
         String host = "10.0.0." + node;
         boolean previous = versions[node] == Version.PREVIOUS;
-        HttpClient direct = network.from(host, process);
-        HttpClient httpClient = previous ? new PreviousVersion(direct, rules::broke)::call : direct;
+        HttpClient direct = network.clientOf(host, process);
+        HttpClient httpClient = previous ? new PreviousVersion(direct, checker::broke)::send : direct;
         Controller controller = new Controller(
                 process,
                 httpClient,
                 httpClient,
                 SettingsReader.parse(settingsFile(node)),
-                operator,
+                properties,
                 ProcessLimits.of(settings, HEAP_BYTES));
         processes[node] = process;
         controllers[node] = controller;
-        network.listen(host + ":8081", request -> process.awake(() -> controller.handleInternal(request)));
+        network.listen(host + ":8081", request -> process.runOrDefer(() -> controller.handleInternal(request)));
         controller.start(() -> {
-            if (!process.killed()) {
+            if (!process.isKilled()) {
                 network.listen(
                         host + ":8080",
-                        request -> process.awake(
-                                () -> inTurn(controller, previous ? PreviousVersion.understood(request) : request)));
+                        request -> process.runOrDefer(() ->
+                                enqueue(controller, previous ? PreviousVersion.withoutNewerFields(request) : request)));
             }
         });
     }
 
-    private CompletableFuture<HttpResponse> inTurn(Controller controller, HttpRequest request) {
+    private CompletableFuture<HttpResponse> enqueue(Controller controller, HttpRequest request) {
         CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
-        long givenUpMicros = time.nowMicros() + ASKER_WAITS_MICROS;
+        long deadlineMicros = time.nowMicros() + REQUEST_DEADLINE_MICROS;
         controller
                 .requestQueue()
                 .enqueue(
                         Controller.requestClass(request),
                         request.body().length,
-                        () -> time.nowMicros() < givenUpMicros,
+                        () -> time.nowMicros() < deadlineMicros,
                         () -> controller.handlePublic(request).thenAccept(answer::complete));
         return answer;
     }
 
     /** From now on whatever the controller does takes so long. */
-    public void slow(int node, long microsPerTask) {
-        processes[node].slow(microsPerTask);
+    public void setProcessingMicros(int node, long microsPerTask) {
+        processes[node].setProcessingMicros(microsPerTask);
     }
 
     /** Ends the process at once, without a word to anybody. */
     public void kill(int node) {
         processes[node].kill();
-        network.silence("10.0.0." + node + ":8080");
-        network.silence("10.0.0." + node + ":8081");
+        network.stopListening("10.0.0." + node + ":8080");
+        network.stopListening("10.0.0." + node + ":8081");
     }
 
     /** The controller stands still while its clocks run on. */
-    public void freeze(int node, long forMicros) {
-        processes[node].freeze(forMicros);
+    public void pause(int node, long forMicros) {
+        processes[node].pause(forMicros);
     }
 
     public void restart(int node) {
@@ -172,23 +172,23 @@
     }
 
     public boolean isUp(int node) {
-        return !processes[node].killed();
+        return !processes[node].isKilled();
     }
 
     /** True if the controller listens to users and workers. */
-    public boolean isOpen(int node) {
-        return network.listens(publicAddress(node));
+    public boolean isServing(int node) {
+        return network.isListening(publicAddress(node));
     }
 
     /** The last term that was taken. */
     public int term() {
-        return state.value("term").path("term").asInt();
+        return stateService.value("term").path("term").asInt();
     }
 
     /** The node that the leader key names, or -1. */
     public int leader() {
-        JsonNode leader = state.value("leader");
-        return leader == null ? -1 : nodeNamed(leader.path("node").asText());
+        JsonNode leader = stateService.value("leader");
+        return leader == null ? -1 : nodeIndex(leader.path("node").asText());
     }
 
     public SimTime time() {
@@ -199,16 +199,16 @@
         return network;
     }
 
-    public SimStateStore state() {
-        return state;
+    public SimStateService store() {
+        return stateService;
     }
 
     public SimCloud cloud() {
         return cloud;
     }
 
-    SimClusterSettings worldSettings() {
-        return worldSettings;
+    SimClusterSettings clusterSettings() {
+        return clusterSettings;
     }
 
     public Settings settings() {
@@ -231,22 +231,22 @@
         return "10.0.0." + node + ":8080";
     }
 
-    int nodeNamed(String name) {
+    int nodeIndex(String name) {
         return name.startsWith("hopper-") ? Integer.parseInt(name.substring(7)) : -1;
     }
 
-    public void seconds(double seconds) {
+    public void runSeconds(double seconds) {
         time.runFor(Math.round(seconds * SECOND));
     }
 
     /** Lets time pass in small steps until the condition holds; a test that never gets there fails. */
-    public void until(BooleanSupplier condition) {
+    public void runUntil(BooleanSupplier condition) {
         long end = time.nowMicros() + 300 * SECOND;
         while (!condition.getAsBoolean()) {
             if (time.nowMicros() > end) {
                 throw new AssertionError("it has not happened within 300 s");
             }
-            seconds(0.02);
+            runSeconds(0.02);
         }
     }
 
@@ -265,18 +265,18 @@
     }
 
     /** Sends a request and lets time pass until it is answered or its user gives up. */
-    public HttpResponse ask(int node, HttpRequest request) {
-        return ask(publicAddress(node), request);
+    public HttpResponse send(int node, HttpRequest request) {
+        return send(publicAddress(node), request);
     }
 
     /** Sends an operator's request to the controller's internal address. */
-    public HttpResponse askAsOperator(int node, HttpRequest request) {
-        return ask("10.0.0." + node + ":8081", request);
+    public HttpResponse sendInternal(int node, HttpRequest request) {
+        return send("10.0.0." + node + ":8081", request);
     }
 
-    private HttpResponse ask(String address, HttpRequest request) {
+    private HttpResponse send(String address, HttpRequest request) {
         HttpResponse[] answer = new HttpResponse[1];
-        users.send(address, request, 2 * SECOND).thenAccept(response -> answer[0] = response);
+        userClient.send(address, request, 2 * SECOND).thenAccept(response -> answer[0] = response);
         long end = time.nowMicros() + 2 * SECOND + 1;
         while (answer[0] == null && time.nowMicros() < end) {
             time.runFor(1_000);
@@ -285,8 +285,8 @@
     }
 
     public HttpResponse submit(int node, ObjectNode job) {
-        long asked = time.nowMicros();
-        return rules.submissionAnswered(job.path("uid").asText(), ask(node, submission(job)), asked);
+        long sentAt = time.nowMicros();
+        return checker.submissionAnswered(job.path("uid").asText(), send(node, submission(job)), sentAt);
     }
 
     private HttpRequest submission(ObjectNode job) {
@@ -294,53 +294,53 @@
         List<String> awaited = new ArrayList<>();
         job.path("awaits").forEach(name -> awaited.add(name.asText()));
         submitted.putIfAbsent(uid, job);
-        rules.submitted(uid, job.path("pieces").asInt(), job.path("one_zone").asBoolean(), awaited);
+        checker.submitted(uid, job.path("pieces").asInt(), job.path("one_zone").asBoolean(), awaited);
         return HttpRequest.post("/v2/runs", job);
     }
 
     public HttpResponse poll(int node, String uid) {
-        long asked = time.nowMicros();
-        return rules.pollAnswered(uid, ask(node, HttpRequest.get("/v2/runs/" + uid)), asked);
+        long sentAt = time.nowMicros();
+        return checker.pollAnswered(uid, send(node, HttpRequest.get("/v2/runs/" + uid)), sentAt);
     }
 
     public HttpResponse cancel(int node, String uid) {
-        long asked = time.nowMicros();
-        return rules.cancellationAnswered(uid, ask(node, cancellation(uid)), asked);
+        long sentAt = time.nowMicros();
+        return checker.cancellationAnswered(uid, send(node, cancellation(uid)), sentAt);
     }
 
     private HttpRequest cancellation(String uid) {
-        rules.cancellationAsked(uid);
+        checker.cancellationAsked(uid);
         return HttpRequest.post("/v2/runs/" + uid + "/withdraw", Json.object());
     }
 
     /** Asks without waiting for the answer, which is noted when it comes. */
-    public void submitMeanwhile(int node, ObjectNode job) {
-        askMeanwhile(
+    public void submitAsync(int node, ObjectNode job) {
+        sendAsync(
                 node,
                 submission(job),
-                (response, asked) -> rules.submissionAnswered(job.path("uid").asText(), response, asked));
+                (response, sentAt) -> checker.submissionAnswered(job.path("uid").asText(), response, sentAt));
     }
 
     /** Submits once more what was submitted under that name. */
-    public void repeatMeanwhile(int node, String uid) {
-        submitMeanwhile(node, submitted.get(uid));
+    public void resubmitAsync(int node, String uid) {
+        submitAsync(node, submitted.get(uid));
     }
 
     /** Asks for a job's state and checks the answer when it comes, without waiting for it. */
-    public void pollMeanwhile(int node, String uid) {
-        askMeanwhile(
+    public void pollAsync(int node, String uid) {
+        sendAsync(
                 node,
                 HttpRequest.get("/v2/runs/" + uid),
-                (response, asked) -> rules.pollAnswered(uid, response, asked));
+                (response, sentAt) -> checker.pollAnswered(uid, response, sentAt));
     }
 
-    public void cancelMeanwhile(int node, String uid) {
-        askMeanwhile(node, cancellation(uid), (response, asked) -> rules.cancellationAnswered(uid, response, asked));
+    public void cancelAsync(int node, String uid) {
+        sendAsync(node, cancellation(uid), (response, sentAt) -> checker.cancellationAnswered(uid, response, sentAt));
     }
 
-    private void askMeanwhile(int node, HttpRequest request, BiConsumer<HttpResponse, Long> then) {
-        long asked = time.nowMicros();
-        users.send(publicAddress(node), request, 2 * SECOND).thenAccept(response -> then.accept(response, asked));
+    private void sendAsync(int node, HttpRequest request, BiConsumer<HttpResponse, Long> then) {
+        long sentAt = time.nowMicros();
+        userClient.send(publicAddress(node), request, 2 * SECOND).thenAccept(response -> then.accept(response, sentAt));
     }
 
     public String stage(int node, String uid) {
@@ -348,53 +348,53 @@
     }
 
     /** What users were last told of the job, or null. */
-    public String told(String uid) {
-        return rules.told(uid);
+    public String known(String uid) {
+        return checker.told(uid);
     }
 
     /** The job and all that it needs, directly or through others. */
-    public Stream<String> neededBy(String uid) {
-        return rules.neededBy(uid);
+    public Stream<String> dependencyClosure(String uid) {
+        return checker.neededBy(uid);
     }
 
     // --- Rules -----------------------------------------------------------------------------------------------------
 
     /** Told by the workers what becomes of their tasks. */
-    InvariantChecker rules() {
-        return rules;
+    InvariantChecker checker() {
+        return checker;
     }
 
     /** The tasks of the job fail on every machine from now on. */
-    public void mistaken(String uid) {
-        rules.mistaken(uid);
+    public void failTasksOf(String uid) {
+        checker.mistaken(uid);
     }
 
     /** Waits until so many tasks have started, each of which runs for so long. */
-    public void untilStarted(int tasks, long runMicros) {
-        until(() -> {
-            cloud.machines().values().forEach(worker -> worker.runMicros(runMicros));
-            return rules.starts() >= tasks;
+    public void runUntilStarted(int tasks, long runMicros) {
+        runUntil(() -> {
+            cloud.machines().values().forEach(worker -> worker.setRunMicros(runMicros));
+            return checker.starts() >= tasks;
         });
     }
 
     /** Tasks that are on machines now. */
-    int running() {
+    int runningTaskCount() {
         return cloud.machines().values().stream()
-                .mapToInt(SimWorker::runningCount)
+                .mapToInt(SimWorker::runningTaskCount)
                 .sum();
     }
 
-    public int starts() {
-        return rules.starts();
+    public int startCount() {
+        return checker.starts();
     }
 
     /** Tasks that began after a user had been told that their job is cancelled, and how long after. */
-    public List<String> startsOfCancelled() {
-        return rules.startsOfCancelled();
+    public List<String> startsAfterCancellation() {
+        return checker.startsOfCancelled();
     }
 
     /** The rules that were broken so far, in plain words. */
-    public List<String> broken() {
-        return rules.broken();
+    public List<String> violations() {
+        return checker.broken();
     }
 }
--- a/src/test/java/io/sillreel/sim/SimClusterSettings.java
+++ b/src/test/java/io/sillreel/sim/SimClusterSettings.java
@@ -59,7 +59,7 @@
             """;
 
     /** A small deployment that reports often. */
-    public static SimClusterSettings usual(int nodes, double cpusMax) {
+    public static SimClusterSettings small(int nodes, double cpusMax) {
         return new SimClusterSettings(nodes, cpusMax, 20, new WorkerSeconds(1, 12, 26), 10, 500, 50_000);
     }
 
--- a/src/test/java/io/sillreel/sim/SimNetwork.java
+++ b/src/test/java/io/sillreel/sim/SimNetwork.java
@@ -21,7 +21,7 @@
     /** Decides what becomes of one message; the first rule that says something counts. */
     public interface Rule {
         /** Null for nothing to say. */
-        Fate fate(String from, String to, HttpRequest request);
+        Action actionFor(String from, String to, HttpRequest request);
     }
 
     /**
@@ -31,16 +31,16 @@
      * copy is kept until the kept ones are let go. REFUSE: answered 503 at once and not carried out; a watch is left
      * open.
      */
-    public enum Fate {
+    public enum Action {
         DELIVER,
-        LOSE,
-        LOSE_ANSWER,
-        LATE,
-        SLOW_ANSWER,
+        DROP,
+        DROP_RESPONSE,
+        DELAY_AND_DROP_RESPONSE,
+        DELAY_RESPONSE,
         HOLD,
-        COPY,
-        KEEP,
-        REFUSE
+        DUPLICATE,
+        RECORD,
+        REJECT
     }
 
     private static final int LATEST_COPY_MICROS = 40_000_000;
@@ -54,7 +54,7 @@
     private final List<Rule> rules = new ArrayList<>();
     private final List<Runnable> held = new ArrayList<>();
     private final Deque<HttpRequest> kept = new ArrayDeque<>();
-    private long slowness = 1;
+    private long latencyFactor = 1;
 
     public SimNetwork(SimTime time, long seed) {
         this.time = time;
@@ -62,10 +62,10 @@
     }
 
     /** A client of the state service for one process, with its parts of the rates of requests and of changes. */
-    public StateStore stateStore(SimTime.Process process, double requests, double writes) {
+    public StateStore newStateStoreClient(SimTime.Process process, double requests, double writes) {
         return new StateStore(
-                from("node", process),
-                from("node", process),
+                clientOf("node", process),
+                clientOf("node", process),
                 process,
                 "state:1",
                 new RateLimiter(process, requests, requests),
@@ -76,40 +76,40 @@
         handlers.put(host, handler);
     }
 
-    public boolean listens(String host) {
+    public boolean isListening(String host) {
         return handlers.containsKey(host);
     }
 
-    public void silence(String host) {
+    public void stopListening(String host) {
         handlers.remove(host);
     }
 
-    public Rule add(Rule rule) {
+    public Rule addRule(Rule rule) {
         rules.add(rule);
         return rule;
     }
 
-    public void remove(Rule rule) {
+    public void removeRule(Rule rule) {
         rules.remove(rule);
     }
 
     /** Lets everything through that was held back. */
-    public void release() {
+    public void releaseHeld() {
         List<Runnable> late = new ArrayList<>(held);
         held.clear();
         late.forEach(delivery -> time.after(delay(), delivery));
     }
 
     /** Links take so many times as long. */
-    public void slowness(long times) {
-        slowness = times;
+    public void setLatencyFactor(long times) {
+        latencyFactor = times;
     }
 
     /**
      * Delivers the kept copies to each of the hosts, in their old order, in some waves within a second; then forgets
      * them.
      */
-    public void letKeptGo(List<String> hosts) {
+    public void replayRecorded(List<String> hosts) {
         SimTime.Process nobody = time.new Process();
         for (long wave = 0; wave < WAVES; wave++) {
             long at = wave * 250_000;
@@ -123,50 +123,51 @@
     }
 
     /** Returns the network as that host and process see it. */
-    public HttpClient from(String host, SimTime.Process process) {
+    public HttpClient clientOf(String host, SimTime.Process process) {
         return (to, request, timeoutMicros) -> {
             CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
             EventLoop.Timer timer = process.schedule(timeoutMicros, () -> answer.complete(HttpResponse.noResponse()));
             answer.thenRun(timer::cancel);
-            Fate fate = Fate.DELIVER;
+            Action action = Action.DELIVER;
             for (Rule rule : rules) {
-                Fate said = rule.fate(host, to, request);
+                Action said = rule.actionFor(host, to, request);
                 if (said != null) {
-                    fate = said;
+                    action = said;
                     break;
                 }
             }
-            boolean answered =
-                    fate == Fate.DELIVER || fate == Fate.COPY || fate == Fate.KEEP || fate == Fate.SLOW_ANSWER;
-            if (fate == Fate.SLOW_ANSWER) {
+            boolean answered = action == Action.DELIVER
+                    || action == Action.DUPLICATE
+                    || action == Action.RECORD
+                    || action == Action.DELAY_RESPONSE;
+            if (action == Action.DELAY_RESPONSE) {
                 CompletableFuture<HttpResponse> slow = new CompletableFuture<>();
-                slow.thenAccept(
-                        response -> process.schedule(random.nextInt(1_000_000), () -> answer.complete(response)));
+                slow.thenAccept(result -> process.schedule(random.nextInt(1_000_000), () -> answer.complete(result)));
                 time.after(delay(), () -> deliver(to, request, slow, process));
                 return answer;
             }
-            if (fate == Fate.REFUSE) {
+            if (action == Action.REJECT) {
                 if (!request.route().equals("/watch")) {
                     process.schedule(delay(), () -> answer.complete(HttpResponse.error(503, "trouble")));
                 }
                 return answer;
             }
-            if (fate == Fate.COPY) {
+            if (action == Action.DUPLICATE) {
                 time.after(
                         1_000_000 + random.nextInt(LATEST_COPY_MICROS),
                         () -> deliver(to, request, new CompletableFuture<>(), process));
-            } else if (fate == Fate.KEEP) {
+            } else if (action == Action.RECORD) {
                 kept.add(request);
                 if (kept.size() > MAX_KEPT) {
                     kept.poll();
                 }
             }
             Runnable delivery = () -> deliver(to, request, answered ? answer : new CompletableFuture<>(), process);
-            if (fate == Fate.HOLD) {
+            if (action == Action.HOLD) {
                 held.add(delivery);
-            } else if (fate == Fate.LATE) {
+            } else if (action == Action.DELAY_AND_DROP_RESPONSE) {
                 time.after(2_000_000 + random.nextInt(LATEST_CARRIED_OUT_MICROS - 2_000_000), delivery);
-            } else if (fate != Fate.LOSE) {
+            } else if (action != Action.DROP) {
                 time.after(delay(), delivery);
             }
             return answer;
@@ -183,6 +184,6 @@
     }
 
     private long delay() {
-        return slowness * (500 + random.nextInt(3_000));
+        return latencyFactor * (500 + random.nextInt(3_000));
     }
 }
--- a/src/test/java/io/sillreel/sim/SimStateStore.java
+++ b/src/test/java/io/sillreel/sim/SimStateService.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** A state service in memory, as far as the protocol describes it. */
-public final class SimStateStore implements HttpHandler {
+public final class SimStateService implements HttpHandler {
     private static final int KEPT_CHANGES = 10_000;
 
     private record Value(JsonNode value, long stamp, long permit) {}
@@ -30,27 +30,27 @@
     private double writesPerSecond;
     private double writesLeft;
     private long writesMicros;
-    private int refusedForSize;
-    private int refusedForRate;
+    private int rejectedForSize;
+    private int rejectedForRate;
     private final TreeMap<String, Value> keys = new TreeMap<>();
     private final Map<Long, Long> lives = new TreeMap<>();
     private final Map<Long, Long> ends = new TreeMap<>();
     private final List<Change> changes = new ArrayList<>();
     private final Set<Runnable> watchers = new LinkedHashSet<>();
-    private long storeRevision = 100;
+    private long revision = 100;
     private long permits;
     private long forgotten;
     private boolean outage;
     private long misreported;
-    private Runnable onLeader = () -> {};
+    private Runnable leaderWritten = () -> {};
 
-    public SimStateStore(SimTime time, int txnOps, int valueBytes, double writesPerSecond) {
+    public SimStateService(SimTime time, int txnOps, int valueBytes, double writesPerSecond) {
         this.time = time;
-        limits(txnOps, valueBytes, writesPerSecond);
+        setLimits(txnOps, valueBytes, writesPerSecond);
     }
 
     /** From now on these are the limits; what is stored stays. */
-    public void limits(int ops, int bytes, double perSecond) {
+    public void setLimits(int ops, int bytes, double perSecond) {
         txnOps = ops;
         valueBytes = bytes;
         writesPerSecond = perSecond;
@@ -58,12 +58,12 @@
     }
 
     /** Requests that were refused since they, or values in them, were too large. */
-    public int refusedForSize() {
-        return refusedForSize;
+    public int rejectedForSize() {
+        return rejectedForSize;
     }
 
-    public int refusedForRate() {
-        return refusedForRate;
+    public int rejectedForRate() {
+        return rejectedForRate;
     }
 
     /** Takes writes from a bucket that holds one second's worth. */
@@ -79,12 +79,12 @@
     }
 
     /** Done whenever the leader key is written. */
-    void onLeader(Runnable then) {
-        onLeader = then;
+    void onLeaderWritten(Runnable then) {
+        leaderWritten = then;
     }
 
     /** Begins or ends an outage; after it all leases have their full time again. */
-    public void outage(boolean down) {
+    public void setOutage(boolean down) {
         outage = down;
         if (!down) {
             ends.replaceAll((permit, end) -> time.nowMicros() + lives.get(permit));
@@ -93,8 +93,8 @@
     }
 
     /** The revision of the last change. */
-    public long ledger() {
-        return storeRevision;
+    public long revision() {
+        return revision;
     }
 
     public JsonNode value(String key) {
@@ -102,48 +102,48 @@
         return keys.containsKey(key) ? keys.get(key).value() : null;
     }
 
-    public Set<String> keysUnder(String prefix) {
+    public Set<String> keysWithPrefix(String prefix) {
         expire();
         return new HashSet<>(keys.subMap(prefix, prefix + Character.MAX_VALUE).keySet());
     }
 
     /** Everything that is stored, to come back with later. */
-    public static final class Image {
+    public static final class Snapshot {
         private final TreeMap<String, Value> keys;
         private final long storeRevision;
 
-        private Image(TreeMap<String, Value> keys, long storeRevision) {
+        private Snapshot(TreeMap<String, Value> keys, long storeRevision) {
             this.keys = keys;
             this.storeRevision = storeRevision;
         }
     }
 
     /** The next answer that names a revision names this one. */
-    public void misreport(long revision) {
+    public void misreportRevision(long revision) {
         misreported = revision;
     }
 
-    public Image image() {
+    public Snapshot snapshot() {
         expire();
-        return new Image(new TreeMap<>(keys), storeRevision);
+        return new Snapshot(new TreeMap<>(keys), revision);
     }
 
     /** Comes back with an older image of itself: no lease is left, and what hung on one is gone. */
-    public void turnBack(Image image) {
+    public void restore(Snapshot image) {
         keys.clear();
         keys.putAll(image.keys);
         keys.values().removeIf(value -> value.permit() > 0);
         lives.clear();
         ends.clear();
         changes.removeIf(change -> change.stamp() > image.storeRevision);
-        storeRevision = image.storeRevision;
-        forgotten = Math.min(forgotten, storeRevision);
+        revision = image.storeRevision;
+        forgotten = Math.min(forgotten, revision);
     }
 
     /** Forgets the record of changes, as if very many had come since. */
     public void compact() {
         changes.clear();
-        forgotten = storeRevision;
+        forgotten = revision;
     }
 
     @Override
@@ -170,14 +170,14 @@
 
     private CompletableFuture<HttpResponse> get(String key) {
         Value value = keys.get(key);
-        return value == null ? answer(404, Json.object().put("ledger", storeRevision)) : answer(200, entry(key, value));
+        return value == null ? answer(404, Json.object().put("ledger", revision)) : answer(200, entry(key, value));
     }
 
     private CompletableFuture<HttpResponse> list(HttpRequest request) {
         String prefix = request.query("prefix");
         String since = request.query("since");
         int limit = Integer.parseInt(request.query("limit"));
-        ObjectNode body = Json.object().put("ledger", storeRevision);
+        ObjectNode body = Json.object().put("ledger", revision);
         ArrayNode entries = body.putArray("entries");
         boolean truncated = false;
         for (Map.Entry<String, Value> each :
@@ -197,16 +197,16 @@
     private CompletableFuture<HttpResponse> txn(JsonNode body) {
         JsonNode then = body.path("then");
         if (tooFast(then.size())) {
-            refusedForRate++;
+            rejectedForRate++;
             return answer(429, Json.object().put("error", "too fast"));
         }
         if (then.size() > txnOps || body.path("if").size() > 4 * txnOps || Json.bytes(body).length > 64 * 1024) {
-            refusedForSize++;
+            rejectedForSize++;
             return answer(400, Json.object().put("error", "too large"));
         }
         for (JsonNode change : then) {
             if (change.has("v") && Json.bytes(change.path("v")).length > valueBytes) {
-                refusedForSize++;
+                rejectedForSize++;
                 return answer(400, Json.object().put("error", "value too large"));
             }
             if (change.has("permit") && !ends.containsKey(change.path("permit").asLong())) {
@@ -215,16 +215,16 @@
         }
         ArrayNode failed = failedConditions(body.path("if"));
         if (!failed.isEmpty()) {
-            ObjectNode conflict = Json.object().put("ledger", storeRevision);
+            ObjectNode conflict = Json.object().put("ledger", revision);
             conflict.set("failed", failed);
             return answer(409, conflict);
         }
         if (!then.isEmpty()) {
-            storeRevision++;
+            revision++;
             then.forEach(this::apply);
             wake();
         }
-        return answer(200, Json.object().put("ledger", storeRevision));
+        return answer(200, Json.object().put("ledger", revision));
     }
 
     private ArrayNode failedConditions(JsonNode conditions) {
@@ -246,11 +246,10 @@
         }
         String key = change.path("set").asText();
         keys.put(
-                key,
-                new Value(change.path("v"), storeRevision, change.path("permit").asLong()));
-        changes.add(new Change(key, change.path("v"), storeRevision));
+                key, new Value(change.path("v"), revision, change.path("permit").asLong()));
+        changes.add(new Change(key, change.path("v"), revision));
         if (key.equals("leader")) {
-            onLeader.run();
+            leaderWritten.run();
         }
     }
 
@@ -297,7 +296,7 @@
                 watchers.remove(look[0]);
                 return;
             }
-            ObjectNode body = Json.object().put("ledger", storeRevision);
+            ObjectNode body = Json.object().put("ledger", revision);
             ArrayNode result = body.putArray("news");
             for (Change change : changes) {
                 if (change.stamp() > since && change.key().startsWith(prefix)) {
@@ -337,7 +336,7 @@
             if (ends.get(leaseId) < time.nowMicros()) {
                 ends.remove(leaseId);
                 lives.remove(leaseId);
-                storeRevision++;
+                revision++;
                 for (String key : List.copyOf(keys.keySet())) {
                     if (keys.get(key).permit() == leaseId) {
                         delete(key);
@@ -353,7 +352,7 @@
 
     private void delete(String key) {
         if (keys.remove(key) != null) {
-            changes.add(new Change(key, null, storeRevision));
+            changes.add(new Change(key, null, revision));
         }
     }
 
--- a/src/test/java/io/sillreel/sim/SimTime.java
+++ b/src/test/java/io/sillreel/sim/SimTime.java
@@ -8,10 +8,10 @@
 
 /** Virtual time for a whole world: tasks run one after the other, in the order of their times. */
 public final class SimTime {
-    private record Due(long atMicros, long order, Runnable task) {}
+    private record ScheduledTask(long atMicros, long order, Runnable task) {}
 
-    private final PriorityQueue<Due> queue =
-            new PriorityQueue<>(Comparator.comparingLong(Due::atMicros).thenComparingLong(Due::order));
+    private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>(
+            Comparator.comparingLong(ScheduledTask::atMicros).thenComparingLong(ScheduledTask::order));
     private long nowMicros = 1_000_000;
     private long order;
 
@@ -20,14 +20,14 @@
     }
 
     public void after(long delayMicros, Runnable task) {
-        queue.add(new Due(nowMicros + Math.max(0, delayMicros), order++, task));
+        queue.add(new ScheduledTask(nowMicros + Math.max(0, delayMicros), order++, task));
     }
 
     /** Lets that much time pass and runs whatever becomes due. */
     public void runFor(long micros) {
         long end = nowMicros + micros;
         while (!queue.isEmpty() && queue.peek().atMicros() <= end) {
-            Due due = queue.poll();
+            ScheduledTask due = queue.poll();
             nowMicros = due.atMicros();
             due.task().run();
         }
@@ -41,24 +41,24 @@
         private long taskMicros;
 
         /** From now on whatever it does takes so long, and what comes meanwhile waits. */
-        public void slow(long microsPerTask) {
+        public void setProcessingMicros(long microsPerTask) {
             taskMicros = microsPerTask;
         }
 
         /** What it is doing takes so long. */
-        public void works(long micros) {
+        public void occupy(long micros) {
             frozenUntilMicros = Math.max(frozenUntilMicros, nowMicros) + micros;
         }
 
         /** Stands still for so long while its clocks run on; what should have happened meanwhile happens then. */
-        public void freeze(long forMicros) {
+        public void pause(long forMicros) {
             frozenUntilMicros = nowMicros + forMicros;
         }
 
         /** Does it now or, if the process stands still, once it goes on. */
-        <T> CompletableFuture<T> awake(Supplier<CompletableFuture<T>> work) {
+        <T> CompletableFuture<T> runOrDefer(Supplier<CompletableFuture<T>> work) {
             if (nowMicros >= frozenUntilMicros) {
-                works(taskMicros);
+                occupy(taskMicros);
                 return work.get();
             }
             CompletableFuture<T> later = new CompletableFuture<>();
@@ -70,7 +70,7 @@
             if (nowMicros < frozenUntilMicros) {
                 SimTime.this.after(frozenUntilMicros - nowMicros, () -> run(task, cancelled));
             } else if (!killed && !cancelled[0]) {
-                works(taskMicros);
+                occupy(taskMicros);
                 task.run();
             }
         }
@@ -79,7 +79,7 @@
             killed = true;
         }
 
-        public boolean killed() {
+        public boolean isKilled() {
             return killed;
         }
 
--- a/src/test/java/io/sillreel/sim/SimWorker.java
+++ b/src/test/java/io/sillreel/sim/SimWorker.java
@@ -36,7 +36,7 @@
     private static final long ANSWER_MICROS = 4_000_000;
     private static final long MIN_GAP_MICROS = 500_000;
 
-    private final SimCluster world;
+    private final SimCluster cluster;
     private final String name;
     private final String machineType;
     private final String zone;
@@ -52,30 +52,30 @@
     private long lastReportMicros;
     private boolean inFlight;
     private int life;
-    private boolean faulty;
+    private boolean tasksFail;
     private long runMicros = 3_000_000;
-    private long recallAtMicros = -1;
+    private long interruptionAtMicros = -1;
 
-    SimWorker(SimCluster world, String name, String machineType, String zone, boolean spot, int firstNode) {
-        this.world = world;
+    SimWorker(SimCluster cluster, String name, String machineType, String zone, boolean spot, int firstNode) {
+        this.cluster = cluster;
         this.name = name;
         this.machineType = machineType;
         this.zone = zone;
         this.spot = spot;
         this.node = firstNode;
-        this.process = world.time().new Process();
-        this.httpClient = world.network().from(name, process);
-        this.leaseFromMicros = world.time().nowMicros();
-        world.network().listen(address(), request -> process.awake(() -> direct(request)));
+        this.process = cluster.time().new Process();
+        this.httpClient = cluster.network().clientOf(name, process);
+        this.leaseFromMicros = cluster.time().nowMicros();
+        cluster.network().listen(address(), request -> process.runOrDefer(() -> direct(request)));
         process.schedule(1_000, this::report);
-        process.schedule(world.worldSettings().tickMicros(), this::tick);
+        process.schedule(cluster.clusterSettings().tickMicros(), this::tick);
     }
 
     public String name() {
         return name;
     }
 
-    String build() {
+    String machineType() {
         return machineType;
     }
 
@@ -91,22 +91,22 @@
         return name + ":9000";
     }
 
-    public void faulty(boolean fails) {
-        faulty = fails;
+    public void setTasksFail(boolean fails) {
+        tasksFail = fails;
     }
 
     /** How long tasks that start from now on run. */
-    public void runMicros(long micros) {
+    public void setRunMicros(long micros) {
         runMicros = micros;
     }
 
-    void recalled(long afterMicros) {
-        recallAtMicros = world.time().nowMicros() + afterMicros;
+    void noticeInterruption(long afterMicros) {
+        interruptionAtMicros = cluster.time().nowMicros() + afterMicros;
         changed();
     }
 
     /** What runs now runs for so much longer. */
-    public void prolong(long micros) {
+    public void extendRunningTasks(long micros) {
         tasks.values().forEach(task -> task.endsMicros += micros);
     }
 
@@ -118,7 +118,7 @@
         epoch = 1;
         sequence = 0;
         token = 0;
-        leaseFromMicros = world.time().nowMicros();
+        leaseFromMicros = cluster.time().nowMicros();
         process.schedule(1_000, this::report);
     }
 
@@ -127,19 +127,19 @@
     }
 
     /** The machine hangs; what was on it goes on later if its lease still lives. */
-    public void hang(long forMicros) {
-        process.freeze(forMicros);
+    public void pause(long forMicros) {
+        process.pause(forMicros);
     }
 
     /** The machine and all that was on it are gone. */
-    public void die() {
+    public void terminate() {
         process.kill();
-        world.network().silence(address());
+        cluster.network().stopListening(address());
         tasks.clear();
     }
 
     /** Returns the tasks that are on the machine. */
-    public List<String> running() {
+    public List<String> runningTasks() {
         List<String> running = new ArrayList<>();
         if (leaseIsOver()) {
             return running;
@@ -149,7 +149,7 @@
     }
 
     /** How many tasks are on the machine. */
-    int runningCount() {
+    int runningTaskCount() {
         int count = 0;
         if (!leaseIsOver()) {
             for (Task task : tasks.values()) {
@@ -160,29 +160,29 @@
     }
 
     private boolean leaseIsOver() {
-        return world.time().nowMicros() - leaseFromMicros
-                > world.settings().workers().leaseMicros();
+        return cluster.time().nowMicros() - leaseFromMicros
+                > cluster.settings().workers().leaseMicros();
     }
 
     private void endLease() {
         if (leaseIsOver()) {
             tasks.clear();
             epoch++;
-            leaseFromMicros = world.time().nowMicros();
+            leaseFromMicros = cluster.time().nowMicros();
             changed();
         }
     }
 
     private void tick() {
-        process.schedule(world.worldSettings().tickMicros(), this::tick);
-        long now = world.time().nowMicros();
+        process.schedule(cluster.clusterSettings().tickMicros(), this::tick);
+        long now = cluster.time().nowMicros();
         endLease();
         for (Task task : tasks.values()) {
             if (task.alive() && now >= task.endsMicros) {
                 task.stage = "ended";
-                task.cause = faulty || world.rules().isMistaken(uid(task.piece)) ? "error" : "done";
+                task.cause = tasksFail || cluster.checker().isMistaken(uid(task.piece)) ? "error" : "done";
                 if (task.cause.equals("done")) {
-                    world.rules().completed(task.piece);
+                    cluster.checker().completed(task.piece);
                 }
                 changed();
             }
@@ -194,13 +194,13 @@
     }
 
     private void changed() {
-        long wait = lastReportMicros + MIN_GAP_MICROS - world.time().nowMicros();
+        long wait = lastReportMicros + MIN_GAP_MICROS - cluster.time().nowMicros();
         process.schedule(Math.max(wait, 1_000), this::report);
     }
 
     private void report() {
         endLease();
-        long now = world.time().nowMicros();
+        long now = cluster.time().nowMicros();
         if (inFlight || now - lastReportMicros < MIN_GAP_MICROS) {
             return;
         }
@@ -210,7 +210,7 @@
         long sentSession = epoch;
         int sentLife = life;
         HttpRequest request = HttpRequest.post("/agent/beat", body());
-        httpClient.send(world.publicAddress(node), request, ANSWER_MICROS).thenAccept(response -> {
+        httpClient.send(cluster.publicAddress(node), request, ANSWER_MICROS).thenAccept(response -> {
             if (sentLife == life) {
                 inFlight = false;
                 answered(response, now, sentSession);
@@ -222,19 +222,19 @@
         endLease();
         // A worker that hung has waited for too long by its own clock.
         HttpResponse response =
-                world.time().nowMicros() - sentMicros > ANSWER_MICROS ? HttpResponse.noResponse() : answer;
+                cluster.time().nowMicros() - sentMicros > ANSWER_MICROS ? HttpResponse.noResponse() : answer;
         if (response.status() == 421
-                && world.nodeNamed(response.json().path("foreman").asText()) >= 0) {
-            node = world.nodeNamed(response.json().path("foreman").asText());
+                && cluster.nodeIndex(response.json().path("foreman").asText()) >= 0) {
+            node = cluster.nodeIndex(response.json().path("foreman").asText());
             process.schedule(MIN_GAP_MICROS, this::report);
             return;
         }
         if (!response.isOk()) {
-            node = (node + 1) % world.nodes();
+            node = (node + 1) % cluster.nodes();
             process.schedule(1_000_000, this::report);
             return;
         }
-        process.schedule(world.settings().workers().heartbeatIntervalMicros(), this::report);
+        process.schedule(cluster.settings().workers().heartbeatIntervalMicros(), this::report);
         JsonNode body = response.json();
         if (body.path("baton").asLong() < token || sentSession != epoch) {
             return;
@@ -271,9 +271,9 @@
             switch (order.path("verb").asText()) {
                 case "launch" -> {
                     if (task == null) {
-                        long run = world.rules().isCompleted(piece) ? 0 : runMicros;
-                        tasks.put(key, new Task(piece, attempt, world.time().nowMicros() + run));
-                        world.rules().started(this, piece);
+                        long run = cluster.checker().isCompleted(piece) ? 0 : runMicros;
+                        tasks.put(key, new Task(piece, attempt, cluster.time().nowMicros() + run));
+                        cluster.checker().started(this, piece);
                     }
                 }
                 case "halt" -> {
@@ -302,8 +302,8 @@
                 .put("shift", epoch)
                 .put("tally", sequence)
                 .put("baton", token);
-        if (recallAtMicros >= 0) {
-            body.put("recall_s", (recallAtMicros - world.time().nowMicros()) / 1_000_000.0);
+        if (interruptionAtMicros >= 0) {
+            body.put("recall_s", (interruptionAtMicros - cluster.time().nowMicros()) / 1_000_000.0);
         }
         ArrayNode pieces = body.putArray("pieces");
         for (Task task : tasks.values()) {
--- a/src/test/java/io/sillreel/sim/TaskSteps.java
+++ b/src/test/java/io/sillreel/sim/TaskSteps.java
@@ -9,15 +9,16 @@
     private TaskSteps() {}
 
     /** Waits until so many tasks have started and all but those of the fullest machine, which run on, have ended. */
-    public static String leaveTasksOnOneMachine(SimCluster world, int started) {
-        world.untilStarted(started, 8 * SECOND);
-        SimWorker chosen = world.cloud().machines().values().stream()
-                .max(Comparator.comparingInt(worker -> worker.running().size()))
+    public static String leaveTasksOnOneMachine(SimCluster cluster, int started) {
+        cluster.runUntilStarted(started, 8 * SECOND);
+        SimWorker chosen = cluster.cloud().machines().values().stream()
+                .max(Comparator.comparingInt(worker -> worker.runningTasks().size()))
                 .orElseThrow();
-        chosen.prolong(300 * SECOND);
-        world.until(() -> world.running() <= chosen.running().size());
-        world.cloud().machines().values().forEach(worker -> worker.runMicros(3 * SECOND));
-        world.seconds(1.5);
+        chosen.extendRunningTasks(300 * SECOND);
+        cluster.runUntil(
+                () -> cluster.runningTaskCount() <= chosen.runningTasks().size());
+        cluster.cloud().machines().values().forEach(worker -> worker.setRunMicros(3 * SECOND));
+        cluster.runSeconds(1.5);
         return chosen.name();
     }
 }
--- a/src/test/java/io/sillreel/sim/UpgradeSteps.java
+++ b/src/test/java/io/sillreel/sim/UpgradeSteps.java
@@ -11,95 +11,95 @@
     /** Controllers of such a cluster. */
     public static final int NODES = 3;
     /** Longer than the lease that a leader holds. */
-    public static final double LEADER_GONE_SECONDS = 4;
+    public static final double LEADER_EXPIRY_SECONDS = 4;
 
     private static final int TEAM_CPUS = 10;
 
     private UpgradeSteps() {}
 
     /** Returns a cluster whose controllers all run the previous version. */
-    public static SimCluster previousVersion(long seed) {
-        SimCluster world = new SimCluster(seed, TEAM_CPUS, NODES, Version.PREVIOUS);
-        world.seconds(2);
-        return world;
+    public static SimCluster startPreviousVersion(long seed) {
+        SimCluster cluster = new SimCluster(seed, TEAM_CPUS, NODES, Version.PREVIOUS);
+        cluster.runSeconds(2);
+        return cluster;
     }
 
     /** Returns the version that is not this one. */
-    public static Version other(Version version) {
+    public static Version otherVersion(Version version) {
         return version == Version.PREVIOUS ? Version.CURRENT : Version.PREVIOUS;
     }
 
     /** Brings about that a controller of that version leads and all the others run the other version. */
-    public static int leadAlone(SimCluster world, Version version) {
-        world.until(() -> world.leader() >= 0);
-        int leader = world.leader();
+    public static int leadWithMixedVersions(SimCluster cluster, Version version) {
+        cluster.runUntil(() -> cluster.leader() >= 0);
+        int leader = cluster.leader();
         for (int node = 0; node < NODES; node++) {
             if (node != leader) {
-                world.kill(node);
+                cluster.kill(node);
             }
         }
-        world.restart(leader, version);
-        world.until(() -> world.leader() == leader && world.isOpen(leader));
+        cluster.restart(leader, version);
+        cluster.runUntil(() -> cluster.leader() == leader && cluster.isServing(leader));
         for (int node = 0; node < NODES; node++) {
             if (node != leader) {
-                world.restart(node, other(version));
+                cluster.restart(node, otherVersion(version));
             }
         }
-        world.until(() -> world.isOpen(0) && world.isOpen(1) && world.isOpen(2));
-        world.seconds(2);
+        cluster.runUntil(() -> cluster.isServing(0) && cluster.isServing(1) && cluster.isServing(2));
+        cluster.runSeconds(2);
         return leader;
     }
 
     /** Ends leaders until a controller of that version leads; each comes back with the version that it had. */
-    public static void leadNext(SimCluster world, Version version) {
+    public static void failOverTo(SimCluster cluster, Version version) {
         for (int node = 0; node < NODES; node++) {
-            if (world.version(node) != version) {
-                world.kill(node);
+            if (cluster.version(node) != version) {
+                cluster.kill(node);
             }
         }
-        world.seconds(LEADER_GONE_SECONDS);
+        cluster.runSeconds(LEADER_EXPIRY_SECONDS);
         for (int node = 0; node < NODES; node++) {
-            if (!world.isUp(node)) {
-                world.restart(node);
+            if (!cluster.isUp(node)) {
+                cluster.restart(node);
             }
         }
-        world.until(() -> world.leader() >= 0 && world.version(world.leader()) == version);
+        cluster.runUntil(() -> cluster.leader() >= 0 && cluster.version(cluster.leader()) == version);
     }
 
     /** Brings all controllers to the present version, one after the other. */
-    public static void upgradeAll(SimCluster world) {
+    public static void upgradeAll(SimCluster cluster) {
         for (int node = 0; node < NODES; node++) {
-            if (world.version(node) == Version.PREVIOUS || !world.isUp(node)) {
-                world.restart(node, Version.CURRENT);
-                world.seconds(1.5);
+            if (cluster.version(node) == Version.PREVIOUS || !cluster.isUp(node)) {
+                cluster.restart(node, Version.CURRENT);
+                cluster.runSeconds(1.5);
             }
         }
     }
 
     /** Submits a numbered job without waiting for the answer. */
-    public static void submitMeanwhile(SimCluster world, int number, int pieces) {
-        world.submitMeanwhile(number % NODES, SimCluster.job(uid(number), pieces));
+    public static void submitAsync(SimCluster cluster, int number, int pieces) {
+        cluster.submitAsync(number % NODES, SimCluster.job(uid(number), pieces));
     }
 
     /** Asks every controller. */
-    public static void everyNodeSays(SimCluster world, String uid, String stage) {
+    public static void assertStageOnAllNodes(SimCluster cluster, String uid, String stage) {
         for (int node = 0; node < NODES; node++) {
-            assertThat(world.stage(node, uid)).as("%s at %d", uid, node).isEqualTo(stage);
+            assertThat(cluster.stage(node, uid)).as("%s at %d", uid, node).isEqualTo(stage);
         }
     }
 
     /** All that was accepted is done or, if its user asked for that, cancelled, whichever controller is asked. */
-    public static void everythingEnds(SimCluster world, int jobs, List<String> cancelled) {
-        world.seconds(90);
+    public static void assertAllJobsFinish(SimCluster cluster, int jobs, List<String> cancelled) {
+        cluster.runSeconds(90);
         for (int number = 1; number <= jobs; number++) {
             String uid = uid(number);
-            if (world.told(uid) == null && world.state().value("plan/" + uid) == null) {
+            if (cluster.known(uid) == null && cluster.store().value("plan/" + uid) == null) {
                 continue;
             }
-            String stage = world.stage(0, uid);
+            String stage = cluster.stage(0, uid);
             assertThat(stage).as(uid).isIn(cancelled.contains(uid) ? List.of("done", "withdrawn") : List.of("done"));
-            everyNodeSays(world, uid, stage);
+            assertStageOnAllNodes(cluster, uid, stage);
         }
-        assertThat(world.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 }
--- a/src/test/java/io/sillreel/statestore/ScanTest.java
+++ b/src/test/java/io/sillreel/statestore/ScanTest.java
@@ -6,8 +6,8 @@
 import io.sillreel.http.Json;
 import io.sillreel.overload.RateLimiter;
 import io.sillreel.sim.SimNetwork;
-import io.sillreel.sim.SimNetwork.Fate;
-import io.sillreel.sim.SimStateStore;
+import io.sillreel.sim.SimNetwork.Action;
+import io.sillreel.sim.SimStateService;
 import io.sillreel.sim.SimTime;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,14 +19,14 @@
 
     private final SimTime time = new SimTime();
     private final SimNetwork network = new SimNetwork(time, 1);
-    private final SimStateStore state = new SimStateStore(time, 100, 8192, 10_000);
+    private final SimStateService stateService = new SimStateService(time, 100, 8192, 10_000);
     private final SimTime.Process process = time.new Process();
     private final List<String> read = new ArrayList<>();
     private final StateStore store;
 
     ScanTest() {
-        network.listen("state:1", state);
-        store = network.stateStore(process, 4, 10_000);
+        network.listen("state:1", stateService);
+        store = network.newStateStoreClient(process, 4, 10_000);
         for (int from = 0; from < ENTRIES; from += 100) {
             Transaction transaction = new Transaction();
             for (int entry = from; entry < from + 100; entry++) {
@@ -64,12 +64,12 @@
     @Test
     void aLostOrRefusedPageIsRequestedAgain() {
         int[] requests = new int[1];
-        network.add((from, to, request) -> {
+        network.addRule((from, to, request) -> {
             if (!request.route().equals("/kv")) {
                 return null;
             }
             int requestNumber = requests[0]++;
-            return requestNumber % 3 == 0 ? Fate.LOSE : requestNumber % 3 == 1 ? Fate.REFUSE : null;
+            return requestNumber % 3 == 0 ? Action.DROP : requestNumber % 3 == 1 ? Action.REJECT : null;
         });
         CompletableFuture<ScanResult> scan = store.scan("k/", this::collect);
         time.runFor(60_000_000);
@@ -80,7 +80,7 @@
     /** Guards starts in an outage: users are admitted once it is known that the leader cannot be known. */
     @Test
     void aRefusedListIsReportedAtOnce() {
-        state.outage(true);
+        stateService.setOutage(true);
         CompletableFuture<ListResult> refused = store.list("k/");
         time.runFor(200_000);
         assertThat(refused).isCompletedWithValueMatching(listing -> listing.outcome() == StoreOutcome.REFUSED);
@@ -88,11 +88,11 @@
 
     @Test
     void aListWithoutAResponseAfterAnOutageIsReported() {
-        state.outage(true);
+        stateService.setOutage(true);
         store.list("k/");
         time.runFor(200_000);
-        state.outage(false);
-        network.add((from, to, request) -> Fate.LOSE);
+        stateService.setOutage(false);
+        network.addRule((from, to, request) -> Action.DROP);
         CompletableFuture<ListResult> unanswered = store.list("k/");
         time.runFor(1_600_000);
         assertThat(unanswered).isCompletedWithValueMatching(listing -> listing.outcome() == StoreOutcome.UNKNOWN);
@@ -103,7 +103,7 @@
     void aWatchWhoseResponseIsTooLargeCannotContinue() {
         StateStore small = new StateStore(
                 (to, request, timeout) -> CompletableFuture.completedFuture(HttpResponse.responseTooLarge()),
-                network.from("node", process),
+                network.clientOf("node", process),
                 process,
                 "state:1",
                 new RateLimiter(process, 4, 4),
@@ -113,7 +113,7 @@
 
     @Test
     void aScanEndsInAnOutage() {
-        state.outage(true);
+        stateService.setOutage(true);
         CompletableFuture<ScanResult> refused = store.scan("k/", this::collect);
         time.runFor(5_000_000);
         assertThat(refused).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.REFUSED);
@@ -121,10 +121,10 @@
 
     @Test
     void aScanAfterAnOutageEndsWhenTheConsumerWantsNoMorePages() {
-        state.outage(true);
+        stateService.setOutage(true);
         store.scan("k/", this::collect);
         time.runFor(5_000_000);
-        state.outage(false);
+        stateService.setOutage(false);
         int[] pages = new int[1];
         CompletableFuture<ScanResult> ended =
                 store.scan("k/", page -> CompletableFuture.completedFuture(++pages[0] < 2));
--- a/src/test/java/io/sillreel/statestore/WriteQueueTest.java
+++ b/src/test/java/io/sillreel/statestore/WriteQueueTest.java
@@ -5,9 +5,9 @@
 import io.sillreel.http.Json;
 import io.sillreel.overload.RateLimiter;
 import io.sillreel.sim.SimNetwork;
-import io.sillreel.sim.SimNetwork.Fate;
+import io.sillreel.sim.SimNetwork.Action;
 import io.sillreel.sim.SimNetwork.Rule;
-import io.sillreel.sim.SimStateStore;
+import io.sillreel.sim.SimStateService;
 import io.sillreel.sim.SimTime;
 import java.util.ArrayList;
 import java.util.List;
@@ -16,15 +16,15 @@
 class WriteQueueTest {
     private final SimTime time = new SimTime();
     private final SimNetwork network = new SimNetwork(time, 1);
-    private final SimStateStore state = new SimStateStore(time, 4, 8192, 1_000);
+    private final SimStateService stateService = new SimStateService(time, 4, 8192, 1_000);
     private final SimTime.Process process = time.new Process();
     private final StateStore store;
     private final WriteQueue writeQueue;
     private boolean leadershipLost;
 
     WriteQueueTest() {
-        network.listen("state:1", state);
-        store = network.stateStore(process, 1_000, 1_000);
+        network.listen("state:1", stateService);
+        store = network.newStateStoreClient(process, 1_000, 1_000);
         store.commit(new Transaction().set("leader", Json.object()));
         time.runFor(100_000);
         writeQueue = new WriteQueue(store, process, "leader", 101, 4, () -> leadershipLost = true);
@@ -36,7 +36,7 @@
      */
     @Test
     void writesTooLargeTogetherAreSentAloneAndOneTooLargeAloneDelaysNoOther() {
-        state.limits(1, 40, 1_000);
+        stateService.setLimits(1, 40, 1_000);
         Count small = new Count("a");
         Count large = new Count("a-key-whose-value-is-not-small");
         large.padding = "x".repeat(100);
@@ -46,9 +46,9 @@
         assertThat(small.revision).isPositive();
         assertThat(last.revision).isPositive();
         assertThat(large.revision).isZero();
-        int refused = state.refusedForSize();
+        int refused = stateService.rejectedForSize();
         time.runFor(10_000_000);
-        assertThat(state.refusedForSize()).isEqualTo(refused);
+        assertThat(stateService.rejectedForSize()).isEqualTo(refused);
         large.padding = "";
         writeQueue.enqueue(large);
         time.runFor(1_000_000);
@@ -62,19 +62,19 @@
     @Test
     void rejectionsForTheRateSlowWritingAndLoseNothing() {
         // A quarter of what this controller takes for its part.
-        StateStore paced = network.stateStore(process, 1_000, 40);
+        StateStore paced = network.newStateStoreClient(process, 1_000, 40);
         WriteQueue writeQueue = new WriteQueue(paced, process, "leader", 101, 4, () -> leadershipLost = true);
-        state.limits(4, 8192, 10);
+        stateService.setLimits(4, 8192, 10);
         List<Count> counts = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             counts.add(new Count("k%02d".formatted(i)));
             writeQueue.enqueue(counts.get(i));
         }
         time.runFor(1_500_000);
-        int refusedSoon = state.refusedForRate();
+        int refusedSoon = stateService.rejectedForRate();
         time.runFor(10_000_000);
         assertThat(counts).allMatch(count -> count.revision > 0);
-        assertThat(state.refusedForRate() - refusedSoon)
+        assertThat(stateService.rejectedForRate() - refusedSoon)
                 .as("refused once the writer had slowed")
                 .isLessThan(25);
     }
@@ -136,7 +136,7 @@
         time.runFor(1_000_000);
         for (int i = 0; i < counts.length; i++) {
             assertThat(counts[i].stored).isEqualTo(i + 1);
-            assertThat(state.value("k" + i).path("n").asInt()).isEqualTo(i + 1);
+            assertThat(stateService.value("k" + i).path("n").asInt()).isEqualTo(i + 1);
         }
         assertThat(counts[9].revision).isEqualTo(104);
     }
@@ -144,7 +144,7 @@
     /** Guards against a lease that expires because other requests used up the rate. */
     @Test
     void leaseRenewalIsNotDelayedByTheRate() {
-        StateStore spent = network.stateStore(process, 1, 1);
+        StateStore spent = network.newStateStoreClient(process, 1, 1);
         long leaseId =
                 store.grantLease(3_000_000).thenApply(grant -> grant.leaseId()).getNow(0L);
         spent.get("leader");
@@ -159,8 +159,8 @@
     @Test
     void jobEndsAreWrittenBeforeStartsAndStartsBeforeProgress() {
         StateStore slow = new StateStore(
-                network.from("node", process),
-                network.from("node", process),
+                network.clientOf("node", process),
+                network.clientOf("node", process),
                 process,
                 "state:1",
                 new RateLimiter(process, 1_000, 1_000),
@@ -199,26 +199,27 @@
     void anOwnLateTransactionDoesNotUndoALaterWrite() {
         Count count = new Count("k");
         count.value = 1;
-        Rule hold = network.add((from, to, request) -> request.route().equals("/txn") ? Fate.HOLD : null);
+        Rule hold = network.addRule((from, to, request) -> request.route().equals("/txn") ? Action.HOLD : null);
         writeQueue.enqueue(count);
         time.runFor(1_000_000);
-        network.remove(hold);
+        network.removeRule(hold);
         count.value = 2;
         time.runFor(3_000_000);
         assertThat(count.stored).isEqualTo(2);
-        network.release();
+        network.releaseHeld();
         time.runFor(1_000_000);
-        assertThat(state.value("k").path("n").asInt()).isEqualTo(2);
+        assertThat(stateService.value("k").path("n").asInt()).isEqualTo(2);
     }
 
     @Test
     void afterALostResponseTheRevisionIsReadBeforeTheNextWrite() {
         Count count = new Count("k");
         count.value = 1;
-        Rule lose = network.add((from, to, request) -> request.route().equals("/txn") ? Fate.LOSE_ANSWER : null);
+        Rule lose =
+                network.addRule((from, to, request) -> request.route().equals("/txn") ? Action.DROP_RESPONSE : null);
         writeQueue.enqueue(count);
         time.runFor(1_000_000);
-        network.remove(lose);
+        network.removeRule(lose);
         time.runFor(3_000_000);
         assertThat(count.stored).isEqualTo(1);
         assertThat(count.revision).isEqualTo(103);
@@ -232,7 +233,7 @@
         writeQueue.enqueue(count);
         time.runFor(1_000_000);
         assertThat(leadershipLost).isTrue();
-        assertThat(state.value("k")).isNull();
+        assertThat(stateService.value("k")).isNull();
     }
 
     @Test
@@ -248,7 +249,7 @@
         var listing = store.list("many/");
         time.runFor(100_000);
         assertThat(listing.join().entries()).hasSize(1_200);
-        state.compact();
+        stateService.compact();
         var watch = store.watch("many/", 5, 1_000_000);
         time.runFor(100_000);
         assertThat(watch.join().outcome()).isEqualTo(StoreOutcome.COMPACTED);
