--- a/src/main/java/io/sillreel/fleet/CloudListReconciler.java
+++ b/src/main/java/io/sillreel/fleet/CloudListReconciler.java
@@ -30,7 +30,7 @@
     private static final long LIST_PAUSE_FACTOR = 2;
 
     /** How long an unknown machine may belong to a scale-out request whose answer is pending. */
-    private static final long PENDING_REQUEST_MICROS = 30_000_000;
+    private static final long MAX_PENDING_REQUEST_MICROS = 30_000_000;
 
     private final EventLoop eventLoop;
     private final Cluster cluster;
@@ -62,40 +62,40 @@
     }
 
     /** Requests the list unless a request is pending or the last list is recent. */
-    void listIfDue(long now) {
-        if (!isListing && now - listedMicros > listPauseMicros) {
+    void listIfDue(long nowMicros) {
+        if (!isListing && nowMicros - listedMicros > listPauseMicros) {
             list();
         }
     }
 
     private void list() {
         isListing = true;
-        long askedMicros = eventLoop.nowMicros();
-        cloud.listMachines().thenAccept(answer -> {
+        long requestedMicros = eventLoop.nowMicros();
+        cloud.listMachines().thenAccept(response -> {
             isListing = false;
             listedMicros = eventLoop.nowMicros();
-            listPauseMicros = Math.max(MIN_LIST_PAUSE_MICROS, LIST_PAUSE_FACTOR * (listedMicros - askedMicros));
-            if (answer.outcome() == Outcome.OK) {
+            listPauseMicros = Math.max(MIN_LIST_PAUSE_MICROS, LIST_PAUSE_FACTOR * (listedMicros - requestedMicros));
+            if (response.outcome() == Outcome.OK) {
                 synchronized (cluster) {
-                    compare(answer.machines(), askedMicros);
+                    reconcile(response.machines(), requestedMicros);
                 }
             }
         });
     }
 
-    private void compare(List<ListedMachine> listed, long askedMicros) {
+    private void reconcile(List<ListedMachine> listed, long requestedMicros) {
         Set<String> listedNames = new HashSet<>();
         for (ListedMachine entry : listed) {
             listedNames.add(entry.name());
             Machine machine = cluster.machine(entry.name());
             if (machine == null) {
-                adoptIfUnknown(entry, askedMicros);
+                adoptIfUnknown(entry, requestedMicros);
             } else {
                 unknownMachines.remove(entry.name());
                 updateListed(machine, entry);
             }
         }
-        removeUnlisted(listedNames, askedMicros);
+        removeUnlisted(listedNames, requestedMicros);
         unknownMachines.keySet().retainAll(listedNames);
     }
 
@@ -109,14 +109,14 @@
         }
     }
 
-    private void removeUnlisted(Set<String> listedNames, long askedMicros) {
+    private void removeUnlisted(Set<String> listedNames, long requestedMicros) {
         long minAgeMicros = 2 * listLagMicros + 1_000_000;
         for (Machine machine : List.copyOf(cluster.machines())) {
             // Lists may arrive out of order. A machine is gone only if the list certainly describes a time after it was
             // first listed.
             if (!listedNames.contains(machine.name())
                     && machine.firstListedMicros() >= 0
-                    && askedMicros > machine.firstListedMicros() + minAgeMicros
+                    && requestedMicros > machine.firstListedMicros() + minAgeMicros
                     && machine.state() != Machine.State.RETURNING) {
                 LOG.info("machine {} is no longer in the cloud's machine list", machine.name());
                 registry.remove(machine);
@@ -124,22 +124,23 @@
         }
     }
 
-    private void adoptIfUnknown(ListedMachine entry, long askedMicros) {
+    private void adoptIfUnknown(ListedMachine entry, long requestedMicros) {
         if (registry.wasReturned(entry.name())) {
             return;
         }
         // The machine may belong to a request whose answer is pending, so only a later list decides.
-        Long firstAskedMicros = unknownMachines.putIfAbsent(entry.name(), askedMicros);
+        Long firstRequestedMicros = unknownMachines.putIfAbsent(entry.name(), requestedMicros);
         boolean isRequestPending =
                 registry.scaleOutRequests().stream().anyMatch(scaleOutRequest -> !scaleOutRequest.isAnswered());
-        if (firstAskedMicros == null || isRequestPending && askedMicros - firstAskedMicros < PENDING_REQUEST_MICROS) {
+        if (firstRequestedMicros == null
+                || isRequestPending && requestedMicros - firstRequestedMicros < MAX_PENDING_REQUEST_MICROS) {
             return;
         }
         Optional<Machine> adopted = registry.adopt(entry.name(), entry.machineType(), entry.zone(), entry.isSpot());
         if (adopted.isPresent()) {
             Machine machine = adopted.get();
             machine.updateAddress(entry.address());
-            machine.recordListed(askedMicros);
+            machine.recordListed(requestedMicros);
             if (entry.hasFailed()) {
                 machine.drain();
             }
--- a/src/main/java/io/sillreel/fleet/FleetManager.java
+++ b/src/main/java/io/sillreel/fleet/FleetManager.java
@@ -92,21 +92,21 @@
     }
 
     /** Adopts a machine that no known request names. Returns empty if the cloud does not offer its type. */
-    public Optional<Machine> adopt(String name, String machineType, String zone, boolean spot) {
-        return registry.adopt(name, machineType, zone, spot);
+    public Optional<Machine> adopt(String name, String machineType, String zone, boolean isSpot) {
+        return registry.adopt(name, machineType, zone, isSpot);
     }
 
     /** Lists, returns and requests machines as needed. Called about once a second by the event loop, without a lock. */
     public void runCycle() {
-        long now = eventLoop.nowMicros();
+        long nowMicros = eventLoop.nowMicros();
         synchronized (cluster) {
-            scaleInPolicy.drainSurplus(now);
+            scaleInPolicy.drainSurplus(nowMicros);
             storeMachinesDown();
         }
-        cloudListReconciler.listIfDue(now);
+        cloudListReconciler.listIfDue(nowMicros);
         machineReturner.returnDrainedMachines();
-        scaleOut.retryUnanswered(now);
-        scaleOut.requestMachines(now);
+        scaleOut.retryUnanswered(nowMicros);
+        scaleOut.requestMachines(nowMicros);
     }
 
     private void storeMachinesDown() {
--- a/src/main/java/io/sillreel/fleet/FleetRegistry.java
+++ b/src/main/java/io/sillreel/fleet/FleetRegistry.java
@@ -26,7 +26,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(FleetRegistry.class);
 
     /** Heartbeats may be delayed by minutes; lists of the cloud lag behind by less. */
-    private static final long RETURN_REMEMBERED_MICROS = 3_600_000_000L;
+    private static final long RETURN_RETENTION_MICROS = 3_600_000_000L;
 
     private final EventLoop eventLoop;
     private final long term;
@@ -37,9 +37,9 @@
     private final Consumer<Machine> clearTasks;
     private final Map<String, ScaleOutRequest> scaleOutRequests = new LinkedHashMap<>();
     /** Machines that were returned, the earliest first, and when. */
-    private final Map<String, Long> returnedMicros = new LinkedHashMap<>();
+    private final Map<String, Long> returnTimesMicros = new LinkedHashMap<>();
 
-    private long lastNameNumber;
+    private long lastRequestNumber;
 
     /** @param clearTasks called with a machine whose tasks have certainly ended */
     FleetRegistry(
@@ -70,12 +70,12 @@
 
     /** True if the machine was returned within the last hour. */
     boolean wasReturned(String machine) {
-        return returnedMicros.containsKey(machine);
+        return returnTimesMicros.containsKey(machine);
     }
 
     /** Returns a name that no request of any term has. */
     String nextRequestName() {
-        return "r-" + term + "-" + ++lastNameNumber;
+        return "r-" + term + "-" + ++lastRequestNumber;
     }
 
     void add(ScaleOutRequest scaleOutRequest) {
@@ -116,13 +116,13 @@
      * Adopts a machine that no known request names, with a request of its own. Returns empty if the cloud does not
      * offer its type.
      */
-    Optional<Machine> adopt(String name, String machineType, String zone, boolean spot) {
+    Optional<Machine> adopt(String name, String machineType, String zone, boolean isSpot) {
         MachineType type = machineTypes.get().get(machineType);
         if (type == null) {
             return Optional.empty();
         }
         ScaleOutRequest scaleOutRequest =
-                new ScaleOutRequest("adopted-" + term + "-" + ++lastNameNumber, machineType, zone, spot, 1);
+                new ScaleOutRequest("adopted-" + term + "-" + ++lastRequestNumber, machineType, zone, isSpot, 1);
         scaleOutRequest.recordAnswer(List.of(name));
         add(scaleOutRequest);
         LOG.info("adopting machine {} ({}, zone {}), which no known scale-out request names", name, machineType, zone);
@@ -150,10 +150,10 @@
                 cluster.allocationIndex());
     }
 
-    private void forgetOldReturns() {
-        long oldestKept = eventLoop.nowMicros() - RETURN_REMEMBERED_MICROS;
-        Iterator<Long> earliestFirst = returnedMicros.values().iterator();
-        while (earliestFirst.hasNext() && earliestFirst.next() < oldestKept) {
+    private void evictExpiredReturns() {
+        long retainedSinceMicros = eventLoop.nowMicros() - RETURN_RETENTION_MICROS;
+        Iterator<Long> earliestFirst = returnTimesMicros.values().iterator();
+        while (earliestFirst.hasNext() && earliestFirst.next() < retainedSinceMicros) {
             earliestFirst.remove();
         }
     }
@@ -162,8 +162,8 @@
     void remove(Machine machine) {
         clearTasks.accept(machine);
         cluster.remove(machine);
-        returnedMicros.put(machine.name(), eventLoop.nowMicros());
-        forgetOldReturns();
+        returnTimesMicros.put(machine.name(), eventLoop.nowMicros());
+        evictExpiredReturns();
         machine.scaleOutRequest().removeMachine(machine.name());
         if (machine.scaleOutRequest().isDiscarded()) {
             scaleOutRequests.remove(machine.scaleOutRequest().name());
--- a/src/main/java/io/sillreel/fleet/FleetThresholds.java
+++ b/src/main/java/io/sillreel/fleet/FleetThresholds.java
@@ -10,9 +10,9 @@
  */
 public final class FleetThresholds {
     private static final int UNRECONCILED_DIVISOR = 4;
-    private static final int FEW_UNRECONCILED_DIVISOR = 100;
+    private static final int SHORT_TIMEOUT_DIVISOR = 100;
     /** The most unreconciled machines that count as the last few, however large the fleet is. */
-    private static final int MAX_FEW_UNRECONCILED = 10;
+    private static final int MAX_SHORT_TIMEOUT = 10;
 
     private static final int LOST_DIVISOR = 50;
     private static final int MIN_LOST = 2;
@@ -23,11 +23,11 @@
     private static final int MIN_UNRESPONSIVE = 2;
     private static final double MICROS_PER_SECOND = 1_000_000;
 
-    private final int replaceable;
+    private final int maxReplaceable;
 
-    /** @param replaceable how many machines the cloud can take back and replace within a machine's lease */
-    FleetThresholds(int replaceable) {
-        this.replaceable = replaceable;
+    /** @param maxReplaceable how many machines the cloud can take back and replace within a machine's lease */
+    FleetThresholds(int maxReplaceable) {
+        this.maxReplaceable = maxReplaceable;
     }
 
     /** Returns the thresholds for the rate limit of the cloud and the lease of the machines. */
@@ -43,12 +43,12 @@
 
     /** Returns how many unreconciled machines a new leader may return before their leases expire. */
     int maxUnreconciled(int machines) {
-        return Math.min(machines / UNRECONCILED_DIVISOR, replaceable);
+        return Math.min(machines / UNRECONCILED_DIVISOR, maxReplaceable);
     }
 
     /** Returns how many unreconciled machines are the last few, which are waited for little longer than a heartbeat. */
-    int fewUnreconciled(int machines) {
-        return Math.min(machines / FEW_UNRECONCILED_DIVISOR, MAX_FEW_UNRECONCILED);
+    int maxUnreconciledForShortTimeout(int machines) {
+        return Math.min(machines / SHORT_TIMEOUT_DIVISOR, MAX_SHORT_TIMEOUT);
     }
 
     /** Returns how many machines may be lost within a lease before a common cause is assumed. */
@@ -58,6 +58,6 @@
 
     /** Returns how many machines may be unresponsive before the fault is assumed to be on this side. */
     public int maxUnresponsive(int machines) {
-        return Math.max(MIN_UNRESPONSIVE, Math.min(machines / UNRESPONSIVE_DIVISOR, replaceable));
+        return Math.max(MIN_UNRESPONSIVE, Math.min(machines / UNRESPONSIVE_DIVISOR, maxReplaceable));
     }
 }
--- a/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
@@ -20,7 +20,7 @@
     /** How many times the usual boot time of its type a machine may take until its first heartbeat. */
     private static final int BOOT_TIMEOUT_FACTOR = 3;
     /** How long after the start of the term unreconciled machines are waited for at least. */
-    private static final long MIN_UNRECONCILED_MICROS = 8_000_000;
+    private static final long MIN_UNRECONCILED_TIMEOUT_MICROS = 8_000_000;
     /** A heartbeat with the new fencing token follows the first one by 0.5 s, and both may pass through a follower. */
     private static final long SECOND_HEARTBEAT_MICROS = 1_500_000;
 
@@ -28,7 +28,7 @@
     private static final long INTERRUPTION_MARGIN_MICROS = 1_500_000;
 
     /** A machine without heartbeats is drained after this multiple of its lease. */
-    private static final double MAX_SILENT_LEASES = 2.5;
+    private static final double SILENT_TIMEOUT_LEASES = 2.5;
 
     private final EventLoop eventLoop;
     private final Cluster cluster;
@@ -58,37 +58,37 @@
     }
 
     /** Drains or returns the machines that are of no more use. Called about once a second. */
-    void drainSurplus(long now) {
+    void drainSurplus(long nowMicros) {
         for (Machine machine : cluster.machines()) {
             if (machine.state() == Machine.State.PROVISIONING) {
-                drainIfNeverUp(machine, now);
+                drainIfNeverUp(machine, nowMicros);
             } else if (machine.state() == Machine.State.UP) {
-                drainIfSilentOrInterrupted(machine, now);
+                drainIfSilentOrInterrupted(machine, nowMicros);
             }
-            returnInterrupted(machine, now);
+            returnInterrupted(machine, nowMicros);
         }
-        for (Machine machine : lostMachineDetector.detectLostMachines(now)) {
+        for (Machine machine : lostMachineDetector.detectLostMachines(nowMicros)) {
             scheduleReturn(machine, "its heartbeats have stopped");
         }
-        returnUnreconciled(now);
+        returnUnreconciled(nowMicros);
         for (Machine machine :
-                capacityPlanner.surplusMachines(operator.idleTimeoutMicros(), now, eventLoop.wallMicros())) {
+                capacityPlanner.surplusMachines(operator.idleTimeoutMicros(), nowMicros, eventLoop.wallMicros())) {
             drain(machine, "it is idle");
         }
     }
 
-    private static void drainIfNeverUp(Machine machine, long now) {
-        long timeout = Math.max(
+    private static void drainIfNeverUp(Machine machine, long nowMicros) {
+        long timeoutMicros = Math.max(
                 MIN_BOOT_TIMEOUT_MICROS, BOOT_TIMEOUT_FACTOR * machine.type().bootMicros());
-        if (now - machine.requestedMicros() > timeout && machine.leaseExpiryMicros() < now) {
+        if (nowMicros - machine.requestedMicros() > timeoutMicros && machine.leaseExpiryMicros() < nowMicros) {
             drain(machine, "it never sent a heartbeat");
         }
     }
 
-    private void drainIfSilentOrInterrupted(Machine machine, long now) {
-        long silent = now - Math.max(machine.lastHeartbeatMicros(), machine.requestedMicros());
+    private void drainIfSilentOrInterrupted(Machine machine, long nowMicros) {
+        long silentMicros = nowMicros - Math.max(machine.lastHeartbeatMicros(), machine.requestedMicros());
         // A partitioned zone or a hung machine mostly comes back, and then needs neither to boot nor to fetch images.
-        if (machine.leaseExpiryMicros() < now && silent > MAX_SILENT_LEASES * times.leaseMicros()) {
+        if (machine.leaseExpiryMicros() < nowMicros && silentMicros > SILENT_TIMEOUT_LEASES * times.leaseMicros()) {
             drain(machine, "it has sent no heartbeat for longer than its lease");
         } else if (machine.isInterrupted() && machine.isEmpty()) {
             drain(machine, "the cloud has announced its interruption");
@@ -100,11 +100,11 @@
      * they would count as live until its lease expires; once the cloud has confirmed the return they can start
      * elsewhere.
      */
-    private void returnInterrupted(Machine machine, long now) {
+    private void returnInterrupted(Machine machine, long nowMicros) {
         boolean isInUse = machine.state() == Machine.State.UP || machine.state() == Machine.State.DRAINING;
         if (isInUse
                 && machine.isInterrupted()
-                && machine.interruptionAtMicros() - now < INTERRUPTION_MARGIN_MICROS
+                && machine.interruptionAtMicros() - nowMicros < INTERRUPTION_MARGIN_MICROS
                 && !machine.isReturnScheduled()) {
             scheduleReturn(machine, "the cloud has announced its interruption");
         }
@@ -115,22 +115,23 @@
      * seconds, and another with the new fencing token. The few that don't, or that receive no response, would delay
      * every inherited job until their leases expire; once they are returned it is certain that nothing runs there.
      */
-    private void returnUnreconciled(long now) {
+    private void returnUnreconciled(long nowMicros) {
         int unreconciled = cluster.unreconciledMachines().size();
         int machines = cluster.machines().size();
         // In a large fleet the last few have hardly been delayed by a change of controller, and each of them delays
         // every inherited job. In a small fleet the last one often waits for a response of the controller that has
         // ended.
-        long timeout = unreconciled <= thresholds.fewUnreconciled(machines)
+        long timeoutMicros = unreconciled <= thresholds.maxUnreconciledForShortTimeout(machines)
                 ? times.heartbeatIntervalMicros() * 5 / 4 + SECOND_HEARTBEAT_MICROS
-                : Math.max(MIN_UNRECONCILED_MICROS, 2 * times.heartbeatIntervalMicros() + 4_000_000);
-        if (now - termStartMicros < timeout
+                : Math.max(MIN_UNRECONCILED_TIMEOUT_MICROS, 2 * times.heartbeatIntervalMicros() + 4_000_000);
+        if (nowMicros - termStartMicros < timeoutMicros
                 || unreconciled == 0
                 || unreconciled > thresholds.maxUnreconciled(machines)) {
             return;
         }
         for (Machine machine : cluster.unreconciledMachines()) {
-            if (now - Math.max(machine.upMicros(), termStartMicros) > timeout && !machine.isReturnScheduled()) {
+            if (nowMicros - Math.max(machine.upMicros(), termStartMicros) > timeoutMicros
+                    && !machine.isReturnScheduled()) {
                 scheduleReturn(machine, "it has not been reconciled since the term began");
             }
         }
--- a/src/main/java/io/sillreel/fleet/ScaleOut.java
+++ b/src/main/java/io/sillreel/fleet/ScaleOut.java
@@ -22,13 +22,13 @@
 final class ScaleOut {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
     /** How long machines that the cloud lacks are not requested again. */
-    private static final long UNAVAILABLE_MICROS = 20_000_000;
+    private static final long NO_CAPACITY_BACKOFF_MICROS = 20_000_000;
     /** The pause between the end of an exchange of unknown outcome and its retry. */
-    private static final long RETRY_MICROS = 2_000_000;
+    private static final long RETRY_DELAY_MICROS = 2_000_000;
     /** The most requests that may wait for an answer of the cloud. */
-    private static final int MAX_OPEN_REQUESTS = 6;
+    private static final int MAX_PENDING_REQUESTS = 6;
 
-    private static final long FULL_WARNING_INTERVAL_MICROS = 60_000_000;
+    private static final long FLEET_LIMIT_WARNING_INTERVAL_MICROS = 60_000_000;
 
     private final EventLoop eventLoop;
     private final Cluster cluster;
@@ -38,7 +38,7 @@
     private final CapacityPlanner capacityPlanner;
     private final FleetConfiguration configuration;
     private final FleetCallbacks callbacks;
-    private long lastFullWarningMicros = Long.MIN_VALUE / 2;
+    private long lastFleetLimitWarningMicros = Long.MIN_VALUE / 2;
 
     ScaleOut(
             EventLoop eventLoop,
@@ -60,7 +60,7 @@
     }
 
     /** Stores and sends requests for what the capacity planner proposes, unless as urgent writes wait. */
-    void requestMachines(long now) {
+    void requestMachines(long nowMicros) {
         // A request has to be stored before it is sent, so nothing is gained while the write queue is behind.
         if (!callbacks.mayAct()
                 || writeQueue.urgentCount() > configuration.settings().state().maxTransactionChanges()) {
@@ -69,13 +69,17 @@
         List<ScaleOutProposal> proposals;
         int headroom;
         synchronized (cluster) {
-            OpenRequests open = openRequests();
-            if (open.count() >= MAX_OPEN_REQUESTS) {
+            PendingRequests pending = pendingRequests();
+            if (pending.count() >= MAX_PENDING_REQUESTS) {
                 return;
             }
             proposals = capacityPlanner.scaleOutProposals(
-                    configuration.allMachineTypes(), open.cpus(), open.ordinaryCpus(), now, eventLoop.wallMicros());
-            headroom = proposals.isEmpty() ? 0 : machineHeadroom(open, now);
+                    configuration.allMachineTypes(),
+                    pending.cpus(),
+                    pending.onDemandCpus(),
+                    nowMicros,
+                    eventLoop.wallMicros());
+            headroom = proposals.isEmpty() ? 0 : machineHeadroom(pending, nowMicros);
         }
         for (ScaleOutProposal proposal : proposals) {
             int count = Math.min(headroom, Math.min(proposal.count(), registry.maxMachinesPerRequest()));
@@ -98,13 +102,13 @@
      * The requests that the cloud has not answered yet: their number, machines and CPUs, and those CPUs that are not
      * spot.
      */
-    private record OpenRequests(int count, int machines, long cpus, long ordinaryCpus) {}
+    private record PendingRequests(int count, int machines, long cpus, long onDemandCpus) {}
 
-    private OpenRequests openRequests() {
+    private PendingRequests pendingRequests() {
         int count = 0;
         int machines = 0;
         long cpus = 0;
-        long ordinaryCpus = 0;
+        long onDemandCpus = 0;
         for (ScaleOutRequest request : registry.scaleOutRequests()) {
             if (!request.isAnswered()) {
                 MachineType type = configuration.machineType(request.machineType());
@@ -112,14 +116,14 @@
                 count++;
                 machines += request.machineCount();
                 cpus += requestedCpus;
-                ordinaryCpus += request.isSpot() ? 0 : requestedCpus;
+                onDemandCpus += request.isSpot() ? 0 : requestedCpus;
             }
         }
-        return new OpenRequests(count, machines, cpus, ordinaryCpus);
+        return new PendingRequests(count, machines, cpus, onDemandCpus);
     }
 
     /** Returns how many more machines the controllers support. Logs a warning once a minute while there are none. */
-    private int machineHeadroom(OpenRequests open, long now) {
+    private int machineHeadroom(PendingRequests pending, long nowMicros) {
         int machines = cluster.machines().size();
         long tasks = 0;
         for (Machine machine : cluster.machines()) {
@@ -128,24 +132,24 @@
         FleetCapacity fleetCapacity = configuration.fleetCapacity();
         double tasksPerMachine =
                 Math.max(FleetCapacity.DEFAULT_TASKS_PER_MACHINE, (double) tasks / Math.max(1, machines));
-        int headroom = fleetCapacity.maxMachines(tasksPerMachine) - machines - open.machines();
-        if (headroom <= 0 && now - lastFullWarningMicros > FULL_WARNING_INTERVAL_MICROS) {
-            lastFullWarningMicros = now;
+        int headroom = fleetCapacity.maxMachines(tasksPerMachine) - machines - pending.machines();
+        if (headroom <= 0 && nowMicros - lastFleetLimitWarningMicros > FLEET_LIMIT_WARNING_INTERVAL_MICROS) {
+            lastFleetLimitWarningMicros = nowMicros;
             LOG.warn(
                     "scale-out is suspended: {} machines exist or are requested, and the controllers support {}",
-                    machines + open.machines(),
+                    machines + pending.machines(),
                     fleetCapacity.describe(tasksPerMachine));
         }
         return headroom;
     }
 
     /** Retries the requests whose outcome is unknown, and inherited ones that were not answered. */
-    void retryUnanswered(long now) {
+    void retryUnanswered(long nowMicros) {
         for (ScaleOutRequest request : List.copyOf(registry.scaleOutRequests())) {
             if (!request.isAnswered()
                     && !request.isDiscarded()
                     && request.revision() > 0
-                    && now - request.lastSentMicros() > RETRY_MICROS + CloudClient.TIMEOUT_MICROS) {
+                    && nowMicros - request.lastSentMicros() > RETRY_DELAY_MICROS + CloudClient.TIMEOUT_MICROS) {
                 sendRequest(request);
             }
         }
@@ -166,25 +170,25 @@
     }
 
     private void handleResult(ScaleOutRequest request, CloudClient.ProvisioningResult result) {
-        long now = eventLoop.nowMicros();
+        long nowMicros = eventLoop.nowMicros();
         if (request.isAnswered() || request.isDiscarded()) {
             // The request was retried, and both exchanges were answered. The first answer counts; its machines may have
             // tasks.
             return;
         }
         switch (result.outcome()) {
-            case OK -> addProvidedMachines(request, result.machines(), now);
-            case NO_CAPACITY -> abandon(request, now + UNAVAILABLE_MICROS);
-            case REFUSED -> handleRefusal(request, now);
+            case OK -> addProvidedMachines(request, result.machines(), nowMicros);
+            case NO_CAPACITY -> abandon(request, nowMicros + NO_CAPACITY_BACKOFF_MICROS);
+            case REFUSED -> handleRefusal(request, nowMicros);
             default -> {
                 LOG.info("scale-out request {} has no known outcome, retrying it under the same name", request.name());
                 request.markPossiblyExecuted();
-                retryWithoutTimeout(request, now);
+                retryWithoutTimeout(request, nowMicros);
             }
         }
     }
 
-    private void addProvidedMachines(ScaleOutRequest request, List<String> providedNames, long now) {
+    private void addProvidedMachines(ScaleOutRequest request, List<String> providedNames, long nowMicros) {
         LOG.info(
                 "scaled out by {} of {} machines of type {} in zone {}{} with scale-out request {}",
                 providedNames.size(),
@@ -197,9 +201,9 @@
                 .filter(name -> cluster.machine(name) == null && !registry.wasReturned(name))
                 .toList();
         request.recordAnswer(newNames);
-        newNames.forEach(name -> registry.addMachine(name, request, now));
+        newNames.forEach(name -> registry.addMachine(name, request, nowMicros));
         if (providedNames.size() < request.machineCount()) {
-            markUnavailable(request, now + UNAVAILABLE_MICROS);
+            markUnavailable(request, nowMicros + NO_CAPACITY_BACKOFF_MICROS);
         }
         if (newNames.isEmpty()) {
             registry.discard(request);
@@ -207,12 +211,12 @@
         writeQueue.enqueue(request);
     }
 
-    private void handleRefusal(ScaleOutRequest request, long now) {
+    private void handleRefusal(ScaleOutRequest request, long nowMicros) {
         if (request.mayHaveExecuted()) {
-            retryWithoutTimeout(request, now);
+            retryWithoutTimeout(request, nowMicros);
         } else {
             // Certainly not executed; the capacity planner proposes it anew once the cloud answers again.
-            abandon(request, now + RETRY_MICROS);
+            abandon(request, nowMicros + RETRY_DELAY_MICROS);
         }
     }
 
@@ -228,7 +232,7 @@
     }
 
     /** Schedules a retry without the time-out of the exchange, which has ended. */
-    private static void retryWithoutTimeout(ScaleOutRequest request, long now) {
-        request.recordSent(now - CloudClient.TIMEOUT_MICROS);
+    private static void retryWithoutTimeout(ScaleOutRequest request, long nowMicros) {
+        request.recordSent(nowMicros - CloudClient.TIMEOUT_MICROS);
     }
 }
--- a/src/main/java/io/sillreel/fleet/SpotInterruptionDrain.java
+++ b/src/main/java/io/sillreel/fleet/SpotInterruptionDrain.java
@@ -14,9 +14,9 @@
  */
 public final class SpotInterruptionDrain {
     /** A task whose remaining run time is this multiple of the time left cannot be expected to finish. */
-    private static final double UNFINISHABLE_FACTOR = 1.5;
+    private static final double UNFINISHABLE_RATIO = 1.5;
     /** What stopping takes besides the checkpoint: the command, and the heartbeat that shows the end. */
-    private static final long COMMAND_MICROS = 3_000_000;
+    private static final long STOP_OVERHEAD_MICROS = 3_000_000;
 
     /** Added to the usual duration of a checkpoint in the grace period. */
     private static final long CHECKPOINT_MARGIN_MICROS = 1_000_000;
@@ -33,15 +33,15 @@
      * Stops tasks and returns their machines. Tasks with checkpoints are stopped while there is time for one. Others
      * may still finish; those that cannot are stopped at once, so that they start elsewhere sooner.
      */
-    public Set<Machine> stopInterruptedTasks(long now) {
+    public Set<Machine> stopInterruptedTasks(long nowMicros) {
         Set<Machine> affectedMachines = new LinkedHashSet<>();
         for (Machine machine : cluster.machines()) {
             if (!machine.isInterrupted()) {
                 continue;
             }
-            long timeLeftMicros = machine.interruptionAtMicros() - now;
+            long timeLeftMicros = machine.interruptionAtMicros() - nowMicros;
             for (Allocation allocation : machine.allocations()) {
-                if (isStoppable(allocation) && mustStop(allocation, timeLeftMicros, now)) {
+                if (isStoppable(allocation) && mustStop(allocation, timeLeftMicros, nowMicros)) {
                     allocation.stop(gracePeriodMicros(allocation.job().spec()));
                     affectedMachines.add(machine);
                 }
@@ -57,19 +57,19 @@
                 && !allocation.isStopping();
     }
 
-    private boolean mustStop(Allocation allocation, long timeLeftMicros, long now) {
+    private boolean mustStop(Allocation allocation, long timeLeftMicros, long nowMicros) {
         JobSpec spec = allocation.job().spec();
         return spec.supportsCheckpoints()
-                ? timeLeftMicros < 2 * spec.checkpointDurationMicros() + COMMAND_MICROS
-                : remainingMicros(allocation, now) > UNFINISHABLE_FACTOR * timeLeftMicros;
+                ? timeLeftMicros < 2 * spec.checkpointDurationMicros() + STOP_OVERHEAD_MICROS
+                : remainingMicros(allocation, nowMicros) > UNFINISHABLE_RATIO * timeLeftMicros;
     }
 
     private static long gracePeriodMicros(JobSpec spec) {
         return spec.supportsCheckpoints() ? spec.checkpointDurationMicros() + CHECKPOINT_MARGIN_MICROS : 0;
     }
 
-    private long remainingMicros(Allocation allocation, long now) {
-        long elapsed = allocation.runningSinceMicros() < 0 ? 0 : now - allocation.runningSinceMicros();
+    private long remainingMicros(Allocation allocation, long nowMicros) {
+        long elapsed = allocation.runningSinceMicros() < 0 ? 0 : nowMicros - allocation.runningSinceMicros();
         return runtimeEstimator.expectedRuntimeMicros(allocation.job()) - elapsed;
     }
 }
--- a/src/main/java/io/sillreel/fleet/StragglerDetector.java
+++ b/src/main/java/io/sillreel/fleet/StragglerDetector.java
@@ -23,9 +23,9 @@
     }
 
     /** Drains machines on which tasks of several jobs take a multiple of their expected run time. */
-    public void drainStragglers(long now) {
+    public void drainStragglers(long nowMicros) {
         for (Machine machine : cluster.machines()) {
-            if (machine.state() == Machine.State.UP && isStraggler(machine, now)) {
+            if (machine.state() == Machine.State.UP && isStraggler(machine, nowMicros)) {
                 LOG.info(
                         "draining machine {} ({}): it is a straggler",
                         machine.name(),
@@ -35,14 +35,14 @@
         }
     }
 
-    private boolean isStraggler(Machine machine, long now) {
+    private boolean isStraggler(Machine machine, long nowMicros) {
         if (machine.health().isSlow()) {
             return true;
         }
         int lateTasks = 0;
         Set<String> lateJobs = new HashSet<>();
         for (Allocation allocation : machine.allocations()) {
-            if (isLate(allocation, now)) {
+            if (isLate(allocation, nowMicros)) {
                 lateTasks++;
                 lateJobs.add(allocation.uid());
             }
@@ -50,12 +50,12 @@
         return lateJobs.size() > 1 && lateTasks > machine.allocations().size() / 2;
     }
 
-    private boolean isLate(Allocation allocation, long now) {
+    private boolean isLate(Allocation allocation, long nowMicros) {
         if (allocation.job() == null || allocation.hasEnded() || allocation.runningSinceMicros() < 0) {
             return false;
         }
         double expectedMicros =
                 runtimeEstimator.expectedRuntimeMicros(allocation.job().spec());
-        return now - allocation.runningSinceMicros() > MachineHealth.SLOW_RATIO * expectedMicros;
+        return nowMicros - allocation.runningSinceMicros() > MachineHealth.SLOW_RATIO * expectedMicros;
     }
 }
--- a/src/main/java/io/sillreel/limits/FleetCapacity.java
+++ b/src/main/java/io/sillreel/limits/FleetCapacity.java
@@ -11,15 +11,15 @@
     public static final double DEFAULT_TASKS_PER_MACHINE = 8;
 
     /** Heap that is used whatever the size of the fleet. */
-    private static final long BASE_BYTES = 5 << 20;
+    private static final long FIXED_HEAP_BYTES = 5 << 20;
     /** Fraction of the remaining heap that long-lived objects may take. */
-    private static final double USABLE_FRACTION = 0.75;
+    private static final double USABLE_HEAP_FRACTION = 0.75;
     /** Heap that a leader uses for a machine. */
-    private static final long MACHINE_BYTES = 900;
+    private static final long BYTES_PER_MACHINE = 900;
     /** Heap that a leader uses for a running task. */
-    private static final long TASK_BYTES = 400;
+    private static final long BYTES_PER_TASK = 400;
     /** Heap of a worker's connection; a controller that is left alone has those of all workers. */
-    private static final long CONNECTION_BYTES = 4_000;
+    private static final long BYTES_PER_CONNECTION = 4_000;
 
     /** The number of workers that can send heartbeats while one of several controllers is down. */
     public int maxMachinesBySockets() {
@@ -28,8 +28,8 @@
 
     /** The number of machines that the heap of a leader carries which is left alone, with so many tasks on each. */
     public int maxMachinesByMemory(double tasksPerMachine) {
-        double usable = (limits.maxHeapBytes() - BASE_BYTES) * USABLE_FRACTION;
-        return (int) (usable / (MACHINE_BYTES + CONNECTION_BYTES + TASK_BYTES * tasksPerMachine));
+        double usableBytes = (limits.maxHeapBytes() - FIXED_HEAP_BYTES) * USABLE_HEAP_FRACTION;
+        return (int) (usableBytes / (BYTES_PER_MACHINE + BYTES_PER_CONNECTION + BYTES_PER_TASK * tasksPerMachine));
     }
 
     /** The number of machines that both sockets and memory allow. */
@@ -39,9 +39,9 @@
 
     /** Describes in one line what bounds the fleet, with the numbers. */
     public String describe(double tasksPerMachine) {
-        String text = "%d machines: %d by sockets (max_sockets %d, %d controllers of which one may be away), "
+        String format = "%d machines: %d by sockets (max_sockets %d, %d controllers of which one may be away), "
                 + "%d by memory (heap of %d MB, %.0f tasks on each)";
-        return text.formatted(
+        return format.formatted(
                 maxMachines(tasksPerMachine),
                 maxMachinesBySockets(),
                 limits.maxSockets(),
--- a/src/main/java/io/sillreel/limits/ProcessLimits.java
+++ b/src/main/java/io/sillreel/limits/ProcessLimits.java
@@ -13,19 +13,19 @@
  */
 public record ProcessLimits(long maxHeapBytes, int maxSockets, int otherControllers) {
     /** Cached job statuses may take this fraction of the heap: one eighth. */
-    private static final int HEAP_PER_CACHED_STATUSES = 8;
+    private static final int CACHED_STATUSES_HEAP_DIVISOR = 8;
     /** Size of a cached job status with its texts and its entry in the map. */
     private static final int CACHED_STATUS_BYTES = 600;
 
     private static final int MIN_CACHED_STATUSES = 4_000;
     /** Queued requests may take this fraction of the heap: one twelfth. */
-    private static final int HEAP_PER_QUEUED_REQUESTS = 12;
+    private static final int QUEUED_REQUESTS_HEAP_DIVISOR = 12;
 
     private static final int MIN_QUEUED_REQUEST_BYTES = 1 << 20;
     /** Recent changes of the store may take this fraction of the heap: one 24th. */
-    private static final int HEAP_PER_RECENT_CHANGES = 24;
+    private static final int RECENT_CHANGES_HEAP_DIVISOR = 24;
     /** One response may take a twentieth of the heap; the tree that is read from it takes ten times as much. */
-    private static final int HEAP_PER_RESPONSE = 20;
+    private static final int RESPONSE_HEAP_DIVISOR = 20;
     /** The largest page of the state service with its frame. */
     private static final int MIN_RESPONSE_BYTES = 1 << 20;
 
@@ -46,22 +46,23 @@
 
     /** The number of job statuses that a controller caches. */
     public int cachedJobStatuses() {
-        return (int) Math.max(MIN_CACHED_STATUSES, maxHeapBytes / HEAP_PER_CACHED_STATUSES / CACHED_STATUS_BYTES);
+        return (int) Math.max(MIN_CACHED_STATUSES, maxHeapBytes / CACHED_STATUSES_HEAP_DIVISOR / CACHED_STATUS_BYTES);
     }
 
     /** The size of all queued requests together, in bytes. */
     public long queuedRequestBytes() {
-        return Math.max(MIN_QUEUED_REQUEST_BYTES, maxHeapBytes / HEAP_PER_QUEUED_REQUESTS);
+        return Math.max(MIN_QUEUED_REQUEST_BYTES, maxHeapBytes / QUEUED_REQUESTS_HEAP_DIVISOR);
     }
 
     /** The size of the recent changes of the state service that a controller keeps, in bytes. */
     public long recentChangeBytes() {
-        return maxHeapBytes / HEAP_PER_RECENT_CHANGES;
+        return maxHeapBytes / RECENT_CHANGES_HEAP_DIVISOR;
     }
 
     /** The size of the largest response that is read, in bytes. */
     public int maxResponseBytes() {
-        return (int) Math.min(Integer.MAX_VALUE / 2, Math.max(MIN_RESPONSE_BYTES, maxHeapBytes / HEAP_PER_RESPONSE));
+        return (int)
+                Math.min(Integer.MAX_VALUE / 2, Math.max(MIN_RESPONSE_BYTES, maxHeapBytes / RESPONSE_HEAP_DIVISOR));
     }
 
     /** The number of connections of users, workers and health checks. */
--- a/src/main/java/io/sillreel/placement/CapacityPlanner.java
+++ b/src/main/java/io/sillreel/placement/CapacityPlanner.java
@@ -94,11 +94,11 @@
         return cpusOf(allocation -> allocation.isUnconfirmed() || allocation.stage() == Heartbeat.TaskStage.PULLING);
     }
 
-    private double cpusOf(Predicate<Allocation> isCounted) {
+    private double cpusOf(Predicate<Allocation> filter) {
         double cpus = 0;
         for (Machine machine : cluster.machines()) {
             for (Allocation allocation : machine.allocations()) {
-                if (!allocation.hasEnded() && allocation.job() != null && isCounted.test(allocation)) {
+                if (!allocation.hasEnded() && allocation.job() != null && filter.test(allocation)) {
                     cpus += allocation.job().spec().cpus();
                 }
             }
--- a/src/main/java/io/sillreel/placement/DeadlineWorkload.java
+++ b/src/main/java/io/sillreel/placement/DeadlineWorkload.java
@@ -17,9 +17,9 @@
  */
 final class DeadlineWorkload {
     /** The part of a running task that is left on average. */
-    private static final double REMAINING_PART_OF_RUNNING_TASK = 0.5;
+    private static final double RUNNING_TASK_REMAINING_FRACTION = 0.5;
     /** Late work is planned as if it had time for this many of its tasks, one after the other. */
-    private static final int TASKS_IN_SEQUENCE_WHEN_LATE = 2;
+    private static final int LATE_JOB_SEQUENTIAL_TASKS = 2;
 
     private final Cluster cluster;
     private final ServiceLevelObjectives objectives;
@@ -63,17 +63,18 @@
      *
      * @param availableCpus processors that are or will soon be available
      * @param bootMicros time until new machines are up
-     * @param isReachableOnly true to count only deadlines that new machines can still help to meet
+     * @param onlyReachableDeadlines true to count only deadlines that new machines can still help to meet
      */
-    double missingCpus(double availableCpus, long bootMicros, boolean isReachableOnly, long wallMicros) {
+    double missingCpus(double availableCpus, long bootMicros, boolean onlyReachableDeadlines, long wallMicros) {
         double cpuMicros = 0;
         double missing = 0;
-        for (Load load : loads(wallMicros, isReachableOnly ? bootMicros : 0)) {
+        for (Load load : loads(wallMicros, onlyReachableDeadlines ? bootMicros : 0)) {
             cpuMicros += load.cpuMicros();
-            double excess = cpuMicros - (availableCpus - load.reservedCpus()) * load.remainingMicros();
-            if (excess > 0) {
+            double excessCpuMicros = cpuMicros - (availableCpus - load.reservedCpus()) * load.remainingMicros();
+            if (excessCpuMicros > 0) {
                 long usableMicros = load.remainingMicros() - bootMicros;
-                missing = Math.max(missing, excess / Math.max(usableMicros, isReachableOnly ? 1 : bootMicros));
+                missing = Math.max(
+                        missing, excessCpuMicros / Math.max(usableMicros, onlyReachableDeadlines ? 1 : bootMicros));
             }
         }
         return missing;
@@ -95,10 +96,10 @@
     /** Returns for each priority class what arriving work of the classes above it takes. */
     private Map<PriorityClass, Double> reservedCpus(long wallMicros) {
         Map<PriorityClass, Double> reservedCpus = new EnumMap<>(PriorityClass.class);
-        double above = 0;
+        double higherClassCpus = 0;
         for (PriorityClass priorityClass : PriorityClass.values()) {
-            reservedCpus.put(priorityClass, above);
-            above += arrivingDemand.cpusOf(priorityClass, wallMicros);
+            reservedCpus.put(priorityClass, higherClassCpus);
+            higherClassCpus += arrivingDemand.cpusOf(priorityClass, wallMicros);
         }
         return reservedCpus;
     }
@@ -106,12 +107,12 @@
     private Load load(ActiveJob job, double reservedCpus, long wallMicros, long bootMicros) {
         JobSpec spec = job.spec();
         long taskMicros = runtimeEstimator.occupancyMicros(job);
-        double tasks = job.waitingCount() + REMAINING_PART_OF_RUNNING_TASK * job.allocatedCount();
+        double tasks = job.waitingCount() + RUNNING_TASK_REMAINING_FRACTION * job.allocatedCount();
         // Half a task less: tasks are not divisible, so the time up to the deadline is not filled to the end.
         long remainingMicros = objectives.deadlineMicros(job, wallMicros, bootMicros) - wallMicros - taskMicros / 2;
         if (remainingMicros < bootMicros + taskMicros) {
             // The job is late whatever is done: it is to be done soon, but without one machine for each of its tasks.
-            remainingMicros = bootMicros > 0 ? bootMicros + TASKS_IN_SEQUENCE_WHEN_LATE * taskMicros : taskMicros;
+            remainingMicros = bootMicros > 0 ? bootMicros + LATE_JOB_SEQUENTIAL_TASKS * taskMicros : taskMicros;
         }
         return new Load(job.effectivePriority(), tasks * spec.cpus() * taskMicros, remainingMicros, reservedCpus);
     }
--- a/src/main/java/io/sillreel/placement/LaunchEligibility.java
+++ b/src/main/java/io/sillreel/placement/LaunchEligibility.java
@@ -5,7 +5,7 @@
 /** Decides whether a machine may be given new tasks. */
 final class LaunchEligibility {
     /** A machine is given nothing once it has missed this many heartbeats. */
-    private static final long MAX_MISSED_HEARTBEATS = 3;
+    private static final long MISSED_HEARTBEATS_LIMIT = 3;
 
     private final long heartbeatIntervalMicros;
 
@@ -20,11 +20,11 @@
                 && !machine.isInterrupted()
                 && !machine.responsiveness().isUnresponsive()
                 && machine.scaleOutRequest().isStoredAsUp(machine.name())
-                && nowMicros - machine.lastHeartbeatMicros() < MAX_MISSED_HEARTBEATS * heartbeatIntervalMicros;
+                && nowMicros - machine.lastHeartbeatMicros() < MISSED_HEARTBEATS_LIMIT * heartbeatIntervalMicros;
     }
 
     /** Returns true if the machine accepts launches and is not suspected of failing the tasks it is given. */
-    boolean isTrusted(Machine machine, long nowMicros) {
+    boolean isSchedulable(Machine machine, long nowMicros) {
         return acceptsLaunches(machine, nowMicros) && !machine.health().isSuspect();
     }
 }
--- a/src/main/java/io/sillreel/placement/MachineGroup.java
+++ b/src/main/java/io/sillreel/placement/MachineGroup.java
@@ -41,10 +41,10 @@
 
     /** Returns the machines that have the image in the order of their names; not to be modified. */
     SortedMap<String, FreeCapacity> machinesWithImage(Image image) {
-        return machinesByImage.computeIfAbsent(image, asked -> {
+        return machinesByImage.computeIfAbsent(image, missing -> {
             SortedMap<String, FreeCapacity> withImage = new TreeMap<>();
             for (FreeCapacity capacity : machines.values()) {
-                addIfHasImage(asked, withImage, capacity);
+                addIfHasImage(missing, withImage, capacity);
             }
             return withImage;
         });
--- a/src/main/java/io/sillreel/placement/MachineReservations.java
+++ b/src/main/java/io/sillreel/placement/MachineReservations.java
@@ -52,7 +52,7 @@
         if (emptiestFirst == null) {
             emptiestFirst = new ArrayList<>();
             for (Machine machine : cluster.machines()) {
-                if (eligibility.isTrusted(machine, nowMicros)) {
+                if (eligibility.isSchedulable(machine, nowMicros)) {
                     emptiestFirst.add(machine);
                 }
             }
--- a/src/main/java/io/sillreel/placement/PlacementIndex.java
+++ b/src/main/java/io/sillreel/placement/PlacementIndex.java
@@ -16,7 +16,7 @@
 final class PlacementIndex {
     private static final double EPSILON = 1e-6;
     /** Fetches of an image whose durations differ by less, in microseconds, are taken as equally long. */
-    private static final long IMAGE_PULL_STEP_MICROS = 2_000_000;
+    private static final long IMAGE_PULL_GRANULARITY_MICROS = 2_000_000;
 
     private static final double MIN_PULL_GB_PER_SECOND = 0.01;
     private static final double MICROS_PER_SECOND = 1_000_000;
@@ -85,10 +85,10 @@
         changed.forEach(this::regroup);
     }
 
-    private void regroup(FreeCapacity capacity, MachineGroup from) {
-        from.remove(capacity);
-        if (from.isEmpty()) {
-            groups.remove(from.profile());
+    private void regroup(FreeCapacity capacity, MachineGroup group) {
+        group.remove(capacity);
+        if (group.isEmpty()) {
+            groups.remove(group.profile());
         }
         add(capacity);
     }
@@ -110,16 +110,16 @@
             SortedMap<String, FreeCapacity> withImage = group.machinesWithImage(image);
             if (!withImage.isEmpty()) {
                 // The fullest machine first, so that others become empty and can be returned.
-                addIfAny(
+                addIfNotEmpty(
                         candidates, new MachineCandidates(group, 0, kindMismatch, profile.cpus(), withImage, Map.of()));
             }
             if (!onlyWithImage && withImage.size() < group.machines().size()) {
                 // The machine that takes most tasks first, so that they share one fetch of the image.
-                addIfAny(
+                addIfNotEmpty(
                         candidates,
                         new MachineCandidates(
                                 group,
-                                imagePullMicros(spec, group.type()) / IMAGE_PULL_STEP_MICROS,
+                                imagePullMicros(spec, group.type()) / IMAGE_PULL_GRANULARITY_MICROS,
                                 kindMismatch,
                                 -Math.min(fitting, wantedTasks),
                                 group.machines(),
@@ -129,9 +129,9 @@
         return candidates;
     }
 
-    private static void addIfAny(PriorityQueue<MachineCandidates> all, MachineCandidates candidates) {
+    private static void addIfNotEmpty(PriorityQueue<MachineCandidates> queue, MachineCandidates candidates) {
         if (candidates.advance()) {
-            all.add(candidates);
+            queue.add(candidates);
         }
     }
 
--- a/src/main/java/io/sillreel/placement/Planner.java
+++ b/src/main/java/io/sillreel/placement/Planner.java
@@ -78,13 +78,13 @@
                 placer.place(queued, !queued.isUrgent());
             }
             for (QueuedJob queued : band) {
-                int lackingTasks = placer.place(queued, false);
-                if (lackingTasks > 0 && queued.isAged()) {
+                int unplacedTasks = placer.place(queued, false);
+                if (unplacedTasks > 0 && queued.isAged()) {
                     reservations.reserve(queued);
                 }
-                if (lackingTasks > 0
+                if (unplacedTasks > 0
                         && preemptingJobs < MAX_PREEMPTING_JOBS
-                        && preemption.preemptFor(queued, lackingTasks, wallMicros)) {
+                        && preemption.preemptFor(queued, unplacedTasks, wallMicros)) {
                     preemptingJobs++;
                 }
             }
@@ -100,7 +100,7 @@
         }
         PlacementIndex index = new PlacementIndex(smallestCpus);
         for (Machine machine : cluster.machines()) {
-            if (eligibility.isTrusted(machine, nowMicros)
+            if (eligibility.isSchedulable(machine, nowMicros)
                     && machine.responsiveness().ignoredCommandCount() == 0) {
                 index.add(new FreeCapacity(machine));
             }
@@ -113,7 +113,7 @@
      * are taken off the plan's unplaced tasks.
      */
     public List<TaskAssignment> planMachine(PlacementPlan plan, Machine machine, long nowMicros, long wallMicros) {
-        if (plan.unplaced().isEmpty() || !eligibility.isTrusted(machine, nowMicros)) {
+        if (plan.unplaced().isEmpty() || !eligibility.isSchedulable(machine, nowMicros)) {
             return List.of();
         }
         return new MachineFill(cluster, plan, machine, wallMicros).fill();
--- a/src/main/java/io/sillreel/placement/Preemption.java
+++ b/src/main/java/io/sillreel/placement/Preemption.java
@@ -45,10 +45,10 @@
     /**
      * Adds tasks to the plan's preemptions where stopping them lets tasks of the job fit.
      *
-     * @param lackingTasks how many tasks of the job found no capacity
+     * @param unplacedTasks how many tasks of the job found no capacity
      * @return false if the job may not preempt
      */
-    boolean preemptFor(QueuedJob queued, int lackingTasks, long wallMicros) {
+    boolean preemptFor(QueuedJob queued, int unplacedTasks, long wallMicros) {
         PreemptionGrounds grounds = new PreemptionGrounds(queued, guarantees, objectives, wallMicros);
         if (!grounds.exist()) {
             return false;
@@ -57,16 +57,16 @@
             candidates = new PreemptionCandidates(cluster, eligibility, nowMicros);
         }
         ActiveJob job = queued.job();
-        int needed = lackingTasks - candidates.tasksBeingFreed(job.spec());
-        if (needed <= 0) {
+        int neededTasks = unplacedTasks - candidates.fittingTasksAfterPendingStops(job.spec());
+        if (neededTasks <= 0) {
             return true;
         }
         List<Machine> machines = candidates.eligibleMachines(job.spec());
         if (grounds.allowLowerPriority()) {
-            needed -= preemptLowerPriority(job, grounds.hasHighPriority(), needed, machines);
+            neededTasks -= preemptLowerPriority(job, grounds.hasHighPriority(), neededTasks, machines);
         }
-        if (grounds.isGuaranteeInDanger() && needed > 0) {
-            preemptBeyondGuarantees(job, grounds.isGuaranteeMissed(), needed, machines);
+        if (grounds.isGuaranteeAtRisk() && neededTasks > 0) {
+            preemptBeyondGuarantees(job, grounds.isGuaranteeMissed(), neededTasks, machines);
         }
         return true;
     }
@@ -74,37 +74,40 @@
     /**
      * Preempts the lowest priority class on all machines before the next one on any.
      *
-     * @param mayLoseWork true to stop tasks without checkpoints and within guarantees as well
+     * @param mayDiscardProgress true to stop tasks without checkpoints and within guarantees as well
      * @return how many more tasks of the job will fit
      */
-    private int preemptLowerPriority(ActiveJob job, boolean mayLoseWork, int needed, List<Machine> machines) {
+    private int preemptLowerPriority(
+            ActiveJob job, boolean mayDiscardProgress, int neededTasks, List<Machine> machines) {
         PriorityClass[] priorityClasses = PriorityClass.values();
-        int gained = 0;
-        for (int each = priorityClasses.length - 1;
-                each > job.effectivePriority().ordinal() && gained < needed;
-                each--) {
-            PriorityClass lower = priorityClasses[each];
-            gained += preemptOnAll(
+        int gainedTasks = 0;
+        for (int ordinal = priorityClasses.length - 1;
+                ordinal > job.effectivePriority().ordinal() && gainedTasks < neededTasks;
+                ordinal--) {
+            PriorityClass lower = priorityClasses[ordinal];
+            gainedTasks += preemptOnAll(
                     candidates.withTasksOf(lower, machines),
                     job.spec(),
-                    needed - gained,
+                    neededTasks - gainedTasks,
                     allocation -> allocation.job().effectivePriority() == lower
-                            && (mayLoseWork
+                            && (mayDiscardProgress
                                     || allocation.job().spec().supportsCheckpoints()
                                             && !guarantees.covers(allocation.job())));
         }
-        return gained;
+        return gainedTasks;
     }
 
     /** Preempts what other teams run beyond their guarantees, tasks with checkpoints first. */
-    private void preemptBeyondGuarantees(ActiveJob job, boolean isGuaranteeMissed, int needed, List<Machine> machines) {
-        int gained = preemptOnAll(
+    private void preemptBeyondGuarantees(
+            ActiveJob job, boolean isGuaranteeMissed, int neededTasks, List<Machine> machines) {
+        int gainedTasks = preemptOnAll(
                 machines,
                 job.spec(),
-                needed,
+                neededTasks,
                 allocation -> allocation.job().spec().supportsCheckpoints() && isBeyondGuarantee(allocation, job));
-        if (gained < needed && !isGuaranteeMissed) {
-            preemptOnAll(machines, job.spec(), needed - gained, allocation -> isBeyondGuarantee(allocation, job));
+        if (gainedTasks < neededTasks && !isGuaranteeMissed) {
+            preemptOnAll(
+                    machines, job.spec(), neededTasks - gainedTasks, allocation -> isBeyondGuarantee(allocation, job));
         }
     }
 
@@ -122,47 +125,48 @@
                 && guarantees.isExcess(running.spec());
     }
 
-    private int preemptOnAll(List<Machine> machines, JobSpec spec, int needed, Predicate<Allocation> mayStop) {
-        int gained = 0;
+    private int preemptOnAll(
+            List<Machine> machines, JobSpec spec, int neededTasks, Predicate<Allocation> isPreemptible) {
+        int gainedTasks = 0;
         for (Machine machine : machines) {
-            if (gained >= needed) {
+            if (gainedTasks >= neededTasks) {
                 break;
             }
-            gained += preemptOn(machine, spec, needed - gained, mayStop);
+            gainedTasks += preemptOn(machine, spec, neededTasks - gainedTasks, isPreemptible);
         }
-        return gained;
+        return gainedTasks;
     }
 
     /** Selects tasks on the machine, the least lost work first, and returns how many more of the job's will fit. */
-    private int preemptOn(Machine machine, JobSpec spec, int needed, Predicate<Allocation> mayStop) {
-        List<Allocation> victims = findVictims(machine, mayStop);
+    private int preemptOn(Machine machine, JobSpec spec, int neededTasks, Predicate<Allocation> isPreemptible) {
+        List<Allocation> victims = findVictims(machine, isPreemptible);
         if (victims.isEmpty()) {
             return 0;
         }
         victims.sort(Comparator.comparingDouble(allocation -> lostCpuMicros(allocation, nowMicros)));
-        int fitting = available.fittingTasks(spec);
-        int gained = 0;
+        int fittingBefore = available.fittingTasks(spec);
+        int gainedTasks = 0;
         List<Allocation> pending = new ArrayList<>();
         for (Allocation victim : victims) {
             // Asked again: each selected task leaves its team with less beyond its guarantee.
-            if (gained >= needed || !mayStop.test(victim)) {
+            if (gainedTasks >= neededTasks || !isPreemptible.test(victim)) {
                 break;
             }
             available.addTask(victim.job().spec());
             pending.add(victim);
-            int fittingWithout = available.fittingTasks(spec);
-            if (fittingWithout > fitting) {
-                gained += fittingWithout - fitting;
-                fitting = fittingWithout;
+            int fittingAfter = available.fittingTasks(spec);
+            if (fittingAfter > fittingBefore) {
+                gainedTasks += fittingAfter - fittingBefore;
+                fittingBefore = fittingAfter;
                 pending.forEach(this::select);
                 pending.clear();
             }
         }
-        return gained;
+        return gainedTasks;
     }
 
     /** Finds the tasks that may be stopped on the machine, and sets {@link #available} for it. */
-    private List<Allocation> findVictims(Machine machine, Predicate<Allocation> mayStop) {
+    private List<Allocation> findVictims(Machine machine, Predicate<Allocation> isPreemptible) {
         List<Allocation> victims = new ArrayList<>();
         available.setToFree(machine);
         for (Allocation allocation : machine.allocations()) {
@@ -171,7 +175,7 @@
             }
             if (selected.contains(allocation)) {
                 available.addTask(allocation.job().spec());
-            } else if (PreemptionCandidates.isStoppable(allocation) && mayStop.test(allocation)) {
+            } else if (PreemptionCandidates.isStoppable(allocation) && isPreemptible.test(allocation)) {
                 victims.add(allocation);
             }
         }
@@ -191,8 +195,10 @@
      */
     private static double lostCpuMicros(Allocation allocation, long nowMicros) {
         JobSpec spec = allocation.job().spec();
-        long ranMicros = allocation.runningSinceMicros() < 0 ? 0 : nowMicros - allocation.runningSinceMicros();
+        long elapsedMicros = allocation.runningSinceMicros() < 0 ? 0 : nowMicros - allocation.runningSinceMicros();
         return spec.cpus()
-                * (spec.supportsCheckpoints() ? Math.min(ranMicros, spec.checkpointDurationMicros()) : ranMicros);
+                * (spec.supportsCheckpoints()
+                        ? Math.min(elapsedMicros, spec.checkpointDurationMicros())
+                        : elapsedMicros);
     }
 }
--- a/src/main/java/io/sillreel/placement/PreemptionCandidates.java
+++ b/src/main/java/io/sillreel/placement/PreemptionCandidates.java
@@ -27,9 +27,9 @@
     /** Trusted machines in the order of their names, and the priority classes of the tasks on them that could stop. */
     private final Map<Machine, Set<PriorityClass>> machines = new LinkedHashMap<>();
     /** Machines on which tasks are being stopped already. */
-    private final List<Machine> machinesBeingFreed = new ArrayList<>();
+    private final List<Machine> machinesWithPendingStops = new ArrayList<>();
 
-    private final ResourceAmounts beingFreed = new ResourceAmounts();
+    private final ResourceAmounts freedResources = new ResourceAmounts();
 
     PreemptionCandidates(Cluster cluster, LaunchEligibility eligibility, long nowMicros) {
         this.cluster = cluster;
@@ -49,7 +49,7 @@
         }
         for (Allocation allocation : machine.allocations()) {
             if (allocation.isStopping() && !allocation.hasEnded()) {
-                machinesBeingFreed.add(machine);
+                machinesWithPendingStops.add(machine);
                 break;
             }
         }
@@ -101,16 +101,16 @@
     }
 
     /** Returns how many tasks of the job will fit where others are being stopped already. */
-    int tasksBeingFreed(JobSpec spec) {
+    int fittingTasksAfterPendingStops(JobSpec spec) {
         int tasks = 0;
-        for (Machine machine : machinesBeingFreed) {
-            beingFreed.clear();
+        for (Machine machine : machinesWithPendingStops) {
+            freedResources.clear();
             for (Allocation allocation : machine.allocations()) {
                 if (allocation.isStopping() && !allocation.hasEnded() && allocation.job() != null) {
-                    beingFreed.addTask(allocation.job().spec());
+                    freedResources.addTask(allocation.job().spec());
                 }
             }
-            tasks += Math.min(beingFreed.fittingTasks(spec), MAX_FITTING_TASKS);
+            tasks += Math.min(freedResources.fittingTasks(spec), MAX_FITTING_TASKS);
         }
         return tasks;
     }
--- a/src/main/java/io/sillreel/placement/PreemptionGrounds.java
+++ b/src/main/java/io/sillreel/placement/PreemptionGrounds.java
@@ -9,11 +9,11 @@
  */
 final class PreemptionGrounds {
     /** Work without high priority preempts only if it would be late otherwise: with no more slack than this. */
-    private static final long LAST_CHANCE_SLACK_MICROS = 6_000_000;
+    private static final long AT_RISK_SLACK_MICROS = 6_000_000;
 
     private final boolean hasHighPriority;
-    private final boolean isLastChance;
-    private final boolean isGuaranteeInDanger;
+    private final boolean isDeadlineAtRisk;
+    private final boolean isGuaranteeAtRisk;
     private final boolean isGuaranteeMissed;
 
     PreemptionGrounds(QueuedJob queued, TeamGuarantees guarantees, ServiceLevelObjectives objectives, long wallMicros) {
@@ -22,22 +22,21 @@
         long waitedMicros = wallMicros - job.readyWallMicros();
         long slackMicros = objectives.slackMicros(job, wallMicros);
         hasHighPriority = priorityClass.isAbove(PriorityClass.NORMAL);
-        isLastChance = priorityClass != PriorityClass.BEST_EFFORT
-                && slackMicros >= 0
-                && slackMicros <= LAST_CHANCE_SLACK_MICROS;
-        isGuaranteeInDanger = guarantees.covers(job)
+        isDeadlineAtRisk =
+                priorityClass != PriorityClass.BEST_EFFORT && slackMicros >= 0 && slackMicros <= AT_RISK_SLACK_MICROS;
+        isGuaranteeAtRisk = guarantees.covers(job)
                 && waitedMicros > objectives.guaranteedStartMicros() / 2
                 && QueueOrder.isServedAsGuaranteed(queued);
         isGuaranteeMissed = waitedMicros > objectives.guaranteedStartMicros();
     }
 
     boolean exist() {
-        return hasHighPriority || isLastChance || isGuaranteeInDanger;
+        return hasHighPriority || isDeadlineAtRisk || isGuaranteeAtRisk;
     }
 
     /** Returns true if the job may preempt work of lower priority classes. */
     boolean allowLowerPriority() {
-        return hasHighPriority || isLastChance;
+        return hasHighPriority || isDeadlineAtRisk;
     }
 
     /** Returns true if the job may preempt lower priority classes without regard to checkpoints and guarantees. */
@@ -46,8 +45,8 @@
     }
 
     /** Returns true if the job may preempt what other teams run beyond their guarantees, if it has checkpoints. */
-    boolean isGuaranteeInDanger() {
-        return isGuaranteeInDanger;
+    boolean isGuaranteeAtRisk() {
+        return isGuaranteeAtRisk;
     }
 
     /** Returns true if the guaranteed start is missed, so that work without checkpoints would be lost for nothing. */
--- a/src/main/java/io/sillreel/placement/PriorityInheritance.java
+++ b/src/main/java/io/sillreel/placement/PriorityInheritance.java
@@ -23,16 +23,16 @@
 
     /** Passes the urgency of a new job on to all jobs that it depends on, directly or not. */
     public void propagateUrgency(ActiveJob job) {
-        Deque<ActiveJob> open = new ArrayDeque<>();
-        open.add(job);
-        while (!open.isEmpty()) {
-            ActiveJob dependent = open.poll();
+        Deque<ActiveJob> pending = new ArrayDeque<>();
+        pending.add(job);
+        while (!pending.isEmpty()) {
+            ActiveJob dependent = pending.poll();
             if (dependent.isCancelled()) {
                 continue;
             }
             for (ActiveJob dependency : dependencies.dependencies(dependent)) {
                 if (dependency.inheritUrgency(dependent.effectivePriority(), latestEndOfDependencies(dependent))) {
-                    open.add(dependency);
+                    pending.add(dependency);
                 }
             }
         }
@@ -40,12 +40,12 @@
 
     /** Computes anew the urgency of all jobs that cancelled jobs depended on: only the remaining dependents count. */
     public void recomputeAfterCancellation(Collection<ActiveJob> cancelled) {
-        Deque<ActiveJob> open = new ArrayDeque<>();
-        cancelled.forEach(job -> open.addAll(dependencies.dependencies(job)));
-        while (!open.isEmpty()) {
-            ActiveJob job = open.poll();
+        Deque<ActiveJob> pending = new ArrayDeque<>();
+        cancelled.forEach(job -> pending.addAll(dependencies.dependencies(job)));
+        while (!pending.isEmpty()) {
+            ActiveJob job = pending.poll();
             if (!job.isCancelled() && recomputeUrgency(job)) {
-                open.addAll(dependencies.dependencies(job));
+                pending.addAll(dependencies.dependencies(job));
             }
         }
     }
--- a/src/main/java/io/sillreel/placement/QueueOrder.java
+++ b/src/main/java/io/sillreel/placement/QueueOrder.java
@@ -16,13 +16,13 @@
  */
 final class QueueOrder {
     /** Work within a team's guarantee that has waited for longer is served before lower bands. */
-    private static final long GUARANTEE_WAIT_MICROS = 2_000_000;
+    private static final long GUARANTEE_BOOST_WAIT_MICROS = 2_000_000;
     /** Best-effort work that has to be started within this time is served together with late normal work. */
     private static final long BEST_EFFORT_URGENT_MICROS = 20_000_000;
     /** A job that has not started by this age is served before all others. */
     private static final long MAX_START_AGE_MICROS = 120_000_000;
     /** From this age on, a job of any priority class is served no later than urgent work of normal priority. */
-    private static final long RAISED_PRIORITY_AGE_MICROS = 150_000_000;
+    private static final long PRIORITY_BOOST_AGE_MICROS = 150_000_000;
     /** A job of this age is served before all others although it has started. */
     private static final long MAX_AGE_MICROS = 300_000_000;
     /**
@@ -81,11 +81,11 @@
         long ageMicros = wallMicros - job.readyWallMicros();
         PriorityBand band = PriorityBand.of(priorityClass, Timeliness.ofSlack(slackMicros));
         if (isGuaranteed
-                && ageMicros > GUARANTEE_WAIT_MICROS
+                && ageMicros > GUARANTEE_BOOST_WAIT_MICROS
                 && (hasNotStarted(job) || ageMicros < 2 * objectives.guaranteedStartMicros())) {
             return band.orBefore(GUARANTEED_BAND);
         }
-        if (ageMicros > RAISED_PRIORITY_AGE_MICROS) {
+        if (ageMicros > PRIORITY_BOOST_AGE_MICROS) {
             return band.orBefore(PriorityBand.NORMAL_URGENT);
         }
         boolean isUrgentBestEffort = priorityClass == PriorityClass.BEST_EFFORT
--- a/src/main/java/io/sillreel/placement/RuntimeEstimator.java
+++ b/src/main/java/io/sillreel/placement/RuntimeEstimator.java
@@ -15,16 +15,16 @@
     /** Weight of a new measurement in the moving averages. */
     private static final double MEASUREMENT_WEIGHT = 0.1;
     /** Bounds of a measured run time relative to the estimate: an outlier does not distort the average. */
-    private static final double MIN_RATIO = 0.3;
+    private static final double MIN_RUNTIME_RATIO = 0.3;
 
-    private static final double MAX_RATIO = 4;
+    private static final double MAX_RUNTIME_RATIO = 4;
     private static final long MIN_RUNTIME_MICROS = 1_000_000;
     /** Time that a task occupies its resources before and after it runs, until heartbeats have shown that. */
     private static final long HEARTBEAT_OVERHEAD_MICROS = 1_500_000;
     /** The share of each task in a fetch of the image: all tasks of the job on the machine use the same one. */
     private static final double SHARED_PULL_MICROS_PER_GB = 1_000_000;
     /** The first tasks of a job wait for the whole fetch of the image. */
-    private static final double WHOLE_PULL_MICROS_PER_GB = 3_000_000;
+    private static final double FULL_PULL_MICROS_PER_GB = 3_000_000;
     /** Time from the release of a job until its first tasks are launched and their ends are known. */
     private static final long SCHEDULING_MICROS = 4_000_000;
     /** The average of the class weighs as much as this number of measured tasks of the job. */
@@ -42,11 +42,12 @@
     private final Map<String, Double> tailRatios = new HashMap<>();
 
     /** Records that a task of the job has ended after it ran for the time. */
-    public synchronized void recordRuntime(ActiveJob job, long ranMicros) {
+    public synchronized void recordRuntime(ActiveJob job, long runtimeMicros) {
         JobSpec spec = job.spec();
-        job.runtimes().add(ranMicros);
+        job.runtimes().add(runtimeMicros);
         if (spec.estimatedMicros() > 0) {
-            double ratio = Math.max(MIN_RATIO, Math.min(MAX_RATIO, (double) ranMicros / spec.estimatedMicros()));
+            double ratio = Math.max(
+                    MIN_RUNTIME_RATIO, Math.min(MAX_RUNTIME_RATIO, (double) runtimeMicros / spec.estimatedMicros()));
             runtimeRatios.merge(spec.jobClass(), ratio, RuntimeEstimator::movingAverage);
         }
         TaskRuntimes runtimes = job.runtimes();
@@ -79,7 +80,7 @@
     public long makespanMicros(ActiveJob job) {
         return slowestTaskMicros(job)
                 + SCHEDULING_MICROS
-                + Math.round(job.spec().imageGb() * WHOLE_PULL_MICROS_PER_GB);
+                + Math.round(job.spec().imageGb() * FULL_PULL_MICROS_PER_GB);
     }
 
     /** Returns how long a task is expected to run by its class, without the fetch of its image. */
--- a/src/main/java/io/sillreel/placement/ScaleInPlanner.java
+++ b/src/main/java/io/sillreel/placement/ScaleInPlanner.java
@@ -28,11 +28,11 @@
      * @param idleMicros how long a machine has to be idle
      */
     List<Machine> surplusMachines(double neededCpus, long idleMicros, long nowMicros, long wallMicros) {
-        double serviceCpus = 0;
+        double inServiceCpus = 0;
         List<Machine> candidates = new ArrayList<>();
         for (Machine machine : cluster.machines()) {
             if (isInService(machine, nowMicros)) {
-                serviceCpus += machine.type().cpus();
+                inServiceCpus += machine.type().cpus();
                 if (isCandidate(machine, idleMicros, nowMicros)) {
                     candidates.add(machine);
                 }
@@ -40,7 +40,7 @@
         }
         candidates.sort(Comparator.comparingDouble(ScaleInPlanner::negativePricePerCpu)
                 .thenComparingInt(Machine::liveTaskCount));
-        return selectSurplus(candidates, serviceCpus - neededCpus, wallMicros);
+        return selectSurplus(candidates, inServiceCpus - neededCpus, wallMicros);
     }
 
     private static boolean isInService(Machine machine, long nowMicros) {
--- a/src/main/java/io/sillreel/placement/ScaleOutPlanner.java
+++ b/src/main/java/io/sillreel/placement/ScaleOutPlanner.java
@@ -67,7 +67,7 @@
             urgent -= cpus;
         }
         if (proposals.isEmpty() && pendingCpus == 0) {
-            proposeForUnhostedJob(types, nowMicros, wallMicros, proposals);
+            proposeForUnplaceableJob(types, nowMicros, wallMicros, proposals);
         }
         return proposals;
     }
@@ -156,12 +156,12 @@
     }
 
     /** Proposes a machine for the first waiting job that no available machine could ever take. */
-    private void proposeForUnhostedJob(
+    private void proposeForUnplaceableJob(
             Collection<MachineType> types, long nowMicros, long wallMicros, List<ScaleOutProposal> proposals) {
         for (ActiveJob job : cluster.jobs()) {
             boolean isWaiting =
                     cluster.isLaunchable(job, wallMicros) && job.waitingCount() > 0 && job.allocatedCount() == 0;
-            if (isWaiting && !hasHost(job, nowMicros)) {
+            if (isWaiting && !hasSuitableMachine(job, nowMicros)) {
                 CapacityNeed need = new CapacityNeed(job.spec().cpus(), job.spec(), true, true);
                 Optional<ScaleOutProposal> proposal = offers.selectCheapest(types, need, proposals, nowMicros);
                 if (proposal.isPresent()) {
@@ -172,7 +172,7 @@
         }
     }
 
-    private boolean hasHost(ActiveJob job, long nowMicros) {
+    private boolean hasSuitableMachine(ActiveJob job, long nowMicros) {
         for (Machine machine : cluster.machines()) {
             if (MachineAvailability.isAvailableSoon(machine, nowMicros)
                     && PlacementConstraints.isEligible(job.spec(), machine)
--- a/src/main/java/io/sillreel/placement/ServiceLevelObjectives.java
+++ b/src/main/java/io/sillreel/placement/ServiceLevelObjectives.java
@@ -44,22 +44,22 @@
         long slowestTaskMicros = runtimeEstimator.slowestTaskMicros(job);
         long earliestEnd = wallMicros + delayMicros + slowestTaskMicros;
         long inherited = job.inheritedDeadlineMicros();
-        long reachable = inherited >= earliestEnd ? inherited : Long.MAX_VALUE;
+        long earliestReachable = inherited >= earliestEnd ? inherited : Long.MAX_VALUE;
         JobSpec spec = job.spec();
         if (spec.deadlineMicros() >= 0) {
-            return Math.min(job.admittedWallMicros() + spec.deadlineMicros(), reachable);
+            return Math.min(job.admittedWallMicros() + spec.deadlineMicros(), earliestReachable);
         }
-        long last = -1;
+        long latestDeadline = -1;
         for (Objective objective : objectives) {
             if (objective.jobClass().equals(spec.jobClass()) && objective.withinMicros() > 0) {
                 long deadline = deadlineMicros(objective, job, slowestTaskMicros);
-                last = Math.max(last, deadline);
+                latestDeadline = Math.max(latestDeadline, deadline);
                 if (deadline >= earliestEnd) {
-                    reachable = Math.min(reachable, deadline);
+                    earliestReachable = Math.min(earliestReachable, deadline);
                 }
             }
         }
-        return reachable < Long.MAX_VALUE ? reachable : missedDeadlineMicros(job, last);
+        return earliestReachable < Long.MAX_VALUE ? earliestReachable : missedDeadlineMicros(job, latestDeadline);
     }
 
     /** Returns the deadline of one objective; an objective for the start leaves the whole run time after it. */
@@ -69,10 +69,10 @@
                 + (objective.kind().equals(START) ? slowestTaskMicros : 0);
     }
 
-    /** @param last the last deadline of the job's class, or -1 if the class has no objective */
-    private static long missedDeadlineMicros(ActiveJob job, long last) {
-        if (last >= 0) {
-            return last;
+    /** @param latestDeadline the last deadline of the job's class, or -1 if the class has no objective */
+    private static long missedDeadlineMicros(ActiveJob job, long latestDeadline) {
+        if (latestDeadline >= 0) {
+            return latestDeadline;
         }
         return job.inheritedDeadlineMicros() < Long.MAX_VALUE
                 ? job.inheritedDeadlineMicros()
--- a/src/main/java/io/sillreel/placement/TeamGuarantees.java
+++ b/src/main/java/io/sillreel/placement/TeamGuarantees.java
@@ -41,9 +41,9 @@
                 continue;
             }
             claimed.add(job.spec(), job.spec().tasks());
-            QuotaUsage.Amount sum = claimed.ofTeam(job.spec().team());
-            if (sum.cpus() <= QuotaUsage.toMilli(team.guaranteedCpus())
-                    && sum.gpus() <= QuotaUsage.toMilli(team.guaranteedGpus())) {
+            QuotaUsage.Amount teamClaim = claimed.ofTeam(job.spec().team());
+            if (teamClaim.cpus() <= QuotaUsage.toMilli(team.guaranteedCpus())
+                    && teamClaim.gpus() <= QuotaUsage.toMilli(team.guaranteedGpus())) {
                 covered.add(job);
             }
         }
@@ -71,13 +71,13 @@
     }
 
     private long excessMilliCpus(String team) {
-        Long known = excessMilliCpus.get(team);
-        if (known == null) {
+        Long excess = excessMilliCpus.get(team);
+        if (excess == null) {
             Team settings = cluster.team(team);
-            known = cluster.allocationIndex().usage().ofTeam(team).cpus()
+            excess = cluster.allocationIndex().usage().ofTeam(team).cpus()
                     - QuotaUsage.toMilli(settings == null ? 0 : settings.guaranteedCpus());
-            excessMilliCpus.put(team, known);
+            excessMilliCpus.put(team, excess);
         }
-        return known;
+        return excess;
     }
 }
--- a/src/test/java/io/sillreel/fleet/FleetRegistryTest.java
+++ b/src/test/java/io/sillreel/fleet/FleetRegistryTest.java
@@ -41,7 +41,7 @@
 
     /** Guards against heartbeats that are delayed by minutes, and against names that accumulate during a long term. */
     @Test
-    void returnedMachinesAreRememberedForAnHour() {
+    void retainsReturnedMachineNamesForOneHour() {
         adoptAndRemove("host-000001");
         time.runFor(59 * MINUTE);
         adoptAndRemove("host-000002");
--- a/src/test/java/io/sillreel/limits/ProcessLimitsTest.java
+++ b/src/test/java/io/sillreel/limits/ProcessLimitsTest.java
@@ -8,7 +8,7 @@
     private static final long MB = 1 << 20;
 
     @Test
-    void boundsFollowFromMemoryAndSockets() {
+    void limitsScaleWithHeapAndSockets() {
         ProcessLimits small = new ProcessLimits(50 * MB, 2_000, 2);
         ProcessLimits large = new ProcessLimits(500 * MB, 20_000, 20);
         assertThat(small.cachedJobStatuses()).isBetween(10_000, 12_000);
@@ -23,10 +23,10 @@
 
     /** Guards small processes: a page of the state service and a submission fit whatever the heap is. */
     @Test
-    void whatTheProtocolAllowsFitsIntoTheSmallestHeap() {
-        ProcessLimits least = new ProcessLimits(8 * MB, 40, 0);
-        assertThat(least.maxResponseBytes()).isGreaterThan(512 * 1024);
-        assertThat(least.queuedRequestBytes()).isGreaterThan(64 * 1024);
-        assertThat(least.cachedJobStatuses()).isEqualTo(4_000);
+    void smallestHeapFitsLargestProtocolMessages() {
+        ProcessLimits smallest = new ProcessLimits(8 * MB, 40, 0);
+        assertThat(smallest.maxResponseBytes()).isGreaterThan(512 * 1024);
+        assertThat(smallest.queuedRequestBytes()).isGreaterThan(64 * 1024);
+        assertThat(smallest.cachedJobStatuses()).isEqualTo(4_000);
     }
 }
--- a/src/test/java/io/sillreel/placement/PlacementIndexTest.java
+++ b/src/test/java/io/sillreel/placement/PlacementIndexTest.java
@@ -34,19 +34,19 @@
     }
 
     /** Places all tasks of a job that fit, and records where. */
-    private static final class Recorder implements PlacementIndex.MachineVisitor {
+    private static final class RecordingVisitor implements PlacementIndex.MachineVisitor {
         private final JobSpec spec;
-        private final List<String> taken = new ArrayList<>();
-        private int wanted;
+        private final List<String> placements = new ArrayList<>();
+        private int remainingTasks;
 
-        Recorder(JobSpec spec) {
+        RecordingVisitor(JobSpec spec) {
             this.spec = spec;
-            this.wanted = spec.tasks();
+            this.remainingTasks = spec.tasks();
         }
 
         @Override
         public boolean isSatisfied() {
-            return wanted == 0;
+            return remainingTasks == 0;
         }
 
         @Override
@@ -55,41 +55,42 @@
         }
 
         @Override
-        public boolean place(FreeCapacity space) {
-            int count = Math.min(wanted, space.fittingTasks(spec));
-            wanted -= count;
-            space.allocate(spec, count);
-            taken.add(space.machine().name() + " x " + count);
+        public boolean place(FreeCapacity capacity) {
+            int count = Math.min(remainingTasks, capacity.fittingTasks(spec));
+            remainingTasks -= count;
+            capacity.allocate(spec, count);
+            placements.add(capacity.machine().name() + " x " + count);
             return count > 0;
         }
     }
 
-    private static long fetchStep(FreeCapacity space, JobSpec spec) {
-        return space.hasImage(spec)
+    private static long imagePullStep(FreeCapacity capacity, JobSpec spec) {
+        return capacity.hasImage(spec)
                 ? 0
-                : (long) (spec.imageGb() / space.machine().type().pullGbPerSecond()) / 2;
+                : (long) (spec.imageGb() / capacity.machine().type().pullGbPerSecond()) / 2;
     }
 
     /** The order that a sort of all machines gives, which the index has to keep. */
-    private static List<String> bySorting(List<FreeCapacity> spaces, JobSpec spec) {
-        List<FreeCapacity> fitting = new ArrayList<>(spaces);
-        fitting.removeIf(
-                space -> space.fittingTasks(spec) <= 0 || !PlacementConstraints.isEligible(spec, space.machine()));
-        fitting.sort(Comparator.<FreeCapacity>comparingLong(space -> fetchStep(space, spec))
-                .thenComparingInt(space -> space.machine().isSpot() == spec.supportsCheckpoints() ? 0 : 1)
-                .thenComparingDouble(space ->
-                        space.hasImage(spec) ? space.cpus() : -Math.min(space.fittingTasks(spec), spec.tasks()))
-                .thenComparing(space -> space.machine().name()));
-        Recorder recorder = new Recorder(spec);
-        fitting.stream().takeWhile(space -> !recorder.isSatisfied()).forEach(recorder::place);
-        return recorder.taken;
+    private static List<String> placeInSortedOrder(List<FreeCapacity> capacities, JobSpec spec) {
+        List<FreeCapacity> fitting = new ArrayList<>(capacities);
+        fitting.removeIf(capacity ->
+                capacity.fittingTasks(spec) <= 0 || !PlacementConstraints.isEligible(spec, capacity.machine()));
+        fitting.sort(Comparator.<FreeCapacity>comparingLong(capacity -> imagePullStep(capacity, spec))
+                .thenComparingInt(capacity -> capacity.machine().isSpot() == spec.supportsCheckpoints() ? 0 : 1)
+                .thenComparingDouble(capacity -> capacity.hasImage(spec)
+                        ? capacity.cpus()
+                        : -Math.min(capacity.fittingTasks(spec), spec.tasks()))
+                .thenComparing(capacity -> capacity.machine().name()));
+        RecordingVisitor visitor = new RecordingVisitor(spec);
+        fitting.stream().takeWhile(capacity -> !visitor.isSatisfied()).forEach(visitor::place);
+        return visitor.placements;
     }
 
     @RepeatedTest(20)
-    void machinesAreVisitedInTheOrderOfASortOfAllMachines(RepetitionInfo repetition) {
+    void visitsMachinesInSameOrderAsFullSort(RepetitionInfo repetition) {
         Random random = new Random(repetition.getCurrentRepetition());
         PlacementIndex index = new PlacementIndex(0.5);
-        List<FreeCapacity> sorted = new ArrayList<>();
+        List<FreeCapacity> capacities = new ArrayList<>();
         for (int number = 0; number < 60; number++) {
             MachineType type = TYPES.get(random.nextInt(2));
             Machine machine = new Machine(
@@ -101,15 +102,15 @@
                     0,
                     new AllocationIndex());
             index.add(new FreeCapacity(machine));
-            sorted.add(new FreeCapacity(machine));
+            capacities.add(new FreeCapacity(machine));
         }
         for (int number = 0; number < 60; number++) {
             JobSpec spec = job(random, number);
-            Recorder recorder = new Recorder(spec);
-            index.visitMachines(spec, spec.tasks(), false, recorder);
-            assertThat(recorder.taken)
+            RecordingVisitor visitor = new RecordingVisitor(spec);
+            index.visitMachines(spec, spec.tasks(), false, visitor);
+            assertThat(visitor.placements)
                     .as(Json.parse(Json.bytes(JobSpecCodec.encode(spec))).toString())
-                    .isEqualTo(bySorting(sorted, spec));
+                    .isEqualTo(placeInSortedOrder(capacities, spec));
         }
     }
 }
--- a/src/test/java/io/sillreel/placement/PlannerTest.java
+++ b/src/test/java/io/sillreel/placement/PlannerTest.java
@@ -37,32 +37,32 @@
     private final Planner planner =
             new Planner(cluster, SECOND, new ServiceLevelObjectives(List.of(), new RuntimeEstimator()));
     private long nowMicros = 1_000 * SECOND;
-    private long attempts;
-    private int jobs;
+    private long lastAttempt;
+    private int jobCount;
 
     private Machine machine(int number) {
         return machine(number, true);
     }
 
-    private Machine machine(int number, boolean spot) {
+    private Machine machine(int number, boolean isSpot) {
         String name = "host-%06d".formatted(number);
         var value = Json.object()
                 .put("build", "c4")
                 .put("yard", "a")
-                .put("spot", spot)
+                .put("spot", isSpot)
                 .put("count", 1);
         value.putArray("machines").add(name);
         Machine machine = new Machine(
                 name,
                 TYPE,
                 "a",
-                spot,
+                isSpot,
                 ScaleOutRequestCodec.decode("hire/" + name, value, 1),
                 nowMicros,
                 cluster.allocationIndex());
         cluster.add(machine);
         machine.acceptHeartbeat(
-                new Heartbeat(name, name + ":1", new MachineDescription("c4", "a", spot), 1, 1, 1, -1, List.of()),
+                new Heartbeat(name, name + ":1", new MachineDescription("c4", "a", isSpot), 1, 1, 1, -1, List.of()),
                 false,
                 nowMicros);
         machine.markReconciled();
@@ -72,7 +72,7 @@
     private ActiveJob job(
             String team, PriorityClass priorityClass, int tasks, double cpus, long ageMicros, boolean hasCheckpoints) {
         JobSpec spec = new JobSpec(
-                "job-%06d".formatted(++jobs),
+                "job-%06d".formatted(++jobCount),
                 "l",
                 team,
                 new Urgency(priorityClass, -1),
@@ -82,15 +82,15 @@
                 new PlacementRequirements(null, null, false, false, true),
                 List.of());
         ActiveJob job =
-                new ActiveJob(spec, jobs, nowMicros - ageMicros, ValueLimits.fixed(8_192), new IgnoringListener());
+                new ActiveJob(spec, jobCount, nowMicros - ageMicros, ValueLimits.fixed(8_192), new IgnoringListener());
         job.recordWrite().onStored(1);
         cluster.add(job);
         return job;
     }
 
-    private void run(ActiveJob job, Machine machine, int tasks) {
+    private void startTasks(ActiveJob job, Machine machine, int tasks) {
         for (int i = 0; i < tasks; i++) {
-            Allocation allocation = Allocation.launched(job, job.nextWaitingTask(), ++attempts, 0);
+            Allocation allocation = Allocation.launched(job, job.nextWaitingTask(), ++lastAttempt, 0);
             machine.add(allocation);
             allocation.updateStage(TaskStage.RUNNING, nowMicros);
         }
@@ -101,10 +101,10 @@
     }
 
     /** Steps that it takes to fill a machine whose heartbeat shows free capacity, in a fleet that is otherwise full. */
-    private long stepsOfAHeartbeat(int machines, int waitingJobs) {
+    private long heartbeatSteps(int machines, int waitingJobs) {
         ActiveJob running = job("free", PriorityClass.NORMAL, 4 * machines, 1, 0, false);
         for (int i = 0; i < machines; i++) {
-            run(running, machine(i), 4);
+            startTasks(running, machine(i), 4);
         }
         for (int i = 0; i < waitingJobs; i++) {
             job("free", PriorityClass.NORMAL, 10, 1, 0, false);
@@ -121,14 +121,14 @@
 
     /** Guards against planning for the whole fleet on each heartbeat. */
     @Test
-    void theCostOfAHeartbeatDoesNotGrowWithMachinesOrJobs() {
-        long small = new PlannerTest().stepsOfAHeartbeat(10, 100);
-        long large = new PlannerTest().stepsOfAHeartbeat(1_000, 1_000);
+    void heartbeatCostIsIndependentOfMachineAndJobCount() {
+        long small = new PlannerTest().heartbeatSteps(10, 100);
+        long large = new PlannerTest().heartbeatSteps(1_000, 1_000);
         assertThat(large).isLessThanOrEqualTo(small).isLessThanOrEqualTo(200);
     }
 
     /** Steps of a plan for so many waiting jobs in a fleet that is idle, beside one look at each machine. */
-    private long stepsOfAPlan(int machines, int waitingJobs) {
+    private long planSteps(int machines, int waitingJobs) {
         for (int i = 0; i < machines; i++) {
             machine(i, i % 3 > 0);
         }
@@ -141,22 +141,22 @@
 
     /** Guards a leader of thousands: a look at every idle machine for every job was a plan of seconds. */
     @Test
-    void theCostOfAPlanDoesNotGrowWithMachinesTimesJobs() {
-        long small = new PlannerTest().stepsOfAPlan(1_000, 200);
-        long large = new PlannerTest().stepsOfAPlan(4_000, 200);
+    void planCostDoesNotGrowWithMachinesTimesJobs() {
+        long small = new PlannerTest().planSteps(1_000, 200);
+        long large = new PlannerTest().planSteps(4_000, 200);
         assertThat(large).isLessThanOrEqualTo(small + 100).isLessThan(10_000);
     }
 
     @Test
-    void tasksBeyondAGuaranteeArePreemptedForGuaranteedWorkThoseWithCheckpointsFirst() {
+    void preemptsCheckpointedExcessTasksFirstForGuaranteedWork() {
         ActiveJob withoutCheckpoints = job("s", PriorityClass.NORMAL, 8, 1, 60 * SECOND, false);
         ActiveJob withCheckpoints = job("s", PriorityClass.NORMAL, 4, 1, 60 * SECOND, true);
         Machine one = machine(1);
         Machine two = machine(2);
         Machine three = machine(3);
-        run(withoutCheckpoints, one, 4);
-        run(withoutCheckpoints, two, 4);
-        run(withCheckpoints, three, 4);
+        startTasks(withoutCheckpoints, one, 4);
+        startTasks(withoutCheckpoints, two, 4);
+        startTasks(withCheckpoints, three, 4);
         job("t", PriorityClass.BEST_EFFORT, 2, 1, 4 * SECOND, false);
         assertThat(plan().preemptions()).as("the aim is not in danger yet").isEmpty();
         nowMicros += 2 * SECOND;
@@ -165,10 +165,10 @@
 
     /** Guards against two that stop each other's tasks in turn: whoever stops must come before whoever was stopped. */
     @Test
-    void preemptedWorkDoesNotTakeTheCapacityBack() {
-        ActiveJob owed = job("t", PriorityClass.BEST_EFFORT, 4, 1, 30 * SECOND, false);
+    void preemptedJobDoesNotReclaimCapacity() {
+        ActiveJob guaranteed = job("t", PriorityClass.BEST_EFFORT, 4, 1, 30 * SECOND, false);
         Machine one = machine(1);
-        run(owed, one, 4);
+        startTasks(guaranteed, one, 4);
         ActiveJob high = job("s", PriorityClass.HIGH, 4, 1, 0, false);
         assertThat(plan().preemptions()).hasSize(4);
         List.copyOf(one.allocations()).forEach(allocation -> {
@@ -180,21 +180,21 @@
 
     /** Guards the other teams' guarantees: what is within them stays, however long somebody waits. */
     @Test
-    void tasksWithinAGuaranteeAreNotPreemptedForAnotherTeam() {
+    void doesNotPreemptTasksWithinGuaranteeForOtherTeam() {
         ActiveJob within = job("s", PriorityClass.NORMAL, 8, 1, 60 * SECOND, true);
-        run(within, machine(1), 4);
-        run(within, machine(2), 4);
+        startTasks(within, machine(1), 4);
+        startTasks(within, machine(2), 4);
         job("t", PriorityClass.NORMAL, 2, 1, 60 * SECOND, false);
         assertThat(plan().preemptions()).isEmpty();
     }
 
     /** Guards a large task against small ones that take every processor as it comes free. */
     @Test
-    void aMachineIsReservedForALargeTaskThatHasWaitedTooLong() {
+    void reservesMachineForAgedLargeTask() {
         ActiveJob large = job("free", PriorityClass.BEST_EFFORT, 1, 4, 130 * SECOND, false);
         ActiveJob small = job("free", PriorityClass.NORMAL, 20, 1, 0, false);
         Machine one = machine(1);
-        run(small, one, 4);
+        startTasks(small, one, 4);
         PlacementPlan plan = plan();
         Allocation ended = one.allocations().iterator().next();
         ended.updateStage(TaskStage.ENDED, nowMicros);
@@ -209,7 +209,7 @@
     }
 
     @Test
-    void priorityClassGoesBeforeAdmissionOrderUntilTheJobIsAged() {
+    void servesHigherPriorityFirstUntilLowerPriorityJobIsAged() {
         ActiveJob low = job("free", PriorityClass.BEST_EFFORT, 1, 4, 60 * SECOND, false);
         ActiveJob high = job("free", PriorityClass.HIGH, 1, 4, 0, false);
         machine(1);
@@ -228,13 +228,13 @@
      * Guards against long tasks on machines that may be taken, while work that saves its progress sits on the others.
      */
     @Test
-    void tasksWithCheckpointsGoToSpotMachinesAndOthersToOnDemandMachines() {
-        Machine spot = machine(1, true);
+    void placesCheckpointedTasksOnSpotMachinesAndOthersOnDemand() {
+        Machine isSpot = machine(1, true);
         Machine onDemand = machine(2, false);
-        ActiveJob other = job("free", PriorityClass.NORMAL, 4, 1, 0, false);
+        ActiveJob withoutCheckpoints = job("free", PriorityClass.NORMAL, 4, 1, 0, false);
         ActiveJob withCheckpoints = job("free", PriorityClass.NORMAL, 4, 1, 0, true);
         Map<String, List<TaskAssignment>> launches = plan().launches();
-        assertThat(launches.get(spot.name())).containsExactly(new TaskAssignment(withCheckpoints, 4));
-        assertThat(launches.get(onDemand.name())).containsExactly(new TaskAssignment(other, 4));
+        assertThat(launches.get(isSpot.name())).containsExactly(new TaskAssignment(withCheckpoints, 4));
+        assertThat(launches.get(onDemand.name())).containsExactly(new TaskAssignment(withoutCheckpoints, 4));
     }
 }
--- a/src/test/java/io/sillreel/placement/PriorityBandTest.java
+++ b/src/test/java/io/sillreel/placement/PriorityBandTest.java
@@ -11,7 +11,7 @@
 class PriorityBandTest {
     @ParameterizedTest
     @EnumSource(PriorityClass.class)
-    void bandsOfAPriorityClassAreNamedAfterItAndTheTimeliness(PriorityClass priorityClass) {
+    void mapsPriorityClassAndTimelinessToBandOfSameName(PriorityClass priorityClass) {
         for (Timeliness timeliness : Timeliness.values()) {
             assertThat(PriorityBand.of(priorityClass, timeliness)).hasToString(priorityClass + "_" + timeliness);
         }
@@ -19,14 +19,14 @@
 
     @ParameterizedTest
     @EnumSource(PriorityClass.class)
-    void agedJobsComeBeforeEveryPriorityClass(PriorityClass priorityClass) {
+    void agedBandPrecedesUrgentBandOfEveryPriorityClass(PriorityClass priorityClass) {
         assertThat(PriorityBand.AGED.isAtOrBefore(PriorityBand.of(priorityClass, Timeliness.URGENT)))
                 .isTrue();
     }
 
     @ParameterizedTest
     @CsvSource({"-1,LATE", "0,URGENT", "14999999,URGENT", "15000000,ON_TIME"})
-    void slackBelowFifteenSecondsIsUrgentUntilTheDeadlineCannotBeMet(long slackMicros, Timeliness timeliness) {
+    void classifiesTimelinessBySlack(long slackMicros, Timeliness timeliness) {
         assertThat(Timeliness.ofSlack(slackMicros)).isEqualTo(timeliness);
     }
 }
--- a/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
+++ b/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
@@ -27,7 +27,7 @@
 
     private final Set<String> cancelled = new HashSet<>();
     private final List<String> ready = new ArrayList<>();
-    private final List<String> closed = new ArrayList<>();
+    private final List<String> cancelledByDependency = new ArrayList<>();
     private final List<String> lookedUp = new ArrayList<>();
     private final RuntimeEstimator runtimeEstimator = new RuntimeEstimator();
     private final Cluster cluster = new Cluster(Map.of("t", new Team("t", 10, 0, 0, 0)));
@@ -39,8 +39,8 @@
         }
 
         @Override
-        public void dependencyCancelled(ActiveJob job, String because) {
-            closed.add(job.uid());
+        public void dependencyCancelled(ActiveJob job, String cause) {
+            cancelledByDependency.add(job.uid());
             cancelled.add(job.uid());
             job.cancel();
         }
@@ -52,21 +52,21 @@
     });
     private final PriorityInheritance inheritance = new PriorityInheritance(dependencies, runtimeEstimator);
 
-    private ActiveJob job(String uid, PriorityClass rank, long dueMicros, String... awaits) {
+    private ActiveJob job(String uid, PriorityClass priorityClass, long deadlineMicros, String... dependencyUids) {
         JobSpec spec = new JobSpec(
                 uid,
                 "l",
                 "t",
-                new Urgency(rank, dueMicros),
+                new Urgency(priorityClass, deadlineMicros),
                 4,
                 new TaskSpec(1, 0, 1, "img", 1, 20 * SECOND, new Checkpointing(0, 0)),
                 new PlacementRequirements(null, null, false, false, true),
-                List.of(awaits));
+                List.of(dependencyUids));
         return new ActiveJob(spec, 1, NOW, ValueLimits.fixed(8_192), new IgnoringListener());
     }
 
-    private ActiveJob joined(String uid, PriorityClass rank, long dueMicros, String... awaits) {
-        ActiveJob job = job(uid, rank, dueMicros, awaits);
+    private ActiveJob addJob(String uid, PriorityClass priorityClass, long deadlineMicros, String... dependencyUids) {
+        ActiveJob job = job(uid, priorityClass, deadlineMicros, dependencyUids);
         cluster.add(job);
         dependencies.add(job, cancelled::contains);
         inheritance.propagateUrgency(job);
@@ -74,18 +74,18 @@
     }
 
     @Test
-    void aJobWithoutDependentsInheritsNothing() {
-        ActiveJob first = joined("job-000001", PriorityClass.BEST_EFFORT, -1);
-        joined("job-000002", PriorityClass.BEST_EFFORT, -1, "job-000001");
+    void inheritsNothingFromDependentsWithoutUrgency() {
+        ActiveJob first = addJob("job-000001", PriorityClass.BEST_EFFORT, -1);
+        addJob("job-000002", PriorityClass.BEST_EFFORT, -1, "job-000001");
         assertThat(first.effectivePriority()).isEqualTo(PriorityClass.BEST_EFFORT);
         assertThat(first.effectiveDeadlineMicros()).isEqualTo(Long.MAX_VALUE);
     }
 
     @Test
-    void priorityAndDeadlineOfTheLastJobReachAllJobsItDependsOn() {
-        ActiveJob first = joined("job-000001", PriorityClass.BEST_EFFORT, -1);
-        ActiveJob second = joined("job-000002", PriorityClass.BEST_EFFORT, -1, "job-000001");
-        ActiveJob last = joined("job-000003", PriorityClass.HIGH, 300 * SECOND, "job-000002");
+    void propagatesPriorityAndDeadlineToTransitiveDependencies() {
+        ActiveJob first = addJob("job-000001", PriorityClass.BEST_EFFORT, -1);
+        ActiveJob second = addJob("job-000002", PriorityClass.BEST_EFFORT, -1, "job-000001");
+        ActiveJob last = addJob("job-000003", PriorityClass.HIGH, 300 * SECOND, "job-000002");
         assertThat(List.of(first.effectivePriority(), second.effectivePriority()))
                 .containsOnly(PriorityClass.HIGH);
         assertThat(second.effectiveDeadlineMicros())
@@ -95,41 +95,41 @@
     }
 
     @Test
-    void theHighestPriorityAndTheEarliestDeadlineOfSeveralDependentsCount() {
-        ActiveJob first = joined("job-000001", PriorityClass.BEST_EFFORT, -1);
-        joined("job-000002", PriorityClass.BEST_EFFORT, -1, "job-000001");
-        joined("job-000003", PriorityClass.HIGH, 300 * SECOND, "job-000002");
-        ActiveJob sooner = joined("job-000004", PriorityClass.NORMAL, 60 * SECOND, "job-000001");
+    void inheritsHighestPriorityAndEarliestDeadlineOfDependents() {
+        ActiveJob first = addJob("job-000001", PriorityClass.BEST_EFFORT, -1);
+        addJob("job-000002", PriorityClass.BEST_EFFORT, -1, "job-000001");
+        addJob("job-000003", PriorityClass.HIGH, 300 * SECOND, "job-000002");
+        ActiveJob urgent = addJob("job-000004", PriorityClass.NORMAL, 60 * SECOND, "job-000001");
         assertThat(first.effectiveDeadlineMicros())
-                .isEqualTo(NOW + 60 * SECOND - runtimeEstimator.makespanMicros(sooner));
+                .isEqualTo(NOW + 60 * SECOND - runtimeEstimator.makespanMicros(urgent));
         assertThat(first.effectivePriority()).isEqualTo(PriorityClass.HIGH);
     }
 
     @Test
-    void aCancelledDependentCountsNoMore() {
-        ActiveJob first = joined("job-000001", PriorityClass.BEST_EFFORT, -1);
-        ActiveJob second = joined("job-000002", PriorityClass.BEST_EFFORT, -1, "job-000001");
-        ActiveJob last = joined("job-000003", PriorityClass.HIGH, 300 * SECOND, "job-000002");
-        ActiveJob sooner = joined("job-000004", PriorityClass.NORMAL, 60 * SECOND, "job-000001");
+    void ignoresCancelledDependents() {
+        ActiveJob first = addJob("job-000001", PriorityClass.BEST_EFFORT, -1);
+        ActiveJob second = addJob("job-000002", PriorityClass.BEST_EFFORT, -1, "job-000001");
+        ActiveJob last = addJob("job-000003", PriorityClass.HIGH, 300 * SECOND, "job-000002");
+        ActiveJob urgent = addJob("job-000004", PriorityClass.NORMAL, 60 * SECOND, "job-000001");
         last.cancel();
         inheritance.recomputeAfterCancellation(List.of(last));
         assertThat(second.effectivePriority()).isEqualTo(PriorityClass.BEST_EFFORT);
         assertThat(first.effectivePriority()).isEqualTo(PriorityClass.NORMAL);
-        sooner.cancel();
-        inheritance.recomputeAfterCancellation(List.of(sooner));
+        urgent.cancel();
+        inheritance.recomputeAfterCancellation(List.of(urgent));
         assertThat(first.effectivePriority()).isEqualTo(PriorityClass.BEST_EFFORT);
         assertThat(first.effectiveDeadlineMicros()).isEqualTo(Long.MAX_VALUE);
     }
 
     /** Guards the guarantee: a job with unmet dependencies takes no part of it, and leaves it to later jobs. */
     @Test
-    void aJobWithUnmetDependenciesTakesNothingOfTheGuarantee() {
-        ActiveJob first = joined("job-000001", PriorityClass.NORMAL, -1);
-        ActiveJob waiting = joined("job-000002", PriorityClass.NORMAL, -1, "job-000001");
-        ActiveJob behind = joined("job-000003", PriorityClass.NORMAL, -1);
-        ActiveJob beyond = joined("job-000004", PriorityClass.NORMAL, -1);
+    void jobWithUnmetDependenciesUsesNoGuarantee() {
+        ActiveJob first = addJob("job-000001", PriorityClass.NORMAL, -1);
+        ActiveJob waiting = addJob("job-000002", PriorityClass.NORMAL, -1, "job-000001");
+        ActiveJob independent = addJob("job-000003", PriorityClass.NORMAL, -1);
+        ActiveJob beyond = addJob("job-000004", PriorityClass.NORMAL, -1);
         assertThat(new TeamGuarantees(cluster).coveredJobs())
-                .contains(first, behind)
+                .contains(first, independent)
                 .doesNotContain(waiting, beyond);
     }
 
@@ -138,7 +138,7 @@
      * order.
      */
     @Test
-    void linksAreRebuiltWhateverTheOrderOfReading() {
+    void restoresDependencyGraphIndependentOfReadOrder() {
         ActiveJob third = job("job-000003", PriorityClass.NORMAL, -1, "job-000002", "job-000009");
         ActiveJob second = job("job-000002", PriorityClass.NORMAL, -1, "job-000001");
         ActiveJob fourth = job("job-000000", PriorityClass.NORMAL, -1, "job-000003");
@@ -150,25 +150,25 @@
         dependencies.markDone(first);
         assertThat(ready).containsExactly("job-000001", "job-000002");
         dependencies.markCancelled("job-000002");
-        assertThat(closed).containsExactly("job-000003", "job-000000");
+        assertThat(cancelledByDependency).containsExactly("job-000003", "job-000000");
         dependencies.lookupSucceeded("job-000009");
         assertThat(ready).hasSize(2);
     }
 
     /** Guards a plan that is seen before that of a job it awaits, and one whose awaited job ended long ago. */
     @Test
-    void whatIsAwaitedMayBeSeenLaterOrHaveEndedLongAgo() {
-        joined("job-000002", PriorityClass.NORMAL, -1, "job-000001", "job-000007");
+    void acceptsDependenciesThatArriveLaterOrCompletedEarlier() {
+        addJob("job-000002", PriorityClass.NORMAL, -1, "job-000001", "job-000007");
         assertThat(lookedUp).containsExactly("job-000001", "job-000007");
         dependencies.lookupSucceeded("job-000007");
-        ActiveJob first = joined("job-000001", PriorityClass.NORMAL, -1);
+        ActiveJob first = addJob("job-000001", PriorityClass.NORMAL, -1);
         assertThat(dependencies.isAwaitingLookup("job-000001")).isFalse();
         assertThat(ready).containsExactly("job-000001");
         dependencies.markReleased(first);
         dependencies.markDone(first);
         assertThat(ready).containsExactly("job-000001", "job-000002");
         cancelled.add("job-000005");
-        joined("job-000003", PriorityClass.NORMAL, -1, "job-000005");
-        assertThat(closed).containsExactly("job-000003");
+        addJob("job-000003", PriorityClass.NORMAL, -1, "job-000005");
+        assertThat(cancelledByDependency).containsExactly("job-000003");
     }
 }
--- a/src/test/java/io/sillreel/placement/ShortageTest.java
+++ b/src/test/java/io/sillreel/placement/ShortageTest.java
@@ -16,11 +16,11 @@
     private static final int STEPS = 120;
     private static final double STEP_SECONDS = 2.5;
 
-    private final SimCluster world = new SimCluster(21);
+    private final SimCluster cluster = new SimCluster(21);
     private final Random random = new Random(21);
-    private final Map<String, Double> askedAt = new HashMap<>();
-    private final Map<String, String> classes = new HashMap<>();
-    private final List<String> unbegun = new ArrayList<>();
+    private final Map<String, Double> submittedAtSeconds = new HashMap<>();
+    private final Map<String, String> jobClasses = new HashMap<>();
+    private final List<String> unstarted = new ArrayList<>();
 
     private void submit(int number) {
         String uid = "job-%06d".formatted(number);
@@ -35,53 +35,55 @@
                         .put("vcpus", 4.0)
                         .putNull("due_s");
         };
-        if (world.submit(number % 3, job).status() == 201) {
-            askedAt.put(uid, world.time().nowMicros() / 1e6);
-            classes.put(uid, job.path("lot").asText());
-            unbegun.add(uid);
+        if (cluster.submit(number % 3, job).status() == 201) {
+            submittedAtSeconds.put(uid, cluster.time().nowMicros() / 1e6);
+            jobClasses.put(uid, job.path("lot").asText());
+            unstarted.add(uid);
         }
     }
 
-    private void look() {
-        for (String uid : List.copyOf(unbegun)) {
-            var answer = world.poll(0, uid).json();
-            double waited = world.time().nowMicros() / 1e6 - askedAt.get(uid);
-            if (answer.path("done").asInt() + answer.path("running").asInt() > 0) {
-                assertThat(waited).as("%s of %s", uid, classes.get(uid)).isLessThan(240);
-                unbegun.remove(uid);
+    private void checkStartTimes() {
+        for (String uid : List.copyOf(unstarted)) {
+            var status = cluster.poll(0, uid).json();
+            double waitedSeconds = cluster.time().nowMicros() / 1e6 - submittedAtSeconds.get(uid);
+            if (status.path("done").asInt() + status.path("running").asInt() > 0) {
+                assertThat(waitedSeconds)
+                        .as("%s of %s", uid, jobClasses.get(uid))
+                        .isLessThan(240);
+                unstarted.remove(uid);
             }
         }
     }
 
     /** Guards low ranks and large tasks against waiting for as long as anything else comes. */
     @Test
-    void everyJobBeginsWithinFourMinutesAndHalfOfEachClassIsServed() {
-        world.seconds(2);
+    void startsEveryJobWithinFourMinutesAndCompletesHalfOfEachClass() {
+        cluster.seconds(2);
         for (int step = 1; step <= STEPS; step++) {
             submit(step);
-            world.cloud().machines().values().forEach(worker -> worker.runMicros(8_000_000));
-            world.seconds(STEP_SECONDS);
+            cluster.cloud().machines().values().forEach(worker -> worker.runMicros(8_000_000));
+            cluster.seconds(STEP_SECONDS);
             if (step % 5 == 0) {
-                look();
+                checkStartTimes();
             }
         }
-        Map<String, Integer> all = new HashMap<>();
-        Map<String, Integer> served = new HashMap<>();
-        double now = world.time().nowMicros() / 1e6;
-        for (String uid : askedAt.keySet()) {
-            if (now - askedAt.get(uid) > 200) {
-                all.merge(classes.get(uid), 1, Integer::sum);
-                served.merge(classes.get(uid), world.stage(0, uid).equals("done") ? 1 : 0, Integer::sum);
+        Map<String, Integer> submittedByClass = new HashMap<>();
+        Map<String, Integer> doneByClass = new HashMap<>();
+        double nowSeconds = cluster.time().nowMicros() / 1e6;
+        for (String uid : submittedAtSeconds.keySet()) {
+            if (nowSeconds - submittedAtSeconds.get(uid) > 200) {
+                submittedByClass.merge(jobClasses.get(uid), 1, Integer::sum);
+                doneByClass.merge(jobClasses.get(uid), cluster.stage(0, uid).equals("done") ? 1 : 0, Integer::sum);
             }
         }
-        assertThat(all).hasSize(3);
-        all.forEach((jobClass, count) ->
-                assertThat(served.get(jobClass)).as(jobClass).isGreaterThanOrEqualTo((count + 1) / 2));
-        for (int more = 0; more < 20; more++) {
-            world.seconds(10);
-            look();
+        assertThat(submittedByClass).hasSize(3);
+        submittedByClass.forEach((jobClass, count) ->
+                assertThat(doneByClass.get(jobClass)).as(jobClass).isGreaterThanOrEqualTo((count + 1) / 2));
+        for (int round = 0; round < 20; round++) {
+            cluster.seconds(10);
+            checkStartTimes();
         }
-        assertThat(unbegun).isEmpty();
-        assertThat(world.broken()).isEmpty();
+        assertThat(unstarted).isEmpty();
+        assertThat(cluster.broken()).isEmpty();
     }
 }
