--- a/src/main/java/io/sillreel/fleet/CloudListReconciler.java
+++ b/src/main/java/io/sillreel/fleet/CloudListReconciler.java
@@ -16,20 +16,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reconciles the fleet with the cloud's list of machines: it adopts machines that no scale-out request names, drains
- * failed ones, and removes those that no longer exist. Used by the event loop alone; the fleet is changed under the
- * lock of the cluster.
+ * Reconciles the fleet with the cloud's list of machines: adopts machines that belong to no known scale-out request,
+ * drains failed machines, and removes machines that no longer exist. Runs on the event loop; the fleet is changed under
+ * the cluster lock.
  */
 final class CloudListReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(CloudListReconciler.class);
     private static final long MIN_LIST_PAUSE_MICROS = 5_000_000;
     /**
-     * A long list takes many requests of the cloud's rate limit, so the pause after it is this multiple of its
-     * duration.
+     * Pause between two lists as a multiple of the duration of the last one: a long list uses up many requests of the
+     * cloud's rate limit.
      */
     private static final long LIST_PAUSE_FACTOR = 2;
 
-    /** How long an unknown machine may belong to a scale-out request whose answer is pending. */
+    /** Age from which an unknown machine is adopted even though scale-out requests are pending. */
     private static final long MAX_PENDING_REQUEST_MICROS = 30_000_000;
 
     private final EventLoop eventLoop;
@@ -38,14 +38,14 @@
     private final FleetRegistry registry;
     private final long listLagMicros;
     private final FleetCallbacks callbacks;
-    /** Listed machines that no scale-out request names, and when the list that first showed them was asked for. */
+    /** Listed machines of no known scale-out request, with the request time of the list that first contained them. */
     private final Map<String, Long> unknownMachines = new HashMap<>();
 
     private long listedMicros = Long.MIN_VALUE / 2;
     private long listPauseMicros = MIN_LIST_PAUSE_MICROS;
     private boolean isListing;
 
-    /** @param listLagMicros how far the list usually lags behind the state of the cloud */
+    /** @param listLagMicros the usual replication lag of the cloud's machine list */
     CloudListReconciler(
             EventLoop eventLoop,
             Cluster cluster,
@@ -112,8 +112,8 @@
     private void removeUnlisted(Set<String> listedNames, long requestedMicros) {
         long minAgeMicros = 2 * listLagMicros + 1_000_000;
         for (Machine machine : List.copyOf(cluster.machines())) {
-            // Lists may arrive out of order. A machine is gone only if the list certainly describes a time after it was
-            // first listed.
+            // Lists lag behind and may arrive out of order. An unlisted machine is removed only if the list was
+            // requested long enough after the machine was first listed.
             if (!listedNames.contains(machine.name())
                     && machine.firstListedMicros() >= 0
                     && requestedMicros > machine.firstListedMicros() + minAgeMicros
@@ -128,7 +128,8 @@
         if (registry.wasReturned(entry.name())) {
             return;
         }
-        // The machine may belong to a request whose answer is pending, so only a later list decides.
+        // The machine may belong to a scale-out request whose response is pending, so it is adopted at the earliest
+        // when a second list contains it.
         Long firstRequestedMicros = unknownMachines.putIfAbsent(entry.name(), requestedMicros);
         boolean isRequestPending =
                 registry.scaleOutRequests().stream().anyMatch(scaleOutRequest -> !scaleOutRequest.isAnswered());
--- a/src/main/java/io/sillreel/fleet/FleetCallbacks.java
+++ b/src/main/java/io/sillreel/fleet/FleetCallbacks.java
@@ -2,14 +2,16 @@
 
 import io.sillreel.cluster.Machine;
 
-/** What the fleet asks of the leader's term that it belongs to. */
+/** Callbacks of the fleet into the leader's term. */
 public interface FleetCallbacks {
-    /** True while machines may be requested and returned: the lease is held and all cancellations are known. */
+    /**
+     * True while machines may be requested and returned: the leader lease is valid and cancellations are up to date.
+     */
     boolean mayAct();
 
-    /** True if no worker has had to look for another controller lately, so that heartbeats take their usual way. */
+    /** True if no worker has recently switched controllers, so that heartbeats are not delayed by reconnects. */
     boolean isRoutingStable();
 
-    /** The tasks of the machine are certainly gone. Called under the lock of the cluster. */
+    /** Clears the tasks of a machine on which they are known to have ended. Called under the cluster lock. */
     void clearTasks(Machine machine);
 }
--- a/src/main/java/io/sillreel/fleet/FleetManager.java
+++ b/src/main/java/io/sillreel/fleet/FleetManager.java
@@ -13,8 +13,8 @@
 import java.util.Set;
 
 /**
- * Scales the fleet out and in, and follows the life cycle of its machines, during one term of this controller. Methods
- * that take a machine or a request are called under the lock of the cluster.
+ * Scales the fleet out and in and manages the life cycle of its machines during one leadership term. Methods that take
+ * a machine or a request are called under the cluster lock.
  */
 public final class FleetManager {
     private final EventLoop eventLoop;
@@ -26,11 +26,12 @@
     private final MachineReturner machineReturner;
     private final ScaleOut scaleOut;
     /**
-     * Requests some of whose machines have gone down since they were last queued. Guarded by the lock of the cluster.
+     * Requests with machines that have gone down since the request was last queued for writing. Guarded by the cluster
+     * lock.
      */
     private final Set<ScaleOutRequest> requestsWithMachinesDown = new LinkedHashSet<>();
 
-    /** Creates the manager of a term's fleet, without machines. */
+    /** Creates a manager for a new term, with an empty fleet. */
     public FleetManager(
             EventLoop eventLoop,
             long term,
@@ -67,36 +68,39 @@
                 eventLoop, cluster, cloud, writeQueue, registry, capacityPlanner, configuration, callbacks);
     }
 
-    /** Takes over a stored request. Its machines may hold tasks of an earlier term until the given time. */
+    /** Restores a stored request. Its machines may run tasks of an earlier term until the given time. */
     public void inherit(ScaleOutRequest scaleOutRequest, long aliveUntilMicros) {
         registry.inherit(scaleOutRequest, aliveUntilMicros);
     }
 
-    /** True if the machine was returned within the last hour: its heartbeats are delayed ones. */
+    /** True if the machine was returned within the last hour; heartbeats that still arrive from it are stale. */
     public boolean wasReturned(String machine) {
         return registry.wasReturned(machine);
     }
 
-    /** Records a heartbeat of the machine. It has to be stored as up before it is given tasks. */
+    /** Records that the machine sends heartbeats. It is given no tasks before it is stored as up. */
     public void recordMachineUp(Machine machine) {
         if (machine.scaleOutRequest().markUp(machine.name())) {
             writeQueue.enqueue(machine.scaleOutRequest());
         }
     }
 
-    /** Records that the machine's lease has expired. It is stored with the next cycle, with others of its request. */
+    /** Records that the machine's lease has expired. The next cycle stores this with one write per request. */
     public void recordMachineDown(Machine machine) {
         if (machine.scaleOutRequest().markDown(machine.name())) {
             requestsWithMachinesDown.add(machine.scaleOutRequest());
         }
     }
 
-    /** Adopts a machine that no known request names. Returns empty if the cloud does not offer its type. */
+    /** Adopts a machine that belongs to no known request. Returns empty if the cloud does not offer its type. */
     public Optional<Machine> adopt(String name, String machineType, String zone, boolean isSpot) {
         return registry.adopt(name, machineType, zone, isSpot);
     }
 
-    /** Lists, returns and requests machines as needed. Called about once a second by the event loop, without a lock. */
+    /**
+     * Lists, returns and requests machines as needed. Called about once a second by the event loop, without holding the
+     * cluster lock.
+     */
     public void runCycle() {
         long nowMicros = eventLoop.nowMicros();
         synchronized (cluster) {
--- a/src/main/java/io/sillreel/fleet/FleetRegistry.java
+++ b/src/main/java/io/sillreel/fleet/FleetRegistry.java
@@ -19,13 +19,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The scale-out requests of a term, their machines, and the names of the machines that were returned. Guarded by the
- * lock of the cluster.
+ * The scale-out requests of a term, their machines, and the names of recently returned machines. Guarded by the cluster
+ * lock.
  */
 final class FleetRegistry {
     private static final Logger LOG = LoggerFactory.getLogger(FleetRegistry.class);
 
-    /** Heartbeats may be delayed by minutes; lists of the cloud lag behind by less. */
+    /** Outlasts heartbeats, which may be delayed by minutes, and the cloud's machine list, which lags by less. */
     private static final long RETURN_RETENTION_MICROS = 3_600_000_000L;
 
     private final EventLoop eventLoop;
@@ -36,12 +36,12 @@
     private final Supplier<Map<String, MachineType>> machineTypes;
     private final Consumer<Machine> clearTasks;
     private final Map<String, ScaleOutRequest> scaleOutRequests = new LinkedHashMap<>();
-    /** Machines that were returned, the earliest first, and when. */
+    /** Return times of recently returned machines, in order of return. */
     private final Map<String, Long> returnTimesMicros = new LinkedHashMap<>();
 
     private long lastRequestNumber;
 
-    /** @param clearTasks called with a machine whose tasks have certainly ended */
+    /** @param clearTasks called with a machine on which all tasks are known to have ended */
     FleetRegistry(
             EventLoop eventLoop,
             long term,
@@ -63,7 +63,7 @@
         return scaleOutRequests.values();
     }
 
-    /** Returns how many machines one stored request may name. */
+    /** Returns how many machines fit into the stored form of one request. */
     int maxMachinesPerRequest() {
         return ScaleOutRequest.maxMachines(limits.announcedBytes());
     }
@@ -73,7 +73,7 @@
         return returnTimesMicros.containsKey(machine);
     }
 
-    /** Returns a name that no request of any term has. */
+    /** Returns a request name that is unique across all terms. */
     String nextRequestName() {
         return "r-" + term + "-" + ++lastRequestNumber;
     }
@@ -82,13 +82,13 @@
         scaleOutRequests.put(scaleOutRequest.name(), scaleOutRequest);
     }
 
-    /** Discards a request under whose name the cloud provides nothing. */
+    /** Discards a request for which the cloud provides no machines. */
     void discard(ScaleOutRequest scaleOutRequest) {
         scaleOutRequest.discard();
         scaleOutRequests.remove(scaleOutRequest.name());
     }
 
-    /** Takes over a stored request. Its machines may hold tasks of an earlier term until the given time. */
+    /** Restores a stored request. Its machines may run tasks of an earlier term until the given time. */
     void inherit(ScaleOutRequest scaleOutRequest, long aliveUntilMicros) {
         int maxMachines = maxMachinesPerRequest();
         if (scaleOutRequest.machines().size() > maxMachines) {
@@ -101,7 +101,7 @@
         for (String name : List.copyOf(scaleOutRequest.machines())) {
             MachineType type = machineTypes.get().get(scaleOutRequest.machineType());
             if (cluster.machine(name) != null) {
-                // Two requests name the machine if a split was stored only in part; one of them is enough.
+                // Two requests contain the machine if a split was only partially stored; it is kept in the first one.
                 scaleOutRequest.removeMachine(name);
                 writeQueue.enqueue(scaleOutRequest);
             } else if (type != null) {
@@ -113,8 +113,8 @@
     }
 
     /**
-     * Adopts a machine that no known request names, with a request of its own. Returns empty if the cloud does not
-     * offer its type.
+     * Adopts a machine that belongs to no known request, under a new request of its own. Returns empty if the cloud
+     * does not offer its type.
      */
     Optional<Machine> adopt(String name, String machineType, String zone, boolean isSpot) {
         MachineType type = machineTypes.get().get(machineType);
@@ -125,13 +125,17 @@
                 new ScaleOutRequest("adopted-" + term + "-" + ++lastRequestNumber, machineType, zone, isSpot, 1);
         scaleOutRequest.recordAnswer(List.of(name));
         add(scaleOutRequest);
-        LOG.info("adopting machine {} ({}, zone {}), which no known scale-out request names", name, machineType, zone);
+        LOG.info(
+                "adopting machine {} ({}, zone {}), which belongs to no known scale-out request",
+                name,
+                machineType,
+                zone);
         addMachine(name, scaleOutRequest, eventLoop.nowMicros());
         writeQueue.enqueue(scaleOutRequest);
         return Optional.ofNullable(cluster.machine(name));
     }
 
-    /** Adds a machine of the request to the fleet, unless it is there already or its type is unknown. */
+    /** Adds a machine of the request to the fleet, unless it already exists or its type is unknown. */
     void addMachine(String name, ScaleOutRequest scaleOutRequest, long requestedMicros) {
         MachineType type = machineTypes.get().get(scaleOutRequest.machineType());
         if (type != null && cluster.machine(name) == null) {
--- a/src/main/java/io/sillreel/fleet/FleetThresholds.java
+++ b/src/main/java/io/sillreel/fleet/FleetThresholds.java
@@ -5,18 +5,19 @@
 import io.sillreel.settings.Settings;
 
 /**
- * How many machines may be returned on a suspicion. The limits are parts of the fleet. For a large fleet such a part
- * would be hundreds of machines, so the rate at which the cloud can replace them, and fixed maximums, bound it too.
+ * Limits on how many machines may be returned or treated as faulty on suspicion alone. Each limit is a fraction of the
+ * fleet. In a large fleet that fraction would be hundreds of machines, so the limits are also capped by the rate at
+ * which the cloud can replace machines and by fixed maximums.
  */
 public final class FleetThresholds {
     private static final int UNRECONCILED_DIVISOR = 4;
     private static final int SHORT_TIMEOUT_DIVISOR = 100;
-    /** The most unreconciled machines that count as the last few, however large the fleet is. */
+    /** The short timeout for unreconciled machines applies up to this count, whatever the size of the fleet. */
     private static final int MAX_SHORT_TIMEOUT = 10;
 
     private static final int LOST_DIVISOR = 50;
     private static final int MIN_LOST = 2;
-    /** If more machines are lost within one lease they have a common cause, however large the fleet is. */
+    /** More losses within one lease are attributed to a common cause, whatever the size of the fleet. */
     private static final int MAX_LOST = 24;
 
     private static final int UNRESPONSIVE_DIVISOR = 8;
@@ -25,12 +26,12 @@
 
     private final int maxReplaceable;
 
-    /** @param maxReplaceable how many machines the cloud can take back and replace within a machine's lease */
+    /** @param maxReplaceable number of machines that the cloud can take back and replace within one machine lease */
     FleetThresholds(int maxReplaceable) {
         this.maxReplaceable = maxReplaceable;
     }
 
-    /** Returns the thresholds for the rate limit of the cloud and the lease of the machines. */
+    /** Returns the thresholds that follow from the cloud's rate limit and the machine lease. */
     public static FleetThresholds of(Settings settings) {
         double requestsPerLease =
                 settings.cloud().requestsPerSecond() * settings.workers().leaseMicros() / MICROS_PER_SECOND;
@@ -46,7 +47,7 @@
         return Math.min(machines / UNRECONCILED_DIVISOR, maxReplaceable);
     }
 
-    /** Returns how many unreconciled machines are the last few, which are waited for little longer than a heartbeat. */
+    /** Returns up to how many unreconciled machines the timeout is little longer than a heartbeat interval. */
     int maxUnreconciledForShortTimeout(int machines) {
         return Math.min(machines / SHORT_TIMEOUT_DIVISOR, MAX_SHORT_TIMEOUT);
     }
@@ -56,7 +57,7 @@
         return Math.max(MIN_LOST, Math.min(machines / LOST_DIVISOR, MAX_LOST));
     }
 
-    /** Returns how many machines may be unresponsive before the fault is assumed to be on this side. */
+    /** Returns how many machines may be unresponsive before the fault is attributed to this controller. */
     public int maxUnresponsive(int machines) {
         return Math.max(MIN_UNRESPONSIVE, Math.min(machines / UNRESPONSIVE_DIVISOR, maxReplaceable));
     }
--- a/src/main/java/io/sillreel/fleet/LostMachineDetector.java
+++ b/src/main/java/io/sillreel/fleet/LostMachineDetector.java
@@ -8,24 +8,27 @@
 import java.util.List;
 
 /**
- * Finds single machines that no longer send heartbeats. Such a machine has most likely been taken without notice.
- * Returning it makes that certain long before its lease expires, and its tasks can start elsewhere. When many fall
- * silent together, a network partition or a common overload is more likely, and they come back: then nothing is found,
- * and their leases decide. All access is under the lock of the cluster.
+ * Detects individual machines that have stopped sending heartbeats. Most likely the cloud has reclaimed such a machine
+ * without notice. Returning it confirms that its tasks have ended long before its lease expires, so they can restart
+ * elsewhere. If many machines fall silent together, a network partition or an overload is more likely and the machines
+ * will probably come back: then none is reported, and their tasks are released when their leases expire. Guarded by the
+ * cluster lock.
  */
 final class LostMachineDetector {
-    /** A heartbeat may be late by so much without its machine being counted as overdue. */
+    /** Delay of a heartbeat up to which its machine does not count as overdue. */
     private static final long OVERDUE_TOLERANCE_MICROS = 1_000_000;
-    /** The time for one more heartbeat to arrive, even through a follower. */
+    /** Time for one more heartbeat to arrive, including forwarding by a follower. */
     private static final long SECOND_HEARTBEAT_MICROS = 1_500_000;
-    /** A worker whose controller is gone waits 4 s for its response and 1 s before it tries another controller. */
+    /**
+     * A worker whose controller is down waits 4 s for the response and another 1 s before it tries the next controller.
+     */
     private static final long CONTROLLER_SWITCH_MICROS = 5_500_000;
 
     private final Cluster cluster;
     private final WorkerTimes times;
     private final FleetThresholds thresholds;
     private final FleetCallbacks callbacks;
-    /** When machines were found to be lost, within the last lease. */
+    /** Times at which machines were detected as lost, within the last machine lease. */
     private final List<Long> recentLossesMicros = new ArrayList<>();
 
     private long lastMassOutageMicros = Long.MIN_VALUE / 2;
@@ -37,7 +40,7 @@
         this.callbacks = callbacks;
     }
 
-    /** Returns the machines that have become lost, none if too many have at once. Called about once a second. */
+    /** Returns the machines that are lost now, or none during a mass outage. Called about once a second. */
     List<Machine> detectLostMachines(long nowMicros) {
         long timeoutMicros = times.heartbeatIntervalMicros() * 3 / 2
                 + (callbacks.isRoutingStable() ? SECOND_HEARTBEAT_MICROS : CONTROLLER_SWITCH_MICROS);
@@ -50,14 +53,15 @@
                 long silentMicros = nowMicros - machine.lastHeartbeatMicros();
                 overdueCount += silentMicros > overdueMicros ? 1 : 0;
                 onTimeCount += silentMicros > overdueMicros ? 0 : 1;
-                // Once the lease has expired nothing is gained, and the machine may be the last of many to come back.
+                // After lease expiry the tasks are already released, so a return gains nothing, and the machine may be
+                // one of the last to recover from a mass outage.
                 if (silentMicros > timeoutMicros && machine.leaseExpiryMicros() > nowMicros) {
                     lost.add(machine);
                 }
             }
         }
         updateMassOutage(overdueCount, onTimeCount, nowMicros);
-        // When machines that were cut off together come back, the last of them is on its way like the others.
+        // After a mass outage the last machines take up to one controller switch and one heartbeat to reconnect.
         if (nowMicros - lastMassOutageMicros < CONTROLLER_SWITCH_MICROS + times.heartbeatIntervalMicros()) {
             return List.of();
         }
@@ -66,8 +70,8 @@
     }
 
     private void updateMassOutage(int overdueCount, int onTimeCount, long nowMicros) {
-        // Machines that fall silent together become overdue one after the other. Those found recently count with them,
-        // or the machines of a partitioned zone would be returned two at a time.
+        // Machines that fall silent together become overdue one after the other. Recent losses are counted as well, or
+        // the machines of a partitioned zone would be returned two at a time.
         recentLossesMicros.removeIf(lossMicros -> nowMicros - lossMicros > times.leaseMicros());
         if (onTimeCount == 0
                 || overdueCount + recentLossesMicros.size()
--- a/src/main/java/io/sillreel/fleet/MachineReturner.java
+++ b/src/main/java/io/sillreel/fleet/MachineReturner.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Returns drained machines to the cloud, one request at a time. Used by the event loop alone. */
+/** Returns drained machines to the cloud, one request at a time. Runs on the event loop. */
 final class MachineReturner {
     private static final Logger LOG = LoggerFactory.getLogger(MachineReturner.class);
 
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Returns the machines that are draining and empty, and those whose return is scheduled whatever is on them. A
-     * request whose outcome is unknown is repeated by a later call.
+     * Returns drained machines without tasks, and machines whose return is scheduled even if they have tasks. A request
+     * whose outcome is unknown is retried by a later call.
      */
     void returnDrainedMachines() {
         List<Machine> returnable = findReturnableMachines();
--- a/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
@@ -10,21 +10,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Decides which machines are drained, or returned at once, and logs why. Guarded by the lock of the cluster, except for
- * the constructor.
+ * Decides which machines are drained or returned immediately, and logs the reason. Guarded by the cluster lock, except
+ * for the constructor.
  */
 final class ScaleInPolicy {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleInPolicy.class);
-    /** How long any machine may take until its first heartbeat. */
+    /** Minimum timeout for the first heartbeat of a new machine, for any type. */
     private static final long MIN_BOOT_TIMEOUT_MICROS = 75_000_000;
-    /** How many times the usual boot time of its type a machine may take until its first heartbeat. */
+    /** Timeout for the first heartbeat as a multiple of the usual boot time of the machine type. */
     private static final int BOOT_TIMEOUT_FACTOR = 3;
-    /** How long after the start of the term unreconciled machines are waited for at least. */
+    /** Minimum time from the start of the term until unreconciled machines are returned, unless only few are left. */
     private static final long MIN_UNRECONCILED_TIMEOUT_MICROS = 8_000_000;
     /** A heartbeat with the new fencing token follows the first one by 0.5 s, and both may pass through a follower. */
     private static final long SECOND_HEARTBEAT_MICROS = 1_500_000;
 
-    /** An interrupted machine is returned this long before the cloud would take it. */
+    /** An interrupted machine is returned this long before the cloud reclaims it. */
     private static final long INTERRUPTION_MARGIN_MICROS = 1_500_000;
 
     /** A machine without heartbeats is drained after this multiple of its lease. */
@@ -57,7 +57,7 @@
         this.termStartMicros = eventLoop.nowMicros();
     }
 
-    /** Drains or returns the machines that are of no more use. Called about once a second. */
+    /** Drains or returns machines that are idle, faulty, lost or interrupted. Called about once a second. */
     void drainSurplus(long nowMicros) {
         for (Machine machine : cluster.machines()) {
             if (machine.state() == Machine.State.PROVISIONING) {
@@ -87,7 +87,8 @@
 
     private void drainIfSilentOrInterrupted(Machine machine, long nowMicros) {
         long silentMicros = nowMicros - Math.max(machine.lastHeartbeatMicros(), machine.requestedMicros());
-        // A partitioned zone or a hung machine mostly comes back, and then needs neither to boot nor to fetch images.
+        // Machines in a partitioned zone and hung machines usually recover, and then need neither a boot nor an image
+        // pull.
         if (machine.leaseExpiryMicros() < nowMicros && silentMicros > SILENT_TIMEOUT_LEASES * times.leaseMicros()) {
             drain(machine, "it has sent no heartbeat for longer than its lease");
         } else if (machine.isInterrupted() && machine.isEmpty()) {
@@ -96,9 +97,9 @@
     }
 
     /**
-     * Returns a machine just before the cloud takes it. Its tasks are lost in either case. If the machine vanished,
-     * they would count as live until its lease expires; once the cloud has confirmed the return they can start
-     * elsewhere.
+     * Returns a machine just before the cloud reclaims it. Its tasks are lost in either case. If the cloud reclaimed
+     * the machine first, they would count as live until its lease expires; once the cloud has confirmed the return,
+     * they can restart elsewhere.
      */
     private void returnInterrupted(Machine machine, long nowMicros) {
         boolean isInUse = machine.state() == Machine.State.UP || machine.state() == Machine.State.DRAINING;
@@ -111,16 +112,16 @@
     }
 
     /**
-     * Returns the few machines that are still unreconciled some time after a failover. Most send a heartbeat within
-     * seconds, and another with the new fencing token. The few that don't, or that receive no response, would delay
-     * every inherited job until their leases expire; once they are returned it is certain that nothing runs there.
+     * Returns the few machines that are still unreconciled some time after a failover. Most machines send a heartbeat
+     * within seconds and another one with the new fencing token. The few that send none, or that receive no response,
+     * would delay every inherited job until their leases expire; their return confirms that no task runs there.
      */
     private void returnUnreconciled(long nowMicros) {
         int unreconciled = cluster.unreconciledMachines().size();
         int machines = cluster.machines().size();
-        // In a large fleet the last few have hardly been delayed by a change of controller, and each of them delays
-        // every inherited job. In a small fleet the last one often waits for a response of the controller that has
-        // ended.
+        // In a large fleet the last few machines are unlikely to be delayed merely by switching controllers, and each
+        // of them delays every inherited job. In a small fleet the last machine is often still waiting for a response
+        // of the failed controller.
         long timeoutMicros = unreconciled <= thresholds.maxUnreconciledForShortTimeout(machines)
                 ? times.heartbeatIntervalMicros() * 5 / 4 + SECOND_HEARTBEAT_MICROS
                 : Math.max(MIN_UNRECONCILED_TIMEOUT_MICROS, 2 * times.heartbeatIntervalMicros() + 4_000_000);
--- a/src/main/java/io/sillreel/fleet/ScaleOut.java
+++ b/src/main/java/io/sillreel/fleet/ScaleOut.java
@@ -16,16 +16,16 @@
 
 /**
  * Requests machines from the cloud. Each request is stored under its name before it is sent, and is retried under the
- * same name until its outcome is known, so that it is idempotent. Used by the event loop alone; state that is shared
- * with heartbeat processing is accessed under the lock of the cluster.
+ * same name until its outcome is known, so that it is idempotent. Runs on the event loop; state shared with heartbeat
+ * processing is accessed under the cluster lock.
  */
 final class ScaleOut {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
-    /** How long machines that the cloud lacks are not requested again. */
+    /** Time during which machines that the cloud had no capacity for are not requested again. */
     private static final long NO_CAPACITY_BACKOFF_MICROS = 20_000_000;
-    /** The pause between the end of an exchange of unknown outcome and its retry. */
+    /** Delay between the end of a request of unknown outcome and its retry. */
     private static final long RETRY_DELAY_MICROS = 2_000_000;
-    /** The most requests that may wait for an answer of the cloud. */
+    /** Maximum number of requests that are stored or sent and not answered yet. */
     private static final int MAX_PENDING_REQUESTS = 6;
 
     private static final long FLEET_LIMIT_WARNING_INTERVAL_MICROS = 60_000_000;
@@ -59,9 +59,9 @@
         this.callbacks = callbacks;
     }
 
-    /** Stores and sends requests for what the capacity planner proposes, unless as urgent writes wait. */
+    /** Stores and sends requests for what the capacity planner proposes, unless too many urgent writes are queued. */
     void requestMachines(long nowMicros) {
-        // A request has to be stored before it is sent, so nothing is gained while the write queue is behind.
+        // A request has to be stored before it is sent, so new ones would only add to a backlog of the write queue.
         if (!callbacks.mayAct()
                 || writeQueue.urgentCount() > configuration.settings().state().maxTransactionChanges()) {
             return;
@@ -99,8 +99,8 @@
     }
 
     /**
-     * The requests that the cloud has not answered yet: their number, machines and CPUs, and those CPUs that are not
-     * spot.
+     * Totals of the requests that the cloud has not answered yet: requests, machines, CPUs, and the CPUs of on-demand
+     * machines.
      */
     private record PendingRequests(int count, int machines, long cpus, long onDemandCpus) {}
 
@@ -143,7 +143,7 @@
         return headroom;
     }
 
-    /** Retries the requests whose outcome is unknown, and inherited ones that were not answered. */
+    /** Retries requests whose outcome is unknown, and inherited requests without an answer. */
     void retryUnanswered(long nowMicros) {
         for (ScaleOutRequest request : List.copyOf(registry.scaleOutRequests())) {
             if (!request.isAnswered()
@@ -172,8 +172,8 @@
     private void handleResult(ScaleOutRequest request, CloudClient.ProvisioningResult result) {
         long nowMicros = eventLoop.nowMicros();
         if (request.isAnswered() || request.isDiscarded()) {
-            // The request was retried, and both exchanges were answered. The first answer counts; its machines may have
-            // tasks.
+            // The request was retried and both attempts were answered. The first answer counts, since its machines may
+            // already run tasks.
             return;
         }
         switch (result.outcome()) {
@@ -181,7 +181,7 @@
             case NO_CAPACITY -> abandon(request, nowMicros + NO_CAPACITY_BACKOFF_MICROS);
             case REFUSED -> handleRefusal(request, nowMicros);
             default -> {
-                LOG.info("scale-out request {} has no known outcome, retrying it under the same name", request.name());
+                LOG.info("outcome of scale-out request {} is unknown, retrying it under the same name", request.name());
                 request.markPossiblyExecuted();
                 retryWithoutTimeout(request, nowMicros);
             }
@@ -215,12 +215,13 @@
         if (request.mayHaveExecuted()) {
             retryWithoutTimeout(request, nowMicros);
         } else {
-            // Certainly not executed; the capacity planner proposes it anew once the cloud answers again.
+            // The request was certainly not executed; the capacity planner proposes the machines again after the
+            // back-off.
             abandon(request, nowMicros + RETRY_DELAY_MICROS);
         }
     }
 
-    /** Discards a request that provides nothing; such machines are not requested again before the given time. */
+    /** Discards a request that provides no machines; its offer is not requested again before the given time. */
     private void abandon(ScaleOutRequest request, long unavailableUntilMicros) {
         markUnavailable(request, unavailableUntilMicros);
         registry.discard(request);
@@ -231,7 +232,7 @@
         capacityPlanner.markUnavailable(request.machineType(), request.zone(), request.isSpot(), untilMicros);
     }
 
-    /** Schedules a retry without the time-out of the exchange, which has ended. */
+    /** Schedules a retry after the retry delay alone: the request has ended, so its time-out need not elapse. */
     private static void retryWithoutTimeout(ScaleOutRequest request, long nowMicros) {
         request.recordSent(nowMicros - CloudClient.TIMEOUT_MICROS);
     }
--- a/src/main/java/io/sillreel/fleet/SpotInterruptionDrain.java
+++ b/src/main/java/io/sillreel/fleet/SpotInterruptionDrain.java
@@ -8,17 +8,16 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/**
- * Stops tasks on machines whose interruption the cloud has announced, in time for a checkpoint. All access is under the
- * lock of the cluster.
- */
+/** Stops tasks on spot machines with an interruption notice, in time for a checkpoint. Guarded by the cluster lock. */
 public final class SpotInterruptionDrain {
-    /** A task whose remaining run time is this multiple of the time left cannot be expected to finish. */
+    /**
+     * A task is not expected to finish if its remaining run time exceeds this multiple of the time until interruption.
+     */
     private static final double UNFINISHABLE_RATIO = 1.5;
-    /** What stopping takes besides the checkpoint: the command, and the heartbeat that shows the end. */
+    /** Overhead of a stop besides the checkpoint: delivery of the command, and the heartbeat that reports the end. */
     private static final long STOP_OVERHEAD_MICROS = 3_000_000;
 
-    /** Added to the usual duration of a checkpoint in the grace period. */
+    /** Margin on the usual checkpoint duration in the grace period of a stop. */
     private static final long CHECKPOINT_MARGIN_MICROS = 1_000_000;
 
     private final Cluster cluster;
@@ -30,8 +29,9 @@
     }
 
     /**
-     * Stops tasks and returns their machines. Tasks with checkpoints are stopped while there is time for one. Others
-     * may still finish; those that cannot are stopped at once, so that they start elsewhere sooner.
+     * Stops the tasks that the interruption would kill and returns the set of affected machines. Tasks with checkpoints
+     * are stopped while there is time for a checkpoint. Other tasks keep running if they may finish in time; the rest
+     * are stopped at once so that they restart elsewhere sooner.
      */
     public Set<Machine> stopInterruptedTasks(long nowMicros) {
         Set<Machine> affectedMachines = new LinkedHashSet<>();
--- a/src/main/java/io/sillreel/fleet/StragglerDetector.java
+++ b/src/main/java/io/sillreel/fleet/StragglerDetector.java
@@ -10,7 +10,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Finds and drains machines that are slower than others. All access is under the lock of the cluster. */
+/**
+ * Detects and drains stragglers: machines on which tasks run much longer than expected. Guarded by the cluster lock.
+ */
 public final class StragglerDetector {
     private static final Logger LOG = LoggerFactory.getLogger(StragglerDetector.class);
 
--- a/src/main/java/io/sillreel/limits/FleetCapacity.java
+++ b/src/main/java/io/sillreel/limits/FleetCapacity.java
@@ -1,43 +1,46 @@
 package io.sillreel.limits;
 
 /**
- * The largest fleet that the controllers of a deployment carry, by their sockets and by the memory of one of them. The
- * sizes were measured with simulated workers on real sockets ({@code docs/scale.md}).
+ * The largest fleet that the controllers of a deployment support, limited by their sockets and by the heap of a single
+ * leader. The sizes were measured with simulated workers on real sockets ({@code docs/scale.md}).
  *
- * @param limits the limits of this controller; the others are assumed to have the same
+ * @param limits limits of this controller; the other controllers are assumed to have the same ones
  */
 public record FleetCapacity(ProcessLimits limits) {
-    /** Tasks that a machine is assumed to run as long as nothing is known of it. */
+    /** Assumed number of tasks on a machine until the actual load is known. */
     public static final double DEFAULT_TASKS_PER_MACHINE = 8;
 
-    /** Heap that is used whatever the size of the fleet. */
+    /** Heap in use regardless of the size of the fleet. */
     private static final long FIXED_HEAP_BYTES = 5 << 20;
-    /** Fraction of the remaining heap that long-lived objects may take. */
+    /** Fraction of the remaining heap that long-lived objects may occupy. */
     private static final double USABLE_HEAP_FRACTION = 0.75;
-    /** Heap that a leader uses for a machine. */
+    /** Heap that the leader uses for each machine. */
     private static final long BYTES_PER_MACHINE = 900;
-    /** Heap that a leader uses for a running task. */
+    /** Heap that the leader uses for each running task. */
     private static final long BYTES_PER_TASK = 400;
-    /** Heap of a worker's connection; a controller that is left alone has those of all workers. */
+    /**
+     * Heap for each worker connection; if all other controllers are down, the leader holds the connections of all
+     * workers.
+     */
     private static final long BYTES_PER_CONNECTION = 4_000;
 
-    /** The number of workers that can send heartbeats while one of several controllers is down. */
+    /** Returns the number of workers that can stay connected while one of several controllers is down. */
     public int maxMachinesBySockets() {
         return limits.maxWorkerConnections() * Math.max(1, limits.otherControllers());
     }
 
-    /** The number of machines that the heap of a leader carries which is left alone, with so many tasks on each. */
+    /** Returns the number of machines that fit into the leader's heap while all other controllers are down. */
     public int maxMachinesByMemory(double tasksPerMachine) {
         double usableBytes = (limits.maxHeapBytes() - FIXED_HEAP_BYTES) * USABLE_HEAP_FRACTION;
         return (int) (usableBytes / (BYTES_PER_MACHINE + BYTES_PER_CONNECTION + BYTES_PER_TASK * tasksPerMachine));
     }
 
-    /** The number of machines that both sockets and memory allow. */
+    /** Returns the number of machines that both sockets and memory allow. */
     public int maxMachines(double tasksPerMachine) {
         return Math.min(maxMachinesBySockets(), maxMachinesByMemory(tasksPerMachine));
     }
 
-    /** Describes in one line what bounds the fleet, with the numbers. */
+    /** Returns a one-line description of the fleet limit and the values that it follows from. */
     public String describe(double tasksPerMachine) {
         String format = "%d machines: %d by sockets (max_sockets %d, %d controllers of which one may be away), "
                 + "%d by memory (heap of %d MB, %.0f tasks on each)";
--- a/src/main/java/io/sillreel/limits/ProcessLimits.java
+++ b/src/main/java/io/sillreel/limits/ProcessLimits.java
@@ -3,42 +3,45 @@
 import io.sillreel.settings.Settings;
 
 /**
- * The bounds of one controller that follow from its memory and its sockets. Nothing that grows with the fleet or with
- * the number of jobs is bounded by a constant; {@code docs/scale.md} lists each bound with what happens beyond it.
- * Immutable.
+ * The limits of one controller that follow from its heap and its sockets. Nothing that grows with the fleet or with the
+ * number of jobs is limited by a constant; {@code docs/scale.md} lists each limit with the behaviour once it is
+ * exceeded. Immutable.
  *
- * @param maxHeapBytes size that the heap may grow to, in bytes
+ * @param maxHeapBytes maximum heap size in bytes
  * @param maxSockets number of open sockets that the platform allows
  * @param otherControllers number of the other controllers of the deployment
  */
 public record ProcessLimits(long maxHeapBytes, int maxSockets, int otherControllers) {
-    /** Cached job statuses may take this fraction of the heap: one eighth. */
+    /** Cached job statuses may use one eighth of the heap. */
     private static final int CACHED_STATUSES_HEAP_DIVISOR = 8;
-    /** Size of a cached job status with its texts and its entry in the map. */
+    /** Size of a cached job status including its strings and its map entry. */
     private static final int CACHED_STATUS_BYTES = 600;
 
     private static final int MIN_CACHED_STATUSES = 4_000;
-    /** Queued requests may take this fraction of the heap: one twelfth. */
+    /** Queued requests may use one twelfth of the heap. */
     private static final int QUEUED_REQUESTS_HEAP_DIVISOR = 12;
 
     private static final int MIN_QUEUED_REQUEST_BYTES = 1 << 20;
-    /** Recent changes of the store may take this fraction of the heap: one 24th. */
+    /** Retained recent changes of the state store may use one 24th of the heap. */
     private static final int RECENT_CHANGES_HEAP_DIVISOR = 24;
-    /** One response may take a twentieth of the heap; the tree that is read from it takes ten times as much. */
+    /** One response may use a twentieth of the heap; the JSON tree parsed from it takes ten times its size. */
     private static final int RESPONSE_HEAP_DIVISOR = 20;
-    /** The largest page of the state service with its frame. */
+    /** The largest page of the state service including its framing. */
     private static final int MIN_RESPONSE_BYTES = 1 << 20;
 
-    /** Fraction of all sockets; the rest is for the requests that this controller sends. */
+    /** Fraction of all sockets for incoming public connections; the rest is for outgoing requests. */
     private static final double PUBLIC_FRACTION = 0.75;
-    /** Fraction of the public sockets; the rest is for users and health checks. */
+    /** Fraction of the public connections for workers; the rest is for users and health checks. */
     private static final double WORKERS_FRACTION = 0.9;
 
     private static final int MIN_INTERNAL_CONNECTIONS = 100;
-    /** Batches, hellos and cancellations of another controller, and as many again that it has given up. */
+    /**
+     * Connections of another controller for heartbeat batches, hellos and cancellations, and as many again that it has
+     * abandoned after a time-out.
+     */
     private static final int CONNECTIONS_PER_CONTROLLER = 12;
 
-    /** Returns the limits of a process with that heap under those settings. */
+    /** Returns the limits of a process with the given settings and maximum heap size. */
     public static ProcessLimits of(Settings settings, long heapBytes) {
         return new ProcessLimits(
                 heapBytes, settings.resources().maxSockets(), settings.members().size());
@@ -49,17 +52,17 @@
         return (int) Math.max(MIN_CACHED_STATUSES, maxHeapBytes / CACHED_STATUSES_HEAP_DIVISOR / CACHED_STATUS_BYTES);
     }
 
-    /** The size of all queued requests together, in bytes. */
+    /** The total size of all queued requests, in bytes. */
     public long queuedRequestBytes() {
         return Math.max(MIN_QUEUED_REQUEST_BYTES, maxHeapBytes / QUEUED_REQUESTS_HEAP_DIVISOR);
     }
 
-    /** The size of the recent changes of the state service that a controller keeps, in bytes. */
+    /** The total size of the recent state service changes that a controller retains, in bytes. */
     public long recentChangeBytes() {
         return maxHeapBytes / RECENT_CHANGES_HEAP_DIVISOR;
     }
 
-    /** The size of the largest response that is read, in bytes. */
+    /** The size of the largest response that is accepted, in bytes. */
     public int maxResponseBytes() {
         return (int)
                 Math.min(Integer.MAX_VALUE / 2, Math.max(MIN_RESPONSE_BYTES, maxHeapBytes / RESPONSE_HEAP_DIVISOR));
--- a/src/main/java/io/sillreel/limits/package-info.java
+++ b/src/main/java/io/sillreel/limits/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The bounds that follow from what the platform gives a process: how much it may hold, how many connections it takes
- * ({@link io.sillreel.limits.ProcessLimits}), and how large a fleet a deployment carries
- * ({@link io.sillreel.limits.FleetCapacity}). All of it is arithmetic on immutable values.
+ * Limits that follow from the resources of the process: sizes of caches and queues and numbers of connections
+ * ({@link io.sillreel.limits.ProcessLimits}), and the largest fleet that a deployment supports
+ * ({@link io.sillreel.limits.FleetCapacity}). All of them are computed from immutable values.
  */
 package io.sillreel.limits;
--- a/src/main/java/io/sillreel/placement/CapacityNeed.java
+++ b/src/main/java/io/sillreel/placement/CapacityNeed.java
@@ -5,12 +5,12 @@
 import io.sillreel.pipeline.JobSpec;
 
 /**
- * Processors to provision, and which machines may provide them.
+ * CPUs to provision, and which machines may provide them.
  *
- * @param cpus the missing processors
- * @param job the job that has to fit on each machine, or null if any machine serves
+ * @param cpus the number of missing CPUs
+ * @param job the job of which a task has to fit on each machine, or null if any machine will do
  * @param allowsOnDemand true if on-demand machines may be used
- * @param allowsSpot true if spot machines may be used, as far as the job allows them
+ * @param allowsSpot true if spot machines may be used, provided that the job allows them too
  */
 record CapacityNeed(double cpus, JobSpec job, boolean allowsOnDemand, boolean allowsSpot) {
     boolean allowsType(MachineType type) {
@@ -21,7 +21,7 @@
         return job == null || job.allowsZone(zone);
     }
 
-    /** Returns true if spot machines, or else on-demand machines, may be used. */
+    /** Returns true if machines of the given kind, spot or on-demand, may be used. */
     boolean allowsKind(boolean isSpot) {
         return isSpot ? allowsSpot && (job == null || job.spotAllowed()) : allowsOnDemand;
     }
--- a/src/main/java/io/sillreel/placement/CapacityPlanner.java
+++ b/src/main/java/io/sillreel/placement/CapacityPlanner.java
@@ -11,8 +11,8 @@
 import java.util.function.Predicate;
 
 /**
- * Plans the size of the fleet: as many processors as let the queued work meet its deadlines and serve the steady
- * demand, at the lowest available price. Guarded by the lock of the cluster.
+ * Plans the size of the fleet: enough CPUs for the queued work to meet its deadlines and for the steady demand, at the
+ * lowest available price. Guarded by the cluster lock.
  */
 public final class CapacityPlanner {
     private final Cluster cluster;
@@ -23,7 +23,7 @@
     private final ScaleOutPlanner scaleOut;
     private final ScaleInPlanner scaleIn;
 
-    /** Creates a planner that has seen no demand yet. */
+    /** Creates a planner without recorded demand. */
     public CapacityPlanner(Cluster cluster, ServiceLevelObjectives objectives, RuntimeEstimator runtimeEstimator) {
         this.cluster = cluster;
         this.runtimeEstimator = runtimeEstimator;
@@ -33,36 +33,38 @@
         this.scaleIn = new ScaleInPlanner(cluster, arrivingDemand);
     }
 
-    /** Records that the cloud had none, or too few, of these machines; they are not proposed until then. */
+    /**
+     * Records that the cloud had insufficient capacity for an offer; it is not proposed again before the given time.
+     */
     public void markUnavailable(String machineType, String zone, boolean isSpot, long untilMicros) {
         offers.markUnavailable(machineType, zone, isSpot, untilMicros);
     }
 
     /**
-     * Records a job that has become ready, once for every job, so that the steady demand is known. A new leader learns
-     * it from the stored plans.
+     * Records the arrival of a job for the estimate of the steady demand; called once per job, when it becomes ready. A
+     * new leader rebuilds the estimate from the stored plans.
      */
     public void recordArrival(JobSpec spec, long readyWallMicros) {
         double cpuMicros = spec.tasks() * spec.cpus() * runtimeEstimator.occupancyMicros(spec);
         arrivingDemand.recordArrival(spec, readyWallMicros, cpuMicros);
     }
 
-    /** Returns the processors with which all unfinished work would meet its deadlines. */
+    /** Returns the CPUs with which all unfinished work would meet its deadlines. */
     public double requiredCpus(long wallMicros) {
         return workload.requiredCpus(wallMicros);
     }
 
-    /** Returns the processors that arriving work keeps busy in the long run. */
+    /** Returns the CPUs that arriving work keeps busy in the long run. */
     public double steadyDemandCpus(long wallMicros) {
         return arrivingDemand.cpus(wallMicros);
     }
 
     /**
-     * Returns the machines to provision now, at most a few requests.
+     * Returns the machines to provision now, as a small number of requests.
      *
-     * @param pendingCpus processors that have been requested and not answered yet
-     * @param pendingOnDemandCpus those of them that are of on-demand machines
-     * @param nowMicros the time of the event loop's clock
+     * @param pendingCpus CPUs of requested machines that the cloud has not confirmed yet
+     * @param pendingOnDemandCpus the part of them on on-demand machines
+     * @param nowMicros monotonic time of the event loop
      * @param wallMicros the time of day
      */
     public List<ScaleOutProposal> scaleOutProposals(
@@ -75,21 +77,21 @@
     }
 
     /**
-     * Returns machines that neither the queued work nor the steady demand needs, the dearest first.
+     * Returns machines that neither the queued work nor the steady demand needs, the most expensive first.
      *
-     * @param idleMicros how long a machine has to be idle; on-demand machines may be given up with tasks on them
+     * @param idleMicros minimum idle time of a machine; on-demand machines may be selected even if they have tasks
      */
     public List<Machine> surplusMachines(long idleMicros, long nowMicros, long wallMicros) {
         double neededCpus = Math.max(requiredCpus(wallMicros), Math.max(busyCpus(), steadyDemandCpus(wallMicros)));
         return scaleIn.surplusMachines(neededCpus, idleMicros, nowMicros, wallMicros);
     }
 
-    /** Returns the processors that tasks occupy. */
+    /** Returns the CPUs that tasks occupy. */
     public double busyCpus() {
         return cpusOf(allocation -> true);
     }
 
-    /** Returns the processors occupied by tasks that fetch their image or that no heartbeat has shown yet. */
+    /** Returns the CPUs occupied by tasks that are pulling their image or that no heartbeat has confirmed yet. */
     public double startingCpus() {
         return cpusOf(allocation -> allocation.isUnconfirmed() || allocation.stage() == Heartbeat.TaskStage.PULLING);
     }
--- a/src/main/java/io/sillreel/placement/CapacityProfile.java
+++ b/src/main/java/io/sillreel/placement/CapacityProfile.java
@@ -2,7 +2,7 @@
 
 import io.sillreel.cluster.Machine;
 
-/** What machines have in common that differ only in their names and images: type, zone, kind and free resources. */
+/** Properties by which free machines are grouped: type, zone, kind and free resources, but not name or images. */
 record CapacityProfile(String machineType, String zone, boolean isSpot, double cpus, double ramGb, double gpus) {
     static CapacityProfile of(FreeCapacity capacity) {
         Machine machine = capacity.machine();
@@ -15,7 +15,7 @@
                 capacity.gpus());
     }
 
-    // Written by hand: a generated method is linked at run time, which costs milliseconds of a failover.
+    // Hand-written: the generated methods of a record are linked at run time, which adds milliseconds to a failover.
     @Override
     public boolean equals(Object other) {
         return other instanceof CapacityProfile profile
--- a/src/main/java/io/sillreel/placement/DeadlineWorkload.java
+++ b/src/main/java/io/sillreel/placement/DeadlineWorkload.java
@@ -11,14 +11,13 @@
 import java.util.Map;
 
 /**
- * Computes how many processors it takes to finish the unfinished work by its deadlines. Work is served by priority
- * class, then by deadline, and each class leaves room for what arrives in the classes above it. Guarded by the lock of
- * the cluster.
+ * Computes how many CPUs are needed to finish the unfinished work by its deadlines. Work is served by priority class,
+ * then by deadline, and each class reserves CPUs for work that arrives in higher classes. Guarded by the cluster lock.
  */
 final class DeadlineWorkload {
-    /** The part of a running task that is left on average. */
+    /** Average remaining fraction of a running task. */
     private static final double RUNNING_TASK_REMAINING_FRACTION = 0.5;
-    /** Late work is planned as if it had time for this many of its tasks, one after the other. */
+    /** A job that is bound to be late is given time for this many of its tasks in sequence. */
     private static final int LATE_JOB_SEQUENTIAL_TASKS = 2;
 
     private final Cluster cluster;
@@ -40,13 +39,13 @@
     /**
      * The unfinished work of one job.
      *
-     * @param cpuMicros the work in processor-microseconds
-     * @param remainingMicros time in which it is to be done
-     * @param reservedCpus processors that arriving work of higher priority classes takes meanwhile
+     * @param cpuMicros the work in CPU-microseconds
+     * @param remainingMicros time within which the work should be done
+     * @param reservedCpus CPUs reserved for arriving work of higher priority classes
      */
     private record Load(PriorityClass priorityClass, double cpuMicros, long remainingMicros, double reservedCpus) {}
 
-    /** Returns the processors with which all unfinished work would meet its deadlines. */
+    /** Returns the CPUs with which all unfinished work would meet its deadlines. */
     double requiredCpus(long wallMicros) {
         double cpuMicros = 0;
         double required = 0;
@@ -58,12 +57,12 @@
     }
 
     /**
-     * Returns the processors to add so that new machines, once they are up, do what the available ones can't do in
-     * time.
+     * Returns the CPUs to add so that new machines, once they are up, complete the work that the available ones can't
+     * complete in time.
      *
-     * @param availableCpus processors that are or will soon be available
+     * @param availableCpus CPUs that are or will soon be available
      * @param bootMicros time until new machines are up
-     * @param onlyReachableDeadlines true to count only deadlines that new machines can still help to meet
+     * @param onlyReachableDeadlines true to consider only deadlines that new machines can still help to meet
      */
     double missingCpus(double availableCpus, long bootMicros, boolean onlyReachableDeadlines, long wallMicros) {
         double cpuMicros = 0;
@@ -80,7 +79,9 @@
         return missing;
     }
 
-    /** Returns the unfinished work in the order of its service; machines are there after {@code bootMicros}. */
+    /**
+     * Returns the unfinished work in the order in which it is served, by machines that are up after {@code bootMicros}.
+     */
     private List<Load> loads(long wallMicros, long bootMicros) {
         Map<PriorityClass, Double> reservedCpus = reservedCpus(wallMicros);
         List<Load> loads = new ArrayList<>();
@@ -93,7 +94,7 @@
         return loads;
     }
 
-    /** Returns for each priority class what arriving work of the classes above it takes. */
+    /** Returns for each priority class the CPUs that arriving work of higher classes takes. */
     private Map<PriorityClass, Double> reservedCpus(long wallMicros) {
         Map<PriorityClass, Double> reservedCpus = new EnumMap<>(PriorityClass.class);
         double higherClassCpus = 0;
@@ -108,10 +109,10 @@
         JobSpec spec = job.spec();
         long taskMicros = runtimeEstimator.occupancyMicros(job);
         double tasks = job.waitingCount() + RUNNING_TASK_REMAINING_FRACTION * job.allocatedCount();
-        // Half a task less: tasks are not divisible, so the time up to the deadline is not filled to the end.
+        // Half a task is subtracted: tasks are indivisible, so the time before the deadline can't be used completely.
         long remainingMicros = objectives.deadlineMicros(job, wallMicros, bootMicros) - wallMicros - taskMicros / 2;
         if (remainingMicros < bootMicros + taskMicros) {
-            // The job is late whatever is done: it is to be done soon, but without one machine for each of its tasks.
+            // The job will be late in any case. It should complete soon, but without one machine for each of its tasks.
             remainingMicros = bootMicros > 0 ? bootMicros + LATE_JOB_SEQUENTIAL_TASKS * taskMicros : taskMicros;
         }
         return new Load(job.effectivePriority(), tasks * spec.cpus() * taskMicros, remainingMicros, reservedCpus);
--- a/src/main/java/io/sillreel/placement/DemandEstimator.java
+++ b/src/main/java/io/sillreel/placement/DemandEstimator.java
@@ -4,12 +4,12 @@
 import java.util.Deque;
 
 /**
- * Estimates from the arrivals of a sliding window how many processors would be kept busy if work went on arriving at
- * the same rate. Guarded by the lock of the cluster.
+ * Estimates from the arrivals in a sliding window how many CPUs stay busy if work keeps arriving at the same rate.
+ * Guarded by the cluster lock.
  */
 public final class DemandEstimator {
     private static final long WINDOW_MICROS = 150_000_000;
-    /** The first arrivals are spread over this time at least, so that a burst does not look like a lasting demand. */
+    /** Arrivals are averaged over at least this time, so that an initial burst is not taken for lasting demand. */
     private static final long MIN_WINDOW_MICROS = 100_000_000;
 
     private record Arrival(long wallMicros, double cpuMicros) {}
@@ -18,7 +18,7 @@
     private double totalCpuMicros;
     private long firstArrivalMicros = -1;
 
-    /** Returns true if work that was admitted at the first time still counts at the second. */
+    /** Returns true if work admitted at {@code admittedWallMicros} still counts at {@code wallMicros}. */
     public static boolean isWithinWindow(long admittedWallMicros, long wallMicros) {
         return admittedWallMicros >= wallMicros - WINDOW_MICROS;
     }
@@ -27,7 +27,7 @@
      * Records the arrival of work.
      *
      * @param wallMicros time of day of the arrival
-     * @param cpuMicros the work in processor-microseconds
+     * @param cpuMicros the work in CPU-microseconds
      */
     public void recordArrival(long wallMicros, double cpuMicros) {
         arrivals.add(new Arrival(wallMicros, cpuMicros));
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Returns the processors that work arriving at the recent rate keeps busy; drops arrivals that have expired. */
+    /** Returns the CPUs that work arriving at the recent rate keeps busy; evicts arrivals that have left the window. */
     public double cpus(long wallMicros) {
         while (!arrivals.isEmpty() && !isWithinWindow(arrivals.peek().wallMicros(), wallMicros)) {
             totalCpuMicros -= arrivals.poll().cpuMicros();
--- a/src/main/java/io/sillreel/placement/FreeCapacity.java
+++ b/src/main/java/io/sillreel/placement/FreeCapacity.java
@@ -7,10 +7,10 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The free resources of a machine while a plan is made, less what the plan has placed there. */
+/** The free resources of a machine during planning, minus those of tasks that the plan has placed on it. */
 final class FreeCapacity {
     private final Machine machine;
-    /** Names of the images that tasks placed by the plan will bring. */
+    /** Names of the images that will be pulled for tasks placed by the plan. */
     private final Set<String> plannedImages = new HashSet<>();
 
     private double cpus;
@@ -45,7 +45,7 @@
         return PlacementConstraints.fittingTasks(spec, cpus, ramGb, gpus);
     }
 
-    /** Takes the resources of so many tasks of the job. */
+    /** Subtracts the resources of the given number of the job's tasks. */
     void allocate(JobSpec spec, int tasks) {
         cpus -= tasks * spec.cpus();
         ramGb -= tasks * spec.ramGb();
@@ -57,7 +57,7 @@
         return hasImage(Image.of(spec));
     }
 
-    /** Returns true if the machine has the image, or will have fetched it for a task that the plan has placed. */
+    /** Returns true if the machine has the image, or will pull it for a task that the plan has placed. */
     boolean hasImage(Image image) {
         return plannedImages.contains(image.name()) || machine.hasImage(image);
     }
--- a/src/main/java/io/sillreel/placement/JobPlacer.java
+++ b/src/main/java/io/sillreel/placement/JobPlacer.java
@@ -6,12 +6,12 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Places tasks of waiting jobs on the machines of one plan. Guarded by the lock of the cluster. */
+/** Places tasks of waiting jobs on machines during one planning cycle. Guarded by the cluster lock. */
 final class JobPlacer {
     private final Cluster cluster;
     private final PlacementIndex index;
     private final PlacementPlan plan;
-    /** What the teams use, with the tasks that the plan has placed. */
+    /** Quota usage of the teams, including tasks that the plan has placed. */
     private final QuotaUsage usage;
 
     JobPlacer(Cluster cluster, PlacementIndex index, PlacementPlan plan) {
@@ -22,10 +22,10 @@
     }
 
     /**
-     * Places as many of the job's remaining tasks as its quota, its zones and the free capacity allow.
+     * Places as many of the job's remaining tasks as quota, zone limits and free capacity allow.
      *
-     * @param onlyWithImage true to use only machines that have the job's image
-     * @return how many tasks found no capacity; tasks that the quota keeps waiting are not counted
+     * @param onlyWithImage true to use only machines that already have the job's image
+     * @return number of tasks that found no capacity, without those held back by the quota
      */
     int place(QueuedJob queued, boolean onlyWithImage) {
         int wanted = Math.min(
@@ -41,13 +41,13 @@
         return queued.isProbing() ? 0 : placement.wantedTasks;
     }
 
-    /** Places tasks of one job, as far as its zones and the plan's reservations allow. */
+    /** Places tasks of one job within its zone limits and the plan's reservations. */
     private final class TaskPlacement implements PlacementIndex.MachineVisitor {
         private final QueuedJob queued;
         private final JobSpec spec;
         private final Map<String, Integer> zoneHeadroom = new HashMap<>();
         private int wantedTasks;
-        /** The zone of the first task placed: with zone affinity the others have to follow. */
+        /** Zone of the tasks placed so far; with zone affinity the remaining tasks have to use it too. */
         private String zoneOfTasks;
 
         TaskPlacement(QueuedJob queued, int wantedTasks) {
--- a/src/main/java/io/sillreel/placement/LaunchEligibility.java
+++ b/src/main/java/io/sillreel/placement/LaunchEligibility.java
@@ -2,9 +2,9 @@
 
 import io.sillreel.cluster.Machine;
 
-/** Decides whether a machine may be given new tasks. */
+/** Decides whether new tasks may be launched on a machine. */
 final class LaunchEligibility {
-    /** A machine is given nothing once it has missed this many heartbeats. */
+    /** No task is launched on a machine that has missed this many heartbeats. */
     private static final long MISSED_HEARTBEATS_LIMIT = 3;
 
     private final long heartbeatIntervalMicros;
@@ -13,7 +13,7 @@
         this.heartbeatIntervalMicros = heartbeatIntervalMicros;
     }
 
-    /** Returns true if the machine is up, reconciled, responsive, stored as up and stays with this operator. */
+    /** Returns true if the machine is up, reconciled, responsive, stored as up and has no interruption notice. */
     boolean acceptsLaunches(Machine machine, long nowMicros) {
         return machine.state() == Machine.State.UP
                 && machine.isReconciled()
@@ -23,7 +23,7 @@
                 && nowMicros - machine.lastHeartbeatMicros() < MISSED_HEARTBEATS_LIMIT * heartbeatIntervalMicros;
     }
 
-    /** Returns true if the machine accepts launches and is not suspected of failing the tasks it is given. */
+    /** Returns true if the machine accepts launches and is not suspected of making tasks fail. */
     boolean isSchedulable(Machine machine, long nowMicros) {
         return acceptsLaunches(machine, nowMicros) && !machine.health().isSuspect();
     }
--- a/src/main/java/io/sillreel/placement/MachineAvailability.java
+++ b/src/main/java/io/sillreel/placement/MachineAvailability.java
@@ -2,9 +2,9 @@
 
 import io.sillreel.cluster.Machine;
 
-/** Whether a machine counts as capacity. */
+/** Decides whether a machine counts as available capacity. */
 final class MachineAvailability {
-    /** A machine that is not up after this many times its usual boot time is not counted any more. */
+    /** A machine that is not up after this multiple of its usual boot time no longer counts as capacity. */
     private static final long MAX_BOOT_TIMES = 2;
 
     private MachineAvailability() {}
@@ -21,7 +21,7 @@
         };
     }
 
-    /** Returns true if the lease has expired: the machine may come back, but until then others do its work. */
+    /** Returns true if the lease has expired: the machine may recover, but until then it is not counted as capacity. */
     static boolean isLeaseExpired(Machine machine, long nowMicros) {
         return machine.leaseExpiryMicros() < nowMicros;
     }
--- a/src/main/java/io/sillreel/placement/MachineCandidates.java
+++ b/src/main/java/io/sillreel/placement/MachineCandidates.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Machines of one group that suit a job equally well, in the order of their names. Candidates compare by their next
- * machine: first the one whose image is ready soonest, then the preferred kind, then the better packing, then the name.
+ * Machines of one group that suit a job equally well, ordered by name. Candidates are compared by their next machine:
+ * shortest image pull first, then preferred kind, then better bin packing, then name.
  */
 final class MachineCandidates implements Comparable<MachineCandidates> {
     private final MachineGroup group;
@@ -17,10 +17,10 @@
     private FreeCapacity next;
 
     /**
-     * @param imagePullSteps how long the image takes to be fetched, in coarse steps
+     * @param imagePullSteps duration of the image pull in coarse steps
      * @param kindMismatch 0 if the job prefers the machine's kind (spot or on-demand), else 1
-     * @param packingCost the smaller, the better the machine is for bin packing
-     * @param machines the candidates in order
+     * @param packingCost rank for bin packing; lower is better
+     * @param machines the candidates by name, in the order of their names
      * @param excluded machines that are not candidates, by name
      */
     MachineCandidates(
@@ -47,7 +47,7 @@
         return next;
     }
 
-    /** Moves to the next machine; false if there is none. */
+    /** Moves to the next machine; returns false if there is none. */
     boolean advance() {
         do {
             next = machines.hasNext() ? machines.next() : null;
--- a/src/main/java/io/sillreel/placement/MachineFill.java
+++ b/src/main/java/io/sillreel/placement/MachineFill.java
@@ -10,11 +10,11 @@
 import java.util.List;
 
 /**
- * Fills one machine with tasks that the last plan had no capacity for, in the order of the queue. Used once. Guarded by
- * the lock of the cluster.
+ * Backfills one machine with tasks that the last plan had no capacity for, in queue order. Each instance is used once.
+ * Guarded by the cluster lock.
  */
 final class MachineFill {
-    /** Bounds the cost of a heartbeat. */
+    /** Limits the cost of processing one heartbeat. */
     private static final int MAX_EXAMINED_JOBS = 64;
 
     private static final double MIN_FREE_CPUS = 1e-6;
@@ -28,7 +28,7 @@
     private final QueuedJob reservedFor;
 
     private final List<TaskAssignment> assignments = new ArrayList<>();
-    /** What the teams use; null until a job is found that fits, because counting it looks at all teams. */
+    /** Quota usage of the teams; null until a job is found that fits, because computing it iterates over all teams. */
     private QuotaUsage usage;
 
     private int examinedJobs;
@@ -56,7 +56,10 @@
         return assignments;
     }
 
-    /** @param isFirstPass true to assign the jobs that are urgent or whose image is here, false to assign the others */
+    /**
+     * @param isFirstPass true to assign jobs that are urgent or whose image is on the machine, false to assign the
+     *     other jobs
+     */
     private void assignBand(List<QueuedJob> band, boolean isFirstPass) {
         for (QueuedJob queued : band) {
             examinedJobs++;
@@ -91,7 +94,7 @@
         }
     }
 
-    /** Returns how many tasks of the job may start on the machine now, whatever its free capacity. */
+    /** Returns how many tasks of the job may start on the machine now, regardless of its free capacity. */
     private int startableTasks(QueuedJob queued) {
         ActiveJob job = queued.job();
         if (!cluster.isLaunchable(job, wallMicros)
--- a/src/main/java/io/sillreel/placement/MachineGroup.java
+++ b/src/main/java/io/sillreel/placement/MachineGroup.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * Machines of one capacity profile by name, and for each image that has been asked for those that have it. The lists by
- * image are built when first asked for and kept current afterwards.
+ * Machines with the same capacity profile, ordered by name, with an index by image. The index of an image is built on
+ * first use and maintained afterwards.
  */
 final class MachineGroup {
     private final CapacityProfile profile;
--- a/src/main/java/io/sillreel/placement/MachineOfferSelector.java
+++ b/src/main/java/io/sillreel/placement/MachineOfferSelector.java
@@ -11,13 +11,14 @@
 import java.util.Optional;
 
 /**
- * Selects the machine type, zone and kind (spot or on-demand) to provision: the cheapest that the cloud is not known to
- * lack. Guarded by the lock of the cluster.
+ * Selects the machine type, zone and kind (spot or on-demand) to provision: the cheapest offer that is not marked as
+ * unavailable. Guarded by the cluster lock.
  */
 final class MachineOfferSelector {
-    /** A machine type in a zone, of one kind: what the cloud may have or lack. */
+    /** A machine type in a zone, as spot or on-demand: the unit in which the cloud's capacity is tracked. */
     private record Offer(String machineType, String zone, boolean isSpot) {
-        // Written by hand: a generated method is linked at run time, which costs milliseconds of a failover.
+        // Hand-written: the generated methods of a record are linked at run time, which adds milliseconds to a
+        // failover.
         @Override
         public boolean equals(Object other) {
             return other instanceof Offer offer
@@ -33,15 +34,15 @@
     }
 
     /**
-     * How much dearer a spot machine counts in a zone that holds the whole spot fleet: one wave of interruptions takes
-     * the machines of a zone together, so they are spread.
+     * Relative price surcharge on a spot machine in a zone that holds the whole spot fleet. One wave of interruptions
+     * hits all machines of a zone together, so the surcharge spreads them over zones.
      */
     private static final double CONCENTRATION_WEIGHT = 0.25;
 
     private static final boolean[] SPOT_AND_ON_DEMAND = {true, false};
 
     private final Cluster cluster;
-    /** Offers that the cloud lacked, and when they may be requested again. */
+    /** Offers for which the cloud had no capacity, and when they may be requested again. */
     private final Map<Offer, Long> unavailableUntilMicros = new HashMap<>();
 
     private final Map<String, Double> spotCpusByZone = new HashMap<>();
@@ -51,12 +52,16 @@
         this.cluster = cluster;
     }
 
-    /** Records that the cloud had none, or too few, of these machines; they are not requested until then. */
+    /**
+     * Records that the cloud had insufficient capacity for an offer; it is not selected again before the given time.
+     */
     void markUnavailable(String machineType, String zone, boolean isSpot, long untilMicros) {
         unavailableUntilMicros.put(new Offer(machineType, zone, isSpot), untilMicros);
     }
 
-    /** Counts the spot machines of each zone; done once for several selections, since it looks at all machines. */
+    /**
+     * Recomputes the spot CPUs of each zone; called once for several selections, since it iterates over all machines.
+     */
     void refreshSpotCapacity() {
         spotCpusByZone.clear();
         totalSpotCpus = 0;
@@ -69,9 +74,9 @@
     }
 
     /**
-     * Returns the cheapest offer for the need, or empty if no available offer serves it.
+     * Returns the cheapest available offer that meets the need, or empty if there is none.
      *
-     * @param proposed what is requested anyway, and not to be proposed twice
+     * @param proposed offers that are already proposed in this cycle and are skipped
      */
     Optional<ScaleOutProposal> selectCheapest(
             Collection<MachineType> types, CapacityNeed need, List<ScaleOutProposal> proposed, long nowMicros) {
@@ -120,7 +125,7 @@
                 * (1 + CONCENTRATION_WEIGHT * spotShare(zone, isSpot));
     }
 
-    /** Returns the part of the spot fleet that is in the zone; 0 for on-demand machines. */
+    /** Returns the fraction of the spot fleet that is in the zone; 0 for on-demand machines. */
     private double spotShare(String zone, boolean isSpot) {
         return isSpot && totalSpotCpus > 0 ? spotCpusByZone.getOrDefault(zone, 0.0) / totalSpotCpus : 0;
     }
--- a/src/main/java/io/sillreel/placement/MachineReservations.java
+++ b/src/main/java/io/sillreel/placement/MachineReservations.java
@@ -9,9 +9,8 @@
 import java.util.List;
 
 /**
- * Reserves machines for jobs that have waited too long and fit nowhere now. Without a reservation, small tasks would
- * take each processor as it comes free, and a large task would never find enough of them on one machine. Guarded by the
- * lock of the cluster.
+ * Reserves machines for aged jobs that currently fit nowhere. Without a reservation, small tasks would take each CPU as
+ * it becomes free and starve large tasks, which need many free CPUs on one machine. Guarded by the cluster lock.
  */
 final class MachineReservations {
     private static final int MAX_MACHINES_PER_JOB = 2;
@@ -20,7 +19,7 @@
     private final LaunchEligibility eligibility;
     private final PlacementPlan plan;
     private final long nowMicros;
-    /** Machines that take launches, those with most free processors first; null until first needed. */
+    /** Schedulable machines, those with most free CPUs first; null until first needed. */
     private List<Machine> emptiestFirst;
 
     MachineReservations(Cluster cluster, LaunchEligibility eligibility, PlacementPlan plan, long nowMicros) {
--- a/src/main/java/io/sillreel/placement/PlacementIndex.java
+++ b/src/main/java/io/sillreel/placement/PlacementIndex.java
@@ -10,18 +10,19 @@
 import java.util.SortedMap;
 
 /**
- * The machines with free capacity, grouped by their capacity profile. Thousands of idle machines form a few groups, so
- * the machines for a job are found without a look at each of them, in the order that a sort of all machines would give.
+ * An index of the machines with free capacity, grouped by capacity profile. Thousands of idle machines form a few
+ * groups, so the machines for a job are found without iterating over all of them, in the same order as a sort of all
+ * machines would give.
  */
 final class PlacementIndex {
     private static final double EPSILON = 1e-6;
-    /** Fetches of an image whose durations differ by less, in microseconds, are taken as equally long. */
+    /** Image pulls whose durations fall into the same interval of this length count as equally long. */
     private static final long IMAGE_PULL_GRANULARITY_MICROS = 2_000_000;
 
     private static final double MIN_PULL_GB_PER_SECOND = 0.01;
     private static final double MICROS_PER_SECOND = 1_000_000;
 
-    /** Visits machines for a job one after the other, the best one first. */
+    /** Visits machines for a job, the most suitable first. */
     interface MachineVisitor {
         /** Returns true if no more machines are wanted. */
         boolean isSatisfied();
@@ -29,7 +30,7 @@
         /** Returns true if no machine of the zone may take a task of the job. */
         boolean isZoneExcluded(String zone);
 
-        /** Places tasks on the machine; true if that has changed its capacity. */
+        /** Places tasks on the machine; returns true if that has changed its free capacity. */
         boolean place(FreeCapacity capacity);
     }
 
@@ -37,7 +38,7 @@
     private final Map<CapacityProfile, MachineGroup> groups = new LinkedHashMap<>();
     private long steps;
 
-    /** @param smallestTaskCpus processors of the smallest waiting task: machines with less are left out */
+    /** @param smallestTaskCpus CPUs of the smallest waiting task; machines with less free CPUs are left out */
     PlacementIndex(double smallestTaskCpus) {
         this.smallestTaskCpus = smallestTaskCpus;
     }
@@ -53,17 +54,17 @@
         }
     }
 
-    /** Returns how many groups and machines have been looked at. */
+    /** Returns how many groups and machines have been examined. */
     long steps() {
         return steps;
     }
 
     /**
-     * Visits the machines on which tasks of the job fit: first those where its image is ready soonest, then those of
-     * the preferred kind, then the fullest that has the image or the one that takes most tasks and has not, then by
-     * name.
+     * Visits the machines on which tasks of the job fit, ordered by the duration of the image pull, then by preferred
+     * kind, then by packing, then by name. Packing prefers, among machines with the image, the fullest one and, among
+     * machines without it, the one that takes most tasks.
      *
-     * @param wantedTasks how many tasks there are to place
+     * @param wantedTasks number of tasks to place
      */
     void visitMachines(JobSpec spec, int wantedTasks, boolean onlyWithImage, MachineVisitor visitor) {
         PriorityQueue<MachineCandidates> candidates = candidates(spec, wantedTasks, onlyWithImage);
@@ -81,7 +82,7 @@
                 candidates.add(best);
             }
         }
-        // Regrouped only now: the candidates iterate over the groups.
+        // Regrouping is deferred because the candidates iterate over the groups.
         changed.forEach(this::regroup);
     }
 
@@ -105,16 +106,16 @@
                 continue;
             }
             // A task with checkpoints loses little when a spot machine is interrupted, so on-demand machines are left
-            // to the others.
+            // to tasks without checkpoints.
             int kindMismatch = profile.isSpot() == spec.supportsCheckpoints() ? 0 : 1;
             SortedMap<String, FreeCapacity> withImage = group.machinesWithImage(image);
             if (!withImage.isEmpty()) {
-                // The fullest machine first, so that others become empty and can be returned.
+                // The fullest machine comes first, so that other machines become empty and can be returned.
                 addIfNotEmpty(
                         candidates, new MachineCandidates(group, 0, kindMismatch, profile.cpus(), withImage, Map.of()));
             }
             if (!onlyWithImage && withImage.size() < group.machines().size()) {
-                // The machine that takes most tasks first, so that they share one fetch of the image.
+                // The machine that takes most tasks comes first, so that they share one image pull.
                 addIfNotEmpty(
                         candidates,
                         new MachineCandidates(
--- a/src/main/java/io/sillreel/placement/PlacementPlan.java
+++ b/src/main/java/io/sillreel/placement/PlacementPlan.java
@@ -8,23 +8,23 @@
 import java.util.Map;
 
 /**
- * A proposal of the {@link Planner}. It is checked again when a machine is told its tasks, because jobs and machines
- * may have changed since. Guarded by the lock of the cluster.
+ * A proposal of the {@link Planner}. It is validated again when launch commands are sent to a machine, because jobs and
+ * machines may have changed in the meantime. Guarded by the cluster lock.
  *
- * @param launches tasks to launch by the name of the machine; an entry is removed once the machine is told
- * @param preemptions tasks to stop in favour of others
- * @param unplaced jobs with tasks that found no capacity, in the order of the queue
- * @param reservations machines, by name, that are kept free for a job that has waited too long
+ * @param launches tasks to launch by machine name; an entry is removed once its launch commands are sent
+ * @param preemptions running tasks to stop in favour of waiting ones
+ * @param unplaced jobs with tasks that found no capacity, in queue order
+ * @param reservations the aged job that each reserved machine is kept free for, by machine name
  */
 public record PlacementPlan(
         Map<String, List<TaskAssignment>> launches,
         List<Allocation> preemptions,
         List<QueuedJob> unplaced,
         Map<String, QueuedJob> reservations) {
-    /** A plan that proposes nothing; entries may be removed from its launches. */
+    /** A plan that proposes nothing. Removing entries from its launches is permitted and has no effect. */
     public static final PlacementPlan EMPTY = new PlacementPlan(Collections.emptyMap(), List.of(), List.of(), Map.of());
 
-    /** Creates a plan to be filled. */
+    /** Creates an empty, mutable plan. */
     static PlacementPlan create() {
         return new PlacementPlan(new HashMap<>(), new ArrayList<>(), new ArrayList<>(), new HashMap<>());
     }
--- a/src/main/java/io/sillreel/placement/Planner.java
+++ b/src/main/java/io/sillreel/placement/Planner.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /**
- * Decides which waiting tasks go to which machines. A plan over all machines is made at intervals; in between, a
- * machine that reports free capacity is filled with what the last plan had no capacity for, so that the cost of a
- * heartbeat does not grow with the fleet. Guarded by the lock of the cluster.
+ * Assigns waiting tasks to machines. A plan for the whole fleet is computed periodically; in between, a machine that
+ * reports free capacity is backfilled with tasks that the last plan could not place, so that the cost of a heartbeat
+ * does not grow with the fleet. Guarded by the cluster lock.
  */
 public final class Planner {
-    /** Jobs that may have tasks of others stopped in one plan: each looks at all machines. */
+    /** Maximum number of jobs that may preempt others in one plan, because each of them iterates over all machines. */
     private static final int MAX_PREEMPTING_JOBS = 12;
 
     private final Cluster cluster;
@@ -18,7 +18,7 @@
     private final LaunchEligibility eligibility;
     private final QueueOrder order;
 
-    /** @param heartbeatIntervalMicros the interval between two heartbeats of a worker, in microseconds */
+    /** @param heartbeatIntervalMicros interval between two heartbeats of a worker, in microseconds */
     public Planner(Cluster cluster, long heartbeatIntervalMicros, ServiceLevelObjectives objectives) {
         this.cluster = cluster;
         this.objectives = objectives;
@@ -34,7 +34,7 @@
     /**
      * Makes a plan for all waiting tasks.
      *
-     * @param nowMicros the time of the event loop's clock
+     * @param nowMicros monotonic time of the event loop
      * @param wallMicros the time of day
      */
     public PlacementPlan plan(long nowMicros, long wallMicros) {
@@ -72,8 +72,8 @@
         while (from < queue.size()) {
             int to = QueueOrder.endOfBand(queue, from, Integer.MAX_VALUE);
             List<QueuedJob> band = queue.subList(from, to);
-            // Jobs that are not urgent first take only machines that have their image. The second pass, over the same
-            // band, gives them the others.
+            // In the first pass, jobs that are not urgent use only machines that have their image. The second pass over
+            // the same band lets them use all machines.
             for (QueuedJob queued : band) {
                 placer.place(queued, !queued.isUrgent());
             }
@@ -109,8 +109,8 @@
     }
 
     /**
-     * Returns tasks that the plan had no capacity for and that fit on the machine now, in the order of the queue. They
-     * are taken off the plan's unplaced tasks.
+     * Returns tasks that the plan had no capacity for and that fit on the machine now, in queue order. They no longer
+     * count as unplaced in the plan.
      */
     public List<TaskAssignment> planMachine(PlacementPlan plan, Machine machine, long nowMicros, long wallMicros) {
         if (plan.unplaced().isEmpty() || !eligibility.isSchedulable(machine, nowMicros)) {
--- a/src/main/java/io/sillreel/placement/Preemption.java
+++ b/src/main/java/io/sillreel/placement/Preemption.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** Selects the running tasks that one plan stops in favour of waiting jobs. Guarded by the lock of the cluster. */
+/** Selects the running tasks that a plan preempts in favour of waiting jobs. Guarded by the cluster lock. */
 final class Preemption {
     private final Cluster cluster;
     private final LaunchEligibility eligibility;
@@ -22,9 +22,9 @@
     private final TeamGuarantees guarantees;
     private final long nowMicros;
     private final Set<Allocation> selected = new HashSet<>();
-    /** Free on the machine that is being looked at, once the tasks selected there are gone. */
+    /** Free resources of the machine under examination once the tasks selected on it have ended. */
     private final ResourceAmounts available = new ResourceAmounts();
-    /** Null until the first job that may preempt, because gathering them looks at all tasks. */
+    /** Null until the first job that may preempt, because collecting them iterates over all tasks. */
     private PreemptionCandidates candidates;
 
     Preemption(
@@ -43,9 +43,9 @@
     }
 
     /**
-     * Adds tasks to the plan's preemptions where stopping them lets tasks of the job fit.
+     * Adds tasks to the plan's preemptions if stopping them makes room for tasks of the job.
      *
-     * @param unplacedTasks how many tasks of the job found no capacity
+     * @param unplacedTasks number of the job's tasks that found no capacity
      * @return false if the job may not preempt
      */
     boolean preemptFor(QueuedJob queued, int unplacedTasks, long wallMicros) {
@@ -72,9 +72,9 @@
     }
 
     /**
-     * Preempts the lowest priority class on all machines before the next one on any.
+     * Preempts tasks of the lowest priority class on all machines before tasks of the next higher class.
      *
-     * @param mayDiscardProgress true to stop tasks without checkpoints and within guarantees as well
+     * @param mayDiscardProgress true to also stop tasks without checkpoints and tasks within guarantees
      * @return how many more tasks of the job will fit
      */
     private int preemptLowerPriority(
@@ -97,7 +97,7 @@
         return gainedTasks;
     }
 
-    /** Preempts what other teams run beyond their guarantees, tasks with checkpoints first. */
+    /** Preempts tasks that other teams run beyond their guarantees, those with checkpoints first. */
     private void preemptBeyondGuarantees(
             ActiveJob job, boolean isGuaranteeMissed, int neededTasks, List<Machine> machines) {
         int gainedTasks = preemptOnAll(
@@ -112,8 +112,9 @@
     }
 
     /**
-     * Returns true if the task is part of what another team runs beyond its guarantee. High priority is left alone by
-     * normal priority: it goes first in the queue, and would take the capacity back at once.
+     * Returns true if the task belongs to another team and exceeds that team's guarantee. Jobs of at most normal
+     * priority don't preempt work above normal priority on this ground: it precedes them in the queue and would reclaim
+     * the capacity at once.
      */
     private boolean isBeyondGuarantee(Allocation allocation, ActiveJob waiting) {
         ActiveJob running = allocation.job();
@@ -137,7 +138,7 @@
         return gainedTasks;
     }
 
-    /** Selects tasks on the machine, the least lost work first, and returns how many more of the job's will fit. */
+    /** Selects tasks on the machine, those with the least lost work first, and returns how many more tasks will fit. */
     private int preemptOn(Machine machine, JobSpec spec, int neededTasks, Predicate<Allocation> isPreemptible) {
         List<Allocation> victims = findVictims(machine, isPreemptible);
         if (victims.isEmpty()) {
@@ -148,7 +149,7 @@
         int gainedTasks = 0;
         List<Allocation> pending = new ArrayList<>();
         for (Allocation victim : victims) {
-            // Asked again: each selected task leaves its team with less beyond its guarantee.
+            // Evaluated again because each selected task reduces the excess of its team over the guarantee.
             if (gainedTasks >= neededTasks || !isPreemptible.test(victim)) {
                 break;
             }
@@ -165,7 +166,7 @@
         return gainedTasks;
     }
 
-    /** Finds the tasks that may be stopped on the machine, and sets {@link #available} for it. */
+    /** Finds the preemptible tasks on the machine and resets {@link #available} to its resources. */
     private List<Allocation> findVictims(Machine machine, Predicate<Allocation> isPreemptible) {
         List<Allocation> victims = new ArrayList<>();
         available.setToFree(machine);
@@ -190,8 +191,8 @@
     }
 
     /**
-     * Returns the work that is lost when the task is stopped, in processor-microseconds: what it has done so far, or
-     * the time that its checkpoint takes.
+     * Returns the work that is lost when the task is stopped, in CPU-microseconds: its progress so far, or at most the
+     * duration of a checkpoint if it supports checkpoints.
      */
     private static double lostCpuMicros(Allocation allocation, long nowMicros) {
         JobSpec spec = allocation.job().spec();
--- a/src/main/java/io/sillreel/placement/PreemptionCandidates.java
+++ b/src/main/java/io/sillreel/placement/PreemptionCandidates.java
@@ -16,17 +16,20 @@
 import java.util.Set;
 
 /**
- * The machines on which tasks could be stopped, or are being stopped, during one plan. Gathered once for all jobs that
- * preempt. Guarded by the lock of the cluster.
+ * The machines on which tasks can be stopped or are already being stopped, collected once per plan for all preempting
+ * jobs. Guarded by the cluster lock.
  */
 final class PreemptionCandidates {
-    /** Keeps the sum over machines from overflowing: a job without a demand for a resource fits without limit. */
+    /**
+     * Prevents an overflow of the sum over machines: without resource requirements, the number of fitting tasks is
+     * unlimited.
+     */
     private static final int MAX_FITTING_TASKS = Integer.MAX_VALUE / 1_000;
 
     private final Cluster cluster;
-    /** Trusted machines in the order of their names, and the priority classes of the tasks on them that could stop. */
+    /** Schedulable machines ordered by name, with the priority classes of their stoppable tasks. */
     private final Map<Machine, Set<PriorityClass>> machines = new LinkedHashMap<>();
-    /** Machines on which tasks are being stopped already. */
+    /** Machines on which tasks are already being stopped. */
     private final List<Machine> machinesWithPendingStops = new ArrayList<>();
 
     private final ResourceAmounts freedResources = new ResourceAmounts();
@@ -74,7 +77,7 @@
                 && !allocation.isStopping();
     }
 
-    /** Returns machines with stoppable tasks that the job allows, first those that have its image. */
+    /** Returns eligible machines for the job that have stoppable tasks, those with its image first. */
     List<Machine> eligibleMachines(JobSpec spec) {
         Image image = Image.of(spec);
         List<Machine> eligible = new ArrayList<>();
@@ -89,7 +92,7 @@
         return eligible;
     }
 
-    /** Returns those of the machines that have stoppable tasks of the priority class. */
+    /** Returns the subset of the machines that have stoppable tasks of the priority class. */
     List<Machine> withTasksOf(PriorityClass priorityClass, List<Machine> eligible) {
         List<Machine> withTasks = new ArrayList<>();
         for (Machine machine : eligible) {
@@ -100,7 +103,7 @@
         return withTasks;
     }
 
-    /** Returns how many tasks of the job will fit where others are being stopped already. */
+    /** Returns how many tasks of the job will fit into the resources of tasks that are already being stopped. */
     int fittingTasksAfterPendingStops(JobSpec spec) {
         int tasks = 0;
         for (Machine machine : machinesWithPendingStops) {
--- a/src/main/java/io/sillreel/placement/PreemptionGrounds.java
+++ b/src/main/java/io/sillreel/placement/PreemptionGrounds.java
@@ -4,11 +4,12 @@
 import io.sillreel.pipeline.PriorityClass;
 
 /**
- * On what grounds a waiting job may have running tasks of others stopped. Stopping costs work, so each ground counts
- * only once the job's objective is in danger, and only while it can still be met.
+ * The grounds on which a waiting job may preempt running tasks. Preemption loses work, so apart from high priority a
+ * ground applies only once the job's objective is at risk. A deadline that can no longer be met is no ground, and a
+ * missed guarantee is one only for tasks with checkpoints.
  */
 final class PreemptionGrounds {
-    /** Work without high priority preempts only if it would be late otherwise: with no more slack than this. */
+    /** Jobs without high priority preempt only if their deadline is at risk: with no more slack than this. */
     private static final long AT_RISK_SLACK_MICROS = 6_000_000;
 
     private final boolean hasHighPriority;
@@ -44,12 +45,18 @@
         return hasHighPriority;
     }
 
-    /** Returns true if the job may preempt what other teams run beyond their guarantees, if it has checkpoints. */
+    /**
+     * Returns true if the job may preempt tasks beyond other teams' guarantees; only those with checkpoints if the
+     * guarantee is missed.
+     */
     boolean isGuaranteeAtRisk() {
         return isGuaranteeAtRisk;
     }
 
-    /** Returns true if the guaranteed start is missed, so that work without checkpoints would be lost for nothing. */
+    /**
+     * Returns true if the guaranteed start time is missed, so that preempting tasks without checkpoints would lose work
+     * to no avail.
+     */
     boolean isGuaranteeMissed() {
         return isGuaranteeMissed;
     }
--- a/src/main/java/io/sillreel/placement/PriorityBand.java
+++ b/src/main/java/io/sillreel/placement/PriorityBand.java
@@ -3,11 +3,11 @@
 import io.sillreel.pipeline.PriorityClass;
 
 /**
- * Bands in which waiting jobs are served, the first one first; within a band, jobs are served in the order of their
- * admission. Each priority class has three bands, one for each {@link Timeliness}.
+ * Priority bands of waiting jobs, in the order in which they are served; within a band, jobs are served in admission
+ * order. Each priority class has one band for each {@link Timeliness}.
  */
 enum PriorityBand {
-    /** Jobs that have waited too long: they are served before all others. */
+    /** Jobs that have waited too long; served before all others to prevent starvation. */
     AGED,
     PRODUCTION_URGENT,
     PRODUCTION_ON_TIME,
@@ -22,21 +22,24 @@
     BEST_EFFORT_ON_TIME,
     BEST_EFFORT_LATE;
 
-    /** How a job stands to its deadline. */
+    /** The state of a job with respect to its deadline. */
     enum Timeliness {
         /** The job misses its deadline unless its tasks are started soon. */
         URGENT,
-        /** There is time left before the tasks have to be started. */
+        /** The tasks don't have to be started soon to meet the deadline. */
         ON_TIME,
         /** The deadline can't be met any more. */
         LATE;
 
-        /** Work that has to be started within this time, in microseconds, is urgent. */
+        /** Jobs with less slack than this are urgent. */
         static final long URGENT_SLACK_MICROS = 15_000_000;
 
         private static final int COUNT = values().length;
 
-        /** @param slackMicros time until the last task has to be started; negative if that time has passed */
+        /**
+         * @param slackMicros time until the last task has to be started to meet the deadline; negative if that time has
+         *     passed
+         */
         static Timeliness ofSlack(long slackMicros) {
             if (slackMicros < 0) {
                 return LATE;
--- a/src/main/java/io/sillreel/placement/PriorityInheritance.java
+++ b/src/main/java/io/sillreel/placement/PriorityInheritance.java
@@ -8,9 +8,9 @@
 import java.util.Deque;
 
 /**
- * Passes urgency along the dependency graph: a job takes the highest priority class of its dependents, and a deadline
- * that leaves them the time they are expected to take. Both follow as dependents are added and cancelled. Guarded by
- * the lock of the cluster.
+ * Propagates priority and deadlines along the dependency graph: a job inherits the highest priority class of its
+ * dependents and a deadline that leaves them their expected run time. Both are updated when dependents are added or
+ * cancelled. Guarded by the cluster lock.
  */
 public final class PriorityInheritance {
     private final DependencyGraph dependencies;
@@ -21,7 +21,7 @@
         this.runtimeEstimator = runtimeEstimator;
     }
 
-    /** Passes the urgency of a new job on to all jobs that it depends on, directly or not. */
+    /** Propagates the urgency of a new job to all its direct and transitive dependencies. */
     public void propagateUrgency(ActiveJob job) {
         Deque<ActiveJob> pending = new ArrayDeque<>();
         pending.add(job);
@@ -38,7 +38,10 @@
         }
     }
 
-    /** Computes anew the urgency of all jobs that cancelled jobs depended on: only the remaining dependents count. */
+    /**
+     * Recomputes the urgency of all direct and transitive dependencies of cancelled jobs from their remaining
+     * dependents.
+     */
     public void recomputeAfterCancellation(Collection<ActiveJob> cancelled) {
         Deque<ActiveJob> pending = new ArrayDeque<>();
         cancelled.forEach(job -> pending.addAll(dependencies.dependencies(job)));
@@ -50,7 +53,7 @@
         }
     }
 
-    /** Computes anew what the job inherits from its dependents; true if that has changed. */
+    /** Recomputes the urgency that the job inherits from its dependents; returns true if it has changed. */
     private boolean recomputeUrgency(ActiveJob job) {
         PriorityClass priorityBefore = job.effectivePriority();
         long deadlineBefore = job.inheritedDeadlineMicros();
@@ -63,7 +66,7 @@
         return priorityBefore != job.effectivePriority() || deadlineBefore != job.inheritedDeadlineMicros();
     }
 
-    /** Returns the time of day by which all dependencies have to be done so that the job ends in time. */
+    /** Returns the time of day by which all dependencies have to be done for the job to meet its deadline. */
     private long latestEndOfDependencies(ActiveJob job) {
         long deadline = job.effectiveDeadlineMicros();
         return deadline == Long.MAX_VALUE ? deadline : deadline - runtimeEstimator.makespanMicros(job);
--- a/src/main/java/io/sillreel/placement/QueueOrder.java
+++ b/src/main/java/io/sillreel/placement/QueueOrder.java
@@ -10,14 +10,14 @@
 import java.util.Set;
 
 /**
- * The order in which waiting jobs are served. The ordinary order is that of the compiled plans, pipelines that were
- * admitted earlier first (ADR 0006); priority classes, deadlines, guarantees and age are the exceptions, expressed as
- * {@link PriorityBand}s. Guarded by the lock of the cluster.
+ * The order in which waiting jobs are served. By default, the compiled plans of pipelines are served in admission order
+ * (ADR 0006); priority classes, deadlines, guarantees and age override it by way of {@link PriorityBand}s. Guarded by
+ * the cluster lock.
  */
 final class QueueOrder {
-    /** Work within a team's guarantee that has waited for longer is served before lower bands. */
+    /** Jobs within a team's guarantee are raised to the guaranteed band once they have waited for longer than this. */
     private static final long GUARANTEE_BOOST_WAIT_MICROS = 2_000_000;
-    /** Best-effort work that has to be started within this time is served together with late normal work. */
+    /** Best-effort jobs with less slack than this are served together with late jobs of normal priority. */
     private static final long BEST_EFFORT_URGENT_MICROS = 20_000_000;
     /** A job that has not started by this age is served before all others. */
     private static final long MAX_START_AGE_MICROS = 120_000_000;
@@ -26,8 +26,8 @@
     /** A job of this age is served before all others although it has started. */
     private static final long MAX_AGE_MICROS = 300_000_000;
     /**
-     * The band of work that its team's guarantee entitles to start. It comes after what high priority can still do in
-     * time: else each of the two would preempt the other's tasks in turn.
+     * The band of jobs that a team's guarantee entitles to start. It follows the bands of high-priority jobs that can
+     * still meet their deadlines: otherwise the two kinds of jobs would preempt each other's tasks in turn.
      */
     private static final PriorityBand GUARANTEED_BAND = PriorityBand.HIGH_LATE;
 
@@ -94,13 +94,14 @@
         return isUrgentBestEffort ? PriorityBand.NORMAL_LATE : band;
     }
 
-    /** Returns true if the job is served no later than work that its team's guarantee entitles to start. */
+    /** Returns true if the job is served no later than jobs in the guaranteed band. */
     static boolean isServedAsGuaranteed(QueuedJob queued) {
         return queued.priorityBand().isAtOrBefore(GUARANTEED_BAND);
     }
 
     /**
-     * Returns the index after the last of the at most {@code maxJobs} jobs that share the band of the job at the index.
+     * Returns the exclusive end index of the run of jobs that share the band of the job at {@code from}, limited to
+     * {@code maxJobs} jobs.
      */
     static int endOfBand(List<QueuedJob> queue, int from, int maxJobs) {
         PriorityBand band = queue.get(from).priorityBand();
--- a/src/main/java/io/sillreel/placement/QueuedJob.java
+++ b/src/main/java/io/sillreel/placement/QueuedJob.java
@@ -3,8 +3,8 @@
 import io.sillreel.pipeline.ActiveJob;
 
 /**
- * A waiting job in the queue of one plan, and how many of its tasks the plan has not placed yet. Guarded by the lock of
- * the cluster.
+ * A waiting job in the queue of one plan, with the number of tasks that the plan has not placed yet. Guarded by the
+ * cluster lock.
  */
 final class QueuedJob {
     private final ActiveJob job;
@@ -39,8 +39,8 @@
     }
 
     /**
-     * Returns true while tasks of the job have failed and none has succeeded: then one task at a time is tried, because
-     * the job may fail on every machine.
+     * Returns true while tasks of the job have failed and none has succeeded. Only one task at a time is launched then,
+     * because the job may fail on every machine.
      */
     boolean isProbing() {
         return !job.hasSucceededOnce() && !job.failedMachines().isEmpty();
--- a/src/main/java/io/sillreel/placement/ResourceAmounts.java
+++ b/src/main/java/io/sillreel/placement/ResourceAmounts.java
@@ -4,7 +4,7 @@
 import io.sillreel.cluster.PlacementConstraints;
 import io.sillreel.pipeline.JobSpec;
 
-/** A sum of processors, memory and accelerator cards; reusable, so that a loop over machines allocates nothing. */
+/** A sum of CPUs, memory and GPUs; mutable and reusable, so that a loop over machines allocates nothing. */
 final class ResourceAmounts {
     private double cpus;
     private double ramGb;
@@ -16,14 +16,14 @@
         gpus = 0;
     }
 
-    /** Replaces the amounts by what is free on the machine. */
+    /** Sets the amounts to the free resources of the machine. */
     void setToFree(Machine machine) {
         cpus = machine.freeCpus();
         ramGb = machine.freeRamGb();
         gpus = machine.freeGpus();
     }
 
-    /** Adds what one task of the job takes. */
+    /** Adds the resources of one task of the job. */
     void addTask(JobSpec spec) {
         cpus += spec.cpus();
         ramGb += spec.ramGb();
--- a/src/main/java/io/sillreel/placement/RuntimeEstimator.java
+++ b/src/main/java/io/sillreel/placement/RuntimeEstimator.java
@@ -7,33 +7,38 @@
 import java.util.Map;
 
 /**
- * Estimates run times: the user's estimate, corrected by what tasks of the same job class, and of the job itself, have
- * taken. The statistics of the classes are guarded by this object's lock; those of a job are guarded by the lock of the
- * cluster.
+ * Estimates run times: the user's estimate, corrected by the measured run times of tasks of the same job class and of
+ * the job itself. The statistics of job classes are guarded by this object's lock, those of a job by the cluster lock.
  */
 public final class RuntimeEstimator {
     /** Weight of a new measurement in the moving averages. */
     private static final double MEASUREMENT_WEIGHT = 0.1;
-    /** Bounds of a measured run time relative to the estimate: an outlier does not distort the average. */
+    /**
+     * Measured run times relative to the estimate are clamped to these bounds, so that outliers don't distort the
+     * average.
+     */
     private static final double MIN_RUNTIME_RATIO = 0.3;
 
     private static final double MAX_RUNTIME_RATIO = 4;
     private static final long MIN_RUNTIME_MICROS = 1_000_000;
-    /** Time that a task occupies its resources before and after it runs, until heartbeats have shown that. */
+    /** Time that a task occupies its resources before and after its run, due to the delay of heartbeats. */
     private static final long HEARTBEAT_OVERHEAD_MICROS = 1_500_000;
-    /** The share of each task in a fetch of the image: all tasks of the job on the machine use the same one. */
+    /** Share of one task in the image pull, which all tasks of the job on the machine have in common. */
     private static final double SHARED_PULL_MICROS_PER_GB = 1_000_000;
-    /** The first tasks of a job wait for the whole fetch of the image. */
+    /** Duration of a full image pull, which the first tasks of a job wait for. */
     private static final double FULL_PULL_MICROS_PER_GB = 3_000_000;
-    /** Time from the release of a job until its first tasks are launched and their ends are known. */
+    /**
+     * Scheduling latency of a job: time from its release to the launch of its first tasks, and from their end to its
+     * report.
+     */
     private static final long SCHEDULING_MICROS = 4_000_000;
-    /** The average of the class weighs as much as this number of measured tasks of the job. */
+    /** Weight of the class average, as an equivalent number of measured tasks of the job. */
     private static final int CLASS_WEIGHT_TASKS = 2;
-    /** Run time of a job's slowest task relative to the mean, until the class has shown another one. */
+    /** Default run time of a job's slowest task relative to the mean, for job classes without measurements. */
     private static final double DEFAULT_TAIL_RATIO = 1.2;
 
     private static final double MAX_TAIL_RATIO = 2;
-    /** A job of fewer tasks says nothing of the slowest task of others. */
+    /** Jobs with fewer tasks are too small a sample for the tail ratio and are estimated without it. */
     private static final int MIN_TASKS_FOR_TAIL = 5;
 
     /** Measured run time relative to the user's estimate, by job class. */
@@ -41,7 +46,7 @@
     /** Run time of the slowest task relative to the mean, by job class. */
     private final Map<String, Double> tailRatios = new HashMap<>();
 
-    /** Records that a task of the job has ended after it ran for the time. */
+    /** Records the run time of a task of the job that has ended. */
     public synchronized void recordRuntime(ActiveJob job, long runtimeMicros) {
         JobSpec spec = job.spec();
         job.runtimes().add(runtimeMicros);
@@ -62,12 +67,12 @@
         return average + MEASUREMENT_WEIGHT * (measured - average);
     }
 
-    /** Returns how long a task is expected to occupy its resources, with its share of the image fetch. */
+    /** Returns how long a task is expected to occupy its resources, including its share of the image pull. */
     public long occupancyMicros(JobSpec spec) {
         return expectedRuntimeMicros(spec) + overheadMicros(spec);
     }
 
-    /** As {@link #occupancyMicros(JobSpec)}, with what the job's own tasks have taken. */
+    /** As {@link #occupancyMicros(JobSpec)}, but also based on the measured run times of the job's own tasks. */
     public long occupancyMicros(ActiveJob job) {
         return expectedRuntimeMicros(job) + overheadMicros(job.spec());
     }
@@ -76,27 +81,29 @@
         return HEARTBEAT_OVERHEAD_MICROS + Math.round(spec.imageGb() * SHARED_PULL_MICROS_PER_GB);
     }
 
-    /** Returns the expected time from the end of the job's dependencies to its own. */
+    /** Returns the expected time from the completion of the job's dependencies to its own completion. */
     public long makespanMicros(ActiveJob job) {
         return slowestTaskMicros(job)
                 + SCHEDULING_MICROS
                 + Math.round(job.spec().imageGb() * FULL_PULL_MICROS_PER_GB);
     }
 
-    /** Returns how long a task is expected to run by its class, without the fetch of its image. */
+    /** Returns the expected run time of a task based on its job class, without the image pull. */
     public synchronized long expectedRuntimeMicros(JobSpec spec) {
         double ratio = runtimeRatios.getOrDefault(spec.jobClass(), 1.0);
         return Math.max(MIN_RUNTIME_MICROS, Math.round(spec.estimatedMicros() * ratio));
     }
 
-    /** Returns how long a task of the job is expected to run, by its class and by the job's tasks that have ended. */
+    /**
+     * Returns the expected run time of a task of the job, based on its class and on the job's tasks that have ended.
+     */
     public long expectedRuntimeMicros(ActiveJob job) {
         return (CLASS_WEIGHT_TASKS * expectedRuntimeMicros(job.spec())
                         + job.runtimes().totalMicros())
                 / (CLASS_WEIGHT_TASKS + job.runtimes().count());
     }
 
-    /** Returns how long the slowest of the job's tasks is expected to run: the job is not done before. */
+    /** Returns the expected run time of the job's slowest task, which determines when the job is done. */
     public synchronized long slowestTaskMicros(ActiveJob job) {
         double tail = job.spec().tasks() < MIN_TASKS_FOR_TAIL
                 ? 1
--- a/src/main/java/io/sillreel/placement/ScaleInPlanner.java
+++ b/src/main/java/io/sillreel/placement/ScaleInPlanner.java
@@ -6,9 +6,9 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Decides which machines are not needed any more. Guarded by the lock of the cluster. */
+/** Selects machines that are no longer needed. Guarded by the cluster lock. */
 final class ScaleInPlanner {
-    /** An on-demand machine is not given up although it has tasks before it has been up for this time. */
+    /** Minimum uptime of an on-demand machine before it may be selected although it has tasks. */
     private static final long MIN_ON_DEMAND_UP_MICROS = 30_000_000;
 
     private static final double EPSILON_CPUS = 0.01;
@@ -22,10 +22,11 @@
     }
 
     /**
-     * Returns machines that can be spared: idle ones, and on-demand ones even with tasks, the dearest first.
+     * Returns surplus machines, the most expensive per CPU first: idle machines, and on-demand machines even with
+     * tasks.
      *
-     * @param neededCpus processors that have to be kept
-     * @param idleMicros how long a machine has to be idle
+     * @param neededCpus number of CPUs to keep
+     * @param idleMicros minimum idle time of an idle machine
      */
     List<Machine> surplusMachines(double neededCpus, long idleMicros, long nowMicros, long wallMicros) {
         double inServiceCpus = 0;
@@ -59,7 +60,8 @@
     }
 
     /**
-     * Selects candidates as long as the rest is enough, for all work and for work that may use on-demand machines only.
+     * Selects candidates as long as the remaining machines suffice, both for all work and for work that requires
+     * on-demand machines.
      */
     private List<Machine> selectSurplus(List<Machine> candidates, double spareCpus, long wallMicros) {
         double onDemandOnlyCpus = arrivingDemand.onDemandOnlyCpus(wallMicros);
--- a/src/main/java/io/sillreel/placement/ScaleOutPlanner.java
+++ b/src/main/java/io/sillreel/placement/ScaleOutPlanner.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Decides which machines to provision. Guarded by the lock of the cluster. */
+/** Decides which machines to provision. Guarded by the cluster lock. */
 final class ScaleOutPlanner {
-    /** Fewer missing processors than this are not worth a machine. */
+    /** No machine is provisioned for fewer missing CPUs than this. */
     private static final double MIN_MISSING_CPUS = 0.5;
 
     private static final int MAX_PROPOSALS = 3;
@@ -22,7 +22,7 @@
     private final ArrivingDemand arrivingDemand;
     private final DeadlineWorkload workload;
     private final MachineOfferSelector offers;
-    /** Since when deadlines can't be met with the available machines; -1 while they can. */
+    /** Start of the current shortage, in which the available machines can't meet all deadlines; -1 if there is none. */
     private long shortageSinceMicros = -1;
 
     ScaleOutPlanner(
@@ -34,10 +34,10 @@
     }
 
     /**
-     * Returns the machines to provision now, at most a few requests.
+     * Returns the machines to provision now, as a small number of requests.
      *
-     * @param pendingCpus processors that have been requested and not answered yet
-     * @param pendingOnDemandCpus those of them that are of on-demand machines
+     * @param pendingCpus CPUs of requested machines that the cloud has not confirmed yet
+     * @param pendingOnDemandCpus the part of them on on-demand machines
      */
     List<ScaleOutProposal> propose(
             Collection<MachineType> types,
@@ -55,7 +55,8 @@
         urgent -= onDemand;
         double missing = Math.max(urgent, steady - onDemand);
         while (missing > MIN_MISSING_CPUS && proposals.size() < MAX_PROPOSALS) {
-            // On-demand machines cost a multiple: they are for work that would be late, not for the steady demand.
+            // On-demand machines cost several times as much as spot machines, so they are used for work that would be
+            // late, not for the steady demand.
             CapacityNeed need = new CapacityNeed(missing, null, urgent > MIN_MISSING_CPUS, true);
             Optional<ScaleOutProposal> proposal = offers.selectCheapest(types, need, proposals, nowMicros);
             if (proposal.isEmpty()) {
@@ -95,9 +96,9 @@
     }
 
     /**
-     * Returns the processors that deadlines call for. A burst is over before machines provisioned for it are up, so at
-     * first only deadlines count that they can still help to meet. A shortage that has lasted for longer than a boot is
-     * no burst: then everything that is late counts.
+     * Returns the missing CPUs to meet deadlines. A short burst is over before new machines are up, so at first only
+     * deadlines count that new machines can still help to meet. A shortage that has lasted longer than a boot is no
+     * burst: then all late work counts.
      */
     private double urgentCpus(double available, long bootMicros, long nowMicros, long wallMicros) {
         double missing = workload.missingCpus(available, bootMicros, false, wallMicros);
@@ -111,10 +112,10 @@
     }
 
     /**
-     * Proposes on-demand machines for work that may not run on spot machines. Other work hardly ever causes on-demand
-     * machines to be provisioned, so these tasks would wait for minutes beside an idle fleet of spot machines.
+     * Proposes on-demand machines for work that may not run on spot machines. Other work rarely causes on-demand
+     * machines to be provisioned, so without this such tasks would wait for minutes while spot machines are idle.
      *
-     * @return the processors that were added to the proposals
+     * @return the CPUs of the added proposal, or 0
      */
     private double proposeForOnDemandOnlyWork(
             Collection<MachineType> types,
@@ -155,7 +156,7 @@
         return cpusOf(proposal.get());
     }
 
-    /** Proposes a machine for the first waiting job that no available machine could ever take. */
+    /** Proposes a machine for the first waiting job that fits on no available machine, even an empty one. */
     private void proposeForUnplaceableJob(
             Collection<MachineType> types, long nowMicros, long wallMicros, List<ScaleOutProposal> proposals) {
         for (ActiveJob job : cluster.jobs()) {
--- a/src/main/java/io/sillreel/placement/ScaleOutProposal.java
+++ b/src/main/java/io/sillreel/placement/ScaleOutProposal.java
@@ -3,7 +3,7 @@
 import io.sillreel.cloud.MachineType;
 
 /**
- * Machines that are worth provisioning now.
+ * Machines of one offer that should be provisioned now.
  *
  * @param isSpot true for spot machines, false for on-demand machines
  * @param count the number of machines, at least 1
--- a/src/main/java/io/sillreel/placement/ServiceLevelObjectives.java
+++ b/src/main/java/io/sillreel/placement/ServiceLevelObjectives.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * When jobs should be complete: by their own deadlines, or by the service-level objectives of their job class. Times
- * are times of day in microseconds.
+ * Computes the deadlines of jobs from their own settings or from the service-level objectives of their job class. All
+ * points in time are times of day in microseconds.
  */
 public final class ServiceLevelObjectives {
     private static final String START_OF_GUARANTEED_WORK = "guarantee";
@@ -23,7 +23,7 @@
         this.runtimeEstimator = runtimeEstimator;
     }
 
-    /** Returns the time within which work that is within its team's guarantee has to start, in microseconds. */
+    /** Returns the time within which jobs covered by their team's guarantee have to start, in microseconds. */
     public long guaranteedStartMicros() {
         long shortest = Long.MAX_VALUE;
         for (Objective objective : objectives) {
@@ -34,7 +34,7 @@
         return shortest == Long.MAX_VALUE ? DEFAULT_GUARANTEED_START_MICROS : shortest;
     }
 
-    /** Returns the earliest deadline that the job can still meet, or else the last one it had. */
+    /** Returns the earliest deadline that the job can still meet, or else the latest of the missed ones. */
     public long deadlineMicros(ActiveJob job, long wallMicros) {
         return deadlineMicros(job, wallMicros, 0);
     }
@@ -62,14 +62,17 @@
         return earliestReachable < Long.MAX_VALUE ? earliestReachable : missedDeadlineMicros(job, latestDeadline);
     }
 
-    /** Returns the deadline of one objective; an objective for the start leaves the whole run time after it. */
+    /**
+     * Returns the deadline of one objective; an objective for the start is extended by the run time of the slowest
+     * task.
+     */
     private static long deadlineMicros(Objective objective, ActiveJob job, long slowestTaskMicros) {
         return job.readyWallMicros()
                 + objective.withinMicros()
                 + (objective.kind().equals(START) ? slowestTaskMicros : 0);
     }
 
-    /** @param latestDeadline the last deadline of the job's class, or -1 if the class has no objective */
+    /** @param latestDeadline latest deadline by the objectives of the job's class, or -1 if there are none */
     private static long missedDeadlineMicros(ActiveJob job, long latestDeadline) {
         if (latestDeadline >= 0) {
             return latestDeadline;
--- a/src/main/java/io/sillreel/placement/TaskAssignment.java
+++ b/src/main/java/io/sillreel/placement/TaskAssignment.java
@@ -2,5 +2,5 @@
 
 import io.sillreel.pipeline.ActiveJob;
 
-/** Tasks of one job that are to be launched on one machine; which ones is decided when the machine is told. */
+/** A number of tasks of one job to launch on one machine; the tasks are chosen when the launch commands are sent. */
 public record TaskAssignment(ActiveJob job, int count) {}
--- a/src/main/java/io/sillreel/placement/TeamGuarantees.java
+++ b/src/main/java/io/sillreel/placement/TeamGuarantees.java
@@ -14,12 +14,12 @@
 import java.util.Set;
 
 /**
- * The teams' guaranteed shares during one plan: which jobs are within them, and how much each team runs beyond its own.
- * Guarded by the lock of the cluster.
+ * The guaranteed resources of the teams during one plan: the jobs covered by them, and the CPUs that each team uses in
+ * excess of its guarantee. Guarded by the cluster lock.
  */
 final class TeamGuarantees {
     private final Cluster cluster;
-    /** Processors that each team runs beyond its guarantee, in thousandths; teams are added when first asked for. */
+    /** CPUs that each team uses in excess of its guarantee, in thousandths; entries are computed on first use. */
     private final Map<String, Long> excessMilliCpus = new HashMap<>();
 
     private final Set<ActiveJob> coveredJobs;
@@ -29,7 +29,9 @@
         this.coveredJobs = coveredJobs(cluster);
     }
 
-    /** Finds the jobs that fit into their team's guarantee together with the team's earlier unfinished jobs. */
+    /**
+     * Finds the jobs that fit into their team's guarantee together with the team's unfinished jobs admitted earlier.
+     */
     private static Set<ActiveJob> coveredJobs(Cluster cluster) {
         QuotaUsage claimed = new QuotaUsage();
         Set<ActiveJob> covered = new HashSet<>();
@@ -60,12 +62,12 @@
         return coveredJobs.contains(job);
     }
 
-    /** Returns true if the team still runs beyond its guarantee once it has one task of the job less. */
+    /** Returns true if the team uses at least its guarantee even without one of the job's tasks. */
     boolean isExcess(JobSpec spec) {
         return excessMilliCpus(spec.team()) >= QuotaUsage.toMilli(spec.cpus());
     }
 
-    /** Records that a task of the job will be stopped. */
+    /** Records that a task of the job will be preempted. */
     void recordPreempted(JobSpec spec) {
         excessMilliCpus.put(spec.team(), excessMilliCpus(spec.team()) - QuotaUsage.toMilli(spec.cpus()));
     }
--- a/src/test/java/io/sillreel/fleet/FleetRegistryTest.java
+++ b/src/test/java/io/sillreel/fleet/FleetRegistryTest.java
@@ -39,7 +39,7 @@
         registry.remove(registry.adopt(name, "c4", "a", true).orElseThrow());
     }
 
-    /** Guards against heartbeats that are delayed by minutes, and against names that accumulate during a long term. */
+    /** Guards against stale heartbeats that arrive minutes late, and against unbounded growth during a long term. */
     @Test
     void retainsReturnedMachineNamesForOneHour() {
         adoptAndRemove("host-000001");
--- a/src/test/java/io/sillreel/fleet/FleetThresholdsTest.java
+++ b/src/test/java/io/sillreel/fleet/FleetThresholdsTest.java
@@ -16,7 +16,10 @@
         assertThat(thresholds.maxUnresponsive(1_000)).isEqualTo(125);
     }
 
-    /** Guards large fleets: forty machines are not the last few, and a thousand cannot be replaced at once. */
+    /**
+     * Guards large fleets: 40 unreconciled machines exceed the limit of the short timeout, and 1000 can't be replaced
+     * at once.
+     */
     @Test
     void largeFleetThresholdsAreCappedByMaximumsAndCloudRate() {
         assertThat(thresholds.maxUnreconciled(8_000)).isEqualTo(500);
--- a/src/test/java/io/sillreel/limits/ProcessLimitsTest.java
+++ b/src/test/java/io/sillreel/limits/ProcessLimitsTest.java
@@ -21,7 +21,7 @@
         assertThat(large.maxInternalConnections()).isGreaterThan(20 * 10);
     }
 
-    /** Guards small processes: a page of the state service and a submission fit whatever the heap is. */
+    /** Guards small processes: a page of the state service and a submission fit regardless of the heap size. */
     @Test
     void smallestHeapFitsLargestProtocolMessages() {
         ProcessLimits smallest = new ProcessLimits(8 * MB, 40, 0);
--- a/src/test/java/io/sillreel/placement/PlacementIndexTest.java
+++ b/src/test/java/io/sillreel/placement/PlacementIndexTest.java
@@ -33,7 +33,7 @@
                 .put("mark_every_s", random.nextInt(2)));
     }
 
-    /** Places all tasks of a job that fit, and records where. */
+    /** Places as many tasks of a job as fit, and records the machines. */
     private static final class RecordingVisitor implements PlacementIndex.MachineVisitor {
         private final JobSpec spec;
         private final List<String> placements = new ArrayList<>();
@@ -70,7 +70,7 @@
                 : (long) (spec.imageGb() / capacity.machine().type().pullGbPerSecond()) / 2;
     }
 
-    /** The order that a sort of all machines gives, which the index has to keep. */
+    /** Reference implementation: places the job's tasks in the order of a sort of all machines. */
     private static List<String> placeInSortedOrder(List<FreeCapacity> capacities, JobSpec spec) {
         List<FreeCapacity> fitting = new ArrayList<>(capacities);
         fitting.removeIf(capacity ->
--- a/src/test/java/io/sillreel/placement/PlannerTest.java
+++ b/src/test/java/io/sillreel/placement/PlannerTest.java
@@ -100,7 +100,7 @@
         return planner.plan(nowMicros, nowMicros);
     }
 
-    /** Steps that it takes to fill a machine whose heartbeat shows free capacity, in a fleet that is otherwise full. */
+    /** Returns the steps to backfill a machine whose heartbeat reports free capacity, in an otherwise full fleet. */
     private long heartbeatSteps(int machines, int waitingJobs) {
         ActiveJob running = job("free", PriorityClass.NORMAL, 4 * machines, 1, 0, false);
         for (int i = 0; i < machines; i++) {
@@ -127,7 +127,7 @@
         assertThat(large).isLessThanOrEqualTo(small).isLessThanOrEqualTo(200);
     }
 
-    /** Steps of a plan for so many waiting jobs in a fleet that is idle, beside one look at each machine. */
+    /** Returns the steps to plan the waiting jobs in an idle fleet, without one step for each machine. */
     private long planSteps(int machines, int waitingJobs) {
         for (int i = 0; i < machines; i++) {
             machine(i, i % 3 > 0);
@@ -139,7 +139,7 @@
         return cluster.stepCount() - machines;
     }
 
-    /** Guards a leader of thousands: a look at every idle machine for every job was a plan of seconds. */
+    /** Guards large fleets: examining every idle machine for every job made a plan take seconds. */
     @Test
     void planCostDoesNotGrowWithMachinesTimesJobs() {
         long small = new PlannerTest().planSteps(1_000, 200);
@@ -158,12 +158,12 @@
         startTasks(withoutCheckpoints, two, 4);
         startTasks(withCheckpoints, three, 4);
         job("t", PriorityClass.BEST_EFFORT, 2, 1, 4 * SECOND, false);
-        assertThat(plan().preemptions()).as("the aim is not in danger yet").isEmpty();
+        assertThat(plan().preemptions()).as("the guarantee is not at risk yet").isEmpty();
         nowMicros += 2 * SECOND;
         assertThat(plan().preemptions()).hasSize(2).allMatch(allocation -> allocation.job() == withCheckpoints);
     }
 
-    /** Guards against two that stop each other's tasks in turn: whoever stops must come before whoever was stopped. */
+    /** Guards against jobs that preempt each other in turn: the preempting job must precede the preempted one. */
     @Test
     void preemptedJobDoesNotReclaimCapacity() {
         ActiveJob guaranteed = job("t", PriorityClass.BEST_EFFORT, 4, 1, 30 * SECOND, false);
@@ -178,7 +178,7 @@
         assertThat(plan().launches().get("host-000001")).containsExactly(new TaskAssignment(high, 4));
     }
 
-    /** Guards the other teams' guarantees: what is within them stays, however long somebody waits. */
+    /** Guards guarantees: tasks within a team's guarantee are not preempted, however long other teams wait. */
     @Test
     void doesNotPreemptTasksWithinGuaranteeForOtherTeam() {
         ActiveJob within = job("s", PriorityClass.NORMAL, 8, 1, 60 * SECOND, true);
@@ -188,7 +188,7 @@
         assertThat(plan().preemptions()).isEmpty();
     }
 
-    /** Guards a large task against small ones that take every processor as it comes free. */
+    /** Guards against the starvation of a large task by small ones that take every CPU as it becomes free. */
     @Test
     void reservesMachineForAgedLargeTask() {
         ActiveJob large = job("free", PriorityClass.BEST_EFFORT, 1, 4, 130 * SECOND, false);
@@ -225,7 +225,7 @@
     }
 
     /**
-     * Guards against long tasks on machines that may be taken, while work that saves its progress sits on the others.
+     * Guards against tasks without checkpoints on spot machines while tasks with checkpoints occupy on-demand machines.
      */
     @Test
     void placesCheckpointedTasksOnSpotMachinesAndOthersOnDemand() {
--- a/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
+++ b/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
@@ -121,7 +121,7 @@
         assertThat(first.effectiveDeadlineMicros()).isEqualTo(Long.MAX_VALUE);
     }
 
-    /** Guards the guarantee: a job with unmet dependencies takes no part of it, and leaves it to later jobs. */
+    /** Guards against a guarantee being used up by jobs with unmet dependencies while later jobs could start. */
     @Test
     void jobWithUnmetDependenciesUsesNoGuarantee() {
         ActiveJob first = addJob("job-000001", PriorityClass.NORMAL, -1);
@@ -134,8 +134,8 @@
     }
 
     /**
-     * Guards a successor: whatever the order in which it reads, links are those of the whole, and closed in their
-     * order.
+     * Guards a new leader: the dependency graph does not depend on the order in which stored plans are read, and
+     * cancellation follows the dependencies.
      */
     @Test
     void restoresDependencyGraphIndependentOfReadOrder() {
@@ -155,7 +155,7 @@
         assertThat(ready).hasSize(2);
     }
 
-    /** Guards a plan that is seen before that of a job it awaits, and one whose awaited job ended long ago. */
+    /** Guards plans that are read before the plan of a dependency, and plans whose dependency completed long ago. */
     @Test
     void acceptsDependenciesThatArriveLaterOrCompletedEarlier() {
         addJob("job-000002", PriorityClass.NORMAL, -1, "job-000001", "job-000007");
--- a/src/test/java/io/sillreel/placement/ShortageTest.java
+++ b/src/test/java/io/sillreel/placement/ShortageTest.java
@@ -11,7 +11,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** A long shortage: twice as much work as the cloud has machines for. */
+/** A long capacity shortage: twice as much work as the cloud has machines for. */
 class ShortageTest {
     private static final int STEPS = 120;
     private static final double STEP_SECONDS = 2.5;
@@ -27,7 +27,7 @@
         ObjectNode job = switch (random.nextInt(4)) {
             case 0 -> SimCluster.job(uid, 20).put("rank", "high").put("lot", "urgent");
             case 1, 2 -> SimCluster.job(uid, 60).put("lot", "usual");
-            // A whole machine for each task, while small tasks wait for every processor that comes free.
+            // Each task needs a whole machine, while small tasks wait for every CPU that becomes free.
             default ->
                 SimCluster.job(uid, 8)
                         .put("rank", "best_effort")
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Guards low ranks and large tasks against waiting for as long as anything else comes. */
+    /** Guards against the starvation of low-priority jobs and large tasks while other jobs keep arriving. */
     @Test
     void startsEveryJobWithinFourMinutesAndCompletesHalfOfEachClass() {
         cluster.seconds(2);
