--- a/src/main/java/io/sillreel/fleet/FleetManager.java
+++ b/src/main/java/io/sillreel/fleet/FleetManager.java
@@ -104,7 +104,7 @@
     public void runCycle() {
         long nowMicros = eventLoop.nowMicros();
         synchronized (cluster) {
-            scaleInPolicy.drainSurplus(nowMicros);
+            scaleInPolicy.drainOrReturnMachines(nowMicros);
             storeMachinesDown();
         }
         cloudListReconciler.listIfDue(nowMicros);
--- a/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
+++ b/src/main/java/io/sillreel/fleet/ScaleInPolicy.java
@@ -58,7 +58,7 @@
     }
 
     /** Drains or returns machines that are idle, faulty, lost or interrupted. Called about once a second. */
-    void drainSurplus(long nowMicros) {
+    void drainOrReturnMachines(long nowMicros) {
         for (Machine machine : cluster.machines()) {
             if (machine.state() == Machine.State.PROVISIONING) {
                 drainIfNeverUp(machine, nowMicros);
--- a/src/main/java/io/sillreel/heartbeat/CommandWriter.java
+++ b/src/main/java/io/sillreel/heartbeat/CommandWriter.java
@@ -84,7 +84,7 @@
             addLaunches(machine, planned, heartbeat, commands, now);
         }
         if (machine.freeCpus() > 0) {
-            List<TaskAssignment> additional = planner.planMachine(plan, machine, now, eventLoop.wallMicros());
+            List<TaskAssignment> additional = planner.backfillMachine(plan, machine, now, eventLoop.wallMicros());
             if (!additional.isEmpty()) {
                 addLaunches(machine, additional, heartbeat, commands, now);
             }
--- a/src/main/java/io/sillreel/placement/MachineFill.java
+++ b/src/main/java/io/sillreel/placement/MachineBackfill.java
@@ -13,7 +13,7 @@
  * Backfills one machine with tasks that the last plan had no capacity for, in queue order. Each instance is used once.
  * Guarded by the cluster lock.
  */
-final class MachineFill {
+final class MachineBackfill {
     /** Limits the cost of processing one heartbeat. */
     private static final int MAX_EXAMINED_JOBS = 64;
 
@@ -33,7 +33,7 @@
 
     private int examinedJobs;
 
-    MachineFill(Cluster cluster, PlacementPlan plan, Machine machine, long wallMicros) {
+    MachineBackfill(Cluster cluster, PlacementPlan plan, Machine machine, long wallMicros) {
         this.cluster = cluster;
         this.plan = plan;
         this.machine = machine;
@@ -42,7 +42,7 @@
         this.reservedFor = plan.reservations().get(machine.name());
     }
 
-    List<TaskAssignment> fill() {
+    List<TaskAssignment> backfill() {
         List<QueuedJob> unplaced = plan.unplaced();
         int from = 0;
         while (from < unplaced.size() && examinedJobs < MAX_EXAMINED_JOBS && capacity.cpus() > MIN_FREE_CPUS) {
--- a/src/main/java/io/sillreel/placement/PlacementIndex.java
+++ b/src/main/java/io/sillreel/placement/PlacementIndex.java
@@ -15,7 +15,7 @@
  * machines would give.
  */
 final class PlacementIndex {
-    private static final double EPSILON = 1e-6;
+    private static final double EPSILON_CPUS = 1e-6;
     /** Image pulls whose durations fall into the same interval of this length count as equally long. */
     private static final long IMAGE_PULL_GRANULARITY_MICROS = 2_000_000;
 
@@ -44,7 +44,7 @@
     }
 
     void add(FreeCapacity capacity) {
-        if (capacity.cpus() >= smallestTaskCpus - EPSILON) {
+        if (capacity.cpus() >= smallestTaskCpus - EPSILON_CPUS) {
             CapacityProfile profile = CapacityProfile.of(capacity);
             groups.computeIfAbsent(
                             profile,
--- a/src/main/java/io/sillreel/placement/Planner.java
+++ b/src/main/java/io/sillreel/placement/Planner.java
@@ -112,10 +112,10 @@
      * Returns tasks that the plan had no capacity for and that fit on the machine now, in queue order. They no longer
      * count as unplaced in the plan.
      */
-    public List<TaskAssignment> planMachine(PlacementPlan plan, Machine machine, long nowMicros, long wallMicros) {
+    public List<TaskAssignment> backfillMachine(PlacementPlan plan, Machine machine, long nowMicros, long wallMicros) {
         if (plan.unplaced().isEmpty() || !eligibility.isSchedulable(machine, nowMicros)) {
             return List.of();
         }
-        return new MachineFill(cluster, plan, machine, wallMicros).fill();
+        return new MachineBackfill(cluster, plan, machine, wallMicros).backfill();
     }
 }
--- a/src/main/java/io/sillreel/placement/Preemption.java
+++ b/src/main/java/io/sillreel/placement/Preemption.java
@@ -50,7 +50,7 @@
      */
     boolean preemptFor(QueuedJob queued, int unplacedTasks, long wallMicros) {
         PreemptionGrounds grounds = new PreemptionGrounds(queued, guarantees, objectives, wallMicros);
-        if (!grounds.exist()) {
+        if (!grounds.mayPreempt()) {
             return false;
         }
         if (candidates == null) {
@@ -62,7 +62,7 @@
             return true;
         }
         List<Machine> machines = candidates.eligibleMachines(job.spec());
-        if (grounds.allowLowerPriority()) {
+        if (grounds.mayPreemptLowerPriority()) {
             neededTasks -= preemptLowerPriority(job, grounds.hasHighPriority(), neededTasks, machines);
         }
         if (grounds.isGuaranteeAtRisk() && neededTasks > 0) {
--- a/src/main/java/io/sillreel/placement/PreemptionGrounds.java
+++ b/src/main/java/io/sillreel/placement/PreemptionGrounds.java
@@ -31,12 +31,12 @@
         isGuaranteeMissed = waitedMicros > objectives.guaranteedStartMicros();
     }
 
-    boolean exist() {
+    boolean mayPreempt() {
         return hasHighPriority || isDeadlineAtRisk || isGuaranteeAtRisk;
     }
 
     /** Returns true if the job may preempt work of lower priority classes. */
-    boolean allowLowerPriority() {
+    boolean mayPreemptLowerPriority() {
         return hasHighPriority || isDeadlineAtRisk;
     }
 
--- a/src/main/java/io/sillreel/placement/PriorityBand.java
+++ b/src/main/java/io/sillreel/placement/PriorityBand.java
@@ -60,7 +60,7 @@
     }
 
     /** Returns the one of the two bands that is served first. */
-    PriorityBand orBefore(PriorityBand other) {
+    PriorityBand earlierOf(PriorityBand other) {
         return isAtOrBefore(other) ? this : other;
     }
 }
--- a/src/main/java/io/sillreel/placement/QueueOrder.java
+++ b/src/main/java/io/sillreel/placement/QueueOrder.java
@@ -83,10 +83,10 @@
         if (isGuaranteed
                 && ageMicros > GUARANTEE_BOOST_WAIT_MICROS
                 && (hasNotStarted(job) || ageMicros < 2 * objectives.guaranteedStartMicros())) {
-            return band.orBefore(GUARANTEED_BAND);
+            return band.earlierOf(GUARANTEED_BAND);
         }
         if (ageMicros > PRIORITY_BOOST_AGE_MICROS) {
-            return band.orBefore(PriorityBand.NORMAL_URGENT);
+            return band.earlierOf(PriorityBand.NORMAL_URGENT);
         }
         boolean isUrgentBestEffort = priorityClass == PriorityClass.BEST_EFFORT
                 && slackMicros >= 0
--- a/src/main/java/io/sillreel/placement/ServiceLevelObjectives.java
+++ b/src/main/java/io/sillreel/placement/ServiceLevelObjectives.java
@@ -10,8 +10,8 @@
  * points in time are times of day in microseconds.
  */
 public final class ServiceLevelObjectives {
-    private static final String START_OF_GUARANTEED_WORK = "guarantee";
-    private static final String START = "wait";
+    private static final String KIND_GUARANTEED_START = "guarantee";
+    private static final String KIND_START = "wait";
     private static final long DEFAULT_COMPLETION_MICROS = 300_000_000;
     private static final long DEFAULT_GUARANTEED_START_MICROS = 10_000_000;
 
@@ -27,7 +27,7 @@
     public long guaranteedStartMicros() {
         long shortest = Long.MAX_VALUE;
         for (Objective objective : objectives) {
-            if (objective.kind().equals(START_OF_GUARANTEED_WORK) && objective.withinMicros() > 0) {
+            if (objective.kind().equals(KIND_GUARANTEED_START) && objective.withinMicros() > 0) {
                 shortest = Math.min(shortest, objective.withinMicros());
             }
         }
@@ -69,7 +69,7 @@
     private static long deadlineMicros(Objective objective, ActiveJob job, long slowestTaskMicros) {
         return job.readyWallMicros()
                 + objective.withinMicros()
-                + (objective.kind().equals(START) ? slowestTaskMicros : 0);
+                + (objective.kind().equals(KIND_START) ? slowestTaskMicros : 0);
     }
 
     /** @param latestDeadline latest deadline by the objectives of the job's class, or -1 if there are none */
--- a/src/test/java/io/sillreel/placement/PlannerTest.java
+++ b/src/test/java/io/sillreel/placement/PlannerTest.java
@@ -115,7 +115,7 @@
         ended.updateStage(TaskStage.ENDED, nowMicros);
         ended.release();
         long before = cluster.stepCount();
-        assertThat(planner.planMachine(plan, machine, nowMicros, nowMicros)).hasSize(1);
+        assertThat(planner.backfillMachine(plan, machine, nowMicros, nowMicros)).hasSize(1);
         return cluster.stepCount() - before;
     }
 
@@ -199,13 +199,14 @@
         Allocation ended = one.allocations().iterator().next();
         ended.updateStage(TaskStage.ENDED, nowMicros);
         ended.release();
-        assertThat(planner.planMachine(plan, one, nowMicros, nowMicros)).isEmpty();
+        assertThat(planner.backfillMachine(plan, one, nowMicros, nowMicros)).isEmpty();
         assertThat(plan().launches()).isEmpty();
         List.copyOf(one.allocations()).forEach(allocation -> {
             allocation.updateStage(TaskStage.ENDED, nowMicros);
             allocation.release();
         });
-        assertThat(planner.planMachine(plan, one, nowMicros, nowMicros)).containsExactly(new TaskAssignment(large, 1));
+        assertThat(planner.backfillMachine(plan, one, nowMicros, nowMicros))
+                .containsExactly(new TaskAssignment(large, 1));
     }
 
     @Test
