--- a/src/main/java/io/sillreel/placement/CapacityPlanner.java
+++ b/src/main/java/io/sillreel/placement/CapacityPlanner.java
@@ -63,7 +63,7 @@
      * Returns the machines to provision now, as a small number of requests.
      *
      * @param pendingCpus CPUs of requested machines that the cloud has not confirmed yet
-     * @param pendingOnDemandCpus the part of them on on-demand machines
+     * @param pendingOnDemandCpus the portion of {@code pendingCpus} that is on-demand
      * @param nowMicros monotonic time of the event loop
      * @param wallMicros the time of day
      */
--- a/src/main/java/io/sillreel/placement/MachineOfferSelector.java
+++ b/src/main/java/io/sillreel/placement/MachineOfferSelector.java
@@ -118,7 +118,7 @@
         return false;
     }
 
-    /** Returns the price per useful processor, weighted by the concentration of the spot machines. */
+    /** Returns the price per usable CPU, weighted by the concentration of the spot machines. */
     private double cost(MachineType type, String zone, boolean isSpot, double missingCpus) {
         return type.priceOf(isSpot)
                 / Math.min(type.cpus(), missingCpus)
--- a/src/main/java/io/sillreel/placement/PlacementIndex.java
+++ b/src/main/java/io/sillreel/placement/PlacementIndex.java
@@ -38,7 +38,7 @@
     private final Map<CapacityProfile, MachineGroup> groups = new LinkedHashMap<>();
     private long steps;
 
-    /** @param smallestTaskCpus CPUs of the smallest waiting task; machines with less free CPUs are left out */
+    /** @param smallestTaskCpus CPUs of the smallest waiting task; machines with fewer free CPUs are left out */
     PlacementIndex(double smallestTaskCpus) {
         this.smallestTaskCpus = smallestTaskCpus;
     }
--- a/src/main/java/io/sillreel/placement/ScaleOutPlanner.java
+++ b/src/main/java/io/sillreel/placement/ScaleOutPlanner.java
@@ -37,7 +37,7 @@
      * Returns the machines to provision now, as a small number of requests.
      *
      * @param pendingCpus CPUs of requested machines that the cloud has not confirmed yet
-     * @param pendingOnDemandCpus the part of them on on-demand machines
+     * @param pendingOnDemandCpus the portion of {@code pendingCpus} that is on-demand
      */
     List<ScaleOutProposal> propose(
             Collection<MachineType> types,
