--- a/src/main/java/io/sillreel/fleet/ScaleOut.java
+++ b/src/main/java/io/sillreel/fleet/ScaleOut.java
@@ -16,19 +16,19 @@
 
 /**
  * Requests machines from the cloud. Each request is stored under its name before it is sent, and is retried under the
- * same name until its outcome is known, so that it is idempotent. Used by the event loop alone; state that is shared
- * with heartbeat processing is accessed under the lock of the cluster.
+ * same name until its outcome is known, so that it is idempotent. Runs on the event loop; state shared with heartbeat
+ * processing is accessed under the cluster lock.
  */
 final class ScaleOut {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
-    /** How long machines that the cloud lacks are not requested again. */
-    private static final long UNAVAILABLE_MICROS = 20_000_000;
-    /** The pause between the end of an exchange of unknown outcome and its retry. */
-    private static final long RETRY_MICROS = 2_000_000;
-    /** The most requests that may wait for an answer of the cloud. */
-    private static final int MAX_OPEN_REQUESTS = 6;
+    /** Time during which machines that the cloud had no capacity for are not requested again. */
+    private static final long NO_CAPACITY_BACKOFF_MICROS = 20_000_000;
+    /** Delay between the end of a request of unknown outcome and its retry. */
+    private static final long RETRY_DELAY_MICROS = 2_000_000;
+    /** Maximum number of requests that are stored or sent and not answered yet. */
+    private static final int MAX_PENDING_REQUESTS = 6;
 
-    private static final long FULL_WARNING_INTERVAL_MICROS = 60_000_000;
+    private static final long FLEET_LIMIT_WARNING_INTERVAL_MICROS = 60_000_000;
 
     private final EventLoop eventLoop;
     private final Cluster cluster;
@@ -38,7 +38,7 @@
     private final CapacityPlanner capacityPlanner;
     private final FleetConfiguration configuration;
     private final FleetCallbacks callbacks;
-    private long lastFullWarningMicros = Long.MIN_VALUE / 2;
+    private long lastFleetLimitWarningMicros = Long.MIN_VALUE / 2;
 
     ScaleOut(
             EventLoop eventLoop,
@@ -59,9 +59,9 @@
         this.callbacks = callbacks;
     }
 
-    /** Stores and sends requests for what the capacity planner proposes, unless as urgent writes wait. */
-    void requestMachines(long now) {
-        // A request has to be stored before it is sent, so nothing is gained while the write queue is behind.
+    /** Stores and sends requests for what the capacity planner proposes, unless too many urgent writes are queued. */
+    void requestMachines(long nowMicros) {
+        // A request has to be stored before it is sent, so new ones would only add to a backlog of the write queue.
         if (!callbacks.mayAct()
                 || writeQueue.urgentCount() > configuration.settings().state().maxTransactionChanges()) {
             return;
@@ -69,13 +69,17 @@
         List<ScaleOutProposal> proposals;
         int headroom;
         synchronized (cluster) {
-            OpenRequests open = openRequests();
-            if (open.count() >= MAX_OPEN_REQUESTS) {
+            PendingRequests pending = pendingRequests();
+            if (pending.count() >= MAX_PENDING_REQUESTS) {
                 return;
             }
             proposals = capacityPlanner.scaleOutProposals(
-                    configuration.allMachineTypes(), open.cpus(), open.ordinaryCpus(), now, eventLoop.wallMicros());
-            headroom = proposals.isEmpty() ? 0 : machineHeadroom(open, now);
+                    configuration.allMachineTypes(),
+                    pending.cpus(),
+                    pending.onDemandCpus(),
+                    nowMicros,
+                    eventLoop.wallMicros());
+            headroom = proposals.isEmpty() ? 0 : machineHeadroom(pending, nowMicros);
         }
         for (ScaleOutProposal proposal : proposals) {
             int count = Math.min(headroom, Math.min(proposal.count(), registry.maxMachinesPerRequest()));
@@ -95,16 +99,16 @@
     }
 
     /**
-     * The requests that the cloud has not answered yet: their number, machines and CPUs, and those CPUs that are not
-     * spot.
+     * Totals of the requests that the cloud has not answered yet: requests, machines, CPUs, and the CPUs of on-demand
+     * machines.
      */
-    private record OpenRequests(int count, int machines, long cpus, long ordinaryCpus) {}
+    private record PendingRequests(int count, int machines, long cpus, long onDemandCpus) {}
 
-    private OpenRequests openRequests() {
+    private PendingRequests pendingRequests() {
         int count = 0;
         int machines = 0;
         long cpus = 0;
-        long ordinaryCpus = 0;
+        long onDemandCpus = 0;
         for (ScaleOutRequest request : registry.scaleOutRequests()) {
             if (!request.isAnswered()) {
                 MachineType type = configuration.machineType(request.machineType());
@@ -112,14 +116,14 @@
                 count++;
                 machines += request.machineCount();
                 cpus += requestedCpus;
-                ordinaryCpus += request.isSpot() ? 0 : requestedCpus;
+                onDemandCpus += request.isSpot() ? 0 : requestedCpus;
             }
         }
-        return new OpenRequests(count, machines, cpus, ordinaryCpus);
+        return new PendingRequests(count, machines, cpus, onDemandCpus);
     }
 
     /** Returns how many more machines the controllers support. Logs a warning once a minute while there are none. */
-    private int machineHeadroom(OpenRequests open, long now) {
+    private int machineHeadroom(PendingRequests pending, long nowMicros) {
         int machines = cluster.machines().size();
         long tasks = 0;
         for (Machine machine : cluster.machines()) {
@@ -128,24 +132,24 @@
         FleetCapacity fleetCapacity = configuration.fleetCapacity();
         double tasksPerMachine =
                 Math.max(FleetCapacity.DEFAULT_TASKS_PER_MACHINE, (double) tasks / Math.max(1, machines));
-        int headroom = fleetCapacity.maxMachines(tasksPerMachine) - machines - open.machines();
-        if (headroom <= 0 && now - lastFullWarningMicros > FULL_WARNING_INTERVAL_MICROS) {
-            lastFullWarningMicros = now;
+        int headroom = fleetCapacity.maxMachines(tasksPerMachine) - machines - pending.machines();
+        if (headroom <= 0 && nowMicros - lastFleetLimitWarningMicros > FLEET_LIMIT_WARNING_INTERVAL_MICROS) {
+            lastFleetLimitWarningMicros = nowMicros;
             LOG.warn(
                     "scale-out is suspended: {} machines exist or are requested, and the controllers support {}",
-                    machines + open.machines(),
+                    machines + pending.machines(),
                     fleetCapacity.describe(tasksPerMachine));
         }
         return headroom;
     }
 
-    /** Retries the requests whose outcome is unknown, and inherited ones that were not answered. */
-    void retryUnanswered(long now) {
+    /** Retries requests whose outcome is unknown, and inherited requests without an answer. */
+    void retryUnanswered(long nowMicros) {
         for (ScaleOutRequest request : List.copyOf(registry.scaleOutRequests())) {
             if (!request.isAnswered()
                     && !request.isDiscarded()
                     && request.revision() > 0
-                    && now - request.lastSentMicros() > RETRY_MICROS + CloudClient.TIMEOUT_MICROS) {
+                    && nowMicros - request.lastSentMicros() > RETRY_DELAY_MICROS + CloudClient.TIMEOUT_MICROS) {
                 sendRequest(request);
             }
         }
@@ -166,25 +170,25 @@
     }
 
     private void handleResult(ScaleOutRequest request, CloudClient.ProvisioningResult result) {
-        long now = eventLoop.nowMicros();
+        long nowMicros = eventLoop.nowMicros();
         if (request.isAnswered() || request.isDiscarded()) {
-            // The request was retried, and both exchanges were answered. The first answer counts; its machines may have
-            // tasks.
+            // The request was retried and both attempts were answered. The first answer counts, since its machines may
+            // already run tasks.
             return;
         }
         switch (result.outcome()) {
-            case OK -> addProvidedMachines(request, result.machines(), now);
-            case NO_CAPACITY -> abandon(request, now + UNAVAILABLE_MICROS);
-            case REFUSED -> handleRefusal(request, now);
+            case OK -> addProvidedMachines(request, result.machines(), nowMicros);
+            case NO_CAPACITY -> abandon(request, nowMicros + NO_CAPACITY_BACKOFF_MICROS);
+            case REFUSED -> handleRefusal(request, nowMicros);
             default -> {
-                LOG.info("scale-out request {} has no known outcome, retrying it under the same name", request.name());
+                LOG.info("outcome of scale-out request {} is unknown, retrying it under the same name", request.name());
                 request.markPossiblyExecuted();
-                retryWithoutTimeout(request, now);
+                retryWithoutTimeout(request, nowMicros);
             }
         }
     }
 
-    private void addProvidedMachines(ScaleOutRequest request, List<String> providedNames, long now) {
+    private void addProvidedMachines(ScaleOutRequest request, List<String> providedNames, long nowMicros) {
         LOG.info(
                 "scaled out by {} of {} machines of type {} in zone {}{} with scale-out request {}",
                 providedNames.size(),
@@ -197,9 +201,9 @@
                 .filter(name -> cluster.machine(name) == null && !registry.wasReturned(name))
                 .toList();
         request.recordAnswer(newNames);
-        newNames.forEach(name -> registry.addMachine(name, request, now));
+        newNames.forEach(name -> registry.addMachine(name, request, nowMicros));
         if (providedNames.size() < request.machineCount()) {
-            markUnavailable(request, now + UNAVAILABLE_MICROS);
+            markUnavailable(request, nowMicros + NO_CAPACITY_BACKOFF_MICROS);
         }
         if (newNames.isEmpty()) {
             registry.discard(request);
@@ -207,16 +211,17 @@
         writeQueue.enqueue(request);
     }
 
-    private void handleRefusal(ScaleOutRequest request, long now) {
+    private void handleRefusal(ScaleOutRequest request, long nowMicros) {
         if (request.mayHaveExecuted()) {
-            retryWithoutTimeout(request, now);
+            retryWithoutTimeout(request, nowMicros);
         } else {
-            // Certainly not executed; the capacity planner proposes it anew once the cloud answers again.
-            abandon(request, now + RETRY_MICROS);
+            // The request was certainly not executed; the capacity planner proposes the machines again after the
+            // back-off.
+            abandon(request, nowMicros + RETRY_DELAY_MICROS);
         }
     }
 
-    /** Discards a request that provides nothing; such machines are not requested again before the given time. */
+    /** Discards a request that provides no machines; its offer is not requested again before the given time. */
     private void abandon(ScaleOutRequest request, long unavailableUntilMicros) {
         markUnavailable(request, unavailableUntilMicros);
         registry.discard(request);
@@ -227,8 +232,8 @@
         capacityPlanner.markUnavailable(request.machineType(), request.zone(), request.isSpot(), untilMicros);
     }
 
-    /** Schedules a retry without the time-out of the exchange, which has ended. */
-    private static void retryWithoutTimeout(ScaleOutRequest request, long now) {
-        request.recordSent(now - CloudClient.TIMEOUT_MICROS);
+    /** Schedules a retry after the retry delay alone: the request has ended, so its time-out need not elapse. */
+    private static void retryWithoutTimeout(ScaleOutRequest request, long nowMicros) {
+        request.recordSent(nowMicros - CloudClient.TIMEOUT_MICROS);
     }
 }
