--- a/src/main/java/io/sillreel/placement/MachineGroup.java
+++ b/src/main/java/io/sillreel/placement/MachineGroup.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * Machines of one capacity profile by name, and for each image that has been asked for those that have it. The lists by
- * image are built when first asked for and kept current afterwards.
+ * Machines with the same capacity profile, ordered by name, with an index by image. The index of an image is built on
+ * first use and maintained afterwards.
  */
 final class MachineGroup {
     private final CapacityProfile profile;
@@ -41,10 +41,10 @@
 
     /** Returns the machines that have the image in the order of their names; not to be modified. */
     SortedMap<String, FreeCapacity> machinesWithImage(Image image) {
-        return machinesByImage.computeIfAbsent(image, asked -> {
+        return machinesByImage.computeIfAbsent(image, missing -> {
             SortedMap<String, FreeCapacity> withImage = new TreeMap<>();
             for (FreeCapacity capacity : machines.values()) {
-                addIfHasImage(asked, withImage, capacity);
+                addIfHasImage(missing, withImage, capacity);
             }
             return withImage;
         });
--- a/src/main/java/io/sillreel/placement/ServiceLevelObjectives.java
+++ b/src/main/java/io/sillreel/placement/ServiceLevelObjectives.java
@@ -6,12 +6,12 @@
 import java.util.List;
 
 /**
- * When jobs should be complete: by their own deadlines, or by the service-level objectives of their job class. Times
- * are times of day in microseconds.
+ * Computes the deadlines of jobs from their own settings or from the service-level objectives of their job class. All
+ * points in time are times of day in microseconds.
  */
 public final class ServiceLevelObjectives {
-    private static final String START_OF_GUARANTEED_WORK = "guarantee";
-    private static final String START = "wait";
+    private static final String KIND_GUARANTEED_START = "guarantee";
+    private static final String KIND_START = "wait";
     private static final long DEFAULT_COMPLETION_MICROS = 300_000_000;
     private static final long DEFAULT_GUARANTEED_START_MICROS = 10_000_000;
 
@@ -23,18 +23,18 @@
         this.runtimeEstimator = runtimeEstimator;
     }
 
-    /** Returns the time within which work that is within its team's guarantee has to start, in microseconds. */
+    /** Returns the time within which jobs covered by their team's guarantee have to start, in microseconds. */
     public long guaranteedStartMicros() {
         long shortest = Long.MAX_VALUE;
         for (Objective objective : objectives) {
-            if (objective.kind().equals(START_OF_GUARANTEED_WORK) && objective.withinMicros() > 0) {
+            if (objective.kind().equals(KIND_GUARANTEED_START) && objective.withinMicros() > 0) {
                 shortest = Math.min(shortest, objective.withinMicros());
             }
         }
         return shortest == Long.MAX_VALUE ? DEFAULT_GUARANTEED_START_MICROS : shortest;
     }
 
-    /** Returns the earliest deadline that the job can still meet, or else the last one it had. */
+    /** Returns the earliest deadline that the job can still meet, or else the latest of the missed ones. */
     public long deadlineMicros(ActiveJob job, long wallMicros) {
         return deadlineMicros(job, wallMicros, 0);
     }
@@ -44,35 +44,38 @@
         long slowestTaskMicros = runtimeEstimator.slowestTaskMicros(job);
         long earliestEnd = wallMicros + delayMicros + slowestTaskMicros;
         long inherited = job.inheritedDeadlineMicros();
-        long reachable = inherited >= earliestEnd ? inherited : Long.MAX_VALUE;
+        long earliestReachable = inherited >= earliestEnd ? inherited : Long.MAX_VALUE;
         JobSpec spec = job.spec();
         if (spec.deadlineMicros() >= 0) {
-            return Math.min(job.admittedWallMicros() + spec.deadlineMicros(), reachable);
+            return Math.min(job.admittedWallMicros() + spec.deadlineMicros(), earliestReachable);
         }
-        long last = -1;
+        long latestDeadline = -1;
         for (Objective objective : objectives) {
             if (objective.jobClass().equals(spec.jobClass()) && objective.withinMicros() > 0) {
                 long deadline = deadlineMicros(objective, job, slowestTaskMicros);
-                last = Math.max(last, deadline);
+                latestDeadline = Math.max(latestDeadline, deadline);
                 if (deadline >= earliestEnd) {
-                    reachable = Math.min(reachable, deadline);
+                    earliestReachable = Math.min(earliestReachable, deadline);
                 }
             }
         }
-        return reachable < Long.MAX_VALUE ? reachable : missedDeadlineMicros(job, last);
+        return earliestReachable < Long.MAX_VALUE ? earliestReachable : missedDeadlineMicros(job, latestDeadline);
     }
 
-    /** Returns the deadline of one objective; an objective for the start leaves the whole run time after it. */
+    /**
+     * Returns the deadline of one objective; an objective for the start is extended by the run time of the slowest
+     * task.
+     */
     private static long deadlineMicros(Objective objective, ActiveJob job, long slowestTaskMicros) {
         return job.readyWallMicros()
                 + objective.withinMicros()
-                + (objective.kind().equals(START) ? slowestTaskMicros : 0);
+                + (objective.kind().equals(KIND_START) ? slowestTaskMicros : 0);
     }
 
-    /** @param last the last deadline of the job's class, or -1 if the class has no objective */
-    private static long missedDeadlineMicros(ActiveJob job, long last) {
-        if (last >= 0) {
-            return last;
+    /** @param latestDeadline latest deadline by the objectives of the job's class, or -1 if there are none */
+    private static long missedDeadlineMicros(ActiveJob job, long latestDeadline) {
+        if (latestDeadline >= 0) {
+            return latestDeadline;
         }
         return job.inheritedDeadlineMicros() < Long.MAX_VALUE
                 ? job.inheritedDeadlineMicros()
--- a/src/test/java/io/sillreel/admission/JobApiHandlerTest.java
+++ b/src/test/java/io/sillreel/admission/JobApiHandlerTest.java
@@ -19,11 +19,11 @@
 
     @BeforeEach
     void startCluster() {
-        cluster.seconds(2);
+        cluster.runSeconds(2);
     }
 
     private HttpResponse submit(String body) {
-        return cluster.ask(0, new HttpRequest("POST", "/v2/runs", body.getBytes(StandardCharsets.UTF_8)));
+        return cluster.send(0, new HttpRequest("POST", "/v2/runs", body.getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
@@ -80,49 +80,49 @@
 
     @Test
     void respondsWithNotFoundToUnknownPaths() {
-        assertThat(cluster.ask(0, HttpRequest.get("/v2/else")).status()).isEqualTo(404);
+        assertThat(cluster.send(0, HttpRequest.get("/v2/else")).status()).isEqualTo(404);
     }
 
     @Test
     void respondsWithMethodNotAllowedToUnsupportedMethods() {
-        assertThat(cluster.ask(0, HttpRequest.get("/v2/runs")).status()).isEqualTo(405);
-        assertThat(cluster.ask(0, HttpRequest.post("/v2/runs/job-000001", Json.object()))
+        assertThat(cluster.send(0, HttpRequest.get("/v2/runs")).status()).isEqualTo(405);
+        assertThat(cluster.send(0, HttpRequest.post("/v2/runs/job-000001", Json.object()))
                         .status())
                 .isEqualTo(405);
-        assertThat(cluster.ask(0, HttpRequest.get("/v2/runs/job-000001/withdraw"))
+        assertThat(cluster.send(0, HttpRequest.get("/v2/runs/job-000001/withdraw"))
                         .status())
                 .isEqualTo(405);
     }
 
     @Test
     void respondsToHealthChecks() {
-        assertThat(cluster.ask(0, HttpRequest.get("/up")).status()).isEqualTo(200);
+        assertThat(cluster.send(0, HttpRequest.get("/up")).status()).isEqualTo(200);
     }
 
     /** The check for an accepted job comes first: a resubmission gets its status even if the new body is invalid. */
     @Test
     void respondsWithTheStatusOfADoneJobToAMalformedResubmission() {
         cluster.submit(0, SimCluster.job("job-000001", 1));
-        cluster.seconds(30);
+        cluster.runSeconds(30);
         for (int node = 0; node < 3; node++) {
             cluster.restart(node);
         }
-        cluster.seconds(3);
+        cluster.runSeconds(3);
         ObjectNode malformed = SimCluster.job("job-000001", 1);
         malformed.put("crew", "nobody").remove("rank");
         HttpResponse response = cluster.submit(1, malformed);
         assertThat(response.status()).isEqualTo(200);
         assertThat(response.json().path("stage").asText()).isEqualTo("done");
-        assertThat(cluster.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     @Test
     void returnsOnlyTerminalStatusesDuringAStateStoreOutage() {
         cluster.submit(0, SimCluster.job("job-000001", 1));
-        cluster.seconds(30);
+        cluster.runSeconds(30);
         assertThat(cluster.stage(0, "job-000001")).isEqualTo("done");
         cluster.submit(0, SimCluster.job("job-000002", 1));
-        cluster.state().outage(true);
+        cluster.store().setOutage(true);
         assertThat(cluster.stage(0, "job-000001")).isEqualTo("done");
         HttpResponse unfinished = cluster.poll(0, "job-000002");
         assertThat(unfinished.status()).isEqualTo(503);
@@ -136,16 +136,16 @@
     void failsFastWithoutTheStateStoreAndServesAgainOnceItIsReachable() {
         int partitioned = (cluster.leader() + 1) % 3;
         SimNetwork.Rule rule = cluster.network()
-                .add((from, to, request) ->
-                        from.equals("10.0.0." + partitioned) && to.equals("state:1") ? SimNetwork.Fate.LOSE : null);
-        cluster.seconds(15);
+                .addRule((from, to, request) ->
+                        from.equals("10.0.0." + partitioned) && to.equals("state:1") ? SimNetwork.Action.DROP : null);
+        cluster.runSeconds(15);
         long startMicros = cluster.time().nowMicros();
         assertThat(cluster.submit(partitioned, SimCluster.job("job-000001", 1)).status())
                 .isEqualTo(503);
         assertThat(cluster.poll(partitioned, "job-000002").status()).isEqualTo(503);
         assertThat(cluster.time().nowMicros() - startMicros).isLessThan(100_000);
-        cluster.network().remove(rule);
-        cluster.seconds(5);
+        cluster.network().removeRule(rule);
+        cluster.runSeconds(5);
         assertThat(cluster.submit(partitioned, SimCluster.job("job-000001", 1)).status())
                 .isEqualTo(201);
     }
@@ -153,15 +153,15 @@
     @Test
     void cancellationIsFinalAndStopsTheTasks() {
         cluster.submit(0, SimCluster.job("job-000001", 4));
-        cluster.until(() -> {
-            cluster.cloud().machines().values().forEach(machine -> machine.runMicros(500_000_000));
-            return cluster.starts() >= 4;
+        cluster.runUntil(() -> {
+            cluster.cloud().machines().values().forEach(machine -> machine.setRunMicros(500_000_000));
+            return cluster.startCount() >= 4;
         });
         assertThat(cluster.cancel(1, "job-000001").json().path("stage").asText())
                 .isEqualTo("withdrawn");
-        cluster.seconds(3);
+        cluster.runSeconds(3);
         assertThat(cluster.cloud().machines().values())
-                .allMatch(machine -> machine.running().isEmpty());
+                .allMatch(machine -> machine.runningTasks().isEmpty());
         assertThat(cluster.stage(2, "job-000001")).isEqualTo("withdrawn");
         assertThat(cluster.cancel(0, "job-000099").status()).isEqualTo(404);
     }
@@ -170,18 +170,18 @@
     @Test
     void cancellationUnknownToTheLeaderPreventsStoringTheCompletion() {
         cluster.submit(0, SimCluster.job("job-000001", 1));
-        cluster.until(() -> cluster.starts() >= 1);
+        cluster.runUntil(() -> cluster.startCount() >= 1);
         cluster.network()
-                .add((from, to, request) ->
-                        request.path().startsWith("/watch?prefix=withdraw/") ? SimNetwork.Fate.LOSE : null);
-        cluster.seconds(1.2);
+                .addRule((from, to, request) ->
+                        request.path().startsWith("/watch?prefix=withdraw/") ? SimNetwork.Action.DROP : null);
+        cluster.runSeconds(1.2);
         assertThat(cluster.cancel(1, "job-000001").json().path("stage").asText())
                 .isEqualTo("withdrawn");
-        cluster.seconds(5);
-        assertThat(cluster.state().value("run/job-000001").path("stage").asText())
+        cluster.runSeconds(5);
+        assertThat(cluster.store().value("run/job-000001").path("stage").asText())
                 .isNotEqualTo("done");
         assertThat(cluster.stage(2, "job-000001")).isEqualTo("withdrawn");
-        assertThat(cluster.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** A job can't be both done and cancelled: whichever is stored first is final on every controller. */
@@ -190,16 +190,16 @@
         for (int round = 0; round < 12; round++) {
             String uid = "job-00010" + round;
             cluster.submit(0, SimCluster.job(uid, 1));
-            int starts = cluster.starts();
-            cluster.until(() -> cluster.starts() > starts);
-            cluster.seconds(2.9 + 0.05 * round);
+            int starts = cluster.startCount();
+            cluster.runUntil(() -> cluster.startCount() > starts);
+            cluster.runSeconds(2.9 + 0.05 * round);
             String reportedStage =
                     cluster.cancel(round % 3, uid).json().path("stage").asText();
-            cluster.seconds(2);
+            cluster.runSeconds(2);
             for (int node = 0; node < 3; node++) {
                 assertThat(cluster.stage(node, uid)).isEqualTo(reportedStage);
             }
         }
-        assertThat(cluster.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 }
--- a/src/test/java/io/sillreel/placement/PlannerTest.java
+++ b/src/test/java/io/sillreel/placement/PlannerTest.java
@@ -37,32 +37,32 @@
     private final Planner planner =
             new Planner(cluster, SECOND, new ServiceLevelObjectives(List.of(), new RuntimeEstimator()));
     private long nowMicros = 1_000 * SECOND;
-    private long attempts;
-    private int jobs;
+    private long lastAttempt;
+    private int jobCount;
 
     private Machine machine(int number) {
         return machine(number, true);
     }
 
-    private Machine machine(int number, boolean spot) {
+    private Machine machine(int number, boolean isSpot) {
         String name = "host-%06d".formatted(number);
         var value = Json.object()
                 .put("build", "c4")
                 .put("yard", "a")
-                .put("spot", spot)
+                .put("spot", isSpot)
                 .put("count", 1);
         value.putArray("machines").add(name);
         Machine machine = new Machine(
                 name,
                 TYPE,
                 "a",
-                spot,
+                isSpot,
                 ScaleOutRequestCodec.decode("hire/" + name, value, 1),
                 nowMicros,
                 cluster.allocationIndex());
         cluster.add(machine);
         machine.acceptHeartbeat(
-                new Heartbeat(name, name + ":1", new MachineDescription("c4", "a", spot), 1, 1, 1, -1, List.of()),
+                new Heartbeat(name, name + ":1", new MachineDescription("c4", "a", isSpot), 1, 1, 1, -1, List.of()),
                 false,
                 nowMicros);
         machine.markReconciled();
@@ -72,7 +72,7 @@
     private ActiveJob job(
             String team, PriorityClass priorityClass, int tasks, double cpus, long ageMicros, boolean hasCheckpoints) {
         JobSpec spec = new JobSpec(
-                "job-%06d".formatted(++jobs),
+                "job-%06d".formatted(++jobCount),
                 "l",
                 team,
                 new Urgency(priorityClass, -1),
@@ -82,15 +82,15 @@
                 new PlacementRequirements(null, null, false, false, true),
                 List.of());
         ActiveJob job =
-                new ActiveJob(spec, jobs, nowMicros - ageMicros, ValueLimits.fixed(8_192), new IgnoringListener());
+                new ActiveJob(spec, jobCount, nowMicros - ageMicros, ValueLimits.fixed(8_192), new IgnoringListener());
         job.recordWrite().onStored(1);
         cluster.add(job);
         return job;
     }
 
-    private void run(ActiveJob job, Machine machine, int tasks) {
+    private void startTasks(ActiveJob job, Machine machine, int tasks) {
         for (int i = 0; i < tasks; i++) {
-            Allocation allocation = Allocation.launched(job, job.nextWaitingTask(), ++attempts, 0);
+            Allocation allocation = Allocation.launched(job, job.nextWaitingTask(), ++lastAttempt, 0);
             machine.add(allocation);
             allocation.updateStage(TaskStage.RUNNING, nowMicros);
         }
@@ -100,11 +100,11 @@
         return planner.plan(nowMicros, nowMicros);
     }
 
-    /** Steps that it takes to fill a machine whose heartbeat shows free capacity, in a fleet that is otherwise full. */
-    private long stepsOfAHeartbeat(int machines, int waitingJobs) {
+    /** Returns the steps to backfill a machine whose heartbeat reports free capacity, in an otherwise full fleet. */
+    private long heartbeatSteps(int machines, int waitingJobs) {
         ActiveJob running = job("free", PriorityClass.NORMAL, 4 * machines, 1, 0, false);
         for (int i = 0; i < machines; i++) {
-            run(running, machine(i), 4);
+            startTasks(running, machine(i), 4);
         }
         for (int i = 0; i < waitingJobs; i++) {
             job("free", PriorityClass.NORMAL, 10, 1, 0, false);
@@ -115,20 +115,20 @@
         ended.updateStage(TaskStage.ENDED, nowMicros);
         ended.release();
         long before = cluster.stepCount();
-        assertThat(planner.planMachine(plan, machine, nowMicros, nowMicros)).hasSize(1);
+        assertThat(planner.backfillMachine(plan, machine, nowMicros, nowMicros)).hasSize(1);
         return cluster.stepCount() - before;
     }
 
     /** Guards against planning for the whole fleet on each heartbeat. */
     @Test
-    void theCostOfAHeartbeatDoesNotGrowWithMachinesOrJobs() {
-        long small = new PlannerTest().stepsOfAHeartbeat(10, 100);
-        long large = new PlannerTest().stepsOfAHeartbeat(1_000, 1_000);
+    void heartbeatCostIsIndependentOfMachineAndJobCount() {
+        long small = new PlannerTest().heartbeatSteps(10, 100);
+        long large = new PlannerTest().heartbeatSteps(1_000, 1_000);
         assertThat(large).isLessThanOrEqualTo(small).isLessThanOrEqualTo(200);
     }
 
-    /** Steps of a plan for so many waiting jobs in a fleet that is idle, beside one look at each machine. */
-    private long stepsOfAPlan(int machines, int waitingJobs) {
+    /** Returns the steps to plan the waiting jobs in an idle fleet, without one step for each machine. */
+    private long planSteps(int machines, int waitingJobs) {
         for (int i = 0; i < machines; i++) {
             machine(i, i % 3 > 0);
         }
@@ -139,36 +139,36 @@
         return cluster.stepCount() - machines;
     }
 
-    /** Guards a leader of thousands: a look at every idle machine for every job was a plan of seconds. */
+    /** Guards large fleets: examining every idle machine for every job made a plan take seconds. */
     @Test
-    void theCostOfAPlanDoesNotGrowWithMachinesTimesJobs() {
-        long small = new PlannerTest().stepsOfAPlan(1_000, 200);
-        long large = new PlannerTest().stepsOfAPlan(4_000, 200);
+    void planCostDoesNotGrowWithMachinesTimesJobs() {
+        long small = new PlannerTest().planSteps(1_000, 200);
+        long large = new PlannerTest().planSteps(4_000, 200);
         assertThat(large).isLessThanOrEqualTo(small + 100).isLessThan(10_000);
     }
 
     @Test
-    void tasksBeyondAGuaranteeArePreemptedForGuaranteedWorkThoseWithCheckpointsFirst() {
+    void preemptsCheckpointedExcessTasksFirstForGuaranteedWork() {
         ActiveJob withoutCheckpoints = job("s", PriorityClass.NORMAL, 8, 1, 60 * SECOND, false);
         ActiveJob withCheckpoints = job("s", PriorityClass.NORMAL, 4, 1, 60 * SECOND, true);
         Machine one = machine(1);
         Machine two = machine(2);
         Machine three = machine(3);
-        run(withoutCheckpoints, one, 4);
-        run(withoutCheckpoints, two, 4);
-        run(withCheckpoints, three, 4);
+        startTasks(withoutCheckpoints, one, 4);
+        startTasks(withoutCheckpoints, two, 4);
+        startTasks(withCheckpoints, three, 4);
         job("t", PriorityClass.BEST_EFFORT, 2, 1, 4 * SECOND, false);
-        assertThat(plan().preemptions()).as("the aim is not in danger yet").isEmpty();
+        assertThat(plan().preemptions()).as("the guarantee is not at risk yet").isEmpty();
         nowMicros += 2 * SECOND;
         assertThat(plan().preemptions()).hasSize(2).allMatch(allocation -> allocation.job() == withCheckpoints);
     }
 
-    /** Guards against two that stop each other's tasks in turn: whoever stops must come before whoever was stopped. */
+    /** Guards against jobs that preempt each other in turn: the preempting job must precede the preempted one. */
     @Test
-    void preemptedWorkDoesNotTakeTheCapacityBack() {
-        ActiveJob owed = job("t", PriorityClass.BEST_EFFORT, 4, 1, 30 * SECOND, false);
+    void preemptedJobDoesNotReclaimCapacity() {
+        ActiveJob guaranteed = job("t", PriorityClass.BEST_EFFORT, 4, 1, 30 * SECOND, false);
         Machine one = machine(1);
-        run(owed, one, 4);
+        startTasks(guaranteed, one, 4);
         ActiveJob high = job("s", PriorityClass.HIGH, 4, 1, 0, false);
         assertThat(plan().preemptions()).hasSize(4);
         List.copyOf(one.allocations()).forEach(allocation -> {
@@ -178,38 +178,39 @@
         assertThat(plan().launches().get("host-000001")).containsExactly(new TaskAssignment(high, 4));
     }
 
-    /** Guards the other teams' guarantees: what is within them stays, however long somebody waits. */
+    /** Guards guarantees: tasks within a team's guarantee are not preempted, however long other teams wait. */
     @Test
-    void tasksWithinAGuaranteeAreNotPreemptedForAnotherTeam() {
+    void doesNotPreemptTasksWithinGuaranteeForOtherTeam() {
         ActiveJob within = job("s", PriorityClass.NORMAL, 8, 1, 60 * SECOND, true);
-        run(within, machine(1), 4);
-        run(within, machine(2), 4);
+        startTasks(within, machine(1), 4);
+        startTasks(within, machine(2), 4);
         job("t", PriorityClass.NORMAL, 2, 1, 60 * SECOND, false);
         assertThat(plan().preemptions()).isEmpty();
     }
 
-    /** Guards a large task against small ones that take every processor as it comes free. */
+    /** Guards against the starvation of a large task by small ones that take every CPU as it becomes free. */
     @Test
-    void aMachineIsReservedForALargeTaskThatHasWaitedTooLong() {
+    void reservesMachineForAgedLargeTask() {
         ActiveJob large = job("free", PriorityClass.BEST_EFFORT, 1, 4, 130 * SECOND, false);
         ActiveJob small = job("free", PriorityClass.NORMAL, 20, 1, 0, false);
         Machine one = machine(1);
-        run(small, one, 4);
+        startTasks(small, one, 4);
         PlacementPlan plan = plan();
         Allocation ended = one.allocations().iterator().next();
         ended.updateStage(TaskStage.ENDED, nowMicros);
         ended.release();
-        assertThat(planner.planMachine(plan, one, nowMicros, nowMicros)).isEmpty();
+        assertThat(planner.backfillMachine(plan, one, nowMicros, nowMicros)).isEmpty();
         assertThat(plan().launches()).isEmpty();
         List.copyOf(one.allocations()).forEach(allocation -> {
             allocation.updateStage(TaskStage.ENDED, nowMicros);
             allocation.release();
         });
-        assertThat(planner.planMachine(plan, one, nowMicros, nowMicros)).containsExactly(new TaskAssignment(large, 1));
+        assertThat(planner.backfillMachine(plan, one, nowMicros, nowMicros))
+                .containsExactly(new TaskAssignment(large, 1));
     }
 
     @Test
-    void priorityClassGoesBeforeAdmissionOrderUntilTheJobIsAged() {
+    void servesHigherPriorityFirstUntilLowerPriorityJobIsAged() {
         ActiveJob low = job("free", PriorityClass.BEST_EFFORT, 1, 4, 60 * SECOND, false);
         ActiveJob high = job("free", PriorityClass.HIGH, 1, 4, 0, false);
         machine(1);
@@ -225,16 +226,16 @@
     }
 
     /**
-     * Guards against long tasks on machines that may be taken, while work that saves its progress sits on the others.
+     * Guards against tasks without checkpoints on spot machines while tasks with checkpoints occupy on-demand machines.
      */
     @Test
-    void tasksWithCheckpointsGoToSpotMachinesAndOthersToOnDemandMachines() {
-        Machine spot = machine(1, true);
+    void placesCheckpointedTasksOnSpotMachinesAndOthersOnDemand() {
+        Machine isSpot = machine(1, true);
         Machine onDemand = machine(2, false);
-        ActiveJob other = job("free", PriorityClass.NORMAL, 4, 1, 0, false);
+        ActiveJob withoutCheckpoints = job("free", PriorityClass.NORMAL, 4, 1, 0, false);
         ActiveJob withCheckpoints = job("free", PriorityClass.NORMAL, 4, 1, 0, true);
         Map<String, List<TaskAssignment>> launches = plan().launches();
-        assertThat(launches.get(spot.name())).containsExactly(new TaskAssignment(withCheckpoints, 4));
-        assertThat(launches.get(onDemand.name())).containsExactly(new TaskAssignment(other, 4));
+        assertThat(launches.get(isSpot.name())).containsExactly(new TaskAssignment(withCheckpoints, 4));
+        assertThat(launches.get(onDemand.name())).containsExactly(new TaskAssignment(withoutCheckpoints, 4));
     }
 }
