--- a/src/main/java/io/sillreel/cli/ArchiveTrainingRun.java
+++ b/src/main/java/io/sillreel/cli/ArchiveTrainingRun.java
@@ -27,12 +27,13 @@
 import java.util.jar.JarFile;
 
 /**
- * Plays a lease leader and a follower for some seconds, from a submission to its end, so that the build can archive the
- * classes which that loads. At a small share of a core a takeover would else spend its first seconds on loading them.
+ * Training run for the class data sharing (CDS) archive that the build creates. Runs a leader and a follower in one
+ * process for some seconds, and jobs from their submission to their end, so that the classes this loads can be
+ * archived. Without the archive, a failover on a small share of a core would spend its first seconds on class loading.
  */
 final class ArchiveTrainingRun {
     private static final int MIN_ROUNDS = 12;
-    /** Rounds after which the rehearsal gives up waiting for what a very busy machine has not done by then. */
+    /** Limit on a very busy machine, where the first job may not be done after {@link #MIN_ROUNDS}. */
     private static final int MAX_ROUNDS = 100;
 
     private static final int ROUND_MILLIS = 300;
@@ -42,7 +43,7 @@
     private static final int PORTS = 15_000;
     private static final int PORT_STEP = 16;
     private static final String CLASS_SUFFIX = ".class";
-    /** Classes of the JDK whose nested ones are needed now and then, as a future that is not yet complete is. */
+    /** JDK types whose nested classes are needed only at times, such as those of a future that is not yet complete. */
     private static final List<Class<?>> TYPES_WITH_NESTED_CLASSES = List.of(
             ArrayDeque.class,
             ArrayList.class,
@@ -104,8 +105,8 @@
     }
 
     /**
-     * Loads every class of the program. Which of them a rehearsal needs depends on its timing, so an archive of only
-     * those would lack one now and then.
+     * Loads every class of the program. Which classes a training run uses depends on timing, so an archive of only
+     * those would occasionally miss one.
      */
     private static void loadOwnClasses() throws IOException {
         Path jar = Path.of(ArchiveTrainingRun.class
@@ -134,13 +135,13 @@
     }
 
     /**
-     * A job that comes while the machine is idle: only a plan finds a place for it. In the rounds before, a job may be
-     * placed by the report that brings the room, so that no plan ever looks for places. Nothing is reported until the
-     * job's release is stored and a plan has been made after that, which usually takes two seconds at most.
+     * Submits a job while the machine is idle, so that the planner has to place it. In the earlier rounds tasks may be
+     * placed as soon as a heartbeat shows free capacity, without a planning pass. No heartbeat is sent until the
+     * release of the job is stored and a planning pass has followed, which usually takes at most two seconds.
      */
     private static void scheduleOnIdleMachine(String controllerUrl, ObjectNode heartbeat, int sequence)
             throws IOException, InterruptedException {
-        send(controllerUrl + "/v2/runs", job("job-000005").put("reel", "img-that-is-nowhere"));
+        send(controllerUrl + "/v2/runs", job("job-000005").put("reel", "img-not-cached"));
         for (int waits = 0; waits < MAX_IDLE_WAITS && heartbeat.path("pieces").isEmpty(); waits++) {
             Thread.sleep(IDLE_WAIT_MILLIS);
             sendHeartbeat(heartbeat, sequence + waits, controllerUrl);
@@ -161,7 +162,7 @@
         return heartbeat;
     }
 
-    /** Reports what the machine runs, and takes up what it is told to launch; that has ended by the next report. */
+    /** Sends a heartbeat and starts the tasks that the response launches; the next heartbeat reports them as ended. */
     private static void sendHeartbeat(ObjectNode heartbeat, int sequence, String controllerUrl) throws IOException {
         heartbeat.put("tally", sequence);
         JsonNode response = send(controllerUrl + "/agent/beat", heartbeat);
@@ -243,8 +244,8 @@
     }
 
     /**
-     * A port that nobody listens on now. It lies below those that the system gives to outgoing connections, one of
-     * which could else take it before the daemon listens.
+     * Returns a port that is not in use, below the ephemeral range: an outgoing connection could otherwise take the
+     * port before the daemon binds it.
      */
     static int freePort() throws IOException {
         int first = (int) (ProcessHandle.current().pid() * PORT_STEP % PORTS);
@@ -254,10 +255,10 @@
                 portsTried += offset + 1;
                 return socket.getLocalPort();
             } catch (BindException e) {
-                // somebody else listens there
+                // the port is in use
             }
         }
-        throw new IOException("no port is free");
+        throw new IOException("no free port in the range searched by the training run");
     }
 
     private static JsonNode send(String url, JsonNode body) throws IOException {
--- a/src/main/java/io/sillreel/cli/ClientFailures.java
+++ b/src/main/java/io/sillreel/cli/ClientFailures.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Causes the failures that clients of a listener bring about: they break off, or send what is not HTTP or too much. */
+/** Causes failures on the client side of a server: aborted connections, malformed and oversized requests. */
 final class ClientFailures {
     private static final int PIPELINED = 200;
     private static final String CRLF = "\r\n";
@@ -14,7 +14,7 @@
 
     private final int port;
 
-    /** @param port where {@link FailureTraining} listens on the loopback address */
+    /** @param port the port on which {@link FailureTraining} listens on the loopback address */
     ClientFailures(int port) {
         this.port = port;
     }
@@ -104,14 +104,14 @@
         exchange(get("/", "Expect: 200-ok" + CRLF + "Content-Length: 1" + CRLF));
     }
 
-    /** The connection is closed by the first answer, within the reading of what follows. */
+    /** The first response closes the connection while the requests that follow are still being read. */
     private void closedWithUnreadRequests() throws IOException {
         String request = get("/", "Connection: close" + CRLF);
         exchange(request + request.repeat(FailureTraining.LARGE_BYTES / 16 / request.length()));
         exchange("GET / HTTP/1.0" + END + get("/", ""));
     }
 
-    /** Past some dozens of unanswered requests on a connection Netty keeps their methods in another way. */
+    /** Netty switches to another data structure for the methods of some dozens of unanswered requests. */
     private void manyPipelinedRequests() throws IOException {
         exchange(get("/late", "").repeat(PIPELINED));
     }
@@ -135,13 +135,13 @@
         }
     }
 
-    /** Sends the bytes and reads until the server closes the connection or has nothing more to say. */
+    /** Sends the bytes and reads until the server closes the connection or sends nothing more. */
     private void exchange(String request) throws IOException {
         try (Socket socket = connect()) {
             FailureTraining.send(socket, request);
             drain(socket);
         } catch (IOException e) {
-            // the server has ended the connection before all was sent
+            // the server closed the connection before the whole request was sent
         }
     }
 
@@ -156,10 +156,10 @@
         byte[] buffer = new byte[FailureTraining.MAX_BYTES];
         try {
             while (input.read(buffer) >= 0) {
-                // what is answered does not matter
+                // the content of the response is ignored
             }
         } catch (IOException e) {
-            // the server has reset the connection, or keeps it open
+            // the server reset the connection, or keeps it open beyond the read timeout
         }
     }
 
--- a/src/main/java/io/sillreel/cli/FailureTraining.java
+++ b/src/main/java/io/sillreel/cli/FailureTraining.java
@@ -28,31 +28,31 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Causes the failures of connections, peers and callbacks that a controller has to survive, so that the build archives
- * the classes which handling them loads. A class that only a failure needs would else be loaded from its jar long after
- * the start, when an upgrade may have replaced the jar; a class that can't be loaded then ends the event loop.
+ * Causes the failures of connections, peers and callbacks that a controller has to survive, so that the classes which
+ * handle them are archived. Otherwise a class that is needed only after a failure would be loaded from its jar long
+ * after the start, when an upgrade may have replaced the jar; a class that can't be loaded then ends the event loop.
  *
- * <p>The failures are caused on loopback connections, on an event loop of their own. Each wait has a limit, after which
- * the training goes on with the next failure.
+ * <p>The failures occur on loopback connections, on a separate event loop. Each wait has a time limit, after which the
+ * training continues with the next failure.
  */
 final class FailureTraining {
     static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
     static final int MAX_CONNECTIONS = 8;
     static final int MAX_BYTES = 16 * 1024;
-    /** More than the socket buffers of both sides hold, so that a write is still under way when the peer is gone. */
+    /** Exceeds the socket buffers of both ends, so that a write is still in progress when the peer disconnects. */
     static final int LARGE_BYTES = 8 * 1024 * 1024;
 
     static final int MAX_WAIT_MILLIS = 1_000;
     static final int PAUSE_MILLIS = 30;
-    /** Classes of failures that no connection can be made to show at will, as they depend on the order of events. */
+    /** Classes for failures that can't be caused reliably, because they depend on the order of events. */
     private static final List<String> TIMING_DEPENDENT_CLASSES = List.of(
-            // reading can't be begun, as the selector's key has been cancelled since the last event
+            // a read can't begin because the selection key was cancelled after the last event
             "io.netty.channel.AbstractChannel$AbstractUnsafe$7",
-            // what is queued falls below the limit while a write is being failed, which is told by a later event
+            // the outbound buffer drains below its low watermark while a write fails; the event is fired later
             "io.netty.channel.ChannelOutboundBuffer$2",
-            // a listener closes the connection while its writes are being failed
+            // a listener closes the channel while its writes are being failed
             "io.netty.channel.ChannelOutboundBuffer$3",
-            // the output of a connection is shut down alone, after a write that failed
+            // only the output side of a connection is shut down, after a failed write
             "io.netty.channel.socket.ChannelOutputShutdownEvent",
             "io.netty.channel.socket.ChannelOutputShutdownException");
 
@@ -113,7 +113,7 @@
         return reply;
     }
 
-    /** A failure whose stack trace has all the parts that one can have: a cause and a suppressed exception. */
+    /** An exception whose stack trace includes a cause and a suppressed exception. */
     private static IllegalStateException newFailure() {
         IllegalStateException failure =
                 new IllegalStateException("caused by the training run of the build", new IOException("the cause"));
@@ -144,18 +144,20 @@
         excessiveNesting();
     }
 
-    /** Read token by token: a tree of so many levels needs a deeper stack than the run command gives. */
+    /** Reads token by token: building a tree this deep needs a larger stack than the run command configures. */
     private static void excessiveNesting() throws IOException {
         try (JsonParser parser = Json.createParser("[".repeat(MAX_BYTES).getBytes(StandardCharsets.UTF_8))) {
             while (parser.nextToken() != null) {
-                // the parser refuses the level that is past its limit
+                // the parser rejects the first level beyond its limit
             }
         } catch (JacksonException e) {
             // expected
         }
     }
 
-    /** Raised as the event loop does it: to use up the files of the machine itself would disturb others. */
+    /**
+     * Fired into the pipeline as the event loop does it: exhausting the file descriptors would disturb other processes.
+     */
     private void tooManyOpenFilesOnAccept() {
         listener.pipeline().fireExceptionCaught(new IOException("Too many open files"));
     }
@@ -201,7 +203,7 @@
         try {
             reply.get(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            // the failure has been met, or has not come about on a very busy machine
+            // the failure occurred, or did not occur in time on a very busy machine
         }
     }
 
@@ -211,7 +213,7 @@
         output.flush();
     }
 
-    /** Closes the connection with a reset instead of an orderly end. */
+    /** Closes the connection with a TCP reset instead of an orderly shutdown. */
     static void reset(Socket socket) throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
--- a/src/main/java/io/sillreel/cli/JsonClient.java
+++ b/src/main/java/io/sillreel/cli/JsonClient.java
@@ -7,13 +7,13 @@
 import java.net.HttpURLConnection;
 import java.net.URI;
 
-/** Asks one question after the other over HTTP, and waits for each answer. */
+/** Blocking HTTP client for JSON requests and responses. */
 final class JsonClient {
     private static final int CONNECT_TIMEOUT_MILLIS = 10_000;
     private static final int READ_TIMEOUT_MILLIS = 20_000;
     private static final int FIRST_ERROR_STATUS = 400;
 
-    /** An answer; the body is a missing node if it is not JSON. */
+    /** A response; the body is a missing node if it is not JSON. */
     record Response(int status, JsonNode body) {
         boolean isOk() {
             return status < FIRST_ERROR_STATUS;
--- a/src/main/java/io/sillreel/cli/Main.java
+++ b/src/main/java/io/sillreel/cli/Main.java
@@ -27,25 +27,26 @@
 import picocli.CommandLine.IVersionProvider;
 import picocli.CommandLine.Option;
 
-/** The daemon's command line. */
+/** Command line of the controller daemon. */
 @Command(
         name = "sillreel",
         mixinStandardHelpOptions = true,
         versionProvider = Main.Version.class,
         subcommands = RecoveryCommand.class,
         description = "Runs one controller of the cluster scheduler.",
-        footer = "Logs go to standard error; LOG_LEVEL sets how much (error, info, debug).")
+        footer = "Logs go to standard error; LOG_LEVEL sets the level (error, info, debug).")
 public final class Main implements Callable<Integer> {
     private static final int EXIT_INVALID_SETTINGS = 2;
     private static final int EXIT_THREAD_DIED = 3;
     private static final int CONNECTIONS_PER_ADDRESS = 24;
     private static final int LEASE_CONNECTIONS = 2;
-    /** What a batch of the longest reports may take. */
+    /** Size limit of a batch of heartbeats, at their maximum length. */
     private static final int MAX_BATCH_BYTES = 8 * 1024 * 1024;
 
     /**
-     * What the libraries would else find out at a start, which at a small share of a core takes seconds: the logger's
-     * backend, the host's network cards for an id that nobody uses, an allocator's arenas and flight recordings.
+     * Presets for what the libraries would otherwise detect or initialize at startup, which takes seconds on a small
+     * share of a core: the logging backend, the network interfaces (for a machine id that is not used), the arenas of
+     * the pooled allocator, and flight recorder events.
      */
     private static final Map<String, String> LIBRARY_PROPERTIES = Map.of(
             "slf4j.provider", "org.slf4j.simple.SimpleServiceProvider",
@@ -57,31 +58,37 @@
 
     private static final String CONFIG_OPTION = "--config";
 
-    @Option(names = CONFIG_OPTION, paramLabel = "FILE", description = "The platform's settings (TOML).")
+    @Option(names = CONFIG_OPTION, paramLabel = "FILE", description = "Settings file of the platform (TOML).")
     private Path config;
 
-    @Option(names = "--properties", paramLabel = "FILE", description = "The operators' own settings (Java properties).")
+    @Option(
+            names = "--properties",
+            paramLabel = "FILE",
+            description = "Properties file of the operators (Java properties).")
     private Path properties;
 
-    @Option(names = "--check", description = "Checks the settings and ends.")
+    @Option(names = "--check", description = "Checks the settings and exits.")
     private boolean check;
 
     @Option(
             names = "--machines",
             paramLabel = "N",
-            description = "With --check: whether the controllers carry a fleet of N machines.")
+            description = "With --check: also checks that the controllers can serve a fleet of N machines.")
     private int machines;
 
     @Option(
             names = "--tasks-per-machine",
             paramLabel = "N",
-            description = "With --machines: how many tasks run on a machine at once (${DEFAULT-VALUE}).")
+            description = "With --machines: concurrent tasks per machine (${DEFAULT-VALUE}).")
     private double tasksPerMachine = FleetCapacity.DEFAULT_TASKS_PER_MACHINE;
 
-    @Option(names = "--rehearse", hidden = true, description = "Starts, talks to itself and ends (used by the build).")
+    @Option(
+            names = "--rehearse",
+            hidden = true,
+            description = "Performs the training run for the class archive (used by the build).")
     private boolean rehearse;
 
-    /** What {@code --version} says. */
+    /** Provides the output of {@code --version}. */
     static final class Version implements IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -89,16 +96,18 @@
         }
     }
 
-    /** A controller whose event loop has died serves nobody, and is only started again once its process has ended. */
+    /**
+     * A controller whose event loop has died can't serve requests, and is restarted only after its process has ended.
+     */
     private static void exitOnUncaughtException(Thread thread, Throwable error) {
         try {
-            System.err.println("sillreel: thread " + thread.getName() + " ended: " + error);
+            System.err.println("sillreel: thread " + thread.getName() + " died: " + error);
         } finally {
             Runtime.getRuntime().halt(EXIT_THREAD_DIED);
         }
     }
 
-    /** Runs the daemon, or does what the command line asks for instead. */
+    /** Starts the daemon or runs the command given on the command line. */
     public static void main(String[] args) throws Exception {
         String level = System.getenv().getOrDefault("LOG_LEVEL", "info").toLowerCase(Locale.ROOT);
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level);
@@ -107,11 +116,11 @@
         }
         Thread.setDefaultUncaughtExceptionHandler(Main::exitOnUncaughtException);
         if (System.getProperty("os.name").equals("Linux")) {
-            // Else every archive of the class path is opened to look for another one.
+            // Without this property, the lookup of a provider opens every jar on the class path.
             System.setProperty("java.nio.channels.spi.SelectorProvider", "sun.nio.ch.EPollSelectorProvider");
         }
         if (args.length == 2 && args[0].equals(CONFIG_OPTION)) {
-            // As the platform starts it: building the parser would be the costliest part of a start.
+            // The platform's run command: building the picocli parser would be the most expensive part of startup.
             Main main = new Main();
             main.config = Path.of(args[1]);
             System.exit(main.call());
@@ -125,8 +134,8 @@
             try {
                 ArchiveTrainingRun.run();
             } catch (IOException e) {
-                // The archive then lacks some classes, which makes starts slower and nothing else.
-                System.err.println("sillreel: the rehearsal ended early (" + e.getMessage() + ")");
+                // The archive then lacks some classes, which only slows down startup.
+                System.err.println("sillreel: class archive training run aborted (" + e.getMessage() + ")");
             }
             return 0;
         }
@@ -148,7 +157,7 @@
         }
     }
 
-    /** Says what the settings allow, under the heap of this very process. */
+    /** Prints the fleet capacity for the settings, under the heap limit of this process. */
     private int check(Settings settings) {
         FleetCapacity capacity = new FleetCapacity(limits(settings));
         if (machines > capacity.maxMachines(tasksPerMachine)) {
@@ -165,11 +174,11 @@
         return ProcessLimits.of(settings, Runtime.getRuntime().maxMemory());
     }
 
-    /** Starts a controller on one event loop. */
+    /** Starts a controller on a single event loop. */
     static EventLoopGroup run(Settings settings, OperatorProperties operatorProperties) {
         LoggerFactory.getLogger(Main.class)
                 .info(
-                        "{} in {} starts, version {}, {} UTC",
+                        "starting {} in area {}, version {}, at {} UTC",
                         settings.nodeName(),
                         settings.localController().area(),
                         Controller.version(),
--- a/src/main/java/io/sillreel/cli/PeerFailures.java
+++ b/src/main/java/io/sillreel/cli/PeerFailures.java
@@ -18,13 +18,13 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** Causes the failures that the peers of a client bring about: wrong answers, none at all, no connection. */
+/** Causes failures on the server side of a client: malformed or missing responses and failed connections. */
 final class PeerFailures {
     private static final long TIMEOUT_MICROS = 100_000;
     private static final String CRLF = "\r\n";
     private static final String END = CRLF + CRLF;
 
-    /** What a peer does with a connection that it has accepted. */
+    /** How a peer handles a connection that it has accepted. */
     private interface PeerBehavior {
         void serve(Socket connection) throws IOException, InterruptedException;
     }
@@ -32,7 +32,7 @@
     private final io.netty.channel.EventLoop nettyLoop;
     private final NettyHttpClient client;
 
-    /** @param client runs on the event loop */
+    /** @param client a client that runs on the event loop */
     PeerFailures(io.netty.channel.EventLoop nettyLoop, NettyHttpClient client) {
         this.nettyLoop = nettyLoop;
         this.client = client;
@@ -67,7 +67,7 @@
         tooManyOpenFilesOnConnect();
     }
 
-    /** The connection is closed by the first answer, while more than one read's worth of bytes follows it. */
+    /** The first response closes the connection, while more data than one read takes in follows it. */
     private void responsesAfterClose() throws IOException, InterruptedException {
         String response = "HTTP/1.1 200 OK" + CRLF + "Connection: close" + CRLF + "Content-Length: 0" + END;
         callPeer(peer -> respond(peer, response.repeat(FailureTraining.LARGE_BYTES / 16 / response.length())));
@@ -89,7 +89,7 @@
         FailureTraining.await(client.send(FailureTraining.address(refused), request, TIMEOUT_MICROS));
     }
 
-    /** Connects to a listener whose queue of connections is full; a shorter limit than the client's saves time. */
+    /** Connects to a server whose accept queue is full; a shorter timeout than the client's saves time. */
     private void connectTimeout() throws IOException, InterruptedException {
         try (ServerSocket full = new ServerSocket(0, 1, FailureTraining.LOOPBACK)) {
             InetSocketAddress address = new InetSocketAddress(FailureTraining.LOOPBACK, full.getLocalPort());
@@ -102,7 +102,7 @@
         }
     }
 
-    /** A socket that can't be opened, as when the process has no file left. */
+    /** Simulates a socket that can't be opened because the process is out of file descriptors. */
     private void tooManyOpenFilesOnConnect() throws InterruptedException {
         ChannelFactory<Channel> factory = () -> {
             throw new ChannelException("Failed to open a socket.", new IOException("Too many open files"));
@@ -121,7 +121,7 @@
                 .handler(new ChannelInboundHandlerAdapter());
     }
 
-    /** Asks a peer that treats its one connection as told, and waits for the end of the call. */
+    /** Sends a request to a peer that handles its single connection as given, and waits until the call has ended. */
     private void callPeer(PeerBehavior peer) throws IOException, InterruptedException {
         callPeer(new HttpRequest("POST", "/", new byte[10]), peer);
     }
@@ -136,7 +136,7 @@
                 peer.serve(connection);
                 FailureTraining.await(reply);
             } catch (IOException e) {
-                // the client has ended the connection first
+                // the client closed the connection first
             }
         }
     }
--- a/src/main/java/io/sillreel/cli/RecoveryCommand.java
+++ b/src/main/java/io/sillreel/cli/RecoveryCommand.java
@@ -6,11 +6,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** What operators ask a controller when the state service has lost writes. */
+/** Operator commands for recovery after the state service has lost writes. */
 @Command(
         name = "recovery",
         mixinStandardHelpOptions = true,
-        description = "Asks a controller about writes that the state service has lost.")
+        description = "Shows and controls the recovery after the state service has lost writes.")
 final class RecoveryCommand {
     private static final int EXIT_FAILURE = 1;
 
@@ -21,7 +21,7 @@
             description = "The internal address of a controller.")
     private String address;
 
-    /** A question and its answer, printed as it is. */
+    /** Sends a request and prints the response body, or the error on standard error. */
     private int send(String path, JsonNode body) {
         String url = "http://" + address + path;
         try {
@@ -32,14 +32,14 @@
             }
             System.err.println("sillreel: " + response.body().path("error").asText("status " + response.status()));
         } catch (IOException | IllegalArgumentException e) {
-            System.err.println("sillreel: " + address + " can't be asked (" + e.getMessage() + ")");
+            System.err.println("sillreel: request to " + address + " failed (" + e.getMessage() + ")");
         }
         return EXIT_FAILURE;
     }
 
     @Command(
             mixinStandardHelpOptions = true,
-            description = "Whether a loss is known, what showed it, and how far it has been made good.")
+            description = "Shows whether a loss of writes was detected, its evidence and the progress of the recovery.")
     int status() {
         return send("/recovery/status", null);
     }
@@ -47,7 +47,7 @@
     @Command(
             name = "accept-loss",
             mixinStandardHelpOptions = true,
-            description = "Lets the service go on without the writes that no controller remembers. Ask the leader.")
+            description = "Resumes service without the writes that no controller remembers. Send this to the leader.")
     int acceptLoss() {
         return send("/recovery/accept-loss", Json.object());
     }
--- a/src/main/java/io/sillreel/cli/TrainingServices.java
+++ b/src/main/java/io/sillreel/cli/TrainingServices.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * What a rehearsal plays before: a state service that says yes to everything and a cloud with one machine. It serves to
- * load the classes that a lease leader needs, and checks nothing.
+ * Stub services for the training run: a state service that commits every transaction and a cloud with one machine. They
+ * exist to load the classes that a leader needs, and check nothing.
  */
 final class TrainingServices {
     private record PendingWatch(String prefix, long since, CompletableFuture<HttpResponse> response) {}
--- a/src/test/java/io/sillreel/cli/ClassArchiveIT.java
+++ b/src/test/java/io/sillreel/cli/ClassArchiveIT.java
@@ -27,23 +27,23 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Guards the cost of a start on a small share of a core: what the program loads comes from the class archive that the
- * build has made. The rehearsal is the start of the daemon and a short term as leader, and ends by itself.
+ * Guards startup time on a small share of a core: the program must load its classes from the class archive of the
+ * build. The training run ({@code --rehearse}) starts the daemon, leads for a short term and exits.
  */
 class ClassArchiveIT {
     private static final Pattern CLASS_LOAD_LINE = Pattern.compile("\\[class,load\\] (\\S+) source: (.*)");
     private static final String ARCHIVE_SOURCE = "shared objects file";
-    /** Made while the program runs: proxies, method handles, accessors, and the JDK's serializable comparators. */
+    /** Generated at run time: proxies, method handles, accessors, and the JDK's serializable comparators. */
     private static final Pattern GENERATED_AT_RUN_TIME = Pattern.compile("java\\.lang\\.invoke\\..*|.*\\$Proxy\\d+"
             + "|jdk\\.internal\\.reflect\\..*|java\\.util\\.Comparator\\$\\$Lambda.*");
-    /** Classes of the JDK that the rehearsal loads now and then, or that can't be archived. */
+    /** JDK classes that only some training runs load, or that can't be archived. */
     private static final Set<String> NOT_ARCHIVED = Set.of(
             "java.util.concurrent.atomic.Striped64$Cell",
             "jdk.internal.event.Event",
             "jdk.internal.misc.Signal$1",
             "jdk.jfr.Event");
 
-    /** The two loops of the rehearsal may link the same lambda at once; only one of them gets the archived class. */
+    /** Both event loops of the training run may link a lambda concurrently; only one gets the archived class. */
     private static final Pattern LAMBDA = Pattern.compile(".*\\$\\$Lambda\\$.*");
 
     private static final int MAX_LAMBDAS_LINKED_TWICE = 9;
@@ -51,7 +51,7 @@
     private static final int MIN_ARCHIVED = 1_000;
     private static final int TIMEOUT_SECONDS = 120;
     private static final int POLL_MILLIS = 200;
-    /** The exit status of a process that SIGTERM has ended. */
+    /** Exit status of a process terminated by SIGTERM. */
     private static final int SIGTERM_EXIT_STATUS = 143;
 
     private static List<String> command(String argument) throws IOException {
@@ -67,7 +67,7 @@
         return command;
     }
 
-    /** Classes by where they came from, over a run of the program that ends by itself. */
+    /** Classes that a run of the program loaded, from the archive and from elsewhere. */
     private record LoadedClasses(int archivedCount, Set<String> archived, List<String> notArchived) {}
 
     private static LoadedClasses run(Path directory, String argument) throws IOException, InterruptedException {
@@ -104,8 +104,8 @@
     }
 
     /**
-     * What depends on timing, as the handling of a request that was not answered in time, may be loaded by one
-     * rehearsal and not by another. What every start loads is missed by each of them.
+     * Classes whose use depends on timing, such as those that handle request timeouts, may be loaded in one training
+     * run and not in another. A class that every start loads is missing from the archive in all runs.
      */
     @Test
     void loadsClassesOfTrainingRunFromArchive() throws IOException, InterruptedException {
@@ -126,8 +126,9 @@
     }
 
     /**
-     * Guards a running daemon: what only a failure needs would be loaded from a jar long after the start, and an event
-     * loop that can't load a class ends. A lambda is made from a class that is loaded already and reads no jar.
+     * Guards a running daemon: a class that only a failure needs would be loaded from a jar long after the start, and
+     * an event loop that can't load a class ends. Lambdas are exempt: they are spun from a class that is already
+     * loaded, and no jar is read.
      */
     @Test
     void loadsClassesForConnectionFailuresFromArchive(@TempDir Path folder) throws IOException, InterruptedException {
@@ -188,7 +189,7 @@
         }
     }
 
-    /** Guards the ceilings of the run command: without its archive the program keeps all classes in the metaspace. */
+    /** Guards the memory limits of the run command: without the archive all classes are kept in the metaspace. */
     @Test
     void runsWithoutClassArchive() throws IOException, InterruptedException {
         List<String> command = command("--rehearse");
@@ -203,7 +204,7 @@
         assertThat(process.exitValue()).isZero();
     }
 
-    /** Guards a deployment that builds in one folder and runs in another. */
+    /** Guards deployments that build in one directory and run in another. */
     @Test
     void usesClassArchiveAfterBuildIsMoved(@TempDir Path target) throws IOException, InterruptedException {
         for (String folder : List.of("target", "target/lib")) {
--- a/src/test/java/io/sillreel/cli/CommandResult.java
+++ b/src/test/java/io/sillreel/cli/CommandResult.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import picocli.CommandLine;
 
-/** One run of the command line: its exit status, and what it printed. */
+/** Exit status and output of a run of the command line; standard output and standard error are captured together. */
 record CommandResult(int exitStatus, String output) {
     static CommandResult run(String... args) {
         PrintStream out = System.out;
--- a/src/test/java/io/sillreel/cli/FaultyClients.java
+++ b/src/test/java/io/sillreel/cli/FaultyClients.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Clients of a daemon that break off, send what is not HTTP, or send too much. */
+/** Clients that abort connections, or send malformed or oversized requests to a daemon. */
 final class FaultyClients {
     private static final int PAUSE_MILLIS = 50;
     private static final int CONNECTION_COUNT = 150;
@@ -68,7 +68,7 @@
         try {
             socket.shutdownOutput();
         } catch (IOException e) {
-            // the daemon has reset the connection
+            // the daemon reset the connection
         }
     }
 
@@ -81,12 +81,12 @@
         return socket;
     }
 
-    /** In a thread of its own: a request that the daemon does not read to its end blocks its sender. */
+    /** Runs in a separate thread: a request that the daemon does not read completely blocks the sender. */
     private static void write(Socket socket, String request) {
         try {
             socket.getOutputStream().write(request.getBytes(StandardCharsets.ISO_8859_1));
         } catch (IOException e) {
-            // the connection has ended before all was sent
+            // the connection was closed before the whole request was sent
         }
     }
 }
--- a/src/test/java/io/sillreel/cli/FaultyPeers.java
+++ b/src/test/java/io/sillreel/cli/FaultyPeers.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A listener that treats each connection in another wrong way, one after the other and over again. */
+/** A server that injects a different fault into each connection, cycling through the list of faults. */
 final class FaultyPeers implements AutoCloseable {
     private static final String OK = "HTTP/1.1 200 OK\r\n";
     private static final String CLOSE = OK + "Connection: close\r\nContent-Length: 2\r\n\r\n{}";
@@ -44,7 +44,7 @@
         thread.start();
     }
 
-    /** True once every fault has been caused at least once. */
+    /** True once every fault has been injected at least once. */
     boolean allFaultsCaused() {
         return connections.size() > FAULTS.size();
     }
@@ -59,7 +59,7 @@
                 connection.getInputStream().read(new byte[4_096]);
                 fault.inject(connection);
             } catch (IOException e) {
-                // the daemon has closed the connection first, or the test is over
+                // the daemon closed the connection first, or the test has ended
             }
         }
     }
--- a/src/test/java/io/sillreel/cli/RecoveryCommandTest.java
+++ b/src/test/java/io/sillreel/cli/RecoveryCommandTest.java
@@ -24,7 +24,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** A controller that tells its state, and lets nobody accept a loss. */
+    /** Starts a stub controller that reports its status and refuses to accept a loss. */
     private String startController() {
         Channel channel = new NettyHttpServer(group, NettyHttpServer.MAX_BODY_BYTES, 10)
                 .listen(
@@ -54,6 +54,6 @@
     @Test
     void printsOneLineWhenControllerIsUnreachable() {
         assertThat(run("recovery", "--address", "nowhere", "status")).isEqualTo(1);
-        assertThat(output).contains("nowhere can't be asked").hasLineCount(1);
+        assertThat(output).contains("request to nowhere failed").hasLineCount(1);
     }
 }
--- a/src/test/java/io/sillreel/cli/RecoveryOffIT.java
+++ b/src/test/java/io/sillreel/cli/RecoveryOffIT.java
@@ -12,16 +12,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Guards the ordinary path: what operators have not switched on loads no class. */
+/** Guards the default configuration: without {@code recovery.enabled}, no class of the recovery package is loaded. */
 class RecoveryOffIT {
     private static final String PACKAGE = "io.sillreel.recovery.";
-    /** The last thing that a start does is to ask who leads. */
+    /** The last step of a start is to look up the current leader. */
     private static final String STARTED = "io.sillreel.leadership.LeaderElection$$Lambda";
 
     @TempDir
     private Path directory;
 
-    /** The classes that a start of the daemon loads; then it is ended. */
+    /** Starts the daemon, returns the classes it loads until it has started, and kills it. */
     private List<String> classesLoadedAtStart(String... properties) throws IOException {
         String settings =
                 new SimCluster(1).settingsFile(0).replaceAll("(10\\.0\\.0\\.\\d|state|cloud):\\d+", "127.0.0.1:0");
