--- a/src/test/java/io/sillreel/CancellationFailuresTest.java
+++ b/src/test/java/io/sillreel/CancellationFailuresTest.java
@@ -1,11 +1,11 @@
 package io.sillreel;
 
-import static io.sillreel.FailureScenario.begun;
-import static io.sillreel.FailureScenario.everyNodeSays;
-import static io.sillreel.FailureScenario.machines;
-import static io.sillreel.FailureScenario.nothingBroken;
-import static io.sillreel.FailureScenario.other;
-import static io.sillreel.FailureScenario.running;
+import static io.sillreel.FailureScenario.assertNoViolations;
+import static io.sillreel.FailureScenario.assertStageOnAllNodes;
+import static io.sillreel.FailureScenario.machineNames;
+import static io.sillreel.FailureScenario.otherNode;
+import static io.sillreel.FailureScenario.runningTaskCount;
+import static io.sillreel.FailureScenario.startCluster;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.sillreel.sim.FailureInjector;
@@ -21,7 +21,7 @@
 /** Cancellations that meet another failure: what users were told and what workers ran. */
 class CancellationFailuresTest {
     private static final long SECOND = 1_000_000;
-    private static final long FOR_LONG = 600 * SECOND;
+    private static final long LONG_TASK_MICROS = 600 * SECOND;
 
     /**
      * The gap: the state service refuses the leader alone, another controller confirms cancellations, then the service
@@ -30,19 +30,19 @@
      * successor, and at one that the outage meets while it reads what is stored.
      */
     @Test
-    void whatIsCancelledWhileTheLeaderAloneIsRefusedIsGoneInTimeThroughAnOutage() {
+    void endsCancelledTasksInTimeWhenLeaderIsRejectedBeforeOutage() {
         for (int tenths : new int[] {2, 8, 15, 22, 29, 31, 33, 35, 38, 45}) {
-            SimCluster cluster = begun(100 + tenths);
+            SimCluster cluster = startCluster(100 + tenths);
             cluster.submit(0, SimCluster.job("job-000001", 6));
             cluster.submit(1, SimCluster.job("job-000002", 6));
-            cluster.runUntilStarted(12, FOR_LONG);
+            cluster.runUntilStarted(12, LONG_TASK_MICROS);
             int leader = cluster.leader();
             Rule refused = cluster.network().addRule(FailureInjector.rejectedByStateService(leader));
             // It must hold without the word of the controller that confirms, which may get lost as well.
             cluster.network()
                     .addRule((from, to, request) -> request.route().equals("/peer/withdrawn") ? Action.DROP : null);
             cluster.runSeconds(0.05);
-            cluster.cancelAsync(other(cluster, leader), "job-000001");
+            cluster.cancelAsync(otherNode(cluster, leader), "job-000001");
             cluster.runSeconds(0.05);
             cluster.cancelAsync((leader + 2) % 3, "job-000002");
             cluster.cloud().machines().values().stream().limit(2).forEach(worker -> worker.pause(9 * SECOND));
@@ -53,12 +53,12 @@
                     .isEqualTo("withdrawn");
             cluster.runSeconds(60);
             cluster.network().removeRule(refused);
-            assertThat(running(cluster)).as("after %d tenths", tenths).isZero();
+            assertThat(runningTaskCount(cluster)).as("after %d tenths", tenths).isZero();
             cluster.store().setOutage(false);
             cluster.runSeconds(20);
-            everyNodeSays(cluster, "job-000001", "withdrawn");
-            everyNodeSays(cluster, "job-000002", "withdrawn");
-            nothingBroken(cluster);
+            assertStageOnAllNodes(cluster, "job-000001", "withdrawn");
+            assertStageOnAllNodes(cluster, "job-000002", "withdrawn");
+            assertNoViolations(cluster);
         }
     }
 
@@ -66,27 +66,27 @@
      * Guards tasks against their leases when their leader, refused alone, can still be told by the one that confirmed.
      */
     @Test
-    void aLeaderThatIsRefusedAloneIsToldOfCancellations() {
-        SimCluster cluster = begun(16);
+    void peersNotifyRejectedLeaderOfCancellations() {
+        SimCluster cluster = startCluster(16);
         cluster.submit(0, SimCluster.job("job-000001", 12));
-        cluster.runUntilStarted(12, FOR_LONG);
+        cluster.runUntilStarted(12, LONG_TASK_MICROS);
         int leader = cluster.leader();
         cluster.network().addRule(FailureInjector.rejectedByStateService(leader));
         cluster.runSeconds(0.2);
-        cluster.cancel(other(cluster, leader), "job-000001");
+        cluster.cancel(otherNode(cluster, leader), "job-000001");
         cluster.store().setOutage(true);
         cluster.runSeconds(2);
-        assertThat(running(cluster)).isZero();
+        assertThat(runningTaskCount(cluster)).isZero();
         assertThat(cluster.startsAfterCancellation()).isEmpty();
-        nothingBroken(cluster);
+        assertNoViolations(cluster);
     }
 
     /** Guards launches against a watch that is not answered: what was not asked for lately may have been cancelled. */
     @Test
-    void aLeaderThatCanNotFollowCancellationsLaunchesNothingAndLetsItsTasksGo() {
-        SimCluster cluster = begun(17);
+    void leaderWithoutCancellationUpdatesLaunchesNothing() {
+        SimCluster cluster = startCluster(17);
         cluster.submit(0, SimCluster.job("job-000001", 300).put("guess_s", 60.0));
-        cluster.runUntilStarted(1, FOR_LONG);
+        cluster.runUntilStarted(1, LONG_TASK_MICROS);
         // More machines come up only when what is known is too old; no task ends, so no write tells of the
         // cancellation.
         cluster.cloud().setBootMicros(8 * SECOND);
@@ -95,22 +95,22 @@
                                 || request.path().startsWith("/watch?prefix=withdraw/")
                         ? Action.DROP
                         : null);
-        cluster.cancel(other(cluster, cluster.leader()), "job-000001");
+        cluster.cancel(otherNode(cluster, cluster.leader()), "job-000001");
         cluster.runSeconds(5.5);
         int starts = cluster.startCount();
         cluster.runSeconds(8);
-        cluster.cloud().machines().values().forEach(worker -> worker.setRunMicros(FOR_LONG));
+        cluster.cloud().machines().values().forEach(worker -> worker.setRunMicros(LONG_TASK_MICROS));
         cluster.runSeconds(32);
         assertThat(cluster.startCount()).isEqualTo(starts);
-        nothingBroken(cluster);
+        assertNoViolations(cluster);
     }
 
     /**
      * Guards the jobs of a leader that keeps its lease and may do nothing with it: it resigns, and another one goes on.
      */
     @Test
-    void aLeaderThatAloneCanNotFollowCancellationsIsSucceeded() {
-        SimCluster cluster = begun(19);
+    void leaderWithoutCancellationUpdatesResigns() {
+        SimCluster cluster = startCluster(19);
         cluster.submit(0, SimCluster.job("job-000001", 60));
         cluster.runUntilStarted(8, 5 * SECOND);
         int cancellationsUnknown = cluster.leader();
@@ -121,8 +121,8 @@
                         : null);
         cluster.runUntil(() -> cluster.leader() >= 0 && cluster.leader() != cancellationsUnknown);
         cluster.runSeconds(60);
-        everyNodeSays(cluster, "job-000001", "done");
-        nothingBroken(cluster);
+        assertStageOnAllNodes(cluster, "job-000001", "done");
+        assertNoViolations(cluster);
     }
 
     /**
@@ -130,14 +130,14 @@
      * it.
      */
     @Test
-    void aLeaderThatIsAnsweredAgainLaunchesNothingOfWhatWasCancelledMeanwhile() {
-        SimCluster cluster = begun(3);
+    void launchesNoTaskCancelledBeforeOutageOnceStateServiceIsBack() {
+        SimCluster cluster = startCluster(3);
         int leader = cluster.leader();
         cluster.submit(0, SimCluster.job("job-000001", 90));
         cluster.runUntilStarted(20, 6 * SECOND);
         Rule refused = cluster.network().addRule(FailureInjector.rejectedByStateService(leader));
         cluster.runSeconds(1);
-        cluster.cancel(other(cluster, leader), "job-000001");
+        cluster.cancel(otherNode(cluster, leader), "job-000001");
         cluster.store().setOutage(true);
         cluster.network().removeRule(refused);
         cluster.runSeconds(1);
@@ -146,7 +146,7 @@
         cluster.runSeconds(30);
         assertThat(cluster.startCount()).isEqualTo(starts);
         assertThat(cluster.startsAfterCancellation()).isEmpty();
-        nothingBroken(cluster);
+        assertNoViolations(cluster);
     }
 
     /**
@@ -154,14 +154,14 @@
      * too.
      */
     @Test
-    void theLimitHoldsWhileCancelledTasksCanNotBeReachedAndTheLeaderChanges() {
+    void countsUnreachableCancelledTasksTowardsLimitAcrossFailover() {
         for (int seed = 1; seed <= 6; seed++) {
-            SimCluster cluster = begun(seed, 10);
+            SimCluster cluster = startCluster(seed, 10);
             cluster.submit(
                     0, SimCluster.job("job-000001", 10).put("guess_s", 60.0).put("due_s", 90.0));
-            cluster.runUntilStarted(10, FOR_LONG);
+            cluster.runUntilStarted(10, LONG_TASK_MICROS);
             Random random = new Random(seed);
-            Set<String> cut = new HashSet<>(machines(cluster).subList(0, 1 + seed % 2));
+            Set<String> cut = new HashSet<>(machineNames(cluster).subList(0, 1 + seed % 2));
             cluster.network()
                     .addRule(FailureInjector.machineTraffic(cut, random.nextBoolean() ? Action.HOLD : Action.DROP));
             cluster.cloud().machines().values().stream().skip(2).limit(1).forEach(worker -> worker.pause(10 * SECOND));
@@ -169,21 +169,21 @@
             cluster.runSeconds(random.nextDouble() * 2);
             boolean before = random.nextBoolean();
             if (before) {
-                cluster.cancel(other(cluster, leader), "job-000001");
+                cluster.cancel(otherNode(cluster, leader), "job-000001");
             }
             cluster.kill(leader);
-            cluster.submit(other(cluster, leader), SimCluster.job("job-000002", 10));
+            cluster.submit(otherNode(cluster, leader), SimCluster.job("job-000002", 10));
             if (!before) {
-                cluster.cancel(other(cluster, leader), "job-000001");
+                cluster.cancel(otherNode(cluster, leader), "job-000001");
             }
             cluster.cloud().machines().values().forEach(worker -> worker.setRunMicros(8 * SECOND));
             cluster.runSeconds(15);
             cluster.network().releaseHeld();
             cluster.runSeconds(75);
-            assertThat(cluster.stage(other(cluster, leader), "job-000002"))
+            assertThat(cluster.stage(otherNode(cluster, leader), "job-000002"))
                     .as("seed %d", seed)
                     .isEqualTo("done");
-            nothingBroken(cluster);
+            assertNoViolations(cluster);
         }
     }
 
@@ -192,8 +192,8 @@
      * own release: that answer found the job cancelled, threw, and nothing was ever written again.
      */
     @Test
-    void aCancellationThatOvertakesTheAnswerToAReleaseStopsNoWrites() {
-        SimCluster cluster = begun(18);
+    void cancellationBeforeResponseToReleaseWriteKeepsWriterRunning() {
+        SimCluster cluster = startCluster(18);
         Rule slow = cluster.network()
                 .addRule(FailureInjector.transactions("\"run/", Action.DELAY_RESPONSE, 1, new Random(18)));
         for (int i = 1; i <= 12; i++) {
@@ -207,20 +207,20 @@
         cluster.network().removeRule(slow);
         cluster.runSeconds(40);
         for (int i = 1; i <= 12; i++) {
-            everyNodeSays(cluster, "job-%06d".formatted(i), i % 2 == 0 ? "withdrawn" : "done");
+            assertStageOnAllNodes(cluster, "job-%06d".formatted(i), i % 2 == 0 ? "withdrawn" : "done");
         }
-        nothingBroken(cluster);
+        assertNoViolations(cluster);
     }
 
     /** Guards the hand-over: a successor that reads lists while jobs are cancelled misses none. */
     @Test
-    void whatIsCancelledWhileTheWorkChangesHandsStops() {
+    void stopsJobsCancelledDuringFailover() {
         for (int seed = 1; seed <= 3; seed++) {
-            SimCluster cluster = begun(seed);
+            SimCluster cluster = startCluster(seed);
             for (int i = 1; i <= 20; i++) {
                 cluster.submit(i % 3, SimCluster.job("job-%06d".formatted(i), 4));
             }
-            cluster.runUntilStarted(60, FOR_LONG);
+            cluster.runUntilStarted(60, LONG_TASK_MICROS);
             int leader = cluster.leader();
             cluster.kill(leader);
             for (int i = 1; i <= 20; i++) {
@@ -234,19 +234,19 @@
             for (int i = 1; i <= 20; i++) {
                 String uid = "job-%06d".formatted(i);
                 if (!"withdrawn".equals(cluster.known(uid))) {
-                    cluster.cancel(other(cluster, leader), uid);
+                    cluster.cancel(otherNode(cluster, leader), uid);
                 }
             }
             cluster.runSeconds(15);
-            assertThat(running(cluster)).as("seed %d", seed).isZero();
-            nothingBroken(cluster);
+            assertThat(runningTaskCount(cluster)).as("seed %d", seed).isZero();
+            assertNoViolations(cluster);
         }
     }
 
     /** Guards the rate of small jobs: each is stored, run and ended, a quarter cancelled, and none is left behind. */
     @Test
-    void manySmallJobsAreServedAndCancelledAtOnce() {
-        SimCluster cluster = begun(6);
+    void runsAndCancelsSmallJobsAtHighRate() {
+        SimCluster cluster = startCluster(6);
         Random random = new Random(6);
         Set<String> cancelled = new HashSet<>();
         for (int i = 1; i <= 480; i++) {
@@ -266,7 +266,7 @@
                     .as(uid)
                     .isIn(cancelled.contains(uid) ? List.of("done", "withdrawn") : List.of("done"));
         }
-        nothingBroken(cluster);
+        assertNoViolations(cluster);
     }
 
     /**
@@ -274,8 +274,8 @@
      * elsewhere.
      */
     @Test
-    void whatIsCancelledThroughANewLeaderStopsThoughWorkersStillReachTheOldOne() {
-        SimCluster cluster = begun(7);
+    void stopsJobsCancelledUnderNewLeaderWhileWorkersReachFormerLeader() {
+        SimCluster cluster = startCluster(7);
         cluster.submit(0, SimCluster.job("job-000001", 8));
         cluster.submit(0, SimCluster.job("job-000002", 8));
         cluster.runUntilStarted(16, 40 * SECOND);
@@ -292,7 +292,7 @@
                 .noneMatch(worker -> worker.runningTasks().stream().anyMatch(task -> task.startsWith("job-000001/")));
         cluster.network().removeRule(isolated);
         cluster.runSeconds(40);
-        everyNodeSays(cluster, "job-000001", "withdrawn");
-        nothingBroken(cluster);
+        assertStageOnAllNodes(cluster, "job-000001", "withdrawn");
+        assertNoViolations(cluster);
     }
 }
--- a/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
+++ b/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
@@ -36,33 +36,34 @@
 
     /** Guards the done set of a job that both versions lead in turn: parts of it would be unknown to that version. */
     @Test
-    void aDoneSetIsWrittenAsItWroteItUntilTheStateServiceRefusesItsSize() {
+    void writesBitmapInlineUntilStateServiceRejectsItsSize() {
         List<PendingWrite> queued = new ArrayList<>();
-        ActiveJob.Listener watcher = new IgnoringListener() {
+        ActiveJob.Listener listener = new IgnoringListener() {
             @Override
             public void enqueueWrites(List<? extends PendingWrite> items) {
                 queued.addAll(items);
             }
         };
-        ActiveJob job = new ActiveJob(spec("job-000412", 7_000), 7, 0, new ValueLimits(8_192, 2_048), watcher);
+        ActiveJob job = new ActiveJob(spec("job-000412", 7_000), 7, 0, new ValueLimits(8_192, 2_048), listener);
         List.of(0, 3, 6_999).forEach(job::markTaskDone);
         assertThat(job.recordWrite().prerequisites()).isEmpty();
-        JsonNode head = storedValue(job.recordWrite(), "run/job-000412");
-        assertThat(PreviousVersion.withoutNewerFields("run/job-000412", head)).isEqualTo(head);
+        JsonNode runRecord = storedValue(job.recordWrite(), "run/job-000412");
+        assertThat(PreviousVersion.withoutNewerFields("run/job-000412", runRecord))
+                .isEqualTo(runRecord);
         assertThat(CompletionBitmapCodec.decode(
-                        RunRecordCodec.decode(head).bitmap().inline())
+                        RunRecordCodec.decode(runRecord).bitmap().inline())
                         .stream())
                 .containsExactly(0, 3, 6_999);
-        assertThat(head.toString().length()).isGreaterThan(1_024);
+        assertThat(runRecord.toString().length()).isGreaterThan(1_024);
 
         job.recordWrite().onTooLarge();
         assertThat(queued).hasSize(1).first().isSameAs(job.recordWrite());
         queued.clear();
-        List<PendingWrite> parts = job.recordWrite().prerequisites();
-        assertThat(parts).hasSize(2).allMatch(part -> part.key().startsWith("bits/job-000412/"));
-        parts.forEach(part -> {
-            assertThat(part.change().value()).isNotNull();
-            part.onStored(9);
+        List<PendingWrite> chunks = job.recordWrite().prerequisites();
+        assertThat(chunks).hasSize(2).allMatch(chunk -> chunk.key().startsWith("bits/job-000412/"));
+        chunks.forEach(chunk -> {
+            assertThat(chunk.change().value()).isNotNull();
+            chunk.onStored(9);
         });
         assertThat(storedValue(job.recordWrite(), "run/job-000412").toString().length())
                 .isLessThan(1_024);
@@ -76,7 +77,7 @@
         final JobSpec spec = spec("job-000413", 400);
         final StateStore store;
         final WriteQueue writeQueue;
-        final ActiveJob.Listener watcher;
+        final ActiveJob.Listener listener;
 
         ChunkedJob() {
             SimNetwork network = new SimNetwork(time, 1);
@@ -89,7 +90,7 @@
             time.runFor(100_000);
             stateService.setLimits(2, 160, 1_000);
             writeQueue = new WriteQueue(store, process, "leader", 101, 2, () -> {});
-            watcher = new IgnoringListener() {
+            listener = new IgnoringListener() {
                 @Override
                 public void enqueueWrites(List<? extends PendingWrite> items) {
                     items.forEach(writeQueue::enqueue);
@@ -98,29 +99,29 @@
         }
 
         /** The job as a leader takes it over that reads what that version wrote. */
-        ActiveJob inherited() {
+        ActiveJob takeOverFromPreviousVersion() {
             Map<String, String> values = new HashMap<>();
-            Map<String, Long> stamps = new HashMap<>();
+            Map<String, Long> revisions = new HashMap<>();
             CHUNKED.forEach((key, value) -> {
                 if (key.lastIndexOf('/') > 4) {
                     values.put(key, json(value).path("bits").asText());
-                    stamps.put(key, 101L);
+                    revisions.put(key, 101L);
                 }
             });
-            StoredChunks stored = new StoredChunks(values, stamps, CompletionBitmapCodec.tasksPerChunk(64));
-            ActiveJob job = new ActiveJob(spec, 7, 0, ValueLimits.fixed(32), watcher);
+            StoredChunks stored = new StoredChunks(values, revisions, CompletionBitmapCodec.tasksPerChunk(64));
+            ActiveJob job = new ActiveJob(spec, 7, 0, ValueLimits.fixed(32), listener);
             job.inherit(101, RunRecordCodec.decode(json(CHUNKED.get("run/job-000413"))), stored);
             return job;
         }
 
         /** The job as the next leader takes it over. */
-        ActiveJob succeeded() {
+        ActiveJob takeOverFromCurrentVersion() {
             Map<String, String> values = new HashMap<>();
             stateService
                     .keysWithPrefix("bits/")
                     .forEach(key ->
                             values.put(key, stateService.value(key).path("bits").asText()));
-            ActiveJob job = new ActiveJob(spec, 7, 0, ValueLimits.fixed(32), watcher);
+            ActiveJob job = new ActiveJob(spec, 7, 0, ValueLimits.fixed(32), listener);
             job.inherit(
                     102,
                     RunRecordCodec.decode(stateService.value("run/job-000413")),
@@ -138,9 +139,9 @@
      * Guards a done set that it cut by larger values: read by its rule, written in smaller parts, nothing left behind.
      */
     @Test
-    void whatItCutLargerIsRewrittenInSmallerParts() {
+    void rewritesLargerChunksAsSmallerOnes() {
         ChunkedJob chunked = new ChunkedJob();
-        ActiveJob job = chunked.inherited();
+        ActiveJob job = chunked.takeOverFromPreviousVersion();
         assertThat(List.of(0, 191, 192, 399)).allMatch(job::isTaskStored);
         assertThat(job.doneCount()).isEqualTo(4);
         job.markTaskDone(200);
@@ -149,7 +150,7 @@
         assertThat(chunked.stateService.keysWithPrefix("run/")).containsExactly("run/job-000413");
         assertThat(chunked.stateService.rejectedForSize()).isZero();
 
-        ActiveJob successor = chunked.succeeded();
+        ActiveJob successor = chunked.takeOverFromCurrentVersion();
         assertThat(successor.doneCount()).isEqualTo(5);
         assertThat(List.of(0, 191, 192, 200, 399)).allMatch(successor::isTaskDone);
 
@@ -163,9 +164,9 @@
 
     /** Guards against a write that its last leader gave up on: it comes late, and finds another leader. */
     @Test
-    void aLateWriteOfALargerCutIsRefused() {
+    void rejectsLateChunkWriteOfFormerLeader() {
         ChunkedJob chunked = new ChunkedJob();
-        ActiveJob job = chunked.inherited();
+        ActiveJob job = chunked.takeOverFromPreviousVersion();
         for (int task = 0; task < 400; task++) {
             job.markTaskDone(task);
         }
--- a/src/test/java/io/sillreel/FailoverFailuresTest.java
+++ b/src/test/java/io/sillreel/FailoverFailuresTest.java
@@ -1,13 +1,13 @@
 package io.sillreel;
 
-import static io.sillreel.FailureScenario.begun;
-import static io.sillreel.FailureScenario.everyNodeSays;
-import static io.sillreel.FailureScenario.fullest;
-import static io.sillreel.FailureScenario.machines;
-import static io.sillreel.FailureScenario.nothingBroken;
-import static io.sillreel.FailureScenario.other;
-import static io.sillreel.FailureScenario.running;
-import static io.sillreel.FailureScenario.succeed;
+import static io.sillreel.FailureScenario.assertNoViolations;
+import static io.sillreel.FailureScenario.assertStageOnAllNodes;
+import static io.sillreel.FailureScenario.busiestWorker;
+import static io.sillreel.FailureScenario.failOver;
+import static io.sillreel.FailureScenario.machineNames;
+import static io.sillreel.FailureScenario.otherNode;
+import static io.sillreel.FailureScenario.runningTaskCount;
+import static io.sillreel.FailureScenario.startCluster;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.sillreel.sim.FailureInjector;
@@ -29,38 +29,38 @@
      * controller.
      */
     @Test
-    void oldReportsThatReachEveryControllerAsATermBeginsChangeNothing() {
+    void ignoresHeartbeatsOfFormerTermAtStartOfTerm() {
         for (int seed = 1; seed <= 3; seed++) {
-            SimCluster cluster = begun(seed);
+            SimCluster cluster = startCluster(seed);
             cluster.network().addRule(FailureInjector.heartbeats(Action.RECORD, 0.7, new Random(seed)));
             cluster.submit(0, SimCluster.job("job-000001", 30));
             cluster.runUntilStarted(20, 15 * SECOND);
-            Set<String> before = new HashSet<>(machines(cluster));
-            succeed(cluster);
+            Set<String> before = new HashSet<>(machineNames(cluster));
+            failOver(cluster);
             cluster.runSeconds(10);
-            assertThat(machines(cluster)).as("seed %d", seed).containsAll(before);
+            assertThat(machineNames(cluster)).as("seed %d", seed).containsAll(before);
             cluster.runSeconds(60);
-            everyNodeSays(cluster, "job-000001", "done");
-            nothingBroken(cluster);
+            assertStageOnAllNodes(cluster, "job-000001", "done");
+            assertNoViolations(cluster);
         }
     }
 
     /** Guards the count of done tasks over a change of leader, with tasks of one job that end far apart. */
     @Test
-    void tasksThatEndFarApartAcrossAChangeOfLeaderAreDoneOnce() {
+    void completesEachTaskOnceWhenJobSpansFailover() {
         for (int after = 0; after < 6; after++) {
-            SimCluster cluster = begun(20 + after);
+            SimCluster cluster = startCluster(20 + after);
             // Each of them fills a machine.
             cluster.submit(0, SimCluster.job("job-000001", 3).put("vcpus", 4.0));
             cluster.runUntilStarted(3, 30 * SECOND);
-            fullest(cluster).extendRunningTasks(30 * SECOND);
-            cluster.runUntil(() -> running(cluster) < 3);
+            busiestWorker(cluster).extendRunningTasks(30 * SECOND);
+            cluster.runUntil(() -> runningTaskCount(cluster) < 3);
             cluster.runSeconds(after * 0.4);
-            succeed(cluster);
+            failOver(cluster);
             cluster.runSeconds(60);
             assertThat(cluster.stage(cluster.leader(), "job-000001")).isEqualTo("done");
             assertThat(cluster.startCount()).as("after %d times 0.4 s", after).isEqualTo(3);
-            nothingBroken(cluster);
+            assertNoViolations(cluster);
         }
     }
 
@@ -68,9 +68,9 @@
      * Guards the zone of a job: what a machine has lost starts where the rest of its job is, or where all of it can be.
      */
     @Test
-    void jobsOfOneZoneThatLoseMachinesStayInOneZone() {
+    void keepsSingleZoneJobsInOneZoneAfterMachineLoss() {
         for (int seed = 1; seed <= 4; seed++) {
-            SimCluster cluster = begun(seed);
+            SimCluster cluster = startCluster(seed);
             Random random = new Random(seed);
             for (int i = 1; i <= 3; i++) {
                 cluster.submit(0, SimCluster.job("job-%06d".formatted(i), 8).put("one_zone", true));
@@ -79,7 +79,7 @@
                     0, SimCluster.job("job-000004", 1).put("one_zone", true).put("yard", "b"));
             cluster.runUntilStarted(20, 12 * SECOND);
             for (int i = 0; i < 3; i++) {
-                List<String> machines = machines(cluster);
+                List<String> machines = machineNames(cluster);
                 String lost = machines.get(random.nextInt(machines.size()));
                 if (i == 1) {
                     cluster.network().addRule(FailureInjector.machineTraffic(Set.of(lost), Action.HOLD));
@@ -88,7 +88,7 @@
                 }
                 cluster.runSeconds(3);
             }
-            succeed(cluster);
+            failOver(cluster);
             cluster.runSeconds(20);
             cluster.network().releaseHeld();
             cluster.runSeconds(100);
@@ -97,7 +97,7 @@
                         .as("seed %d", seed)
                         .isEqualTo("done");
             }
-            nothingBroken(cluster);
+            assertNoViolations(cluster);
         }
     }
 
@@ -105,8 +105,8 @@
      * Guards against a command that is carried out long after it was given: it names an attempt that never comes again.
      */
     @Test
-    void commandsHeldUpUntilTheirMachineGoesOnHurtNobody() {
-        SimCluster cluster = begun(8);
+    void ignoresCommandsDelayedUntilMachineResumes() {
+        SimCluster cluster = startCluster(8);
         cluster.submit(0, SimCluster.job("job-000001", 6));
         cluster.submit(0, SimCluster.job("job-000002", 6));
         cluster.runUntilStarted(12, 30 * SECOND);
@@ -115,27 +115,28 @@
         cluster.cancel(0, "job-000001");
         cluster.runSeconds(5);
         cluster.submit(1, SimCluster.job("job-000003", 6));
-        succeed(cluster);
+        failOver(cluster);
         cluster.runSeconds(6);
         cluster.network().removeRule(held);
         cluster.network().releaseHeld();
         cluster.runSeconds(60);
         assertThat(cluster.stage(cluster.leader(), "job-000002")).isEqualTo("done");
         assertThat(cluster.stage(cluster.leader(), "job-000003")).isEqualTo("done");
-        nothingBroken(cluster);
+        assertNoViolations(cluster);
     }
 
     /** Guards the reports of an earlier term that come in once the next one has acted. */
     @Test
-    void reportsHeldBackUntilTheNextLeaderHasActedFreeNothing() {
+    void ignoresHeartbeatsDelayedIntoNextTerm() {
         for (int seed = 1; seed <= 4; seed++) {
-            SimCluster cluster = begun(seed);
+            SimCluster cluster = startCluster(seed);
             cluster.submit(0, SimCluster.job("job-000001", 12));
             cluster.runUntilStarted(12, 25 * SECOND);
-            Set<String> some = new HashSet<>(machines(cluster).subList(0, 2));
-            Rule held = cluster.network().addRule((from, to, request) -> some.contains(from) ? Action.HOLD : null);
+            Set<String> delayedMachines = new HashSet<>(machineNames(cluster).subList(0, 2));
+            Rule held = cluster.network()
+                    .addRule((from, to, request) -> delayedMachines.contains(from) ? Action.HOLD : null);
             cluster.runSeconds(1.5);
-            succeed(cluster);
+            failOver(cluster);
             cluster.runSeconds(3 + 4 * seed);
             cluster.network().removeRule(held);
             cluster.network().releaseHeld();
@@ -143,14 +144,14 @@
             assertThat(cluster.stage(cluster.leader(), "job-000001"))
                     .as("seed %d", seed)
                     .isEqualTo("done");
-            nothingBroken(cluster);
+            assertNoViolations(cluster);
         }
     }
 
     /** Guards terms that follow each other within seconds, and within an outage, in which nobody can take one. */
     @Test
-    void tenLeadersInTwoMinutesRunEverythingOnce() {
-        SimCluster cluster = begun(9);
+    void survivesTenFailoversInTwoMinutes() {
+        SimCluster cluster = startCluster(9);
         Random random = new Random(9);
         cluster.submit(0, SimCluster.job("job-000001", 30));
         cluster.submit(1, SimCluster.job("job-000002", 10));
@@ -169,21 +170,21 @@
                 // Back at once, in the middle of the election, with one more.
                 cluster.runSeconds(random.nextDouble() * 0.4);
                 cluster.restart(old);
-                cluster.restart(other(cluster, old));
+                cluster.restart(otherNode(cluster, old));
             }
             cluster.runSeconds(random.nextDouble() * 8);
             cluster.pollAsync(random.nextInt(3), "job-000001");
         }
         cluster.runSeconds(100);
-        everyNodeSays(cluster, "job-000001", "done");
-        everyNodeSays(cluster, "job-000002", "done");
-        nothingBroken(cluster);
+        assertStageOnAllNodes(cluster, "job-000001", "done");
+        assertStageOnAllNodes(cluster, "job-000002", "done");
+        assertNoViolations(cluster);
     }
 
     /** Guards against waiting for ever, and against guessing, after all leases have ended with nobody there. */
     @Test
-    void allControllersAreAwayForLongerThanALeaseAndOneComesBackFirst() {
-        SimCluster cluster = begun(10);
+    void recoversAfterAllControllersAreDownLongerThanLease() {
+        SimCluster cluster = startCluster(10);
         cluster.submit(0, SimCluster.job("job-000001", 12));
         cluster.submit(1, SimCluster.job("job-000002", 2));
         cluster.runUntilStarted(14, 20 * SECOND);
@@ -200,36 +201,36 @@
         cluster.restart(0);
         cluster.restart(2);
         cluster.runSeconds(3);
-        everyNodeSays(cluster, "job-000002", "withdrawn");
-        nothingBroken(cluster);
+        assertStageOnAllNodes(cluster, "job-000002", "withdrawn");
+        assertNoViolations(cluster);
     }
 
     /**
      * Guards a zone that goes on by itself behind its cut: its leader lets go in time, and nothing runs on both sides.
      */
     @Test
-    void aZoneThatIsCutOffWithTheLeaderForLongerThanALeaseRunsNothingTwice() {
+    void runsNothingTwiceWhenZoneOfLeaderIsPartitionedLongerThanLease() {
         for (Action action : List.of(Action.DROP, Action.HOLD)) {
-            SimCluster cluster = begun(11);
+            SimCluster cluster = startCluster(11);
             cluster.submit(0, SimCluster.job("job-000001", 24));
             cluster.runUntilStarted(24, 30 * SECOND);
-            int inside = cluster.leader();
-            Set<String> zone =
-                    new HashSet<>(machines(cluster).subList(0, machines(cluster).size() / 2));
-            zone.add(FailureInjector.host(inside));
+            int partitionedLeader = cluster.leader();
+            Set<String> zone = new HashSet<>(
+                    machineNames(cluster).subList(0, machineNames(cluster).size() / 2));
+            zone.add(FailureInjector.host(partitionedLeader));
             Rule cut = cluster.network()
                     .addRule((from, to, request) ->
                             zone.contains(from) != zone.stream().anyMatch(to::startsWith) ? action : null);
             cluster.runSeconds(10);
-            cluster.cancelAsync(other(cluster, inside), "job-000001");
-            cluster.submitAsync(other(cluster, inside), SimCluster.job("job-000002", 12));
+            cluster.cancelAsync(otherNode(cluster, partitionedLeader), "job-000001");
+            cluster.submitAsync(otherNode(cluster, partitionedLeader), SimCluster.job("job-000002", 12));
             cluster.runSeconds(20);
             cluster.network().removeRule(cut);
             cluster.network().releaseHeld();
             cluster.runSeconds(60);
-            everyNodeSays(cluster, "job-000001", "withdrawn");
-            everyNodeSays(cluster, "job-000002", "done");
-            nothingBroken(cluster);
+            assertStageOnAllNodes(cluster, "job-000001", "withdrawn");
+            assertStageOnAllNodes(cluster, "job-000002", "done");
+            assertNoViolations(cluster);
         }
     }
 
@@ -237,13 +238,13 @@
      * Guards machines that reach no controller: commands alone keep nothing alive, and nothing new is given to them.
      */
     @Test
-    void machinesThatReachNoControllerKeepNoTasks() {
-        SimCluster cluster = begun(12);
+    void releasesTasksOfMachinesThatReachNoController() {
+        SimCluster cluster = startCluster(12);
         cluster.submit(0, SimCluster.job("job-000001", 8));
         cluster.submit(0, SimCluster.job("job-000002", 4));
         cluster.runUntilStarted(12, 25 * SECOND);
-        Set<String> mute = new HashSet<>(machines(cluster).subList(0, 3));
-        Rule rule = cluster.network().addRule(FailureInjector.dropOutbound(mute));
+        Set<String> unheard = new HashSet<>(machineNames(cluster).subList(0, 3));
+        Rule rule = cluster.network().addRule(FailureInjector.dropOutbound(unheard));
         cluster.runSeconds(1);
         cluster.cancel(1, "job-000002");
         cluster.runSeconds(1);
@@ -252,7 +253,7 @@
         cluster.runSeconds(40);
         cluster.network().removeRule(rule);
         cluster.runSeconds(60);
-        everyNodeSays(cluster, "job-000001", "done");
-        nothingBroken(cluster);
+        assertStageOnAllNodes(cluster, "job-000001", "done");
+        assertNoViolations(cluster);
     }
 }
--- a/src/test/java/io/sillreel/FailureScenario.java
+++ b/src/test/java/io/sillreel/FailureScenario.java
@@ -11,45 +11,45 @@
 public final class FailureScenario {
     private FailureScenario() {}
 
-    static SimCluster begun(long seed) {
-        return begun(seed, 0);
+    static SimCluster startCluster(long seed) {
+        return startCluster(seed, 0);
     }
 
-    static SimCluster begun(long seed, double cpusMax) {
+    static SimCluster startCluster(long seed, double cpusMax) {
         SimCluster cluster = new SimCluster(seed, cpusMax);
         cluster.runSeconds(2);
         return cluster;
     }
 
-    static int other(SimCluster cluster, int than) {
-        return (than + 1) % cluster.nodes();
+    static int otherNode(SimCluster cluster, int node) {
+        return (node + 1) % cluster.nodes();
     }
 
-    static List<String> machines(SimCluster cluster) {
+    static List<String> machineNames(SimCluster cluster) {
         return List.copyOf(cluster.cloud().machines().keySet());
     }
 
-    static long running(SimCluster cluster) {
+    static long runningTaskCount(SimCluster cluster) {
         return cluster.cloud().machines().values().stream()
                 .mapToLong(worker -> worker.runningTasks().size())
                 .sum();
     }
 
-    static SimWorker fullest(SimCluster cluster) {
+    static SimWorker busiestWorker(SimCluster cluster) {
         return cluster.cloud().machines().values().stream()
                 .max(Comparator.comparingInt(worker -> worker.runningTasks().size()))
                 .orElseThrow();
     }
 
     /** Kills the lease leader, and waits until another one leads. */
-    static void succeed(SimCluster cluster) {
-        int old = cluster.leader();
-        cluster.kill(old);
-        cluster.runUntil(() -> cluster.leader() >= 0 && cluster.leader() != old);
+    static void failOver(SimCluster cluster) {
+        int formerLeader = cluster.leader();
+        cluster.kill(formerLeader);
+        cluster.runUntil(() -> cluster.leader() >= 0 && cluster.leader() != formerLeader);
     }
 
     /** Asks every controller that is up. */
-    public static void everyNodeSays(SimCluster cluster, String uid, String stage) {
+    public static void assertStageOnAllNodes(SimCluster cluster, String uid, String stage) {
         for (int node = 0; node < cluster.nodes(); node++) {
             if (cluster.isUp(node)) {
                 assertThat(cluster.stage(node, uid)).as("%s at %d", uid, node).isEqualTo(stage);
@@ -57,7 +57,7 @@
         }
     }
 
-    static void nothingBroken(SimCluster cluster) {
+    static void assertNoViolations(SimCluster cluster) {
         assertThat(cluster.violations()).isEmpty();
     }
 }
--- a/src/test/java/io/sillreel/LargeFleetTest.java
+++ b/src/test/java/io/sillreel/LargeFleetTest.java
@@ -16,12 +16,12 @@
 /** What must hold at thousands of machines, with every rule watched. */
 class LargeFleetTest {
     private static final int MACHINES = 4_000;
-    private static final int PROCESSORS = 4 * MACHINES;
+    private static final int TOTAL_CPUS = 4 * MACHINES;
     /** More than fit at once, or the planner would rather wait than rent all machines. */
     private static final int TASKS = 40_000;
 
     private static final long SECOND = 1_000_000;
-    private static final long RUN_MICROS = 200 * SECOND;
+    private static final long TASK_MICROS = 200 * SECOND;
 
     private SimCluster cluster = new SimCluster(1, SimClusterSettings.large(3, MACHINES, 0), Version.CURRENT);
 
@@ -30,27 +30,27 @@
     }
 
     /** A job has a task on every processor that it may use, and each of them runs for long. */
-    private void untilBusy(int tasks) {
+    private void runUntilFullyLoaded(int tasks) {
         cluster.runSeconds(2);
         cluster.submit(0, longJob("job-000001", TASKS));
-        cluster.runUntilStarted(tasks, RUN_MICROS);
-        cluster.runUntil(() -> machines() == MACHINES);
+        cluster.runUntilStarted(tasks, TASK_MICROS);
+        cluster.runUntil(() -> machineCount() == MACHINES);
         assertThat(cluster.startCount()).isEqualTo(tasks);
     }
 
-    private int machines() {
+    private int machineCount() {
         return cluster.cloud().machines().size();
     }
 
     /** What runs ends at once, and what starts from now on soon. */
-    private void endTasks() {
+    private void finishTasks() {
         for (SimWorker worker : cluster.cloud().machines().values()) {
-            worker.extendRunningTasks(-RUN_MICROS);
+            worker.extendRunningTasks(-TASK_MICROS);
             worker.setRunMicros(SECOND);
         }
     }
 
-    private void assertDone() {
+    private void assertJobDone() {
         for (int node = 0; node < 3; node++) {
             assertThat(cluster.stage(node, "job-000001")).isEqualTo("done");
         }
@@ -59,22 +59,22 @@
 
     /** Guards takeovers: what they ask of the store is counted, and nobody's task starts again for them. */
     @Test
-    void aChangeOfLeaderStartsNothingAgainAndWhatIsCancelledThenIsSoonGone() {
-        int allowed = PROCESSORS / 2;
-        cluster = new SimCluster(1, SimClusterSettings.large(3, MACHINES, allowed), Version.CURRENT);
-        untilBusy(allowed);
-        int[] lists = new int[1];
+    void failoverRestartsNoTaskAndCancellationTakesEffect() {
+        int cpuLimit = TOTAL_CPUS / 2;
+        cluster = new SimCluster(1, SimClusterSettings.large(3, MACHINES, cpuLimit), Version.CURRENT);
+        runUntilFullyLoaded(cpuLimit);
+        int[] listRequests = new int[1];
         cluster.network().addRule((from, to, request) -> {
-            lists[0] += request.route().equals("/kv") ? 1 : 0;
+            listRequests[0] += request.route().equals("/kv") ? 1 : 0;
             return null;
         });
         int leader = cluster.leader();
         cluster.kill(leader);
         cluster.runUntil(() -> cluster.leader() >= 0 && cluster.leader() != leader);
         cluster.runSeconds(12);
-        assertThat(lists[0]).as("pages that a takeover reads").isLessThanOrEqualTo(6);
-        assertThat(cluster.startCount()).isEqualTo(allowed);
-        assertThat(machines()).isEqualTo(MACHINES);
+        assertThat(listRequests[0]).as("pages that a takeover reads").isLessThanOrEqualTo(6);
+        assertThat(cluster.startCount()).isEqualTo(cpuLimit);
+        assertThat(machineCount()).isEqualTo(MACHINES);
         cluster.restart(leader);
         cluster.cancel((leader + 1) % 3, "job-000001");
         cluster.runSeconds(12);
@@ -86,28 +86,28 @@
 
     /** Guards a fleet against being given away: half of it is silent for longer than its leases, and comes back. */
     @Test
-    void aZoneThatIsCutOffBeyondItsLeaseIsWaitedForAndNothingRunsTwice() {
-        untilBusy(PROCESSORS);
-        Set<String> cut = cluster.cloud().machines().values().stream()
+    void keepsZonePartitionedBeyondLeaseAndRunsNothingTwice() {
+        runUntilFullyLoaded(TOTAL_CPUS);
+        Set<String> partitioned = cluster.cloud().machines().values().stream()
                 .filter(worker -> worker.zone().equals("b"))
                 .map(SimWorker::name)
                 .collect(Collectors.toSet());
-        assertThat(cut).hasSizeBetween(MACHINES / 4, 3 * MACHINES / 4);
-        Rule silence = cluster.network()
+        assertThat(partitioned).hasSizeBetween(MACHINES / 4, 3 * MACHINES / 4);
+        Rule partition = cluster.network()
                 .addRule((from, to, request) ->
-                        cut.contains(from) || cut.contains(to.split(":")[0]) ? Action.DROP : null);
+                        partitioned.contains(from) || partitioned.contains(to.split(":")[0]) ? Action.DROP : null);
         cluster.runSeconds(30);
-        cluster.network().removeRule(silence);
+        cluster.network().removeRule(partition);
         cluster.runSeconds(15);
-        assertThat(machines()).isEqualTo(MACHINES);
-        endTasks();
+        assertThat(machineCount()).isEqualTo(MACHINES);
+        finishTasks();
         cluster.runSeconds(45);
-        assertDone();
+        assertJobDone();
     }
 
     @Test
-    void allControllersAreAwayForLessThanALeaseAndNothingStartsAgain() {
-        untilBusy(PROCESSORS);
+    void restartsNoTaskWhenAllControllersAreDownLessThanLease() {
+        runUntilFullyLoaded(TOTAL_CPUS);
         for (int node = 0; node < 3; node++) {
             cluster.kill(node);
         }
@@ -116,24 +116,24 @@
             cluster.restart(node);
         }
         cluster.runSeconds(25);
-        assertThat(cluster.startCount()).isEqualTo(PROCESSORS);
-        assertThat(machines()).isEqualTo(MACHINES);
-        endTasks();
+        assertThat(cluster.startCount()).isEqualTo(TOTAL_CPUS);
+        assertThat(machineCount()).isEqualTo(MACHINES);
+        finishTasks();
         cluster.runSeconds(25);
-        assertDone();
+        assertJobDone();
         assertThat(cluster.startCount()).isEqualTo(TASKS);
     }
 
     /** Guards the controllers themselves: more machines than their sockets carry are not rented. */
     @Test
-    void noMoreMachinesAreRentedThanTheControllersCarry() {
+    void scalesOutOnlyToControllerCapacity() {
         SimClusterSettings large = SimClusterSettings.large(3, MACHINES, 0);
         int sockets = 500;
         cluster = new SimCluster(1, large.withSockets(sockets), Version.CURRENT);
         cluster.runSeconds(2);
         cluster.submit(0, longJob("job-000001", TASKS));
         cluster.runSeconds(40);
-        assertThat(machines()).isEqualTo(2 * (int) (sockets * 0.75 * 0.9));
+        assertThat(machineCount()).isEqualTo(2 * (int) (sockets * 0.75 * 0.9));
         assertThat(cluster.violations()).isEmpty();
     }
 }
--- a/src/test/java/io/sillreel/PackageDependenciesTest.java
+++ b/src/test/java/io/sillreel/PackageDependenciesTest.java
@@ -27,11 +27,11 @@
     private static final String ROOT = "io.sillreel";
 
     /** Each package with those that it may use; what it uses through them is to be named as well. */
-    private static final Map<String, List<String>> ALLOWED = allowed();
+    private static final Map<String, List<String>> ALLOWED_DEPENDENCIES = allowedDependencies();
 
-    private static JavaClasses program;
+    private static JavaClasses mainClasses;
 
-    private static Map<String, List<String>> allowed() {
+    private static Map<String, List<String>> allowedDependencies() {
         Map<String, List<String>> allowed = new HashMap<>();
         allowed.put("http", List.of());
         allowed.put("overload", List.of("http"));
@@ -83,32 +83,32 @@
     }
 
     @BeforeAll
-    static void importProgram() {
-        program = new ClassFileImporter()
+    static void importMainClasses() {
+        mainClasses = new ClassFileImporter()
                 .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
                 .importPackages(ROOT);
     }
 
     @Test
-    void everyPackageHasItsRule() {
-        Set<String> packages = program.stream()
+    void hasRuleForEveryPackage() {
+        Set<String> packages = mainClasses.stream()
                 .map(JavaClass::getPackageName)
                 .filter(name -> !name.equals(ROOT))
                 .map(name -> name.substring(ROOT.length() + 1))
                 .collect(Collectors.toCollection(TreeSet::new));
-        assertThat(packages).isEqualTo(new TreeSet<>(ALLOWED.keySet()));
+        assertThat(packages).isEqualTo(new TreeSet<>(ALLOWED_DEPENDENCIES.keySet()));
     }
 
     @Test
-    void packagesUseOnlyWhatTheyMay() {
+    void packagesDependOnlyOnAllowedPackages() {
         List<String> violations = new ArrayList<>();
-        ALLOWED.forEach((name, allowed) -> violations.addAll(
-                rule(name, allowed).evaluate(program).getFailureReport().getDetails()));
+        ALLOWED_DEPENDENCIES.forEach((name, allowed) -> violations.addAll(
+                rule(name, allowed).evaluate(mainClasses).getFailureReport().getDetails()));
         assertThat(violations).isEmpty();
     }
 
     private static ArchRule rule(String name, List<String> allowed) {
-        String[] usable = allowed.stream()
+        String[] allowedPackages = allowed.stream()
                 .map(other -> other.isEmpty() ? ROOT : ROOT + "." + other)
                 .toArray(String[]::new);
         return classes()
@@ -117,11 +117,11 @@
                 .should()
                 .onlyDependOnClassesThat(not(resideInAPackage(ROOT + ".."))
                         .or(resideInAPackage(ROOT + "." + name))
-                        .or(resideInAnyPackage(usable)));
+                        .or(resideInAnyPackage(allowedPackages)));
     }
 
     @Test
-    void noPackagesFormACircle() {
-        slices().matching(ROOT + ".(*)..").should().beFreeOfCycles().check(program);
+    void packagesAreFreeOfCycles() {
+        slices().matching(ROOT + ".(*)..").should().beFreeOfCycles().check(mainClasses);
     }
 }
--- a/src/test/java/io/sillreel/RandomFailures.java
+++ b/src/test/java/io/sillreel/RandomFailures.java
@@ -17,7 +17,7 @@
     private final SimCluster cluster;
     private final Random random;
     /** Rules of the network that are in force. */
-    private final List<Rule> cuts = new ArrayList<>();
+    private final List<Rule> networkRules = new ArrayList<>();
 
     RandomFailures(SimCluster cluster, Random random) {
         this.cluster = cluster;
@@ -25,7 +25,7 @@
     }
 
     /** Users cancel some of the latest jobs. */
-    void cancelSome(List<String> jobs, Set<String> cancelled, int count) {
+    void cancelRecentJobs(List<String> jobs, Set<String> cancelled, int count) {
         for (int each = 0; each < count && !jobs.isEmpty(); each++) {
             String uid = jobs.get(Math.max(0, jobs.size() - 1 - random.nextInt(8)));
             cancelled.add(uid);
@@ -34,34 +34,37 @@
     }
 
     /** One of the troubles that operators have seen to meet. */
-    void meeting(List<String> jobs, Set<String> cancelled) {
+    void injectOverlapping(List<String> jobs, Set<String> cancelled) {
         int leader = Math.max(0, cluster.leader());
         List<SimWorker> machines = List.copyOf(cluster.cloud().machines().values());
-        Set<String> some = new HashSet<>();
-        machines.stream().filter(machine -> random.nextInt(3) == 0).forEach(machine -> some.add(machine.name()));
+        Set<String> affected = new HashSet<>();
+        machines.stream().filter(machine -> random.nextInt(3) == 0).forEach(machine -> affected.add(machine.name()));
         SimNetwork network = cluster.network();
         switch (random.nextInt(20)) {
             case 18 ->
-                cuts.add(network.addRule(FailureInjector.transactions("\"set\"", Action.DELAY_RESPONSE, 0.7, random)));
+                networkRules.add(
+                        network.addRule(FailureInjector.transactions("\"set\"", Action.DELAY_RESPONSE, 0.7, random)));
             case 0 ->
-                cuts.add(network.addRule(
+                networkRules.add(network.addRule(
                         FailureInjector.transactions("\"set\"", Action.DELAY_AND_DROP_RESPONSE, 0.4, random)));
             case 1 ->
-                cuts.add(network.addRule(FailureInjector.transactions("\"set\"", Action.DROP_RESPONSE, 0.5, random)));
-            case 2 -> cuts.add(network.addRule(FailureInjector.heartbeats(Action.DUPLICATE, 0.5, random)));
-            case 3 -> cuts.add(network.addRule(FailureInjector.heartbeats(Action.RECORD, 0.7, random)));
-            case 4 -> cuts.add(network.addRule(FailureInjector.rejectedByStateService(leader)));
+                networkRules.add(
+                        network.addRule(FailureInjector.transactions("\"set\"", Action.DROP_RESPONSE, 0.5, random)));
+            case 2 -> networkRules.add(network.addRule(FailureInjector.heartbeats(Action.DUPLICATE, 0.5, random)));
+            case 3 -> networkRules.add(network.addRule(FailureInjector.heartbeats(Action.RECORD, 0.7, random)));
+            case 4 -> networkRules.add(network.addRule(FailureInjector.rejectedByStateService(leader)));
             case 5 -> cluster.store().setOutage(true);
-            case 6 -> some.forEach(machine -> cuts.add(network.addRule(FailureInjector.dropInbound(machine))));
-            case 7 -> cuts.add(network.addRule(FailureInjector.dropOutbound(some)));
-            case 8 -> cuts.add(network.addRule(FailureInjector.isolated(leader)));
+            case 6 ->
+                affected.forEach(machine -> networkRules.add(network.addRule(FailureInjector.dropInbound(machine))));
+            case 7 -> networkRules.add(network.addRule(FailureInjector.dropOutbound(affected)));
+            case 8 -> networkRules.add(network.addRule(FailureInjector.isolated(leader)));
             case 9 -> {
-                cancelSome(jobs, cancelled, 4);
+                cancelRecentJobs(jobs, cancelled, 4);
                 machines.stream()
-                        .filter(machine -> some.contains(machine.name()))
+                        .filter(machine -> affected.contains(machine.name()))
                         .forEach(machine -> machine.pause(random.nextInt(14_000_000)));
             }
-            case 10 -> pollEverywhere(jobs);
+            case 10 -> pollAllNodes(jobs);
             case 11, 12 -> cluster.kill(leader);
             case 13 -> {
                 cluster.restart(leader);
@@ -69,25 +72,25 @@
                 cluster.restart(random.nextInt(cluster.nodes()));
             }
             case 14 ->
-                cuts.add(network.addRule(
-                        FailureInjector.machineTraffic(some, random.nextBoolean() ? Action.HOLD : Action.DROP)));
-            case 15 -> cuts.add(network.addRule(FailureInjector.commands(Action.HOLD)));
+                networkRules.add(network.addRule(
+                        FailureInjector.machineTraffic(affected, random.nextBoolean() ? Action.HOLD : Action.DROP)));
+            case 15 -> networkRules.add(network.addRule(FailureInjector.commands(Action.HOLD)));
             case 16 -> network.setLatencyFactor(1 + random.nextInt(60));
             case 17 -> cluster.cloud().setBootMicros(500_000 + random.nextInt(6_000_000));
-            default -> repeatEverywhere(jobs);
+            default -> resubmitToAllNodes(jobs);
         }
     }
 
-    private void pollEverywhere(List<String> jobs) {
-        for (int look = 0; look < 10 && !jobs.isEmpty(); look++) {
+    private void pollAllNodes(List<String> jobs) {
+        for (int round = 0; round < 10 && !jobs.isEmpty(); round++) {
             for (int node = 0; node < cluster.nodes(); node++) {
-                cluster.pollAsync(node, jobs.get(jobs.size() - 1 - look % Math.min(4, jobs.size())));
+                cluster.pollAsync(node, jobs.get(jobs.size() - 1 - round % Math.min(4, jobs.size())));
             }
             cluster.runSeconds(0.004);
         }
     }
 
-    private void repeatEverywhere(List<String> jobs) {
+    private void resubmitToAllNodes(List<String> jobs) {
         for (int node = 0; node < cluster.nodes() && !jobs.isEmpty(); node++) {
             cluster.resubmitAsync(node, jobs.get(jobs.size() - 1));
             cluster.submitAsync(node, SimCluster.job("job-999999", 1).put("vcpus", 64.0));
@@ -96,7 +99,7 @@
     }
 
     /** One trouble, mostly of one controller or one machine. */
-    void one() {
+    void injectSingle() {
         int node = random.nextInt(cluster.nodes());
         String host = "10.0.0." + node;
         int kind = random.nextInt(20);
@@ -113,17 +116,17 @@
             case 4 -> cluster.store().setOutage(random.nextBoolean());
             case 5 -> cluster.store().setOutage(false);
             case 6 -> cluster.cloud().setOutage(random.nextBoolean());
-            case 7 -> cuts.add(cluster.network().addRule(between(host, "state:1")));
-            case 8 -> cuts.add(cluster.network().addRule(between(host, "host-")));
-            case 9 -> cuts.add(cluster.network().addRule(between(host, "10.0.0.")));
-            case 10, 11, 13, 16 -> machineTrouble(kind);
+            case 7 -> networkRules.add(cluster.network().addRule(linkFailure(host, "state:1")));
+            case 8 -> networkRules.add(cluster.network().addRule(linkFailure(host, "host-")));
+            case 9 -> networkRules.add(cluster.network().addRule(linkFailure(host, "10.0.0.")));
+            case 10, 11, 13, 16 -> injectMachineFailure(kind);
             case 12 ->
-                cuts.add(cluster.network()
+                networkRules.add(cluster.network()
                         .addRule((from, to, request) -> request.route().equals("/agent/beat")
                                         || request.route().equals("/peer/beats")
                                 ? Action.DUPLICATE
                                 : null));
-            case 14 -> cuts.add(cluster.network().addRule(FailureInjector.isolated(node)));
+            case 14 -> networkRules.add(cluster.network().addRule(FailureInjector.isolated(node)));
             case 15 -> {
                 // Killed and back at once, perhaps in the middle of an election, and perhaps once more.
                 cluster.restart(node);
@@ -131,8 +134,8 @@
                 cluster.restart(node);
             }
             default -> {
-                cuts.forEach(cluster.network()::removeRule);
-                cuts.clear();
+                networkRules.forEach(cluster.network()::removeRule);
+                networkRules.clear();
                 if (random.nextBoolean()) {
                     cluster.network().releaseHeld();
                 }
@@ -140,31 +143,31 @@
         }
     }
 
-    private void machineTrouble(int kind) {
+    private void injectMachineFailure(int kind) {
         if (cluster.cloud().machines().isEmpty()) {
             return;
         }
         String first = cluster.cloud().machines().firstKey();
         switch (kind) {
-            case 10 -> cuts.add(cluster.network().addRule(between(first, "10.0.0.")));
+            case 10 -> networkRules.add(cluster.network().addRule(linkFailure(first, "10.0.0.")));
             case 11 -> cluster.cloud().reclaim(cluster.cloud().machines().lastKey());
-            case 13 -> cuts.add(cluster.network().addRule(FailureInjector.dropInbound(first)));
+            case 13 -> networkRules.add(cluster.network().addRule(FailureInjector.dropInbound(first)));
             default -> cluster.cloud().machines().get(first).reboot();
         }
     }
 
     /** A trouble that hits many at once, or stops processes for a while. */
-    void forMany() {
+    void injectWidespread() {
         int node = random.nextInt(cluster.nodes());
         List<SimWorker> machines = List.copyOf(cluster.cloud().machines().values());
         switch (random.nextInt(9)) {
-            case 7 -> slow();
+            case 7 -> slowDownControllers();
             case 8 -> {
                 // All crash and come back late for what awaits them.
                 for (int each = 0; each < cluster.nodes(); each++) {
                     cluster.restart(each);
                 }
-                slow();
+                slowDownControllers();
             }
             case 0 -> cluster.pause(node, random.nextInt(20_000_000));
             case 1 -> {
@@ -192,20 +195,20 @@
                 machines.stream()
                         .filter(machine -> random.nextInt(3) == 0)
                         .forEach(machine -> cluster.cloud().reclaim(machine.name()));
-            default -> cutOffAndEndLeader(machines);
+            default -> partitionMachinesAndKillLeader(machines);
         }
     }
 
     /** A part of the machines is cut off, and then the lease leader ends. */
-    private void cutOffAndEndLeader(List<SimWorker> machines) {
-        Set<String> away = new HashSet<>();
-        machines.stream().filter(machine -> random.nextBoolean()).forEach(machine -> away.add(machine.name()));
+    private void partitionMachinesAndKillLeader(List<SimWorker> machines) {
+        Set<String> partitioned = new HashSet<>();
+        machines.stream().filter(machine -> random.nextBoolean()).forEach(machine -> partitioned.add(machine.name()));
         Action action = random.nextBoolean() ? Action.HOLD : Action.DROP;
-        cuts.add(cluster.network()
-                .addRule((from, to, request) ->
-                        away.contains(from) || to.endsWith(":9000") && away.contains(to.substring(0, to.length() - 5))
-                                ? action
-                                : null));
+        networkRules.add(cluster.network()
+                .addRule((from, to, request) -> partitioned.contains(from)
+                                || to.endsWith(":9000") && partitioned.contains(to.substring(0, to.length() - 5))
+                        ? action
+                        : null));
         cluster.runSeconds(random.nextDouble() * 20);
         if (cluster.leader() >= 0) {
             cluster.kill(cluster.leader());
@@ -213,15 +216,15 @@
     }
 
     /** Each controller takes its time over what it does, for ever or until it is started again. */
-    private void slow() {
-        long slowest = 1_000L << random.nextInt(8);
+    private void slowDownControllers() {
+        long maxMicros = 1_000L << random.nextInt(8);
         for (int each = 0; each < cluster.nodes(); each++) {
-            cluster.setProcessingMicros(each, random.nextInt(3) == 0 ? 0 : slowest);
+            cluster.setProcessingMicros(each, random.nextInt(3) == 0 ? 0 : maxMicros);
         }
     }
 
     /** Messages between the two, either way, are lost, held back, or answered in vain. */
-    private Rule between(String one, String other) {
+    private Rule linkFailure(String one, String other) {
         Action[] actions = {Action.DROP, Action.HOLD, Action.DROP_RESPONSE};
         Action action = actions[random.nextInt(actions.length)];
         return (from, to, request) ->
@@ -230,11 +233,11 @@
                         : null;
     }
     /** Ends all of them, and starts what has ended. */
-    void end() {
+    void healAll() {
         cluster.store().setOutage(false);
         cluster.cloud().setOutage(false);
-        cuts.forEach(cluster.network()::removeRule);
-        cuts.clear();
+        networkRules.forEach(cluster.network()::removeRule);
+        networkRules.clear();
         cluster.network().releaseHeld();
         cluster.network().setLatencyFactor(1);
         for (int node = 0; node < cluster.nodes(); node++) {
--- a/src/test/java/io/sillreel/RandomScheduleTest.java
+++ b/src/test/java/io/sillreel/RandomScheduleTest.java
@@ -27,16 +27,16 @@
 class RandomScheduleTest {
     private static final int SEEDS = 25;
     /** Seeds that broke a rule once. */
-    private static final long[] BROKEN_ONCE = {118, 252, 256, 1560, 3062};
+    private static final long[] REGRESSION_SEEDS = {118, 252, 256, 1560, 3062};
 
     private static final int STEPS = 40;
     private static final int TEAM_CPUS = 10;
 
     @Test
-    void theRulesHoldWhateverFails() {
-        if (playSeeds(seed -> play(seed, false))) {
-            for (long seed : BROKEN_ONCE) {
-                play(seed, false);
+    void invariantsHoldUnderRandomFailures() {
+        if (runSeeds(seed -> runSchedule(seed, false))) {
+            for (long seed : REGRESSION_SEEDS) {
+                runSchedule(seed, false);
             }
         }
     }
@@ -45,16 +45,16 @@
      * The same with troubles that hit many at once, or that stop processes for a while: half of all troubles are those.
      */
     @Test
-    void theRulesHoldWhenManyFailTogether() {
-        playSeeds(seed -> play(seed, true));
+    void invariantsHoldUnderWidespreadFailures() {
+        runSeeds(seed -> runSchedule(seed, true));
     }
 
     /**
      * Pairs of the troubles that operators have seen to meet, now and then three of them, each while the others last.
      */
     @Test
-    void theRulesHoldWhenTroublesMeet() {
-        playSeeds(RandomScheduleTest::playMeetings);
+    void invariantsHoldUnderOverlappingFailures() {
+        runSeeds(RandomScheduleTest::runOverlappingFailures);
     }
 
     /**
@@ -62,25 +62,25 @@
      * way.
      */
     @Test
-    void theRulesHoldForChainsWhenTroublesMeet() {
-        playSeeds(RandomScheduleTest::playChains);
+    void invariantsHoldForJobChainsUnderOverlappingFailures() {
+        runSeeds(RandomScheduleTest::runJobChains);
     }
 
     /** The same while controllers are upgraded one by one, and now and then come back as the previous version. */
     @Test
-    void theRulesHoldDuringUpgradesWhenTroublesMeet() {
-        playSeeds(RandomScheduleTest::playUpgrade);
+    void invariantsHoldDuringUpgradesUnderOverlappingFailures() {
+        runSeeds(RandomScheduleTest::runUpgrade);
     }
 
     /** Plays the usual seeds, or only the one that was asked for; false in that case. */
-    private static boolean playSeeds(LongConsumer play) {
+    private static boolean runSeeds(LongConsumer schedule) {
         Long chosen = Long.getLong("sillreel.seed");
         if (chosen != null) {
-            play.accept(chosen);
+            schedule.accept(chosen);
             return false;
         }
         for (long seed = 1; seed <= SEEDS; seed++) {
-            play.accept(seed);
+            schedule.accept(seed);
         }
         return true;
     }
@@ -89,19 +89,19 @@
         return new SimCluster(seed, TEAM_CPUS, seed % 3 == 0 ? 5 : 3, Version.CURRENT);
     }
 
-    private static void play(long seed, boolean together) {
+    private static void runSchedule(long seed, boolean widespread) {
         SimCluster cluster = world(seed);
         int nodes = cluster.nodes();
         Random random = new Random(seed);
-        RandomFailures troubles = new RandomFailures(cluster, random);
+        RandomFailures failures = new RandomFailures(cluster, random);
         List<String> jobs = new ArrayList<>();
         List<String> cancelled = new ArrayList<>();
         cluster.runSeconds(2);
         for (int step = 0; step < STEPS; step++) {
-            if (together && random.nextBoolean()) {
-                troubles.forMany();
+            if (widespread && random.nextBoolean()) {
+                failures.injectWidespread();
             } else {
-                troubles.one();
+                failures.injectSingle();
             }
             int node = random.nextInt(nodes);
             if (cluster.isUp(node) && random.nextInt(3) == 0) {
@@ -125,11 +125,11 @@
             }
             cluster.runSeconds(random.nextDouble() * 5);
         }
-        troubles.end();
-        everythingEnds(cluster, random, jobs, cancelled, seed);
+        failures.healAll();
+        assertAllJobsFinish(cluster, random, jobs, cancelled, seed);
     }
 
-    private static void everythingEnds(
+    private static void assertAllJobsFinish(
             SimCluster cluster, Random random, Collection<String> jobs, Collection<String> cancelled, long seed) {
         cluster.runSeconds(240);
         assertThat(cluster.violations()).as("seed %d", seed).isEmpty();
@@ -144,60 +144,60 @@
         assertThat(cluster.violations()).as("seed %d", seed).isEmpty();
     }
 
-    private static void playMeetings(long seed) {
-        playMeetings(world(seed), seed, Play.JOBS);
+    private static void runOverlappingFailures(long seed) {
+        runOverlappingFailures(world(seed), seed, Workload.JOBS);
     }
 
-    private static void playChains(long seed) {
-        playMeetings(world(seed), seed, Play.CHAINS);
+    private static void runJobChains(long seed) {
+        runOverlappingFailures(world(seed), seed, Workload.CHAINS);
     }
 
-    private static void playUpgrade(long seed) {
+    private static void runUpgrade(long seed) {
         SimCluster cluster = new SimCluster(seed, TEAM_CPUS, seed % 3 == 0 ? 5 : 3, Version.PREVIOUS);
-        playMeetings(cluster, seed, Play.UPGRADE);
+        runOverlappingFailures(cluster, seed, Workload.UPGRADE);
     }
 
     /** What is played besides the troubles. */
-    private enum Play {
+    private enum Workload {
         JOBS,
         CHAINS,
         UPGRADE
     }
 
-    private static void playMeetings(SimCluster cluster, long seed, Play play) {
+    private static void runOverlappingFailures(SimCluster cluster, long seed, Workload workload) {
         Random random = new Random(seed);
         Set<String> submitted = new LinkedHashSet<>();
         Set<String> cancelled = new HashSet<>();
-        RandomFailures troubles = new RandomFailures(cluster, random);
+        RandomFailures failures = new RandomFailures(cluster, random);
         cluster.runSeconds(2);
         for (int step = 0; step < STEPS / 2; step++) {
-            int meeting = 2 + random.nextInt(2);
-            for (int each = 0; each < meeting; each++) {
-                troubles.meeting(List.copyOf(submitted), cancelled);
+            int failureCount = 2 + random.nextInt(2);
+            for (int each = 0; each < failureCount; each++) {
+                failures.injectOverlapping(List.copyOf(submitted), cancelled);
                 for (int more = 0; more < 2; more++) {
                     String uid = "job-%06d".formatted(submitted.size() + 1);
                     submitted.add(uid);
-                    ObjectNode submission = someJob(uid);
-                    if (play == Play.CHAINS) {
-                        await(cluster, random, submission);
+                    ObjectNode submission = jobFor(uid);
+                    if (workload == Workload.CHAINS) {
+                        addDependencies(cluster, random, submission);
                     }
                     cluster.submitAsync(random.nextInt(cluster.nodes()), submission);
                 }
-                if (play == Play.UPGRADE) {
-                    changeVersions(cluster, random);
+                if (workload == Workload.UPGRADE) {
+                    restartWithRandomVersions(cluster, random);
                 }
                 cluster.runSeconds(random.nextDouble() * 3);
-                troubles.cancelSome(List.copyOf(submitted), cancelled, random.nextInt(3));
+                failures.cancelRecentJobs(List.copyOf(submitted), cancelled, random.nextInt(3));
             }
             cluster.runSeconds(random.nextDouble() * 12);
             if (random.nextInt(3) > 0) {
-                troubles.end();
+                failures.healAll();
             }
             for (SimWorker machine : cluster.cloud().machines().values()) {
                 machine.setRunMicros(1_000_000 + random.nextInt(12_000_000));
             }
         }
-        if (play != Play.JOBS) {
+        if (workload != Workload.JOBS) {
             cluster.store().setLimits(6, 2 * 1024, 60);
         }
         for (int node = 0; node < cluster.nodes(); node++) {
@@ -206,22 +206,22 @@
                 cluster.runSeconds(random.nextDouble());
             }
         }
-        troubles.end();
-        if (play == Play.UPGRADE) {
+        failures.healAll();
+        if (workload == Workload.UPGRADE) {
             submitChains(cluster, random, submitted);
         }
         cluster.cloud().machines().values().forEach(machine -> machine.setRunMicros(3_000_000));
         submitted.removeIf(uid -> cluster.known(uid) == null && cluster.store().value("plan/" + uid) == null);
-        everythingEnds(cluster, random, submitted, cancelled, seed);
+        assertAllJobsFinish(cluster, random, submitted, cancelled, seed);
     }
 
     /** The same for the same name, since users repeat what they submit. */
-    private static ObjectNode someJob(String uid) {
+    private static ObjectNode jobFor(String uid) {
         return SimCluster.job(uid, 1 + Integer.parseInt(uid.substring(4)) % 5);
     }
 
     /** Names up to three jobs that were told to be accepted, most of them young, some long over. */
-    private static void await(SimCluster cluster, Random random, ObjectNode job) {
+    private static void addDependencies(SimCluster cluster, Random random, ObjectNode job) {
         int number = Integer.parseInt(job.path("uid").asText().substring(4));
         ArrayNode awaits = job.putArray("awaits");
         for (int each = random.nextInt(4); each > 0 && number > 1; each--) {
@@ -234,7 +234,7 @@
     }
 
     /** Some get the present version; a process that dies may find the previous one again. */
-    private static void changeVersions(SimCluster cluster, Random random) {
+    private static void restartWithRandomVersions(SimCluster cluster, Random random) {
         for (int node = 0; node < cluster.nodes(); node++) {
             switch (random.nextInt(10)) {
                 case 0, 1 -> cluster.restart(node, Version.CURRENT);
@@ -248,8 +248,8 @@
     private static void submitChains(SimCluster cluster, Random random, Set<String> submitted) {
         cluster.runSeconds(10);
         for (int each = 0; each < 8; each++) {
-            ObjectNode job = someJob("job-%06d".formatted(submitted.size() + 1));
-            await(cluster, random, job);
+            ObjectNode job = jobFor("job-%06d".formatted(submitted.size() + 1));
+            addDependencies(cluster, random, job);
             submitted.add(job.path("uid").asText());
             cluster.submitAsync(random.nextInt(cluster.nodes()), job);
             cluster.runSeconds(random.nextDouble());
--- a/src/test/java/io/sillreel/StoreFailuresTest.java
+++ b/src/test/java/io/sillreel/StoreFailuresTest.java
@@ -1,10 +1,10 @@
 package io.sillreel;
 
-import static io.sillreel.FailureScenario.begun;
-import static io.sillreel.FailureScenario.everyNodeSays;
-import static io.sillreel.FailureScenario.machines;
-import static io.sillreel.FailureScenario.nothingBroken;
-import static io.sillreel.FailureScenario.succeed;
+import static io.sillreel.FailureScenario.assertNoViolations;
+import static io.sillreel.FailureScenario.assertStageOnAllNodes;
+import static io.sillreel.FailureScenario.failOver;
+import static io.sillreel.FailureScenario.machineNames;
+import static io.sillreel.FailureScenario.startCluster;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -27,74 +27,74 @@
 
     /** Guards what is told against everything remembered: no node says something older, however soon it is asked. */
     @Test
-    void whoAsksEverywhereWithinMillisecondsHearsNothingOlder() {
-        SimCluster cluster = begun(4);
+    void statusReadsAreMonotonicAcrossNodes() {
+        SimCluster cluster = startCluster(4);
         Random random = new Random(4);
         for (int i = 1; i <= 40; i++) {
             String uid = "job-%06d".formatted(i);
             int node = random.nextInt(3);
             ObjectNode job = SimCluster.job(uid, 1 + i % 2);
             cluster.submit(node, job);
-            lookClosely(cluster, uid, job);
+            pollAndResubmitRepeatedly(cluster, uid, job);
             if (i % 4 == 0) {
                 cluster.cancelAsync(random.nextInt(3), uid);
-                lookClosely(cluster, uid, job);
+                pollAndResubmitRepeatedly(cluster, uid, job);
             } else if (i % 4 == 1) {
                 int starts = cluster.startCount();
                 cluster.runUntil(() -> cluster.startCount() > starts);
                 cluster.runSeconds(2.95);
-                lookClosely(cluster, uid, job);
+                pollAndResubmitRepeatedly(cluster, uid, job);
                 cluster.cancelAsync(random.nextInt(3), uid);
-                lookClosely(cluster, uid, job);
+                pollAndResubmitRepeatedly(cluster, uid, job);
             }
         }
         cluster.runSeconds(60);
-        nothingBroken(cluster);
+        assertNoViolations(cluster);
     }
 
-    private static void lookClosely(SimCluster cluster, String uid, ObjectNode job) {
-        for (int look = 0; look < 12; look++) {
+    private static void pollAndResubmitRepeatedly(SimCluster cluster, String uid, ObjectNode job) {
+        for (int round = 0; round < 12; round++) {
             for (int node = 0; node < cluster.nodes(); node++) {
                 cluster.pollAsync(node, uid);
-                if (look % 4 == 1) {
+                if (round % 4 == 1) {
                     cluster.submitAsync(node, job);
                 }
             }
-            cluster.runSeconds(0.002 + 0.01 * (look % 3));
+            cluster.runSeconds(0.002 + 0.01 * (round % 3));
         }
     }
 
     /** Guards every answer that rests on a write whose own answer is lost, while other nodes read what it wrote. */
     @Test
-    void whatIsWrittenThoughItsAnswerIsLostIsToldAlikeEverywhere() {
-        for (String of : List.of("\"plan/", "\"withdraw/", "\"run/", "\"set\"")) {
-            SimCluster cluster = begun(5);
+    void allNodesAgreeOnWritesWithLostResponses() {
+        for (String content : List.of("\"plan/", "\"withdraw/", "\"run/", "\"set\"")) {
+            SimCluster cluster = startCluster(5);
             Rule lost = cluster.network()
-                    .addRule(FailureInjector.transactions(of, Action.DROP_RESPONSE, 0.7, new Random(5)));
+                    .addRule(FailureInjector.transactions(content, Action.DROP_RESPONSE, 0.7, new Random(5)));
             for (int i = 1; i <= 8; i++) {
                 String uid = "job-%06d".formatted(i);
                 ObjectNode job = SimCluster.job(uid, 2);
                 cluster.submitAsync(i % 3, job);
-                lookClosely(cluster, uid, job);
+                pollAndResubmitRepeatedly(cluster, uid, job);
                 if (i % 2 == 0) {
                     cluster.cancelAsync(i % 3, uid);
-                    lookClosely(cluster, uid, job);
+                    pollAndResubmitRepeatedly(cluster, uid, job);
                 }
                 cluster.runSeconds(2);
             }
             cluster.network().removeRule(lost);
             cluster.runSeconds(40);
             for (int i = 1; i <= 8; i += 2) {
-                everyNodeSays(cluster, "job-%06d".formatted(i), "done");
+                assertStageOnAllNodes(cluster, "job-%06d".formatted(i), "done");
             }
-            nothingBroken(cluster);
+            assertNoViolations(cluster);
         }
     }
 
     /** Guards polls against transactions that go unanswered while everything else is answered. */
     @Test
-    void questionsAreAnsweredThoughTransactionsAreNot() {
-        SimCluster cluster = begun(15);
+    void answersPollsWhileTransactionsGetNoResponse() {
+        SimCluster cluster = startCluster(15);
         cluster.submit(0, SimCluster.job("job-000001", 2));
         cluster.runUntilStarted(2, 60 * SECOND);
         cluster.network()
@@ -103,14 +103,14 @@
             assertThat(cluster.poll(i % 3, "job-000001").status()).isEqualTo(200);
             assertThat(cluster.poll(i % 3, "job-000009").status()).isEqualTo(404);
         }
-        nothingBroken(cluster);
+        assertNoViolations(cluster);
     }
 
     /** Guards the order of a controller's own writes: what got no answer is carried out after newer ones. */
     @Test
-    void writesThatAreCarriedOutAfterNewerOnesUndoNothing() {
+    void lateWritesDoNotUndoNewerOnes() {
         for (int seed = 1; seed <= 4; seed++) {
-            SimCluster cluster = begun(seed);
+            SimCluster cluster = startCluster(seed);
             Rule late = cluster.network()
                     .addRule(FailureInjector.transactions(
                             "\"set\"", Action.DELAY_AND_DROP_RESPONSE, 0.3, new Random(seed)));
@@ -119,7 +119,9 @@
                 String uid = "job-%06d".formatted(i);
                 int node = i % 3;
                 ObjectNode job = SimCluster.job(uid, 3);
-                for (int tries = 0; tries < 12 && cluster.submit(node, job).status() / 100 != 2; tries++) {
+                for (int attempts = 0;
+                        attempts < 12 && cluster.submit(node, job).status() / 100 != 2;
+                        attempts++) {
                     cluster.runSeconds(1);
                 }
                 jobs.add(uid);
@@ -128,7 +130,7 @@
                 }
                 cluster.runSeconds(2);
             }
-            succeed(cluster);
+            failOver(cluster);
             cluster.runSeconds(10);
             cluster.network().removeRule(late);
             cluster.runSeconds(60);
@@ -137,7 +139,7 @@
                         .as("seed %d, %s", seed, uid)
                         .isIn("done", "withdrawn");
             }
-            nothingBroken(cluster);
+            assertNoViolations(cluster);
         }
     }
 
@@ -146,18 +148,18 @@
      * that is.
      */
     @Test
-    void newMachinesAreStoredBeforeTheyWorkThoughWritesLagAndTheLeaderEnds() {
+    void storesNewMachinesBeforeUseDespiteLateWritesAndFailover() {
         for (int seed = 1; seed <= 5; seed++) {
-            SimCluster cluster = begun(seed);
+            SimCluster cluster = startCluster(seed);
             cluster.cloud().setBootMicros(SECOND);
             Random random = new Random(seed);
             Rule late = cluster.network()
                     .addRule(FailureInjector.transactions("\"hire/", Action.DELAY_AND_DROP_RESPONSE, 0.6, random));
             cluster.submit(0, SimCluster.job("job-000001", 40));
             cluster.runUntilStarted(4, 12 * SECOND);
-            Set<String> cut = new HashSet<>(machines(cluster).subList(0, 1));
+            Set<String> cut = new HashSet<>(machineNames(cluster).subList(0, 1));
             Rule away = cluster.network().addRule(FailureInjector.machineTraffic(cut, Action.DROP));
-            succeed(cluster);
+            failOver(cluster);
             cluster.runSeconds(5 + random.nextInt(12));
             cluster.network().removeRule(away);
             cluster.network().removeRule(late);
@@ -165,7 +167,7 @@
             assertThat(cluster.stage(cluster.leader(), "job-000001"))
                     .as("seed %d", seed)
                     .isEqualTo("done");
-            nothingBroken(cluster);
+            assertNoViolations(cluster);
         }
     }
 
@@ -173,8 +175,8 @@
      * Guards the lowest rank, and the answers, when there is far more work than room and every message takes its time.
      */
     @Test
-    void moreWorkThanRoomOverSlowLinksIsAllServed() {
-        SimCluster cluster = begun(13);
+    void completesAllJobsUnderOverloadAndHighLatency() {
+        SimCluster cluster = startCluster(13);
         cluster.network().setLatencyFactor(60);
         String[] ranks = {"best_effort", "high", "normal", "production"};
         for (int i = 1; i <= 24; i++) {
@@ -189,7 +191,7 @@
         for (int i = 1; i <= 24; i++) {
             assertThat(cluster.stage(i % 3, "job-%06d".formatted(i))).isEqualTo("done");
         }
-        nothingBroken(cluster);
+        assertNoViolations(cluster);
     }
 
     /**
@@ -197,16 +199,16 @@
      * nothing.
      */
     @Test
-    void oddRequestsGetTheirStatusesAndChangeNothing() {
-        SimCluster cluster = begun(14);
+    void answersUnusualRequestsWithoutSideEffects() {
+        SimCluster cluster = startCluster(14);
         cluster.submit(0, SimCluster.job("job-000001", 2));
         cluster.submit(0, SimCluster.job("job-000002", 2));
-        ObjectNode lacking = SimCluster.job("job-000003", 2);
-        lacking.remove("reel");
+        ObjectNode incomplete = SimCluster.job("job-000003", 2);
+        incomplete.remove("reel");
         for (int node = 0; node < 3; node++) {
             assertThat(cluster.submit(node, SimCluster.job("job-000001", 2)).status())
                     .isEqualTo(200);
-            assertThat(cluster.submit(node, lacking).status()).isEqualTo(400);
+            assertThat(cluster.submit(node, incomplete).status()).isEqualTo(400);
             assertThat(cluster.submit(node, SimCluster.job("job-000004", 1).put("vcpus", 64.0))
                             .status())
                     .isEqualTo(422);
@@ -231,6 +233,6 @@
                     .isEqualTo("withdrawn");
             assertThat(cluster.poll(node, "job-000003").status()).isEqualTo(404);
         }
-        nothingBroken(cluster);
+        assertNoViolations(cluster);
     }
 }
--- a/src/test/java/io/sillreel/UpgradeTest.java
+++ b/src/test/java/io/sillreel/UpgradeTest.java
@@ -40,7 +40,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void allJobsAreServedWhileOneVersionLeadsAndTheOthersFollow(Version leading) {
+    void completesAllJobsWithMixedVersions(Version leading) {
         SimCluster cluster = startPreviousVersion(51);
         int leader = leadWithMixedVersions(cluster, leading);
         int follower = (leader + 1) % NODES;
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void jobsSurviveTenChangesOfLeaderBetweenVersionsInTwoMinutes() {
+    void survivesTenFailoversBetweenVersionsInTwoMinutes() {
         SimCluster cluster = startPreviousVersion(52);
         leadWithMixedVersions(cluster, Version.PREVIOUS);
         cluster.restart((cluster.leader() + 1) % NODES, Version.PREVIOUS);
@@ -82,7 +82,7 @@
     /** The moments run from the start of the process to well after the end of the election. */
     @ParameterizedTest
     @ValueSource(doubles = {0.01, 0.05, 0.3, 1, 2, 3, 3.5, 4, 5, 7})
-    void aControllerThatDiesInAnElectionComesBackAsThePreviousVersion(double seconds) {
+    void survivesRollbackOfControllerDuringElection(double seconds) {
         SimCluster cluster = startPreviousVersion(53);
         for (int number = 1; number <= 6; number++) {
             submitAsync(cluster, number, 5);
@@ -103,7 +103,7 @@
 
     /** Guards everything that is stored against writes and reports that were held up until their sender was gone. */
     @Test
-    void lateMessagesOfThePreviousVersionChangeNothingAfterTheUpgrade() {
+    void ignoresLateMessagesOfPreviousVersionAfterUpgrade() {
         SimCluster cluster = startPreviousVersion(54);
         for (int number = 1; number <= 8; number++) {
             submitAsync(cluster, number, 4);
@@ -112,7 +112,7 @@
         Rule held = cluster.network()
                 .addRule((from, to, request) -> from.startsWith("10.0.0.")
                                 && (request.route().equals("/txn")
-                                                && text(request).contains("\"set\"")
+                                                && bodyText(request).contains("\"set\"")
                                         || request.route().equals("/peer/beats"))
                         ? Action.HOLD
                         : null);
@@ -136,7 +136,7 @@
     /** The write may have been carried out or not; who leads next has to find out from the store. */
     @ParameterizedTest
     @EnumSource
-    void writesWhoseAnswersAreLostAtTheChangeOfLeaderCountForTheOtherVersion(Version leading) {
+    void otherVersionResolvesWritesWithLostResponsesAfterFailover(Version leading) {
         SimCluster cluster = startPreviousVersion(55);
         int leader = leadWithMixedVersions(cluster, leading);
         for (int number = 1; number <= 6; number++) {
@@ -163,7 +163,7 @@
      */
     @ParameterizedTest
     @EnumSource
-    void tasksOfAJobThatTheOtherVersionCancelledEndInTime(Version leading) {
+    void endsTasksInTimeWhenOtherVersionCancels(Version leading) {
         SimCluster cluster = startPreviousVersion(56);
         int leader = leadWithMixedVersions(cluster, leading);
         int follower = (leader + 1) % NODES;
@@ -196,13 +196,13 @@
      */
     @ParameterizedTest
     @EnumSource
-    void tasksEndInTimeUnderALeaderThatCanNotHearOfTheirCancellation(Version leading) {
+    void endsTasksInTimeWhenIsolatedLeaderMissesCancellation(Version leading) {
         SimCluster cluster = startPreviousVersion(62);
         int leader = leadWithMixedVersions(cluster, leading);
         int follower = (leader + 1) % NODES;
         submitAsync(cluster, 1, 4);
         cluster.runUntilStarted(4, 200 * SECOND);
-        Rule alone = cluster.network().addRule(FailureInjector.isolated(leader));
+        Rule isolation = cluster.network().addRule(FailureInjector.isolated(leader));
         cluster.runSeconds(1);
         assertThat(cluster.cancel(follower, uid(1)).json().path("stage").asText())
                 .isEqualTo("withdrawn");
@@ -210,28 +210,29 @@
         cluster.runSeconds(60);
         assertThat(cluster.violations()).isEmpty();
         cluster.store().setOutage(false);
-        cluster.network().removeRule(alone);
+        cluster.network().removeRule(isolation);
         assertAllJobsFinish(cluster, 1, List.of(uid(1)));
     }
 
     /** The write of the end is on its way while another controller confirms the cancellation. */
     @ParameterizedTest
     @EnumSource
-    void aCancellationThatOvertakesTheWriteOfTheEndHoldsForBothVersions(Version leading) {
+    void cancellationBeforeCompletionWriteHoldsForBothVersions(Version leading) {
         SimCluster cluster = startPreviousVersion(63);
         int follower = (leadWithMixedVersions(cluster, leading) + 1) % NODES;
         for (int round = 1; round <= 4; round++) {
             boolean[] held = {false};
-            Rule endHeld = cluster.network().addRule((from, to, request) -> {
-                boolean end = request.route().equals("/txn") && text(request).contains("\"stage\":\"done\"");
-                held[0] |= end;
-                return end ? Action.HOLD : null;
+            Rule holdCompletion = cluster.network().addRule((from, to, request) -> {
+                boolean isCompletionWrite =
+                        request.route().equals("/txn") && bodyText(request).contains("\"stage\":\"done\"");
+                held[0] |= isCompletionWrite;
+                return isCompletionWrite ? Action.HOLD : null;
             });
             submitAsync(cluster, round, 1);
             cluster.runUntil(() -> held[0]);
             HttpResponse response = cluster.cancel(follower, uid(round));
             assertThat(response.json().path("stage").asText()).isEqualTo("withdrawn");
-            cluster.network().removeRule(endHeld);
+            cluster.network().removeRule(holdCompletion);
             cluster.network().releaseHeld();
             cluster.runSeconds(3);
             assertStageOnAllNodes(cluster, uid(round), "withdrawn");
@@ -242,14 +243,14 @@
         assertThat(cluster.violations()).isEmpty();
     }
 
-    private static String text(HttpRequest request) {
+    private static String bodyText(HttpRequest request) {
         return new String(request.body(), StandardCharsets.UTF_8);
     }
 
     /** The announced limits may come while the last controllers of the previous version are still there. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3})
-    void nothingIsLostWhenTheLimitsFallDuringTheUpgrade(int upgradedBefore) {
+    void losesNothingWhenLimitsDropDuringUpgrade(int upgradedBefore) {
         SimCluster cluster = startPreviousVersion(57 + upgradedBefore);
         int jobs = 0;
         for (int node = 0; node < NODES; node++) {
@@ -270,20 +271,20 @@
 
     /** A description with long names that was always accepted stays acceptable, whichever limits hold. */
     @Test
-    void aDescriptionThatFitsOnlyThePresentLimitIsAcceptedBeforeAndAfterTheLimitsFall() {
+    void acceptsLargeJobSpecBeforeAndAfterLimitsDrop() {
         SimCluster cluster = startPreviousVersion(64);
         leadWithMixedVersions(cluster, Version.PREVIOUS);
         for (int node = 0; node < NODES; node++) {
-            assertThat(cluster.submit(node, withLongNames(uid(1 + node))).status())
+            assertThat(cluster.submit(node, jobWithLongNames(uid(1 + node))).status())
                     .isEqualTo(201);
         }
         assertThat(cluster.store().keysWithPrefix("plan-overflow/")).isEmpty();
         upgradeAll(cluster);
         cluster.store().setLimits(6, 2 * 1024, 30);
         for (int node = 0; node < NODES; node++) {
-            assertThat(cluster.submit(node, withLongNames(uid(11 + node))).status())
+            assertThat(cluster.submit(node, jobWithLongNames(uid(11 + node))).status())
                     .isEqualTo(201);
-            assertThat(cluster.submit(node, withLongNames(uid(11 + node))).status())
+            assertThat(cluster.submit(node, jobWithLongNames(uid(11 + node))).status())
                     .isEqualTo(200);
         }
         assertThat(cluster.store().keysWithPrefix("plan-overflow/")).isNotEmpty();
@@ -293,7 +294,7 @@
         assertAllJobsFinish(cluster, 13, List.of());
     }
 
-    private static ObjectNode withLongNames(String uid) {
+    private static ObjectNode jobWithLongNames(String uid) {
         ObjectNode job = SimCluster.job(uid, 2);
         ArrayNode builds = job.putArray("builds").add("c4");
         for (int number = 0; number < 100; number++) {
@@ -303,7 +304,7 @@
     }
 
     @Test
-    void afterTheUpgradeJobsMayAwaitWhatThePreviousVersionAccepted() {
+    void acceptsDependenciesOnJobsOfPreviousVersionAfterUpgrade() {
         SimCluster cluster = startPreviousVersion(61);
         int done = 1;
         int running = 2;
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -66,14 +66,14 @@
             "run/job-000413/2",
             "{\"bits\":\"AIA=\"}");
 
-    private static final String RENTAL = "{\"build\":\"g8\",\"yard\":\"a\",\"spot\":true,\"count\":12,"
+    private static final String SCALE_OUT_REQUEST = "{\"build\":\"g8\",\"yard\":\"a\",\"spot\":true,\"count\":12,"
             + "\"machines\":[\"host-000231\",\"host-000232\"],\"up\":[\"host-000231\"]}";
     private static final String HELLO = "8768686f707065722d3168686f707065722d301829f51861f503";
     private static final String HELLO_WITHOUT_LEADER = "8768686f707065722d31f600f400f400";
     private static final String HEARTBEATS =
             "818a6b686f73742d3030303233316f31302e312e302e3233323a393030306267386161f50118581829"
                     + "2082856a6a6f622d303030343132031b00000029000000020160856a6a6f622d30303033393800010364646f6e65";
-    private static final String ANSWERS =
+    private static final String RESPONSES =
             "828318c858487b226261746f6e223a34312c226f7264657273223a5b7b2276657262223a226c61"
                     + "756e6368222c227069656365223a226a6f622d3030303431322f34222c22747279223a377d5d7d00831901f758237b"
                     + "226572726f7222"
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void whatItStoredIsRead() {
+    void readsStoredValuesOfProductionVersion() {
         assertThat(JobSpecCodec.decode(json(PLAN).path("job"))).isEqualTo(spec("job-000412", 16));
         ActiveJob job = job(16);
         job.inherit(9, RunRecordCodec.decode(json(RUNNING)), StoredChunks.NONE);
@@ -114,7 +114,7 @@
         assertThat(job.hasUnmetDependencies()).isFalse();
         assertThat(RunRecordCodec.decode(json(DONE)).isDone()).isTrue();
         assertThat(RunRecordCodec.decode(json(FAILED)).reason()).startsWith("attempt 1 failed");
-        ScaleOutRequest scaleOutRequest = ScaleOutRequestCodec.decode("hire/r-5-12", json(RENTAL), 9);
+        ScaleOutRequest scaleOutRequest = ScaleOutRequestCodec.decode("hire/r-5-12", json(SCALE_OUT_REQUEST), 9);
         assertThat(scaleOutRequest.machines()).containsExactly("host-000231", "host-000232");
         assertThat(scaleOutRequest.isStoredAsUp("host-000231")).isTrue();
         assertThat(scaleOutRequest.isStoredAsUp("host-000232")).isFalse();
@@ -125,7 +125,7 @@
      * knew.
      */
     @Test
-    void theStandInLeavesItsSamplesAsTheyAre() {
+    void previousVersionStandInKeepsSamplesUnchanged() {
         Map<String, String> samples = new HashMap<>(CHUNKED);
         samples.putAll(Map.of(
                 "plan/job-000412",
@@ -137,22 +137,22 @@
                 "run/job-000415",
                 FAILED,
                 "hire/r-5-12",
-                RENTAL));
+                SCALE_OUT_REQUEST));
         samples.forEach((key, value) ->
                 assertThat(PreviousVersion.withoutNewerFields(key, json(value))).isEqualTo(json(value)));
-        ObjectNode chained = (ObjectNode) json(PLAN);
-        ((ObjectNode) chained.path("job")).putArray("awaits").add("job-000398");
-        assertThat(PreviousVersion.withoutNewerFields("plan/job-000412", chained))
+        ObjectNode withDependency = (ObjectNode) json(PLAN);
+        ((ObjectNode) withDependency.path("job")).putArray("awaits").add("job-000398");
+        assertThat(PreviousVersion.withoutNewerFields("plan/job-000412", withDependency))
                 .isEqualTo(json(PLAN));
-        ObjectNode inParts = ((ObjectNode) json(RUNNING)).put("per", 8).put("ready_us", 7);
-        inParts.putArray("gens").add(1);
-        assertThat(PreviousVersion.withoutNewerFields("run/job-000412", inParts))
+        ObjectNode chunkedRun = ((ObjectNode) json(RUNNING)).put("per", 8).put("ready_us", 7);
+        chunkedRun.putArray("gens").add(1);
+        assertThat(PreviousVersion.withoutNewerFields("run/job-000412", chunkedRun))
                 .isEqualTo(json(RUNNING));
     }
 
     /** Guards its readers: nothing is added or ordered otherwise in what they take up. */
     @Test
-    void whatItReadsIsWrittenAsItWroteIt() {
+    void writesValuesInFormatOfProductionVersion() {
         var plan = Json.object().put("at_us", 1_700_000_123_456_789L);
         plan.set("job", JobSpecCodec.encode(spec("job-000412", 16)));
         assertThat(plan.toString()).isEqualTo(PLAN);
@@ -173,11 +173,11 @@
         ScaleOutRequest scaleOutRequest = new ScaleOutRequest("r-5-12", "g8", "a", true, 12);
         scaleOutRequest.recordAnswer(List.of("host-000231", "host-000232"));
         scaleOutRequest.markUp("host-000231");
-        assertThat(storedValue(scaleOutRequest, "hire/r-5-12").toString()).isEqualTo(RENTAL);
+        assertThat(storedValue(scaleOutRequest, "hire/r-5-12").toString()).isEqualTo(SCALE_OUT_REQUEST);
     }
 
     @Test
-    void whatIsSaidBetweenControllersIsTheSame() {
+    void keepsPeerMessageFormatsOfProductionVersion() {
         Hello hello = new Hello("hopper-1", "hopper-0", 41, true, 97, true, 3);
         assertThat(HelloCodec.decode(bytes(HELLO))).isEqualTo(hello);
         assertThat(HelloCodec.toRequest(hello).body()).isEqualTo(bytes(HELLO));
@@ -199,15 +199,15 @@
         commands.launch("job-000412", 4, 7);
         List<HttpResponse> replies =
                 List.of(commands.toResponse(41), HttpResponse.retryLater(503, "a newer report was seen", 1));
-        assertThat(HeartbeatBatchCodec.encodeResponses(replies)).isEqualTo(bytes(ANSWERS));
-        assertThat(HeartbeatBatchCodec.decodeResponses(bytes(ANSWERS))).hasSize(2);
+        assertThat(HeartbeatBatchCodec.encodeResponses(replies)).isEqualTo(bytes(RESPONSES));
+        assertThat(HeartbeatBatchCodec.decodeResponses(bytes(RESPONSES))).hasSize(2);
         assertThat(CancellationCodec.toRequest("job-000412").body()).isEqualTo(bytes(CANCELLED));
         assertThat(CancellationCodec.decode(bytes(CANCELLED))).containsExactly("job-000412");
     }
 
     /** Guards its takeover: it takes whatever follows a slash under run/ for a number, and lists no other prefix. */
     @Test
-    void itsListsHoldOnlyWhatItKnows() {
+    void storesOnlyKeysKnownToProductionVersion() {
         SimCluster cluster = new SimCluster(41);
         cluster.runSeconds(2);
         for (int job = 1; job <= 6; job++) {
@@ -229,7 +229,7 @@
 
     /** Guards a rental that was stored when values could be larger: it is cut before it is written again. */
     @Test
-    void aRentalThatIsTooLargeIsCutAndNoMachineIsMissingOnTheWay() {
+    void splitsOversizedScaleOutRequestWithoutLosingMachines() {
         StringBuilder names = new StringBuilder();
         for (int i = 0; i < 50; i++) {
             names.append(i == 0 ? "" : ",").append("\"host-%06d\"".formatted(i));
@@ -237,8 +237,8 @@
         JsonNode stored = json("{\"build\":\"c4\",\"yard\":\"a\",\"spot\":true,\"count\":50,\"machines\":[" + names
                 + "],\"up\":[" + names + "]}");
         ScaleOutRequest scaleOutRequest = ScaleOutRequestCodec.decode("hire/r-5-12", stored, 9);
-        int most = ScaleOutRequest.maxMachines(1_024);
-        List<ScaleOutRequest> parts = scaleOutRequest.split(most, again -> {});
+        int maxMachines = ScaleOutRequest.maxMachines(1_024);
+        List<ScaleOutRequest> parts = scaleOutRequest.split(maxMachines, again -> {});
         assertThat(scaleOutRequest.prerequisites()).hasSameSizeAs(parts);
         int machines = scaleOutRequest.machines().size();
         for (ScaleOutRequest part : parts) {
--- a/src/test/java/io/sillreel/recovery/LostWritesTest.java
+++ b/src/test/java/io/sillreel/recovery/LostWritesTest.java
@@ -42,7 +42,7 @@
     }
 
     private static void everyNodeSays(SimCluster cluster, int job, String stage) {
-        FailureScenario.everyNodeSays(cluster, uid(job), stage);
+        FailureScenario.assertStageOnAllNodes(cluster, uid(job), stage);
     }
 
     /** A user repeats what is not accepted. */
