--- a/src/test/java/io/sillreel/CancellationFailuresTest.java
+++ b/src/test/java/io/sillreel/CancellationFailuresTest.java
@@ -37,7 +37,7 @@
             cluster.submit(1, SimCluster.job("job-000002", 6));
             cluster.runUntilStarted(12, LONG_TASK_MICROS);
             int leader = cluster.leader();
-            Rule refused = cluster.network().addRule(FailureInjector.rejectedByStateService(leader));
+            Rule rejection = cluster.network().addRule(FailureInjector.rejectedByStateService(leader));
             // It must hold without the word of the controller that confirms, which may get lost as well.
             cluster.network()
                     .addRule((from, to, request) -> request.route().equals("/peer/withdrawn") ? Action.DROP : null);
@@ -52,7 +52,7 @@
                     .as("after %d tenths", tenths)
                     .isEqualTo("withdrawn");
             cluster.runSeconds(60);
-            cluster.network().removeRule(refused);
+            cluster.network().removeRule(rejection);
             assertThat(runningTaskCount(cluster)).as("after %d tenths", tenths).isZero();
             cluster.store().setOutage(false);
             cluster.runSeconds(20);
@@ -135,11 +135,11 @@
         int leader = cluster.leader();
         cluster.submit(0, SimCluster.job("job-000001", 90));
         cluster.runUntilStarted(20, 6 * SECOND);
-        Rule refused = cluster.network().addRule(FailureInjector.rejectedByStateService(leader));
+        Rule rejection = cluster.network().addRule(FailureInjector.rejectedByStateService(leader));
         cluster.runSeconds(1);
         cluster.cancel(otherNode(cluster, leader), "job-000001");
         cluster.store().setOutage(true);
-        cluster.network().removeRule(refused);
+        cluster.network().removeRule(rejection);
         cluster.runSeconds(1);
         cluster.store().setOutage(false);
         int starts = cluster.startCount();
@@ -161,19 +161,20 @@
                     0, SimCluster.job("job-000001", 10).put("guess_s", 60.0).put("due_s", 90.0));
             cluster.runUntilStarted(10, LONG_TASK_MICROS);
             Random random = new Random(seed);
-            Set<String> cut = new HashSet<>(machineNames(cluster).subList(0, 1 + seed % 2));
+            Set<String> partitioned = new HashSet<>(machineNames(cluster).subList(0, 1 + seed % 2));
             cluster.network()
-                    .addRule(FailureInjector.machineTraffic(cut, random.nextBoolean() ? Action.HOLD : Action.DROP));
+                    .addRule(FailureInjector.machineTraffic(
+                            partitioned, random.nextBoolean() ? Action.HOLD : Action.DROP));
             cluster.cloud().machines().values().stream().skip(2).limit(1).forEach(worker -> worker.pause(10 * SECOND));
             int leader = cluster.leader();
             cluster.runSeconds(random.nextDouble() * 2);
-            boolean before = random.nextBoolean();
-            if (before) {
+            boolean cancelFirst = random.nextBoolean();
+            if (cancelFirst) {
                 cluster.cancel(otherNode(cluster, leader), "job-000001");
             }
             cluster.kill(leader);
             cluster.submit(otherNode(cluster, leader), SimCluster.job("job-000002", 10));
-            if (!before) {
+            if (!cancelFirst) {
                 cluster.cancel(otherNode(cluster, leader), "job-000001");
             }
             cluster.cloud().machines().values().forEach(worker -> worker.setRunMicros(8 * SECOND));
@@ -194,7 +195,7 @@
     @Test
     void cancellationBeforeResponseToReleaseWriteKeepsWriterRunning() {
         SimCluster cluster = startCluster(18);
-        Rule slow = cluster.network()
+        Rule delayedResponses = cluster.network()
                 .addRule(FailureInjector.transactions("\"run/", Action.DELAY_RESPONSE, 1, new Random(18)));
         for (int i = 1; i <= 12; i++) {
             String uid = "job-%06d".formatted(i);
@@ -204,7 +205,7 @@
                 cluster.cancel(i % 3, uid);
             }
         }
-        cluster.network().removeRule(slow);
+        cluster.network().removeRule(delayedResponses);
         cluster.runSeconds(40);
         for (int i = 1; i <= 12; i++) {
             assertStageOnAllNodes(cluster, "job-%06d".formatted(i), i % 2 == 0 ? "withdrawn" : "done");
@@ -279,13 +280,13 @@
         cluster.submit(0, SimCluster.job("job-000001", 8));
         cluster.submit(0, SimCluster.job("job-000002", 8));
         cluster.runUntilStarted(16, 40 * SECOND);
-        int old = cluster.leader();
-        Rule isolated = cluster.network().addRule(FailureInjector.isolated(old));
-        cluster.runUntil(() -> cluster.leader() >= 0 && cluster.leader() != old);
+        int formerLeader = cluster.leader();
+        Rule isolated = cluster.network().addRule(FailureInjector.isolated(formerLeader));
+        cluster.runUntil(() -> cluster.leader() >= 0 && cluster.leader() != formerLeader);
         cluster.cancel(cluster.leader(), "job-000001");
         for (int i = 0; i < 30; i++) {
-            cluster.pollAsync(old, "job-000001");
-            cluster.cancelAsync(old, "job-000002");
+            cluster.pollAsync(formerLeader, "job-000001");
+            cluster.cancelAsync(formerLeader, "job-000002");
             cluster.runSeconds(1);
         }
         assertThat(cluster.cloud().machines().values())
--- a/src/test/java/io/sillreel/FailoverFailuresTest.java
+++ b/src/test/java/io/sillreel/FailoverFailuresTest.java
@@ -110,14 +110,14 @@
         cluster.submit(0, SimCluster.job("job-000001", 6));
         cluster.submit(0, SimCluster.job("job-000002", 6));
         cluster.runUntilStarted(12, 30 * SECOND);
-        Rule held = cluster.network().addRule(FailureInjector.commands(Action.HOLD));
+        Rule heldMessages = cluster.network().addRule(FailureInjector.commands(Action.HOLD));
         cluster.cloud().machines().values().stream().limit(3).forEach(worker -> worker.pause(9 * SECOND));
         cluster.cancel(0, "job-000001");
         cluster.runSeconds(5);
         cluster.submit(1, SimCluster.job("job-000003", 6));
         failOver(cluster);
         cluster.runSeconds(6);
-        cluster.network().removeRule(held);
+        cluster.network().removeRule(heldMessages);
         cluster.network().releaseHeld();
         cluster.runSeconds(60);
         assertThat(cluster.stage(cluster.leader(), "job-000002")).isEqualTo("done");
@@ -133,12 +133,12 @@
             cluster.submit(0, SimCluster.job("job-000001", 12));
             cluster.runUntilStarted(12, 25 * SECOND);
             Set<String> delayedMachines = new HashSet<>(machineNames(cluster).subList(0, 2));
-            Rule held = cluster.network()
+            Rule heldMessages = cluster.network()
                     .addRule((from, to, request) -> delayedMachines.contains(from) ? Action.HOLD : null);
             cluster.runSeconds(1.5);
             failOver(cluster);
             cluster.runSeconds(3 + 4 * seed);
-            cluster.network().removeRule(held);
+            cluster.network().removeRule(heldMessages);
             cluster.network().releaseHeld();
             cluster.runSeconds(80);
             assertThat(cluster.stage(cluster.leader(), "job-000001"))
@@ -157,20 +157,20 @@
         cluster.submit(1, SimCluster.job("job-000002", 10));
         cluster.runUntilStarted(20, 15 * SECOND);
         for (int change = 0; change < 10; change++) {
-            int old = Math.max(0, cluster.leader());
+            int formerLeader = Math.max(0, cluster.leader());
             if (change == 4) {
                 cluster.store().setOutage(true);
             } else if (change == 6) {
                 cluster.store().setOutage(false);
             }
-            cluster.kill(old);
+            cluster.kill(formerLeader);
             cluster.runSeconds(random.nextDouble() * 6);
-            cluster.restart(old);
+            cluster.restart(formerLeader);
             if (change % 3 == 1) {
                 // Back at once, in the middle of the election, with one more.
                 cluster.runSeconds(random.nextDouble() * 0.4);
-                cluster.restart(old);
-                cluster.restart(otherNode(cluster, old));
+                cluster.restart(formerLeader);
+                cluster.restart(otherNode(cluster, formerLeader));
             }
             cluster.runSeconds(random.nextDouble() * 8);
             cluster.pollAsync(random.nextInt(3), "job-000001");
@@ -218,14 +218,14 @@
             Set<String> zone = new HashSet<>(
                     machineNames(cluster).subList(0, machineNames(cluster).size() / 2));
             zone.add(FailureInjector.host(partitionedLeader));
-            Rule cut = cluster.network()
+            Rule partition = cluster.network()
                     .addRule((from, to, request) ->
                             zone.contains(from) != zone.stream().anyMatch(to::startsWith) ? action : null);
             cluster.runSeconds(10);
             cluster.cancelAsync(otherNode(cluster, partitionedLeader), "job-000001");
             cluster.submitAsync(otherNode(cluster, partitionedLeader), SimCluster.job("job-000002", 12));
             cluster.runSeconds(20);
-            cluster.network().removeRule(cut);
+            cluster.network().removeRule(partition);
             cluster.network().releaseHeld();
             cluster.runSeconds(60);
             assertStageOnAllNodes(cluster, "job-000001", "withdrawn");
--- a/src/test/java/io/sillreel/RandomScheduleTest.java
+++ b/src/test/java/io/sillreel/RandomScheduleTest.java
@@ -85,12 +85,12 @@
         return true;
     }
 
-    private static SimCluster world(long seed) {
+    private static SimCluster newCluster(long seed) {
         return new SimCluster(seed, TEAM_CPUS, seed % 3 == 0 ? 5 : 3, Version.CURRENT);
     }
 
     private static void runSchedule(long seed, boolean widespread) {
-        SimCluster cluster = world(seed);
+        SimCluster cluster = newCluster(seed);
         int nodes = cluster.nodes();
         Random random = new Random(seed);
         RandomFailures failures = new RandomFailures(cluster, random);
@@ -145,11 +145,11 @@
     }
 
     private static void runOverlappingFailures(long seed) {
-        runOverlappingFailures(world(seed), seed, Workload.JOBS);
+        runOverlappingFailures(newCluster(seed), seed, Workload.JOBS);
     }
 
     private static void runJobChains(long seed) {
-        runOverlappingFailures(world(seed), seed, Workload.CHAINS);
+        runOverlappingFailures(newCluster(seed), seed, Workload.CHAINS);
     }
 
     private static void runUpgrade(long seed) {
--- a/src/test/java/io/sillreel/StoreFailuresTest.java
+++ b/src/test/java/io/sillreel/StoreFailuresTest.java
@@ -69,7 +69,7 @@
     void allNodesAgreeOnWritesWithLostResponses() {
         for (String content : List.of("\"plan/", "\"withdraw/", "\"run/", "\"set\"")) {
             SimCluster cluster = startCluster(5);
-            Rule lost = cluster.network()
+            Rule lostResponses = cluster.network()
                     .addRule(FailureInjector.transactions(content, Action.DROP_RESPONSE, 0.7, new Random(5)));
             for (int i = 1; i <= 8; i++) {
                 String uid = "job-%06d".formatted(i);
@@ -82,7 +82,7 @@
                 }
                 cluster.runSeconds(2);
             }
-            cluster.network().removeRule(lost);
+            cluster.network().removeRule(lostResponses);
             cluster.runSeconds(40);
             for (int i = 1; i <= 8; i += 2) {
                 assertStageOnAllNodes(cluster, "job-%06d".formatted(i), "done");
@@ -111,7 +111,7 @@
     void lateWritesDoNotUndoNewerOnes() {
         for (int seed = 1; seed <= 4; seed++) {
             SimCluster cluster = startCluster(seed);
-            Rule late = cluster.network()
+            Rule delayedWrites = cluster.network()
                     .addRule(FailureInjector.transactions(
                             "\"set\"", Action.DELAY_AND_DROP_RESPONSE, 0.3, new Random(seed)));
             List<String> jobs = new ArrayList<>();
@@ -132,7 +132,7 @@
             }
             failOver(cluster);
             cluster.runSeconds(10);
-            cluster.network().removeRule(late);
+            cluster.network().removeRule(delayedWrites);
             cluster.runSeconds(60);
             for (String uid : jobs) {
                 assertThat(cluster.stage(cluster.leader(), uid))
@@ -153,16 +153,16 @@
             SimCluster cluster = startCluster(seed);
             cluster.cloud().setBootMicros(SECOND);
             Random random = new Random(seed);
-            Rule late = cluster.network()
+            Rule delayedWrites = cluster.network()
                     .addRule(FailureInjector.transactions("\"hire/", Action.DELAY_AND_DROP_RESPONSE, 0.6, random));
             cluster.submit(0, SimCluster.job("job-000001", 40));
             cluster.runUntilStarted(4, 12 * SECOND);
-            Set<String> cut = new HashSet<>(machineNames(cluster).subList(0, 1));
-            Rule away = cluster.network().addRule(FailureInjector.machineTraffic(cut, Action.DROP));
+            Set<String> partitioned = new HashSet<>(machineNames(cluster).subList(0, 1));
+            Rule partition = cluster.network().addRule(FailureInjector.machineTraffic(partitioned, Action.DROP));
             failOver(cluster);
             cluster.runSeconds(5 + random.nextInt(12));
-            cluster.network().removeRule(away);
-            cluster.network().removeRule(late);
+            cluster.network().removeRule(partition);
+            cluster.network().removeRule(delayedWrites);
             cluster.runSeconds(90);
             assertThat(cluster.stage(cluster.leader(), "job-000001"))
                     .as("seed %d", seed)
--- a/src/test/java/io/sillreel/UpgradeTest.java
+++ b/src/test/java/io/sillreel/UpgradeTest.java
@@ -144,7 +144,7 @@
         }
         cluster.runUntilStarted(5, 3 * SECOND);
         Random random = new Random(55);
-        Rule unanswered =
+        Rule lostResponses =
                 cluster.network().addRule(FailureInjector.transactions("\"set\"", Action.DROP_RESPONSE, 0.7, random));
         cluster.runSeconds(4);
         submitAsync(cluster, 7, 2);
@@ -152,7 +152,7 @@
         cluster.runSeconds(0.2);
         cluster.kill(leader);
         cluster.runSeconds(LEADER_EXPIRY_SECONDS);
-        cluster.network().removeRule(unanswered);
+        cluster.network().removeRule(lostResponses);
         cluster.runUntil(() -> cluster.leader() >= 0 && cluster.version(cluster.leader()) == otherVersion(leading));
         cluster.restart(leader, Version.CURRENT);
         assertAllJobsFinish(cluster, 7, List.of(uid(6)));
@@ -175,14 +175,14 @@
                 .isEqualTo("withdrawn");
         assertStageOnAllNodes(cluster, uid(1), "withdrawn");
         cluster.runSeconds(3);
-        Rule refused = cluster.network().addRule(FailureInjector.rejectedByStateService(leader));
+        Rule rejection = cluster.network().addRule(FailureInjector.rejectedByStateService(leader));
         cluster.runSeconds(1);
         assertThat(cluster.cancel(follower, uid(2)).json().path("stage").asText())
                 .isEqualTo("withdrawn");
         cluster.store().setOutage(true);
         cluster.runSeconds(35);
         cluster.store().setOutage(false);
-        cluster.network().removeRule(refused);
+        cluster.network().removeRule(rejection);
         upgradeAll(cluster);
         cluster.cloud().machines().values().forEach(machine -> machine.setRunMicros(3 * SECOND));
         cluster.runSeconds(200);
@@ -319,18 +319,18 @@
         upgradeAll(cluster);
         for (int node = 0; node < NODES; node++) {
             int number = 10 + 10 * node;
-            ObjectNode awaitsNothing = SimCluster.job(uid(number), 1).putNull("awaits");
-            assertThat(cluster.submit(node, awaitsNothing).status()).isEqualTo(201);
+            ObjectNode withoutDependencies = SimCluster.job(uid(number), 1).putNull("awaits");
+            assertThat(cluster.submit(node, withoutDependencies).status()).isEqualTo(201);
             assertThat(cluster.submit(node, SimCluster.job(uid(number + 1), 1, uid(done)))
                             .status())
                     .isEqualTo(201);
             assertThat(cluster.submit(node, SimCluster.job(uid(number + 2), 1, uid(running), uid(done)))
                             .status())
                     .isEqualTo(201);
-            HttpResponse closed =
+            HttpResponse dependsOnCancelled =
                     cluster.submit(node, SimCluster.job(uid(number + 3), 1, uid(running), uid(cancelled)));
-            assertThat(closed.status()).isEqualTo(201);
-            assertThat(closed.json().path("stage").asText()).isEqualTo("withdrawn");
+            assertThat(dependsOnCancelled.status()).isEqualTo(201);
+            assertThat(dependsOnCancelled.json().path("stage").asText()).isEqualTo("withdrawn");
             assertThat(cluster.submit(node, SimCluster.job(uid(number + 4), 1, uid(99)))
                             .status())
                     .isEqualTo(422);
