--- a/src/test/java/io/sillreel/CancellationFailuresTest.java
+++ b/src/test/java/io/sillreel/CancellationFailuresTest.java
@@ -18,16 +18,16 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Cancellations that meet another failure: what users were told and what workers ran. */
+/** Cancellations combined with other failures: consistency of the responses to users, and of the tasks that ran. */
 class CancellationFailuresTest {
     private static final long SECOND = 1_000_000;
     private static final long LONG_TASK_MICROS = 600 * SECOND;
 
     /**
-     * The gap: the state service refuses the leader alone, another controller confirms cancellations, then the service
-     * is out for all, for longer than cancel_s, while the workers go on reporting to the old leader. Some of the
-     * machines hang within their leases and go on. Guards the bound of the grace period at the old leader, at a
-     * successor, and at one that the outage meets while it reads what is stored.
+     * The state service rejects only the leader, another controller confirms cancellations, and then the service fails
+     * for all controllers, for longer than cancel_s, while workers keep sending heartbeats to the former leader. Some
+     * machines hang for less than their lease and resume. Guards the bound of the grace period at the former leader, at
+     * its successor, and at a successor that the outage hits while it loads the stored state.
      */
     @Test
     void endsCancelledTasksInTimeWhenLeaderIsRejectedBeforeOutage() {
@@ -38,7 +38,7 @@
             cluster.runUntilStarted(12, LONG_TASK_MICROS);
             int leader = cluster.leader();
             Rule rejection = cluster.network().addRule(FailureInjector.rejectedByStateService(leader));
-            // It must hold without the word of the controller that confirms, which may get lost as well.
+            // The bound must hold without the notification by the confirming controller, which may get lost as well.
             cluster.network()
                     .addRule((from, to, request) -> request.route().equals("/peer/withdrawn") ? Action.DROP : null);
             cluster.runSeconds(0.05);
@@ -63,7 +63,8 @@
     }
 
     /**
-     * Guards tasks against their leases when their leader, refused alone, can still be told by the one that confirmed.
+     * Guards against tasks that run until their leases end although the confirming controller can still notify the
+     * leader, which only the state service rejects.
      */
     @Test
     void peersNotifyRejectedLeaderOfCancellations() {
@@ -81,14 +82,14 @@
         assertNoViolations(cluster);
     }
 
-    /** Guards launches against a watch that is not answered: what was not asked for lately may have been cancelled. */
+    /** Guards against launches while the watch on cancellations is unanswered: the jobs may have been cancelled. */
     @Test
     void leaderWithoutCancellationUpdatesLaunchesNothing() {
         SimCluster cluster = startCluster(17);
         cluster.submit(0, SimCluster.job("job-000001", 300).put("guess_s", 60.0));
         cluster.runUntilStarted(1, LONG_TASK_MICROS);
-        // More machines come up only when what is known is too old; no task ends, so no write tells of the
-        // cancellation.
+        // More machines come up only once the known cancellations are too old. No task ends, so there is no write
+        // whose conflict would reveal the cancellation.
         cluster.cloud().setBootMicros(8 * SECOND);
         cluster.network()
                 .addRule((from, to, request) -> request.route().equals("/peer/withdrawn")
@@ -106,7 +107,8 @@
     }
 
     /**
-     * Guards the jobs of a leader that keeps its lease and may do nothing with it: it resigns, and another one goes on.
+     * Guards the jobs of a leader that holds its lease but may not launch tasks: it resigns and another controller
+     * takes over.
      */
     @Test
     void leaderWithoutCancellationUpdatesResigns() {
@@ -126,8 +128,8 @@
     }
 
     /**
-     * Guards the proof of a leader that is answered again after an outage, and has not heard what was cancelled before
-     * it.
+     * Guards against launches by a leader that reaches the state service again after an outage and has not yet learned
+     * of the cancellations before it.
      */
     @Test
     void launchesNoTaskCancelledBeforeOutageOnceStateServiceIsBack() {
@@ -150,8 +152,7 @@
     }
 
     /**
-     * Guards the count of tasks that can't be seen: cancelled ones on machines that are cut off or hang use the limit
-     * too.
+     * Guards the team limit: cancelled tasks that may still run on partitioned or hanging machines count towards it.
      */
     @Test
     void countsUnreachableCancelledTasksTowardsLimitAcrossFailover() {
@@ -189,8 +190,8 @@
     }
 
     /**
-     * Guards the leader's writer against a cancellation that is heard of before the answer to the write of the job's
-     * own release: that answer found the job cancelled, threw, and nothing was ever written again.
+     * Guards the write queue of the leader against a cancellation that arrives before the response to the write that
+     * releases the job. The handler of that response found the job cancelled and threw, and nothing was written again.
      */
     @Test
     void cancellationBeforeResponseToReleaseWriteKeepsWriterRunning() {
@@ -213,7 +214,7 @@
         assertNoViolations(cluster);
     }
 
-    /** Guards the hand-over: a successor that reads lists while jobs are cancelled misses none. */
+    /** Guards against cancellations missed by a new leader that lists the stored jobs while they are cancelled. */
     @Test
     void stopsJobsCancelledDuringFailover() {
         for (int seed = 1; seed <= 3; seed++) {
@@ -244,7 +245,7 @@
         }
     }
 
-    /** Guards the rate of small jobs: each is stored, run and ended, a quarter cancelled, and none is left behind. */
+    /** Guards throughput of small jobs: each is stored, run and completed, a quarter is cancelled, and none is lost. */
     @Test
     void runsAndCancelsSmallJobsAtHighRate() {
         SimCluster cluster = startCluster(6);
@@ -271,8 +272,8 @@
     }
 
     /**
-     * Guards workers and users of a leader that hears neither state service nor peers, while jobs are cancelled
-     * elsewhere.
+     * Guards workers and users that still reach a leader isolated from the state service and its peers, while jobs are
+     * cancelled through other controllers.
      */
     @Test
     void stopsJobsCancelledUnderNewLeaderWhileWorkersReachFormerLeader() {
--- a/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
+++ b/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
@@ -30,11 +30,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Done sets that the version in production (5806758) stored, or may have to read. */
+/** Compatibility of completion bitmaps with the version in production (5806758), which stores or reads them. */
 class CompletionBitmapVersionsTest {
     private final SimTime time = new SimTime();
 
-    /** Guards the done set of a job that both versions lead in turn: parts of it would be unknown to that version. */
+    /** Guards jobs that both versions lead in turn: the production version can't read the current bitmap chunks. */
     @Test
     void writesBitmapInlineUntilStateServiceRejectsItsSize() {
         List<PendingWrite> queued = new ArrayList<>();
@@ -71,7 +71,7 @@
         assertThat(List.of(0, 3, 6_999)).allMatch(job::isTaskStored);
     }
 
-    /** A job of 400 tasks whose done set that version cut by larger values, and a writer under today's limits. */
+    /** A job of 400 tasks whose bitmap that version split by a larger value limit, and a writer with smaller limits. */
     private final class ChunkedJob {
         final SimStateService stateService = new SimStateService(time, 20, 8 * 1024, 1_000);
         final JobSpec spec = spec("job-000413", 400);
@@ -98,7 +98,7 @@
             };
         }
 
-        /** The job as a leader takes it over that reads what that version wrote. */
+        /** Returns the job as a leader takes it over from the records of the production version. */
         ActiveJob takeOverFromPreviousVersion() {
             Map<String, String> values = new HashMap<>();
             Map<String, Long> revisions = new HashMap<>();
@@ -114,7 +114,7 @@
             return job;
         }
 
-        /** The job as the next leader takes it over. */
+        /** Returns the job as the next leader takes it over from the records of the current version. */
         ActiveJob takeOverFromCurrentVersion() {
             Map<String, String> values = new HashMap<>();
             stateService
@@ -136,7 +136,8 @@
     }
 
     /**
-     * Guards a done set that it cut by larger values: read by its rule, written in smaller parts, nothing left behind.
+     * Guards a bitmap that the production version split into larger chunks: it is read with the chunk size of that
+     * version, written in smaller chunks, and no stale key is left.
      */
     @Test
     void rewritesLargerChunksAsSmallerOnes() {
@@ -162,7 +163,7 @@
         assertThat(chunked.stateService.keysWithPrefix("bits/")).isEmpty();
     }
 
-    /** Guards against a write that its last leader gave up on: it comes late, and finds another leader. */
+    /** Guards against a write that the former leader timed out: it arrives late, under another leader. */
     @Test
     void rejectsLateChunkWriteOfFormerLeader() {
         ChunkedJob chunked = new ChunkedJob();
--- a/src/test/java/io/sillreel/FailoverFailuresTest.java
+++ b/src/test/java/io/sillreel/FailoverFailuresTest.java
@@ -20,13 +20,12 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Changes of leader, cuts and silent machines that meet: what users were told and what workers ran. */
+/** Failovers combined with partitions and silent machines: the responses to users, and the tasks that ran. */
 class FailoverFailuresTest {
     private static final long SECOND = 1_000_000;
 
     /**
-     * Guards a term's first seconds against reports of the one before, in whatever number they come, at every
-     * controller.
+     * Guards the first seconds of a term against any number of heartbeats of the previous term, at every controller.
      */
     @Test
     void ignoresHeartbeatsOfFormerTermAtStartOfTerm() {
@@ -45,12 +44,12 @@
         }
     }
 
-    /** Guards the count of done tasks over a change of leader, with tasks of one job that end far apart. */
+    /** Guards the count of completed tasks across a failover, when tasks of one job end at very different times. */
     @Test
     void completesEachTaskOnceWhenJobSpansFailover() {
         for (int after = 0; after < 6; after++) {
             SimCluster cluster = startCluster(20 + after);
-            // Each of them fills a machine.
+            // Each task fills a machine.
             cluster.submit(0, SimCluster.job("job-000001", 3).put("vcpus", 4.0));
             cluster.runUntilStarted(3, 30 * SECOND);
             busiestWorker(cluster).extendRunningTasks(30 * SECOND);
@@ -65,7 +64,8 @@
     }
 
     /**
-     * Guards the zone of a job: what a machine has lost starts where the rest of its job is, or where all of it can be.
+     * Guards the single-zone constraint: tasks of a lost machine restart in the zone of the rest of their job, or the
+     * whole job moves to another zone.
      */
     @Test
     void keepsSingleZoneJobsInOneZoneAfterMachineLoss() {
@@ -102,7 +102,8 @@
     }
 
     /**
-     * Guards against a command that is carried out long after it was given: it names an attempt that never comes again.
+     * Guards against a command that is executed long after it was sent: it names an attempt number that is never
+     * reused.
      */
     @Test
     void ignoresCommandsDelayedUntilMachineResumes() {
@@ -125,7 +126,7 @@
         assertNoViolations(cluster);
     }
 
-    /** Guards the reports of an earlier term that come in once the next one has acted. */
+    /** Guards against heartbeats of an earlier term that arrive after the next leader has acted. */
     @Test
     void ignoresHeartbeatsDelayedIntoNextTerm() {
         for (int seed = 1; seed <= 4; seed++) {
@@ -148,7 +149,7 @@
         }
     }
 
-    /** Guards terms that follow each other within seconds, and within an outage, in which nobody can take one. */
+    /** Guards rapid failovers, also during an outage in which no controller can be elected. */
     @Test
     void survivesTenFailoversInTwoMinutes() {
         SimCluster cluster = startCluster(9);
@@ -167,7 +168,7 @@
             cluster.runSeconds(random.nextDouble() * 6);
             cluster.restart(formerLeader);
             if (change % 3 == 1) {
-                // Back at once, in the middle of the election, with one more.
+                // Restarts in the middle of the election, together with another controller.
                 cluster.runSeconds(random.nextDouble() * 0.4);
                 cluster.restart(formerLeader);
                 cluster.restart(otherNode(cluster, formerLeader));
@@ -181,7 +182,7 @@
         assertNoViolations(cluster);
     }
 
-    /** Guards against waiting for ever, and against guessing, after all leases have ended with nobody there. */
+    /** Guards against waiting forever, or guessing the state of tasks, after all leases ended with no controller up. */
     @Test
     void recoversAfterAllControllersAreDownLongerThanLease() {
         SimCluster cluster = startCluster(10);
@@ -206,7 +207,8 @@
     }
 
     /**
-     * Guards a zone that goes on by itself behind its cut: its leader lets go in time, and nothing runs on both sides.
+     * Guards a partitioned zone that continues on its own: its leader steps down in time, and no task runs on both
+     * sides.
      */
     @Test
     void runsNothingTwiceWhenZoneOfLeaderIsPartitionedLongerThanLease() {
@@ -234,9 +236,7 @@
         }
     }
 
-    /**
-     * Guards machines that reach no controller: commands alone keep nothing alive, and nothing new is given to them.
-     */
+    /** Guards machines that reach no controller: commands do not extend leases, and no new task is assigned to them. */
     @Test
     void releasesTasksOfMachinesThatReachNoController() {
         SimCluster cluster = startCluster(12);
--- a/src/test/java/io/sillreel/FailureScenario.java
+++ b/src/test/java/io/sillreel/FailureScenario.java
@@ -7,7 +7,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Steps and checks that the tests of several failures share. */
+/** Steps and checks shared by the tests that combine several failures. */
 public final class FailureScenario {
     private FailureScenario() {}
 
@@ -41,14 +41,14 @@
                 .orElseThrow();
     }
 
-    /** Kills the lease leader, and waits until another one leads. */
+    /** Kills the leader, and waits until another controller has been elected. */
     static void failOver(SimCluster cluster) {
         int formerLeader = cluster.leader();
         cluster.kill(formerLeader);
         cluster.runUntil(() -> cluster.leader() >= 0 && cluster.leader() != formerLeader);
     }
 
-    /** Asks every controller that is up. */
+    /** Queries every controller that is up. */
     public static void assertStageOnAllNodes(SimCluster cluster, String uid, String stage) {
         for (int node = 0; node < cluster.nodes(); node++) {
             if (cluster.isUp(node)) {
--- a/src/test/java/io/sillreel/LargeFleetTest.java
+++ b/src/test/java/io/sillreel/LargeFleetTest.java
@@ -13,11 +13,11 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** What must hold at thousands of machines, with every rule watched. */
+/** Behavior with thousands of machines, with all invariants checked. */
 class LargeFleetTest {
     private static final int MACHINES = 4_000;
     private static final int TOTAL_CPUS = 4 * MACHINES;
-    /** More than fit at once, or the planner would rather wait than rent all machines. */
+    /** Exceeds what fits at once; otherwise the planner would queue tasks rather than rent all machines. */
     private static final int TASKS = 40_000;
 
     private static final long SECOND = 1_000_000;
@@ -29,7 +29,7 @@
         return SimCluster.job(uid, tasks).put("guess_s", 60.0).put("due_s", 30.0);
     }
 
-    /** A job has a task on every processor that it may use, and each of them runs for long. */
+    /** Runs until one job has a long task on every CPU that it may use. */
     private void runUntilFullyLoaded(int tasks) {
         cluster.runSeconds(2);
         cluster.submit(0, longJob("job-000001", TASKS));
@@ -42,7 +42,7 @@
         return cluster.cloud().machines().size();
     }
 
-    /** What runs ends at once, and what starts from now on soon. */
+    /** Ends all running tasks at once; tasks that start later are short. */
     private void finishTasks() {
         for (SimWorker worker : cluster.cloud().machines().values()) {
             worker.extendRunningTasks(-TASK_MICROS);
@@ -57,7 +57,7 @@
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards takeovers: what they ask of the store is counted, and nobody's task starts again for them. */
+    /** Guards failovers: reads from the state service are bounded, and no task is restarted. */
     @Test
     void failoverRestartsNoTaskAndCancellationTakesEffect() {
         int cpuLimit = TOTAL_CPUS / 2;
@@ -72,7 +72,7 @@
         cluster.kill(leader);
         cluster.runUntil(() -> cluster.leader() >= 0 && cluster.leader() != leader);
         cluster.runSeconds(12);
-        assertThat(listRequests[0]).as("pages that a takeover reads").isLessThanOrEqualTo(6);
+        assertThat(listRequests[0]).as("pages read by a failover").isLessThanOrEqualTo(6);
         assertThat(cluster.startCount()).isEqualTo(cpuLimit);
         assertThat(machineCount()).isEqualTo(MACHINES);
         cluster.restart(leader);
@@ -84,7 +84,9 @@
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards a fleet against being given away: half of it is silent for longer than its leases, and comes back. */
+    /**
+     * Guards against returning half of the fleet, which is unreachable for longer than its leases and then recovers.
+     */
     @Test
     void keepsZonePartitionedBeyondLeaseAndRunsNothingTwice() {
         runUntilFullyLoaded(TOTAL_CPUS);
@@ -124,7 +126,7 @@
         assertThat(cluster.startCount()).isEqualTo(TASKS);
     }
 
-    /** Guards the controllers themselves: more machines than their sockets carry are not rented. */
+    /** Guards the controllers against more machines than their sockets can serve. */
     @Test
     void scalesOutOnlyToControllerCapacity() {
         SimClusterSettings large = SimClusterSettings.large(3, MACHINES, 0);
--- a/src/test/java/io/sillreel/PackageDependenciesTest.java
+++ b/src/test/java/io/sillreel/PackageDependenciesTest.java
@@ -22,11 +22,11 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** Which package may use which, as {@code docs/architecture.md} draws it. */
+/** Dependencies allowed between packages, as shown in {@code docs/architecture.md}. */
 class PackageDependenciesTest {
     private static final String ROOT = "io.sillreel";
 
-    /** Each package with those that it may use; what it uses through them is to be named as well. */
+    /** Each package with the packages it may depend on; indirect dependencies have to be listed as well. */
     private static final Map<String, List<String>> ALLOWED_DEPENDENCIES = allowedDependencies();
 
     private static JavaClasses mainClasses;
--- a/src/test/java/io/sillreel/RandomFailures.java
+++ b/src/test/java/io/sillreel/RandomFailures.java
@@ -12,11 +12,11 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Troubles of a simulated cluster, drawn at random. */
+/** Injects random failures into a simulated cluster. */
 final class RandomFailures {
     private final SimCluster cluster;
     private final Random random;
-    /** Rules of the network that are in force. */
+    /** Active rules of the network. */
     private final List<Rule> networkRules = new ArrayList<>();
 
     RandomFailures(SimCluster cluster, Random random) {
@@ -24,7 +24,7 @@
         this.random = random;
     }
 
-    /** Users cancel some of the latest jobs. */
+    /** Cancels up to {@code count} of the latest jobs. */
     void cancelRecentJobs(List<String> jobs, Set<String> cancelled, int count) {
         for (int each = 0; each < count && !jobs.isEmpty(); each++) {
             String uid = jobs.get(Math.max(0, jobs.size() - 1 - random.nextInt(8)));
@@ -33,7 +33,7 @@
         }
     }
 
-    /** One of the troubles that operators have seen to meet. */
+    /** Injects one of the failures that operators have seen to occur together. */
     void injectOverlapping(List<String> jobs, Set<String> cancelled) {
         int leader = Math.max(0, cluster.leader());
         List<SimWorker> machines = List.copyOf(cluster.cloud().machines().values());
@@ -98,7 +98,7 @@
         }
     }
 
-    /** One trouble, mostly of one controller or one machine. */
+    /** Injects one failure, mostly of a single controller or machine. */
     void injectSingle() {
         int node = random.nextInt(cluster.nodes());
         String host = "10.0.0." + node;
@@ -128,7 +128,7 @@
                                 : null));
             case 14 -> networkRules.add(cluster.network().addRule(FailureInjector.isolated(node)));
             case 15 -> {
-                // Killed and back at once, perhaps in the middle of an election, and perhaps once more.
+                // Killed and restarted at once, possibly in the middle of an election, and again shortly after.
                 cluster.restart(node);
                 cluster.runSeconds(random.nextDouble() * 0.3);
                 cluster.restart(node);
@@ -156,14 +156,14 @@
         }
     }
 
-    /** A trouble that hits many at once, or stops processes for a while. */
+    /** Injects a failure that affects many hosts at once, or pauses processes for a while. */
     void injectWidespread() {
         int node = random.nextInt(cluster.nodes());
         List<SimWorker> machines = List.copyOf(cluster.cloud().machines().values());
         switch (random.nextInt(9)) {
             case 7 -> slowDownControllers();
             case 8 -> {
-                // All crash and come back late for what awaits them.
+                // All controllers crash and restart, and then process their backlog slowly.
                 for (int each = 0; each < cluster.nodes(); each++) {
                     cluster.restart(each);
                 }
@@ -176,7 +176,7 @@
                 }
             }
             case 2 -> {
-                // In the middle of an election, and whoever is to be elected as well.
+                // Pauses a possible successor in the middle of an election.
                 cluster.kill(node);
                 cluster.runSeconds(2.5 + random.nextDouble());
                 cluster.pause((node + 1) % cluster.nodes(), random.nextInt(10_000_000));
@@ -199,7 +199,7 @@
         }
     }
 
-    /** A part of the machines is cut off, and then the lease leader ends. */
+    /** Partitions some of the machines, and then kills the leader. */
     private void partitionMachinesAndKillLeader(List<SimWorker> machines) {
         Set<String> partitioned = new HashSet<>();
         machines.stream().filter(machine -> random.nextBoolean()).forEach(machine -> partitioned.add(machine.name()));
@@ -215,7 +215,7 @@
         }
     }
 
-    /** Each controller takes its time over what it does, for ever or until it is started again. */
+    /** Slows down controllers until they are reset or restarted. */
     private void slowDownControllers() {
         long maxMicros = 1_000L << random.nextInt(8);
         for (int each = 0; each < cluster.nodes(); each++) {
@@ -223,7 +223,7 @@
         }
     }
 
-    /** Messages between the two, either way, are lost, held back, or answered in vain. */
+    /** Messages between the two hosts, in both directions, are lost or held back, or their responses are lost. */
     private Rule linkFailure(String one, String other) {
         Action[] actions = {Action.DROP, Action.HOLD, Action.DROP_RESPONSE};
         Action action = actions[random.nextInt(actions.length)];
@@ -232,7 +232,8 @@
                         ? action
                         : null;
     }
-    /** Ends all of them, and starts what has ended. */
+
+    /** Ends all failures and restarts controllers that are down. */
     void healAll() {
         cluster.store().setOutage(false);
         cluster.cloud().setOutage(false);
--- a/src/test/java/io/sillreel/RandomScheduleTest.java
+++ b/src/test/java/io/sillreel/RandomScheduleTest.java
@@ -19,14 +19,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random troubles over the whole service in memory: kills, restarts within a moment, cuts that lose or hold messages,
- * late copies of reports, machines that hear nothing or start again, isolated controllers, outages, machines taken. The
- * users' rules are watched all along, and once the troubles end every job must end. A seed that fails is named;
- * {@code -Dsillreel.seed=N} plays one by hand.
+ * Random failures of the whole service in memory: kills, immediate restarts, partitions that drop or hold messages,
+ * late duplicates of heartbeats, machines that receive nothing or reboot, isolated controllers, outages, reclaimed
+ * machines. The invariants of the service are checked throughout, and once the failures end every job must finish. A
+ * failing seed is named in the assertion; {@code -Dsillreel.seed=N} runs a single seed.
  */
 class RandomScheduleTest {
     private static final int SEEDS = 25;
-    /** Seeds that broke a rule once. */
+    /** Seeds that once violated an invariant. */
     private static final long[] REGRESSION_SEEDS = {118, 252, 256, 1560, 3062};
 
     private static final int STEPS = 40;
@@ -41,38 +41,34 @@
         }
     }
 
-    /**
-     * The same with troubles that hit many at once, or that stop processes for a while: half of all troubles are those.
-     */
+    /** Half of the failures affect many hosts at once, or pause processes for a while. */
     @Test
     void invariantsHoldUnderWidespreadFailures() {
         runSeeds(seed -> runSchedule(seed, true));
     }
 
-    /**
-     * Pairs of the troubles that operators have seen to meet, now and then three of them, each while the others last.
-     */
+    /** Two, sometimes three overlapping failures of the kinds that operators have seen to occur together. */
     @Test
     void invariantsHoldUnderOverlappingFailures() {
         runSeeds(RandomScheduleTest::runOverlappingFailures);
     }
 
     /**
-     * The same with chains of jobs, cancellations anywhere in them, and limits of the state service that fall on the
-     * way.
+     * Overlapping failures with chains of dependent jobs, cancellations anywhere in them, and limits of the state
+     * service that drop during the run.
      */
     @Test
     void invariantsHoldForJobChainsUnderOverlappingFailures() {
         runSeeds(RandomScheduleTest::runJobChains);
     }
 
-    /** The same while controllers are upgraded one by one, and now and then come back as the previous version. */
+    /** Overlapping failures while controllers are upgraded one by one and sometimes rolled back. */
     @Test
     void invariantsHoldDuringUpgradesUnderOverlappingFailures() {
         runSeeds(RandomScheduleTest::runUpgrade);
     }
 
-    /** Plays the usual seeds, or only the one that was asked for; false in that case. */
+    /** Runs the default seeds, or only the seed set by the system property; returns false in the latter case. */
     private static boolean runSeeds(LongConsumer schedule) {
         Long chosen = Long.getLong("sillreel.seed");
         if (chosen != null) {
@@ -117,7 +113,7 @@
                 cluster.poll(node, uid);
                 if (random.nextInt(8) == 0) {
                     HttpResponse response = cluster.cancel(node, uid);
-                    // Without an answer it may be carried out later, by a controller that stood still.
+                    // Without a response, a paused controller may still carry out the cancellation later.
                     if (response.isOk() || response.status() <= 0) {
                         cancelled.add(uid);
                     }
@@ -157,7 +153,7 @@
         runOverlappingFailures(cluster, seed, Workload.UPGRADE);
     }
 
-    /** What is played besides the troubles. */
+    /** What runs besides the failures. */
     private enum Workload {
         JOBS,
         CHAINS,
@@ -215,12 +211,12 @@
         assertAllJobsFinish(cluster, random, submitted, cancelled, seed);
     }
 
-    /** The same for the same name, since users repeat what they submit. */
+    /** Deterministic by id, because submissions are repeated and must be identical. */
     private static ObjectNode jobFor(String uid) {
         return SimCluster.job(uid, 1 + Integer.parseInt(uid.substring(4)) % 5);
     }
 
-    /** Names up to three jobs that were told to be accepted, most of them young, some long over. */
+    /** Adds up to three dependencies on jobs known to be accepted, most of them recent, some long finished. */
     private static void addDependencies(SimCluster cluster, Random random, ObjectNode job) {
         int number = Integer.parseInt(job.path("uid").asText().substring(4));
         ArrayNode awaits = job.putArray("awaits");
@@ -233,7 +229,7 @@
         }
     }
 
-    /** Some get the present version; a process that dies may find the previous one again. */
+    /** Restarts some controllers with the current version, others with the previous one. */
     private static void restartWithRandomVersions(SimCluster cluster, Random random) {
         for (int node = 0; node < cluster.nodes(); node++) {
             switch (random.nextInt(10)) {
@@ -244,7 +240,7 @@
         }
     }
 
-    /** Jobs that await what both versions accepted, done, cancelled or neither. */
+    /** Submits jobs that depend on jobs accepted by both versions, which are done, cancelled or unfinished. */
     private static void submitChains(SimCluster cluster, Random random, Set<String> submitted) {
         cluster.runSeconds(10);
         for (int each = 0; each < 8; each++) {
--- a/src/test/java/io/sillreel/StoreFailuresTest.java
+++ b/src/test/java/io/sillreel/StoreFailuresTest.java
@@ -19,13 +19,11 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/**
- * Reads and writes of the state service that are late, lost or reordered: what users were told and what workers ran.
- */
+/** Late, lost and reordered reads and writes of the state service: the responses to users, and the tasks that ran. */
 class StoreFailuresTest {
     private static final long SECOND = 1_000_000;
 
-    /** Guards what is told against everything remembered: no node says something older, however soon it is asked. */
+    /** Guards against stale responses from caches: no node returns an older status, however soon it is polled. */
     @Test
     void statusReadsAreMonotonicAcrossNodes() {
         SimCluster cluster = startCluster(4);
@@ -64,7 +62,7 @@
         }
     }
 
-    /** Guards every answer that rests on a write whose own answer is lost, while other nodes read what it wrote. */
+    /** Guards responses that depend on a write whose own response is lost, while other nodes read the written value. */
     @Test
     void allNodesAgreeOnWritesWithLostResponses() {
         for (String content : List.of("\"plan/", "\"withdraw/", "\"run/", "\"set\"")) {
@@ -91,7 +89,7 @@
         }
     }
 
-    /** Guards polls against transactions that go unanswered while everything else is answered. */
+    /** Guards polls against transactions that get no response while all other requests do. */
     @Test
     void answersPollsWhileTransactionsGetNoResponse() {
         SimCluster cluster = startCluster(15);
@@ -106,7 +104,7 @@
         assertNoViolations(cluster);
     }
 
-    /** Guards the order of a controller's own writes: what got no answer is carried out after newer ones. */
+    /** Guards the order of a controller's writes: one without a response may be applied after newer ones. */
     @Test
     void lateWritesDoNotUndoNewerOnes() {
         for (int seed = 1; seed <= 4; seed++) {
@@ -144,8 +142,8 @@
     }
 
     /**
-     * Guards the stored rentals: machines that are up at once get work only once their names are stored, however late
-     * that is.
+     * Guards the stored scale-out requests: machines that boot quickly get tasks only once their names are stored,
+     * however late that is.
      */
     @Test
     void storesNewMachinesBeforeUseDespiteLateWritesAndFailover() {
@@ -172,7 +170,7 @@
     }
 
     /**
-     * Guards the lowest rank, and the answers, when there is far more work than room and every message takes its time.
+     * Guards the lowest priority class, and the responses, when demand far exceeds capacity and all messages are slow.
      */
     @Test
     void completesAllJobsUnderOverloadAndHighLatency() {
@@ -195,8 +193,8 @@
     }
 
     /**
-     * Guards the final answers: odd requests about jobs in every state get the status of the protocol, and change
-     * nothing.
+     * Guards the final responses: unusual requests about jobs in every state get the HTTP status of the protocol, and
+     * change nothing.
      */
     @Test
     void answersUnusualRequestsWithoutSideEffects() {
--- a/src/test/java/io/sillreel/UpgradeTest.java
+++ b/src/test/java/io/sillreel/UpgradeTest.java
@@ -32,8 +32,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Controllers of the present version beside controllers of the previous one ({@code PreviousVersion}), as leaders and
- * as followers, and on each other's data. The world checks the users' rules throughout.
+ * Controllers of the current and of the previous version ({@code PreviousVersion}) together, as leaders and as
+ * followers, each on the data of the other. The simulated cluster checks the invariants throughout.
  */
 class UpgradeTest {
     private static final long SECOND = 1_000_000;
@@ -79,7 +79,7 @@
         assertAllJobsFinish(cluster, jobs, cancelled);
     }
 
-    /** The moments run from the start of the process to well after the end of the election. */
+    /** The delays range from the start of the process to well after the end of the election. */
     @ParameterizedTest
     @ValueSource(doubles = {0.01, 0.05, 0.3, 1, 2, 3, 3.5, 4, 5, 7})
     void survivesRollbackOfControllerDuringElection(double seconds) {
@@ -101,7 +101,7 @@
         assertAllJobsFinish(cluster, 6, List.of());
     }
 
-    /** Guards everything that is stored against writes and reports that were held up until their sender was gone. */
+    /** Guards the stored state against writes and heartbeats that were delayed until their sender was gone. */
     @Test
     void ignoresLateMessagesOfPreviousVersionAfterUpgrade() {
         SimCluster cluster = startPreviousVersion(54);
@@ -133,7 +133,7 @@
         assertAllJobsFinish(cluster, 8, List.of(cancelled));
     }
 
-    /** The write may have been carried out or not; who leads next has to find out from the store. */
+    /** A write without a response may have been applied or not; the next leader has to read the state service. */
     @ParameterizedTest
     @EnumSource
     void otherVersionResolvesWritesWithLostResponsesAfterFailover(Version leading) {
@@ -159,7 +159,8 @@
     }
 
     /**
-     * The state service refuses the leader alone, and then everybody, while one version confirms and the other leads.
+     * The state service rejects the leader, and then all controllers, while one version leads and the other one
+     * confirms cancellations.
      */
     @ParameterizedTest
     @EnumSource
@@ -191,8 +192,8 @@
     }
 
     /**
-     * Only its workers hear the leader while another controller confirms the cancellation, and then the state service
-     * is out for all: nobody can tell the leader, so it has to stop answering in time.
+     * The leader reaches only its workers while another controller confirms the cancellation, and then the state
+     * service fails for all. No controller can notify the leader, so it has to stop answering heartbeats in time.
      */
     @ParameterizedTest
     @EnumSource
@@ -214,7 +215,7 @@
         assertAllJobsFinish(cluster, 1, List.of(uid(1)));
     }
 
-    /** The write of the end is on its way while another controller confirms the cancellation. */
+    /** The write of the completion is in flight while another controller confirms the cancellation. */
     @ParameterizedTest
     @EnumSource
     void cancellationBeforeCompletionWriteHoldsForBothVersions(Version leading) {
@@ -236,7 +237,7 @@
             cluster.network().releaseHeld();
             cluster.runSeconds(3);
             assertStageOnAllNodes(cluster, uid(round), "withdrawn");
-            // An end and a cancellation exclude each other in the store, not only in what readers make of them.
+            // Completion and cancellation exclude each other in the stored state, not only in how readers merge it.
             assertThat(cluster.store().value("run/" + uid(round)).path("stage").asText())
                     .isNotEqualTo("done");
         }
@@ -247,7 +248,7 @@
         return new String(request.body(), StandardCharsets.UTF_8);
     }
 
-    /** The announced limits may come while the last controllers of the previous version are still there. */
+    /** The announced limits may take effect while the last controllers of the previous version are still running. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3})
     void losesNothingWhenLimitsDropDuringUpgrade(int upgradedBefore) {
@@ -269,7 +270,7 @@
         assertAllJobsFinish(cluster, jobs, List.of());
     }
 
-    /** A description with long names that was always accepted stays acceptable, whichever limits hold. */
+    /** A job spec with long names that earlier versions accepted stays acceptable under the new limits. */
     @Test
     void acceptsLargeJobSpecBeforeAndAfterLimitsDrop() {
         SimCluster cluster = startPreviousVersion(64);
@@ -336,7 +337,7 @@
                     .isEqualTo(422);
             ObjectNode malformed = SimCluster.job(uid(number + 5), 1).put("awaits", uid(done));
             assertThat(cluster.submit(node, malformed).status()).isEqualTo(400);
-            // A job that the previous version accepted stays as it was, whatever a repeat names.
+            // A job that the previous version accepted is not changed by a resubmission with other dependencies.
             assertThat(cluster.submit(node, SimCluster.job(uid(done), 2, uid(99)))
                             .json()
                             .path("stage")
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -39,8 +39,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Beside the version in production (5806758) and on what it stored. The samples were made by running that version; what
- * is written for jobs that it could be asked for is the same to the letter, so its rules for reading hold.
+ * Compatibility with the version in production (5806758) and its stored data. The samples were made by running that
+ * version; for jobs that it supports, the current version writes identical bytes, so that version can read them.
  */
 class VersionsTest {
     private static final String PLAN = "{\"at_us\":1700000123456789,\"job\":{\"uid\":\"job-000412\",\"lot\":\"train\","
@@ -55,7 +55,7 @@
             + "\"next_us\":1700000123456791,\"reason\":\"attempt 1 failed: "
             + "its tasks failed on host-000001 and host-000002\","
             + "\"bits\":\"\"}";
-    /** Pieces 0, 191, 192 and 399 of 400 are done; that version put 192 into a value of 64 bytes. */
+    /** Tasks 0, 191, 192 and 399 of 400 are done; that version stored 192 tasks in a value of 64 bytes. */
     static final Map<String, String> CHUNKED = Map.of(
             "run/job-000413",
             "{\"pieces\":400,\"done\":4,\"running\":0,\"stage\":\"queued\"}",
@@ -121,8 +121,7 @@
     }
 
     /**
-     * Guards the stand-in for that version in the simulated cluster: it hides and forbids nothing that the version
-     * knew.
+     * Guards the stand-in for that version in the simulated cluster: it must not hide or reject what that version knew.
      */
     @Test
     void previousVersionStandInKeepsSamplesUnchanged() {
@@ -150,7 +149,7 @@
                 .isEqualTo(json(RUNNING));
     }
 
-    /** Guards its readers: nothing is added or ordered otherwise in what they take up. */
+    /** Guards readers of the production version: no field is added or reordered in the values they read. */
     @Test
     void writesValuesInFormatOfProductionVersion() {
         var plan = Json.object().put("at_us", 1_700_000_123_456_789L);
@@ -205,7 +204,10 @@
         assertThat(CancellationCodec.decode(bytes(CANCELLED))).containsExactly("job-000412");
     }
 
-    /** Guards its takeover: it takes whatever follows a slash under run/ for a number, and lists no other prefix. */
+    /**
+     * Guards failover to that version: it parses whatever follows a slash under run/ as a number, and lists no other
+     * prefix.
+     */
     @Test
     void storesOnlyKeysKnownToProductionVersion() {
         SimCluster cluster = new SimCluster(41);
@@ -227,7 +229,7 @@
         }
     }
 
-    /** Guards a rental that was stored when values could be larger: it is cut before it is written again. */
+    /** Guards a scale-out request that was stored under larger value limits: it is split before it is rewritten. */
     @Test
     void splitsOversizedScaleOutRequestWithoutLosingMachines() {
         StringBuilder names = new StringBuilder();
