--- a/src/main/java/io/sillreel/ActiveTerm.java
+++ b/src/main/java/io/sillreel/ActiveTerm.java
@@ -21,7 +21,7 @@
  * concerns it. Runs on the event loop.
  */
 final class ActiveTerm implements LeaderElection.Listener, LeaderLocator, LiveTaskCounts {
-    private static final long CANCELLED_TIMEOUT_MICROS = 2_000_000;
+    private static final long CANCELLATION_TIMEOUT_MICROS = 2_000_000;
 
     private final EventLoop eventLoop;
     private final TermServices services;
@@ -92,7 +92,7 @@
         } else {
             remoteLeader()
                     .ifPresent(leader -> services.agents()
-                            .send(leader.address(), CancellationCodec.toRequest(uid), CANCELLED_TIMEOUT_MICROS));
+                            .send(leader.address(), CancellationCodec.toRequest(uid), CANCELLATION_TIMEOUT_MICROS));
         }
     }
 
--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -38,9 +38,9 @@
  * and network are handed in. Methods are called on the event loop.
  */
 public final class Controller implements MeterBinder {
-    private static final String JOBS = "/v2/runs";
-    private static final String HEALTH = "/up";
-    private static final String METRICS = "/metrics";
+    private static final String JOBS_ROUTE = "/v2/runs";
+    private static final String HEALTH_ROUTE = "/up";
+    private static final String METRICS_ROUTE = "/metrics";
     /** The shares of the common rate limits that one of several controllers uses at most. */
     private static final double REQUEST_RATE_SHARE = 0.5;
 
@@ -183,7 +183,7 @@
     /** The class by which a public request is queued: health checks are not, heartbeats apart from users' requests. */
     public static RequestClass requestClass(HttpRequest request) {
         return switch (request.route()) {
-            case HEALTH -> RequestClass.IMMEDIATE;
+            case HEALTH_ROUTE -> RequestClass.IMMEDIATE;
             case AgentRoutes.HEARTBEAT -> RequestClass.WORKERS;
             default -> RequestClass.USERS;
         };
@@ -197,7 +197,7 @@
     /** Handles a request of a user, an agent or a health check. */
     public CompletableFuture<HttpResponse> handlePublic(HttpRequest request) {
         String route = request.route();
-        if (route.equals(JOBS) || route.startsWith(JOBS + "/")) {
+        if (route.equals(JOBS_ROUTE) || route.startsWith(JOBS_ROUTE + "/")) {
             return protection.handleUserRequest(request, admissionLimit);
         }
         if (route.equals(AgentRoutes.HEARTBEAT)) {
@@ -205,7 +205,7 @@
                     ? heartbeatRouter.route(request)
                     : completed(HttpResponse.error(405, "use POST"));
         }
-        if (route.equals(HEALTH)) {
+        if (route.equals(HEALTH_ROUTE)) {
             return completed(
                     request.method().equals("GET") ? healthCheck.respond() : HttpResponse.error(405, "use GET"));
         }
@@ -218,7 +218,8 @@
             case PeerRoutes.HEARTBEATS -> heartbeatRouter.handleRelayed(request);
             case PeerRoutes.HELLO -> completed(helloExchange.handle(request));
             case PeerRoutes.CANCELLED -> completed(handleCancelled(request));
-            case METRICS -> completed(HttpResponse.of(200, metrics().toJson(activeTerm.gauges(), protection.gauges())));
+            case METRICS_ROUTE ->
+                completed(HttpResponse.of(200, metrics().toJson(activeTerm.gauges(), protection.gauges())));
             default ->
                 completed(protection.handleInternal(request).orElseGet(() -> HttpResponse.error(404, "no such path")));
         };
--- a/src/main/java/io/sillreel/ControllerMetrics.java
+++ b/src/main/java/io/sillreel/ControllerMetrics.java
@@ -32,16 +32,16 @@
     private MeterRegistry ownRegistry;
 
     ControllerMetrics(
-            HeartbeatRouter reports,
+            HeartbeatRouter heartbeatRouter,
             LeaderElection leadership,
-            AdaptiveLimit users,
+            AdaptiveLimit admissionLimit,
             HeartbeatRelay heartbeatRelay,
             WorkerLoadBalancer loadBalancer,
             EventLoopLag eventLoopLag,
             RequestQueue requestQueue) {
-        this.heartbeatRouter = reports;
+        this.heartbeatRouter = heartbeatRouter;
         this.leadership = leadership;
-        this.admissionLimit = users;
+        this.admissionLimit = admissionLimit;
         this.heartbeatRelay = heartbeatRelay;
         this.loadBalancer = loadBalancer;
         this.eventLoopLag = eventLoopLag;
--- a/src/main/java/io/sillreel/recovery/ChangeLog.java
+++ b/src/main/java/io/sillreel/recovery/ChangeLog.java
@@ -23,15 +23,15 @@
     private final Map<String, RecentChange> changes = new LinkedHashMap<>();
 
     /** The keys that this controller changed at each revision that has not been followed yet. */
-    private final NavigableMap<Long, Set<String>> ownRevisions = new TreeMap<>();
+    private final NavigableMap<Long, Set<String>> ownKeysByRevision = new TreeMap<>();
 
     /** The latest change of a key that nobody ever removes, or null. */
     private RecentChange latestPermanent;
 
-    private long bytes;
-    private long knownFrom = Long.MAX_VALUE;
-    private long knownTo;
-    private long sinceMicros = Long.MAX_VALUE;
+    private long sizeBytes;
+    private long completeFrom = Long.MAX_VALUE;
+    private long completeTo;
+    private long recordingSinceMicros = Long.MAX_VALUE;
 
     /** @param maxBytes about what the changes may take of the memory */
     ChangeLog(long maxBytes) {
@@ -43,37 +43,37 @@
      *
      * @param wallMicros the time of day
      */
-    synchronized void restart(long storeRevision, long wallMicros) {
-        sinceMicros = wallMicros;
-        forget();
-        knownFrom = storeRevision + 1;
-        knownTo = storeRevision;
+    synchronized void reset(long storeRevision, long wallMicros) {
+        recordingSinceMicros = wallMicros;
+        clear();
+        completeFrom = storeRevision + 1;
+        completeTo = storeRevision;
     }
 
-    private void forget() {
+    private void clear() {
         changes.clear();
-        ownRevisions.clear();
+        ownKeysByRevision.clear();
         latestPermanent = null;
-        bytes = 0;
+        sizeBytes = 0;
     }
 
     /**
      * A loss has been made good: what was remembered up to the revision is still true, and what was stored after it is
      * followed anew. False if too little is remembered for that.
      */
-    synchronized boolean rebase(long kept) {
-        if (kept == 0 || knownFrom > kept + 1) {
+    synchronized boolean truncateAfter(long keptRevision) {
+        if (keptRevision == 0 || completeFrom > keptRevision + 1) {
             return false;
         }
-        List<RecentChange> remembered = List.copyOf(changes.values());
-        forget();
-        remembered.stream().filter(change -> change.revision() <= kept).forEach(this::put);
-        knownTo = kept;
+        List<RecentChange> logged = List.copyOf(changes.values());
+        clear();
+        logged.stream().filter(change -> change.revision() <= keptRevision).forEach(this::put);
+        completeTo = keptRevision;
         return true;
     }
 
     /** A change that was read; it is as good as one that was followed. */
-    synchronized void addLandmark(RecentChange change) {
+    synchronized void addRead(RecentChange change) {
         put(change);
     }
 
@@ -83,25 +83,25 @@
      * @return a key that was changed by this controller, as it was told, and whose change is not among the news; empty
      *     unless the state service has lost it
      */
-    synchronized Optional<String> addFollowed(Collection<RecentChange> news, long storeRevision) {
-        Optional<String> lost = missing(news, storeRevision);
+    synchronized Optional<String> addWatched(Collection<RecentChange> events, long storeRevision) {
+        Optional<String> lost = findMissingOwnKey(events, storeRevision);
         if (lost.isPresent()) {
             return lost;
         }
-        news.forEach(this::put);
-        knownTo = Math.max(knownTo, storeRevision);
-        ownRevisions.headMap(knownTo, true).clear();
-        shrink();
+        events.forEach(this::put);
+        completeTo = Math.max(completeTo, storeRevision);
+        ownKeysByRevision.headMap(completeTo, true).clear();
+        evictOldest();
         return lost;
     }
 
-    private Optional<String> missing(Collection<RecentChange> news, long storeRevision) {
-        Set<String> shown = new HashSet<>();
-        news.forEach(change -> shown.add(change.revision() + change.key()));
+    private Optional<String> findMissingOwnKey(Collection<RecentChange> events, long storeRevision) {
+        Set<String> watched = new HashSet<>();
+        events.forEach(change -> watched.add(change.revision() + change.key()));
         for (Map.Entry<Long, Set<String>> own :
-                ownRevisions.headMap(storeRevision, true).entrySet()) {
+                ownKeysByRevision.headMap(storeRevision, true).entrySet()) {
             for (String key : own.getValue()) {
-                if (!shown.contains(own.getKey() + key)) {
+                if (!watched.contains(own.getKey() + key)) {
                     return Optional.of(key);
                 }
             }
@@ -110,40 +110,40 @@
     }
 
     /** One transaction of this controller has been stored. */
-    synchronized void addStored(Collection<RecentChange> own, long storeRevision) {
-        own.forEach(this::put);
-        if (storeRevision > knownTo) {
-            own.forEach(change -> ownRevisions
+    synchronized void addCommitted(Collection<RecentChange> changesMade, long storeRevision) {
+        changesMade.forEach(this::put);
+        if (storeRevision > completeTo) {
+            changesMade.forEach(change -> ownKeysByRevision
                     .computeIfAbsent(storeRevision, each -> new HashSet<>())
                     .add(change.key()));
         }
-        shrink();
+        evictOldest();
     }
 
     private void put(RecentChange change) {
         RecentChange older = changes.get(change.key());
-        boolean known = older != null && older.revision() >= change.revision();
+        boolean outdated = older != null && older.revision() >= change.revision();
         // The leader's key ends with its lease.
-        if (known || change.key().equals(LeaderElection.LEADER_KEY)) {
+        if (outdated || change.key().equals(LeaderElection.LEADER_KEY)) {
             return;
         }
         // Taken out first, so that the change comes last in the order.
         changes.remove(change.key());
         changes.put(change.key(), change);
-        bytes += change.bytes() - (older == null ? 0 : older.bytes());
+        sizeBytes += change.sizeBytes() - (older == null ? 0 : older.sizeBytes());
         boolean latest = latestPermanent == null || change.revision() > latestPermanent.revision();
         if (latest && !change.isRemoval() && PermanentKeys.isPermanent(change.key())) {
             latestPermanent = change;
         }
     }
 
-    private void shrink() {
+    private void evictOldest() {
         Iterator<RecentChange> oldestFirst = changes.values().iterator();
-        while (bytes > maxBytes && oldestFirst.hasNext()) {
+        while (sizeBytes > maxBytes && oldestFirst.hasNext()) {
             RecentChange oldest = oldestFirst.next();
             oldestFirst.remove();
-            bytes -= oldest.bytes();
-            knownFrom = Math.max(knownFrom, oldest.revision() + 1);
+            sizeBytes -= oldest.sizeBytes();
+            completeFrom = Math.max(completeFrom, oldest.revision() + 1);
         }
     }
 
@@ -164,51 +164,59 @@
     /**
      * Everything that is remembered.
      *
-     * @param seenMicros a time of day at which the state service had certainly not lost anything yet, or 0
+     * @param observedBeforeLossMicros a time of day at which the state service had certainly not lost anything yet, or
+     *     0
      */
-    synchronized Memory memory(long seenMicros) {
-        return new Memory(
+    synchronized Snapshot snapshot(long observedBeforeLossMicros) {
+        return new Snapshot(
                 List.copyOf(changes.values()),
-                knownFrom,
-                knownTo,
-                new ArrayList<>(ownRevisions.keySet()),
-                sinceMicros,
-                seenMicros);
+                completeFrom,
+                completeTo,
+                new ArrayList<>(ownKeysByRevision.keySet()),
+                recordingSinceMicros,
+                observedBeforeLossMicros);
     }
 
-    synchronized long bytes() {
-        return bytes;
+    synchronized long sizeBytes() {
+        return sizeBytes;
     }
 
     /** The first revision from which all changes are known. */
-    synchronized long knownFrom() {
-        return knownFrom;
+    synchronized long completeFrom() {
+        return completeFrom;
     }
 
     /**
      * What one controller remembers.
      *
      * @param changes the newest known change of each key
-     * @param knownFrom the first revision from which all changes are known, if that is not beyond the last
-     * @param knownTo the last revision up to which all changes are known
+     * @param completeFrom the first revision from which all changes are known, if that is not beyond the last
+     * @param completeTo the last revision up to which all changes are known
      * @param ownRevisions later revisions that are known since they were written here
-     * @param sinceMicros the time of day from which it remembers without a break
-     * @param seenMicros a time of day at which the state service had certainly not lost anything yet, or 0
+     * @param recordingSinceMicros the time of day from which it remembers without a break
+     * @param observedBeforeLossMicros a time of day at which the state service had certainly not lost anything yet, or
+     *     0
      */
-    record Memory(
+    record Snapshot(
             List<RecentChange> changes,
-            long knownFrom,
-            long knownTo,
+            long completeFrom,
+            long completeTo,
             List<Long> ownRevisions,
-            long sinceMicros,
-            long seenMicros) {
+            long recordingSinceMicros,
+            long observedBeforeLossMicros) {
         /** True if all of it was stored before the loss. */
-        boolean isWitness() {
-            return seenMicros > 0;
+        boolean observedBeforeLoss() {
+            return observedBeforeLossMicros > 0;
         }
 
-        Memory with(List<RecentChange> otherChanges) {
-            return new Memory(otherChanges, knownFrom, knownTo, ownRevisions, sinceMicros, seenMicros);
+        Snapshot withChanges(List<RecentChange> otherChanges) {
+            return new Snapshot(
+                    otherChanges,
+                    completeFrom,
+                    completeTo,
+                    ownRevisions,
+                    recordingSinceMicros,
+                    observedBeforeLossMicros);
         }
     }
 }
--- a/src/main/java/io/sillreel/recovery/ChangeFollower.java
+++ b/src/main/java/io/sillreel/recovery/ChangeLogWatcher.java
@@ -18,130 +18,130 @@
 import java.util.stream.Stream;
 
 /** Follows all changes of the state service into the log, and tells of those of the stored verdict. */
-final class ChangeFollower {
+final class ChangeLogWatcher {
     private static final String ALL_KEYS = "";
     private static final long WATCH_MICROS = 2_000_000;
     private static final long RETRY_MICROS = 500_000;
     /** A watch without a change, its answer and the pause before the next one take less. */
-    private static final long BEHIND_MICROS = 3_500_000;
+    private static final long MAX_WATCH_SILENCE_MICROS = 3_500_000;
 
     private final StateStore store;
     private final EventLoop eventLoop;
     private final ChangeLog log;
-    private final long pauseMicros;
-    private final BooleanSupplier paused;
+    private final long batchingDelayMicros;
+    private final BooleanSupplier suspended;
     private final Consumer<RecoveryRecord> onRecord;
     private final Consumer<String> onLoss;
     /** Counts how often the following has begun anew; what was asked for before ends then. */
-    private long run;
+    private long currentSession;
 
-    private long followedMicros;
+    private long lastWatchMicros;
 
     /**
-     * @param pauseMicros how long changes gather before they are asked for
-     * @param paused true while nothing is to be followed
+     * @param batchingDelayMicros how long changes gather before they are asked for
+     * @param suspended true while nothing is to be followed
      * @param onRecord told of each stored verdict
      * @param onLoss told what shows that writes have been lost
      */
-    ChangeFollower(
+    ChangeLogWatcher(
             StateStore store,
             EventLoop eventLoop,
             ChangeLog log,
-            long pauseMicros,
-            BooleanSupplier paused,
+            long batchingDelayMicros,
+            BooleanSupplier suspended,
             Consumer<RecoveryRecord> onRecord,
             Consumer<String> onLoss) {
         this.store = store;
         this.eventLoop = eventLoop;
         this.log = log;
-        this.pauseMicros = pauseMicros;
-        this.paused = paused;
+        this.batchingDelayMicros = batchingDelayMicros;
+        this.suspended = suspended;
         this.onRecord = onRecord;
         this.onLoss = onLoss;
     }
 
     /** Begins to follow anew; what was remembered is forgotten. */
     void restart() {
-        begin(++run, true);
+        startSession(++currentSession, true);
     }
 
     /** Goes on from a revision up to which nothing had been lost, or begins anew where that is not known. */
-    void resume(long kept) {
-        if (log.rebase(kept)) {
-            follow(++run, kept);
+    void resume(long keptRevision) {
+        if (log.truncateAfter(keptRevision)) {
+            watch(++currentSession, keptRevision);
         } else {
             restart();
         }
     }
 
     /** True if changes have not been heard of for so long that a loss may have been noticed elsewhere meanwhile. */
-    boolean isBehind() {
-        return eventLoop.nowMicros() - followedMicros > BEHIND_MICROS;
+    boolean isLagging() {
+        return eventLoop.nowMicros() - lastWatchMicros > MAX_WATCH_SILENCE_MICROS;
     }
 
     /** Ends the following until it is begun anew. */
     void stop() {
-        run++;
+        currentSession++;
     }
 
     /**
-     * @param fromLandmark true to follow from the last change of a key that is never removed: if that is still there
-     *     after a loss, then all that was lost is remembered
+     * @param fromPermanentKey true to follow from the last change of a key that is never removed: if that is still
+     *     there after a loss, then all that was lost is remembered
      */
-    private void begin(long thisRun, boolean fromLandmark) {
-        store.list(RecoveryRecord.KEY).thenAcceptBoth(store.get(LeaderElection.TERM_KEY), (verdict, term) -> {
-            if (thisRun != run) {
+    private void startSession(long session, boolean fromPermanentKey) {
+        store.list(RecoveryRecord.KEY).thenAcceptBoth(store.get(LeaderElection.TERM_KEY), (listing, term) -> {
+            if (session != currentSession) {
                 return;
             }
-            if (verdict.outcome() == StoreOutcome.OK && term.isConclusive()) {
-                begin(thisRun, fromLandmark, verdict, term);
+            if (listing.outcome() == StoreOutcome.OK && term.isConclusive()) {
+                startSession(session, fromPermanentKey, listing, term);
             } else {
-                eventLoop.schedule(RETRY_MICROS, () -> begin(thisRun, fromLandmark));
+                eventLoop.schedule(RETRY_MICROS, () -> startSession(session, fromPermanentKey));
             }
         });
     }
 
-    private void begin(long thisRun, boolean fromLandmark, ListResult verdict, ReadResult term) {
-        Optional<StoredEntry> stored = verdict.entries().stream()
+    private void startSession(long session, boolean fromPermanentKey, ListResult listing, ReadResult term) {
+        Optional<StoredEntry> stored = listing.entries().stream()
                 .filter(entry -> entry.key().equals(RecoveryRecord.KEY))
                 .findFirst();
         onRecord.accept(stored.map(entry -> RecoveryRecord.of(entry.value())).orElse(RecoveryRecord.NONE));
-        if (thisRun != run) {
+        if (session != currentSession) {
             return;
         }
-        Stream<StoredEntry> landmarks = Stream.concat(stored.stream(), term.entry().stream());
-        Optional<StoredEntry> latest = landmarks.max(Comparator.comparingLong(StoredEntry::revision));
-        long since = fromLandmark
-                ? latest.map(StoredEntry::revision).orElse(verdict.storeRevision())
-                : verdict.storeRevision();
-        log.restart(since, eventLoop.wallMicros());
-        latest.ifPresent(entry -> log.addLandmark(RecentChange.of(entry.key(), entry.value(), entry.revision())));
-        followedMicros = eventLoop.nowMicros();
-        follow(thisRun, since);
+        Stream<StoredEntry> permanentEntries = Stream.concat(stored.stream(), term.entry().stream());
+        Optional<StoredEntry> latest = permanentEntries.max(Comparator.comparingLong(StoredEntry::revision));
+        long since = fromPermanentKey
+                ? latest.map(StoredEntry::revision).orElse(listing.storeRevision())
+                : listing.storeRevision();
+        log.reset(since, eventLoop.wallMicros());
+        latest.ifPresent(entry -> log.addRead(RecentChange.of(entry.key(), entry.value(), entry.revision())));
+        lastWatchMicros = eventLoop.nowMicros();
+        watch(session, since);
     }
 
-    private void follow(long thisRun, long since) {
-        if (thisRun != run || paused.getAsBoolean()) {
+    private void watch(long session, long since) {
+        if (session != currentSession || suspended.getAsBoolean()) {
             return;
         }
         store.watch(ALL_KEYS, since, WATCH_MICROS).thenAccept(result -> {
-            if (thisRun != run || paused.getAsBoolean()) {
+            if (session != currentSession || suspended.getAsBoolean()) {
                 return;
             }
             if (result.outcome() == StoreOutcome.OK) {
-                followedMicros = eventLoop.nowMicros();
-                long reached = Math.max(since, result.storeRevision());
-                take(result, reached);
-                eventLoop.schedule(pauseMicros, () -> follow(thisRun, reached));
+                lastWatchMicros = eventLoop.nowMicros();
+                long watchedRevision = Math.max(since, result.storeRevision());
+                recordEvents(result, watchedRevision);
+                eventLoop.schedule(batchingDelayMicros, () -> watch(session, watchedRevision));
             } else if (result.outcome() == StoreOutcome.COMPACTED) {
-                begin(thisRun, false);
+                startSession(session, false);
             } else {
-                eventLoop.schedule(RETRY_MICROS, () -> follow(thisRun, since));
+                eventLoop.schedule(RETRY_MICROS, () -> watch(session, since));
             }
         });
     }
 
-    private void take(WatchResult result, long reached) {
+    private void recordEvents(WatchResult result, long watchedRevision) {
         List<RecentChange> changes = new ArrayList<>();
         for (WatchEvent change : result.events()) {
             changes.add(RecentChange.of(change.key(), change.value(), change.revision()));
@@ -149,7 +149,7 @@
                 onRecord.accept(RecoveryRecord.of(change.value()));
             }
         }
-        log.addFollowed(changes, reached)
+        log.addWatched(changes, watchedRevision)
                 .ifPresent(key -> onLoss.accept("the last change of " + key + " is not among those that were stored"));
     }
 }
--- a/src/main/java/io/sillreel/recovery/ChangeRestorer.java
+++ b/src/main/java/io/sillreel/recovery/ChangeRestorer.java
@@ -22,45 +22,45 @@
 /** Finds out which of the remembered changes are gone, and makes them again where nothing newer is stored. */
 final class ChangeRestorer {
     private static final Logger LOG = LoggerFactory.getLogger(ChangeRestorer.class);
-    private static final int MAX_RESTORED_AT_ONCE = 16;
+    private static final int MAX_CHANGES_PER_WRITE = 16;
     /** The protocol allows so many conditions for each change that a transaction may hold. */
     private static final int CONDITIONS_PER_CHANGE = 4;
 
-    private final RebuildLease term;
-    private final StoreHistory history;
-    private final int txnOps;
-    private Predicate<RecentChange> isWitnessed = change -> false;
+    private final RebuildLease lease;
+    private final RevisionTracker revisions;
+    private final int maxTransactionChanges;
+    private Predicate<RecentChange> observedBeforeLoss = change -> false;
     /** Revisions of which a remembered change is still stored. */
-    private final NavigableSet<Long> found = new TreeSet<>();
+    private final NavigableSet<Long> keptRevisions = new TreeSet<>();
 
-    private long firstLost = Long.MAX_VALUE;
-    private int restored;
-    private String tooLarge;
+    private long firstLostRevision = Long.MAX_VALUE;
+    private int restoredCount;
+    private String oversizedKey;
 
-    /** @param txnOps how many changes a transaction may hold */
-    ChangeRestorer(RebuildLease term, StoreHistory history, int txnOps) {
-        this.term = term;
-        this.history = history;
-        this.txnOps = txnOps;
+    /** @param maxTransactionChanges how many changes a transaction may hold */
+    ChangeRestorer(RebuildLease lease, RevisionTracker revisions, int maxTransactionChanges) {
+        this.lease = lease;
+        this.revisions = revisions;
+        this.maxTransactionChanges = maxTransactionChanges;
     }
 
     /**
      * The latest revision of which a remembered change is still stored, or 0. Once a change is lost all later ones are:
      * a later one that is found was stored since, under a revision that had meant something else.
      */
-    long kept() {
-        Long latest = found.lower(firstLost);
+    long keptRevision() {
+        Long latest = keptRevisions.lower(firstLostRevision);
         return latest == null ? 0 : latest;
     }
 
     /** How many keys have been put back or removed again. */
-    int restored() {
-        return restored;
+    int restoredCount() {
+        return restoredCount;
     }
 
     /** A key that can't be put back, since the state service takes only smaller values by now. */
-    Optional<String> tooLarge() {
-        return Optional.ofNullable(tooLarge);
+    Optional<String> oversizedKey() {
+        return Optional.ofNullable(oversizedKey);
     }
 
     /**
@@ -68,160 +68,165 @@
      * transaction of comparisons finds everything as it is remembered.
      *
      * @param newestFirst the newest known change of each key
-     * @param witnessed true for a change that was certainly seen before the loss
-     * @param then run once all that can be is stored
+     * @param isObservedBeforeLoss true for a change that was certainly seen before the loss
+     * @param onDone run once all that can be is stored
      */
-    void restore(List<RecentChange> newestFirst, Predicate<RecentChange> witnessed, Runnable then) {
-        isWitnessed = witnessed;
-        compare(new ArrayDeque<>(newestFirst), new ArrayDeque<>(), then);
+    void restore(List<RecentChange> newestFirst, Predicate<RecentChange> isObservedBeforeLoss, Runnable onDone) {
+        observedBeforeLoss = isObservedBeforeLoss;
+        findMissing(new ArrayDeque<>(newestFirst), new ArrayDeque<>(), onDone);
     }
 
-    private void compare(Deque<RecentChange> toCompare, Deque<RecentChange> missing, Runnable then) {
+    private void findMissing(Deque<RecentChange> toCompare, Deque<RecentChange> missing, Runnable onDone) {
         if (toCompare.isEmpty()) {
-            write(missing, then);
+            restoreMissing(missing, onDone);
         } else {
-            compare(takeFrom(toCompare, CONDITIONS_PER_CHANGE * txnOps), false, toCompare, missing, then);
+            findMissing(
+                    pollBatch(toCompare, CONDITIONS_PER_CHANGE * maxTransactionChanges),
+                    false,
+                    toCompare,
+                    missing,
+                    onDone);
         }
     }
 
     /**
      * Compares a batch again and again without what was named as different, until the rest is said to be as remembered.
      *
-     * @param someGone true if something of the batch has been found to be gone
+     * @param foundMissing true if something of the batch has been found to be gone
      */
-    private void compare(
+    private void findMissing(
             List<RecentChange> batch,
-            boolean someGone,
+            boolean foundMissing,
             Deque<RecentChange> toCompare,
             Deque<RecentChange> missing,
-            Runnable then) {
+            Runnable onDone) {
         Transaction transaction = new Transaction();
         batch.forEach(change -> transaction.requireRevision(change.key(), change.isRemoval() ? 0 : change.revision()));
-        term.store().commit(transaction).thenAccept(commit -> {
-            if (term.isOver()) {
+        lease.store().commit(transaction).thenAccept(commit -> {
+            if (lease.isEnded()) {
                 return;
             }
             if (commit.outcome() == StoreOutcome.CONFLICT) {
-                List<RecentChange> rest = new ArrayList<>();
+                List<RecentChange> remaining = new ArrayList<>();
                 Set<String> failed = new HashSet<>(commit.failedKeys());
                 for (RecentChange change : batch) {
                     if (failed.isEmpty() || failed.contains(change.key())) {
-                        gone(change, missing);
+                        recordMissing(change, missing);
                     } else {
-                        rest.add(change);
+                        remaining.add(change);
                     }
                 }
-                if (rest.isEmpty()) {
-                    compare(toCompare, missing, then);
+                if (remaining.isEmpty()) {
+                    findMissing(toCompare, missing, onDone);
                 } else {
-                    compare(rest, true, toCompare, missing, then);
+                    findMissing(remaining, true, toCompare, missing, onDone);
                 }
             } else if (commit.outcome() != StoreOutcome.OK) {
-                term.later(() -> compare(batch, someGone, toCompare, missing, then));
+                lease.retryLater(() -> findMissing(batch, foundMissing, toCompare, missing, onDone));
             } else {
-                batch.forEach(this::found);
-                if (someGone) {
-                    compare(toCompare, missing, then);
+                batch.forEach(this::recordKept);
+                if (foundMissing) {
+                    findMissing(toCompare, missing, onDone);
                 } else {
-                    write(missing, then);
+                    restoreMissing(missing, onDone);
                 }
             }
         });
     }
 
-    private void gone(RecentChange change, Deque<RecentChange> missing) {
+    private void recordMissing(RecentChange change, Deque<RecentChange> missing) {
         missing.add(change);
-        if (!RestorePolicy.belongsToTerm(change.key())) {
-            firstLost = Math.min(firstLost, change.revision());
+        if (!RestorePolicy.belongsToRecoveryTerm(change.key())) {
+            firstLostRevision = Math.min(firstLostRevision, change.revision());
         }
     }
 
-    private void found(RecentChange change) {
-        if (!change.isRemoval() && isWitnessed.test(change)) {
-            found.add(change.revision());
+    private void recordKept(RecentChange change) {
+        if (!change.isRemoval() && observedBeforeLoss.test(change)) {
+            keptRevisions.add(change.revision());
         }
     }
 
-    private static List<RecentChange> takeFrom(Deque<RecentChange> changes, int most) {
+    private static List<RecentChange> pollBatch(Deque<RecentChange> changes, int maxSize) {
         List<RecentChange> batch = new ArrayList<>();
-        while (!changes.isEmpty() && batch.size() < most) {
+        while (!changes.isEmpty() && batch.size() < maxSize) {
             batch.add(changes.poll());
         }
         return batch;
     }
 
-    private static void putBack(Deque<RecentChange> changes, List<RecentChange> batch) {
+    private static void requeueFirst(Deque<RecentChange> changes, List<RecentChange> batch) {
         for (int index = batch.size() - 1; index >= 0; index--) {
             changes.addFirst(batch.get(index));
         }
     }
 
-    private void write(Deque<RecentChange> missing, Runnable then) {
+    private void restoreMissing(Deque<RecentChange> missing, Runnable onDone) {
         if (missing.isEmpty()) {
-            then.run();
+            onDone.run();
         } else {
-            write(takeFrom(missing, Math.min(MAX_RESTORED_AT_ONCE, txnOps)), missing, then);
+            restoreMissing(pollBatch(missing, Math.min(MAX_CHANGES_PER_WRITE, maxTransactionChanges)), missing, onDone);
         }
     }
 
     /** Reads what the keys hold now, and writes what is to replace it. */
-    private void write(List<RecentChange> batch, Deque<RecentChange> rest, Runnable then) {
+    private void restoreMissing(List<RecentChange> batch, Deque<RecentChange> rest, Runnable onDone) {
         List<CompletableFuture<ReadResult>> reads = new ArrayList<>();
-        batch.forEach(change -> reads.add(term.store().get(change.key())));
+        batch.forEach(change -> reads.add(lease.store().get(change.key())));
         CompletableFuture.allOf(reads.toArray(CompletableFuture[]::new)).thenAccept(all -> {
-            if (term.isOver()) {
+            if (lease.isEnded()) {
                 return;
             }
             if (reads.stream().anyMatch(read -> !read.join().isConclusive())) {
-                term.later(() -> write(batch, rest, then));
+                lease.retryLater(() -> restoreMissing(batch, rest, onDone));
                 return;
             }
-            Transaction transaction = term.txn();
+            Transaction transaction = lease.newTransaction();
             for (int index = 0; index < batch.size(); index++) {
-                add(transaction, batch.get(index), reads.get(index).join());
+                addRestoration(transaction, batch.get(index), reads.get(index).join());
             }
             if (transaction.size() == 0) {
-                write(rest, then);
+                restoreMissing(rest, onDone);
                 return;
             }
-            term.store()
+            lease.store()
                     .commit(transaction)
-                    .thenAccept(commit -> settle(commit, transaction.size(), batch, rest, then));
+                    .thenAccept(commit -> handleCommit(commit, transaction.size(), batch, rest, onDone));
         });
     }
 
-    private void add(Transaction transaction, RecentChange change, ReadResult read) {
+    private void addRestoration(Transaction transaction, RecentChange change, ReadResult read) {
         var current = read.entry().isEmpty()
                 ? MissingNode.getInstance()
                 : read.entry().get().value();
-        if (!RestorePolicy.isToBeRestored(change, current, read.revision(), history.returnedAt())) {
+        if (!RestorePolicy.shouldRestore(change, current, read.revision(), revisions.firstRevisionAfterLoss())) {
             return;
         }
         transaction.requireRevision(change.key(), read.revision());
         if (change.isRemoval()) {
             transaction.remove(change.key());
         } else {
-            transaction.set(change.key(), change.json());
+            transaction.set(change.key(), change.jsonValue());
         }
     }
 
-    private void settle(
-            CommitResult commit, int size, List<RecentChange> batch, Deque<RecentChange> rest, Runnable then) {
-        if (term.isOverAfter(commit)) {
+    private void handleCommit(
+            CommitResult commit, int size, List<RecentChange> batch, Deque<RecentChange> rest, Runnable onDone) {
+        if (lease.isEndedAfter(commit)) {
             return;
         }
         if (commit.outcome() == StoreOutcome.OK) {
-            restored += size;
-            write(rest, then);
+            restoredCount += size;
+            restoreMissing(rest, onDone);
         } else if (commit.outcome() == StoreOutcome.TOO_LARGE && batch.size() > 1) {
-            putBack(rest, batch.subList(1, batch.size()));
-            write(batch.subList(0, 1), rest, then);
+            requeueFirst(rest, batch.subList(1, batch.size()));
+            restoreMissing(batch.subList(0, 1), rest, onDone);
         } else if (commit.outcome() == StoreOutcome.TOO_LARGE) {
-            tooLarge = batch.get(0).key();
-            LOG.error("{} is larger than the state service takes now, and can't be put back", tooLarge);
-            write(rest, then);
+            oversizedKey = batch.get(0).key();
+            LOG.error("{} is larger than the state service takes now, and can't be put back", oversizedKey);
+            restoreMissing(rest, onDone);
         } else {
-            term.later(() -> write(batch, rest, then));
+            lease.retryLater(() -> restoreMissing(batch, rest, onDone));
         }
     }
 }
--- /dev/null
+++ b/src/main/java/io/sillreel/recovery/CollectedSnapshots.java
@@ -0,0 +1,116 @@
+package io.sillreel.recovery;
+
+import io.sillreel.recovery.ChangeLog.Snapshot;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeSet;
+
+/** What the controllers that are left remember together, and whether that is everything that was lost. */
+final class CollectedSnapshots {
+    private final Map<String, Snapshot> snapshots = new LinkedHashMap<>();
+    private final Map<String, RecentChange> newest = new HashMap<>();
+    /** The stamps that controllers know which have certainly seen the state service before the loss. */
+    private final Map<String, Long> revisionsBeforeLoss = new HashMap<>();
+
+    /** Adds what a controller remembers. */
+    void add(String node, Snapshot snapshot) {
+        snapshots.put(node, snapshot);
+        for (RecentChange change : snapshot.changes()) {
+            newest.merge(change.key(), change, (one, other) -> one.revision() >= other.revision() ? one : other);
+            if (snapshot.observedBeforeLoss()) {
+                revisionsBeforeLoss.merge(change.key(), change.revision(), Math::max);
+            }
+        }
+    }
+
+    /**
+     * True if the change was certainly stored before the loss; whoever did not notice it may have followed later ones.
+     */
+    boolean isObservedBeforeLoss(RecentChange change) {
+        return revisionsBeforeLoss.getOrDefault(change.key(), 0L) == change.revision();
+    }
+
+    /** Those whose memory has been added. */
+    Set<String> nodes() {
+        return new TreeSet<>(snapshots.keySet());
+    }
+
+    /** The newest known change of each key, the latest first. */
+    List<RecentChange> newestFirst() {
+        List<RecentChange> changes = new ArrayList<>(newest.values());
+        changes.sort((one, other) -> Long.compare(other.revision(), one.revision()));
+        return changes;
+    }
+
+    /**
+     * Says why something may have been lost that nobody here remembers; empty if nothing can have been.
+     *
+     * @param members all controllers that may have written
+     * @param keptRevision a revision that the state service has certainly kept, or 0 if none is known
+     * @param peaks what was reached before the loss
+     * @param skewMicros how far two controllers' times of day may lie apart
+     */
+    Optional<String> findGap(
+            Collection<String> members, long keptRevision, HighWatermarks highWatermarks, long skewMicros) {
+        long observedBeforeLossMicros = snapshots.values().stream()
+                .mapToLong(Snapshot::observedBeforeLossMicros)
+                .max()
+                .orElse(0);
+        if (observedBeforeLossMicros == 0) {
+            return Optional.of("nobody who is left has seen the state service before the loss");
+        }
+        if (keptRevision == 0) {
+            return Optional.of("nothing that is remembered is still stored, so more may be lost than is remembered");
+        }
+        return members.stream()
+                .map(member -> findGap(member, keptRevision, observedBeforeLossMicros - skewMicros))
+                .flatMap(Optional::stream)
+                .findFirst()
+                .or(() -> findRevisionGap(keptRevision, highWatermarks.storeRevision()));
+    }
+
+    private Optional<String> findGap(String member, long keptRevision, long observedBeforeLossMicros) {
+        Snapshot snapshot = snapshots.get(member);
+        if (snapshot == null) {
+            return Optional.of(member + " does not say what it stored last");
+        }
+        if (snapshot.recordingSinceMicros() > observedBeforeLossMicros) {
+            return Optional.of(member + " has begun to remember since the loss, and may have stored more before");
+        }
+        if (snapshot.completeFrom() > keptRevision + 1) {
+            return Optional.of(member + " remembers changes only from " + snapshot.completeFrom() + ", and those after "
+                    + keptRevision + " may be lost");
+        }
+        return Optional.empty();
+    }
+
+    private Optional<String> findRevisionGap(long keptRevision, long highestRevision) {
+        long contiguous = lastContiguousRevision(keptRevision);
+        return contiguous >= highestRevision
+                ? Optional.empty()
+                : Optional.of("what was stored at " + (contiguous + 1) + " is not remembered, and " + highestRevision
+                        + " was reached");
+    }
+
+    /** The last revision up to which all changes after the first are known to one or another. */
+    private long lastContiguousRevision(long from) {
+        long contiguous = from;
+        for (Snapshot snapshot : snapshots.values()) {
+            if (snapshot.observedBeforeLoss() && snapshot.completeFrom() <= from + 1) {
+                contiguous = Math.max(contiguous, snapshot.completeTo());
+            }
+        }
+        TreeSet<Long> ownRevisions = new TreeSet<>();
+        snapshots.values().forEach(snapshot -> ownRevisions.addAll(snapshot.ownRevisions()));
+        while (ownRevisions.contains(contiguous + 1)) {
+            contiguous++;
+        }
+        return contiguous;
+    }
+}
--- a/src/main/java/io/sillreel/recovery/HighWatermarks.java
+++ b/src/main/java/io/sillreel/recovery/HighWatermarks.java
@@ -19,17 +19,17 @@
     }
 
     /** The same with a revision that was reached before the loss. */
-    HighWatermarks withStoreRevision(long reached) {
-        return max(new HighWatermarks(reached, reached, 0));
+    HighWatermarks withStoreRevision(long revision) {
+        return max(new HighWatermarks(revision, revision, 0));
     }
 
     /** The same with a revision up to which stamps have been given. */
-    HighWatermarks withKeyRevision(long reached) {
-        return max(new HighWatermarks(0, reached, 0));
+    HighWatermarks withKeyRevision(long revision) {
+        return max(new HighWatermarks(0, revision, 0));
     }
 
     /** The same with a term that has been shown. */
-    HighWatermarks withTerm(long shown) {
-        return max(new HighWatermarks(0, 0, shown));
+    HighWatermarks withTerm(long observedTerm) {
+        return max(new HighWatermarks(0, 0, observedTerm));
     }
 }
--- a/src/main/java/io/sillreel/recovery/LossState.java
+++ b/src/main/java/io/sillreel/recovery/LossState.java
@@ -9,9 +9,9 @@
     private boolean suspended;
     private boolean recordStored;
     private boolean locallyDetected;
-    private long collectedGeneration;
+    private long lastCollectedGeneration;
     private String evidence = "";
-    private long version;
+    private long epoch;
 
     /** The number of the last known loss; 0 before the first one. */
     long generation() {
@@ -29,8 +29,8 @@
     }
 
     /** Grows with each loss that becomes known: what began under another version rests on a state that may be gone. */
-    long version() {
-        return version;
+    long epoch() {
+        return epoch;
     }
 
     /** True if the loss is known and its record is not stored yet, as far as is known here. */
@@ -41,15 +41,15 @@
     /**
      * A loss has become known.
      *
-     * @param recorded true if the record of the loss is stored already
+     * @param alreadyRecorded true if the record of the loss is stored already
      */
-    void suspend(long newGeneration, String shown, boolean recorded) {
-        version++;
+    void suspend(long newGeneration, String newEvidence, boolean alreadyRecorded) {
+        epoch++;
         suspended = true;
-        recordStored = recorded;
+        recordStored = alreadyRecorded;
         locallyDetected = false;
         generation = newGeneration;
-        evidence = shown;
+        evidence = newEvidence;
     }
 
     /** This controller has seen the loss itself. */
@@ -71,19 +71,19 @@
     }
 
     /** A loss was noticed and repaired without this controller. */
-    void skipTo(long closedGeneration) {
+    void skipToGeneration(long closedGeneration) {
         generation = closedGeneration;
-        version++;
+        epoch++;
     }
 
     /** The loss that is open here gets a generation above one that has been closed. */
-    void raiseAbove(long closedGeneration) {
+    void raiseGenerationAbove(long closedGeneration) {
         generation = Math.max(generation, closedGeneration + 1);
     }
 
     /** What this controller remembers was asked for under that generation. */
-    void markCollected(long collectedUnder) {
-        collectedGeneration = Math.max(collectedGeneration, collectedUnder);
+    void markCollected(long collectedGeneration) {
+        lastCollectedGeneration = Math.max(lastCollectedGeneration, collectedGeneration);
     }
 
     /**
@@ -91,6 +91,6 @@
      * controller that has seen a loss itself and was not asked may remember more.
      */
     boolean isRepairedBy(RecoveryRecord closed) {
-        return !locallyDetected || collectedGeneration >= closed.generation();
+        return !locallyDetected || lastCollectedGeneration >= closed.generation();
     }
 }
--- a/src/main/java/io/sillreel/recovery/PeerExchange.java
+++ b/src/main/java/io/sillreel/recovery/PeerExchange.java
@@ -16,30 +16,34 @@
 
     private final HttpClient httpClient;
     private final List<Member> members;
-    private final Supplier<PeerStatus> own;
-    private final Consumer<PeerStatus> heard;
+    private final Supplier<PeerStatus> ownStatus;
+    private final Consumer<PeerStatus> onPeerStatus;
 
-    PeerExchange(HttpClient httpClient, List<Member> members, Supplier<PeerStatus> own, Consumer<PeerStatus> heard) {
+    PeerExchange(
+            HttpClient httpClient,
+            List<Member> members,
+            Supplier<PeerStatus> ownStatus,
+            Consumer<PeerStatus> onPeerStatus) {
         this.httpClient = httpClient;
         this.members = members;
-        this.own = own;
-        this.heard = heard;
+        this.ownStatus = ownStatus;
+        this.onPeerStatus = onPeerStatus;
     }
 
     /** Completes once each of them has answered or does not. */
     CompletableFuture<Void> exchangeWithAll() {
-        List<CompletableFuture<Void>> answers = new ArrayList<>();
+        List<CompletableFuture<Void>> exchanges = new ArrayList<>();
         for (Member member : members) {
-            HttpRequest request =
-                    new HttpRequest("POST", RecoveryMessages.GREETING, own.get().bytes());
-            answers.add(httpClient
+            HttpRequest request = new HttpRequest(
+                    "POST", RecoveryMessages.STATUS_ROUTE, ownStatus.get().encode());
+            exchanges.add(httpClient
                     .send(member.address(), request, TIMEOUT_MICROS)
                     .thenAccept(response -> {
                         if (response.isOk()) {
-                            heard.accept(PeerStatus.of(response.body()));
+                            onPeerStatus.accept(PeerStatus.decode(response.body()));
                         }
                     }));
         }
-        return CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new));
+        return CompletableFuture.allOf(exchanges.toArray(CompletableFuture[]::new));
     }
 }
--- a/src/main/java/io/sillreel/recovery/PeerMemoryCollector.java
+++ b/src/main/java/io/sillreel/recovery/PeerSnapshotCollector.java
@@ -10,51 +10,51 @@
 import java.util.concurrent.CompletableFuture;
 
 /** Asks the other controllers for what they remember; who answers stores nothing more until the loss is made good. */
-final class PeerMemoryCollector {
+final class PeerSnapshotCollector {
     private static final long TIMEOUT_MICROS = 3_000_000;
 
     private final HttpClient httpClient;
-    private final StoreHistory history;
-    private final CollectedMemories memories;
+    private final RevisionTracker revisions;
+    private final CollectedSnapshots snapshots;
 
-    PeerMemoryCollector(HttpClient httpClient, StoreHistory history, CollectedMemories memories) {
+    PeerSnapshotCollector(HttpClient httpClient, RevisionTracker revisions, CollectedSnapshots snapshots) {
         this.httpClient = httpClient;
-        this.history = history;
-        this.memories = memories;
+        this.revisions = revisions;
+        this.snapshots = snapshots;
     }
 
     /** Asks those that have not answered yet; completes once each has done so or does not. */
     CompletableFuture<Void> collect(List<Member> members, long generation) {
-        Set<String> heard = memories.nodes();
-        List<CompletableFuture<Void>> asked = new ArrayList<>();
+        Set<String> collected = snapshots.nodes();
+        List<CompletableFuture<Void>> requests = new ArrayList<>();
         for (Member member : members) {
-            if (!heard.contains(member.nodeName())) {
+            if (!collected.contains(member.nodeName())) {
                 CompletableFuture<Void> done = new CompletableFuture<>();
-                ask(member, generation, new ArrayList<>(), done);
-                asked.add(done);
+                fetchPage(member, generation, new ArrayList<>(), done);
+                requests.add(done);
             }
         }
-        return CompletableFuture.allOf(asked.toArray(CompletableFuture[]::new));
+        return CompletableFuture.allOf(requests.toArray(CompletableFuture[]::new));
     }
 
-    private void ask(Member member, long generation, List<RecentChange> changes, CompletableFuture<Void> done) {
+    private void fetchPage(Member member, long generation, List<RecentChange> changes, CompletableFuture<Void> done) {
         HttpRequest request = new HttpRequest(
                 "POST",
-                RecoveryMessages.CHANGES + "?from=" + changes.size() + "&generation=" + generation,
+                RecoveryMessages.CHANGES_ROUTE + "?from=" + changes.size() + "&generation=" + generation,
                 HttpRequest.NO_BODY);
         httpClient.send(member.address(), request, TIMEOUT_MICROS).thenAccept(response -> {
             if (!response.isOk()) {
                 done.complete(null);
                 return;
             }
-            Page page = Page.of(response.body());
-            history.learn(page.highWatermarks());
-            changes.addAll(page.memory().changes());
+            Page page = Page.decode(response.body());
+            revisions.raiseTo(page.highWatermarks());
+            changes.addAll(page.snapshot().changes());
             if (!page.last()) {
-                ask(member, generation, changes, done);
+                fetchPage(member, generation, changes, done);
                 return;
             }
-            memories.add(member.nodeName(), page.memory().with(changes));
+            snapshots.add(member.nodeName(), page.snapshot().withChanges(changes));
             done.complete(null);
         });
     }
--- a/src/main/java/io/sillreel/recovery/RebuildCoordinator.java
+++ b/src/main/java/io/sillreel/recovery/RebuildCoordinator.java
@@ -19,7 +19,7 @@
     private final HttpClient httpClient;
     private final StateStore store;
     private final LeaderElection leadership;
-    private final StoreHistory history;
+    private final RevisionTracker revisions;
     private final LossState loss;
     private StoreRebuild rebuild;
 
@@ -30,7 +30,7 @@
             HttpClient httpClient,
             StateStore store,
             LeaderElection leadership,
-            StoreHistory history,
+            RevisionTracker revisions,
             LossState loss) {
         this.recovery = recovery;
         this.eventLoop = eventLoop;
@@ -38,7 +38,7 @@
         this.httpClient = httpClient;
         this.store = store;
         this.leadership = leadership;
-        this.history = history;
+        this.revisions = revisions;
         this.loss = loss;
     }
 
@@ -48,25 +48,25 @@
     }
 
     /** How many keys the last rebuild has written back. */
-    int restored() {
-        return rebuild == null ? 0 : rebuild.restored();
+    int restoredCount() {
+        return rebuild == null ? 0 : rebuild.restoredCount();
     }
 
     /** Ends the rebuild that is under way: the lease is lost, or another loss has become known. */
-    void end() {
+    void abort() {
         if (rebuild != null) {
-            rebuild.end();
+            rebuild.abort();
         }
     }
 
     /** Reads whether a loss is stored, repairs it if there is one, and then lets the term begin. */
-    void beforeTerm(long term, long leaderRevision, Runnable begin) {
+    void beforeTerm(long term, long leaderRevision, Runnable beginTerm) {
         store.get(RecoveryRecord.KEY).thenAccept(read -> {
             if (leadership.heldTerm() != term) {
                 return;
             }
             if (!read.isConclusive()) {
-                eventLoop.schedule(RETRY_MICROS, () -> beforeTerm(term, leaderRevision, begin));
+                eventLoop.schedule(RETRY_MICROS, () -> beforeTerm(term, leaderRevision, beginTerm));
                 return;
             }
             boolean suspendedBefore = loss.isSuspended();
@@ -74,35 +74,35 @@
             recovery.onRecordRead(stored);
             if (loss.isSuspended() && suspendedBefore) {
                 if (!stored.open()) {
-                    loss.raiseAbove(stored.generation());
+                    loss.raiseGenerationAbove(stored.generation());
                 }
-                rebuild(term, leaderRevision, begin);
+                startRebuild(term, leaderRevision, beginTerm);
             } else if (!loss.isSuspended()) {
-                begin.run();
+                beginTerm.run();
             }
             // Else the term was taken without regard to those that may have been lost, and has just been given up.
         });
     }
 
-    private void rebuild(long term, long leaderRevision, Runnable begin) {
+    private void startRebuild(long term, long leaderRevision, Runnable beginTerm) {
         if (leadership.heldTerm() != term) {
             return;
         }
-        CollectedMemories memories = new CollectedMemories();
-        memories.add(settings.nodeName(), recovery.memory());
-        StoreRebuild current = new StoreRebuild(
+        CollectedSnapshots snapshots = new CollectedSnapshots();
+        snapshots.add(settings.nodeName(), recovery.snapshot());
+        StoreRebuild newRebuild = new StoreRebuild(
                 new RebuildLease(eventLoop, store, leadership, term, leaderRevision),
                 settings,
-                history,
-                memories,
-                new PeerMemoryCollector(httpClient, history, memories),
+                revisions,
+                snapshots,
+                new PeerSnapshotCollector(httpClient, revisions, snapshots),
                 recovery.openRecord(),
                 () -> {
                     recovery.resume(rebuild.record());
-                    begin.run();
+                    beginTerm.run();
                 });
-        rebuild = current;
+        rebuild = newRebuild;
         loss.markCollected(loss.generation());
-        current.start();
+        newRebuild.start();
     }
 }
--- a/src/main/java/io/sillreel/recovery/RebuildLease.java
+++ b/src/main/java/io/sillreel/recovery/RebuildLease.java
@@ -40,7 +40,7 @@
         ended = true;
     }
 
-    boolean isOver() {
+    boolean isEnded() {
         return ended || leadership.heldTerm() != term;
     }
 
@@ -51,29 +51,29 @@
     }
 
     /** Does it a moment later, unless the term is over by then. */
-    void later(Runnable next) {
-        after(RETRY_MICROS, next);
+    void retryLater(Runnable action) {
+        schedule(RETRY_MICROS, action);
     }
 
     /** Does it after so long, unless the term is over by then. */
-    void after(long micros, Runnable next) {
+    void schedule(long micros, Runnable action) {
         eventLoop.schedule(micros, () -> {
-            if (!isOver()) {
-                next.run();
+            if (!isEnded()) {
+                action.run();
             }
         });
     }
 
     /** A transaction that fails once another controller leads. */
-    Transaction txn() {
+    Transaction newTransaction() {
         return new Transaction().requireRevision(LeaderElection.LEADER_KEY, leaderRevision);
     }
 
     /** True if there is nothing left to do; a commit that shows another leader ends the term. */
-    boolean isOverAfter(CommitResult commit) {
+    boolean isEndedAfter(CommitResult commit) {
         if (commit.outcome() == StoreOutcome.CONFLICT && commit.failedKeys().contains(LeaderElection.LEADER_KEY)) {
             resign("the leader key has changed");
         }
-        return isOver();
+        return isEnded();
     }
 }
--- a/src/main/java/io/sillreel/recovery/RecentChange.java
+++ b/src/main/java/io/sillreel/recovery/RecentChange.java
@@ -23,12 +23,12 @@
     }
 
     /** The stored value; a missing node if the key was removed. */
-    JsonNode json() {
+    JsonNode jsonValue() {
         return Json.parse(isRemoval() ? new byte[0] : value);
     }
 
     /** About what it takes of the memory. */
-    int bytes() {
+    int sizeBytes() {
         return ENTRY_BYTES + key.getBytes(StandardCharsets.UTF_8).length + (isRemoval() ? 0 : value.length);
     }
 }
--- a/src/main/java/io/sillreel/recovery/Recovery.java
+++ b/src/main/java/io/sillreel/recovery/Recovery.java
@@ -7,7 +7,7 @@
 import io.sillreel.http.HttpRequest;
 import io.sillreel.http.HttpResponse;
 import io.sillreel.leadership.LeaderElection;
-import io.sillreel.recovery.ChangeLog.Memory;
+import io.sillreel.recovery.ChangeLog.Snapshot;
 import io.sillreel.recovery.RecoveryMessages.PeerStatus;
 import io.sillreel.settings.Settings;
 import io.sillreel.statestore.StateStore;
@@ -33,71 +33,71 @@
 
     private static final long EXCHANGE_INTERVAL_MICROS = 1_000_000;
     /** The others are told of a loss for so long before it is stored. */
-    private static final long TELL_FIRST_MICROS = 200_000;
+    private static final long PEER_NOTICE_MICROS = 200_000;
 
     private static final int RETRY_SECONDS = 5;
 
     private final EventLoop eventLoop;
     private final Settings settings;
     private final HttpClient httpClient;
-    private final StoreHistory history = new StoreHistory();
+    private final RevisionTracker revisions = new RevisionTracker();
     private final ChangeLog log;
-    private final long followPauseMicros;
+    private final long watchDelayMicros;
     private final PeerExchange peerExchange;
     private final RecoveryApi api;
     private StateStore store;
     private LeaderElection leadership;
-    private ChangeFollower follower;
+    private ChangeLogWatcher changeLogWatcher;
     private TermEvidence termEvidence;
-    private RecoveryGenerationStore generationStore;
+    private RecoveryRecordWriter recordWriter;
 
     private final LossState loss = new LossState();
     private boolean recordRead;
     /** True once it is known whether a loss is stored, and each other controller has said what it knows, or has not. */
     private boolean peersConsulted;
 
-    private RebuildCoordinator rebuilds;
+    private RebuildCoordinator coordinator;
 
     /**
      * @param caller for what is said to other controllers
-     * @param rememberedBytes what recent changes may take of the memory
-     * @param followPauseMicros how long changes gather before they are asked for
+     * @param maxChangeLogBytes what recent changes may take of the memory
+     * @param watchDelayMicros how long changes gather before they are asked for
      */
     public Recovery(
             EventLoop eventLoop,
             Settings settings,
             HttpClient httpClient,
-            long rememberedBytes,
-            long followPauseMicros) {
+            long maxChangeLogBytes,
+            long watchDelayMicros) {
         this.eventLoop = eventLoop;
         this.settings = settings;
         this.httpClient = httpClient;
-        this.log = new ChangeLog(rememberedBytes);
-        this.followPauseMicros = followPauseMicros;
+        this.log = new ChangeLog(maxChangeLogBytes);
+        this.watchDelayMicros = watchDelayMicros;
         this.api = new RecoveryApi(this, settings);
         this.peerExchange = new PeerExchange(httpClient, settings.members(), this::ownStatus, this::onPeerStatus);
     }
 
     /** What asks the state service through this is watched for signs of a loss. */
-    public HttpClient monitor(HttpClient inner) {
-        return new StoreMonitor(inner, eventLoop, history, log, loss::isSuspended, this::onLossDetected);
+    public HttpClient monitor(HttpClient storeClient) {
+        return new StoreMonitor(storeClient, eventLoop, revisions, log, loss::isSuspended, this::onLossDetected);
     }
 
     /** Begins; both have to ask through {@link #monitor}. */
-    public void start(StateStore monitoredStore, LeaderElection itsLeadership) {
+    public void start(StateStore monitoredStore, LeaderElection election) {
         store = monitoredStore;
-        leadership = itsLeadership;
-        follower = new ChangeFollower(
-                store, eventLoop, log, followPauseMicros, loss::isSuspended, this::onRecordRead, this::onLossDetected);
-        rebuilds = new RebuildCoordinator(this, eventLoop, settings, httpClient, store, leadership, history, loss);
-        termEvidence = new TermEvidence(store, history, this::onLossDetected);
-        generationStore = new RecoveryGenerationStore(
+        leadership = election;
+        changeLogWatcher = new ChangeLogWatcher(
+                store, eventLoop, log, watchDelayMicros, loss::isSuspended, this::onRecordRead, this::onLossDetected);
+        coordinator = new RebuildCoordinator(this, eventLoop, settings, httpClient, store, leadership, revisions, loss);
+        termEvidence = new TermEvidence(store, revisions, this::onLossDetected);
+        recordWriter = new RecoveryRecordWriter(
                 store,
                 eventLoop,
                 () -> loss.isUnrecorded() ? openRecord() : null,
                 loss::isRepairedBy,
                 this::onOpenRecordRead);
-        follower.restart();
+        changeLogWatcher.restart();
         exchangePeriodically();
     }
 
@@ -105,15 +105,15 @@
      * Answers a user's question unless a loss is known, or is noticed before the answer is there: what it rests on may
      * have been read from the older state.
      */
-    public CompletableFuture<HttpResponse> guard(Supplier<CompletableFuture<HttpResponse>> question) {
-        if (loss.isSuspended() || !peersConsulted || follower.isBehind()) {
-            return CompletableFuture.completedFuture(refusal());
+    public CompletableFuture<HttpResponse> guard(Supplier<CompletableFuture<HttpResponse>> handler) {
+        if (loss.isSuspended() || !peersConsulted || changeLogWatcher.isLagging()) {
+            return CompletableFuture.completedFuture(unavailable());
         }
-        long before = loss.version();
-        return question.get().thenApply(response -> loss.version() == before ? response : refusal());
+        long epochBefore = loss.epoch();
+        return handler.get().thenApply(response -> loss.epoch() == epochBefore ? response : unavailable());
     }
 
-    private HttpResponse refusal() {
+    private HttpResponse unavailable() {
         return loss.isSuspended()
                 ? HttpResponse.retryLater(
                         503, "the state service has lost writes, which are being put back", RETRY_SECONDS)
@@ -122,39 +122,39 @@
 
     /** The next term has to lie above this one. */
     public long termFloor() {
-        return loss.isSuspended() ? highestShownTerm() + TERM_GAP : 0;
+        return loss.isSuspended() ? highestKnownTerm() + TERM_GAP : 0;
     }
 
-    private long highestShownTerm() {
+    private long highestKnownTerm() {
         return Math.max(
-                history.highWatermarks().term(), leadership.knownLeader().term());
+                revisions.highWatermarks().term(), leadership.knownLeader().term());
     }
 
     // --- Evidence ----------------------------------------------------------------------------------------------------
 
     /** Something has shown that writes are lost. */
-    private void onLossDetected(String shown) {
-        suspend(loss.generation() + 1, shown + " (seen by " + settings.nodeName() + ")", false);
+    private void onLossDetected(String evidence) {
+        suspend(loss.generation() + 1, evidence + " (seen by " + settings.nodeName() + ")", false);
         loss.markLocallyDetected();
         // The verdict is a write, and few writes make up for a small loss: the others would no longer notice it.
-        peerExchange.exchangeWithAll().thenRun(generationStore::storeOpenRecord);
-        eventLoop.schedule(TELL_FIRST_MICROS, generationStore::storeOpenRecord);
+        peerExchange.exchangeWithAll().thenRun(recordWriter::storeOpenRecord);
+        eventLoop.schedule(PEER_NOTICE_MICROS, recordWriter::storeOpenRecord);
     }
 
-    private void suspend(long newGeneration, String shown, boolean stored) {
-        LOG.error("the state service has lost writes: {}", shown);
-        history.beginLossEpoch(loss.isSuspended());
-        loss.suspend(newGeneration, shown, stored);
-        follower.stop();
+    private void suspend(long newGeneration, String evidence, boolean alreadyRecorded) {
+        LOG.error("the state service has lost writes: {}", evidence);
+        revisions.beginLossEpoch(loss.isSuspended());
+        loss.suspend(newGeneration, evidence, alreadyRecorded);
+        changeLogWatcher.stop();
         leadershipLost();
         leadership.resign("the state service has lost writes");
     }
 
     @Override
     public void observeHeartbeat(Heartbeat heartbeat) {
-        long shown = TermEvidence.termShownBy(heartbeat);
-        if (!loss.isSuspended() && shown > highestShownTerm()) {
-            termEvidence.verifyTerm(shown, heartbeat.machine());
+        long observedTerm = TermEvidence.highestTermIn(heartbeat);
+        if (!loss.isSuspended() && observedTerm > highestKnownTerm()) {
+            termEvidence.verifyTerm(observedTerm, heartbeat.machine());
         }
     }
 
@@ -196,28 +196,28 @@
             }
         } else if (!stored.open() && newer) {
             // It was noticed and made good without this controller, whose memory is of the time before.
-            loss.skipTo(stored.generation());
-            history.beginLossEpoch(false);
-            follower.restart();
+            loss.skipToGeneration(stored.generation());
+            revisions.beginLossEpoch(false);
+            changeLogWatcher.restart();
         }
     }
 
     void resume(RecoveryRecord closed) {
         LOG.warn("generation {} is closed: the state service is relied on again", closed.generation());
         loss.resume(closed.generation());
-        follower.resume(closed.kept());
+        changeLogWatcher.resume(closed.keptRevision());
     }
 
     // --- Terms -------------------------------------------------------------------------------------------------------
 
     /** Leadership has been acquired: a loss that is known or stored is repaired before the term begins. */
-    public void beforeTerm(long term, long leaderRevision, Runnable begin) {
-        rebuilds.beforeTerm(term, leaderRevision, begin);
+    public void beforeTerm(long term, long leaderRevision, Runnable beginTerm) {
+        coordinator.beforeTerm(term, leaderRevision, beginTerm);
     }
 
     /** Leadership has been lost. */
     public void leadershipLost() {
-        rebuilds.end();
+        coordinator.abort();
     }
 
     // --- Other controllers -------------------------------------------------------------------------------------------
@@ -239,30 +239,30 @@
                 loss.generation(),
                 loss.isSuspended(),
                 loss.evidence(),
-                history.storeRevision(),
+                revisions.storeRevision(),
                 highWatermarks());
     }
 
     /** What was reached before the loss, as far as it is known here. */
     HighWatermarks highWatermarks() {
-        return history.highWatermarks().withTerm(leadership.knownLeader().term());
+        return revisions.highWatermarks().withTerm(leadership.knownLeader().term());
     }
 
     /** Another controller has said how it sees the state service. */
     void onPeerStatus(PeerStatus status) {
-        long shownBefore = highestShownTerm();
-        history.learn(status.highWatermarks());
+        long knownTermBefore = highestKnownTerm();
+        revisions.raiseTo(status.highWatermarks());
         if (status.suspended() && status.generation() > loss.generation()) {
             suspend(status.generation(), status.evidence(), false);
-            generationStore.storeOpenRecord();
+            recordWriter.storeOpenRecord();
         } else if (!status.suspended() && status.generation() > loss.generation()) {
             readRecord();
         } else if (!status.suspended() && status.generation() < loss.generation() && loss.isSuspended()) {
             // It has not noticed the loss yet.
-            history.learn(HighWatermarks.NONE.withKeyRevision(status.storeRevision()));
+            revisions.raiseTo(HighWatermarks.NONE.withKeyRevision(status.storeRevision()));
         } else if (!status.suspended() && status.generation() == loss.generation() && !loss.isSuspended()) {
-            history.learn(status.storeRevision());
-            if (status.highWatermarks().term() > shownBefore) {
+            revisions.raiseTo(status.storeRevision());
+            if (status.highWatermarks().term() > knownTermBefore) {
                 termEvidence.verifyTerm(status.highWatermarks().term(), status.node());
             }
         }
@@ -273,18 +273,18 @@
             if (read.outcome() == StoreOutcome.OK) {
                 onRecordRead(RecoveryRecord.of(read));
             }
-            generationStore.storeOpenRecord();
+            recordWriter.storeOpenRecord();
         });
     }
 
     /**
      * Whoever puts writes back under the generation says so; from then on nothing is stored here until it is closed.
      */
-    void onMemoryCollected(long asked) {
-        if (asked > loss.generation()) {
-            suspend(asked, "another controller puts lost writes back", true);
+    void onSnapshotRequested(long requestedGeneration) {
+        if (requestedGeneration > loss.generation()) {
+            suspend(requestedGeneration, "another controller puts lost writes back", true);
         }
-        loss.markCollected(asked);
+        loss.markCollected(requestedGeneration);
     }
 
     /** What another controller or an operator asks. */
@@ -303,7 +303,7 @@
         return loss.generation();
     }
 
-    boolean suspended() {
+    boolean isSuspended() {
         return loss.isSuspended();
     }
 
@@ -312,8 +312,8 @@
     }
 
     /** What this controller remembers. */
-    Memory memory() {
-        return log.memory(history.seenBeforeLossMicros());
+    Snapshot snapshot() {
+        return log.snapshot(revisions.observedBeforeLossMicros());
     }
 
     ChangeLog log() {
@@ -321,7 +321,7 @@
     }
 
     long storeRevision() {
-        return history.storeRevision();
+        return revisions.storeRevision();
     }
 
     String leader() {
@@ -330,7 +330,7 @@
 
     /** The putting back that is under way here, or null. */
     StoreRebuild rebuild() {
-        return loss.isSuspended() && leadership.heldTerm() > 0 ? rebuilds.current() : null;
+        return loss.isSuspended() && leadership.heldTerm() > 0 ? coordinator.current() : null;
     }
 
     /** For metrics. */
@@ -338,8 +338,8 @@
         Map<String, Double> gauges = new TreeMap<>();
         gauges.put("sillreel.recovery.suspended", loss.isSuspended() ? 1.0 : 0.0);
         gauges.put("sillreel.recovery.generation", (double) loss.generation());
-        gauges.put("sillreel.recovery.remembered.bytes", (double) log.bytes());
-        gauges.put("sillreel.recovery.restored", rebuilds == null ? 0.0 : rebuilds.restored());
+        gauges.put("sillreel.recovery.remembered.bytes", (double) log.sizeBytes());
+        gauges.put("sillreel.recovery.restored", coordinator == null ? 0.0 : coordinator.restoredCount());
         return gauges;
     }
 }
--- a/src/main/java/io/sillreel/recovery/RecoveryMessages.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryMessages.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import com.fasterxml.jackson.dataformat.cbor.CBORGenerator;
 import com.fasterxml.jackson.dataformat.cbor.CBORParser;
-import io.sillreel.recovery.ChangeLog.Memory;
+import io.sillreel.recovery.ChangeLog.Snapshot;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -14,10 +14,10 @@
 
 /** What controllers say to each other about lost writes, in CBOR. */
 final class RecoveryMessages {
-    static final String GREETING = "/peer/recovery";
-    static final String CHANGES = "/peer/recovery/changes";
+    static final String STATUS_ROUTE = "/peer/recovery";
+    static final String CHANGES_ROUTE = "/peer/recovery/changes";
 
-    private static final CBORFactory STREAM = new CBORFactory();
+    private static final CBORFactory CBOR = new CBORFactory();
 
     private RecoveryMessages() {}
 
@@ -37,7 +37,7 @@
             String evidence,
             long storeRevision,
             HighWatermarks highWatermarks) {
-        byte[] bytes() {
+        byte[] encode() {
             return write(out -> {
                 out.writeStartArray(null, 8);
                 out.writeString(node);
@@ -50,9 +50,9 @@
             });
         }
 
-        /** @throws UncheckedIOException if that is not what {@link #bytes} wrote */
-        static PeerStatus of(byte[] body) {
-            try (CBORParser in = STREAM.createParser(body)) {
+        /** @throws UncheckedIOException if that is not what {@link #encode} wrote */
+        static PeerStatus decode(byte[] body) {
+            try (CBORParser in = CBOR.createParser(body)) {
                 in.nextToken();
                 String node = in.nextTextValue();
                 if (node == null) {
@@ -64,7 +64,7 @@
                         in.nextToken() == JsonToken.VALUE_TRUE,
                         in.nextTextValue(),
                         in.nextLongValue(0),
-                        readPeaks(in));
+                        readHighWatermarks(in));
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -72,23 +72,23 @@
     }
 
     /** What one controller remembers, cut into pages of a bounded size: each is answered by itself. */
-    record Page(Memory memory, HighWatermarks highWatermarks, boolean last) {
-        byte[] bytes() {
+    record Page(Snapshot snapshot, HighWatermarks highWatermarks, boolean last) {
+        byte[] encode() {
             return write(out -> {
                 out.writeStartArray(null, 10);
                 out.writeBoolean(last);
                 write(out, highWatermarks);
-                out.writeNumber(memory.sinceMicros());
-                out.writeNumber(memory.seenMicros());
-                out.writeNumber(memory.knownFrom());
-                out.writeNumber(memory.knownTo());
-                out.writeStartArray(null, memory.ownRevisions().size());
-                for (long revision : memory.ownRevisions()) {
+                out.writeNumber(snapshot.recordingSinceMicros());
+                out.writeNumber(snapshot.observedBeforeLossMicros());
+                out.writeNumber(snapshot.completeFrom());
+                out.writeNumber(snapshot.completeTo());
+                out.writeStartArray(null, snapshot.ownRevisions().size());
+                for (long revision : snapshot.ownRevisions()) {
                     out.writeNumber(revision);
                 }
                 out.writeEndArray();
-                out.writeStartArray(null, memory.changes().size());
-                for (RecentChange change : memory.changes()) {
+                out.writeStartArray(null, snapshot.changes().size());
+                for (RecentChange change : snapshot.changes()) {
                     write(out, change);
                 }
                 out.writeEndArray();
@@ -96,12 +96,12 @@
             });
         }
 
-        /** @throws UncheckedIOException if that is not what {@link #bytes} wrote */
-        static Page of(byte[] body) {
-            try (CBORParser in = STREAM.createParser(body)) {
+        /** @throws UncheckedIOException if that is not what {@link #encode} wrote */
+        static Page decode(byte[] body) {
+            try (CBORParser in = CBOR.createParser(body)) {
                 in.nextToken();
                 boolean last = in.nextToken() == JsonToken.VALUE_TRUE;
-                HighWatermarks highWatermarks = readPeaks(in);
+                HighWatermarks highWatermarks = readHighWatermarks(in);
                 long sinceMicros = in.nextLongValue(0);
                 long seenMicros = in.nextLongValue(0);
                 long knownFrom = in.nextLongValue(0);
@@ -114,10 +114,10 @@
                 List<RecentChange> changes = new ArrayList<>();
                 in.nextToken();
                 while (in.nextToken() == JsonToken.START_ARRAY) {
-                    changes.add(change(in));
+                    changes.add(readChange(in));
                 }
                 return new Page(
-                        new Memory(changes, knownFrom, knownTo, ownRevisions, sinceMicros, seenMicros),
+                        new Snapshot(changes, knownFrom, knownTo, ownRevisions, sinceMicros, seenMicros),
                         highWatermarks,
                         last);
             } catch (IOException e) {
@@ -132,7 +132,7 @@
         out.writeNumber(highWatermarks.term());
     }
 
-    private static HighWatermarks readPeaks(CBORParser in) throws IOException {
+    private static HighWatermarks readHighWatermarks(CBORParser in) throws IOException {
         return new HighWatermarks(in.nextLongValue(0), in.nextLongValue(0), in.nextLongValue(0));
     }
 
@@ -148,7 +148,7 @@
         out.writeEndArray();
     }
 
-    private static RecentChange change(CBORParser in) throws IOException {
+    private static RecentChange readChange(CBORParser in) throws IOException {
         String key = in.nextTextValue();
         byte[] value = in.nextToken() == JsonToken.VALUE_NULL ? null : in.getBinaryValue();
         long revision = in.nextLongValue(0);
@@ -164,7 +164,7 @@
 
     private static byte[] write(Writer writer) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
-        try (CBORGenerator out = STREAM.createGenerator(bytes)) {
+        try (CBORGenerator out = CBOR.createGenerator(bytes)) {
             writer.write(out);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/src/main/java/io/sillreel/recovery/RecoveryRecord.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryRecord.java
@@ -12,19 +12,19 @@
  * @param open true until everything that can be has been put back
  * @param node the controller that wrote it
  * @param evidence what showed the loss
- * @param kept once it is closed: a revision up to which nothing had been lost, or 0 if none is known
+ * @param keptRevision once it is closed: a revision up to which nothing had been lost, or 0 if none is known
  */
-record RecoveryRecord(long generation, boolean open, String node, String evidence, long kept) {
+record RecoveryRecord(long generation, boolean open, String node, String evidence, long keptRevision) {
     static final String KEY = "recovery";
     static final RecoveryRecord NONE = new RecoveryRecord(0, false, "", "", 0);
 
-    ObjectNode json() {
+    ObjectNode toJson() {
         return Json.object()
                 .put("generation", generation)
                 .put("open", open)
                 .put("node", node)
                 .put("evidence", evidence)
-                .put("kept", kept);
+                .put("kept", keptRevision);
     }
 
     /** What was read under the key; one that does not exist means that no loss was ever noticed. */
@@ -43,12 +43,12 @@
     }
 
     /** The same verdict of a generation above the given one. */
-    RecoveryRecord above(long other) {
-        return new RecoveryRecord(Math.max(generation, other + 1), open, node, evidence, kept);
+    RecoveryRecord withGenerationAbove(long otherGeneration) {
+        return new RecoveryRecord(Math.max(generation, otherGeneration + 1), open, node, evidence, keptRevision);
     }
 
     /** The verdict once everything has been put back, given a revision up to which nothing had been lost. */
-    RecoveryRecord closed(String by, long keptRevision) {
-        return new RecoveryRecord(generation, false, by, evidence, keptRevision);
+    RecoveryRecord closedBy(String closingNode, long revision) {
+        return new RecoveryRecord(generation, false, closingNode, evidence, revision);
     }
 }
--- a/src/main/java/io/sillreel/recovery/RecoveryGenerationStore.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryRecordWriter.java
@@ -9,37 +9,37 @@
 import java.util.function.Supplier;
 
 /** Stores that a loss is known, so that every controller and every later leader knows of it. */
-final class RecoveryGenerationStore {
+final class RecoveryRecordWriter {
     private static final long RETRY_MICROS = 300_000;
 
     private final StateStore store;
     private final EventLoop eventLoop;
-    private final Supplier<RecoveryRecord> wanted;
-    private final Predicate<RecoveryRecord> madeGood;
+    private final Supplier<RecoveryRecord> openRecord;
+    private final Predicate<RecoveryRecord> isRepairedBy;
     private final Consumer<RecoveryRecord> onStored;
     private boolean storing;
 
     /**
-     * @param wanted the verdict to store, or null if there is none
-     * @param madeGood true if a closed verdict covers the wanted one: then nothing has to be stored
+     * @param openRecord the verdict to store, or null if there is none
+     * @param isRepairedBy true if a closed verdict covers the wanted one: then nothing has to be stored
      * @param onStored told the verdict that is stored
      */
-    RecoveryGenerationStore(
+    RecoveryRecordWriter(
             StateStore store,
             EventLoop eventLoop,
-            Supplier<RecoveryRecord> wanted,
-            Predicate<RecoveryRecord> madeGood,
+            Supplier<RecoveryRecord> openRecord,
+            Predicate<RecoveryRecord> isRepairedBy,
             Consumer<RecoveryRecord> onStored) {
         this.store = store;
         this.eventLoop = eventLoop;
-        this.wanted = wanted;
-        this.madeGood = madeGood;
+        this.openRecord = openRecord;
+        this.isRepairedBy = isRepairedBy;
         this.onStored = onStored;
     }
 
     /** Stores what is wanted, until it is stored or wanted no more. */
     void storeOpenRecord() {
-        if (!storing && wanted.get() != null) {
+        if (!storing && openRecord.get() != null) {
             storing = true;
             read();
         }
@@ -47,30 +47,31 @@
 
     private void read() {
         store.get(RecoveryRecord.KEY).thenAccept(read -> {
-            RecoveryRecord verdict = wanted.get();
-            if (verdict == null) {
+            RecoveryRecord record = openRecord.get();
+            if (record == null) {
                 storing = false;
             } else if (!read.isConclusive()) {
                 eventLoop.schedule(RETRY_MICROS, this::read);
             } else {
                 RecoveryRecord stored = RecoveryRecord.of(read);
-                if (stored.generation() >= verdict.generation() && (stored.open() || madeGood.test(stored))) {
+                if (stored.generation() >= record.generation() && (stored.open() || isRepairedBy.test(stored))) {
                     storing = false;
                     onStored.accept(stored);
                 } else {
-                    write(verdict.above(stored.generation()), read.revision());
+                    write(record.withGenerationAbove(stored.generation()), read.revision());
                 }
             }
         });
     }
 
-    private void write(RecoveryRecord verdict, long revision) {
-        Transaction transaction =
-                new Transaction().requireRevision(RecoveryRecord.KEY, revision).set(RecoveryRecord.KEY, verdict.json());
+    private void write(RecoveryRecord record, long revision) {
+        Transaction transaction = new Transaction()
+                .requireRevision(RecoveryRecord.KEY, revision)
+                .set(RecoveryRecord.KEY, record.toJson());
         store.commit(transaction).thenAccept(commit -> {
             if (commit.outcome() == StoreOutcome.OK) {
                 storing = false;
-                onStored.accept(verdict);
+                onStored.accept(record);
                 storeOpenRecord();
             } else {
                 eventLoop.schedule(RETRY_MICROS, this::read);
--- a/src/main/java/io/sillreel/recovery/StoreMonitor.java
+++ b/src/main/java/io/sillreel/recovery/StoreMonitor.java
@@ -6,8 +6,8 @@
 import io.sillreel.http.HttpRequest;
 import io.sillreel.http.HttpResponse;
 import io.sillreel.http.Json;
-import io.sillreel.recovery.StoreHistory.Consistency;
-import io.sillreel.recovery.StoreHistory.RequestMark;
+import io.sillreel.recovery.RevisionTracker.Consistency;
+import io.sillreel.recovery.RevisionTracker.RequestBaseline;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -19,19 +19,19 @@
  * the time before one, counts as none: what was asked may have been carried out, and has to be read again.
  */
 final class StoreMonitor implements HttpClient {
-    private static final String KEYS = "/kv/";
-    private static final String TRANSACTIONS = "/txn";
+    private static final String KEY_ROUTE_PREFIX = "/kv/";
+    private static final String TRANSACTION_ROUTE = "/txn";
 
     /**
      * @param key the key that is read, or null
-     * @param knownStamp its stamp as far as it is known
+     * @param knownRevision its stamp as far as it is known
      * @param changes what is written
      */
-    private record ObservedRequest(RequestMark mark, String key, long knownStamp, List<JsonNode> changes) {}
+    private record ObservedRequest(RequestBaseline baseline, String key, long knownRevision, List<JsonNode> changes) {}
 
     private final HttpClient httpClient;
     private final EventLoop eventLoop;
-    private final StoreHistory history;
+    private final RevisionTracker revisions;
     private final ChangeLog log;
     private final BooleanSupplier suspended;
     private final Consumer<String> onLoss;
@@ -43,13 +43,13 @@
     StoreMonitor(
             HttpClient httpClient,
             EventLoop eventLoop,
-            StoreHistory history,
+            RevisionTracker revisions,
             ChangeLog log,
             BooleanSupplier suspended,
             Consumer<String> onLoss) {
         this.httpClient = httpClient;
         this.eventLoop = eventLoop;
-        this.history = history;
+        this.revisions = revisions;
         this.log = log;
         this.suspended = suspended;
         this.onLoss = onLoss;
@@ -58,61 +58,62 @@
     @Override
     public CompletableFuture<HttpResponse> send(String address, HttpRequest request, long timeoutMicros) {
         String route = request.route();
-        String key = route.startsWith(KEYS) ? route.substring(KEYS.length()) : null;
-        long knownStamp = key == null || suspended.getAsBoolean() ? 0 : log.revisionOf(key);
+        String key = route.startsWith(KEY_ROUTE_PREFIX) ? route.substring(KEY_ROUTE_PREFIX.length()) : null;
+        long knownRevision = key == null || suspended.getAsBoolean() ? 0 : log.revisionOf(key);
         List<JsonNode> changes = new ArrayList<>();
-        if (route.equals(TRANSACTIONS)) {
+        if (route.equals(TRANSACTION_ROUTE)) {
             Json.parse(request.body()).path("then").forEach(changes::add);
         }
-        ObservedRequest observed = new ObservedRequest(history.mark(eventLoop.wallMicros()), key, knownStamp, changes);
+        ObservedRequest observed =
+                new ObservedRequest(revisions.baseline(eventLoop.wallMicros()), key, knownRevision, changes);
         return httpClient.send(address, request, timeoutMicros).thenApply(response -> {
             if (response.status() != 200 && response.status() != 404 && response.status() != 409) {
                 return response;
             }
             JsonNode body = response.json();
-            if (!believed(observed, response, body)) {
+            if (!isConsistent(observed, response, body)) {
                 return HttpResponse.noResponse();
             }
             if (response.isOk() && !changes.isEmpty()) {
-                remember(changes, body.path("ledger").asLong());
+                recordWrites(changes, body.path("ledger").asLong());
             }
             return response;
         });
     }
 
-    private boolean believed(ObservedRequest observed, HttpResponse response, JsonNode body) {
-        Consistency verdict;
+    private boolean isConsistent(ObservedRequest observed, HttpResponse response, JsonNode body) {
+        Consistency consistency;
         if (observed.key() != null && response.isOk()) {
             long revision = body.path("stamp").asLong();
-            verdict = history.observeKeyRevision(observed.mark(), revision);
-            if (verdict == Consistency.CONSISTENT && revision < observed.knownStamp()) {
-                onLoss.accept(observed.key() + " has stamp " + revision + ", and had " + observed.knownStamp());
+            consistency = revisions.observeKeyRevision(observed.baseline(), revision);
+            if (consistency == Consistency.CONSISTENT && revision < observed.knownRevision()) {
+                onLoss.accept(observed.key() + " has stamp " + revision + ", and had " + observed.knownRevision());
                 return false;
             }
         } else if (body.has("ledger")) {
             long storeRevision = body.path("ledger").asLong();
             boolean written = response.isOk() && !observed.changes().isEmpty();
-            verdict = written
-                    ? history.observeCommit(observed.mark(), storeRevision)
-                    : history.observeRevision(observed.mark(), storeRevision);
+            consistency = written
+                    ? revisions.observeCommit(observed.baseline(), storeRevision)
+                    : revisions.observeRevision(observed.baseline(), storeRevision);
         } else {
             return true;
         }
-        if (verdict == Consistency.LOST) {
+        if (consistency == Consistency.WRITES_LOST) {
             onLoss.accept("ledger is " + body.path("ledger").asLong() + ", and was "
-                    + observed.mark().storeRevision());
-        } else if (verdict == Consistency.CONSISTENT && hasVanished(observed, response)) {
+                    + observed.baseline().storeRevision());
+        } else if (consistency == Consistency.CONSISTENT && isPermanentKeyMissing(observed, response)) {
             onLoss.accept(observed.key() + " is gone, and nobody removes it");
             return false;
         }
-        return verdict == Consistency.CONSISTENT;
+        return consistency == Consistency.CONSISTENT;
     }
 
-    private static boolean hasVanished(ObservedRequest observed, HttpResponse response) {
-        return response.status() == 404 && observed.knownStamp() > 0 && PermanentKeys.isPermanent(observed.key());
+    private static boolean isPermanentKeyMissing(ObservedRequest observed, HttpResponse response) {
+        return response.status() == 404 && observed.knownRevision() > 0 && PermanentKeys.isPermanent(observed.key());
     }
 
-    private void remember(List<JsonNode> written, long storeRevision) {
+    private void recordWrites(List<JsonNode> written, long storeRevision) {
         List<RecentChange> changes = new ArrayList<>();
         for (JsonNode change : written) {
             if (change.has("set")) {
@@ -121,6 +122,6 @@
                 changes.add(RecentChange.of(change.path("remove").asText(), null, storeRevision));
             }
         }
-        log.addStored(changes, storeRevision);
+        log.addCommitted(changes, storeRevision);
     }
 }
--- a/src/main/java/io/sillreel/recovery/StoreRebuild.java
+++ b/src/main/java/io/sillreel/recovery/StoreRebuild.java
@@ -29,21 +29,21 @@
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(StoreRebuild.class);
-    private static final long ASK_AGAIN_MICROS = 2_000_000;
+    private static final long COLLECT_RETRY_MICROS = 2_000_000;
 
-    private final RebuildLease term;
+    private final RebuildLease lease;
     private final Settings settings;
-    private final StoreHistory history;
-    private final CollectedMemories memories;
-    private final PeerMemoryCollector collector;
+    private final RevisionTracker revisions;
+    private final CollectedSnapshots snapshots;
+    private final PeerSnapshotCollector collector;
     private final ChangeRestorer restorer;
     private final Runnable onClosed;
 
     private RecoveryRecord record;
-    private long recordStamp;
+    private long recordRevision;
     private Step step = Step.OPENING;
-    private int heardBefore;
-    private String gap = "";
+    private int collectedBefore;
+    private String incompleteReason = "";
     private boolean lossAccepted;
 
     /**
@@ -52,19 +52,19 @@
      * @param onClosed run once everything has been put back, or its loss has been accepted
      */
     StoreRebuild(
-            RebuildLease term,
+            RebuildLease lease,
             Settings settings,
-            StoreHistory history,
-            CollectedMemories memories,
-            PeerMemoryCollector collector,
+            RevisionTracker revisions,
+            CollectedSnapshots snapshots,
+            PeerSnapshotCollector collector,
             RecoveryRecord record,
             Runnable onClosed) {
-        this.term = term;
+        this.lease = lease;
         this.settings = settings;
-        this.history = history;
-        this.memories = memories;
+        this.revisions = revisions;
+        this.snapshots = snapshots;
         this.collector = collector;
-        this.restorer = new ChangeRestorer(term, history, settings.state().maxTransactionChanges());
+        this.restorer = new ChangeRestorer(lease, revisions, settings.state().maxTransactionChanges());
         this.record = record;
         this.onClosed = onClosed;
     }
@@ -74,8 +74,8 @@
     }
 
     /** Ends it: the term is over, or writes have been lost once more. */
-    void end() {
-        term.end();
+    void abort() {
+        lease.end();
     }
 
     /** What could not be put back is given up. */
@@ -91,8 +91,8 @@
     }
 
     /** Why more may have been lost than could be put back; empty if that is not so, or not known yet. */
-    String gap() {
-        return gap;
+    String incompleteReason() {
+        return incompleteReason;
     }
 
     long generation() {
@@ -103,25 +103,25 @@
         return record;
     }
 
-    int restored() {
-        return restorer.restored();
+    int restoredCount() {
+        return restorer.restoredCount();
     }
 
     /** The controllers whose memory has been taken into account. */
     Set<String> collectedFrom() {
-        return memories.nodes();
+        return snapshots.nodes();
     }
 
     private void open() {
-        term.store().get(RecoveryRecord.KEY).thenAccept(read -> {
-            if (term.isOver()) {
+        lease.store().get(RecoveryRecord.KEY).thenAccept(read -> {
+            if (lease.isEnded()) {
                 return;
             }
             if (!read.isConclusive()) {
-                term.later(this::open);
+                lease.retryLater(this::open);
                 return;
             }
-            recordStamp = read.revision();
+            recordRevision = read.revision();
             RecoveryRecord stored = RecoveryRecord.of(read);
             if (stored.generation() > record.generation()) {
                 record = stored;
@@ -134,35 +134,36 @@
     }
 
     /** Writes the verdict, which also raises the revision by one. */
-    private void writeRecord(RecoveryRecord next, Runnable written) {
-        Transaction transaction =
-                term.txn().requireRevision(RecoveryRecord.KEY, recordStamp).set(RecoveryRecord.KEY, next.json());
-        term.store().commit(transaction).thenAccept(commit -> {
-            if (term.isOverAfter(commit)) {
+    private void writeRecord(RecoveryRecord newRecord, Runnable onWritten) {
+        Transaction transaction = lease.newTransaction()
+                .requireRevision(RecoveryRecord.KEY, recordRevision)
+                .set(RecoveryRecord.KEY, newRecord.toJson());
+        lease.store().commit(transaction).thenAccept(commit -> {
+            if (lease.isEndedAfter(commit)) {
                 return;
             }
             if (commit.outcome() == StoreOutcome.OK) {
-                recordStamp = commit.storeRevision();
-                record = next;
-                written.run();
+                recordRevision = commit.storeRevision();
+                record = newRecord;
+                onWritten.run();
             } else if (commit.outcome() == StoreOutcome.REFUSED) {
-                term.later(() -> writeRecord(next, written));
+                lease.retryLater(() -> writeRecord(newRecord, onWritten));
             } else {
-                rereadRecord(next, written);
+                rereadRecord(newRecord, onWritten);
             }
         });
     }
 
-    private void rereadRecord(RecoveryRecord next, Runnable written) {
-        term.store().get(RecoveryRecord.KEY).thenAccept(read -> {
-            if (term.isOver()) {
+    private void rereadRecord(RecoveryRecord newRecord, Runnable onWritten) {
+        lease.store().get(RecoveryRecord.KEY).thenAccept(read -> {
+            if (lease.isEnded()) {
                 return;
             }
             if (read.isConclusive()) {
-                recordStamp = read.revision();
-                term.later(() -> writeRecord(next, written));
+                recordRevision = read.revision();
+                lease.retryLater(() -> writeRecord(newRecord, onWritten));
             } else {
-                term.later(() -> rereadRecord(next, written));
+                lease.retryLater(() -> rereadRecord(newRecord, onWritten));
             }
         });
     }
@@ -170,20 +171,20 @@
     private void collect() {
         step = Step.COLLECTING;
         collector.collect(settings.members(), generation()).thenRun(() -> {
-            if (term.isOver()) {
+            if (lease.isEnded()) {
                 return;
             }
-            if (term.term() < history.highWatermarks().term()) {
+            if (lease.term() < revisions.highWatermarks().term()) {
                 // A worker or a controller has seen a later one: its attempts must not be mistaken for ours.
-                term.resign("term " + history.highWatermarks().term() + " was reached before the loss");
+                lease.resign("term " + revisions.highWatermarks().term() + " was reached before the loss");
                 return;
             }
-            int heard = memories.nodes().size();
-            if (heard > heardBefore) {
-                heardBefore = heard;
-                raise();
+            int collected = snapshots.nodes().size();
+            if (collected > collectedBefore) {
+                collectedBefore = collected;
+                raiseRevision();
             } else {
-                judge();
+                checkCompleteness();
             }
         });
     }
@@ -192,30 +193,30 @@
      * Until the revision lies above all that were reached, a new change could get the stamp of one that was lost: late
      * transactions would take it for theirs, and controllers would take what they remember for newer.
      */
-    private void raise() {
+    private void raiseRevision() {
         step = Step.RAISING;
-        if (recordStamp > history.highWatermarks().keyRevision()) {
+        if (recordRevision > revisions.highWatermarks().keyRevision()) {
             step = Step.RESTORING;
-            restorer.restore(memories.newestFirst(), memories::isWitnessed, this::judge);
+            restorer.restore(snapshots.newestFirst(), snapshots::isObservedBeforeLoss, this::checkCompleteness);
         } else {
-            writeRecord(record, this::raise);
+            writeRecord(record, this::raiseRevision);
         }
     }
 
-    private void judge() {
-        Optional<String> reason = memories.findGap(
-                        members(), restorer.kept(), history.highWatermarks(), 2 * settings.clockSkewMicros())
-                .or(() -> restorer.tooLarge().map(key -> key + " is larger than the state service takes now"));
+    private void checkCompleteness() {
+        Optional<String> reason = snapshots
+                .findGap(members(), restorer.keptRevision(), revisions.highWatermarks(), 2 * settings.clockSkewMicros())
+                .or(() -> restorer.oversizedKey().map(key -> key + " is larger than the state service takes now"));
         if (reason.isEmpty() || lossAccepted) {
             close();
             return;
         }
-        if (!reason.get().equals(gap)) {
+        if (!reason.get().equals(incompleteReason)) {
             LOG.error("generation {} stays open: {}", generation(), reason.get());
         }
-        gap = reason.get();
+        incompleteReason = reason.get();
         step = Step.INCOMPLETE;
-        term.after(ASK_AGAIN_MICROS, () -> {
+        lease.schedule(COLLECT_RETRY_MICROS, () -> {
             if (step == Step.INCOMPLETE) {
                 collect();
             }
@@ -231,15 +232,15 @@
 
     private void close() {
         step = Step.CLOSING;
-        writeRecord(record.closed(settings.nodeName(), restorer.kept()), () -> {
+        writeRecord(record.closedBy(settings.nodeName(), restorer.keptRevision()), () -> {
             step = Step.CLOSED;
             LOG.warn(
                     "generation {} is closed by {}: {} keys put back, remembered by {}{}",
                     generation(),
                     settings.nodeName(),
-                    restored(),
+                    restoredCount(),
                     collectedFrom(),
-                    gap.isEmpty() || !lossAccepted ? "" : "; loss accepted: " + gap);
+                    incompleteReason.isEmpty() || !lossAccepted ? "" : "; loss accepted: " + incompleteReason);
             onClosed.run();
         });
     }
--- a/src/main/java/io/sillreel/recovery/TermEvidence.java
+++ b/src/main/java/io/sillreel/recovery/TermEvidence.java
@@ -16,40 +16,40 @@
  */
 final class TermEvidence {
     private final StateStore store;
-    private final StoreHistory history;
+    private final RevisionTracker revisions;
     private final Consumer<String> onLoss;
-    private final Set<String> told = new HashSet<>();
-    private long toldTerm;
-    private boolean reading;
+    private final Set<String> answeredMachines = new HashSet<>();
+    private long answeredTerm;
+    private boolean isReading;
 
     /** @param onLoss told what shows that writes have been lost */
-    TermEvidence(StateStore store, StoreHistory history, Consumer<String> onLoss) {
+    TermEvidence(StateStore store, RevisionTracker revisions, Consumer<String> onLoss) {
         this.store = store;
-        this.history = history;
+        this.revisions = revisions;
         this.onLoss = onLoss;
     }
 
     /** The highest term that a report shows. */
-    static long termShownBy(Heartbeat heartbeat) {
-        long shown = heartbeat.fencingToken();
+    static long highestTermIn(Heartbeat heartbeat) {
+        long highest = heartbeat.fencingToken();
         for (TaskStatus task : heartbeat.tasks()) {
-            shown = Math.max(shown, AttemptIds.termOf(task.attempt()));
+            highest = Math.max(highest, AttemptIds.termOf(task.attempt()));
         }
-        return shown;
+        return highest;
     }
 
     /** Somebody has shown a term that is higher than any known here: read after that, the store has it too. */
-    void verifyTerm(long term, String by) {
-        history.learn(HighWatermarks.NONE.withTerm(term));
-        if (reading) {
+    void verifyTerm(long term, String source) {
+        revisions.raiseTo(HighWatermarks.NONE.withTerm(term));
+        if (isReading) {
             return;
         }
-        reading = true;
+        isReading = true;
         store.get(LeaderElection.TERM_KEY).thenAccept(read -> {
-            reading = false;
+            isReading = false;
             long stored = LeaderElection.storedTerm(read);
             if (read.isConclusive() && stored < term) {
-                onLoss.accept(by + " has seen term " + term + ", and " + stored + " is stored");
+                onLoss.accept(source + " has seen term " + term + ", and " + stored + " is stored");
             }
         });
     }
@@ -59,16 +59,16 @@
      * else, who must have taken it before a loss.
      */
     boolean mayAnswer(Heartbeat heartbeat, long term) {
-        if (toldTerm != term) {
-            toldTerm = term;
-            told.clear();
+        if (answeredTerm != term) {
+            answeredTerm = term;
+            answeredMachines.clear();
         }
-        if (heartbeat.fencingToken() == term && !told.contains(heartbeat.machine())) {
-            history.learn(HighWatermarks.NONE.withTerm(term));
+        if (heartbeat.fencingToken() == term && !answeredMachines.contains(heartbeat.machine())) {
+            revisions.raiseTo(HighWatermarks.NONE.withTerm(term));
             onLoss.accept(heartbeat.machine() + " has seen term " + term + " before it was told of it");
             return false;
         }
-        told.add(heartbeat.machine());
+        answeredMachines.add(heartbeat.machine());
         return true;
     }
 }
--- a/src/test/java/io/sillreel/recovery/LostWritesTest.java
+++ b/src/test/java/io/sillreel/recovery/LostWritesTest.java
@@ -1,7 +1,7 @@
 package io.sillreel.recovery;
 
 import static io.sillreel.recovery.RecoveryClusters.NODES;
-import static io.sillreel.recovery.RecoveryClusters.open;
+import static io.sillreel.recovery.RecoveryClusters.isLossOpen;
 import static io.sillreel.sim.SimJobs.uid;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -22,294 +22,294 @@
 class LostWritesTest {
     private static final long SECOND = 1_000_000;
 
-    private static SimCluster begun(long seed) {
-        SimCluster world = RecoveryClusters.start(seed);
-        world.seconds(2);
-        return world;
+    private static SimCluster startCluster(long seed) {
+        SimCluster cluster = RecoveryClusters.start(seed);
+        cluster.seconds(2);
+        return cluster;
     }
 
-    private static long generation(SimCluster world) {
-        JsonNode record = world.state().value(RecoveryRecord.KEY);
+    private static long generation(SimCluster cluster) {
+        JsonNode record = cluster.state().value(RecoveryRecord.KEY);
         return record == null ? 0 : record.path("generation").asLong();
     }
 
-    private static void untilClosed(SimCluster world, long generation) {
-        world.until(() -> generation(world) >= generation && !open(world));
+    private static void awaitClosed(SimCluster cluster, long generation) {
+        cluster.until(() -> generation(cluster) >= generation && !isLossOpen(cluster));
     }
 
-    private static JsonNode status(SimCluster world, int node) {
-        return world.askAsOperator(node, HttpRequest.get("/recovery/status")).json();
+    private static JsonNode status(SimCluster cluster, int node) {
+        return cluster.askAsOperator(node, HttpRequest.get("/recovery/status")).json();
     }
 
-    private static void everyNodeSays(SimCluster world, int job, String stage) {
-        FailureScenario.everyNodeSays(world, uid(job), stage);
+    private static void assertStageOnAllNodes(SimCluster cluster, int job, String stage) {
+        FailureScenario.everyNodeSays(cluster, uid(job), stage);
     }
 
     /** A user repeats what is not accepted. */
-    private static void submit(SimCluster world, int node, ObjectNode job) {
-        world.until(() -> world.submit(node, job).status() / 100 == 2);
+    private static void submitUntilAccepted(SimCluster cluster, int node, ObjectNode job) {
+        cluster.until(() -> cluster.submit(node, job).status() / 100 == 2);
     }
 
     /** Jobs in every state, most of which they reach after the image was taken; returns the image. */
-    private static Image jobsInEveryState(SimCluster world) {
-        submit(world, 0, SimCluster.job(uid(1), 4));
-        submit(world, 1, SimCluster.job(uid(2), 6));
-        submit(world, 2, SimCluster.job(uid(3), 2));
-        world.untilStarted(6, 60 * SECOND);
-        Image image = world.state().image();
-        world.cloud().machines().values().forEach(worker -> worker.runMicros(2 * SECOND));
-        world.until(() -> world.cancel(1, uid(3)).isOk());
-        submit(world, 2, SimCluster.job(uid(4), 3));
-        submit(world, 0, SimCluster.job(uid(5), 2, uid(4)));
-        submit(world, 1, SimCluster.job(uid(6), 2));
-        world.until(() -> world.cancel(2, uid(6)).isOk());
-        world.until(() -> world.stage(0, uid(1)).equals("done"));
-        submit(world, 0, SimCluster.job(uid(7), 12));
-        world.untilStarted(world.starts() + 3, 8 * SECOND);
+    private static Image createJobsInAllStates(SimCluster cluster) {
+        submitUntilAccepted(cluster, 0, SimCluster.job(uid(1), 4));
+        submitUntilAccepted(cluster, 1, SimCluster.job(uid(2), 6));
+        submitUntilAccepted(cluster, 2, SimCluster.job(uid(3), 2));
+        cluster.untilStarted(6, 60 * SECOND);
+        Image image = cluster.state().image();
+        cluster.cloud().machines().values().forEach(worker -> worker.runMicros(2 * SECOND));
+        cluster.until(() -> cluster.cancel(1, uid(3)).isOk());
+        submitUntilAccepted(cluster, 2, SimCluster.job(uid(4), 3));
+        submitUntilAccepted(cluster, 0, SimCluster.job(uid(5), 2, uid(4)));
+        submitUntilAccepted(cluster, 1, SimCluster.job(uid(6), 2));
+        cluster.until(() -> cluster.cancel(2, uid(6)).isOk());
+        cluster.until(() -> cluster.stage(0, uid(1)).equals("done"));
+        submitUntilAccepted(cluster, 0, SimCluster.job(uid(7), 12));
+        cluster.untilStarted(cluster.starts() + 3, 8 * SECOND);
         return image;
     }
 
-    private static void everyJobEnds(SimCluster world) {
-        world.cloud().machines().values().forEach(worker -> worker.runMicros(3 * SECOND));
-        world.seconds(60);
+    private static void assertAllJobsEnd(SimCluster cluster) {
+        cluster.cloud().machines().values().forEach(worker -> worker.runMicros(3 * SECOND));
+        cluster.seconds(60);
         for (int job : new int[] {1, 2, 4, 5, 7}) {
-            everyNodeSays(world, job, "done");
+            assertStageOnAllNodes(cluster, job, "done");
         }
         // It may have been done before it could be cancelled.
-        everyNodeSays(world, 3, world.told(uid(3)));
-        everyNodeSays(world, 6, "withdrawn");
-        assertThat(world.broken()).isEmpty();
+        assertStageOnAllNodes(cluster, 3, cluster.told(uid(3)));
+        assertStageOnAllNodes(cluster, 6, "withdrawn");
+        assertThat(cluster.broken()).isEmpty();
     }
 
     /** Guards every kind of record: admissions, releases, ends, cancellations, rentals, and the term. */
     @Test
-    void whatTheControllersRememberIsPutBackAndNothingRunsTwice() {
+    void restoresLostWritesWithoutRunningTasksTwice() {
         for (long seed = 1; seed <= 4; seed++) {
-            SimCluster world = begun(seed);
-            Image image = jobsInEveryState(world);
-            int term = world.term();
-            long storeRevision = world.state().ledger();
-            world.state().turnBack(image);
-            untilClosed(world, 1);
-            assertThat(world.state().ledger()).isGreaterThan(storeRevision);
-            assertThat(world.term()).isGreaterThan(term + 1_000);
-            everyJobEnds(world);
+            SimCluster cluster = startCluster(seed);
+            Image image = createJobsInAllStates(cluster);
+            int term = cluster.term();
+            long storeRevision = cluster.state().ledger();
+            cluster.state().turnBack(image);
+            awaitClosed(cluster, 1);
+            assertThat(cluster.state().ledger()).isGreaterThan(storeRevision);
+            assertThat(cluster.term()).isGreaterThan(term + 1_000);
+            assertAllJobsEnd(cluster);
             int tasks = 4 + 6 + 2 + 3 + 2 + 2 + 12;
-            assertThat(world.starts()).as("each task once").isLessThanOrEqualTo(tasks);
+            assertThat(cluster.starts()).as("each task once").isLessThanOrEqualTo(tasks);
         }
     }
 
     @Test
-    void usersAreToldNothingOlderMeanwhile() {
-        SimCluster world = begun(5);
-        Image image = jobsInEveryState(world);
-        world.state().turnBack(image);
-        for (int look = 0; look < 200; look++) {
+    void returnsNoStaleStatusDuringRecovery() {
+        SimCluster cluster = startCluster(5);
+        Image image = createJobsInAllStates(cluster);
+        cluster.state().turnBack(image);
+        for (int poll = 0; poll < 200; poll++) {
             for (int node = 0; node < NODES; node++) {
                 for (int job = 1; job <= 7; job++) {
-                    world.pollMeanwhile(node, uid(job));
+                    cluster.pollMeanwhile(node, uid(job));
                 }
             }
-            world.seconds(0.05);
+            cluster.seconds(0.05);
         }
-        everyJobEnds(world);
+        assertAllJobsEnd(cluster);
     }
 
     /** Guards against a false alarm: slow, refused, lost and late answers are no loss. */
     @Test
-    void answersThatAreLateOrLostAreNoEvidence() {
-        SimCluster world = begun(6);
+    void delayedAndLostResponsesAreNotTakenForLoss() {
+        SimCluster cluster = startCluster(6);
         Random random = new Random(6);
         Rule[] rules = {
-            world.network().add(FailureInjector.writes("\"set\"", Fate.SLOW_ANSWER, 0.5, random)),
-            world.network().add(FailureInjector.writes("\"set\"", Fate.LOSE_ANSWER, 0.1, random)),
-            world.network().add(FailureInjector.reports(Fate.COPY, 0.5, random))
+            cluster.network().add(FailureInjector.writes("\"set\"", Fate.SLOW_ANSWER, 0.5, random)),
+            cluster.network().add(FailureInjector.writes("\"set\"", Fate.LOSE_ANSWER, 0.1, random)),
+            cluster.network().add(FailureInjector.reports(Fate.COPY, 0.5, random))
         };
-        world.network().slowness(20);
+        cluster.network().slowness(20);
         for (int job = 1; job <= 6; job++) {
-            world.submitMeanwhile(job % NODES, SimCluster.job(uid(job), 2));
-            world.seconds(2);
+            cluster.submitMeanwhile(job % NODES, SimCluster.job(uid(job), 2));
+            cluster.seconds(2);
         }
-        world.restart(world.leader());
-        world.seconds(5);
-        world.state().outage(true);
-        world.seconds(5);
-        world.state().outage(false);
+        cluster.restart(cluster.leader());
+        cluster.seconds(5);
+        cluster.state().outage(true);
+        cluster.seconds(5);
+        cluster.state().outage(false);
         for (Rule rule : rules) {
-            world.network().remove(rule);
+            cluster.network().remove(rule);
         }
-        world.seconds(40);
-        assertThat(generation(world)).isZero();
-        assertThat(world.broken()).isEmpty();
+        cluster.seconds(40);
+        assertThat(generation(cluster)).isZero();
+        assertThat(cluster.broken()).isEmpty();
     }
 
     /** Guards a verdict that rests on one wrong answer: it is closed again, and changes nothing. */
     @Test
-    void aVerdictWithoutALossIsClosedAgain() {
-        SimCluster world = begun(7);
-        jobsInEveryState(world);
-        world.state().misreport(world.state().ledger() - 3);
-        untilClosed(world, 1);
-        world.seconds(2);
+    void closesGenerationOpenedByWrongResponse() {
+        SimCluster cluster = startCluster(7);
+        createJobsInAllStates(cluster);
+        cluster.state().misreport(cluster.state().ledger() - 3);
+        awaitClosed(cluster, 1);
+        cluster.seconds(2);
         for (int node = 0; node < NODES; node++) {
-            assertThat(status(world, node).path("suspended").asBoolean()).isFalse();
+            assertThat(status(cluster, node).path("suspended").asBoolean()).isFalse();
         }
-        everyJobEnds(world);
+        assertAllJobsEnd(cluster);
     }
 
     /** Guards writes that nobody who is left remembers: the service stops until an operator decides. */
     @Test
-    void withoutTheControllerThatWroteLastTheServiceWaitsForAnOperator() {
-        SimCluster world = begun(8);
-        Image image = jobsInEveryState(world);
-        int starts = world.starts();
-        int ended = world.leader();
-        world.kill(ended);
-        world.state().turnBack(image);
-        world.until(() -> world.leader() >= 0
-                && status(world, world.leader()).path("step").asText().equals("incomplete"));
-        world.seconds(20);
-        assertThat(world.starts()).isEqualTo(starts);
-        int leader = world.leader();
-        assertThat(status(world, leader).path("incomplete").asText()).startsWith("hopper-" + ended);
-        assertThat(world.poll(leader, uid(1)).status()).isEqualTo(503);
-        assertThat(world.poll(leader, uid(1)).retryAfterSeconds()).isPositive();
+    void staysSuspendedUntilOperatorAcceptsLossIfLastWriterIsDown() {
+        SimCluster cluster = startCluster(8);
+        Image image = createJobsInAllStates(cluster);
+        int starts = cluster.starts();
+        int killed = cluster.leader();
+        cluster.kill(killed);
+        cluster.state().turnBack(image);
+        cluster.until(() -> cluster.leader() >= 0
+                && status(cluster, cluster.leader()).path("step").asText().equals("incomplete"));
+        cluster.seconds(20);
+        assertThat(cluster.starts()).isEqualTo(starts);
+        int leader = cluster.leader();
+        assertThat(status(cluster, leader).path("incomplete").asText()).startsWith("hopper-" + killed);
+        assertThat(cluster.poll(leader, uid(1)).status()).isEqualTo(503);
+        assertThat(cluster.poll(leader, uid(1)).retryAfterSeconds()).isPositive();
         HttpRequest accept = HttpRequest.post("/recovery/accept-loss", Json.object());
-        int other = 3 - leader - ended;
-        assertThat(world.askAsOperator(other, accept).status()).isEqualTo(409);
-        assertThat(world.askAsOperator(leader, accept).status()).isEqualTo(200);
-        untilClosed(world, 1);
-        everyJobEnds(world);
+        int other = 3 - leader - killed;
+        assertThat(cluster.askAsOperator(other, accept).status()).isEqualTo(409);
+        assertThat(cluster.askAsOperator(leader, accept).status()).isEqualTo(200);
+        awaitClosed(cluster, 1);
+        assertAllJobsEnd(cluster);
     }
 
     /** Guards a controller that comes back after the loss with the memory it had: it was only cut off. */
     @Test
-    void aControllerThatWasCutOffBringsWhatItRemembersLater() {
-        SimCluster world = begun(9);
-        Image image = jobsInEveryState(world);
-        int away = (world.leader() + 1) % NODES;
-        Rule cut = world.network().add(FailureInjector.isolated(away));
-        world.seconds(1);
-        world.state().turnBack(image);
-        world.until(() -> world.leader() >= 0
-                && status(world, world.leader()).path("step").asText().equals("incomplete"));
-        world.network().remove(cut);
-        untilClosed(world, 1);
-        everyJobEnds(world);
+    void completesRecoveryOncePartitionedControllerReturns() {
+        SimCluster cluster = startCluster(9);
+        Image image = createJobsInAllStates(cluster);
+        int partitioned = (cluster.leader() + 1) % NODES;
+        Rule partition = cluster.network().add(FailureInjector.isolated(partitioned));
+        cluster.seconds(1);
+        cluster.state().turnBack(image);
+        cluster.until(() -> cluster.leader() >= 0
+                && status(cluster, cluster.leader()).path("step").asText().equals("incomplete"));
+        cluster.network().remove(partition);
+        awaitClosed(cluster, 1);
+        assertAllJobsEnd(cluster);
     }
 
     @Test
-    void theStateServiceGoesBackTwiceAndAgainWhileWritesArePutBack() {
-        SimCluster world = begun(10);
-        Image image = jobsInEveryState(world);
-        world.state().turnBack(image);
-        world.until(() -> open(world));
-        world.seconds(0.3);
-        world.state().turnBack(image);
-        untilClosed(world, 1);
-        submit(world, 0, SimCluster.job(uid(8), 2));
-        Image later = world.state().image();
-        world.seconds(4);
-        submit(world, 1, SimCluster.job(uid(9), 2));
-        world.seconds(0.4);
-        long before = generation(world);
-        world.state().turnBack(later);
-        untilClosed(world, before + 1);
-        everyJobEnds(world);
-        everyNodeSays(world, 8, "done");
-        everyNodeSays(world, 9, "done");
+    void recoversFromRepeatedRollbacks() {
+        SimCluster cluster = startCluster(10);
+        Image image = createJobsInAllStates(cluster);
+        cluster.state().turnBack(image);
+        cluster.until(() -> isLossOpen(cluster));
+        cluster.seconds(0.3);
+        cluster.state().turnBack(image);
+        awaitClosed(cluster, 1);
+        submitUntilAccepted(cluster, 0, SimCluster.job(uid(8), 2));
+        Image laterImage = cluster.state().image();
+        cluster.seconds(4);
+        submitUntilAccepted(cluster, 1, SimCluster.job(uid(9), 2));
+        cluster.seconds(0.4);
+        long generationBefore = generation(cluster);
+        cluster.state().turnBack(laterImage);
+        awaitClosed(cluster, generationBefore + 1);
+        assertAllJobsEnd(cluster);
+        assertStageOnAllNodes(cluster, 8, "done");
+        assertStageOnAllNodes(cluster, 9, "done");
     }
 
     /** Guards every point at which the controller that puts writes back can end; the others remember the same. */
     @Test
-    void theLeaderIsCutOffAtAnyMomentOfIt() {
-        for (int moment = 1; moment <= 12; moment++) {
-            SimCluster world = begun(20 + moment);
-            Image image = jobsInEveryState(world);
-            world.state().turnBack(image);
-            world.until(() -> world.leader() >= 0 && generation(world) > 0);
-            world.seconds(0.02 * moment);
-            int leader = Math.max(0, world.leader());
-            world.freeze(leader, 8 * SECOND);
-            untilClosed(world, 1);
-            everyJobEnds(world);
+    void recoversIfLeaderFreezesDuringRebuild() {
+        for (int delaySteps = 1; delaySteps <= 12; delaySteps++) {
+            SimCluster cluster = startCluster(20 + delaySteps);
+            Image image = createJobsInAllStates(cluster);
+            cluster.state().turnBack(image);
+            cluster.until(() -> cluster.leader() >= 0 && generation(cluster) > 0);
+            cluster.seconds(0.02 * delaySteps);
+            int leader = Math.max(0, cluster.leader());
+            cluster.freeze(leader, 8 * SECOND);
+            awaitClosed(cluster, 1);
+            assertAllJobsEnd(cluster);
         }
     }
 
     /** Guards stamps: a transaction from before the loss comes after it, and finds none that it waits for. */
     @Test
-    void lateTransactionsFromBeforeTheLossChangeNothing() {
-        SimCluster world = begun(40);
-        Rule late = world.network().add(FailureInjector.writes("\"set\"", Fate.LATE, 0.5, new Random(40)));
-        Image image = jobsInEveryState(world);
-        world.seconds(1);
-        world.state().turnBack(image);
-        world.network().remove(late);
-        world.seconds(15);
-        untilClosed(world, 1);
-        everyJobEnds(world);
+    void ignoresDelayedTransactionsFromBeforeLoss() {
+        SimCluster cluster = startCluster(40);
+        Rule delayedWrites = cluster.network().add(FailureInjector.writes("\"set\"", Fate.LATE, 0.5, new Random(40)));
+        Image image = createJobsInAllStates(cluster);
+        cluster.seconds(1);
+        cluster.state().turnBack(image);
+        cluster.network().remove(delayedWrites);
+        cluster.seconds(15);
+        awaitClosed(cluster, 1);
+        assertAllJobsEnd(cluster);
     }
 
     /**
      * Guards users against a controller that starts after the loss: it asks the others before it says "no such job".
      */
     @Test
-    void aControllerThatStartsAfterTheLossTellsNothingOlder() {
-        SimCluster world = begun(43);
-        Image image = world.state().image();
-        submit(world, 0, SimCluster.job(uid(1), 2));
-        world.seconds(1);
-        int fresh = (world.leader() + 1) % NODES;
+    void controllerStartedAfterLossReturnsNoStaleStatus() {
+        SimCluster cluster = startCluster(43);
+        Image image = cluster.state().image();
+        submitUntilAccepted(cluster, 0, SimCluster.job(uid(1), 2));
+        cluster.seconds(1);
+        int restarted = (cluster.leader() + 1) % NODES;
         for (int node = 0; node < NODES; node++) {
-            world.freeze(node, SECOND / 2);
+            cluster.freeze(node, SECOND / 2);
         }
-        world.state().turnBack(image);
-        world.restart(fresh);
-        for (int look = 0; look < 60; look++) {
-            world.pollMeanwhile(fresh, uid(1));
-            world.seconds(0.05);
+        cluster.state().turnBack(image);
+        cluster.restart(restarted);
+        for (int poll = 0; poll < 60; poll++) {
+            cluster.pollMeanwhile(restarted, uid(1));
+            cluster.seconds(0.05);
         }
-        world.seconds(10);
-        assertThat(open(world))
+        cluster.seconds(10);
+        assertThat(isLossOpen(cluster))
                 .as("what it had stored before its end is not remembered")
                 .isTrue();
-        assertThat(world.broken()).isEmpty();
+        assertThat(cluster.broken()).isEmpty();
     }
 
     /** Guards against starting everything again when nobody but the workers knows of the later terms. */
     @Test
-    void afterAllControllersHaveEndedTheWorkersTokensShowTheLoss() {
-        SimCluster world = begun(41);
-        world.submit(0, SimCluster.job(uid(1), 4));
-        world.untilStarted(4, 60 * SECOND);
-        Image image = world.state().image();
-        int starts = world.starts();
-        int old = world.leader();
-        world.kill(old);
-        world.until(() -> world.leader() >= 0 && world.leader() != old);
-        world.seconds(4);
+    void detectsLossByFencingTokensAfterAllControllersRestarted() {
+        SimCluster cluster = startCluster(41);
+        cluster.submit(0, SimCluster.job(uid(1), 4));
+        cluster.untilStarted(4, 60 * SECOND);
+        Image image = cluster.state().image();
+        int starts = cluster.starts();
+        int oldLeader = cluster.leader();
+        cluster.kill(oldLeader);
+        cluster.until(() -> cluster.leader() >= 0 && cluster.leader() != oldLeader);
+        cluster.seconds(4);
         for (int node = 0; node < NODES; node++) {
-            world.kill(node);
+            cluster.kill(node);
         }
-        world.state().turnBack(image);
+        cluster.state().turnBack(image);
         for (int node = 0; node < NODES; node++) {
-            world.restart(node);
+            cluster.restart(node);
         }
-        world.until(() -> open(world));
-        world.seconds(10);
-        assertThat(open(world)).isTrue();
-        assertThat(world.starts()).isEqualTo(starts);
-        assertThat(world.state().value(RecoveryRecord.KEY).path("evidence").asText())
+        cluster.until(() -> isLossOpen(cluster));
+        cluster.seconds(10);
+        assertThat(isLossOpen(cluster)).isTrue();
+        assertThat(cluster.starts()).isEqualTo(starts);
+        assertThat(cluster.state().value(RecoveryRecord.KEY).path("evidence").asText())
                 .contains("term");
-        assertThat(world.broken()).isEmpty();
+        assertThat(cluster.broken()).isEmpty();
     }
 
     @Test
-    void whatIsOffSaysNothing() {
-        SimCluster world = new SimCluster(42);
-        world.seconds(3);
-        assertThat(world.askAsOperator(0, HttpRequest.get("/recovery/status")).status())
+    void servesNoRecoveryRoutesIfDisabled() {
+        SimCluster cluster = new SimCluster(42);
+        cluster.seconds(3);
+        assertThat(cluster.askAsOperator(0, HttpRequest.get("/recovery/status")).status())
                 .isEqualTo(404);
-        assertThat(world.state().value(RecoveryRecord.KEY)).isNull();
+        assertThat(cluster.state().value(RecoveryRecord.KEY)).isNull();
     }
 }
--- a/src/test/java/io/sillreel/recovery/RandomLossTest.java
+++ b/src/test/java/io/sillreel/recovery/RandomLossTest.java
@@ -1,7 +1,7 @@
 package io.sillreel.recovery;
 
 import static io.sillreel.recovery.RecoveryClusters.NODES;
-import static io.sillreel.recovery.RecoveryClusters.open;
+import static io.sillreel.recovery.RecoveryClusters.isLossOpen;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.sillreel.sim.FailureInjector;
@@ -25,106 +25,107 @@
 class RandomLossTest {
     private static final Logger LOG = LoggerFactory.getLogger(RandomLossTest.class);
     private static final int SEEDS = Integer.getInteger("sillreel.seeds", 120);
-    private static final double FOLLOWED_SECONDS = 0.3;
+    private static final double WATCH_DELAY_SECONDS = 0.3;
 
     private final List<String> accepted = new ArrayList<>();
 
     /** Users submit, cancel and ask for a while. */
-    private void usersAct(SimCluster world, Random random, int steps) {
+    private void runUserRequests(SimCluster cluster, Random random, int steps) {
         for (int step = 0; step < steps; step++) {
             int node = random.nextInt(NODES);
             String uid = "job-%06d".formatted(accepted.size() + 1);
-            if (world.isUp(node)
-                    && world.submit(node, SimCluster.job(uid, 1 + accepted.size() % 5))
+            if (cluster.isUp(node)
+                    && cluster.submit(node, SimCluster.job(uid, 1 + accepted.size() % 5))
                                             .status()
                                     / 100
                             == 2) {
                 accepted.add(uid);
             }
             if (!accepted.isEmpty()) {
-                String some = accepted.get(random.nextInt(accepted.size()));
-                for (int each = 0; each < NODES; each++) {
-                    world.pollMeanwhile(each, some);
+                String polledUid = accepted.get(random.nextInt(accepted.size()));
+                for (int polledNode = 0; polledNode < NODES; polledNode++) {
+                    cluster.pollMeanwhile(polledNode, polledUid);
                 }
                 if (random.nextInt(6) == 0) {
-                    world.cancelMeanwhile(random.nextInt(NODES), some);
+                    cluster.cancelMeanwhile(random.nextInt(NODES), polledUid);
                 }
             }
-            for (SimWorker machine : world.cloud().machines().values()) {
+            for (SimWorker machine : cluster.cloud().machines().values()) {
                 machine.runMicros(1_000_000 + random.nextInt(6_000_000));
             }
-            world.seconds(random.nextDouble() * 2);
+            cluster.seconds(random.nextDouble() * 2);
         }
     }
 
     /** A trouble that ends no controller. */
-    private static void trouble(SimCluster world, Random random, List<Rule> rules) {
+    private static void injectFailure(SimCluster cluster, Random random, List<Rule> rules) {
         int node = random.nextInt(NODES);
-        List<SimWorker> machines = List.copyOf(world.cloud().machines().values());
+        List<SimWorker> machines = List.copyOf(cluster.cloud().machines().values());
         switch (random.nextInt(8)) {
-            case 0 -> world.freeze(node, random.nextInt(8_000_000));
-            case 1 -> rules.add(world.network().add(FailureInjector.isolated(node)));
-            case 2 -> rules.add(world.network().add(FailureInjector.writes("\"set\"", Fate.LATE, 0.4, random)));
-            case 3 -> rules.add(world.network().add(FailureInjector.writes("\"set\"", Fate.LOSE_ANSWER, 0.4, random)));
-            case 4 -> rules.add(world.network().add(FailureInjector.reports(Fate.COPY, 0.5, random)));
+            case 0 -> cluster.freeze(node, random.nextInt(8_000_000));
+            case 1 -> rules.add(cluster.network().add(FailureInjector.isolated(node)));
+            case 2 -> rules.add(cluster.network().add(FailureInjector.writes("\"set\"", Fate.LATE, 0.4, random)));
+            case 3 ->
+                rules.add(cluster.network().add(FailureInjector.writes("\"set\"", Fate.LOSE_ANSWER, 0.4, random)));
+            case 4 -> rules.add(cluster.network().add(FailureInjector.reports(Fate.COPY, 0.5, random)));
             case 5 -> machines.forEach(machine -> machine.hang(random.nextInt(9_000_000)));
             case 6 -> {
                 if (!machines.isEmpty()) {
-                    world.cloud().take(machines.get(0).name());
+                    cluster.cloud().take(machines.get(0).name());
                 }
             }
-            default -> rules.add(world.network().add(FailureInjector.refused(node)));
+            default -> rules.add(cluster.network().add(FailureInjector.refused(node)));
         }
     }
 
-    private SimCluster play(long seed, boolean controllersEnd) {
+    private SimCluster runScenario(long seed, boolean restartController) {
         accepted.clear();
-        SimCluster world = RecoveryClusters.start(seed);
-        world.seconds(3);
+        SimCluster cluster = RecoveryClusters.start(seed);
+        cluster.seconds(3);
         Random random = new Random(seed);
         List<Rule> rules = new ArrayList<>();
-        usersAct(world, random, 3 + random.nextInt(6));
+        runUserRequests(cluster, random, 3 + random.nextInt(6));
         int losses = 1 + random.nextInt(2);
         for (int loss = 0; loss < losses; loss++) {
-            Image image = world.state().image();
-            usersAct(world, random, random.nextInt(6));
-            trouble(world, random, rules);
-            world.seconds(random.nextDouble());
+            Image image = cluster.state().image();
+            runUserRequests(cluster, random, random.nextInt(6));
+            injectFailure(cluster, random, rules);
+            cluster.seconds(random.nextDouble());
             // What one controller has told, the others hear of a little later.
-            world.seconds(FOLLOWED_SECONDS);
-            if (controllersEnd) {
-                world.restart(random.nextInt(NODES));
+            cluster.seconds(WATCH_DELAY_SECONDS);
+            if (restartController) {
+                cluster.restart(random.nextInt(NODES));
             }
-            LOG.info("turned back from {}", world.state().ledger());
-            world.state().turnBack(image);
-            LOG.info("to {}", world.state().ledger());
-            usersAct(world, random, random.nextInt(4));
-            trouble(world, random, rules);
-            world.seconds(random.nextDouble() * 6);
+            LOG.info("turned back from {}", cluster.state().ledger());
+            cluster.state().turnBack(image);
+            LOG.info("to {}", cluster.state().ledger());
+            runUserRequests(cluster, random, random.nextInt(4));
+            injectFailure(cluster, random, rules);
+            cluster.seconds(random.nextDouble() * 6);
         }
-        rules.forEach(world.network()::remove);
-        world.network().release();
-        for (SimWorker machine : world.cloud().machines().values()) {
+        rules.forEach(cluster.network()::remove);
+        cluster.network().release();
+        for (SimWorker machine : cluster.cloud().machines().values()) {
             machine.runMicros(3_000_000);
         }
-        world.seconds(120);
-        assertThat(brokenRules(world)).as("seed %d", seed).isEmpty();
-        return world;
+        cluster.seconds(120);
+        assertThat(violations(cluster)).as("seed %d", seed).isEmpty();
+        return cluster;
     }
 
-    private void everyAcceptedJobHasEnded(SimCluster world, long seed) {
+    private void assertAcceptedJobsEnded(SimCluster cluster, long seed) {
         for (String uid : accepted) {
-            assertThat(world.stage(0, uid)).as("seed %d, %s", seed, uid).isIn("done", "withdrawn");
+            assertThat(cluster.stage(0, uid)).as("seed %d, %s", seed, uid).isIn("done", "withdrawn");
         }
-        assertThat(brokenRules(world)).as("seed %d", seed).isEmpty();
+        assertThat(violations(cluster)).as("seed %d", seed).isEmpty();
     }
 
     /**
      * The users' rules. That a machine is stored as up before it is given tasks is none of them: until a leader notices
      * the loss, it knows of machines whose rentals are gone from the store, and puts them back afterwards.
      */
-    private static List<String> brokenRules(SimCluster world) {
-        return world.broken().stream()
+    private static List<String> violations(SimCluster cluster) {
+        return cluster.broken().stream()
                 .filter(rule -> !rule.startsWith("unstored"))
                 .toList();
     }
@@ -133,33 +134,39 @@
      * A loss of few writes that others have made up for before anybody asked shows only where a lost key is read; then
      * nobody can say what else came from before it, and it is held back for an operator.
      */
-    private static boolean seenByTheLedger(SimCluster world) {
-        return world.state().value(RecoveryRecord.KEY).path("evidence").asText().startsWith("ledger");
+    private static boolean isDetectedByStoreRevision(SimCluster cluster) {
+        return cluster.state()
+                .value(RecoveryRecord.KEY)
+                .path("evidence")
+                .asText()
+                .startsWith("ledger");
     }
 
     @Test
-    void whileAllControllersLiveNothingIsLost() {
+    void restoresAllWritesWhileAllControllersRun() {
         for (long seed = Long.getLong("sillreel.seed", 1); seed <= SEEDS; seed++) {
-            SimCluster world = play(seed, false);
-            if (open(world)) {
-                assertThat(seenByTheLedger(world)).as("seed %d", seed).isFalse();
+            SimCluster cluster = runScenario(seed, false);
+            if (isLossOpen(cluster)) {
+                assertThat(isDetectedByStoreRevision(cluster))
+                        .as("seed %d", seed)
+                        .isFalse();
             } else {
-                everyAcceptedJobHasEnded(world, seed);
+                assertAcceptedJobsEnded(cluster, seed);
             }
         }
     }
 
     @Test
-    void whenControllersEndWithTheLossWritesAreHeldBackOrNothingIsLost() {
-        int held = 0;
+    void staysSuspendedOrLosesNothingIfControllersRestart() {
+        int suspendedCount = 0;
         for (long seed = 100 + Long.getLong("sillreel.seed", 1); seed <= 100 + SEEDS; seed++) {
-            SimCluster world = play(seed, true);
-            if (open(world)) {
-                held++;
+            SimCluster cluster = runScenario(seed, true);
+            if (isLossOpen(cluster)) {
+                suspendedCount++;
             } else {
-                everyAcceptedJobHasEnded(world, seed);
+                assertAcceptedJobsEnded(cluster, seed);
             }
         }
-        assertThat(held).isPositive();
+        assertThat(suspendedCount).isPositive();
     }
 }
--- a/src/test/java/io/sillreel/recovery/RecoveryClusters.java
+++ b/src/test/java/io/sillreel/recovery/RecoveryClusters.java
@@ -21,8 +21,8 @@
     }
 
     /** True while a loss is stored that has not been made good. */
-    static boolean open(SimCluster world) {
-        JsonNode record = world.state().value(RecoveryRecord.KEY);
+    static boolean isLossOpen(SimCluster cluster) {
+        JsonNode record = cluster.state().value(RecoveryRecord.KEY);
         return record != null && record.path("open").asBoolean();
     }
 }
--- a/src/test/java/io/sillreel/recovery/RecoveryMessagesSamplesTest.java
+++ b/src/test/java/io/sillreel/recovery/RecoveryMessagesSamplesTest.java
@@ -13,11 +13,11 @@
 /** The messages between controllers about lost writes and their routes. */
 class RecoveryMessagesSamplesTest {
     @Test
-    void readsAndWritesTheStatusOfPeers() throws Exception {
+    void decodesAndEncodesPeerStatus() throws Exception {
         GoldenSamples.assertConverts("recovery-greetings.txt", input -> {
             try {
-                PeerStatus status = PeerStatus.of(bytes(input));
-                return values(status) + "\n" + hex(status.bytes());
+                PeerStatus status = PeerStatus.decode(bytes(input));
+                return values(status) + "\n" + hex(status.encode());
             } catch (UncheckedIOException e) {
                 return "unreadable";
             }
@@ -25,16 +25,16 @@
     }
 
     @Test
-    void readsAndWritesPagesOfRememberedChanges() throws Exception {
+    void decodesAndEncodesPages() throws Exception {
         GoldenSamples.assertConverts("recovery-pages.txt", input -> {
-            Page page = Page.of(bytes(input));
-            return values(page) + "\n" + hex(page.bytes());
+            Page page = Page.decode(bytes(input));
+            return values(page) + "\n" + hex(page.encode());
         });
     }
 
     @Test
-    void namesTheRoutes() {
+    void keepsRoutes() {
         GoldenSamples.assertMatches(
-                "recovery-routes.txt", RecoveryMessages.GREETING + "\n" + RecoveryMessages.CHANGES + "\n");
+                "recovery-routes.txt", RecoveryMessages.STATUS_ROUTE + "\n" + RecoveryMessages.CHANGES_ROUTE + "\n");
     }
 }
--- a/src/test/java/io/sillreel/recovery/RecoverySamplesTest.java
+++ b/src/test/java/io/sillreel/recovery/RecoverySamplesTest.java
@@ -10,10 +10,10 @@
 /** The stored verdict about lost writes. */
 class RecoverySamplesTest {
     @Test
-    void readsAndWritesTheStoredVerdict() throws Exception {
+    void readsAndWritesStoredRecord() throws Exception {
         GoldenSamples.assertConverts("recovery-records.txt", input -> {
             RecoveryRecord record = RecoveryRecord.of(json(input));
-            return RecoveryRecord.KEY + " " + values(record) + "\n" + text(record.json());
+            return RecoveryRecord.KEY + " " + values(record) + "\n" + text(record.toJson());
         });
     }
 }
