--- a/src/main/java/io/sillreel/ActiveTerm.java
+++ b/src/main/java/io/sillreel/ActiveTerm.java
@@ -17,8 +17,8 @@
 import java.util.Optional;
 
 /**
- * The term that this controller leads, if it leads one: begins and ends it as the election says, and passes on what
- * concerns it. Runs on the event loop.
+ * Holds the term that this controller leads, if any: begins and ends it with the election's callbacks, and forwards
+ * events to it. Runs on the event loop.
  */
 final class ActiveTerm implements LeaderElection.Listener, LeaderLocator, LiveTaskCounts {
     private static final long CANCELLATION_TIMEOUT_MICROS = 2_000_000;
@@ -83,8 +83,8 @@
     }
 
     /**
-     * Tells the leader, here or elsewhere, of a cancellation that this controller has stored. The leader follows the
-     * stored cancellations as well, but the state store may be out of its reach alone.
+     * Notifies the leader, on this or another controller, of a cancellation that this controller has stored. The leader
+     * also watches the stored cancellations, but it may be the only controller that can't reach the state store.
      */
     void notifyLeaderOfCancellation(String uid) {
         if (leaderTerm != null) {
@@ -96,17 +96,17 @@
         }
     }
 
-    /** True while this controller leads a term, whose state may not be loaded yet. */
+    /** True while this controller leads a term; the term's state may not be loaded yet. */
     boolean isLeading() {
         return leaderTerm != null;
     }
 
-    /** Another controller has stored cancellations; only called while this one leads. */
+    /** Forwards cancellations that another controller has stored; only called while this controller leads. */
     void jobsCancelled(List<String> uids) {
         uids.forEach(leaderTerm::jobCancelled);
     }
 
-    /** Resigns if another controller would lead better. */
+    /** Resigns leadership if another controller is in a better position to lead. */
     void checkReachability() {
         if (leaderTerm != null) {
             leaderTerm.checkReachability();
--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -34,14 +34,14 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One controller: builds its parts and passes each request to the part that handles it. It does no I/O of its own; time
- * and network are handed in. Methods are called on the event loop.
+ * One controller: creates its components and routes each request to the one that handles it. It performs no I/O itself;
+ * the event loop and the HTTP clients are injected. Methods are called on the event loop.
  */
 public final class Controller implements MeterBinder {
     private static final String JOBS_ROUTE = "/v2/runs";
     private static final String HEALTH_ROUTE = "/up";
     private static final String METRICS_ROUTE = "/metrics";
-    /** The shares of the common rate limits that one of several controllers uses at most. */
+    /** The largest fractions of the rate limits, which all controllers share, that one controller uses. */
     private static final double REQUEST_RATE_SHARE = 0.5;
 
     private static final double WRITE_RATE_SHARE = 0.7;
@@ -61,12 +61,12 @@
     private final EventLoopLag eventLoopLag;
     private final RequestQueue requestQueue;
     private final LostWriteProtection protection;
-    /** Null until metrics are asked for first. */
+    /** Null until metrics are first requested. */
     private ControllerMetrics metrics;
 
     /**
-     * @param leaseHttpClient for requests that renew the lease, which have to wait behind nothing else
-     * @param limits what the memory and the sockets of this process allow
+     * @param leaseHttpClient sends lease renewals, which must not wait behind other requests
+     * @param limits limits that follow from the memory and the sockets of this process
      */
     public Controller(
             EventLoop eventLoop,
@@ -161,8 +161,8 @@
     /**
      * Starts the election and all periodic work.
      *
-     * @param openPublicPort called once the leader is known or can't be known now: before, the requests of hundreds of
-     *     agents could only be refused, and would take processor time from the election that they wait for
+     * @param openPublicPort called once the leader is known or can't be determined now; before that, requests of
+     *     hundreds of agents could only be refused, and would take CPU time from the election that they wait for
      */
     public void start(Runnable openPublicPort) {
         eventLoopLag.start();
@@ -180,7 +180,7 @@
         helloExchange.sendHellos();
     }
 
-    /** The class by which a public request is queued: health checks are not, heartbeats apart from users' requests. */
+    /** The queueing class of a public request: health checks skip the queue, heartbeats have a class of their own. */
     public static RequestClass requestClass(HttpRequest request) {
         return switch (request.route()) {
             case HEALTH_ROUTE -> RequestClass.IMMEDIATE;
@@ -242,7 +242,7 @@
         metrics().bindTo(registry);
     }
 
-    /** Created on demand, since most controllers are never asked for metrics and loading the classes delays a start. */
+    /** Created on demand: metrics of most controllers are never requested, and loading the classes delays a start. */
     private ControllerMetrics metrics() {
         if (metrics == null) {
             metrics = new ControllerMetrics(
--- a/src/main/java/io/sillreel/ControllerMetrics.java
+++ b/src/main/java/io/sillreel/ControllerMetrics.java
@@ -28,7 +28,7 @@
     private final WorkerLoadBalancer loadBalancer;
     private final EventLoopLag eventLoopLag;
     private final RequestQueue requestQueue;
-    /** Null until the JSON form is asked for first. */
+    /** Null until the JSON form is first requested. */
     private MeterRegistry ownRegistry;
 
     ControllerMetrics(
--- a/src/main/java/io/sillreel/HealthCheck.java
+++ b/src/main/java/io/sillreel/HealthCheck.java
@@ -7,7 +7,7 @@
 import io.sillreel.peer.Peers;
 import io.sillreel.statestore.StateStore;
 
-/** Answers health checks, by which the platform decides where users' requests go. */
+/** Responds to health checks, by which the platform routes users' requests. */
 final class HealthCheck {
     private static final long MAX_STORE_SILENCE_MICROS = 4_000_000;
 
@@ -25,14 +25,15 @@
         this.startedMicros = eventLoop.nowMicros();
     }
 
-    /** True if the state store has answered this controller lately; for a while after the start in any case. */
+    /** True if the state store has responded recently, and for some time after the start in any case. */
     boolean isStoreReachable() {
         return eventLoop.nowMicros() - Math.max(store.lastAnswerMicros(), startedMicros) < MAX_STORE_SILENCE_MICROS;
     }
 
     /**
-     * Unhealthy if the state store answers another controller and not this one, or if this one can't judge submissions
-     * yet: users are then better served elsewhere. If the store answers nobody, being unhealthy would help no one.
+     * Responds unhealthy if another controller can reach the state store while this one can't, or while this one has no
+     * machine types yet to validate submissions with: the other controller then serves users better. If no controller
+     * can reach the store, an unhealthy response would not help.
      */
     HttpResponse respond() {
         boolean canServe = isStoreReachable() && !machineTypes.types().isEmpty();
--- a/src/main/java/io/sillreel/HelloExchange.java
+++ b/src/main/java/io/sillreel/HelloExchange.java
@@ -12,7 +12,10 @@
 import io.sillreel.settings.Settings;
 import io.sillreel.settings.Settings.Member;
 
-/** Exchanges with the other controllers who leads and how each one fares. Runs on the event loop. */
+/**
+ * Exchanges hellos with the other controllers, which carry the known leader and the sender's reachability and load.
+ * Runs on the event loop.
+ */
 final class HelloExchange {
     /** The interval at which hellos are to be sent. */
     static final long INTERVAL_MICROS = 1_000_000;
@@ -48,7 +51,7 @@
     void sendHellos() {
         for (Member member : settings.members()) {
             if (peers.wasHeardWithin(member.nodeName(), INTERVAL_MICROS * 3 / 4)) {
-                // Its hello and the response to it have told both sides everything.
+                // Its hello and the response to it have already informed both sides.
                 continue;
             }
             HttpRequest request = HelloCodec.toRequest(ownHello());
@@ -60,7 +63,7 @@
         }
     }
 
-    /** Takes the hello of another controller; the response is this controller's own. */
+    /** Handles the hello of another controller; the response carries this controller's own. */
     HttpResponse handle(HttpRequest request) {
         receive(HelloCodec.decode(request.body()));
         return HelloCodec.toResponse(ownHello());
--- a/src/main/java/io/sillreel/LostWriteProtection.java
+++ b/src/main/java/io/sillreel/LostWriteProtection.java
@@ -12,30 +12,30 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** What a controller does about a state store that may lose writes. Operators decide whether it does anything. */
+/** Protection against a state store that loses writes. Operators decide whether it is enabled. */
 interface LostWriteProtection {
     /** Wraps a client of the state store, so that its responses are checked for signs of a loss. */
     HttpClient monitor(HttpClient client);
 
-    /** Sees the heartbeats of agents, which may show a term that is no longer stored. */
+    /** The observer of agents' heartbeats, which may carry a term that is no longer stored. */
     HeartbeatObserver heartbeatObserver();
 
-    /** The next term has to lie above this one, whatever is stored. */
+    /** A term that the next one has to lie above, whatever is stored. */
     long termFloor();
 
-    /** Starts the protection; both use a monitored client. */
+    /** Starts the protection; the store and the election use monitored clients. */
     void start(StateStore store, LeaderElection election);
 
-    /** Handles a user's request, unless its answer could rest on a state that lost writes. */
+    /** Handles a user's request, or refuses it if the response could be based on state that lacks lost writes. */
     CompletableFuture<HttpResponse> handleUserRequest(HttpRequest request, HttpHandler handler);
 
-    /** Begins the term once no loss is known, or a known one is repaired. */
+    /** Begins the term once no loss is known or a known one has been repaired. */
     void beforeTerm(TermGrant grant, Runnable beginTerm);
 
-    /** The term, begun or not, has ended. */
+    /** Called when the term has ended, whether or not it had begun. */
     void termLost();
 
-    /** Handles a request of another controller or an operator; empty if its path belongs to something else. */
+    /** Handles a request of another controller or an operator; empty if the protection does not serve its route. */
     Optional<HttpResponse> handleInternal(HttpRequest request);
 
     /** The values of its metrics by their names. */
--- a/src/main/java/io/sillreel/NoLostWriteProtection.java
+++ b/src/main/java/io/sillreel/NoLostWriteProtection.java
@@ -12,7 +12,9 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** The state store is relied on: nothing is checked, and no class of the recovery is loaded. */
+/**
+ * Disabled protection: responses of the state store are not checked, and no class of the recovery package is loaded.
+ */
 final class NoLostWriteProtection implements LostWriteProtection {
     @Override
     public HttpClient monitor(HttpClient client) {
--- a/src/main/java/io/sillreel/RecoveryProtection.java
+++ b/src/main/java/io/sillreel/RecoveryProtection.java
@@ -13,7 +13,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** Losses of writes are noticed and repaired by {@link Recovery}. */
+/** Enabled protection: {@link Recovery} detects lost writes and restores them. */
 final class RecoveryProtection implements LostWriteProtection {
     private final Recovery recovery;
 
--- a/src/main/java/io/sillreel/recovery/ChangeLog.java
+++ b/src/main/java/io/sillreel/recovery/ChangeLog.java
@@ -14,18 +14,19 @@
 import java.util.TreeMap;
 
 /**
- * The last changes of the state service, the newest of each key, within a bound on memory. What was followed is known
- * without gaps from one revision to another; what was stored by this controller itself is known beyond that at once.
+ * The recent changes of the state service, the newest of each key, limited in memory. Watched changes are complete from
+ * {@code completeFrom} to {@code completeTo}; this controller's own commits are added at once, even if they lie beyond
+ * that range. Thread-safe; all state is guarded by this.
  */
 final class ChangeLog {
     private final long maxBytes;
-    /** In the order of their stamps, but for own writes that have not been followed yet. */
+    /** By key, in the order of their revisions except for own commits that the watch has not reported yet. */
     private final Map<String, RecentChange> changes = new LinkedHashMap<>();
 
-    /** The keys that this controller changed at each revision that has not been followed yet. */
+    /** The keys that this controller changed, by revision, as far as the watch has not reported them yet. */
     private final NavigableMap<Long, Set<String>> ownKeysByRevision = new TreeMap<>();
 
-    /** The latest change of a key that nobody ever removes, or null. */
+    /** The latest change of a key that is never removed, or null. */
     private RecentChange latestPermanent;
 
     private long sizeBytes;
@@ -33,15 +34,15 @@
     private long completeTo;
     private long recordingSinceMicros = Long.MAX_VALUE;
 
-    /** @param maxBytes about what the changes may take of the memory */
+    /** @param maxBytes approximate limit on the memory that the changes take */
     ChangeLog(long maxBytes) {
         this.maxBytes = maxBytes;
     }
 
     /**
-     * Forgets everything; from now on all changes after the revision are followed.
+     * Clears the log; all changes after the revision are watched from now on.
      *
-     * @param wallMicros the time of day
+     * @param wallMicros the current wall-clock time
      */
     synchronized void reset(long storeRevision, long wallMicros) {
         recordingSinceMicros = wallMicros;
@@ -58,8 +59,8 @@
     }
 
     /**
-     * A loss has been made good: what was remembered up to the revision is still true, and what was stored after it is
-     * followed anew. False if too little is remembered for that.
+     * Removes all changes after the revision once a loss has been repaired; changes up to it are still valid, later
+     * ones are watched again. Returns false without any change if the log does not reach back to the revision.
      */
     synchronized boolean truncateAfter(long keptRevision) {
         if (keptRevision == 0 || completeFrom > keptRevision + 1) {
@@ -72,16 +73,16 @@
         return true;
     }
 
-    /** A change that was read; it is as good as one that was followed. */
+    /** Adds a change that was read; it counts like a watched one. */
     synchronized void addRead(RecentChange change) {
         put(change);
     }
 
     /**
-     * All changes up to the revision have been followed.
+     * Adds the changes up to the revision that a watch has reported.
      *
-     * @return a key that was changed by this controller, as it was told, and whose change is not among the news; empty
-     *     unless the state service has lost it
+     * @return a key for which the state service confirmed a commit of this controller that is not among the events,
+     *     which proves that the write was lost; empty if no such commit is missing
      */
     synchronized Optional<String> addWatched(Collection<RecentChange> events, long storeRevision) {
         Optional<String> lost = findMissingOwnKey(events, storeRevision);
@@ -109,7 +110,7 @@
         return Optional.empty();
     }
 
-    /** One transaction of this controller has been stored. */
+    /** Adds the changes of a transaction that this controller has committed. */
     synchronized void addCommitted(Collection<RecentChange> changesMade, long storeRevision) {
         changesMade.forEach(this::put);
         if (storeRevision > completeTo) {
@@ -123,11 +124,11 @@
     private void put(RecentChange change) {
         RecentChange older = changes.get(change.key());
         boolean outdated = older != null && older.revision() >= change.revision();
-        // The leader's key ends with its lease.
+        // The leader key is bound to a lease, so it is never restored.
         if (outdated || change.key().equals(LeaderElection.LEADER_KEY)) {
             return;
         }
-        // Taken out first, so that the change comes last in the order.
+        // Removed first, since a put that replaces a value would keep its old position in the order.
         changes.remove(change.key());
         changes.put(change.key(), change);
         sizeBytes += change.sizeBytes() - (older == null ? 0 : older.sizeBytes());
@@ -147,25 +148,25 @@
         }
     }
 
-    /** The stamp of the last known change of a key that is stored as far as is known, or 0. */
+    /** The revision of the newest known change of the key, or 0 if there is none or the key was removed. */
     synchronized long revisionOf(String key) {
         RecentChange change = changes.get(key);
         return change == null || change.isRemoval() ? 0 : change.revision();
     }
 
     /**
-     * The key of the latest change that can be looked at to see whether it is still there: what is lost is always what
-     * came last.
+     * The key that was changed last among those that are never removed. A loss always affects the latest writes, so
+     * reading this key shows whether a loss has occurred.
      */
     synchronized Optional<String> latestPermanentKey() {
         return Optional.ofNullable(latestPermanent).map(RecentChange::key);
     }
 
     /**
-     * Everything that is remembered.
+     * A copy of the log's content.
      *
-     * @param observedBeforeLossMicros a time of day at which the state service had certainly not lost anything yet, or
-     *     0
+     * @param observedBeforeLossMicros a wall-clock time at which the state service had certainly not lost any writes
+     *     yet, or 0 if none is known
      */
     synchronized Snapshot snapshot(long observedBeforeLossMicros) {
         return new Snapshot(
@@ -181,21 +182,21 @@
         return sizeBytes;
     }
 
-    /** The first revision from which all changes are known. */
+    /** The revision from which on the log is complete; {@link Long#MAX_VALUE} before the first watch. */
     synchronized long completeFrom() {
         return completeFrom;
     }
 
     /**
-     * What one controller remembers.
+     * The content of one controller's change log.
      *
      * @param changes the newest known change of each key
-     * @param completeFrom the first revision from which all changes are known, if that is not beyond the last
-     * @param completeTo the last revision up to which all changes are known
-     * @param ownRevisions later revisions that are known since they were written here
-     * @param recordingSinceMicros the time of day from which it remembers without a break
-     * @param observedBeforeLossMicros a time of day at which the state service had certainly not lost anything yet, or
-     *     0
+     * @param completeFrom the revision from which on the changes are complete; none are if it lies beyond completeTo
+     * @param completeTo the revision up to which the changes are complete
+     * @param ownRevisions later revisions, at which this controller committed changes itself
+     * @param recordingSinceMicros the wall-clock time since which changes have been recorded without interruption
+     * @param observedBeforeLossMicros a wall-clock time at which the state service had certainly not lost any writes
+     *     yet, or 0 if none is known
      */
     record Snapshot(
             List<RecentChange> changes,
@@ -204,7 +205,7 @@
             List<Long> ownRevisions,
             long recordingSinceMicros,
             long observedBeforeLossMicros) {
-        /** True if all of it was stored before the loss. */
+        /** True if the controller observed the state service before the loss, so that all changes precede the loss. */
         boolean observedBeforeLoss() {
             return observedBeforeLossMicros > 0;
         }
--- a/src/main/java/io/sillreel/recovery/ChangeLogWatcher.java
+++ b/src/main/java/io/sillreel/recovery/ChangeLogWatcher.java
@@ -17,12 +17,15 @@
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 
-/** Follows all changes of the state service into the log, and tells of those of the stored verdict. */
+/**
+ * Watches all keys of the state service, adds the changes to the change log and reports changes of the stored recovery
+ * record. Runs on the event loop.
+ */
 final class ChangeLogWatcher {
     private static final String ALL_KEYS = "";
     private static final long WATCH_MICROS = 2_000_000;
     private static final long RETRY_MICROS = 500_000;
-    /** A watch without a change, its answer and the pause before the next one take less. */
+    /** Longer than an idle watch, its response and the delay before the next watch take together. */
     private static final long MAX_WATCH_SILENCE_MICROS = 3_500_000;
 
     private final StateStore store;
@@ -32,16 +35,16 @@
     private final BooleanSupplier suspended;
     private final Consumer<RecoveryRecord> onRecord;
     private final Consumer<String> onLoss;
-    /** Counts how often the following has begun anew; what was asked for before ends then. */
+    /** Incremented at each restart, resume and stop; responses that belong to an earlier session are ignored. */
     private long currentSession;
 
     private long lastWatchMicros;
 
     /**
-     * @param batchingDelayMicros how long changes gather before they are asked for
-     * @param suspended true while nothing is to be followed
-     * @param onRecord told of each stored verdict
-     * @param onLoss told what shows that writes have been lost
+     * @param batchingDelayMicros the delay between two watches, in which changes accumulate
+     * @param suspended true while nothing is to be watched
+     * @param onRecord receives each recovery record that is read or changed
+     * @param onLoss receives the evidence when lost writes are detected
      */
     ChangeLogWatcher(
             StateStore store,
@@ -60,12 +63,15 @@
         this.onLoss = onLoss;
     }
 
-    /** Begins to follow anew; what was remembered is forgotten. */
+    /** Clears the change log and starts a new watch. */
     void restart() {
         startSession(++currentSession, true);
     }
 
-    /** Goes on from a revision up to which nothing had been lost, or begins anew where that is not known. */
+    /**
+     * Continues from the last revision that was not lost; clears the change log and starts a new watch if the log does
+     * not reach back to that revision.
+     */
     void resume(long keptRevision) {
         if (log.truncateAfter(keptRevision)) {
             watch(++currentSession, keptRevision);
@@ -74,19 +80,19 @@
         }
     }
 
-    /** True if changes have not been heard of for so long that a loss may have been noticed elsewhere meanwhile. */
+    /** True if no watch has succeeded for so long that peers may have detected a loss in the meantime. */
     boolean isLagging() {
         return eventLoop.nowMicros() - lastWatchMicros > MAX_WATCH_SILENCE_MICROS;
     }
 
-    /** Ends the following until it is begun anew. */
+    /** Stops watching until the next restart or resume. */
     void stop() {
         currentSession++;
     }
 
     /**
-     * @param fromPermanentKey true to follow from the last change of a key that is never removed: if that is still
-     *     there after a loss, then all that was lost is remembered
+     * @param fromPermanentKey true to watch from the last change of a key that is never removed: if that change is
+     *     still stored after a loss, the change log covers everything that was lost
      */
     private void startSession(long session, boolean fromPermanentKey) {
         store.list(RecoveryRecord.KEY).thenAcceptBoth(store.get(LeaderElection.TERM_KEY), (listing, term) -> {
--- a/src/main/java/io/sillreel/recovery/ChangeRestorer.java
+++ b/src/main/java/io/sillreel/recovery/ChangeRestorer.java
@@ -19,25 +19,28 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Finds out which of the remembered changes are gone, and makes them again where nothing newer is stored. */
+/**
+ * Determines which of the logged changes the state service has lost, and writes them again unless a newer value is
+ * stored. Used on the event loop only.
+ */
 final class ChangeRestorer {
     private static final Logger LOG = LoggerFactory.getLogger(ChangeRestorer.class);
     private static final int MAX_CHANGES_PER_WRITE = 16;
-    /** The protocol allows so many conditions for each change that a transaction may hold. */
+    /** The protocol of the state service allows this many conditions for each change of a transaction. */
     private static final int CONDITIONS_PER_CHANGE = 4;
 
     private final RebuildLease lease;
     private final RevisionTracker revisions;
     private final int maxTransactionChanges;
     private Predicate<RecentChange> observedBeforeLoss = change -> false;
-    /** Revisions of which a remembered change is still stored. */
+    /** Revisions of logged changes that are still stored. */
     private final NavigableSet<Long> keptRevisions = new TreeSet<>();
 
     private long firstLostRevision = Long.MAX_VALUE;
     private int restoredCount;
     private String oversizedKey;
 
-    /** @param maxTransactionChanges how many changes a transaction may hold */
+    /** @param maxTransactionChanges number of changes that the state service takes in one transaction */
     ChangeRestorer(RebuildLease lease, RevisionTracker revisions, int maxTransactionChanges) {
         this.lease = lease;
         this.revisions = revisions;
@@ -45,31 +48,32 @@
     }
 
     /**
-     * The latest revision of which a remembered change is still stored, or 0. Once a change is lost all later ones are:
-     * a later one that is found was stored since, under a revision that had meant something else.
+     * The latest revision before the loss of which a logged change is still stored, or 0 if there is none. A loss
+     * covers all changes after its first one, so a later change that is found was written after the loss, at a revision
+     * that was used a second time.
      */
     long keptRevision() {
         Long latest = keptRevisions.lower(firstLostRevision);
         return latest == null ? 0 : latest;
     }
 
-    /** How many keys have been put back or removed again. */
+    /** The number of keys whose value or removal has been restored. */
     int restoredCount() {
         return restoredCount;
     }
 
-    /** A key that can't be put back, since the state service takes only smaller values by now. */
+    /** A key that can't be restored, since its value exceeds the current size limit of the state service. */
     Optional<String> oversizedKey() {
         return Optional.ofNullable(oversizedKey);
     }
 
     /**
-     * Makes the changes again that are gone. What was lost is what came last, so the search ends where a whole
-     * transaction of comparisons finds everything as it is remembered.
+     * Restores the changes that are missing. A loss affects the latest changes, so the search ends at the first full
+     * transaction of comparisons in which every key has its logged revision.
      *
      * @param newestFirst the newest known change of each key
-     * @param isObservedBeforeLoss true for a change that was certainly seen before the loss
-     * @param onDone run once all that can be is stored
+     * @param isObservedBeforeLoss true for a change that was certainly stored before the loss
+     * @param onDone run once everything that can be restored is stored
      */
     void restore(List<RecentChange> newestFirst, Predicate<RecentChange> isObservedBeforeLoss, Runnable onDone) {
         observedBeforeLoss = isObservedBeforeLoss;
@@ -90,9 +94,10 @@
     }
 
     /**
-     * Compares a batch again and again without what was named as different, until the rest is said to be as remembered.
+     * Compares the revisions of a batch with the stored ones, and repeats this without the keys that differ until all
+     * remaining keys match.
      *
-     * @param foundMissing true if something of the batch has been found to be gone
+     * @param foundMissing true if a change of the batch has been found missing
      */
     private void findMissing(
             List<RecentChange> batch,
@@ -169,7 +174,7 @@
         }
     }
 
-    /** Reads what the keys hold now, and writes what is to replace it. */
+    /** Reads the current values of the keys, and replaces those that have to be restored. */
     private void restoreMissing(List<RecentChange> batch, Deque<RecentChange> rest, Runnable onDone) {
         List<CompletableFuture<ReadResult>> reads = new ArrayList<>();
         batch.forEach(change -> reads.add(lease.store().get(change.key())));
@@ -223,7 +228,7 @@
             restoreMissing(batch.subList(0, 1), rest, onDone);
         } else if (commit.outcome() == StoreOutcome.TOO_LARGE) {
             oversizedKey = batch.get(0).key();
-            LOG.error("{} is larger than the state service takes now, and can't be put back", oversizedKey);
+            LOG.error("cannot restore {}: its value exceeds the size limit of the state service", oversizedKey);
             restoreMissing(rest, onDone);
         } else {
             lease.retryLater(() -> restoreMissing(batch, rest, onDone));
--- a/src/main/java/io/sillreel/recovery/CollectedSnapshots.java
+++ b/src/main/java/io/sillreel/recovery/CollectedSnapshots.java
@@ -11,14 +11,18 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** What the controllers that are left remember together, and whether that is everything that was lost. */
+/**
+ * Merges the change log snapshots of the controllers that respond, and determines whether they cover all lost writes.
+ */
 final class CollectedSnapshots {
     private final Map<String, Snapshot> snapshots = new LinkedHashMap<>();
     private final Map<String, RecentChange> newest = new HashMap<>();
-    /** The stamps that controllers know which have certainly seen the state service before the loss. */
+    /**
+     * The newest revision by key, from the snapshots of controllers that observed the state service before the loss.
+     */
     private final Map<String, Long> revisionsBeforeLoss = new HashMap<>();
 
-    /** Adds what a controller remembers. */
+    /** Adds the snapshot of a controller. */
     void add(String node, Snapshot snapshot) {
         snapshots.put(node, snapshot);
         for (RecentChange change : snapshot.changes()) {
@@ -30,13 +34,14 @@
     }
 
     /**
-     * True if the change was certainly stored before the loss; whoever did not notice it may have followed later ones.
+     * True if the change was certainly stored before the loss. A controller that did not notice the loss may have
+     * logged changes that were made after it.
      */
     boolean isObservedBeforeLoss(RecentChange change) {
         return revisionsBeforeLoss.getOrDefault(change.key(), 0L) == change.revision();
     }
 
-    /** Those whose memory has been added. */
+    /** The names of the controllers whose snapshots have been added. */
     Set<String> nodes() {
         return new TreeSet<>(snapshots.keySet());
     }
@@ -49,12 +54,12 @@
     }
 
     /**
-     * Says why something may have been lost that nobody here remembers; empty if nothing can have been.
+     * Returns the reason why a write may have been lost that no snapshot contains; empty if that is ruled out.
      *
      * @param members all controllers that may have written
      * @param keptRevision a revision that the state service has certainly kept, or 0 if none is known
-     * @param peaks what was reached before the loss
-     * @param skewMicros how far two controllers' times of day may lie apart
+     * @param highWatermarks the highest values before the loss
+     * @param skewMicros maximum difference between the wall clocks of two controllers
      */
     Optional<String> findGap(
             Collection<String> members, long keptRevision, HighWatermarks highWatermarks, long skewMicros) {
@@ -98,7 +103,7 @@
                         + " was reached");
     }
 
-    /** The last revision up to which all changes after the first are known to one or another. */
+    /** The last revision up to which every change after the given one is contained in one of the snapshots. */
     private long lastContiguousRevision(long from) {
         long contiguous = from;
         for (Snapshot snapshot : snapshots.values()) {
--- a/src/main/java/io/sillreel/recovery/HighWatermarks.java
+++ b/src/main/java/io/sillreel/recovery/HighWatermarks.java
@@ -3,14 +3,14 @@
 /**
  * The highest values that were reached before a loss.
  *
- * @param ledger the revision up to which something may have been lost
- * @param stampedLedger the revision up to which stamps have been given, by writes after the loss too
- * @param term the highest term that a worker, an attempt or a controller has shown
+ * @param storeRevision the revision up to which writes may have been lost
+ * @param keyRevision the revision up to which keys have been given revisions, including by writes after the loss
+ * @param term the highest term observed in a fencing token, an attempt id or a controller's message
  */
 record HighWatermarks(long storeRevision, long keyRevision, long term) {
     static final HighWatermarks NONE = new HighWatermarks(0, 0, 0);
 
-    /** The higher of each. */
+    /** The maximum of each value. */
     HighWatermarks max(HighWatermarks other) {
         return new HighWatermarks(
                 Math.max(storeRevision, other.storeRevision),
@@ -18,17 +18,17 @@
                 Math.max(term, other.term));
     }
 
-    /** The same with a revision that was reached before the loss. */
+    /** Raised to a revision that was reached before the loss. */
     HighWatermarks withStoreRevision(long revision) {
         return max(new HighWatermarks(revision, revision, 0));
     }
 
-    /** The same with a revision up to which stamps have been given. */
+    /** Raised to a revision up to which keys have been given revisions. */
     HighWatermarks withKeyRevision(long revision) {
         return max(new HighWatermarks(0, revision, 0));
     }
 
-    /** The same with a term that has been shown. */
+    /** Raised to a term that has been observed. */
     HighWatermarks withTerm(long observedTerm) {
         return max(new HighWatermarks(0, 0, observedTerm));
     }
--- a/src/main/java/io/sillreel/recovery/LossState.java
+++ b/src/main/java/io/sillreel/recovery/LossState.java
@@ -1,8 +1,8 @@
 package io.sillreel.recovery;
 
 /**
- * What one controller knows of the last loss of writes, and whether that loss has been repaired. Losses are counted by
- * generations. Used on the event loop only.
+ * What one controller knows about the last loss of writes, and whether that loss has been repaired. Losses are numbered
+ * by generations. Used on the event loop only.
  */
 final class LossState {
     private long generation;
@@ -13,35 +13,35 @@
     private String evidence = "";
     private long epoch;
 
-    /** The number of the last known loss; 0 before the first one. */
+    /** The generation of the last known loss; 0 before the first one. */
     long generation() {
         return generation;
     }
 
-    /** True while a loss is known that has not been repaired. */
+    /** True from the detection of a loss until it has been repaired. */
     boolean isSuspended() {
         return suspended;
     }
 
-    /** What has shown the loss; empty while no loss is open. */
+    /** The evidence of the loss; empty while no loss is open. */
     String evidence() {
         return evidence;
     }
 
-    /** Grows with each loss that becomes known: what began under another version rests on a state that may be gone. */
+    /** Incremented with each loss; a request that was started in an earlier epoch may have read state that was lost. */
     long epoch() {
         return epoch;
     }
 
-    /** True if the loss is known and its record is not stored yet, as far as is known here. */
+    /** True while a loss is open whose record is not known to be stored. */
     boolean isUnrecorded() {
         return suspended && !recordStored;
     }
 
     /**
-     * A loss has become known.
+     * Opens a loss.
      *
-     * @param alreadyRecorded true if the record of the loss is stored already
+     * @param alreadyRecorded true if the record of the loss is already stored
      */
     void suspend(long newGeneration, String newEvidence, boolean alreadyRecorded) {
         epoch++;
@@ -52,43 +52,44 @@
         evidence = newEvidence;
     }
 
-    /** This controller has seen the loss itself. */
+    /** Notes that this controller has detected the loss itself. */
     void markLocallyDetected() {
         locallyDetected = true;
     }
 
-    /** The record of an open loss has been read. */
+    /** Notes that the record of the open loss is stored. */
     void markRecordStored(long storedGeneration) {
         recordStored = true;
         generation = Math.max(generation, storedGeneration);
     }
 
-    /** The loss has been repaired under that generation. */
+    /** Closes the loss, which has been repaired under the generation. */
     void resume(long closedGeneration) {
         suspended = false;
         generation = closedGeneration;
         evidence = "";
     }
 
-    /** A loss was noticed and repaired without this controller. */
+    /** Skips a loss that was detected and repaired without this controller. */
     void skipToGeneration(long closedGeneration) {
         generation = closedGeneration;
         epoch++;
     }
 
-    /** The loss that is open here gets a generation above one that has been closed. */
+    /** Gives the open loss a generation above one that is already closed. */
     void raiseGenerationAbove(long closedGeneration) {
         generation = Math.max(generation, closedGeneration + 1);
     }
 
-    /** What this controller remembers was asked for under that generation. */
+    /** Notes that this controller's change log has been collected for the generation. */
     void markCollected(long collectedGeneration) {
         lastCollectedGeneration = Math.max(lastCollectedGeneration, collectedGeneration);
     }
 
     /**
-     * True if what this controller remembers has been taken into account under a generation that is closed by now. A
-     * controller that has seen a loss itself and was not asked may remember more.
+     * True if the closed record covers the loss that is open here. If this controller detected the loss itself, its
+     * change log must have been collected for that generation or a later one; otherwise the log may contain writes that
+     * were not restored.
      */
     boolean isRepairedBy(RecoveryRecord closed) {
         return !locallyDetected || lastCollectedGeneration >= closed.generation();
--- a/src/main/java/io/sillreel/recovery/PeerExchange.java
+++ b/src/main/java/io/sillreel/recovery/PeerExchange.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Tells the other controllers how this one sees the state service, and hears how they do. */
+/** Exchanges with the other controllers what each of them knows about the state service. */
 final class PeerExchange {
     private static final long TIMEOUT_MICROS = 900_000;
 
@@ -30,7 +30,7 @@
         this.onPeerStatus = onPeerStatus;
     }
 
-    /** Completes once each of them has answered or does not. */
+    /** Completes once each controller has responded or its request has failed or timed out. */
     CompletableFuture<Void> exchangeWithAll() {
         List<CompletableFuture<Void>> exchanges = new ArrayList<>();
         for (Member member : members) {
--- a/src/main/java/io/sillreel/recovery/PeerSnapshotCollector.java
+++ b/src/main/java/io/sillreel/recovery/PeerSnapshotCollector.java
@@ -9,7 +9,9 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
-/** Asks the other controllers for what they remember; who answers stores nothing more until the loss is made good. */
+/**
+ * Collects the change logs of the other controllers. Each one that responds stays suspended until the loss is repaired.
+ */
 final class PeerSnapshotCollector {
     private static final long TIMEOUT_MICROS = 3_000_000;
 
@@ -23,7 +25,10 @@
         this.snapshots = snapshots;
     }
 
-    /** Asks those that have not answered yet; completes once each has done so or does not. */
+    /**
+     * Requests the change logs that have not been collected yet; completes once each controller has responded or its
+     * request has failed or timed out.
+     */
     CompletableFuture<Void> collect(List<Member> members, long generation) {
         Set<String> collected = snapshots.nodes();
         List<CompletableFuture<Void>> requests = new ArrayList<>();
--- a/src/main/java/io/sillreel/recovery/PermanentKeys.java
+++ b/src/main/java/io/sillreel/recovery/PermanentKeys.java
@@ -6,7 +6,7 @@
 import io.sillreel.pipeline.RunRecord;
 import java.util.List;
 
-/** The keys that nobody ever removes: one that was stored and is gone has been lost. */
+/** The keys that are never removed: if one of them was stored and no longer exists, the write has been lost. */
 final class PermanentKeys {
     private static final List<String> PREFIXES =
             List.of(PlanRecord.PREFIX, CancellationRecord.PREFIX, RunRecord.PREFIX);
@@ -14,7 +14,7 @@
     private PermanentKeys() {}
 
     static boolean isPermanent(String key) {
-        // Version 5806758 keeps parts of done sets behind a further slash, and removes them.
+        // Version 5806758 stores parts of completion bitmaps under keys with a second slash, and removes them.
         boolean part = key.indexOf('/') != key.lastIndexOf('/');
         return key.equals(LeaderElection.TERM_KEY) || !part && PREFIXES.stream().anyMatch(key::startsWith);
     }
--- a/src/main/java/io/sillreel/recovery/RebuildCoordinator.java
+++ b/src/main/java/io/sillreel/recovery/RebuildCoordinator.java
@@ -7,8 +7,8 @@
 import io.sillreel.statestore.StateStore;
 
 /**
- * Repairs a known loss before a term begins: whoever has acquired leadership writes back what the controllers remember,
- * and only then starts to lead. Used on the event loop only.
+ * Repairs a known loss before a term begins: a newly elected leader first restores the lost writes from the
+ * controllers' change logs. Used on the event loop only.
  */
 final class RebuildCoordinator {
     private static final long RETRY_MICROS = 300_000;
@@ -42,24 +42,24 @@
         this.loss = loss;
     }
 
-    /** The last rebuild that was begun here, or null. */
+    /** The last rebuild that this controller started, or null. */
     StoreRebuild current() {
         return rebuild;
     }
 
-    /** How many keys the last rebuild has written back. */
+    /** The number of keys that the last rebuild has restored. */
     int restoredCount() {
         return rebuild == null ? 0 : rebuild.restoredCount();
     }
 
-    /** Ends the rebuild that is under way: the lease is lost, or another loss has become known. */
+    /** Aborts the rebuild in progress, since leadership or further writes have been lost. */
     void abort() {
         if (rebuild != null) {
             rebuild.abort();
         }
     }
 
-    /** Reads whether a loss is stored, repairs it if there is one, and then lets the term begin. */
+    /** Reads the recovery record, repairs the loss if one is open, and then begins the term. */
     void beforeTerm(long term, long leaderRevision, Runnable beginTerm) {
         store.get(RecoveryRecord.KEY).thenAccept(read -> {
             if (leadership.heldTerm() != term) {
@@ -80,7 +80,9 @@
             } else if (!loss.isSuspended()) {
                 beginTerm.run();
             }
-            // Else the term was taken without regard to those that may have been lost, and has just been given up.
+            // Otherwise the record has just revealed a loss and this controller has resigned: its term was chosen
+            // without
+            // regard to terms that may have been lost.
         });
     }
 
--- a/src/main/java/io/sillreel/recovery/RebuildLease.java
+++ b/src/main/java/io/sillreel/recovery/RebuildLease.java
@@ -7,7 +7,7 @@
 import io.sillreel.statestore.StoreOutcome;
 import io.sillreel.statestore.Transaction;
 
-/** The term of the lease under which writes are put back: every write is conditional on it. */
+/** The leadership term in which lost writes are restored; every write is conditional on the leader key. */
 final class RebuildLease {
     private static final long RETRY_MICROS = 50_000;
 
@@ -18,7 +18,7 @@
     private final long leaderRevision;
     private boolean ended;
 
-    /** @param leaderStamp the stamp under which this controller became the leader */
+    /** @param leaderRevision the revision of the leader key as this controller wrote it */
     RebuildLease(EventLoop eventLoop, StateStore store, LeaderElection leadership, long term, long leaderRevision) {
         this.eventLoop = eventLoop;
         this.store = store;
@@ -35,7 +35,7 @@
         return term;
     }
 
-    /** Nothing is done under it any more. */
+    /** Ends all work in this term; scheduled actions no longer run. */
     void end() {
         ended = true;
     }
@@ -44,18 +44,18 @@
         return ended || leadership.heldTerm() != term;
     }
 
-    /** Gives the lease up, so that a term can begin that is high enough. */
+    /** Resigns leadership, so that the next term can lie above all that are known. */
     void resign(String reason) {
         end();
         leadership.resign(reason);
     }
 
-    /** Does it a moment later, unless the term is over by then. */
+    /** Runs the action after the retry delay, unless the term has ended by then. */
     void retryLater(Runnable action) {
         schedule(RETRY_MICROS, action);
     }
 
-    /** Does it after so long, unless the term is over by then. */
+    /** Runs the action after the delay, unless the term has ended by then. */
     void schedule(long micros, Runnable action) {
         eventLoop.schedule(micros, () -> {
             if (!isEnded()) {
@@ -64,12 +64,12 @@
         });
     }
 
-    /** A transaction that fails once another controller leads. */
+    /** A transaction that conflicts if another controller has become the leader. */
     Transaction newTransaction() {
         return new Transaction().requireRevision(LeaderElection.LEADER_KEY, leaderRevision);
     }
 
-    /** True if there is nothing left to do; a commit that shows another leader ends the term. */
+    /** True if the term has ended; a commit that conflicts on the leader key ends it. */
     boolean isEndedAfter(CommitResult commit) {
         if (commit.outcome() == StoreOutcome.CONFLICT && commit.failedKeys().contains(LeaderElection.LEADER_KEY)) {
             resign("the leader key has changed");
--- a/src/main/java/io/sillreel/recovery/RecentChange.java
+++ b/src/main/java/io/sillreel/recovery/RecentChange.java
@@ -5,13 +5,13 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The last change of a key that is known to have been stored.
+ * The newest known change of a key.
  *
  * @param value the stored value as JSON text, or null if the key was removed
- * @param stamp the revision of the change
+ * @param revision the revision of the change
  */
 record RecentChange(String key, byte[] value, long revision) {
-    /** What an entry takes beside its key and its value. */
+    /** Approximate memory overhead of an entry beside its key and its value. */
     private static final int ENTRY_BYTES = 160;
 
     static RecentChange of(String key, JsonNode value, long revision) {
@@ -27,7 +27,7 @@
         return Json.parse(isRemoval() ? new byte[0] : value);
     }
 
-    /** About what it takes of the memory. */
+    /** The approximate memory that the entry takes. */
     int sizeBytes() {
         return ENTRY_BYTES + key.getBytes(StandardCharsets.UTF_8).length + (isRemoval() ? 0 : value.length);
     }
--- a/src/main/java/io/sillreel/recovery/Recovery.java
+++ b/src/main/java/io/sillreel/recovery/Recovery.java
@@ -20,19 +20,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One controller's part in noticing that the state service has lost writes and in making that good. While a loss is
- * known and not made good the controller is suspended: it launches, rents and returns nothing and answers no user.
+ * Detects that the state service has lost writes, and takes part in restoring them. While a loss is known and has not
+ * been repaired, the controller is suspended: it launches no tasks, rents and returns no machines and answers no users'
+ * requests.
  */
 public final class Recovery implements HeartbeatObserver {
     private static final Logger LOG = LoggerFactory.getLogger(Recovery.class);
     /**
-     * So much higher than every term that was shown begins the first one after a loss: some may have been taken that
-     * nobody who is left has heard of. A term is taken at most every three seconds, so that covers most of an hour.
+     * The distance of the first term after a loss from the highest known term, since lost terms may exist that no
+     * remaining controller or worker knows. A term begins at most every three seconds, so this covers most of an hour.
      */
     static final long TERM_GAP = 1_000;
 
     private static final long EXCHANGE_INTERVAL_MICROS = 1_000_000;
-    /** The others are told of a loss for so long before it is stored. */
+    /** Time allowed for notifying the peers of a loss before its record is stored. */
     private static final long PEER_NOTICE_MICROS = 200_000;
 
     private static final int RETRY_SECONDS = 5;
@@ -53,15 +54,15 @@
 
     private final LossState loss = new LossState();
     private boolean recordRead;
-    /** True once it is known whether a loss is stored, and each other controller has said what it knows, or has not. */
+    /** True once the recovery record has been read and every peer has reported its status or failed to respond. */
     private boolean peersConsulted;
 
     private RebuildCoordinator coordinator;
 
     /**
-     * @param caller for what is said to other controllers
-     * @param maxChangeLogBytes what recent changes may take of the memory
-     * @param watchDelayMicros how long changes gather before they are asked for
+     * @param httpClient sends requests to other controllers
+     * @param maxChangeLogBytes approximate limit on the memory of the change log
+     * @param watchDelayMicros the delay between two watches, in which changes accumulate
      */
     public Recovery(
             EventLoop eventLoop,
@@ -78,12 +79,12 @@
         this.peerExchange = new PeerExchange(httpClient, settings.members(), this::ownStatus, this::onPeerStatus);
     }
 
-    /** What asks the state service through this is watched for signs of a loss. */
+    /** Wraps a client of the state service, so that its responses are checked for evidence of a loss. */
     public HttpClient monitor(HttpClient storeClient) {
         return new StoreMonitor(storeClient, eventLoop, revisions, log, loss::isSuspended, this::onLossDetected);
     }
 
-    /** Begins; both have to ask through {@link #monitor}. */
+    /** Starts to detect losses; the store and the election must use clients wrapped by {@link #monitor}. */
     public void start(StateStore monitoredStore, LeaderElection election) {
         store = monitoredStore;
         leadership = election;
@@ -102,8 +103,8 @@
     }
 
     /**
-     * Answers a user's question unless a loss is known, or is noticed before the answer is there: what it rests on may
-     * have been read from the older state.
+     * Handles a user's request unless a loss is known or possible. If a loss is detected before the response is
+     * complete, the request is refused as well, since the response may be based on state from which writes are missing.
      */
     public CompletableFuture<HttpResponse> guard(Supplier<CompletableFuture<HttpResponse>> handler) {
         if (loss.isSuspended() || !peersConsulted || changeLogWatcher.isLagging()) {
@@ -120,7 +121,7 @@
                 : HttpResponse.retryLater(503, "it is not known yet whether the state service has lost writes", 1);
     }
 
-    /** The next term has to lie above this one. */
+    /** A term that the next one has to lie above, or 0 if no loss is known. */
     public long termFloor() {
         return loss.isSuspended() ? highestKnownTerm() + TERM_GAP : 0;
     }
@@ -130,13 +131,14 @@
                 revisions.highWatermarks().term(), leadership.knownLeader().term());
     }
 
-    // --- Evidence ----------------------------------------------------------------------------------------------------
+    // --- Detection ---------------------------------------------------------------------------------------------------
 
-    /** Something has shown that writes are lost. */
+    /** Opens a loss that this controller has detected. */
     private void onLossDetected(String evidence) {
         suspend(loss.generation() + 1, evidence + " (seen by " + settings.nodeName() + ")", false);
         loss.markLocallyDetected();
-        // The verdict is a write, and few writes make up for a small loss: the others would no longer notice it.
+        // Storing the record raises the store revision. After a small loss a few writes bring the revision back to its
+        // former value, and the peers could no longer detect the loss; so they are notified first.
         peerExchange.exchangeWithAll().thenRun(recordWriter::storeOpenRecord);
         eventLoop.schedule(PEER_NOTICE_MICROS, recordWriter::storeOpenRecord);
     }
@@ -163,9 +165,9 @@
         return termEvidence.mayAnswer(heartbeat, term);
     }
 
-    // --- The verdict -------------------------------------------------------------------------------------------------
+    // --- Recovery record ---------------------------------------------------------------------------------------------
 
-    /** The record of the loss that is open here. */
+    /** The record of the loss that is open on this controller. */
     RecoveryRecord openRecord() {
         return new RecoveryRecord(loss.generation(), true, settings.nodeName(), loss.evidence(), 0);
     }
@@ -178,7 +180,7 @@
         }
     }
 
-    /** A stored verdict has been read. */
+    /** Applies a stored recovery record that has been read. */
     void onRecordRead(RecoveryRecord stored) {
         if (!recordRead) {
             recordRead = true;
@@ -195,7 +197,7 @@
                 resume(stored);
             }
         } else if (!stored.open() && newer) {
-            // It was noticed and made good without this controller, whose memory is of the time before.
+            // The loss was detected and repaired without this controller, whose change log predates it.
             loss.skipToGeneration(stored.generation());
             revisions.beginLossEpoch(false);
             changeLogWatcher.restart();
@@ -203,19 +205,19 @@
     }
 
     void resume(RecoveryRecord closed) {
-        LOG.warn("generation {} is closed: the state service is relied on again", closed.generation());
+        LOG.warn("recovery generation {} is closed; resuming normal operation", closed.generation());
         loss.resume(closed.generation());
         changeLogWatcher.resume(closed.keptRevision());
     }
 
     // --- Terms -------------------------------------------------------------------------------------------------------
 
-    /** Leadership has been acquired: a loss that is known or stored is repaired before the term begins. */
+    /** Repairs a known or stored loss after leadership has been acquired, and then begins the term. */
     public void beforeTerm(long term, long leaderRevision, Runnable beginTerm) {
         coordinator.beforeTerm(term, leaderRevision, beginTerm);
     }
 
-    /** Leadership has been lost. */
+    /** Aborts a rebuild in progress after leadership has been lost. */
     public void leadershipLost() {
         coordinator.abort();
     }
@@ -228,7 +230,7 @@
         if (loss.isSuspended()) {
             readRecord();
         } else {
-            // A loss of few writes that others have made up for shows only where the lost keys are read.
+            // If later writes have raised the revision past a small loss, only reading a lost key can reveal it.
             log.latestPermanentKey().ifPresent(store::get);
         }
     }
@@ -243,12 +245,12 @@
                 highWatermarks());
     }
 
-    /** What was reached before the loss, as far as it is known here. */
+    /** The highest values before the loss, as far as this controller knows them. */
     HighWatermarks highWatermarks() {
         return revisions.highWatermarks().withTerm(leadership.knownLeader().term());
     }
 
-    /** Another controller has said how it sees the state service. */
+    /** Applies the status of another controller. */
     void onPeerStatus(PeerStatus status) {
         long knownTermBefore = highestKnownTerm();
         revisions.raiseTo(status.highWatermarks());
@@ -258,7 +260,7 @@
         } else if (!status.suspended() && status.generation() > loss.generation()) {
             readRecord();
         } else if (!status.suspended() && status.generation() < loss.generation() && loss.isSuspended()) {
-            // It has not noticed the loss yet.
+            // The peer has not noticed the loss yet, so its revision counts only as one that keys may have.
             revisions.raiseTo(HighWatermarks.NONE.withKeyRevision(status.storeRevision()));
         } else if (!status.suspended() && status.generation() == loss.generation() && !loss.isSuspended()) {
             revisions.raiseTo(status.storeRevision());
@@ -278,7 +280,8 @@
     }
 
     /**
-     * Whoever puts writes back under the generation says so; from then on nothing is stored here until it is closed.
+     * Called when the leader that repairs the generation requests this controller's change log; from then on this
+     * controller stays suspended until the generation is closed.
      */
     void onSnapshotRequested(long requestedGeneration) {
         if (requestedGeneration > loss.generation()) {
@@ -287,17 +290,17 @@
         loss.markCollected(requestedGeneration);
     }
 
-    /** What another controller or an operator asks. */
+    /** Handles a request of another controller or an operator. */
     public HttpResponse handle(HttpRequest request) {
         return api.handle(request);
     }
 
-    /** True if a request is for this package. */
+    /** True if requests to the route are handled by {@link #handle}. */
     public static boolean handlesRoute(String route) {
         return RecoveryApi.handlesRoute(route);
     }
 
-    // --- For display -------------------------------------------------------------------------------------------------
+    // --- Status and metrics ------------------------------------------------------------------------------------------
 
     long generation() {
         return loss.generation();
@@ -311,7 +314,7 @@
         return loss.evidence();
     }
 
-    /** What this controller remembers. */
+    /** The content of this controller's change log. */
     Snapshot snapshot() {
         return log.snapshot(revisions.observedBeforeLossMicros());
     }
@@ -328,12 +331,12 @@
         return leadership.knownLeader().node();
     }
 
-    /** The putting back that is under way here, or null. */
+    /** The rebuild in progress on this controller, or null. */
     StoreRebuild rebuild() {
         return loss.isSuspended() && leadership.heldTerm() > 0 ? coordinator.current() : null;
     }
 
-    /** For metrics. */
+    /** The values of the metrics by their names. */
     public Map<String, Double> gauges() {
         Map<String, Double> gauges = new TreeMap<>();
         gauges.put("sillreel.recovery.suspended", loss.isSuspended() ? 1.0 : 0.0);
--- a/src/main/java/io/sillreel/recovery/RecoveryApi.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryApi.java
@@ -10,7 +10,7 @@
 import io.sillreel.settings.Settings;
 import java.util.Locale;
 
-/** Answers what other controllers and operators ask about lost writes, on the internal address. */
+/** Handles requests of other controllers and operators about lost writes, on the internal address. */
 final class RecoveryApi {
     private static final String OPERATOR_PREFIX = "/recovery";
     private static final String STATUS = OPERATOR_PREFIX + "/status";
@@ -43,7 +43,7 @@
         };
     }
 
-    /** A page of what is remembered here. */
+    /** Responds with a page of this controller's change log. */
     private HttpResponse respondWithPage(HttpRequest request) {
         long requestedGeneration = numberParameter(request, "generation");
         recovery.onSnapshotRequested(requestedGeneration);
--- a/src/main/java/io/sillreel/recovery/RecoveryMessages.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryMessages.java
@@ -12,7 +12,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What controllers say to each other about lost writes, in CBOR. */
+/** The messages between controllers about lost writes, in CBOR. */
 final class RecoveryMessages {
     static final String STATUS_ROUTE = "/peer/recovery";
     static final String CHANGES_ROUTE = "/peer/recovery/changes";
@@ -22,13 +22,14 @@
     private RecoveryMessages() {}
 
     /**
-     * How a controller sees the state service.
+     * What a controller knows about the state service.
      *
-     * @param generation the loss that it knows of last
-     * @param suspended true unless that loss has been made good
-     * @param evidence what showed it
-     * @param ledger the highest revision that it knows of since then
-     * @param peaks what was reached before
+     * @param node the name of the controller
+     * @param generation the generation of the last known loss
+     * @param suspended true unless that loss has been repaired
+     * @param evidence the evidence of the loss
+     * @param storeRevision the highest known revision since the loss
+     * @param highWatermarks the highest values before the loss
      */
     record PeerStatus(
             String node,
@@ -50,13 +51,13 @@
             });
         }
 
-        /** @throws UncheckedIOException if that is not what {@link #encode} wrote */
+        /** @throws UncheckedIOException if the body is not a message of {@link #encode} */
         static PeerStatus decode(byte[] body) {
             try (CBORParser in = CBOR.createParser(body)) {
                 in.nextToken();
                 String node = in.nextTextValue();
                 if (node == null) {
-                    throw new JsonParseException(in, "a greeting without a name");
+                    throw new JsonParseException(in, "peer status without a node name");
                 }
                 return new PeerStatus(
                         node,
@@ -71,7 +72,11 @@
         }
     }
 
-    /** What one controller remembers, cut into pages of a bounded size: each is answered by itself. */
+    /**
+     * A page of a controller's change log, limited in size. Each page is a response of its own.
+     *
+     * @param snapshot the state of the log with the changes of this page only
+     */
     record Page(Snapshot snapshot, HighWatermarks highWatermarks, boolean last) {
         byte[] encode() {
             return write(out -> {
@@ -96,7 +101,7 @@
             });
         }
 
-        /** @throws UncheckedIOException if that is not what {@link #encode} wrote */
+        /** @throws UncheckedIOException if the body is not a message of {@link #encode} */
         static Page decode(byte[] body) {
             try (CBORParser in = CBOR.createParser(body)) {
                 in.nextToken();
@@ -156,7 +161,7 @@
         return new RecentChange(key, value, revision);
     }
 
-    /** Writes one message. */
+    /** Writes the content of one message. */
     @FunctionalInterface
     private interface Writer {
         void write(CBORGenerator out) throws IOException;
--- a/src/main/java/io/sillreel/recovery/RecoveryRecord.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryRecord.java
@@ -6,13 +6,13 @@
 import io.sillreel.statestore.ReadResult;
 
 /**
- * The stored verdict that the state service has lost writes, and what became of it.
+ * The stored record of a loss of writes.
  *
- * @param generation counts the losses; higher than any that a controller remembers
- * @param open true until everything that can be has been put back
- * @param node the controller that wrote it
- * @param evidence what showed the loss
- * @param keptRevision once it is closed: a revision up to which nothing had been lost, or 0 if none is known
+ * @param generation the number of the loss, higher than that of every earlier loss known to a controller
+ * @param open true until the loss has been repaired as far as possible
+ * @param node the controller that wrote the record
+ * @param evidence the evidence of the loss
+ * @param keptRevision in a closed record a revision up to which nothing was lost, or 0 if none is known
  */
 record RecoveryRecord(long generation, boolean open, String node, String evidence, long keptRevision) {
     static final String KEY = "recovery";
@@ -27,12 +27,12 @@
                 .put("kept", keptRevision);
     }
 
-    /** What was read under the key; one that does not exist means that no loss was ever noticed. */
+    /** The record from a read of its key; {@link #NONE} if the key does not exist, as before the first loss. */
     static RecoveryRecord of(ReadResult read) {
         return read.entry().isEmpty() ? NONE : of(read.entry().get().value());
     }
 
-    /** Reads the stored record. */
+    /** Parses a stored record. */
     static RecoveryRecord of(JsonNode value) {
         return new RecoveryRecord(
                 value.path("generation").asLong(),
@@ -42,12 +42,16 @@
                 value.path("kept").asLong());
     }
 
-    /** The same verdict of a generation above the given one. */
+    /** The same record with a generation above the given one. */
     RecoveryRecord withGenerationAbove(long otherGeneration) {
         return new RecoveryRecord(Math.max(generation, otherGeneration + 1), open, node, evidence, keptRevision);
     }
 
-    /** The verdict once everything has been put back, given a revision up to which nothing had been lost. */
+    /**
+     * The closed form of this record.
+     *
+     * @param revision a revision up to which nothing was lost, or 0 if none is known
+     */
     RecoveryRecord closedBy(String closingNode, long revision) {
         return new RecoveryRecord(generation, false, closingNode, evidence, revision);
     }
--- a/src/main/java/io/sillreel/recovery/RecoveryRecordWriter.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryRecordWriter.java
@@ -8,7 +8,7 @@
 import java.util.function.Predicate;
 import java.util.function.Supplier;
 
-/** Stores that a loss is known, so that every controller and every later leader knows of it. */
+/** Stores the record of an open loss, from which all controllers and later leaders learn of the loss. */
 final class RecoveryRecordWriter {
     private static final long RETRY_MICROS = 300_000;
 
@@ -20,9 +20,9 @@
     private boolean storing;
 
     /**
-     * @param openRecord the verdict to store, or null if there is none
-     * @param isRepairedBy true if a closed verdict covers the wanted one: then nothing has to be stored
-     * @param onStored told the verdict that is stored
+     * @param openRecord supplies the record to store, or null if there is none
+     * @param isRepairedBy true if a closed record covers the open loss, so that nothing has to be stored
+     * @param onStored receives the record that is stored
      */
     RecoveryRecordWriter(
             StateStore store,
@@ -37,7 +37,7 @@
         this.onStored = onStored;
     }
 
-    /** Stores what is wanted, until it is stored or wanted no more. */
+    /** Stores the open record, with retries until it is stored or no longer needed. */
     void storeOpenRecord() {
         if (!storing && openRecord.get() != null) {
             storing = true;
--- a/src/main/java/io/sillreel/recovery/RestorePolicy.java
+++ b/src/main/java/io/sillreel/recovery/RestorePolicy.java
@@ -9,29 +9,29 @@
 import java.util.List;
 import java.util.Set;
 
-/** Decides whether a change that was lost is made again. */
+/** Decides whether a lost change is restored. */
 final class RestorePolicy {
-    /** Whatever they hold, they hold it for ever. */
+    /** Prefixes of keys whose values never change. */
     private static final List<String> IMMUTABLE_PREFIXES =
             List.of(PlanRecord.PREFIX, PlanRecord.OVERFLOW_PREFIX, CancellationRecord.PREFIX);
 
-    /** They belong to the term that puts writes back. */
+    /** Keys that are written by the term that restores the lost writes. */
     private static final Set<String> RECOVERY_TERM_KEYS = Set.of(LeaderElection.TERM_KEY, RecoveryRecord.KEY);
 
     private RestorePolicy() {}
 
-    /** True for a key that is written anew by the term that puts writes back. */
+    /** True for a key that is written by the term that restores the lost writes, and is never restored itself. */
     static boolean belongsToRecoveryTerm(String key) {
         return RECOVERY_TERM_KEYS.contains(key);
     }
 
     /**
-     * True if the change has to be made again.
+     * True if the change has to be restored.
      *
-     * @param change the newest change of the key that is known from before the loss
-     * @param current what the key holds now, missing if it does not exist
-     * @param currentRevision its stamp, 0 if it does not exist
-     * @param firstRevisionAfterLoss a revision at or below which nothing has been written since the service came back
+     * @param change the newest known change of the key before the loss
+     * @param current the current value of the key, a missing node if the key does not exist
+     * @param currentRevision the current revision of the key, 0 if it does not exist
+     * @param firstRevisionAfterLoss a revision at or below which nothing has been written since the loss
      */
     static boolean shouldRestore(
             RecentChange change, JsonNode current, long currentRevision, long firstRevisionAfterLoss) {
@@ -48,7 +48,7 @@
             return false;
         }
         if (change.key().startsWith(RunRecord.PREFIX)) {
-            // An end that was stored stays one, whatever a leader that did not know of it has written since.
+            // A final stage is never replaced, even if a leader that did not know of it has written since the loss.
             return !RunRecordCodec.isDone(current)
                     && (RunRecordCodec.isDone(change.jsonValue()) || currentRevision <= firstRevisionAfterLoss);
         }
--- a/src/main/java/io/sillreel/recovery/RevisionTracker.java
+++ b/src/main/java/io/sillreel/recovery/RevisionTracker.java
@@ -1,18 +1,19 @@
 package io.sillreel.recovery;
 
 /**
- * How far the state service is known to have counted. It is strongly consistent and its revision only grows, so an
- * answer that lies below what was known when its request was sent proves that writes have been lost. An answer that is
- * merely late proves nothing: its request was sent before the higher revision was known.
+ * Tracks the highest known revision of the state service. The service is strongly consistent and its revision only
+ * grows, so a response with a lower revision than was known when its request was sent proves that writes have been
+ * lost. A response that is merely delayed proves nothing: its request was sent before the higher revision was known.
+ * Thread-safe; all state is guarded by this.
  */
 final class RevisionTracker {
-    /** What was known when a request was sent; an era ends when a loss is noticed. */
+    /** What was known when a request was sent; a loss epoch ends with the detection of a loss. */
     record RequestBaseline(long lossEpoch, long storeRevision, long wallMicros) {}
 
-    /** What an answer says of the state service. */
+    /** What a response shows about the state service. */
     enum Consistency {
         CONSISTENT,
-        /** The request was sent before a loss that has been noticed since. */
+        /** The request was sent before the detection of a loss, so the response shows nothing. */
         OUTDATED,
         /** The state service has lost writes. */
         WRITES_LOST
@@ -22,29 +23,30 @@
 
     private long lossEpoch;
     private long storeRevision;
-    /** The first revision that was seen after the last loss, or {@link #UNKNOWN}. */
+    /** The first revision observed after the last loss, or {@link #UNKNOWN}. */
     private long firstRevisionAfterLoss = UNKNOWN;
 
-    /** The revision that has shown a loss which nobody has acted on yet, or {@link #UNKNOWN}. */
+    /** The revision that revealed a loss for which no loss epoch has begun yet, or {@link #UNKNOWN}. */
     private long regressedRevision = UNKNOWN;
 
-    /** When the request was sent that was answered with the highest revision. */
+    /** The wall-clock time at which the last request was sent whose response carried the highest revision. */
     private long lastObservedMicros;
-    /** The same before the last loss, and the highest revision that was known then. */
+    /** The value of lastObservedMicros at the beginning of the last loss epoch. */
     private long observedBeforeLossMicros;
 
+    /** The highest revision known at the beginning of the last loss epoch. */
     private long revisionBeforeLoss;
-    /** True if an earlier loss was seen here that has not been made good yet. */
+    /** True if this controller observed the state service before an earlier loss that has not been repaired yet. */
     private boolean observedBeforeEarlierLoss;
 
     private HighWatermarks highWatermarks = HighWatermarks.NONE;
 
-    /** @param wallMicros the time of day at which the request is sent */
+    /** @param wallMicros the wall-clock time at which the request is sent */
     synchronized RequestBaseline baseline(long wallMicros) {
         return new RequestBaseline(lossEpoch, storeRevision, wallMicros);
     }
 
-    /** Judges an answer by the revision that it carries, and remembers the revision unless it shows a loss. */
+    /** Checks the store revision of a response, and raises the known revision to it unless it shows a loss. */
     synchronized Consistency observeRevision(RequestBaseline baseline, long observedRevision) {
         if (baseline.lossEpoch() != lossEpoch) {
             return Consistency.OUTDATED;
@@ -63,13 +65,13 @@
         return Consistency.CONSISTENT;
     }
 
-    /** Judges the answer to a write, whose revision lies above every one that was reached before it was sent. */
+    /** Checks the response to a commit, whose revision must lie above every one known when it was sent. */
     synchronized Consistency observeCommit(RequestBaseline baseline, long observedRevision) {
         return observeRevision(
                 baseline, observedRevision > baseline.storeRevision() ? observedRevision : observedRevision - 1);
     }
 
-    /** Judges an answer that carries the stamp of a key, which is a revision that the service has reached. */
+    /** Takes note of the revision of a key, which the store revision has reached at least. */
     synchronized Consistency observeKeyRevision(RequestBaseline baseline, long revision) {
         if (baseline.lossEpoch() != lossEpoch) {
             return Consistency.OUTDATED;
@@ -78,16 +80,16 @@
         return Consistency.CONSISTENT;
     }
 
-    /** The state service has counted at least so far since the last loss. */
+    /** Raises the known revision to one that was reached after the last loss. */
     synchronized void raiseTo(long revision) {
         storeRevision = Math.max(storeRevision, revision);
     }
 
     /**
-     * Forgets how far the service had counted, since it has counted back; the peaks stay known.
+     * Resets the known revision after the detection of a loss; the high watermarks are kept.
      *
-     * @param earlierLossOpen true if an earlier loss has not been made good: what was written since then was known
-     *     before
+     * @param earlierLossOpen true if an earlier loss has not been repaired yet: what was written since then was already
+     *     known before
      */
     synchronized void beginLossEpoch(boolean earlierLossOpen) {
         highWatermarks = highWatermarks.withKeyRevision(storeRevision);
@@ -105,14 +107,14 @@
         regressedRevision = UNKNOWN;
     }
 
-    /** The first revision that was seen since the last loss, or 0 before one is known. */
+    /** The first revision observed since the last loss, or 0 before one is known. */
     synchronized long firstRevisionAfterLoss() {
         return Math.max(0, firstRevisionAfterLoss);
     }
 
     /**
-     * A time of day at which the state service had certainly not lost anything yet, or 0 if this controller can't say:
-     * it may have known the service only since the loss.
+     * A wall-clock time at which the state service had certainly not lost any writes yet, or 0 if none is known because
+     * this controller may have observed the service only since the loss.
      */
     synchronized long observedBeforeLossMicros() {
         return observedBeforeLoss() ? observedBeforeLossMicros : 0;
@@ -123,20 +125,21 @@
                 || firstRevisionAfterLoss != UNKNOWN && firstRevisionAfterLoss < revisionBeforeLoss;
     }
 
-    /** The highest revision that is known since the last loss. */
+    /** The highest known revision since the last loss. */
     synchronized long storeRevision() {
         return storeRevision;
     }
 
     /**
-     * What was reached before the loss. What this controller knew last counts only if it certainly was: whoever did not
-     * notice a loss may have followed the service beyond it.
+     * The highest values before the loss. The last revision that this controller knew is included only if the
+     * controller certainly observed it before the loss: one that did not notice the loss may have observed later
+     * revisions.
      */
     synchronized HighWatermarks highWatermarks() {
         return observedBeforeLossMicros() > 0 ? highWatermarks.withStoreRevision(revisionBeforeLoss) : highWatermarks;
     }
 
-    /** Another controller knows of these. */
+    /** Raises the high watermarks to those of another controller. */
     synchronized void raiseTo(HighWatermarks others) {
         highWatermarks = highWatermarks.max(others);
     }
--- a/src/main/java/io/sillreel/recovery/StoreMonitor.java
+++ b/src/main/java/io/sillreel/recovery/StoreMonitor.java
@@ -15,17 +15,21 @@
 import java.util.function.Consumer;
 
 /**
- * Looks at each answer of the state service before anybody believes it. An answer that shows a loss, or that belongs to
- * the time before one, counts as none: what was asked may have been carried out, and has to be read again.
+ * Checks each response of the state service for evidence of lost writes before it is used. A response that shows a
+ * loss, or whose request was sent before one was detected, is replaced by none: the request may have been executed, so
+ * the caller has to read again.
  */
 final class StoreMonitor implements HttpClient {
     private static final String KEY_ROUTE_PREFIX = "/kv/";
     private static final String TRANSACTION_ROUTE = "/txn";
 
     /**
+     * A request with what is needed to check its response.
+     *
+     * @param baseline what was known when the request was sent
      * @param key the key that is read, or null
-     * @param knownRevision its stamp as far as it is known
-     * @param changes what is written
+     * @param knownRevision the known revision of the key, or 0
+     * @param changes the changes of a transaction
      */
     private record ObservedRequest(RequestBaseline baseline, String key, long knownRevision, List<JsonNode> changes) {}
 
@@ -37,8 +41,8 @@
     private final Consumer<String> onLoss;
 
     /**
-     * @param suspended true while a loss is known: then what is remembered says nothing of what ought to be stored
-     * @param onLoss told what shows that writes have been lost
+     * @param suspended true while a loss is open, so that the change log does not tell what must be stored
+     * @param onLoss receives the evidence when lost writes are detected
      */
     StoreMonitor(
             HttpClient httpClient,
--- a/src/main/java/io/sillreel/recovery/StoreRebuild.java
+++ b/src/main/java/io/sillreel/recovery/StoreRebuild.java
@@ -11,18 +11,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Puts back what the state service has lost, under one term of the lease: stores the verdict, collects what the
- * controllers remember, raises the revision above every one that was ever reached, so that no stamp means two things,
- * and writes what is missing. It may be begun anew by any later leader, at any point.
+ * Restores the writes that the state service has lost, within one leadership term: stores the open recovery record,
+ * collects the controllers' change logs, raises the store revision above every one that was ever reached, so that no
+ * key revision is used twice, and writes the missing changes. Any later leader can restart the procedure at any point.
+ * Runs on the event loop.
  */
 final class StoreRebuild {
-    /** How far it has come. */
+    /** The current step, which operators see. */
     enum Step {
         OPENING,
         COLLECTING,
         RAISING,
         RESTORING,
-        /** All that is remembered has been put back, and that may not be everything. */
+        /** All collected changes have been restored, but further writes may have been lost. */
         INCOMPLETE,
         CLOSING,
         CLOSED
@@ -47,9 +48,9 @@
     private boolean lossAccepted;
 
     /**
-     * @param survivors what this controller remembers
-     * @param record the verdict to store
-     * @param onClosed run once everything has been put back, or its loss has been accepted
+     * @param snapshots contains this controller's own change log
+     * @param record the recovery record to store
+     * @param onClosed run once all writes have been restored, or the loss of the others has been accepted
      */
     StoreRebuild(
             RebuildLease lease,
@@ -73,12 +74,12 @@
         open();
     }
 
-    /** Ends it: the term is over, or writes have been lost once more. */
+    /** Aborts the rebuild, since the term has ended or further writes have been lost. */
     void abort() {
         lease.end();
     }
 
-    /** What could not be put back is given up. */
+    /** Closes the record even though some writes could not be restored. */
     void acceptLoss() {
         lossAccepted = true;
         if (step == Step.INCOMPLETE) {
@@ -90,7 +91,7 @@
         return step;
     }
 
-    /** Why more may have been lost than could be put back; empty if that is not so, or not known yet. */
+    /** The reason why more may have been lost than could be restored; empty if none is known. */
     String incompleteReason() {
         return incompleteReason;
     }
@@ -107,7 +108,7 @@
         return restorer.restoredCount();
     }
 
-    /** The controllers whose memory has been taken into account. */
+    /** The controllers whose change logs have been collected. */
     Set<String> collectedFrom() {
         return snapshots.nodes();
     }
@@ -127,13 +128,13 @@
                 record = stored;
             }
             writeRecord(record, () -> {
-                LOG.warn("generation {} is open ({}): putting lost writes back", generation(), record.evidence());
+                LOG.warn("recovery generation {} is open ({}); restoring lost writes", generation(), record.evidence());
                 collect();
             });
         });
     }
 
-    /** Writes the verdict, which also raises the revision by one. */
+    /** Writes the recovery record, which also raises the store revision by one. */
     private void writeRecord(RecoveryRecord newRecord, Runnable onWritten) {
         Transaction transaction = lease.newTransaction()
                 .requireRevision(RecoveryRecord.KEY, recordRevision)
@@ -175,7 +176,7 @@
                 return;
             }
             if (lease.term() < revisions.highWatermarks().term()) {
-                // A worker or a controller has seen a later one: its attempts must not be mistaken for ours.
+                // A later term existed before the loss: its task attempts must not be mistaken for those of this term.
                 lease.resign("term " + revisions.highWatermarks().term() + " was reached before the loss");
                 return;
             }
@@ -190,8 +191,9 @@
     }
 
     /**
-     * Until the revision lies above all that were reached, a new change could get the stamp of one that was lost: late
-     * transactions would take it for theirs, and controllers would take what they remember for newer.
+     * Raises the store revision above all that were reached before. Otherwise a new change could get the revision of a
+     * lost one: the conditions of delayed transactions would hold by mistake, and controllers would take changes in
+     * their logs for newer ones.
      */
     private void raiseRevision() {
         step = Step.RAISING;
@@ -212,7 +214,7 @@
             return;
         }
         if (!reason.get().equals(incompleteReason)) {
-            LOG.error("generation {} stays open: {}", generation(), reason.get());
+            LOG.error("recovery generation {} cannot be closed: {}", generation(), reason.get());
         }
         incompleteReason = reason.get();
         step = Step.INCOMPLETE;
@@ -235,7 +237,7 @@
         writeRecord(record.closedBy(settings.nodeName(), restorer.keptRevision()), () -> {
             step = Step.CLOSED;
             LOG.warn(
-                    "generation {} is closed by {}: {} keys put back, remembered by {}{}",
+                    "recovery generation {} closed by {}: {} keys restored from the change logs of {}{}",
                     generation(),
                     settings.nodeName(),
                     restoredCount(),
--- a/src/main/java/io/sillreel/recovery/TermEvidence.java
+++ b/src/main/java/io/sillreel/recovery/TermEvidence.java
@@ -10,9 +10,9 @@
 import java.util.function.Consumer;
 
 /**
- * What workers' tokens say of the state service. A leader stores its term before it shows it to anybody, so a term that
- * was shown and is not stored has been lost; so has one that this controller has taken and a worker knows of that was
- * never told.
+ * Detects lost writes by the terms that workers and peers have observed. A leader stores its term before it announces
+ * it, so an observed term above the stored one proves a loss. So does a worker that already knows the term of this
+ * leader without having got it from this leader: the term has been used twice.
  */
 final class TermEvidence {
     private final StateStore store;
@@ -22,14 +22,14 @@
     private long answeredTerm;
     private boolean isReading;
 
-    /** @param onLoss told what shows that writes have been lost */
+    /** @param onLoss receives the evidence when lost writes are detected */
     TermEvidence(StateStore store, RevisionTracker revisions, Consumer<String> onLoss) {
         this.store = store;
         this.revisions = revisions;
         this.onLoss = onLoss;
     }
 
-    /** The highest term that a report shows. */
+    /** The highest term in the fencing token and the attempt ids of a heartbeat. */
     static long highestTermIn(Heartbeat heartbeat) {
         long highest = heartbeat.fencingToken();
         for (TaskStatus task : heartbeat.tasks()) {
@@ -38,7 +38,10 @@
         return highest;
     }
 
-    /** Somebody has shown a term that is higher than any known here: read after that, the store has it too. */
+    /**
+     * Reads the stored term after a higher one than any known to this controller has been observed. The leader of that
+     * term stored it before it announced it, so a read that returns a lower term proves a loss.
+     */
     void verifyTerm(long term, String source) {
         revisions.raiseTo(HighWatermarks.NONE.withTerm(term));
         if (isReading) {
@@ -55,8 +58,8 @@
     }
 
     /**
-     * A report that this controller is to answer under its own term; false if its worker knows the term from somebody
-     * else, who must have taken it before a loss.
+     * False if the heartbeat must not be answered, because its worker knows the term of this leader from another one,
+     * which must have held it before a loss.
      */
     boolean mayAnswer(Heartbeat heartbeat, long term) {
         if (answeredTerm != term) {
--- a/src/test/java/io/sillreel/recovery/CollectedSnapshotsTest.java
+++ b/src/test/java/io/sillreel/recovery/CollectedSnapshotsTest.java
@@ -56,7 +56,7 @@
                 .hasValueSatisfying(why -> assertThat(why).startsWith("b "));
     }
 
-    /** Guards against taking a memory for long enough that does not reach back to anything that is still stored. */
+    /** Guards against trusting change logs that do not reach back to any write that is still stored. */
     @Test
     void reportsGapIfNoKeptRevisionIsKnown() {
         snapshots.add("a", snapshot(11, 20, List.of()));
@@ -64,7 +64,7 @@
         assertThat(snapshots.findGap(MEMBERS, 0, highWatermarks(20), 2)).isPresent();
     }
 
-    /** Guards against controllers that have all started since the loss: their revisions are those after it. */
+    /** Guards against controllers that have all started since the loss: their revisions were reached after it. */
     @Test
     void reportsMembersThatStartedAfterLoss() {
         snapshots.add("a", snapshot(11, 20, List.of()));
@@ -92,7 +92,7 @@
         assertThat(log.snapshot(0).changes()).extracting(RecentChange::key).doesNotHaveDuplicates();
     }
 
-    /** Guards against a loss that others' writes have made up for: the revision is there, and means something else. */
+    /** Guards against a loss after which writes of other controllers have used the same revision for another change. */
     @Test
     void changeLogDetectsOwnCommitMissingFromWatch() {
         ChangeLog log = new ChangeLog(1_000_000);
--- a/src/test/java/io/sillreel/recovery/LostWritesTest.java
+++ b/src/test/java/io/sillreel/recovery/LostWritesTest.java
@@ -18,7 +18,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** A state service that comes back with an older image of itself, seen from outside. */
+/** Recovery of a simulated cluster whose state service is rolled back to an older image, observed through its API. */
 class LostWritesTest {
     private static final long SECOND = 1_000_000;
 
@@ -45,12 +45,12 @@
         FailureScenario.everyNodeSays(cluster, uid(job), stage);
     }
 
-    /** A user repeats what is not accepted. */
+    /** Repeats the submission until it is accepted, as users do. */
     private static void submitUntilAccepted(SimCluster cluster, int node, ObjectNode job) {
         cluster.until(() -> cluster.submit(node, job).status() / 100 == 2);
     }
 
-    /** Jobs in every state, most of which they reach after the image was taken; returns the image. */
+    /** Brings jobs into all states, most of them after taking an image of the state service; returns the image. */
     private static Image createJobsInAllStates(SimCluster cluster) {
         submitUntilAccepted(cluster, 0, SimCluster.job(uid(1), 4));
         submitUntilAccepted(cluster, 1, SimCluster.job(uid(2), 6));
@@ -75,13 +75,13 @@
         for (int job : new int[] {1, 2, 4, 5, 7}) {
             assertStageOnAllNodes(cluster, job, "done");
         }
-        // It may have been done before it could be cancelled.
+        // Job 3 may have finished before it could be cancelled.
         assertStageOnAllNodes(cluster, 3, cluster.told(uid(3)));
         assertStageOnAllNodes(cluster, 6, "withdrawn");
         assertThat(cluster.broken()).isEmpty();
     }
 
-    /** Guards every kind of record: admissions, releases, ends, cancellations, rentals, and the term. */
+    /** Covers every kind of record: admissions, releases, final stages, cancellations, machine rentals and the term. */
     @Test
     void restoresLostWritesWithoutRunningTasksTwice() {
         for (long seed = 1; seed <= 4; seed++) {
@@ -115,7 +115,7 @@
         assertAllJobsEnd(cluster);
     }
 
-    /** Guards against a false alarm: slow, refused, lost and late answers are no loss. */
+    /** Guards against false positives: slow, refused, lost and delayed responses are no evidence of a loss. */
     @Test
     void delayedAndLostResponsesAreNotTakenForLoss() {
         SimCluster cluster = startCluster(6);
@@ -143,7 +143,7 @@
         assertThat(cluster.broken()).isEmpty();
     }
 
-    /** Guards a verdict that rests on one wrong answer: it is closed again, and changes nothing. */
+    /** Guards against a record opened because of a single wrong response: it is closed again without any change. */
     @Test
     void closesGenerationOpenedByWrongResponse() {
         SimCluster cluster = startCluster(7);
@@ -157,7 +157,7 @@
         assertAllJobsEnd(cluster);
     }
 
-    /** Guards writes that nobody who is left remembers: the service stops until an operator decides. */
+    /** Guards writes that are in no remaining change log: the controllers stay suspended until an operator decides. */
     @Test
     void staysSuspendedUntilOperatorAcceptsLossIfLastWriterIsDown() {
         SimCluster cluster = startCluster(8);
@@ -182,7 +182,7 @@
         assertAllJobsEnd(cluster);
     }
 
-    /** Guards a controller that comes back after the loss with the memory it had: it was only cut off. */
+    /** Guards the change log of a controller that was only partitioned during the loss and returns later. */
     @Test
     void completesRecoveryOncePartitionedControllerReturns() {
         SimCluster cluster = startCluster(9);
@@ -220,7 +220,10 @@
         assertStageOnAllNodes(cluster, 9, "done");
     }
 
-    /** Guards every point at which the controller that puts writes back can end; the others remember the same. */
+    /**
+     * Guards every point at which the controller that restores writes can fail: another one must be able to restart the
+     * rebuild, since the other change logs contain the same writes.
+     */
     @Test
     void recoversIfLeaderFreezesDuringRebuild() {
         for (int delaySteps = 1; delaySteps <= 12; delaySteps++) {
@@ -236,7 +239,7 @@
         }
     }
 
-    /** Guards stamps: a transaction from before the loss comes after it, and finds none that it waits for. */
+    /** Guards key revisions: a transaction sent before the loss and delivered after it must fail on its conditions. */
     @Test
     void ignoresDelayedTransactionsFromBeforeLoss() {
         SimCluster cluster = startCluster(40);
@@ -251,7 +254,8 @@
     }
 
     /**
-     * Guards users against a controller that starts after the loss: it asks the others before it says "no such job".
+     * Guards against stale responses of a controller that starts after the loss: it must consult its peers before it
+     * responds that a job does not exist.
      */
     @Test
     void controllerStartedAfterLossReturnsNoStaleStatus() {
@@ -271,12 +275,12 @@
         }
         cluster.seconds(10);
         assertThat(isLossOpen(cluster))
-                .as("what it had stored before its end is not remembered")
+                .as("what it had stored before the restart is in no change log")
                 .isTrue();
         assertThat(cluster.broken()).isEmpty();
     }
 
-    /** Guards against starting everything again when nobody but the workers knows of the later terms. */
+    /** Guards against launching all tasks again when only the workers know of later terms. */
     @Test
     void detectsLossByFencingTokensAfterAllControllersRestarted() {
         SimCluster cluster = startCluster(41);
--- a/src/test/java/io/sillreel/recovery/RandomLossTest.java
+++ b/src/test/java/io/sillreel/recovery/RandomLossTest.java
@@ -18,9 +18,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The state service is turned back at random moments, once or twice, among random troubles of several machines and
- * controllers. From outside: no rule is broken, and every accepted job ends; or, if a controller has ended, writes stay
- * held back with a reason. A seed that fails is named.
+ * Rolls the state service back at random moments, once or twice, among random failures of machines and controllers. No
+ * invariant may be violated, and every accepted job must end; if a controller was restarted, the cluster may instead
+ * stay suspended with a reason. The seed of a failed run is reported.
  */
 class RandomLossTest {
     private static final Logger LOG = LoggerFactory.getLogger(RandomLossTest.class);
@@ -29,7 +29,7 @@
 
     private final List<String> accepted = new ArrayList<>();
 
-    /** Users submit, cancel and ask for a while. */
+    /** Submits, cancels and polls jobs at random. */
     private void runUserRequests(SimCluster cluster, Random random, int steps) {
         for (int step = 0; step < steps; step++) {
             int node = random.nextInt(NODES);
@@ -57,7 +57,7 @@
         }
     }
 
-    /** A trouble that ends no controller. */
+    /** Injects a random failure that ends no controller process. */
     private static void injectFailure(SimCluster cluster, Random random, List<Rule> rules) {
         int node = random.nextInt(NODES);
         List<SimWorker> machines = List.copyOf(cluster.cloud().machines().values());
@@ -91,14 +91,18 @@
             runUserRequests(cluster, random, random.nextInt(6));
             injectFailure(cluster, random, rules);
             cluster.seconds(random.nextDouble());
-            // What one controller has told, the others hear of a little later.
+            // Gives the other controllers time to receive by their watches what one controller has confirmed to users.
             cluster.seconds(WATCH_DELAY_SECONDS);
             if (restartController) {
                 cluster.restart(random.nextInt(NODES));
             }
-            LOG.info("turned back from {}", cluster.state().ledger());
+            LOG.info(
+                    "rolling the state service back from revision {}",
+                    cluster.state().ledger());
             cluster.state().turnBack(image);
-            LOG.info("to {}", cluster.state().ledger());
+            LOG.info(
+                    "rolled the state service back to revision {}",
+                    cluster.state().ledger());
             runUserRequests(cluster, random, random.nextInt(4));
             injectFailure(cluster, random, rules);
             cluster.seconds(random.nextDouble() * 6);
@@ -121,8 +125,8 @@
     }
 
     /**
-     * The users' rules. That a machine is stored as up before it is given tasks is none of them: until a leader notices
-     * the loss, it knows of machines whose rentals are gone from the store, and puts them back afterwards.
+     * The violated invariants that concern users. That a machine is stored as up before tasks are launched on it is not
+     * one of them: until a leader detects the loss, it uses machines whose rentals were lost, and restores them later.
      */
     private static List<String> violations(SimCluster cluster) {
         return cluster.broken().stream()
@@ -131,8 +135,9 @@
     }
 
     /**
-     * A loss of few writes that others have made up for before anybody asked shows only where a lost key is read; then
-     * nobody can say what else came from before it, and it is held back for an operator.
+     * False if the loss was detected in another way. If other writes raise the revision past a small loss before the
+     * next response, only reading a lost key reveals it. It is then unknown which other writes precede the loss, and
+     * the cluster stays suspended until an operator decides.
      */
     private static boolean isDetectedByStoreRevision(SimCluster cluster) {
         return cluster.state()
--- a/src/test/java/io/sillreel/recovery/RecoveryClusters.java
+++ b/src/test/java/io/sillreel/recovery/RecoveryClusters.java
@@ -7,7 +7,7 @@
 import io.sillreel.sim.SimClusterSettings;
 import java.util.Properties;
 
-/** Small deployments with recovery on. */
+/** Small simulated clusters with recovery enabled. */
 final class RecoveryClusters {
     static final int NODES = 3;
 
@@ -20,7 +20,7 @@
                 seed, SimClusterSettings.usual(NODES, 0), Version.CURRENT, OperatorProperties.of(properties));
     }
 
-    /** True while a loss is stored that has not been made good. */
+    /** True while the stored recovery record is open. */
     static boolean isLossOpen(SimCluster cluster) {
         JsonNode record = cluster.state().value(RecoveryRecord.KEY);
         return record != null && record.path("open").asBoolean();
--- a/src/test/java/io/sillreel/recovery/RecoverySamplesTest.java
+++ b/src/test/java/io/sillreel/recovery/RecoverySamplesTest.java
@@ -7,7 +7,7 @@
 import io.sillreel.golden.GoldenSamples;
 import org.junit.jupiter.api.Test;
 
-/** The stored verdict about lost writes. */
+/** The stored form of the recovery record. */
 class RecoverySamplesTest {
     @Test
     void readsAndWritesStoredRecord() throws Exception {
--- a/src/test/java/io/sillreel/recovery/RestorePolicyTest.java
+++ b/src/test/java/io/sillreel/recovery/RestorePolicyTest.java
@@ -37,7 +37,7 @@
         assertThat(shouldRestore("withdraw/job-1", RUNNING, RUNNING, 40)).isFalse();
     }
 
-    /** Guards what users were told: an end is never taken back, whichever side knows of it. */
+    /** Guards responses to users: a final stage is never replaced, whether it was stored before or after the loss. */
     @Test
     void keepsFinalStageOfRun() {
         assertThat(shouldRestore("run/job-1", DONE, RUNNING, 51)).isTrue();
@@ -46,7 +46,7 @@
         assertThat(shouldRestore("run/job-1", RUNNING, RUNNING, 51)).isFalse();
     }
 
-    /** Guards the term in which all this is done. */
+    /** Guards the term in which the writes are restored. */
     @Test
     void neverRestoresTermOrRecoveryRecord() {
         assertThat(shouldRestore("term", RUNNING, RUNNING, 40)).isFalse();
--- a/src/test/java/io/sillreel/recovery/RevisionTrackerTest.java
+++ b/src/test/java/io/sillreel/recovery/RevisionTrackerTest.java
@@ -15,7 +15,7 @@
         assertThat(tracker.observeRevision(tracker.baseline(7), 99)).isEqualTo(Consistency.WRITES_LOST);
     }
 
-    /** Guards against a false alarm: answers overtake each other, and some take seconds. */
+    /** Guards against false positives: responses overtake each other, and some take seconds. */
     @Test
     void acceptsDelayedResponseAboveItsBaseline() {
         RequestBaseline earlierBaseline = tracker.baseline(7);
@@ -24,7 +24,7 @@
         assertThat(tracker.observeRevision(tracker.baseline(7), 100)).isEqualTo(Consistency.CONSISTENT);
     }
 
-    /** Guards against a loss of few writes that others make up for at once: each write counts on. */
+    /** Guards against a small loss that other writes make up for at once: each commit must raise the revision. */
     @Test
     void detectsLossIfCommitDoesNotRaiseRevision() {
         tracker.observeCommit(tracker.baseline(7), 100);
@@ -52,7 +52,10 @@
         assertThat(tracker.highWatermarks()).isEqualTo(new HighWatermarks(100, 100, 0));
     }
 
-    /** Guards against a memory that began after the loss: only who has seen a later revision was there before. */
+    /**
+     * Guards against change logs that began after the loss: only a controller that has observed a higher revision than
+     * the one after the loss observed the service before it.
+     */
     @Test
     void knowsWhetherStoreWasObservedBeforeLoss() {
         tracker.observeRevision(tracker.baseline(5_000), 100);
@@ -68,7 +71,7 @@
         assertThat(fresh.observedBeforeLossMicros()).isZero();
     }
 
-    /** Guards a second loss while the first is made good: only the first one's changes have to be known again. */
+    /** Guards a second loss during recovery from the first: only changes before the first one have to be collected. */
     @Test
     void secondLossRaisesOnlyKeyRevisionWatermark() {
         tracker.observeRevision(tracker.baseline(7), 100);
