--- a/src/main/java/io/sillreel/recovery/ChangeLog.java
+++ b/src/main/java/io/sillreel/recovery/ChangeLog.java
@@ -99,10 +99,10 @@
     private Optional<String> findMissingOwnKey(Collection<RecentChange> events, long storeRevision) {
         Set<String> watched = new HashSet<>();
         events.forEach(change -> watched.add(change.revision() + change.key()));
-        for (Map.Entry<Long, Set<String>> own :
+        for (Map.Entry<Long, Set<String>> ownKeys :
                 ownKeysByRevision.headMap(storeRevision, true).entrySet()) {
-            for (String key : own.getValue()) {
-                if (!watched.contains(own.getKey() + key)) {
+            for (String key : ownKeys.getValue()) {
+                if (!watched.contains(ownKeys.getKey() + key)) {
                     return Optional.of(key);
                 }
             }
--- a/src/main/java/io/sillreel/recovery/CollectedSnapshots.java
+++ b/src/main/java/io/sillreel/recovery/CollectedSnapshots.java
@@ -16,7 +16,7 @@
  */
 final class CollectedSnapshots {
     private final Map<String, Snapshot> snapshots = new LinkedHashMap<>();
-    private final Map<String, RecentChange> newest = new HashMap<>();
+    private final Map<String, RecentChange> newestChanges = new HashMap<>();
     /**
      * The newest revision by key, from the snapshots of controllers that observed the state service before the loss.
      */
@@ -26,7 +26,7 @@
     void add(String node, Snapshot snapshot) {
         snapshots.put(node, snapshot);
         for (RecentChange change : snapshot.changes()) {
-            newest.merge(change.key(), change, (one, other) -> one.revision() >= other.revision() ? one : other);
+            newestChanges.merge(change.key(), change, (one, other) -> one.revision() >= other.revision() ? one : other);
             if (snapshot.observedBeforeLoss()) {
                 revisionsBeforeLoss.merge(change.key(), change.revision(), Math::max);
             }
@@ -48,7 +48,7 @@
 
     /** The newest known change of each key, the latest first. */
     List<RecentChange> newestFirst() {
-        List<RecentChange> changes = new ArrayList<>(newest.values());
+        List<RecentChange> changes = new ArrayList<>(newestChanges.values());
         changes.sort((one, other) -> Long.compare(other.revision(), one.revision()));
         return changes;
     }
--- a/src/main/java/io/sillreel/recovery/RecoveryMessages.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryMessages.java
@@ -107,10 +107,10 @@
                 in.nextToken();
                 boolean last = in.nextToken() == JsonToken.VALUE_TRUE;
                 HighWatermarks highWatermarks = readHighWatermarks(in);
-                long sinceMicros = in.nextLongValue(0);
-                long seenMicros = in.nextLongValue(0);
-                long knownFrom = in.nextLongValue(0);
-                long knownTo = in.nextLongValue(0);
+                long recordingSinceMicros = in.nextLongValue(0);
+                long observedBeforeLossMicros = in.nextLongValue(0);
+                long completeFrom = in.nextLongValue(0);
+                long completeTo = in.nextLongValue(0);
                 List<Long> ownRevisions = new ArrayList<>();
                 in.nextToken();
                 while (in.nextToken() == JsonToken.VALUE_NUMBER_INT) {
@@ -122,7 +122,13 @@
                     changes.add(readChange(in));
                 }
                 return new Page(
-                        new Snapshot(changes, knownFrom, knownTo, ownRevisions, sinceMicros, seenMicros),
+                        new Snapshot(
+                                changes,
+                                completeFrom,
+                                completeTo,
+                                ownRevisions,
+                                recordingSinceMicros,
+                                observedBeforeLossMicros),
                         highWatermarks,
                         last);
             } catch (IOException e) {
--- a/src/test/java/io/sillreel/recovery/CollectedSnapshotsTest.java
+++ b/src/test/java/io/sillreel/recovery/CollectedSnapshotsTest.java
@@ -17,8 +17,8 @@
         return RecentChange.of(key, Json.object().put("at", revision), revision);
     }
 
-    private static Snapshot snapshot(long from, long to, List<Long> own, RecentChange... changes) {
-        return new Snapshot(List.of(changes), from, to, own, 1_000, 5_000);
+    private static Snapshot snapshot(long from, long to, List<Long> ownRevisions, RecentChange... changes) {
+        return new Snapshot(List.of(changes), from, to, ownRevisions, 1_000, 5_000);
     }
 
     private static HighWatermarks highWatermarks(long storeRevision) {
@@ -38,14 +38,14 @@
         snapshots.add("a", snapshot(11, 18, List.of(20L)));
         snapshots.add("b", snapshot(11, 18, List.of()));
         assertThat(snapshots.findGap(MEMBERS, 12, highWatermarks(20), 2))
-                .hasValueSatisfying(why -> assertThat(why).contains("19"));
+                .hasValueSatisfying(reason -> assertThat(reason).contains("19"));
     }
 
     @Test
     void reportsMemberWithoutSnapshot() {
         snapshots.add("a", snapshot(11, 20, List.of()));
         assertThat(snapshots.findGap(MEMBERS, 12, highWatermarks(20), 2))
-                .hasValueSatisfying(why -> assertThat(why).startsWith("b "));
+                .hasValueSatisfying(reason -> assertThat(reason).startsWith("b "));
     }
 
     @Test
@@ -53,7 +53,7 @@
         snapshots.add("a", snapshot(11, 20, List.of()));
         snapshots.add("b", snapshot(21, 20, List.of()));
         assertThat(snapshots.findGap(MEMBERS, 12, highWatermarks(20), 2))
-                .hasValueSatisfying(why -> assertThat(why).startsWith("b "));
+                .hasValueSatisfying(reason -> assertThat(reason).startsWith("b "));
     }
 
     /** Guards against trusting change logs that do not reach back to any write that is still stored. */
@@ -70,11 +70,11 @@
         snapshots.add("a", snapshot(11, 20, List.of()));
         snapshots.add("b", new Snapshot(List.of(), 11, 20, List.of(), 4_999, 0));
         assertThat(snapshots.findGap(MEMBERS, 12, highWatermarks(20), 2))
-                .hasValueSatisfying(why -> assertThat(why).startsWith("b has begun"));
-        CollectedSnapshots fresh = new CollectedSnapshots();
-        fresh.add("a", new Snapshot(List.of(), 11, 20, List.of(), 4_000, 0));
-        assertThat(fresh.findGap(List.of("a"), 12, highWatermarks(20), 2))
-                .hasValueSatisfying(why -> assertThat(why).startsWith("nobody"));
+                .hasValueSatisfying(reason -> assertThat(reason).startsWith("b has begun"));
+        CollectedSnapshots onlyRestarted = new CollectedSnapshots();
+        onlyRestarted.add("a", new Snapshot(List.of(), 11, 20, List.of(), 4_000, 0));
+        assertThat(onlyRestarted.findGap(List.of("a"), 12, highWatermarks(20), 2))
+                .hasValueSatisfying(reason -> assertThat(reason).startsWith("nobody"));
     }
 
     @Test
--- a/src/test/java/io/sillreel/recovery/RevisionTrackerTest.java
+++ b/src/test/java/io/sillreel/recovery/RevisionTrackerTest.java
@@ -64,11 +64,11 @@
         assertThat(tracker.observedBeforeLossMicros()).isZero();
         tracker.observeRevision(tracker.baseline(7_000), 60);
         assertThat(tracker.observedBeforeLossMicros()).isEqualTo(6_000);
-        RevisionTracker fresh = new RevisionTracker();
-        fresh.observeRevision(fresh.baseline(7_000), 60);
-        fresh.beginLossEpoch(false);
-        fresh.observeRevision(fresh.baseline(8_000), 61);
-        assertThat(fresh.observedBeforeLossMicros()).isZero();
+        RevisionTracker startedAfterLoss = new RevisionTracker();
+        startedAfterLoss.observeRevision(startedAfterLoss.baseline(7_000), 60);
+        startedAfterLoss.beginLossEpoch(false);
+        startedAfterLoss.observeRevision(startedAfterLoss.baseline(8_000), 61);
+        assertThat(startedAfterLoss.observedBeforeLossMicros()).isZero();
     }
 
     /** Guards a second loss during recovery from the first: only changes before the first one have to be collected. */
