--- a/src/main/java/io/sillreel/recovery/RebuildCoordinator.java
+++ b/src/main/java/io/sillreel/recovery/RebuildCoordinator.java
@@ -80,9 +80,8 @@
             } else if (!loss.isSuspended()) {
                 beginTerm.run();
             }
-            // Otherwise the record has just revealed a loss and this controller has resigned: its term was chosen
-            // without
-            // regard to terms that may have been lost.
+            // Otherwise the record has just revealed a loss, and this controller has resigned because its term was
+            // chosen without regard to terms that may have been lost.
         });
     }
 
--- a/src/main/java/io/sillreel/recovery/RecoveryRecord.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryRecord.java
@@ -50,6 +50,7 @@
     /**
      * The closed form of this record.
      *
+     * @param closingNode the controller that closes the record
      * @param revision a revision up to which nothing was lost, or 0 if none is known
      */
     RecoveryRecord closedBy(String closingNode, long revision) {
--- a/src/main/java/io/sillreel/recovery/RestorePolicy.java
+++ b/src/main/java/io/sillreel/recovery/RestorePolicy.java
@@ -11,7 +11,7 @@
 
 /** Decides whether a lost change is restored. */
 final class RestorePolicy {
-    /** Prefixes of keys whose values never change. */
+    /** Prefixes of keys whose values are written once and never change. */
     private static final List<String> IMMUTABLE_PREFIXES =
             List.of(PlanRecord.PREFIX, PlanRecord.OVERFLOW_PREFIX, CancellationRecord.PREFIX);
 
--- a/src/main/java/io/sillreel/recovery/RevisionTracker.java
+++ b/src/main/java/io/sillreel/recovery/RevisionTracker.java
@@ -31,10 +31,10 @@
 
     /** The wall-clock time at which the last request was sent whose response carried the highest revision. */
     private long lastObservedMicros;
-    /** The value of lastObservedMicros at the beginning of the last loss epoch. */
+    /** The value of lastObservedMicros at the first loss that is not yet repaired, or else at the last loss. */
     private long observedBeforeLossMicros;
 
-    /** The highest revision known at the beginning of the last loss epoch. */
+    /** The highest revision known at the first loss that is not yet repaired, or else at the last loss. */
     private long revisionBeforeLoss;
     /** True if this controller observed the state service before an earlier loss that has not been repaired yet. */
     private boolean observedBeforeEarlierLoss;
@@ -80,7 +80,7 @@
         return Consistency.CONSISTENT;
     }
 
-    /** Raises the known revision to one that was reached after the last loss. */
+    /** Raises the known store revision to one that was reached after the last loss. */
     synchronized void raiseTo(long revision) {
         storeRevision = Math.max(storeRevision, revision);
     }
--- a/src/main/java/io/sillreel/recovery/StoreMonitor.java
+++ b/src/main/java/io/sillreel/recovery/StoreMonitor.java
@@ -16,8 +16,8 @@
 
 /**
  * Checks each response of the state service for evidence of lost writes before it is used. A response that shows a
- * loss, or whose request was sent before one was detected, is replaced by none: the request may have been executed, so
- * the caller has to read again.
+ * loss, or whose request was sent before one was detected, is treated like a missing response: the request may have
+ * been executed, so the caller has to read again.
  */
 final class StoreMonitor implements HttpClient {
     private static final String KEY_ROUTE_PREFIX = "/kv/";
