--- a/src/test/java/io/sillreel/recovery/LostWritesTest.java
+++ b/src/test/java/io/sillreel/recovery/LostWritesTest.java
@@ -12,9 +12,9 @@
 import io.sillreel.http.Json;
 import io.sillreel.sim.FailureInjector;
 import io.sillreel.sim.SimCluster;
-import io.sillreel.sim.SimNetwork.Fate;
+import io.sillreel.sim.SimNetwork.Action;
 import io.sillreel.sim.SimNetwork.Rule;
-import io.sillreel.sim.SimStateStore.Image;
+import io.sillreel.sim.SimStateService.Snapshot;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
@@ -24,21 +24,21 @@
 
     private static SimCluster startCluster(long seed) {
         SimCluster cluster = RecoveryClusters.start(seed);
-        cluster.seconds(2);
+        cluster.runSeconds(2);
         return cluster;
     }
 
     private static long generation(SimCluster cluster) {
-        JsonNode record = cluster.state().value(RecoveryRecord.KEY);
+        JsonNode record = cluster.store().value(RecoveryRecord.KEY);
         return record == null ? 0 : record.path("generation").asLong();
     }
 
     private static void awaitClosed(SimCluster cluster, long generation) {
-        cluster.until(() -> generation(cluster) >= generation && !isLossOpen(cluster));
+        cluster.runUntil(() -> generation(cluster) >= generation && !isLossOpen(cluster));
     }
 
     private static JsonNode status(SimCluster cluster, int node) {
-        return cluster.askAsOperator(node, HttpRequest.get("/recovery/status")).json();
+        return cluster.sendInternal(node, HttpRequest.get("/recovery/status")).json();
     }
 
     private static void assertStageOnAllNodes(SimCluster cluster, int job, String stage) {
@@ -47,38 +47,38 @@
 
     /** Repeats the submission until it is accepted, as users do. */
     private static void submitUntilAccepted(SimCluster cluster, int node, ObjectNode job) {
-        cluster.until(() -> cluster.submit(node, job).status() / 100 == 2);
+        cluster.runUntil(() -> cluster.submit(node, job).status() / 100 == 2);
     }
 
     /** Brings jobs into all states, most of them after taking an image of the state service; returns the image. */
-    private static Image createJobsInAllStates(SimCluster cluster) {
+    private static Snapshot createJobsInAllStates(SimCluster cluster) {
         submitUntilAccepted(cluster, 0, SimCluster.job(uid(1), 4));
         submitUntilAccepted(cluster, 1, SimCluster.job(uid(2), 6));
         submitUntilAccepted(cluster, 2, SimCluster.job(uid(3), 2));
-        cluster.untilStarted(6, 60 * SECOND);
-        Image image = cluster.state().image();
-        cluster.cloud().machines().values().forEach(worker -> worker.runMicros(2 * SECOND));
-        cluster.until(() -> cluster.cancel(1, uid(3)).isOk());
+        cluster.runUntilStarted(6, 60 * SECOND);
+        Snapshot image = cluster.store().snapshot();
+        cluster.cloud().machines().values().forEach(worker -> worker.setRunMicros(2 * SECOND));
+        cluster.runUntil(() -> cluster.cancel(1, uid(3)).isOk());
         submitUntilAccepted(cluster, 2, SimCluster.job(uid(4), 3));
         submitUntilAccepted(cluster, 0, SimCluster.job(uid(5), 2, uid(4)));
         submitUntilAccepted(cluster, 1, SimCluster.job(uid(6), 2));
-        cluster.until(() -> cluster.cancel(2, uid(6)).isOk());
-        cluster.until(() -> cluster.stage(0, uid(1)).equals("done"));
+        cluster.runUntil(() -> cluster.cancel(2, uid(6)).isOk());
+        cluster.runUntil(() -> cluster.stage(0, uid(1)).equals("done"));
         submitUntilAccepted(cluster, 0, SimCluster.job(uid(7), 12));
-        cluster.untilStarted(cluster.starts() + 3, 8 * SECOND);
+        cluster.runUntilStarted(cluster.startCount() + 3, 8 * SECOND);
         return image;
     }
 
     private static void assertAllJobsEnd(SimCluster cluster) {
-        cluster.cloud().machines().values().forEach(worker -> worker.runMicros(3 * SECOND));
-        cluster.seconds(60);
+        cluster.cloud().machines().values().forEach(worker -> worker.setRunMicros(3 * SECOND));
+        cluster.runSeconds(60);
         for (int job : new int[] {1, 2, 4, 5, 7}) {
             assertStageOnAllNodes(cluster, job, "done");
         }
         // Job 3 may have finished before it could be cancelled.
-        assertStageOnAllNodes(cluster, 3, cluster.told(uid(3)));
+        assertStageOnAllNodes(cluster, 3, cluster.known(uid(3)));
         assertStageOnAllNodes(cluster, 6, "withdrawn");
-        assertThat(cluster.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Covers every kind of record: admissions, releases, final stages, cancellations, machine rentals and the term. */
@@ -86,31 +86,31 @@
     void restoresLostWritesWithoutRunningTasksTwice() {
         for (long seed = 1; seed <= 4; seed++) {
             SimCluster cluster = startCluster(seed);
-            Image image = createJobsInAllStates(cluster);
+            Snapshot image = createJobsInAllStates(cluster);
             int term = cluster.term();
-            long storeRevision = cluster.state().ledger();
-            cluster.state().turnBack(image);
+            long storeRevision = cluster.store().revision();
+            cluster.store().restore(image);
             awaitClosed(cluster, 1);
-            assertThat(cluster.state().ledger()).isGreaterThan(storeRevision);
+            assertThat(cluster.store().revision()).isGreaterThan(storeRevision);
             assertThat(cluster.term()).isGreaterThan(term + 1_000);
             assertAllJobsEnd(cluster);
             int tasks = 4 + 6 + 2 + 3 + 2 + 2 + 12;
-            assertThat(cluster.starts()).as("each task once").isLessThanOrEqualTo(tasks);
+            assertThat(cluster.startCount()).as("each task once").isLessThanOrEqualTo(tasks);
         }
     }
 
     @Test
     void returnsNoStaleStatusDuringRecovery() {
         SimCluster cluster = startCluster(5);
-        Image image = createJobsInAllStates(cluster);
-        cluster.state().turnBack(image);
+        Snapshot image = createJobsInAllStates(cluster);
+        cluster.store().restore(image);
         for (int poll = 0; poll < 200; poll++) {
             for (int node = 0; node < NODES; node++) {
                 for (int job = 1; job <= 7; job++) {
-                    cluster.pollMeanwhile(node, uid(job));
+                    cluster.pollAsync(node, uid(job));
                 }
             }
-            cluster.seconds(0.05);
+            cluster.runSeconds(0.05);
         }
         assertAllJobsEnd(cluster);
     }
@@ -121,26 +121,26 @@
         SimCluster cluster = startCluster(6);
         Random random = new Random(6);
         Rule[] rules = {
-            cluster.network().add(FailureInjector.writes("\"set\"", Fate.SLOW_ANSWER, 0.5, random)),
-            cluster.network().add(FailureInjector.writes("\"set\"", Fate.LOSE_ANSWER, 0.1, random)),
-            cluster.network().add(FailureInjector.reports(Fate.COPY, 0.5, random))
+            cluster.network().addRule(FailureInjector.transactions("\"set\"", Action.DELAY_RESPONSE, 0.5, random)),
+            cluster.network().addRule(FailureInjector.transactions("\"set\"", Action.DROP_RESPONSE, 0.1, random)),
+            cluster.network().addRule(FailureInjector.heartbeats(Action.DUPLICATE, 0.5, random))
         };
-        cluster.network().slowness(20);
+        cluster.network().setLatencyFactor(20);
         for (int job = 1; job <= 6; job++) {
-            cluster.submitMeanwhile(job % NODES, SimCluster.job(uid(job), 2));
-            cluster.seconds(2);
+            cluster.submitAsync(job % NODES, SimCluster.job(uid(job), 2));
+            cluster.runSeconds(2);
         }
         cluster.restart(cluster.leader());
-        cluster.seconds(5);
-        cluster.state().outage(true);
-        cluster.seconds(5);
-        cluster.state().outage(false);
+        cluster.runSeconds(5);
+        cluster.store().setOutage(true);
+        cluster.runSeconds(5);
+        cluster.store().setOutage(false);
         for (Rule rule : rules) {
-            cluster.network().remove(rule);
+            cluster.network().removeRule(rule);
         }
-        cluster.seconds(40);
+        cluster.runSeconds(40);
         assertThat(generation(cluster)).isZero();
-        assertThat(cluster.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards against a record opened because of a single wrong response: it is closed again without any change. */
@@ -148,9 +148,9 @@
     void closesGenerationOpenedByWrongResponse() {
         SimCluster cluster = startCluster(7);
         createJobsInAllStates(cluster);
-        cluster.state().misreport(cluster.state().ledger() - 3);
+        cluster.store().misreportRevision(cluster.store().revision() - 3);
         awaitClosed(cluster, 1);
-        cluster.seconds(2);
+        cluster.runSeconds(2);
         for (int node = 0; node < NODES; node++) {
             assertThat(status(cluster, node).path("suspended").asBoolean()).isFalse();
         }
@@ -161,23 +161,23 @@
     @Test
     void staysSuspendedUntilOperatorAcceptsLossIfLastWriterIsDown() {
         SimCluster cluster = startCluster(8);
-        Image image = createJobsInAllStates(cluster);
-        int starts = cluster.starts();
+        Snapshot image = createJobsInAllStates(cluster);
+        int starts = cluster.startCount();
         int killed = cluster.leader();
         cluster.kill(killed);
-        cluster.state().turnBack(image);
-        cluster.until(() -> cluster.leader() >= 0
+        cluster.store().restore(image);
+        cluster.runUntil(() -> cluster.leader() >= 0
                 && status(cluster, cluster.leader()).path("step").asText().equals("incomplete"));
-        cluster.seconds(20);
-        assertThat(cluster.starts()).isEqualTo(starts);
+        cluster.runSeconds(20);
+        assertThat(cluster.startCount()).isEqualTo(starts);
         int leader = cluster.leader();
         assertThat(status(cluster, leader).path("incomplete").asText()).startsWith("hopper-" + killed);
         assertThat(cluster.poll(leader, uid(1)).status()).isEqualTo(503);
         assertThat(cluster.poll(leader, uid(1)).retryAfterSeconds()).isPositive();
         HttpRequest accept = HttpRequest.post("/recovery/accept-loss", Json.object());
         int other = 3 - leader - killed;
-        assertThat(cluster.askAsOperator(other, accept).status()).isEqualTo(409);
-        assertThat(cluster.askAsOperator(leader, accept).status()).isEqualTo(200);
+        assertThat(cluster.sendInternal(other, accept).status()).isEqualTo(409);
+        assertThat(cluster.sendInternal(leader, accept).status()).isEqualTo(200);
         awaitClosed(cluster, 1);
         assertAllJobsEnd(cluster);
     }
@@ -186,14 +186,14 @@
     @Test
     void completesRecoveryOncePartitionedControllerReturns() {
         SimCluster cluster = startCluster(9);
-        Image image = createJobsInAllStates(cluster);
+        Snapshot image = createJobsInAllStates(cluster);
         int partitioned = (cluster.leader() + 1) % NODES;
-        Rule partition = cluster.network().add(FailureInjector.isolated(partitioned));
-        cluster.seconds(1);
-        cluster.state().turnBack(image);
-        cluster.until(() -> cluster.leader() >= 0
+        Rule partition = cluster.network().addRule(FailureInjector.isolated(partitioned));
+        cluster.runSeconds(1);
+        cluster.store().restore(image);
+        cluster.runUntil(() -> cluster.leader() >= 0
                 && status(cluster, cluster.leader()).path("step").asText().equals("incomplete"));
-        cluster.network().remove(partition);
+        cluster.network().removeRule(partition);
         awaitClosed(cluster, 1);
         assertAllJobsEnd(cluster);
     }
@@ -201,19 +201,19 @@
     @Test
     void recoversFromRepeatedRollbacks() {
         SimCluster cluster = startCluster(10);
-        Image image = createJobsInAllStates(cluster);
-        cluster.state().turnBack(image);
-        cluster.until(() -> isLossOpen(cluster));
-        cluster.seconds(0.3);
-        cluster.state().turnBack(image);
+        Snapshot image = createJobsInAllStates(cluster);
+        cluster.store().restore(image);
+        cluster.runUntil(() -> isLossOpen(cluster));
+        cluster.runSeconds(0.3);
+        cluster.store().restore(image);
         awaitClosed(cluster, 1);
         submitUntilAccepted(cluster, 0, SimCluster.job(uid(8), 2));
-        Image laterImage = cluster.state().image();
-        cluster.seconds(4);
+        Snapshot laterImage = cluster.store().snapshot();
+        cluster.runSeconds(4);
         submitUntilAccepted(cluster, 1, SimCluster.job(uid(9), 2));
-        cluster.seconds(0.4);
+        cluster.runSeconds(0.4);
         long generationBefore = generation(cluster);
-        cluster.state().turnBack(laterImage);
+        cluster.store().restore(laterImage);
         awaitClosed(cluster, generationBefore + 1);
         assertAllJobsEnd(cluster);
         assertStageOnAllNodes(cluster, 8, "done");
@@ -228,12 +228,12 @@
     void recoversIfLeaderFreezesDuringRebuild() {
         for (int delaySteps = 1; delaySteps <= 12; delaySteps++) {
             SimCluster cluster = startCluster(20 + delaySteps);
-            Image image = createJobsInAllStates(cluster);
-            cluster.state().turnBack(image);
-            cluster.until(() -> cluster.leader() >= 0 && generation(cluster) > 0);
-            cluster.seconds(0.02 * delaySteps);
+            Snapshot image = createJobsInAllStates(cluster);
+            cluster.store().restore(image);
+            cluster.runUntil(() -> cluster.leader() >= 0 && generation(cluster) > 0);
+            cluster.runSeconds(0.02 * delaySteps);
             int leader = Math.max(0, cluster.leader());
-            cluster.freeze(leader, 8 * SECOND);
+            cluster.pause(leader, 8 * SECOND);
             awaitClosed(cluster, 1);
             assertAllJobsEnd(cluster);
         }
@@ -243,12 +243,13 @@
     @Test
     void ignoresDelayedTransactionsFromBeforeLoss() {
         SimCluster cluster = startCluster(40);
-        Rule delayedWrites = cluster.network().add(FailureInjector.writes("\"set\"", Fate.LATE, 0.5, new Random(40)));
-        Image image = createJobsInAllStates(cluster);
-        cluster.seconds(1);
-        cluster.state().turnBack(image);
-        cluster.network().remove(delayedWrites);
-        cluster.seconds(15);
+        Rule delayedWrites = cluster.network()
+                .addRule(FailureInjector.transactions("\"set\"", Action.DELAY_AND_DROP_RESPONSE, 0.5, new Random(40)));
+        Snapshot image = createJobsInAllStates(cluster);
+        cluster.runSeconds(1);
+        cluster.store().restore(image);
+        cluster.network().removeRule(delayedWrites);
+        cluster.runSeconds(15);
         awaitClosed(cluster, 1);
         assertAllJobsEnd(cluster);
     }
@@ -260,24 +261,24 @@
     @Test
     void controllerStartedAfterLossReturnsNoStaleStatus() {
         SimCluster cluster = startCluster(43);
-        Image image = cluster.state().image();
+        Snapshot image = cluster.store().snapshot();
         submitUntilAccepted(cluster, 0, SimCluster.job(uid(1), 2));
-        cluster.seconds(1);
+        cluster.runSeconds(1);
         int restarted = (cluster.leader() + 1) % NODES;
         for (int node = 0; node < NODES; node++) {
-            cluster.freeze(node, SECOND / 2);
+            cluster.pause(node, SECOND / 2);
         }
-        cluster.state().turnBack(image);
+        cluster.store().restore(image);
         cluster.restart(restarted);
         for (int poll = 0; poll < 60; poll++) {
-            cluster.pollMeanwhile(restarted, uid(1));
-            cluster.seconds(0.05);
+            cluster.pollAsync(restarted, uid(1));
+            cluster.runSeconds(0.05);
         }
-        cluster.seconds(10);
+        cluster.runSeconds(10);
         assertThat(isLossOpen(cluster))
                 .as("what it had stored before the restart is in no change log")
                 .isTrue();
-        assertThat(cluster.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards against launching all tasks again when only the workers know of later terms. */
@@ -285,35 +286,35 @@
     void detectsLossByFencingTokensAfterAllControllersRestarted() {
         SimCluster cluster = startCluster(41);
         cluster.submit(0, SimCluster.job(uid(1), 4));
-        cluster.untilStarted(4, 60 * SECOND);
-        Image image = cluster.state().image();
-        int starts = cluster.starts();
+        cluster.runUntilStarted(4, 60 * SECOND);
+        Snapshot image = cluster.store().snapshot();
+        int starts = cluster.startCount();
         int oldLeader = cluster.leader();
         cluster.kill(oldLeader);
-        cluster.until(() -> cluster.leader() >= 0 && cluster.leader() != oldLeader);
-        cluster.seconds(4);
+        cluster.runUntil(() -> cluster.leader() >= 0 && cluster.leader() != oldLeader);
+        cluster.runSeconds(4);
         for (int node = 0; node < NODES; node++) {
             cluster.kill(node);
         }
-        cluster.state().turnBack(image);
+        cluster.store().restore(image);
         for (int node = 0; node < NODES; node++) {
             cluster.restart(node);
         }
-        cluster.until(() -> isLossOpen(cluster));
-        cluster.seconds(10);
+        cluster.runUntil(() -> isLossOpen(cluster));
+        cluster.runSeconds(10);
         assertThat(isLossOpen(cluster)).isTrue();
-        assertThat(cluster.starts()).isEqualTo(starts);
-        assertThat(cluster.state().value(RecoveryRecord.KEY).path("evidence").asText())
+        assertThat(cluster.startCount()).isEqualTo(starts);
+        assertThat(cluster.store().value(RecoveryRecord.KEY).path("evidence").asText())
                 .contains("term");
-        assertThat(cluster.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     @Test
     void servesNoRecoveryRoutesIfDisabled() {
         SimCluster cluster = new SimCluster(42);
-        cluster.seconds(3);
-        assertThat(cluster.askAsOperator(0, HttpRequest.get("/recovery/status")).status())
+        cluster.runSeconds(3);
+        assertThat(cluster.sendInternal(0, HttpRequest.get("/recovery/status")).status())
                 .isEqualTo(404);
-        assertThat(cluster.state().value(RecoveryRecord.KEY)).isNull();
+        assertThat(cluster.store().value(RecoveryRecord.KEY)).isNull();
     }
 }
--- a/src/test/java/io/sillreel/recovery/RandomLossTest.java
+++ b/src/test/java/io/sillreel/recovery/RandomLossTest.java
@@ -6,9 +6,9 @@
 
 import io.sillreel.sim.FailureInjector;
 import io.sillreel.sim.SimCluster;
-import io.sillreel.sim.SimNetwork.Fate;
+import io.sillreel.sim.SimNetwork.Action;
 import io.sillreel.sim.SimNetwork.Rule;
-import io.sillreel.sim.SimStateStore.Image;
+import io.sillreel.sim.SimStateService.Snapshot;
 import io.sillreel.sim.SimWorker;
 import java.util.ArrayList;
 import java.util.List;
@@ -44,16 +44,16 @@
             if (!accepted.isEmpty()) {
                 String polledUid = accepted.get(random.nextInt(accepted.size()));
                 for (int polledNode = 0; polledNode < NODES; polledNode++) {
-                    cluster.pollMeanwhile(polledNode, polledUid);
+                    cluster.pollAsync(polledNode, polledUid);
                 }
                 if (random.nextInt(6) == 0) {
-                    cluster.cancelMeanwhile(random.nextInt(NODES), polledUid);
+                    cluster.cancelAsync(random.nextInt(NODES), polledUid);
                 }
             }
             for (SimWorker machine : cluster.cloud().machines().values()) {
-                machine.runMicros(1_000_000 + random.nextInt(6_000_000));
+                machine.setRunMicros(1_000_000 + random.nextInt(6_000_000));
             }
-            cluster.seconds(random.nextDouble() * 2);
+            cluster.runSeconds(random.nextDouble() * 2);
         }
     }
 
@@ -62,57 +62,60 @@
         int node = random.nextInt(NODES);
         List<SimWorker> machines = List.copyOf(cluster.cloud().machines().values());
         switch (random.nextInt(8)) {
-            case 0 -> cluster.freeze(node, random.nextInt(8_000_000));
-            case 1 -> rules.add(cluster.network().add(FailureInjector.isolated(node)));
-            case 2 -> rules.add(cluster.network().add(FailureInjector.writes("\"set\"", Fate.LATE, 0.4, random)));
+            case 0 -> cluster.pause(node, random.nextInt(8_000_000));
+            case 1 -> rules.add(cluster.network().addRule(FailureInjector.isolated(node)));
+            case 2 ->
+                rules.add(cluster.network()
+                        .addRule(FailureInjector.transactions("\"set\"", Action.DELAY_AND_DROP_RESPONSE, 0.4, random)));
             case 3 ->
-                rules.add(cluster.network().add(FailureInjector.writes("\"set\"", Fate.LOSE_ANSWER, 0.4, random)));
-            case 4 -> rules.add(cluster.network().add(FailureInjector.reports(Fate.COPY, 0.5, random)));
-            case 5 -> machines.forEach(machine -> machine.hang(random.nextInt(9_000_000)));
+                rules.add(cluster.network()
+                        .addRule(FailureInjector.transactions("\"set\"", Action.DROP_RESPONSE, 0.4, random)));
+            case 4 -> rules.add(cluster.network().addRule(FailureInjector.heartbeats(Action.DUPLICATE, 0.5, random)));
+            case 5 -> machines.forEach(machine -> machine.pause(random.nextInt(9_000_000)));
             case 6 -> {
                 if (!machines.isEmpty()) {
-                    cluster.cloud().take(machines.get(0).name());
+                    cluster.cloud().reclaim(machines.get(0).name());
                 }
             }
-            default -> rules.add(cluster.network().add(FailureInjector.refused(node)));
+            default -> rules.add(cluster.network().addRule(FailureInjector.rejectedByStateService(node)));
         }
     }
 
     private SimCluster runScenario(long seed, boolean restartController) {
         accepted.clear();
         SimCluster cluster = RecoveryClusters.start(seed);
-        cluster.seconds(3);
+        cluster.runSeconds(3);
         Random random = new Random(seed);
         List<Rule> rules = new ArrayList<>();
         runUserRequests(cluster, random, 3 + random.nextInt(6));
         int losses = 1 + random.nextInt(2);
         for (int loss = 0; loss < losses; loss++) {
-            Image image = cluster.state().image();
+            Snapshot image = cluster.store().snapshot();
             runUserRequests(cluster, random, random.nextInt(6));
             injectFailure(cluster, random, rules);
-            cluster.seconds(random.nextDouble());
+            cluster.runSeconds(random.nextDouble());
             // Gives the other controllers time to receive by their watches what one controller has confirmed to users.
-            cluster.seconds(WATCH_DELAY_SECONDS);
+            cluster.runSeconds(WATCH_DELAY_SECONDS);
             if (restartController) {
                 cluster.restart(random.nextInt(NODES));
             }
             LOG.info(
                     "rolling the state service back from revision {}",
-                    cluster.state().ledger());
-            cluster.state().turnBack(image);
+                    cluster.store().revision());
+            cluster.store().restore(image);
             LOG.info(
                     "rolled the state service back to revision {}",
-                    cluster.state().ledger());
+                    cluster.store().revision());
             runUserRequests(cluster, random, random.nextInt(4));
             injectFailure(cluster, random, rules);
-            cluster.seconds(random.nextDouble() * 6);
+            cluster.runSeconds(random.nextDouble() * 6);
         }
-        rules.forEach(cluster.network()::remove);
-        cluster.network().release();
+        rules.forEach(cluster.network()::removeRule);
+        cluster.network().releaseHeld();
         for (SimWorker machine : cluster.cloud().machines().values()) {
-            machine.runMicros(3_000_000);
+            machine.setRunMicros(3_000_000);
         }
-        cluster.seconds(120);
+        cluster.runSeconds(120);
         assertThat(violations(cluster)).as("seed %d", seed).isEmpty();
         return cluster;
     }
@@ -129,7 +132,7 @@
      * one of them: until a leader detects the loss, it uses machines whose rentals were lost, and restores them later.
      */
     private static List<String> violations(SimCluster cluster) {
-        return cluster.broken().stream()
+        return cluster.violations().stream()
                 .filter(rule -> !rule.startsWith("unstored"))
                 .toList();
     }
@@ -140,7 +143,7 @@
      * the cluster stays suspended until an operator decides.
      */
     private static boolean isDetectedByStoreRevision(SimCluster cluster) {
-        return cluster.state()
+        return cluster.store()
                 .value(RecoveryRecord.KEY)
                 .path("evidence")
                 .asText()
--- a/src/test/java/io/sillreel/recovery/RecoveryClusters.java
+++ b/src/test/java/io/sillreel/recovery/RecoveryClusters.java
@@ -17,12 +17,12 @@
         Properties properties = new Properties();
         properties.setProperty("recovery.enabled", "1");
         return new SimCluster(
-                seed, SimClusterSettings.usual(NODES, 0), Version.CURRENT, OperatorProperties.of(properties));
+                seed, SimClusterSettings.small(NODES, 0), Version.CURRENT, OperatorProperties.of(properties));
     }
 
     /** True while the stored recovery record is open. */
     static boolean isLossOpen(SimCluster cluster) {
-        JsonNode record = cluster.state().value(RecoveryRecord.KEY);
+        JsonNode record = cluster.store().value(RecoveryRecord.KEY);
         return record != null && record.path("open").asBoolean();
     }
 }
