--- a/src/main/java/io/sillreel/ControllerMetrics.java
+++ b/src/main/java/io/sillreel/ControllerMetrics.java
@@ -28,20 +28,20 @@
     private final WorkerLoadBalancer loadBalancer;
     private final EventLoopLag eventLoopLag;
     private final RequestQueue requestQueue;
-    /** Null until the JSON form is asked for first. */
+    /** Null until the JSON form is first requested. */
     private MeterRegistry ownRegistry;
 
     ControllerMetrics(
-            HeartbeatRouter reports,
+            HeartbeatRouter heartbeatRouter,
             LeaderElection leadership,
-            AdaptiveLimit users,
+            AdaptiveLimit admissionLimit,
             HeartbeatRelay heartbeatRelay,
             WorkerLoadBalancer loadBalancer,
             EventLoopLag eventLoopLag,
             RequestQueue requestQueue) {
-        this.heartbeatRouter = reports;
+        this.heartbeatRouter = heartbeatRouter;
         this.leadership = leadership;
-        this.admissionLimit = users;
+        this.admissionLimit = admissionLimit;
         this.heartbeatRelay = heartbeatRelay;
         this.loadBalancer = loadBalancer;
         this.eventLoopLag = eventLoopLag;
--- a/src/main/java/io/sillreel/recovery/ChangeLog.java
+++ b/src/main/java/io/sillreel/recovery/ChangeLog.java
@@ -14,94 +14,95 @@
 import java.util.TreeMap;
 
 /**
- * The last changes of the state service, the newest of each key, within a bound on memory. What was followed is known
- * without gaps from one revision to another; what was stored by this controller itself is known beyond that at once.
+ * The recent changes of the state service, the newest of each key, limited in memory. Watched changes are complete from
+ * {@code completeFrom} to {@code completeTo}; this controller's own commits are added at once, even if they lie beyond
+ * that range. Thread-safe; all state is guarded by this.
  */
 final class ChangeLog {
     private final long maxBytes;
-    /** In the order of their stamps, but for own writes that have not been followed yet. */
+    /** By key, in the order of their revisions except for own commits that the watch has not reported yet. */
     private final Map<String, RecentChange> changes = new LinkedHashMap<>();
 
-    /** The keys that this controller changed at each revision that has not been followed yet. */
-    private final NavigableMap<Long, Set<String>> ownRevisions = new TreeMap<>();
+    /** The keys that this controller changed, by revision, as far as the watch has not reported them yet. */
+    private final NavigableMap<Long, Set<String>> ownKeysByRevision = new TreeMap<>();
 
-    /** The latest change of a key that nobody ever removes, or null. */
+    /** The latest change of a key that is never removed, or null. */
     private RecentChange latestPermanent;
 
-    private long bytes;
-    private long knownFrom = Long.MAX_VALUE;
-    private long knownTo;
-    private long sinceMicros = Long.MAX_VALUE;
+    private long sizeBytes;
+    private long completeFrom = Long.MAX_VALUE;
+    private long completeTo;
+    private long recordingSinceMicros = Long.MAX_VALUE;
 
-    /** @param maxBytes about what the changes may take of the memory */
+    /** @param maxBytes approximate limit on the memory that the changes take */
     ChangeLog(long maxBytes) {
         this.maxBytes = maxBytes;
     }
 
     /**
-     * Forgets everything; from now on all changes after the revision are followed.
+     * Clears the log; all changes after the revision are watched from now on.
      *
-     * @param wallMicros the time of day
+     * @param wallMicros the current wall-clock time
      */
-    synchronized void restart(long storeRevision, long wallMicros) {
-        sinceMicros = wallMicros;
-        forget();
-        knownFrom = storeRevision + 1;
-        knownTo = storeRevision;
+    synchronized void reset(long storeRevision, long wallMicros) {
+        recordingSinceMicros = wallMicros;
+        clear();
+        completeFrom = storeRevision + 1;
+        completeTo = storeRevision;
     }
 
-    private void forget() {
+    private void clear() {
         changes.clear();
-        ownRevisions.clear();
+        ownKeysByRevision.clear();
         latestPermanent = null;
-        bytes = 0;
+        sizeBytes = 0;
     }
 
     /**
-     * A loss has been made good: what was remembered up to the revision is still true, and what was stored after it is
-     * followed anew. False if too little is remembered for that.
+     * Removes all changes after the revision once a loss has been repaired; changes up to it are still valid, later
+     * ones are watched again. Returns false without any change if the log does not reach back to the revision.
      */
-    synchronized boolean rebase(long kept) {
-        if (kept == 0 || knownFrom > kept + 1) {
+    synchronized boolean truncateAfter(long keptRevision) {
+        if (keptRevision == 0 || completeFrom > keptRevision + 1) {
             return false;
         }
-        List<RecentChange> remembered = List.copyOf(changes.values());
-        forget();
-        remembered.stream().filter(change -> change.revision() <= kept).forEach(this::put);
-        knownTo = kept;
+        List<RecentChange> logged = List.copyOf(changes.values());
+        clear();
+        logged.stream().filter(change -> change.revision() <= keptRevision).forEach(this::put);
+        completeTo = keptRevision;
         return true;
     }
 
-    /** A change that was read; it is as good as one that was followed. */
-    synchronized void addLandmark(RecentChange change) {
+    /** Adds a change that was read; it counts like a watched one. */
+    synchronized void addRead(RecentChange change) {
         put(change);
     }
 
     /**
-     * All changes up to the revision have been followed.
+     * Adds the changes up to the revision that a watch has reported.
      *
-     * @return a key that was changed by this controller, as it was told, and whose change is not among the news; empty
-     *     unless the state service has lost it
+     * @return a key for which the state service confirmed a commit of this controller that is not among the events,
+     *     which proves that the write was lost; empty if no such commit is missing
      */
-    synchronized Optional<String> addFollowed(Collection<RecentChange> news, long storeRevision) {
-        Optional<String> lost = missing(news, storeRevision);
+    synchronized Optional<String> addWatched(Collection<RecentChange> events, long storeRevision) {
+        Optional<String> lost = findMissingOwnKey(events, storeRevision);
         if (lost.isPresent()) {
             return lost;
         }
-        news.forEach(this::put);
-        knownTo = Math.max(knownTo, storeRevision);
-        ownRevisions.headMap(knownTo, true).clear();
-        shrink();
+        events.forEach(this::put);
+        completeTo = Math.max(completeTo, storeRevision);
+        ownKeysByRevision.headMap(completeTo, true).clear();
+        evictOldest();
         return lost;
     }
 
-    private Optional<String> missing(Collection<RecentChange> news, long storeRevision) {
-        Set<String> shown = new HashSet<>();
-        news.forEach(change -> shown.add(change.revision() + change.key()));
-        for (Map.Entry<Long, Set<String>> own :
-                ownRevisions.headMap(storeRevision, true).entrySet()) {
-            for (String key : own.getValue()) {
-                if (!shown.contains(own.getKey() + key)) {
+    private Optional<String> findMissingOwnKey(Collection<RecentChange> events, long storeRevision) {
+        Set<String> watched = new HashSet<>();
+        events.forEach(change -> watched.add(change.revision() + change.key()));
+        for (Map.Entry<Long, Set<String>> ownKeys :
+                ownKeysByRevision.headMap(storeRevision, true).entrySet()) {
+            for (String key : ownKeys.getValue()) {
+                if (!watched.contains(ownKeys.getKey() + key)) {
                     return Optional.of(key);
                 }
             }
@@ -109,106 +110,114 @@
         return Optional.empty();
     }
 
-    /** One transaction of this controller has been stored. */
-    synchronized void addStored(Collection<RecentChange> own, long storeRevision) {
-        own.forEach(this::put);
-        if (storeRevision > knownTo) {
-            own.forEach(change -> ownRevisions
+    /** Adds the changes of a transaction that this controller has committed. */
+    synchronized void addCommitted(Collection<RecentChange> changesMade, long storeRevision) {
+        changesMade.forEach(this::put);
+        if (storeRevision > completeTo) {
+            changesMade.forEach(change -> ownKeysByRevision
                     .computeIfAbsent(storeRevision, each -> new HashSet<>())
                     .add(change.key()));
         }
-        shrink();
+        evictOldest();
     }
 
     private void put(RecentChange change) {
         RecentChange older = changes.get(change.key());
-        boolean known = older != null && older.revision() >= change.revision();
-        // The leader's key ends with its lease.
-        if (known || change.key().equals(LeaderElection.LEADER_KEY)) {
+        boolean outdated = older != null && older.revision() >= change.revision();
+        // The leader key is bound to a lease, so it is never restored.
+        if (outdated || change.key().equals(LeaderElection.LEADER_KEY)) {
             return;
         }
-        // Taken out first, so that the change comes last in the order.
+        // Removed first, since a put that replaces a value would keep its old position in the order.
         changes.remove(change.key());
         changes.put(change.key(), change);
-        bytes += change.bytes() - (older == null ? 0 : older.bytes());
+        sizeBytes += change.sizeBytes() - (older == null ? 0 : older.sizeBytes());
         boolean latest = latestPermanent == null || change.revision() > latestPermanent.revision();
         if (latest && !change.isRemoval() && PermanentKeys.isPermanent(change.key())) {
             latestPermanent = change;
         }
     }
 
-    private void shrink() {
+    private void evictOldest() {
         Iterator<RecentChange> oldestFirst = changes.values().iterator();
-        while (bytes > maxBytes && oldestFirst.hasNext()) {
+        while (sizeBytes > maxBytes && oldestFirst.hasNext()) {
             RecentChange oldest = oldestFirst.next();
             oldestFirst.remove();
-            bytes -= oldest.bytes();
-            knownFrom = Math.max(knownFrom, oldest.revision() + 1);
+            sizeBytes -= oldest.sizeBytes();
+            completeFrom = Math.max(completeFrom, oldest.revision() + 1);
         }
     }
 
-    /** The stamp of the last known change of a key that is stored as far as is known, or 0. */
+    /** The revision of the newest known change of the key, or 0 if there is none or the key was removed. */
     synchronized long revisionOf(String key) {
         RecentChange change = changes.get(key);
         return change == null || change.isRemoval() ? 0 : change.revision();
     }
 
     /**
-     * The key of the latest change that can be looked at to see whether it is still there: what is lost is always what
-     * came last.
+     * The key that was changed last among those that are never removed. A loss always affects the latest writes, so
+     * reading this key shows whether a loss has occurred.
      */
     synchronized Optional<String> latestPermanentKey() {
         return Optional.ofNullable(latestPermanent).map(RecentChange::key);
     }
 
     /**
-     * Everything that is remembered.
+     * A copy of the log's content.
      *
-     * @param seenMicros a time of day at which the state service had certainly not lost anything yet, or 0
+     * @param observedBeforeLossMicros a wall-clock time at which the state service had certainly not lost any writes
+     *     yet, or 0 if none is known
      */
-    synchronized Memory memory(long seenMicros) {
-        return new Memory(
+    synchronized Snapshot snapshot(long observedBeforeLossMicros) {
+        return new Snapshot(
                 List.copyOf(changes.values()),
-                knownFrom,
-                knownTo,
-                new ArrayList<>(ownRevisions.keySet()),
-                sinceMicros,
-                seenMicros);
+                completeFrom,
+                completeTo,
+                new ArrayList<>(ownKeysByRevision.keySet()),
+                recordingSinceMicros,
+                observedBeforeLossMicros);
     }
 
-    synchronized long bytes() {
-        return bytes;
+    synchronized long sizeBytes() {
+        return sizeBytes;
     }
 
-    /** The first revision from which all changes are known. */
-    synchronized long knownFrom() {
-        return knownFrom;
+    /** The revision from which on the log is complete; {@link Long#MAX_VALUE} before the first watch. */
+    synchronized long completeFrom() {
+        return completeFrom;
     }
 
     /**
-     * What one controller remembers.
+     * The content of one controller's change log.
      *
      * @param changes the newest known change of each key
-     * @param knownFrom the first revision from which all changes are known, if that is not beyond the last
-     * @param knownTo the last revision up to which all changes are known
-     * @param ownRevisions later revisions that are known since they were written here
-     * @param sinceMicros the time of day from which it remembers without a break
-     * @param seenMicros a time of day at which the state service had certainly not lost anything yet, or 0
+     * @param completeFrom the revision from which on the changes are complete; none are if it lies beyond completeTo
+     * @param completeTo the revision up to which the changes are complete
+     * @param ownRevisions later revisions, at which this controller committed changes itself
+     * @param recordingSinceMicros the wall-clock time since which changes have been recorded without interruption
+     * @param observedBeforeLossMicros a wall-clock time at which the state service had certainly not lost any writes
+     *     yet, or 0 if none is known
      */
-    record Memory(
+    record Snapshot(
             List<RecentChange> changes,
-            long knownFrom,
-            long knownTo,
+            long completeFrom,
+            long completeTo,
             List<Long> ownRevisions,
-            long sinceMicros,
-            long seenMicros) {
-        /** True if all of it was stored before the loss. */
-        boolean isWitness() {
-            return seenMicros > 0;
+            long recordingSinceMicros,
+            long observedBeforeLossMicros) {
+        /** True if the controller observed the state service before the loss, so that all changes precede the loss. */
+        boolean observedBeforeLoss() {
+            return observedBeforeLossMicros > 0;
         }
 
-        Memory with(List<RecentChange> otherChanges) {
-            return new Memory(otherChanges, knownFrom, knownTo, ownRevisions, sinceMicros, seenMicros);
+        Snapshot withChanges(List<RecentChange> otherChanges) {
+            return new Snapshot(
+                    otherChanges,
+                    completeFrom,
+                    completeTo,
+                    ownRevisions,
+                    recordingSinceMicros,
+                    observedBeforeLossMicros);
         }
     }
 }
--- a/src/main/java/io/sillreel/recovery/PeerExchange.java
+++ b/src/main/java/io/sillreel/recovery/PeerExchange.java
@@ -10,36 +10,40 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Tells the other controllers how this one sees the state service, and hears how they do. */
+/** Exchanges with the other controllers what each of them knows about the state service. */
 final class PeerExchange {
     private static final long TIMEOUT_MICROS = 900_000;
 
     private final HttpClient httpClient;
     private final List<Member> members;
-    private final Supplier<PeerStatus> own;
-    private final Consumer<PeerStatus> heard;
+    private final Supplier<PeerStatus> ownStatus;
+    private final Consumer<PeerStatus> onPeerStatus;
 
-    PeerExchange(HttpClient httpClient, List<Member> members, Supplier<PeerStatus> own, Consumer<PeerStatus> heard) {
+    PeerExchange(
+            HttpClient httpClient,
+            List<Member> members,
+            Supplier<PeerStatus> ownStatus,
+            Consumer<PeerStatus> onPeerStatus) {
         this.httpClient = httpClient;
         this.members = members;
-        this.own = own;
-        this.heard = heard;
+        this.ownStatus = ownStatus;
+        this.onPeerStatus = onPeerStatus;
     }
 
-    /** Completes once each of them has answered or does not. */
+    /** Completes once each controller has responded or its request has failed or timed out. */
     CompletableFuture<Void> exchangeWithAll() {
-        List<CompletableFuture<Void>> answers = new ArrayList<>();
+        List<CompletableFuture<Void>> exchanges = new ArrayList<>();
         for (Member member : members) {
-            HttpRequest request =
-                    new HttpRequest("POST", RecoveryMessages.GREETING, own.get().bytes());
-            answers.add(httpClient
+            HttpRequest request = new HttpRequest(
+                    "POST", RecoveryMessages.STATUS_ROUTE, ownStatus.get().encode());
+            exchanges.add(httpClient
                     .send(member.address(), request, TIMEOUT_MICROS)
                     .thenAccept(response -> {
                         if (response.isOk()) {
-                            heard.accept(PeerStatus.of(response.body()));
+                            onPeerStatus.accept(PeerStatus.decode(response.body()));
                         }
                     }));
         }
-        return CompletableFuture.allOf(answers.toArray(CompletableFuture[]::new));
+        return CompletableFuture.allOf(exchanges.toArray(CompletableFuture[]::new));
     }
 }
--- a/src/main/java/io/sillreel/recovery/RecoveryMessages.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryMessages.java
@@ -5,30 +5,31 @@
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import com.fasterxml.jackson.dataformat.cbor.CBORGenerator;
 import com.fasterxml.jackson.dataformat.cbor.CBORParser;
-import io.sillreel.recovery.ChangeLog.Memory;
+import io.sillreel.recovery.ChangeLog.Snapshot;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.ArrayList;
 import java.util.List;
 
-/** What controllers say to each other about lost writes, in CBOR. */
+/** The messages between controllers about lost writes, in CBOR. */
 final class RecoveryMessages {
-    static final String GREETING = "/peer/recovery";
-    static final String CHANGES = "/peer/recovery/changes";
+    static final String STATUS_ROUTE = "/peer/recovery";
+    static final String CHANGES_ROUTE = "/peer/recovery/changes";
 
-    private static final CBORFactory STREAM = new CBORFactory();
+    private static final CBORFactory CBOR = new CBORFactory();
 
     private RecoveryMessages() {}
 
     /**
-     * How a controller sees the state service.
+     * What a controller knows about the state service.
      *
-     * @param generation the loss that it knows of last
-     * @param suspended true unless that loss has been made good
-     * @param evidence what showed it
-     * @param ledger the highest revision that it knows of since then
-     * @param peaks what was reached before
+     * @param node the name of the controller
+     * @param generation the generation of the last known loss
+     * @param suspended true unless that loss has been repaired
+     * @param evidence the evidence of the loss
+     * @param storeRevision the highest known revision since the loss
+     * @param highWatermarks the highest values before the loss
      */
     record PeerStatus(
             String node,
@@ -37,7 +38,7 @@
             String evidence,
             long storeRevision,
             HighWatermarks highWatermarks) {
-        byte[] bytes() {
+        byte[] encode() {
             return write(out -> {
                 out.writeStartArray(null, 8);
                 out.writeString(node);
@@ -50,13 +51,13 @@
             });
         }
 
-        /** @throws UncheckedIOException if that is not what {@link #bytes} wrote */
-        static PeerStatus of(byte[] body) {
-            try (CBORParser in = STREAM.createParser(body)) {
+        /** @throws UncheckedIOException if the body is not a message of {@link #encode} */
+        static PeerStatus decode(byte[] body) {
+            try (CBORParser in = CBOR.createParser(body)) {
                 in.nextToken();
                 String node = in.nextTextValue();
                 if (node == null) {
-                    throw new JsonParseException(in, "a greeting without a name");
+                    throw new JsonParseException(in, "peer status without a node name");
                 }
                 return new PeerStatus(
                         node,
@@ -64,31 +65,35 @@
                         in.nextToken() == JsonToken.VALUE_TRUE,
                         in.nextTextValue(),
                         in.nextLongValue(0),
-                        readPeaks(in));
+                        readHighWatermarks(in));
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
         }
     }
 
-    /** What one controller remembers, cut into pages of a bounded size: each is answered by itself. */
-    record Page(Memory memory, HighWatermarks highWatermarks, boolean last) {
-        byte[] bytes() {
+    /**
+     * A page of a controller's change log, limited in size. Each page is a response of its own.
+     *
+     * @param snapshot the state of the log with the changes of this page only
+     */
+    record Page(Snapshot snapshot, HighWatermarks highWatermarks, boolean last) {
+        byte[] encode() {
             return write(out -> {
                 out.writeStartArray(null, 10);
                 out.writeBoolean(last);
                 write(out, highWatermarks);
-                out.writeNumber(memory.sinceMicros());
-                out.writeNumber(memory.seenMicros());
-                out.writeNumber(memory.knownFrom());
-                out.writeNumber(memory.knownTo());
-                out.writeStartArray(null, memory.ownRevisions().size());
-                for (long revision : memory.ownRevisions()) {
+                out.writeNumber(snapshot.recordingSinceMicros());
+                out.writeNumber(snapshot.observedBeforeLossMicros());
+                out.writeNumber(snapshot.completeFrom());
+                out.writeNumber(snapshot.completeTo());
+                out.writeStartArray(null, snapshot.ownRevisions().size());
+                for (long revision : snapshot.ownRevisions()) {
                     out.writeNumber(revision);
                 }
                 out.writeEndArray();
-                out.writeStartArray(null, memory.changes().size());
-                for (RecentChange change : memory.changes()) {
+                out.writeStartArray(null, snapshot.changes().size());
+                for (RecentChange change : snapshot.changes()) {
                     write(out, change);
                 }
                 out.writeEndArray();
@@ -96,16 +101,16 @@
             });
         }
 
-        /** @throws UncheckedIOException if that is not what {@link #bytes} wrote */
-        static Page of(byte[] body) {
-            try (CBORParser in = STREAM.createParser(body)) {
+        /** @throws UncheckedIOException if the body is not a message of {@link #encode} */
+        static Page decode(byte[] body) {
+            try (CBORParser in = CBOR.createParser(body)) {
                 in.nextToken();
                 boolean last = in.nextToken() == JsonToken.VALUE_TRUE;
-                HighWatermarks highWatermarks = readPeaks(in);
-                long sinceMicros = in.nextLongValue(0);
-                long seenMicros = in.nextLongValue(0);
-                long knownFrom = in.nextLongValue(0);
-                long knownTo = in.nextLongValue(0);
+                HighWatermarks highWatermarks = readHighWatermarks(in);
+                long recordingSinceMicros = in.nextLongValue(0);
+                long observedBeforeLossMicros = in.nextLongValue(0);
+                long completeFrom = in.nextLongValue(0);
+                long completeTo = in.nextLongValue(0);
                 List<Long> ownRevisions = new ArrayList<>();
                 in.nextToken();
                 while (in.nextToken() == JsonToken.VALUE_NUMBER_INT) {
@@ -114,10 +119,16 @@
                 List<RecentChange> changes = new ArrayList<>();
                 in.nextToken();
                 while (in.nextToken() == JsonToken.START_ARRAY) {
-                    changes.add(change(in));
+                    changes.add(readChange(in));
                 }
                 return new Page(
-                        new Memory(changes, knownFrom, knownTo, ownRevisions, sinceMicros, seenMicros),
+                        new Snapshot(
+                                changes,
+                                completeFrom,
+                                completeTo,
+                                ownRevisions,
+                                recordingSinceMicros,
+                                observedBeforeLossMicros),
                         highWatermarks,
                         last);
             } catch (IOException e) {
@@ -132,7 +143,7 @@
         out.writeNumber(highWatermarks.term());
     }
 
-    private static HighWatermarks readPeaks(CBORParser in) throws IOException {
+    private static HighWatermarks readHighWatermarks(CBORParser in) throws IOException {
         return new HighWatermarks(in.nextLongValue(0), in.nextLongValue(0), in.nextLongValue(0));
     }
 
@@ -148,7 +159,7 @@
         out.writeEndArray();
     }
 
-    private static RecentChange change(CBORParser in) throws IOException {
+    private static RecentChange readChange(CBORParser in) throws IOException {
         String key = in.nextTextValue();
         byte[] value = in.nextToken() == JsonToken.VALUE_NULL ? null : in.getBinaryValue();
         long revision = in.nextLongValue(0);
@@ -156,7 +167,7 @@
         return new RecentChange(key, value, revision);
     }
 
-    /** Writes one message. */
+    /** Writes the content of one message. */
     @FunctionalInterface
     private interface Writer {
         void write(CBORGenerator out) throws IOException;
@@ -164,7 +175,7 @@
 
     private static byte[] write(Writer writer) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
-        try (CBORGenerator out = STREAM.createGenerator(bytes)) {
+        try (CBORGenerator out = CBOR.createGenerator(bytes)) {
             writer.write(out);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/src/test/java/io/sillreel/recovery/RecoverySamplesTest.java
+++ b/src/test/java/io/sillreel/recovery/RecoverySamplesTest.java
@@ -7,13 +7,13 @@
 import io.sillreel.golden.GoldenSamples;
 import org.junit.jupiter.api.Test;
 
-/** The stored verdict about lost writes. */
+/** The stored form of the recovery record. */
 class RecoverySamplesTest {
     @Test
-    void readsAndWritesTheStoredVerdict() throws Exception {
+    void readsAndWritesStoredRecord() throws Exception {
         GoldenSamples.assertConverts("recovery-records.txt", input -> {
             RecoveryRecord record = RecoveryRecord.of(json(input));
-            return RecoveryRecord.KEY + " " + values(record) + "\n" + text(record.json());
+            return RecoveryRecord.KEY + " " + values(record) + "\n" + text(record.toJson());
         });
     }
 }
