--- a/src/test/java/io/sillreel/golden/AgentResponsesSamplesTest.java
+++ b/src/test/java/io/sillreel/golden/AgentResponsesSamplesTest.java
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void redirectsAgentsToTheLeaderWhileItCanNotReachIt() {
+    void redirectsAgentsToUnreachableLeader() {
         stateService.handle(HttpRequest.post(
                 "/txn", json("{\"then\":[{\"set\":\"leader\",\"v\":{\"node\":\"hopper-2\",\"term\":3}}]}")));
         sendHeartbeats();
--- a/src/test/java/io/sillreel/golden/ControllerSamplesTest.java
+++ b/src/test/java/io/sillreel/golden/ControllerSamplesTest.java
@@ -20,7 +20,7 @@
 /** The names of the metrics and the routes of both ports. */
 class ControllerSamplesTest {
     private static final long HEAP_BYTES = 50L << 20;
-    private static final long START_MICROS = 20_000_000;
+    private static final long STARTUP_MICROS = 20_000_000;
     private static final long RESPONSE_MICROS = 3_000_000;
     private static final List<String> PATHS = List.of(
             "/v2/runs",
@@ -63,12 +63,12 @@
                 OperatorProperties.of(properties),
                 ProcessLimits.of(settings, HEAP_BYTES));
         controller.start(() -> {});
-        time.runFor(START_MICROS);
+        time.runFor(STARTUP_MICROS);
         return controller;
     }
 
     @Test
-    void namesTheMetrics() {
+    void metricNamesMatchSample() {
         transcript.note("# leading, without protection against lost writes");
         noteMetrics(start("0"));
         transcript.note("# with protection against lost writes");
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void tellsOperatorsThatNothingIsKnownToBeLost() {
+    void recoveryStatusWithoutLossMatchesSample() {
         Controller controller = start("1");
         transcript.note(GoldenSamples.text(
                 controller.handleInternal(HttpRequest.get("/recovery/status")).join()));
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void servesTheRoutesOfBothPorts() {
+    void routesOfBothPortsMatchSample() {
         transcript.note("# without protection against lost writes");
         noteRoutes(start("0"));
         transcript.note("# with protection against lost writes");
--- a/src/test/java/io/sillreel/golden/GoldenSamples.java
+++ b/src/test/java/io/sillreel/golden/GoldenSamples.java
@@ -34,8 +34,8 @@
  * storage formats, so no sample depends on the name of a Java type, method or constant.
  */
 public final class GoldenSamples {
-    private static final String NAME = "# ";
-    private static final String INPUT = "< ";
+    private static final String TITLE_PREFIX = "# ";
+    private static final String INPUT_PREFIX = "< ";
 
     private GoldenSamples() {}
 
@@ -57,14 +57,14 @@
     public static void assertConverts(String file, Conversion conversion) throws Exception {
         StringBuilder actual = new StringBuilder();
         for (String line : read(file).split("\n")) {
-            if (line.startsWith(NAME)) {
+            if (line.startsWith(TITLE_PREFIX)) {
                 actual.append(line).append('\n');
-            } else if (line.startsWith(INPUT)) {
-                String converted = conversion.apply(line.substring(INPUT.length()));
+            } else if (line.startsWith(INPUT_PREFIX)) {
+                String converted = conversion.apply(line.substring(INPUT_PREFIX.length()));
                 actual.append(line).append('\n').append(converted).append('\n');
             }
         }
-        assertThat(actual.toString()).as("number of samples").contains(INPUT);
+        assertThat(actual.toString()).as("number of samples").contains(INPUT_PREFIX);
         assertMatches(file, actual.toString());
     }
 
@@ -103,23 +103,23 @@
      * text does not change with Java names.
      */
     public static String values(Object value) {
-        return text(tree(value));
+        return text(toTree(value));
     }
 
-    private static JsonNode tree(Object value) {
+    private static JsonNode toTree(Object value) {
         if (value instanceof JsonNode node) {
-            return node.isMissingNode() ? tree("missing") : node;
+            return node.isMissingNode() ? toTree("missing") : node;
         } else if (value instanceof Record fields) {
             return components(fields);
         } else if (value instanceof Enum<?> constant) {
             return Json.array().add(constant.ordinal()).get(0);
         } else if (value instanceof Collection<?> elements) {
             ArrayNode array = Json.array();
-            elements.forEach(element -> array.add(tree(element)));
+            elements.forEach(element -> array.add(toTree(element)));
             return array;
         } else if (value instanceof Map<?, ?> entries) {
             ObjectNode object = Json.object();
-            entries.forEach((key, entry) -> object.set(key.toString(), tree(entry)));
+            entries.forEach((key, entry) -> object.set(key.toString(), toTree(entry)));
             return object;
         }
         return scalar(value);
@@ -160,7 +160,7 @@
             try {
                 Method accessor = component.getAccessor();
                 accessor.setAccessible(true);
-                array.add(tree(accessor.invoke(value)));
+                array.add(toTree(accessor.invoke(value)));
             } catch (IllegalAccessException | InvocationTargetException e) {
                 throw new IllegalStateException(e);
             }
--- a/src/test/java/io/sillreel/golden/LeadershipSamplesTest.java
+++ b/src/test/java/io/sillreel/golden/LeadershipSamplesTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void takesRenewsAndGivesUpTheLeaseAboveTheStoredTerm() {
+    void acquiresRenewsAndResignsLeaseAboveStoredTerm() {
         store.commit(new Transaction().set("term", json("{\"term\":4294967296}")));
         LeaderElection election = startCandidate(7);
         time.runFor(1_500_000);
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void readsWhoLeads() {
+    void readsStoredLeader() {
         store.commit(new Transaction().set("leader", json("{\"node\":\"hopper-\\\"2\\\"\",\"term\":4294967297}")));
         LeaderElection election = startCandidate(0);
         transcript.note(values(election.knownLeader()));
--- a/src/test/java/io/sillreel/load/LoadDriver.java
+++ b/src/test/java/io/sillreel/load/LoadDriver.java
@@ -39,10 +39,10 @@
 public final class LoadDriver implements Callable<Integer> {
     private static final long SECOND = 1_000_000;
     /** Machines to a task of each job: enough for all of them to be busy. */
-    private static final int MACHINES_PER_PIECE = 6;
+    private static final int MACHINES_PER_TASK = 6;
 
     private static final int PERCENT = 100;
-    private static final int MAX_ANSWER_BYTES = 1 << 20;
+    private static final int MAX_RESPONSE_BYTES = 1 << 20;
     private static final int WARM_UP_MILLIS = 30_000;
 
     @Option(names = "--workers", description = "Machines that the cloud has.", defaultValue = "60")
@@ -55,10 +55,10 @@
     private int seconds;
 
     @Option(names = "--done", description = "Jobs that are stored as done from the beginning.", defaultValue = "0")
-    private int done;
+    private int doneJobs;
 
     @Option(names = "--awaiting", description = "Jobs that are stored and wait from the beginning.", defaultValue = "0")
-    private int awaiting;
+    private int awaitingJobs;
 
     @Option(names = "--sockets", description = "max_sockets of each controller.", defaultValue = "2000")
     private int sockets;
@@ -73,7 +73,7 @@
     private String logLevel;
 
     @Option(names = "--logs", description = "Folder for what the controllers write; nowhere without it.")
-    private Path logs;
+    private Path logDirectory;
 
     @Option(names = "--properties", description = "The operators' properties of the controllers.")
     private Path properties;
@@ -83,21 +83,21 @@
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final NettyEventLoop loop = new NettyEventLoop(group.next());
-    private final NettyHttpClient client = new NettyHttpClient(group.next(), 4, MAX_ANSWER_BYTES);
+    private final NettyHttpClient client = new NettyHttpClient(group.next(), 4, MAX_RESPONSE_BYTES);
     private final SimTime time = new SimTime();
-    private final List<String> run = new ArrayList<>();
+    private final List<String> runCommand = new ArrayList<>();
     private final List<String> publicAddresses = new ArrayList<>();
     private final List<String> internalAddresses = new ArrayList<>();
-    private final List<Path> configs = new ArrayList<>();
+    private final List<Path> settingsFiles = new ArrayList<>();
     private Process[] processes = {};
     private SimStateService stateService;
-    private SimulatedServices standIns;
+    private SimulatedServices services;
     private SimulatedServices.Users users;
 
     private void setUp() throws IOException {
         for (String line : Files.readAllLines(Path.of("deploy/service.toml"))) {
             if (line.startsWith("run = ")) {
-                run.addAll(List.of(line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'))
+                runCommand.addAll(List.of(line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'))
                         .split(" ")));
             }
         }
@@ -108,32 +108,32 @@
         }
         int statePort = freePort();
         int cloudPort = freePort();
-        standIns = new SimulatedServices(
+        services = new SimulatedServices(
                 group.next(), loop, publicAddresses, workers, Math.round(reportSeconds * SECOND), cloudRate);
         users = new SimulatedServices.Users(group.next(), loop, publicAddresses);
         stateService = new SimStateService(time, 48, 32 * 1024, Double.MAX_VALUE);
         StoredJobs stored = new StoredJobs(stateService);
-        stored.addDone(done);
-        stored.addAwaiting(awaiting);
+        stored.addDone(doneJobs);
+        stored.addAwaiting(awaitingJobs);
         stateService.setLimits(48, 32 * 1024, 100);
         new NettyHttpServer(group, 128 * 1024, 1_000)
                 .listen(new InetSocketAddress("127.0.0.1", statePort), stateService);
         new NettyHttpServer(group, 128 * 1024, 1_000)
-                .listen(new InetSocketAddress("127.0.0.1", cloudPort), standIns::cloud);
-        Path folder = Files.createTempDirectory("sillreel-load");
+                .listen(new InetSocketAddress("127.0.0.1", cloudPort), services::handleCloudRequest);
+        Path directory = Files.createTempDirectory("sillreel-load");
         for (int node = 0; node < controllers; node++) {
-            configs.add(Files.writeString(
-                    folder.resolve("hopper-" + node + ".toml"), settings(node, statePort, cloudPort)));
+            settingsFiles.add(Files.writeString(
+                    directory.resolve("hopper-" + node + ".toml"), settings(node, statePort, cloudPort)));
         }
-        passTime(loop.nowMicros());
+        followRealTime(loop.nowMicros());
     }
 
     /** The state service's time is the real one. */
-    private void passTime(long beforeMicros) {
+    private void followRealTime(long beforeMicros) {
         loop.schedule(1_000, () -> {
             long now = loop.nowMicros();
             time.runFor(now - beforeMicros);
-            passTime(now);
+            followRealTime(now);
         });
     }
 
@@ -183,15 +183,15 @@
     }
 
     private void start(int node) throws IOException {
-        List<String> command = new ArrayList<>(run);
+        List<String> command = new ArrayList<>(runCommand);
         if (properties != null) {
             command.addAll(command.size() - 1, List.of("--properties", properties.toString()));
         }
-        command.add(configs.get(node).toString());
-        ProcessBuilder.Redirect output = logs == null
+        command.add(settingsFiles.get(node).toString());
+        ProcessBuilder.Redirect output = logDirectory == null
                 ? ProcessBuilder.Redirect.DISCARD
                 : ProcessBuilder.Redirect.appendTo(
-                        logs.resolve("hopper-" + node + ".log").toFile());
+                        logDirectory.resolve("hopper-" + node + ".log").toFile());
         ProcessBuilder builder =
                 new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(output);
         builder.environment().put("LOG_LEVEL", logLevel);
@@ -199,7 +199,7 @@
     }
 
     /** Processor time that a process has used, threads that have ended included, in milliseconds. */
-    private double used(int node) {
+    private double usedCpuMillis(int node) {
         return processes[node]
                 .toHandle()
                 .info()
@@ -208,12 +208,12 @@
                 .toMillis();
     }
 
-    private double[] used() {
-        double[] all = new double[processes.length];
-        for (int node = 0; node < all.length; node++) {
-            all[node] = processes[node].isAlive() ? used(node) : 0;
+    private double[] usedCpuMillis() {
+        double[] total = new double[processes.length];
+        for (int node = 0; node < total.length; node++) {
+            total[node] = processes[node].isAlive() ? usedCpuMillis(node) : 0;
         }
-        return all;
+        return total;
     }
 
     private boolean isUp(int node) {
@@ -223,15 +223,15 @@
     }
 
     private JsonNode metrics(int node) {
-        return ask(node, "/metrics");
+        return get(node, "/metrics");
     }
 
     private JsonNode recoveryStatus() {
         int leader = Math.max(0, leader());
-        return ask(leader, "/recovery/status");
+        return get(leader, "/recovery/status");
     }
 
-    private JsonNode ask(int node, String path) {
+    private JsonNode get(int node, String path) {
         return client.send(internalAddresses.get(node), HttpRequest.get(path), SECOND)
                 .join()
                 .json();
@@ -247,122 +247,122 @@
         return -1;
     }
 
-    private void play() throws IOException, InterruptedException {
+    private void runMeasurements() throws IOException, InterruptedException {
         for (int node = 0; node < processes.length; node++) {
             start(node);
             while (!isUp(node)) {
                 Thread.sleep(10);
             }
-            System.out.printf("start of hopper-%d up to its first answer: %.0f ms%n", node, used(node));
+            System.out.printf("start of hopper-%d up to its first answer: %.0f ms%n", node, usedCpuMillis(node));
         }
-        idle();
-        loop.execute(() -> users.submitEvery(SECOND / 2, Math.max(1, workers / MACHINES_PER_PIECE)));
+        measureIdle();
+        loop.execute(() -> users.submitEvery(SECOND / 2, Math.max(1, workers / MACHINES_PER_TASK)));
         loop.execute(() -> users.pollEvery(5 * SECOND));
-        untilRented();
+        waitUntilProvisioned();
         Thread.sleep(WARM_UP_MILLIS);
-        busy("first busy minute");
-        busy("later");
+        measureBusy("first busy minute");
+        measureBusy("later");
         if (lostSeconds > 0) {
-            new LossMeasurement(loop, stateService, standIns, this::recoveryStatus).measure(lostSeconds);
-            busy("after the loss");
+            new LossMeasurement(loop, stateService, services, this::recoveryStatus).measure(lostSeconds);
+            measureBusy("after the loss");
             return;
         }
-        takeover();
-        busy("after the takeover");
+        measureTakeover();
+        measureBusy("after the takeover");
     }
 
     /** Waits until all machines are rented, or no more come. */
-    private void untilRented() throws InterruptedException {
-        long begun = loop.nowMicros();
+    private void waitUntilProvisioned() throws InterruptedException {
+        long startMicros = loop.nowMicros();
         int before = -1;
-        while (standIns.machines() < workers && standIns.machines() > before) {
-            before = standIns.machines();
+        while (services.machines() < workers && services.machines() > before) {
+            before = services.machines();
             Thread.sleep(WARM_UP_MILLIS);
         }
         System.out.printf(
                 "%d of %d machines rented after %.0f s%n",
-                standIns.machines(), workers, (loop.nowMicros() - begun) / (double) SECOND);
+                services.machines(), workers, (loop.nowMicros() - startMicros) / (double) SECOND);
     }
 
-    private void idle() throws IOException, InterruptedException {
+    private void measureIdle() throws IOException, InterruptedException {
         Thread.sleep(5_000);
-        double[] before = used();
+        double[] before = usedCpuMillis();
         Thread.sleep(10_000);
-        tell("idle", before, 10, leader());
+        printUsage("idle", before, 10, leader());
     }
 
-    private void busy(String what) throws IOException, InterruptedException {
+    private void measureBusy(String phase) throws IOException, InterruptedException {
         int leader = leader();
-        double[] before = used();
-        long answered = standIns.answered();
-        long launched = standIns.launched();
-        long asked = users.asked();
-        long lists = standIns.lists();
-        long refused = standIns.refused();
+        double[] before = usedCpuMillis();
+        long answered = services.answeredHeartbeats();
+        long launched = services.launchCount();
+        long requests = users.requestCount();
+        long lists = services.listCount();
+        long refused = services.rejectedCloudRequests();
         Thread.sleep(seconds * 1_000L);
-        double reports = standIns.answered() - answered;
+        double heartbeats = services.answeredHeartbeats() - answered;
         System.out.printf(
                 "%s: %d machines, %.0f reports, %.0f launches, %.0f questions a second, "
                         + "%d lists, %d refused by the cloud%n",
-                what,
-                standIns.machines(),
-                reports / seconds,
-                (double) (standIns.launched() - launched) / seconds,
-                (double) (users.asked() - asked) / seconds,
-                standIns.lists() - lists,
-                standIns.refused() - refused);
-        double all = tell(what, before, seconds, leader);
+                phase,
+                services.machines(),
+                heartbeats / seconds,
+                (double) (services.launchCount() - launched) / seconds,
+                (double) (users.requestCount() - requests) / seconds,
+                services.listCount() - lists,
+                services.rejectedCloudRequests() - refused);
+        double total = printUsage(phase, before, seconds, leader);
         System.out.printf(
                 "  all controllers: %.3f ms a report, %.0f%% of a core%n",
-                all / reports, all / seconds * PERCENT / 1_000);
+                total / heartbeats, total / seconds * PERCENT / 1_000);
     }
 
-    private double tell(String what, double[] before, int seconds, int leader) throws IOException {
-        double all = 0;
-        double[] after = used();
+    private double printUsage(String phase, double[] before, int seconds, int leader) throws IOException {
+        double total = 0;
+        double[] after = usedCpuMillis();
         for (int node = 0; node < after.length; node++) {
             if (!processes[node].isAlive()) {
-                System.out.printf("  %s, hopper-%d has ended%n", what, node);
+                System.out.printf("  %s, hopper-%d has ended%n", phase, node);
                 continue;
             }
-            double spent = after[node] - before[node];
-            all += spent;
+            double usedMillis = after[node] - before[node];
+            total += usedMillis;
             JsonNode metrics = metrics(node);
             System.out.printf(
                     "  %s, %s: %.1f ms a second, %d MB resident, %d sockets, %d workers, %.1f ms a plan%n",
-                    what,
+                    phase,
                     node == leader ? "leader" : "follower",
-                    spent / seconds,
+                    usedMillis / seconds,
                     ProcessMetrics.residentMb(processes[node]),
                     ProcessMetrics.openSockets(processes[node]),
                     metrics.path("sillreel.workers").asInt(),
                     metrics.path("sillreel.plans.ms").asDouble()
                             / Math.max(1, metrics.path("sillreel.plans").asDouble()));
         }
-        return all;
+        return total;
     }
 
-    private void takeover() throws IOException, InterruptedException {
-        int gone = leader();
-        Set<String> earlier = new HashSet<>(users.open());
-        double[] before = used();
-        long begun = loop.nowMicros();
-        processes[gone].destroyForcibly().waitFor();
+    private void measureTakeover() throws IOException, InterruptedException {
+        int killed = leader();
+        Set<String> earlierJobs = new HashSet<>(users.unfinishedJobs());
+        double[] before = usedCpuMillis();
+        long startMicros = loop.nowMicros();
+        processes[killed].destroyForcibly().waitFor();
         while (leader() < 0) {
             Thread.sleep(20);
         }
         int leader = leader();
-        double taken = (loop.nowMicros() - begun) / 1e6;
-        while (!standIns.launchedSince(begun + (long) (taken * SECOND), earlier)
-                && loop.nowMicros() - begun < 60 * SECOND) {
+        double electionSeconds = (loop.nowMicros() - startMicros) / 1e6;
+        while (!services.launchedSince(startMicros + (long) (electionSeconds * SECOND), earlierJobs)
+                && loop.nowMicros() - startMicros < 60 * SECOND) {
             Thread.sleep(20);
         }
         System.out.printf(
                 "takeover: %.1f s to the new term, %.1f s to the first launch of an earlier job, "
                         + "%.0f ms of the new leader's processor, %d MB resident%n",
-                taken,
-                (loop.nowMicros() - begun) / 1e6,
-                used(leader) - before[leader],
+                electionSeconds,
+                (loop.nowMicros() - startMicros) / 1e6,
+                usedCpuMillis(leader) - before[leader],
                 ProcessMetrics.residentMb(processes[leader]));
     }
 
@@ -370,7 +370,7 @@
     public Integer call() throws Exception {
         try {
             setUp();
-            play();
+            runMeasurements();
         } finally {
             for (Process process : processes) {
                 if (process != null) {
--- a/src/test/java/io/sillreel/load/LossMeasurement.java
+++ b/src/test/java/io/sillreel/load/LossMeasurement.java
@@ -11,53 +11,53 @@
 
 /** Turns the state service back by some seconds, and measures how long the controllers take to make that good. */
 final class LossMeasurement {
-    private static final long GIVE_UP_MICROS = 120_000_000;
+    private static final long TIMEOUT_MICROS = 120_000_000;
 
     private final EventLoop eventLoop;
     private final SimStateService stateService;
-    private final SimulatedServices standIns;
+    private final SimulatedServices services;
     private final Supplier<JsonNode> status;
 
     /** @param status what the controller that leads says of the loss */
     LossMeasurement(
-            EventLoop eventLoop, SimStateService stateService, SimulatedServices standIns, Supplier<JsonNode> status) {
+            EventLoop eventLoop, SimStateService stateService, SimulatedServices services, Supplier<JsonNode> status) {
         this.eventLoop = eventLoop;
         this.stateService = stateService;
-        this.standIns = standIns;
+        this.services = services;
         this.status = status;
     }
 
     /** Loses what is written within so many seconds, and prints what becomes of it. */
     void measure(int lostSeconds) throws InterruptedException {
-        Snapshot image = inLoop(stateService::snapshot);
+        Snapshot snapshot = onEventLoop(stateService::snapshot);
         TimeUnit.SECONDS.sleep(lostSeconds);
-        long storeRevision = inLoop(stateService::revision);
-        long begun = eventLoop.nowMicros();
-        inLoop(() -> {
-            stateService.restore(image);
+        long revision = onEventLoop(stateService::revision);
+        long startMicros = eventLoop.nowMicros();
+        onEventLoop(() -> {
+            stateService.restore(snapshot);
             return true;
         });
-        long lost = storeRevision - inLoop(stateService::revision);
-        double noticed =
-                untilSeconds(begun, () -> status.get().path("generation").asLong() > 0);
-        double closed =
-                untilSeconds(begun, () -> !status.get().path("suspended").asBoolean(true));
-        long launched = standIns.launched();
-        double launching = untilSeconds(begun, () -> standIns.launched() > launched);
+        long lost = revision - onEventLoop(stateService::revision);
+        double detectedSeconds =
+                untilSeconds(startMicros, () -> status.get().path("generation").asLong() > 0);
+        double recoveredSeconds =
+                untilSeconds(startMicros, () -> !status.get().path("suspended").asBoolean(true));
+        long launched = services.launchCount();
+        double launchSeconds = untilSeconds(startMicros, () -> services.launchCount() > launched);
         System.out.printf(
                 "a loss of %d revisions (%d s): known to the leader after %.2f s, made good after %.2f s, "
                         + "launches after %.2f s; %s%n",
-                lost, lostSeconds, noticed, closed, launching, status.get());
+                lost, lostSeconds, detectedSeconds, recoveredSeconds, launchSeconds, status.get());
     }
 
-    private double untilSeconds(long begun, BooleanSupplier condition) throws InterruptedException {
-        while (!condition.getAsBoolean() && eventLoop.nowMicros() - begun < GIVE_UP_MICROS) {
+    private double untilSeconds(long startMicros, BooleanSupplier condition) throws InterruptedException {
+        while (!condition.getAsBoolean() && eventLoop.nowMicros() - startMicros < TIMEOUT_MICROS) {
             TimeUnit.MILLISECONDS.sleep(20);
         }
-        return (eventLoop.nowMicros() - begun) / 1e6;
+        return (eventLoop.nowMicros() - startMicros) / 1e6;
     }
 
-    private <T> T inLoop(Supplier<T> work) {
+    private <T> T onEventLoop(Supplier<T> work) {
         CompletableFuture<T> result = new CompletableFuture<>();
         eventLoop.execute(() -> result.complete(work.get()));
         return result.join();
--- a/src/test/java/io/sillreel/load/SimulatedServices.java
+++ b/src/test/java/io/sillreel/load/SimulatedServices.java
@@ -27,24 +27,24 @@
  */
 final class SimulatedServices {
     private static final long SECOND = 1_000_000;
-    private static final long ANSWER_MICROS = 4 * SECOND;
+    private static final long RESPONSE_TIMEOUT_MICROS = 4 * SECOND;
     private static final int CPUS = 4;
-    private static final int MAX_ANSWER_BYTES = 1 << 20;
+    private static final int MAX_RESPONSE_BYTES = 1 << 20;
     private static final double BURST_SECONDS = 2;
 
     private final io.netty.channel.EventLoop nettyLoop;
     private final EventLoop eventLoop;
     private final List<String> controllers;
     private final int capacity;
-    private final long reportMicros;
+    private final long heartbeatMicros;
     private final RateLimiter cloudRate;
     private final Random random = new Random(1);
     private final TreeMap<String, Worker> workers = new TreeMap<>();
-    private final Map<String, ArrayNode> rentals = new LinkedHashMap<>();
-    private long answered;
-    private long launched;
-    private long lists;
-    private long refused;
+    private final Map<String, ArrayNode> provisionedMachines = new LinkedHashMap<>();
+    private long answeredHeartbeats;
+    private long launchCount;
+    private long listCount;
+    private long rejectedCloudRequests;
     /** When a task of a job that is named so was last launched. */
     private final Map<String, Long> launchedMicros = new ConcurrentHashMap<>();
 
@@ -54,32 +54,32 @@
             EventLoop eventLoop,
             List<String> controllers,
             int capacity,
-            long reportMicros,
+            long heartbeatMicros,
             double cloudRate) {
         this.nettyLoop = nettyLoop;
         this.eventLoop = eventLoop;
         this.controllers = controllers;
         this.capacity = capacity;
-        this.reportMicros = reportMicros;
+        this.heartbeatMicros = heartbeatMicros;
         this.cloudRate = new RateLimiter(eventLoop, cloudRate, BURST_SECONDS * cloudRate);
     }
 
     /** Lists that were answered up to their last page. */
-    long lists() {
-        return lists;
+    long listCount() {
+        return listCount;
     }
 
     /** Requests to the cloud that were refused for its rate. */
-    long refused() {
-        return refused;
+    long rejectedCloudRequests() {
+        return rejectedCloudRequests;
     }
 
-    long answered() {
-        return answered;
+    long answeredHeartbeats() {
+        return answeredHeartbeats;
     }
 
-    long launched() {
-        return launched;
+    long launchCount() {
+        return launchCount;
     }
 
     int machines() {
@@ -92,20 +92,20 @@
                 .anyMatch(entry -> entry.getValue() > micros && jobs.contains(entry.getKey()));
     }
 
-    CompletableFuture<HttpResponse> cloud(HttpRequest request) {
+    CompletableFuture<HttpResponse> handleCloudRequest(HttpRequest request) {
         if (!cloudRate.tryAcquire(1)) {
-            refused++;
+            rejectedCloudRequests++;
             return CompletableFuture.completedFuture(HttpResponse.error(429, "too many requests"));
         }
         return CompletableFuture.completedFuture(
                 switch (request.method() + " " + request.route()) {
                     case "GET /flavors" -> HttpResponse.of(200, machineTypes());
-                    case "POST /machines" -> rental(Json.parse(request.body()));
+                    case "POST /machines" -> provision(Json.parse(request.body()));
                     case "POST /machines/return" -> {
                         Json.parse(request.body()).path("hoppers").forEach(name -> {
                             Worker gone = workers.remove(name.asText());
                             if (gone != null) {
-                                gone.gone = true;
+                                gone.returned = true;
                             }
                         });
                         yield HttpResponse.of(200, Json.object());
@@ -132,15 +132,16 @@
         return body;
     }
 
-    private HttpResponse rental(JsonNode body) {
-        ArrayNode names = rentals.computeIfAbsent(body.path("hire").asText(), request -> {
+    private HttpResponse provision(JsonNode body) {
+        ArrayNode names = provisionedMachines.computeIfAbsent(body.path("hire").asText(), request -> {
             ArrayNode fresh = Json.array();
             for (int i = 0; i < body.path("count").asInt() && workers.size() < capacity; i++) {
-                Worker worker =
-                        new Worker("host-%06d".formatted(rentals.size() * 100 + i), random.nextInt(controllers.size()));
+                Worker worker = new Worker(
+                        "host-%06d".formatted(provisionedMachines.size() * 100 + i),
+                        random.nextInt(controllers.size()));
                 workers.put(worker.name, worker);
                 fresh.add(worker.name);
-                eventLoop.schedule(SECOND + random.nextInt((int) SECOND), worker::report);
+                eventLoop.schedule(SECOND + random.nextInt((int) SECOND), worker::sendHeartbeat);
             }
             return fresh;
         });
@@ -160,31 +161,31 @@
                         .put("build", "c4")
                         .put("yard", "a")
                         .put("loaners", true));
-        lists += page.json().path("truncated").asBoolean() ? 0 : 1;
+        listCount += page.json().path("truncated").asBoolean() ? 0 : 1;
         return page;
     }
 
     private final class Worker {
         private final String name;
-        private final NettyHttpClient client = new NettyHttpClient(nettyLoop, 1, MAX_ANSWER_BYTES);
+        private final NettyHttpClient client = new NettyHttpClient(nettyLoop, 1, MAX_RESPONSE_BYTES);
         private final Map<String, ObjectNode> tasks = new LinkedHashMap<>();
-        private final Map<String, Long> ends = new LinkedHashMap<>();
+        private final Map<String, Long> taskEndMicros = new LinkedHashMap<>();
         private int node;
         private long sequence;
-        private long token;
-        private boolean gone;
+        private long fencingToken;
+        private boolean returned;
 
         Worker(String name, int node) {
             this.name = name;
             this.node = node;
         }
 
-        void report() {
-            if (gone) {
+        void sendHeartbeat() {
+            if (returned) {
                 return;
             }
             long now = eventLoop.nowMicros();
-            ends.forEach((key, at) -> {
+            taskEndMicros.forEach((key, at) -> {
                 if (at <= now && !tasks.get(key).has("cause")) {
                     tasks.get(key).put("stage", "ended").put("cause", "done");
                 }
@@ -197,49 +198,50 @@
                     .put("loaners", true)
                     .put("shift", 1)
                     .put("tally", ++sequence)
-                    .put("baton", token);
+                    .put("baton", fencingToken);
             ArrayNode pieces = body.putArray("pieces");
             tasks.values().forEach(pieces::add);
-            client.send(controllers.get(node), HttpRequest.post("/agent/beat", body), ANSWER_MICROS)
-                    .thenAccept(this::answered);
+            client.send(controllers.get(node), HttpRequest.post("/agent/beat", body), RESPONSE_TIMEOUT_MICROS)
+                    .thenAccept(this::handleResponse);
         }
 
-        private void answered(HttpResponse response) {
+        private void handleResponse(HttpResponse response) {
             if (response.status() == 421) {
                 node = Integer.parseInt(response.json().path("foreman").asText().substring("hopper-".length()));
-                eventLoop.schedule(SECOND / 4, this::report);
+                eventLoop.schedule(SECOND / 4, this::sendHeartbeat);
                 return;
             }
             if (!response.isOk()) {
                 node = (node + 1) % controllers.size();
-                eventLoop.schedule(SECOND, this::report);
+                eventLoop.schedule(SECOND, this::sendHeartbeat);
                 return;
             }
-            answered++;
+            answeredHeartbeats++;
             JsonNode body = response.json();
-            boolean changed = body.path("baton").asLong() > token;
-            token = Math.max(token, body.path("baton").asLong());
-            for (JsonNode order : body.path("orders")) {
-                String piece = order.path("piece").asText();
-                String key = piece + "#" + order.path("try").asLong();
+            boolean changed = body.path("baton").asLong() > fencingToken;
+            fencingToken = Math.max(fencingToken, body.path("baton").asLong());
+            for (JsonNode command : body.path("orders")) {
+                String taskId = command.path("piece").asText();
+                String key = taskId + "#" + command.path("try").asLong();
                 changed = true;
-                if (order.path("verb").asText().equals("launch")) {
-                    launched++;
-                    launchedMicros.put(piece.substring(0, piece.indexOf('/')), eventLoop.nowMicros());
+                if (command.path("verb").asText().equals("launch")) {
+                    launchCount++;
+                    launchedMicros.put(taskId.substring(0, taskId.indexOf('/')), eventLoop.nowMicros());
                     tasks.putIfAbsent(
                             key,
                             Json.object()
-                                    .put("piece", piece)
-                                    .put("try", order.path("try").asLong())
+                                    .put("piece", taskId)
+                                    .put("try", command.path("try").asLong())
                                     .put("stage", "running"));
-                    ends.putIfAbsent(key, eventLoop.nowMicros() + 10 * SECOND + random.nextInt((int) (20 * SECOND)));
+                    taskEndMicros.putIfAbsent(
+                            key, eventLoop.nowMicros() + 10 * SECOND + random.nextInt((int) (20 * SECOND)));
                 } else {
                     tasks.remove(key);
-                    ends.remove(key);
+                    taskEndMicros.remove(key);
                 }
             }
-            long spread = reportMicros * 3 / 4 + random.nextInt((int) reportMicros / 2);
-            eventLoop.schedule(changed ? SECOND / 2 : spread, this::report);
+            long spread = heartbeatMicros * 3 / 4 + random.nextInt((int) heartbeatMicros / 2);
+            eventLoop.schedule(changed ? SECOND / 2 : spread, this::sendHeartbeat);
         }
     }
 
@@ -248,46 +250,46 @@
         private final EventLoop eventLoop;
         private final NettyHttpClient client;
         private final List<String> controllers;
-        private final List<String> open = new CopyOnWriteArrayList<>();
+        private final List<String> unfinishedJobs = new CopyOnWriteArrayList<>();
         private final Random random = new Random(2);
-        private int jobs;
-        private long asked;
+        private int submittedCount;
+        private long requestCount;
 
         Users(io.netty.channel.EventLoop nettyLoop, EventLoop eventLoop, List<String> controllers) {
             this.eventLoop = eventLoop;
-            this.client = new NettyHttpClient(nettyLoop, 8, MAX_ANSWER_BYTES);
+            this.client = new NettyHttpClient(nettyLoop, 8, MAX_RESPONSE_BYTES);
             this.controllers = controllers;
         }
 
-        List<String> open() {
-            return List.copyOf(open);
+        List<String> unfinishedJobs() {
+            return List.copyOf(unfinishedJobs);
         }
 
-        long asked() {
-            return asked;
+        long requestCount() {
+            return requestCount;
         }
 
-        private CompletableFuture<HttpResponse> ask(HttpRequest request) {
-            asked++;
+        private CompletableFuture<HttpResponse> send(HttpRequest request) {
+            requestCount++;
             return client.send(controllers.get(random.nextInt(controllers.size())), request, 2 * SECOND);
         }
 
         void submitEvery(long micros, int pieces) {
-            String uid = "job-%06d".formatted(++jobs);
+            String uid = "job-%06d".formatted(++submittedCount);
             ObjectNode job = SimCluster.job(uid, pieces).put("guess_s", 20.0).put("due_s", 100.0);
-            ask(HttpRequest.post("/v2/runs", job)).thenAccept(response -> {
+            send(HttpRequest.post("/v2/runs", job)).thenAccept(response -> {
                 if (response.status() == 201) {
-                    open.add(uid);
+                    unfinishedJobs.add(uid);
                 }
             });
             eventLoop.schedule(micros, () -> submitEvery(micros, pieces));
         }
 
         void pollEvery(long micros) {
-            for (String uid : List.copyOf(open)) {
-                ask(HttpRequest.get("/v2/runs/" + uid)).thenAccept(response -> {
+            for (String uid : List.copyOf(unfinishedJobs)) {
+                send(HttpRequest.get("/v2/runs/" + uid)).thenAccept(response -> {
                     if (response.json().path("stage").asText().equals("done")) {
-                        open.remove(uid);
+                        unfinishedJobs.remove(uid);
                     }
                 });
             }
--- a/src/test/java/io/sillreel/load/StoredJobs.java
+++ b/src/test/java/io/sillreel/load/StoredJobs.java
@@ -23,10 +23,10 @@
     /** Uids of other jobs of the load begin below. */
     private static final int FIRST_UID = 500_000;
     /** Half of the unfinished jobs await the one before them, half await the first. */
-    private static final int FANS = 2;
+    private static final int DEPENDENCY_SHAPES = 2;
 
     private final SimStateService stateService;
-    private int next = FIRST_UID;
+    private int nextNumber = FIRST_UID;
 
     StoredJobs(SimStateService stateService) {
         this.stateService = stateService;
@@ -34,7 +34,7 @@
 
     void addDone(int count) {
         for (int each = 0; each < count; each++) {
-            String uid = uid(next++);
+            String uid = uid(nextNumber++);
             store(
                     PlanRecord.key(uid),
                     PlanRecordCodec.encode(new PlanRecord(ADMITTED_WALL_MICROS, spec(uid, null, List.of()))));
@@ -49,15 +49,16 @@
     }
 
     void addAwaiting(int count) {
-        int first = next;
+        int first = nextNumber;
         for (int each = 0; each < count; each++) {
-            String uid = uid(next);
-            List<String> awaits = each == 0 ? List.of() : List.of(uid(each % FANS == 0 ? first : next - 1));
+            String uid = uid(nextNumber);
+            List<String> awaits =
+                    each == 0 ? List.of() : List.of(uid(each % DEPENDENCY_SHAPES == 0 ? first : nextNumber - 1));
             List<String> builds = each == 0 ? List.of("a-type-that-is-not-there") : null;
             store(
                     PlanRecord.key(uid),
                     PlanRecordCodec.encode(new PlanRecord(ADMITTED_WALL_MICROS, spec(uid, builds, awaits))));
-            next++;
+            nextNumber++;
         }
     }
 
--- a/src/test/java/io/sillreel/sim/InvariantChecker.java
+++ b/src/test/java/io/sillreel/sim/InvariantChecker.java
@@ -20,226 +20,228 @@
 
     private final SimCluster cluster;
     private final Set<String> completed = new HashSet<>();
-    private final Set<String> mistaken = new HashSet<>();
-    private final Map<String, Integer> pieces = new HashMap<>();
-    private final Map<String, String> told = new HashMap<>();
-    private final Map<String, Long> toldMicros = new HashMap<>();
-    private final Map<String, Long> cancelledAt = new HashMap<>();
-    private final Set<String> cancelAsked = new HashSet<>();
-    private final Map<String, List<String>> awaits = new HashMap<>();
-    private final Set<String> oneZone = new HashSet<>();
-    private final List<String> startsOfCancelled = new ArrayList<>();
-    private final List<String> broken = new ArrayList<>();
+    private final Set<String> failingJobs = new HashSet<>();
+    private final Map<String, Integer> taskCounts = new HashMap<>();
+    private final Map<String, String> answeredStages = new HashMap<>();
+    private final Map<String, Long> answeredMicros = new HashMap<>();
+    private final Map<String, Long> cancelledMicros = new HashMap<>();
+    private final Set<String> cancellationRequested = new HashSet<>();
+    private final Map<String, List<String>> dependencies = new HashMap<>();
+    private final Set<String> singleZoneJobs = new HashSet<>();
+    private final List<String> startsAfterCancellation = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     /** Where each task has ever been started: nowhere else can it run. */
     private final Map<String, Set<SimWorker>> startedOn = new HashMap<>();
 
-    private final Set<String> storedUp = new HashSet<>();
-    private long storedUpLedger = -1;
-    private int starts;
+    private final Set<String> storedMachines = new HashSet<>();
+    private long storedMachinesRevision = -1;
+    private int startCount;
 
     InvariantChecker(SimCluster cluster) {
         this.cluster = cluster;
     }
 
     /** A user has asked for the job to be run. */
-    void submitted(String uid, int tasks, boolean inOneZone, List<String> awaited) {
-        awaits.putIfAbsent(uid, awaited);
-        if (pieces.putIfAbsent(uid, tasks) == null && inOneZone) {
-            oneZone.add(uid);
+    void submitted(String uid, int tasks, boolean inOneZone, List<String> awaits) {
+        dependencies.putIfAbsent(uid, awaits);
+        if (taskCounts.putIfAbsent(uid, tasks) == null && inOneZone) {
+            singleZoneJobs.add(uid);
         }
     }
 
-    void cancellationAsked(String uid) {
-        cancelAsked.add(uid);
+    void cancellationRequested(String uid) {
+        cancellationRequested.add(uid);
     }
 
     /** A submission was answered. */
-    HttpResponse submissionAnswered(String uid, HttpResponse response, long asked) {
+    HttpResponse submissionAnswered(String uid, HttpResponse response, long sentAt) {
         if (response.status() == 201 || response.status() == 200) {
-            told(uid, response.json().path("stage").asText(), asked);
-        } else if (isKnown(uid, asked) && (response.status() == 400 || response.status() == 422)) {
-            broke("forgotten " + uid);
+            stageAnswered(uid, response.json().path("stage").asText(), sentAt);
+        } else if (isKnown(uid, sentAt) && (response.status() == 400 || response.status() == 422)) {
+            violated("forgotten " + uid);
         }
         return response;
     }
 
     /** A poll was answered. */
-    HttpResponse pollAnswered(String uid, HttpResponse response, long asked) {
+    HttpResponse pollAnswered(String uid, HttpResponse response, long sentAt) {
         if (response.isOk()) {
-            told(uid, response.json().path("stage").asText(), asked);
-        } else if (response.status() == 404 && isKnown(uid, asked)) {
-            broke("forgotten " + uid);
+            stageAnswered(uid, response.json().path("stage").asText(), sentAt);
+        } else if (response.status() == 404 && isKnown(uid, sentAt)) {
+            violated("forgotten " + uid);
         }
         return response;
     }
 
     /** A request to cancel was answered. */
-    HttpResponse cancellationAnswered(String uid, HttpResponse response, long asked) {
+    HttpResponse cancellationAnswered(String uid, HttpResponse response, long sentAt) {
         if (response.isOk()) {
-            told(uid, response.json().path("stage").asText(), asked);
+            stageAnswered(uid, response.json().path("stage").asText(), sentAt);
         }
         return response;
     }
 
     /** What users were last told of the job, or null. */
-    String told(String uid) {
-        return told.get(uid);
+    String stageAnswered(String uid) {
+        return answeredStages.get(uid);
     }
 
     /** A rule was broken. */
-    void broke(String rule) {
-        broken.add(rule);
+    void violated(String rule) {
+        violations.add(rule);
     }
 
-    List<String> broken() {
-        return broken;
+    List<String> violations() {
+        return violations;
     }
 
-    int starts() {
-        return starts;
+    int startCount() {
+        return startCount;
     }
 
-    List<String> startsOfCancelled() {
-        return startsOfCancelled;
+    List<String> startsAfterCancellation() {
+        return startsAfterCancellation;
     }
 
     /** True if a user had been told that the job is accepted before this was asked. */
-    boolean isKnown(String uid, long asked) {
-        return told.containsKey(uid) && toldMicros.get(uid) <= asked;
+    boolean isKnown(String uid, long sentAt) {
+        return answeredStages.containsKey(uid) && answeredMicros.get(uid) <= sentAt;
     }
 
     /** What a user was told, and since when; a question that was under way by then may still be answered as it was. */
-    void told(String uid, String stage, long asked) {
-        String before = told.get(uid);
-        boolean over = before != null && (before.equals("done") || before.equals("withdrawn"));
-        if (over && !before.equals(stage)) {
+    void stageAnswered(String uid, String stage, long sentAt) {
+        String previous = answeredStages.get(uid);
+        boolean terminal = previous != null && (previous.equals("done") || previous.equals("withdrawn"));
+        if (terminal && !previous.equals(stage)) {
             boolean contradicts = stage.equals("done") || stage.equals("withdrawn");
-            if (contradicts || toldMicros.get(uid) <= asked) {
-                broken.add("went_back " + uid + " from " + before + " to " + stage);
+            if (contradicts || answeredMicros.get(uid) <= sentAt) {
+                violations.add("went_back " + uid + " from " + previous + " to " + stage);
             }
             return;
         }
-        told.put(uid, stage);
-        if (before == null || !over && (stage.equals("done") || stage.equals("withdrawn"))) {
-            toldMicros.put(uid, cluster.time().nowMicros());
+        answeredStages.put(uid, stage);
+        if (previous == null || !terminal && (stage.equals("done") || stage.equals("withdrawn"))) {
+            answeredMicros.put(uid, cluster.time().nowMicros());
         }
         if (stage.equals("withdrawn")) {
-            cancelledAt.putIfAbsent(uid, cluster.time().nowMicros());
-            if (neededBy(uid).noneMatch(cancelAsked::contains)) {
-                broken.add("went_back " + uid + " is called withdrawn, and nobody asked for that");
+            cancelledMicros.putIfAbsent(uid, cluster.time().nowMicros());
+            if (dependencyClosure(uid).noneMatch(cancellationRequested::contains)) {
+                violations.add("went_back " + uid + " is called withdrawn, and nobody asked for that");
             }
         } else if (!stage.equals("done")
-                && neededBy(uid)
-                        .anyMatch(needed -> cancelledAt.containsKey(needed)
-                                && cancelledAt.get(needed)
+                && dependencyClosure(uid)
+                        .anyMatch(dependency -> cancelledMicros.containsKey(dependency)
+                                && cancelledMicros.get(dependency)
                                                 + cluster.settings().workers().cancelMicros()
-                                        < asked)) {
-            broken.add("orphaned " + uid + " is called " + stage);
+                                        < sentAt)) {
+            violations.add("orphaned " + uid + " is called " + stage);
         }
         if (stage.equals("done")) {
-            for (int piece = 0; piece < pieces.getOrDefault(uid, 0); piece++) {
-                if (!completed.contains(uid + "/" + piece)) {
-                    broken.add("not_done " + uid + "/" + piece);
+            for (int taskId = 0; taskId < taskCounts.getOrDefault(uid, 0); taskId++) {
+                if (!completed.contains(uid + "/" + taskId)) {
+                    violations.add("not_done " + uid + "/" + taskId);
                 }
             }
         }
     }
 
     /** The job and all that it needs, directly or through others. */
-    Stream<String> neededBy(String uid) {
-        Set<String> all = new LinkedHashSet<>(List.of(uid));
-        Deque<String> open = new ArrayDeque<>(all);
-        while (!open.isEmpty()) {
-            awaits.getOrDefault(open.poll(), List.of()).stream()
-                    .filter(all::add)
-                    .forEach(open::add);
+    Stream<String> dependencyClosure(String uid) {
+        Set<String> closure = new LinkedHashSet<>(List.of(uid));
+        Deque<String> queue = new ArrayDeque<>(closure);
+        while (!queue.isEmpty()) {
+            dependencies.getOrDefault(queue.poll(), List.of()).stream()
+                    .filter(closure::add)
+                    .forEach(queue::add);
         }
-        return all.stream();
+        return closure.stream();
     }
 
     /** Jobs whose tasks fail on every machine. */
-    void mistaken(String uid) {
-        mistaken.add(uid);
+    void failTasksOf(String uid) {
+        failingJobs.add(uid);
     }
 
-    boolean isMistaken(String uid) {
-        return mistaken.contains(uid);
+    boolean hasFailingTasks(String uid) {
+        return failingJobs.contains(uid);
     }
 
-    void completed(String piece) {
-        completed.add(piece);
+    void completed(String taskId) {
+        completed.add(taskId);
     }
 
-    boolean isCompleted(String piece) {
-        return completed.contains(piece);
+    boolean isCompleted(String taskId) {
+        return completed.contains(taskId);
     }
 
     /** A worker starts a task. */
-    void started(SimWorker worker, String piece) {
-        starts++;
-        for (SimWorker other : startedOn.computeIfAbsent(piece, each -> new LinkedHashSet<>())) {
-            long here = other.runningTasks().stream().filter(piece::equals).count();
-            if (here > (other == worker ? 1 : 0)) {
-                broken.add("ran_twice " + piece + " on " + other.name() + " and " + worker.name());
+    void started(SimWorker worker, String taskId) {
+        startCount++;
+        for (SimWorker other : startedOn.computeIfAbsent(taskId, each -> new LinkedHashSet<>())) {
+            long attemptsThere =
+                    other.runningTasks().stream().filter(taskId::equals).count();
+            if (attemptsThere > (other == worker ? 1 : 0)) {
+                violations.add("ran_twice " + taskId + " on " + other.name() + " and " + worker.name());
             }
         }
-        startedOn.get(piece).add(worker);
-        double most = cluster.settings().teams().get("t").maxCpus();
-        if (most > 0 && cluster.runningTaskCount() > most) {
-            broken.add("quota at " + piece);
+        startedOn.get(taskId).add(worker);
+        double maxCpus = cluster.settings().teams().get("t").maxCpus();
+        if (maxCpus > 0 && cluster.runningTaskCount() > maxCpus) {
+            violations.add("quota at " + taskId);
         }
-        if (!storedAsUp(worker.name())) {
-            broken.add("unstored " + worker.name() + ", where " + piece + " starts");
+        if (!isStoredAsUp(worker.name())) {
+            violations.add("unstored " + worker.name() + ", where " + taskId + " starts");
         }
-        String uid = piece.substring(0, piece.indexOf('/'));
-        for (String needed : awaits.getOrDefault(uid, List.of())) {
-            for (int each = 0; each < pieces.getOrDefault(needed, 0); each++) {
-                if (!completed.contains(needed + "/" + each)) {
-                    broken.add("too_early " + piece + " before " + needed + "/" + each);
+        String uid = taskId.substring(0, taskId.indexOf('/'));
+        for (String dependency : dependencies.getOrDefault(uid, List.of())) {
+            for (int each = 0; each < taskCounts.getOrDefault(dependency, 0); each++) {
+                if (!completed.contains(dependency + "/" + each)) {
+                    violations.add("too_early " + taskId + " before " + dependency + "/" + each);
                 }
             }
         }
-        Long cancelled = neededBy(uid)
-                .map(cancelledAt::get)
+        Long cancelledAt = dependencyClosure(uid)
+                .map(cancelledMicros::get)
                 .filter(Objects::nonNull)
                 .min(Long::compare)
                 .orElse(null);
-        if (cancelled != null) {
-            startsOfCancelled.add(piece + " after " + (cluster.time().nowMicros() - cancelled) / 1_000 + " ms");
+        if (cancelledAt != null) {
+            startsAfterCancellation.add(
+                    taskId + " after " + (cluster.time().nowMicros() - cancelledAt) / 1_000 + " ms");
         }
-        boolean apart = oneZone.contains(uid)
+        boolean acrossZones = singleZoneJobs.contains(uid)
                 && cluster.cloud().machines().values().stream()
                         .anyMatch(other -> !other.zone().equals(worker.zone())
                                 && other.runningTasks().stream().anyMatch(task -> task.startsWith(uid + "/")));
-        if (apart) {
-            broken.add("wrong_place " + piece + " in " + worker.zone());
+        if (acrossZones) {
+            violations.add("wrong_place " + taskId + " in " + worker.zone());
         }
     }
 
     /** A successor looks for tasks where the stored rentals say that they can be. */
-    private boolean storedAsUp(String machine) {
-        if (cluster.store().revision() != storedUpLedger) {
-            storedUpLedger = cluster.store().revision();
-            storedUp.clear();
+    private boolean isStoredAsUp(String machine) {
+        if (cluster.store().revision() != storedMachinesRevision) {
+            storedMachinesRevision = cluster.store().revision();
+            storedMachines.clear();
             for (String key : cluster.store().keysWithPrefix("hire/")) {
                 for (JsonNode up : cluster.store().value(key).path("up")) {
-                    storedUp.add(up.asText());
+                    storedMachines.add(up.asText());
                 }
             }
         }
-        return storedUp.contains(machine);
+        return storedMachines.contains(machine);
     }
 
     /** Looks from now on whether tasks of cancelled jobs are gone in time. */
-    void watch() {
-        cluster.time().after(SECOND / 5, this::watch);
+    void monitorCancelledTasks() {
+        cluster.time().after(SECOND / 5, this::monitorCancelledTasks);
         for (SimWorker worker : cluster.cloud().machines().values()) {
-            for (String piece : worker.runningTasks()) {
-                Long at = cancelledAt.get(piece.substring(0, piece.indexOf('/')));
-                if (at != null
-                        && cluster.time().nowMicros() - at
+            for (String taskId : worker.runningTasks()) {
+                Long cancelledAt = cancelledMicros.get(taskId.substring(0, taskId.indexOf('/')));
+                if (cancelledAt != null
+                        && cluster.time().nowMicros() - cancelledAt
                                 > cluster.settings().workers().cancelMicros()) {
-                    broken.add("ran_cancelled " + piece + " on " + worker.name());
+                    violations.add("ran_cancelled " + taskId + " on " + worker.name());
                 }
             }
         }
--- a/src/test/java/io/sillreel/sim/PreviousVersion.java
+++ b/src/test/java/io/sillreel/sim/PreviousVersion.java
@@ -24,35 +24,35 @@
     private static final Pattern KNOWN_KEYS = Pattern.compile(
             "plan/job-\\d+|run/job-\\d+(/\\d+)?|withdraw/job-\\d+|hire/[a-z0-9.-]+|term|leader|flavors");
     /** The version takes whatever follows a second slash for a number, and fails in a takeover if it is none. */
-    private static final Pattern READABLE_RECORD = Pattern.compile("run/job-\\d+(/\\d+)?");
+    private static final Pattern READABLE_RECORD_KEY = Pattern.compile("run/job-\\d+(/\\d+)?");
 
-    private static final Set<String> PLAN_FIELDS_SINCE = Set.of("awaits");
-    private static final Set<String> RECORD_FIELDS_SINCE = Set.of("ready_us", "per", "gens");
-    private static final String PARTS_PREFIX = "prefix=bits/";
+    private static final Set<String> NEWER_PLAN_FIELDS = Set.of("awaits");
+    private static final Set<String> NEWER_RECORD_FIELDS = Set.of("ready_us", "per", "gens");
+    private static final String BITMAP_PREFIX_QUERY = "prefix=bits/";
 
     private final HttpClient network;
-    private final Consumer<String> violation;
+    private final Consumer<String> violations;
 
-    /** @param violation told what version 5806758 would not have done, or could not have read */
-    public PreviousVersion(HttpClient network, Consumer<String> violation) {
+    /** @param violations told what version 5806758 would not have done, or could not have read */
+    public PreviousVersion(HttpClient network, Consumer<String> violations) {
         this.network = network;
-        this.violation = violation;
+        this.violations = violations;
     }
 
     /** The network as the version uses it. */
     public CompletableFuture<HttpResponse> send(String address, HttpRequest request, long timeoutMicros) {
-        if (request.path().contains(PARTS_PREFIX)) {
+        if (request.path().contains(BITMAP_PREFIX_QUERY)) {
             // The version never lists these keys.
-            ObjectNode nothing = Json.object().put("truncated", false).put("ledger", 0);
-            nothing.putArray("entries");
-            return CompletableFuture.completedFuture(HttpResponse.of(200, nothing));
+            ObjectNode emptyPage = Json.object().put("truncated", false).put("ledger", 0);
+            emptyPage.putArray("entries");
+            return CompletableFuture.completedFuture(HttpResponse.of(200, emptyPage));
         }
         if (request.route().equals("/txn")) {
             Json.parse(request.body()).path("then").forEach(this::checkWritten);
         }
         boolean reads = request.route().equals("/watch") || request.route().startsWith("/kv");
         return network.send(address, request, timeoutMicros)
-                .thenApply(response -> reads && response.isOk() ? asRead(response) : response);
+                .thenApply(response -> reads && response.isOk() ? withoutNewerFieldsInResponse(response) : response);
     }
 
     /** A user's request as the version understands it. */
@@ -60,18 +60,18 @@
         if (!request.route().equals("/v2/runs") || !(Json.parse(request.body()) instanceof ObjectNode submission)) {
             return request;
         }
-        return new HttpRequest(request.method(), request.path(), Json.bytes(submission.without(PLAN_FIELDS_SINCE)));
+        return new HttpRequest(request.method(), request.path(), Json.bytes(submission.without(NEWER_PLAN_FIELDS)));
     }
 
     /** A stored value as the version understands it. */
     public static JsonNode withoutNewerFields(String key, JsonNode value) {
         if (key.startsWith("plan/")) {
             ObjectNode plan = value.deepCopy();
-            ((ObjectNode) plan.path("job")).remove(PLAN_FIELDS_SINCE);
+            ((ObjectNode) plan.path("job")).remove(NEWER_PLAN_FIELDS);
             return plan;
         }
         if (key.startsWith("run/")) {
-            return ((ObjectNode) value.deepCopy()).remove(RECORD_FIELDS_SINCE);
+            return ((ObjectNode) value.deepCopy()).remove(NEWER_RECORD_FIELDS);
         }
         return value;
     }
@@ -83,18 +83,18 @@
         String key = change.path("set").asText();
         if (!KNOWN_KEYS.matcher(key).matches()
                 || !withoutNewerFields(key, change.path("v")).equals(change.path("v"))) {
-            violation.accept("written by the previous version: " + change);
+            violations.accept("written by the previous version: " + change);
         }
     }
 
-    private HttpResponse asRead(HttpResponse response) {
+    private HttpResponse withoutNewerFieldsInResponse(HttpResponse response) {
         ObjectNode body = (ObjectNode) response.json();
         if (body.has("k")) {
-            understand(body, body.path("k").asText());
+            removeNewerFields(body, body.path("k").asText());
         }
         for (String list : List.of("entries", "news")) {
             for (JsonNode entry : body.path(list)) {
-                understand(
+                removeNewerFields(
                         (ObjectNode) entry,
                         entry.path(entry.has("k") ? "k" : "set").asText());
             }
@@ -102,12 +102,12 @@
         return HttpResponse.of(response.status(), body);
     }
 
-    private void understand(ObjectNode entry, String key) {
+    private void removeNewerFields(ObjectNode entry, String key) {
         if (!entry.has("v")) {
             return;
         }
-        if (key.startsWith("run/") && !READABLE_RECORD.matcher(key).matches()) {
-            violation.accept("read by the previous version: " + key);
+        if (key.startsWith("run/") && !READABLE_RECORD_KEY.matcher(key).matches()) {
+            violations.accept("read by the previous version: " + key);
         }
         entry.set("v", withoutNewerFields(key, entry.path("v")));
     }
--- a/src/test/java/io/sillreel/sim/SimCloud.java
+++ b/src/test/java/io/sillreel/sim/SimCloud.java
@@ -17,8 +17,8 @@
     private final SimCluster cluster;
     private final TreeMap<String, SimWorker> machines = new TreeMap<>();
     private final TreeMap<String, String> booting = new TreeMap<>();
-    private final Map<String, ArrayNode> answers = new LinkedHashMap<>();
-    private int created;
+    private final Map<String, ArrayNode> provisionedMachines = new LinkedHashMap<>();
+    private int createdCount;
     private boolean outage;
     private long bootMicros = 4_000_000;
     private final int capacity;
@@ -28,8 +28,8 @@
         this.capacity = capacity;
     }
 
-    public void setOutage(boolean down) {
-        outage = down;
+    public void setOutage(boolean isDown) {
+        outage = isDown;
     }
 
     /** How long machines rented from now on take to come up. */
@@ -63,8 +63,8 @@
         return CompletableFuture.completedFuture(
                 switch (request.method() + " " + request.route()) {
                     case "GET /flavors" -> HttpResponse.of(200, machineTypes());
-                    case "POST /machines" -> rental(Json.parse(request.body()));
-                    case "POST /machines/return" -> giveBack(Json.parse(request.body()));
+                    case "POST /machines" -> provision(Json.parse(request.body()));
+                    case "POST /machines/return" -> returnMachines(Json.parse(request.body()));
                     default -> list(request);
                 });
     }
@@ -86,9 +86,9 @@
         return body;
     }
 
-    private HttpResponse rental(JsonNode body) {
+    private HttpResponse provision(JsonNode body) {
         String request = body.path("hire").asText();
-        ArrayNode names = answers.get(request);
+        ArrayNode names = provisionedMachines.get(request);
         if (names == null) {
             names = Json.array();
             for (int i = 0; i < body.path("count").asInt() && machines.size() + booting.size() < capacity; i++) {
@@ -100,7 +100,7 @@
             if (names.isEmpty()) {
                 return HttpResponse.error(503, "no capacity");
             }
-            answers.put(request, names);
+            provisionedMachines.put(request, names);
         }
         ObjectNode answer = Json.object();
         answer.set("hoppers", names);
@@ -108,17 +108,18 @@
     }
 
     private String boot(String machineType, String zone, boolean spot) {
-        String name = "host-%06d".formatted(created++);
+        String name = "host-%06d".formatted(createdCount++);
         booting.put(name, machineType);
         cluster.time().after(bootMicros, () -> {
             if (booting.remove(name) != null) {
-                machines.put(name, new SimWorker(cluster, name, machineType, zone, spot, created % cluster.nodes()));
+                machines.put(
+                        name, new SimWorker(cluster, name, machineType, zone, spot, createdCount % cluster.nodes()));
             }
         });
         return name;
     }
 
-    private HttpResponse giveBack(JsonNode body) {
+    private HttpResponse returnMachines(JsonNode body) {
         for (JsonNode name : body.path("hoppers")) {
             booting.remove(name.asText());
             reclaim(name.asText());
--- a/src/test/java/io/sillreel/sim/SimCluster.java
+++ b/src/test/java/io/sillreel/sim/SimCluster.java
@@ -92,7 +92,7 @@
         for (int node = 0; node < nodes; node++) {
             start(node);
         }
-        checker.watch();
+        checker.monitorCancelledTasks();
     }
 
     /** The settings file of the controller. */
@@ -105,7 +105,7 @@
         String host = "10.0.0." + node;
         boolean previous = versions[node] == Version.PREVIOUS;
         HttpClient direct = network.clientOf(host, process);
-        HttpClient httpClient = previous ? new PreviousVersion(direct, checker::broke)::send : direct;
+        HttpClient httpClient = previous ? new PreviousVersion(direct, checker::violated)::send : direct;
         Controller controller = new Controller(
                 process,
                 httpClient,
@@ -253,9 +253,9 @@
     // --- Users -----------------------------------------------------------------------------------------------------
 
     /** A job that has to wait until others are done. */
-    public static ObjectNode job(String uid, int pieces, String... awaited) {
+    public static ObjectNode job(String uid, int pieces, String... awaits) {
         ObjectNode job = job(uid, pieces);
-        List.of(awaited).forEach(job.putArray("awaits")::add);
+        List.of(awaits).forEach(job.putArray("awaits")::add);
         return job;
     }
 
@@ -291,10 +291,10 @@
 
     private HttpRequest submission(ObjectNode job) {
         String uid = job.path("uid").asText();
-        List<String> awaited = new ArrayList<>();
-        job.path("awaits").forEach(name -> awaited.add(name.asText()));
+        List<String> awaits = new ArrayList<>();
+        job.path("awaits").forEach(name -> awaits.add(name.asText()));
         submitted.putIfAbsent(uid, job);
-        checker.submitted(uid, job.path("pieces").asInt(), job.path("one_zone").asBoolean(), awaited);
+        checker.submitted(uid, job.path("pieces").asInt(), job.path("one_zone").asBoolean(), awaits);
         return HttpRequest.post("/v2/runs", job);
     }
 
@@ -309,7 +309,7 @@
     }
 
     private HttpRequest cancellation(String uid) {
-        checker.cancellationAsked(uid);
+        checker.cancellationRequested(uid);
         return HttpRequest.post("/v2/runs/" + uid + "/withdraw", Json.object());
     }
 
@@ -349,12 +349,12 @@
 
     /** What users were last told of the job, or null. */
     public String known(String uid) {
-        return checker.told(uid);
+        return checker.stageAnswered(uid);
     }
 
     /** The job and all that it needs, directly or through others. */
     public Stream<String> dependencyClosure(String uid) {
-        return checker.neededBy(uid);
+        return checker.dependencyClosure(uid);
     }
 
     // --- Rules -----------------------------------------------------------------------------------------------------
@@ -366,14 +366,14 @@
 
     /** The tasks of the job fail on every machine from now on. */
     public void failTasksOf(String uid) {
-        checker.mistaken(uid);
+        checker.failTasksOf(uid);
     }
 
     /** Waits until so many tasks have started, each of which runs for so long. */
     public void runUntilStarted(int tasks, long runMicros) {
         runUntil(() -> {
             cloud.machines().values().forEach(worker -> worker.setRunMicros(runMicros));
-            return checker.starts() >= tasks;
+            return checker.startCount() >= tasks;
         });
     }
 
@@ -385,16 +385,16 @@
     }
 
     public int startCount() {
-        return checker.starts();
+        return checker.startCount();
     }
 
     /** Tasks that began after a user had been told that their job is cancelled, and how long after. */
     public List<String> startsAfterCancellation() {
-        return checker.startsOfCancelled();
+        return checker.startsAfterCancellation();
     }
 
     /** The rules that were broken so far, in plain words. */
     public List<String> violations() {
-        return checker.broken();
+        return checker.violations();
     }
 }
--- a/src/test/java/io/sillreel/sim/SimClusterSettings.java
+++ b/src/test/java/io/sillreel/sim/SimClusterSettings.java
@@ -29,7 +29,7 @@
             txn_ops = 6
             """;
 
-    private static final String PLATFORM = """
+    private static final String PARAMS = """
             [endpoints]
             cloud = "cloud:1"
             state = "state:1"
@@ -96,7 +96,7 @@
                         """.formatted(other));
             }
         }
-        return toml.append(PLATFORM.formatted(
+        return toml.append(PARAMS.formatted(
                         cpusMax,
                         workers.report(),
                         workers.lease(),
--- a/src/test/java/io/sillreel/sim/SimNetwork.java
+++ b/src/test/java/io/sillreel/sim/SimNetwork.java
@@ -43,17 +43,17 @@
         REJECT
     }
 
-    private static final int LATEST_COPY_MICROS = 40_000_000;
-    private static final int LATEST_CARRIED_OUT_MICROS = 12_000_000;
-    private static final int MAX_KEPT = 2_000;
-    private static final int WAVES = 5;
+    private static final int MAX_COPY_DELAY_MICROS = 40_000_000;
+    private static final int MAX_EXECUTION_DELAY_MICROS = 12_000_000;
+    private static final int MAX_RECORDED = 2_000;
+    private static final int REPLAY_WAVES = 5;
 
     private final SimTime time;
     private final Random random;
     private final Map<String, HttpHandler> handlers = new HashMap<>();
     private final List<Rule> rules = new ArrayList<>();
     private final List<Runnable> held = new ArrayList<>();
-    private final Deque<HttpRequest> kept = new ArrayDeque<>();
+    private final Deque<HttpRequest> recorded = new ArrayDeque<>();
     private long latencyFactor = 1;
 
     public SimNetwork(SimTime time, long seed) {
@@ -95,14 +95,14 @@
 
     /** Lets everything through that was held back. */
     public void releaseHeld() {
-        List<Runnable> late = new ArrayList<>(held);
+        List<Runnable> deliveries = new ArrayList<>(held);
         held.clear();
-        late.forEach(delivery -> time.after(delay(), delivery));
+        deliveries.forEach(delivery -> time.after(delay(), delivery));
     }
 
     /** Links take so many times as long. */
-    public void setLatencyFactor(long times) {
-        latencyFactor = times;
+    public void setLatencyFactor(long factor) {
+        latencyFactor = factor;
     }
 
     /**
@@ -110,16 +110,16 @@
      * them.
      */
     public void replayRecorded(List<String> hosts) {
-        SimTime.Process nobody = time.new Process();
-        for (long wave = 0; wave < WAVES; wave++) {
+        SimTime.Process discarded = time.new Process();
+        for (long wave = 0; wave < REPLAY_WAVES; wave++) {
             long at = wave * 250_000;
-            for (HttpRequest request : kept) {
+            for (HttpRequest request : recorded) {
                 for (String host : hosts) {
-                    time.after(at++, () -> deliver(host, request, new CompletableFuture<>(), nobody));
+                    time.after(at++, () -> deliver(host, request, new CompletableFuture<>(), discarded));
                 }
             }
         }
-        kept.clear();
+        recorded.clear();
     }
 
     /** Returns the network as that host and process see it. */
@@ -130,20 +130,20 @@
             answer.thenRun(timer::cancel);
             Action action = Action.DELIVER;
             for (Rule rule : rules) {
-                Action said = rule.actionFor(host, to, request);
-                if (said != null) {
-                    action = said;
+                Action ruled = rule.actionFor(host, to, request);
+                if (ruled != null) {
+                    action = ruled;
                     break;
                 }
             }
-            boolean answered = action == Action.DELIVER
+            boolean responds = action == Action.DELIVER
                     || action == Action.DUPLICATE
                     || action == Action.RECORD
                     || action == Action.DELAY_RESPONSE;
             if (action == Action.DELAY_RESPONSE) {
-                CompletableFuture<HttpResponse> slow = new CompletableFuture<>();
-                slow.thenAccept(result -> process.schedule(random.nextInt(1_000_000), () -> answer.complete(result)));
-                time.after(delay(), () -> deliver(to, request, slow, process));
+                CompletableFuture<HttpResponse> late = new CompletableFuture<>();
+                late.thenAccept(result -> process.schedule(random.nextInt(1_000_000), () -> answer.complete(result)));
+                time.after(delay(), () -> deliver(to, request, late, process));
                 return answer;
             }
             if (action == Action.REJECT) {
@@ -154,19 +154,19 @@
             }
             if (action == Action.DUPLICATE) {
                 time.after(
-                        1_000_000 + random.nextInt(LATEST_COPY_MICROS),
+                        1_000_000 + random.nextInt(MAX_COPY_DELAY_MICROS),
                         () -> deliver(to, request, new CompletableFuture<>(), process));
             } else if (action == Action.RECORD) {
-                kept.add(request);
-                if (kept.size() > MAX_KEPT) {
-                    kept.poll();
+                recorded.add(request);
+                if (recorded.size() > MAX_RECORDED) {
+                    recorded.poll();
                 }
             }
-            Runnable delivery = () -> deliver(to, request, answered ? answer : new CompletableFuture<>(), process);
+            Runnable delivery = () -> deliver(to, request, responds ? answer : new CompletableFuture<>(), process);
             if (action == Action.HOLD) {
                 held.add(delivery);
             } else if (action == Action.DELAY_AND_DROP_RESPONSE) {
-                time.after(2_000_000 + random.nextInt(LATEST_CARRIED_OUT_MICROS - 2_000_000), delivery);
+                time.after(2_000_000 + random.nextInt(MAX_EXECUTION_DELAY_MICROS - 2_000_000), delivery);
             } else if (action != Action.DROP) {
                 time.after(delay(), delivery);
             }
--- a/src/test/java/io/sillreel/sim/SimStateService.java
+++ b/src/test/java/io/sillreel/sim/SimStateService.java
@@ -18,30 +18,30 @@
 
 /** A state service in memory, as far as the protocol describes it. */
 public final class SimStateService implements HttpHandler {
-    private static final int KEPT_CHANGES = 10_000;
+    private static final int MAX_RETAINED_CHANGES = 10_000;
 
-    private record Value(JsonNode value, long stamp, long permit) {}
+    private record Value(JsonNode value, long revision, long leaseId) {}
 
-    private record Change(String key, JsonNode value, long stamp) {}
+    private record Change(String key, JsonNode value, long revision) {}
 
     private final SimTime time;
     private int txnOps;
     private int valueBytes;
     private double writesPerSecond;
-    private double writesLeft;
-    private long writesMicros;
+    private double writeTokens;
+    private long refilledMicros;
     private int rejectedForSize;
     private int rejectedForRate;
     private final TreeMap<String, Value> keys = new TreeMap<>();
-    private final Map<Long, Long> lives = new TreeMap<>();
-    private final Map<Long, Long> ends = new TreeMap<>();
+    private final Map<Long, Long> leaseDurations = new TreeMap<>();
+    private final Map<Long, Long> leaseExpirations = new TreeMap<>();
     private final List<Change> changes = new ArrayList<>();
     private final Set<Runnable> watchers = new LinkedHashSet<>();
     private long revision = 100;
-    private long permits;
-    private long forgotten;
+    private long lastLeaseId;
+    private long compactedRevision;
     private boolean outage;
-    private long misreported;
+    private long misreportedRevision;
     private Runnable leaderWritten = () -> {};
 
     public SimStateService(SimTime time, int txnOps, int valueBytes, double writesPerSecond) {
@@ -54,7 +54,7 @@
         txnOps = ops;
         valueBytes = bytes;
         writesPerSecond = perSecond;
-        writesLeft = perSecond;
+        writeTokens = perSecond;
     }
 
     /** Requests that were refused since they, or values in them, were too large. */
@@ -67,14 +67,14 @@
     }
 
     /** Takes writes from a bucket that holds one second's worth. */
-    private boolean tooFast(int writes) {
-        writesLeft = Math.min(
-                writesPerSecond, writesLeft + writesPerSecond * (time.nowMicros() - writesMicros) / 1_000_000.0);
-        writesMicros = time.nowMicros();
-        if (writesLeft < writes) {
+    private boolean exceedsWriteRate(int writes) {
+        writeTokens = Math.min(
+                writesPerSecond, writeTokens + writesPerSecond * (time.nowMicros() - refilledMicros) / 1_000_000.0);
+        refilledMicros = time.nowMicros();
+        if (writeTokens < writes) {
             return true;
         }
-        writesLeft -= writes;
+        writeTokens -= writes;
         return false;
     }
 
@@ -84,11 +84,11 @@
     }
 
     /** Begins or ends an outage; after it all leases have their full time again. */
-    public void setOutage(boolean down) {
-        outage = down;
-        if (!down) {
-            ends.replaceAll((permit, end) -> time.nowMicros() + lives.get(permit));
-            wake();
+    public void setOutage(boolean isDown) {
+        outage = isDown;
+        if (!isDown) {
+            leaseExpirations.replaceAll((leaseId, end) -> time.nowMicros() + leaseDurations.get(leaseId));
+            notifyWatchers();
         }
     }
 
@@ -120,7 +120,7 @@
 
     /** The next answer that names a revision names this one. */
     public void misreportRevision(long revision) {
-        misreported = revision;
+        misreportedRevision = revision;
     }
 
     public Snapshot snapshot() {
@@ -129,21 +129,21 @@
     }
 
     /** Comes back with an older image of itself: no lease is left, and what hung on one is gone. */
-    public void restore(Snapshot image) {
+    public void restore(Snapshot snapshot) {
         keys.clear();
-        keys.putAll(image.keys);
-        keys.values().removeIf(value -> value.permit() > 0);
-        lives.clear();
-        ends.clear();
-        changes.removeIf(change -> change.stamp() > image.storeRevision);
-        revision = image.storeRevision;
-        forgotten = Math.min(forgotten, revision);
+        keys.putAll(snapshot.keys);
+        keys.values().removeIf(value -> value.leaseId() > 0);
+        leaseDurations.clear();
+        leaseExpirations.clear();
+        changes.removeIf(change -> change.revision() > snapshot.storeRevision);
+        revision = snapshot.storeRevision;
+        compactedRevision = Math.min(compactedRevision, revision);
     }
 
     /** Forgets the record of changes, as if very many had come since. */
     public void compact() {
         changes.clear();
-        forgotten = revision;
+        compactedRevision = revision;
     }
 
     @Override
@@ -163,9 +163,9 @@
             return get(route.substring(4));
         }
         if (route.equals("/txn")) {
-            return txn(Json.parse(request.body()));
+            return commit(Json.parse(request.body()));
         }
-        return grants(request);
+        return handleLease(request);
     }
 
     private CompletableFuture<HttpResponse> get(String key) {
@@ -194,9 +194,9 @@
         return answer(200, body.put("truncated", truncated));
     }
 
-    private CompletableFuture<HttpResponse> txn(JsonNode body) {
+    private CompletableFuture<HttpResponse> commit(JsonNode body) {
         JsonNode then = body.path("then");
-        if (tooFast(then.size())) {
+        if (exceedsWriteRate(then.size())) {
             rejectedForRate++;
             return answer(429, Json.object().put("error", "too fast"));
         }
@@ -209,7 +209,8 @@
                 rejectedForSize++;
                 return answer(400, Json.object().put("error", "value too large"));
             }
-            if (change.has("permit") && !ends.containsKey(change.path("permit").asLong())) {
+            if (change.has("permit")
+                    && !leaseExpirations.containsKey(change.path("permit").asLong())) {
                 return answer(400, Json.object().put("error", "no such lease"));
             }
         }
@@ -222,7 +223,7 @@
         if (!then.isEmpty()) {
             revision++;
             then.forEach(this::apply);
-            wake();
+            notifyWatchers();
         }
         return answer(200, Json.object().put("ledger", revision));
     }
@@ -231,7 +232,7 @@
         ArrayNode failed = Json.array();
         for (JsonNode condition : conditions) {
             String key = condition.path("k").asText();
-            long revision = keys.containsKey(key) ? keys.get(key).stamp() : 0;
+            long revision = keys.containsKey(key) ? keys.get(key).revision() : 0;
             if (revision != condition.path("stamp").asLong()) {
                 failed.add(key);
             }
@@ -253,27 +254,27 @@
         }
     }
 
-    private CompletableFuture<HttpResponse> grants(HttpRequest request) {
+    private CompletableFuture<HttpResponse> handleLease(HttpRequest request) {
         String route = request.route();
         if (route.equals("/grants")) {
-            long life = Json.parse(request.body()).path("life_ms").asLong() * 1_000;
-            permits++;
-            lives.put(permits, life);
-            ends.put(permits, time.nowMicros() + life);
-            time.after(life + 1, this::expire);
-            return answer(200, Json.object().put("permit", permits));
+            long duration = Json.parse(request.body()).path("life_ms").asLong() * 1_000;
+            lastLeaseId++;
+            leaseDurations.put(lastLeaseId, duration);
+            leaseExpirations.put(lastLeaseId, time.nowMicros() + duration);
+            time.after(duration + 1, this::expire);
+            return answer(200, Json.object().put("permit", lastLeaseId));
         }
         String[] parts = route.split("/");
         long leaseId = Long.parseLong(parts[2]);
-        if (!ends.containsKey(leaseId)) {
+        if (!leaseExpirations.containsKey(leaseId)) {
             return answer(404, Json.object().put("error", "no such lease"));
         }
         if (request.method().equals("DELETE")) {
-            ends.put(leaseId, time.nowMicros() - 1);
+            leaseExpirations.put(leaseId, time.nowMicros() - 1);
             expire();
         } else {
-            ends.put(leaseId, time.nowMicros() + lives.get(leaseId));
-            time.after(lives.get(leaseId) + 1, this::expire);
+            leaseExpirations.put(leaseId, time.nowMicros() + leaseDurations.get(leaseId));
+            time.after(leaseDurations.get(leaseId) + 1, this::expire);
         }
         return answer(200, Json.object());
     }
@@ -286,44 +287,44 @@
         if (outage) {
             return answer(503, Json.object().put("error", "trouble"));
         }
-        Runnable[] look = new Runnable[1];
-        look[0] = () -> {
+        Runnable[] poll = new Runnable[1];
+        poll[0] = () -> {
             if (answer.isDone() || outage) {
                 return;
             }
-            if (since < forgotten) {
+            if (since < compactedRevision) {
                 answer.complete(HttpResponse.of(410, Json.object()));
-                watchers.remove(look[0]);
+                watchers.remove(poll[0]);
                 return;
             }
             ObjectNode body = Json.object().put("ledger", revision);
-            ArrayNode result = body.putArray("news");
+            ArrayNode events = body.putArray("news");
             for (Change change : changes) {
-                if (change.stamp() > since && change.key().startsWith(prefix)) {
-                    ObjectNode node = result.addObject().put(change.value() == null ? "remove" : "set", change.key());
+                if (change.revision() > since && change.key().startsWith(prefix)) {
+                    ObjectNode node = events.addObject().put(change.value() == null ? "remove" : "set", change.key());
                     if (change.value() != null) {
                         node.set("v", change.value());
                     }
-                    node.put("stamp", change.stamp());
+                    node.put("stamp", change.revision());
                 }
             }
-            if (!result.isEmpty() || time.nowMicros() >= end) {
-                watchers.remove(look[0]);
+            if (!events.isEmpty() || time.nowMicros() >= end) {
+                watchers.remove(poll[0]);
                 answer.complete(HttpResponse.of(200, body));
             }
         };
-        watchers.add(look[0]);
-        time.after(end - time.nowMicros(), look[0]);
-        look[0].run();
+        watchers.add(poll[0]);
+        time.after(end - time.nowMicros(), poll[0]);
+        poll[0].run();
         return answer;
     }
 
-    private void wake() {
+    private void notifyWatchers() {
         for (Runnable watcher : List.copyOf(watchers)) {
             watcher.run();
         }
-        while (changes.size() > KEPT_CHANGES) {
-            forgotten = changes.remove(0).stamp();
+        while (changes.size() > MAX_RETAINED_CHANGES) {
+            compactedRevision = changes.remove(0).revision();
         }
     }
 
@@ -332,13 +333,13 @@
             return;
         }
         boolean ended = false;
-        for (long leaseId : List.copyOf(ends.keySet())) {
-            if (ends.get(leaseId) < time.nowMicros()) {
-                ends.remove(leaseId);
-                lives.remove(leaseId);
+        for (long leaseId : List.copyOf(leaseExpirations.keySet())) {
+            if (leaseExpirations.get(leaseId) < time.nowMicros()) {
+                leaseExpirations.remove(leaseId);
+                leaseDurations.remove(leaseId);
                 revision++;
                 for (String key : List.copyOf(keys.keySet())) {
-                    if (keys.get(key).permit() == leaseId) {
+                    if (keys.get(key).leaseId() == leaseId) {
                         delete(key);
                     }
                 }
@@ -346,7 +347,7 @@
             }
         }
         if (ended) {
-            wake();
+            notifyWatchers();
         }
     }
 
@@ -357,15 +358,15 @@
     }
 
     private static ObjectNode entry(String key, Value value) {
-        ObjectNode node = Json.object().put("k", key).put("stamp", value.stamp());
+        ObjectNode node = Json.object().put("k", key).put("stamp", value.revision());
         node.set("v", value.value());
         return node;
     }
 
     private CompletableFuture<HttpResponse> answer(int status, ObjectNode body) {
-        if (misreported > 0 && body.has("ledger")) {
-            body.put("ledger", misreported);
-            misreported = 0;
+        if (misreportedRevision > 0 && body.has("ledger")) {
+            body.put("ledger", misreportedRevision);
+            misreportedRevision = 0;
         }
         return CompletableFuture.completedFuture(HttpResponse.of(status, body));
     }
--- a/src/test/java/io/sillreel/sim/SimTime.java
+++ b/src/test/java/io/sillreel/sim/SimTime.java
@@ -27,9 +27,9 @@
     public void runFor(long micros) {
         long end = nowMicros + micros;
         while (!queue.isEmpty() && queue.peek().atMicros() <= end) {
-            ScheduledTask due = queue.poll();
-            nowMicros = due.atMicros();
-            due.task().run();
+            ScheduledTask scheduled = queue.poll();
+            nowMicros = scheduled.atMicros();
+            scheduled.task().run();
         }
         nowMicros = end;
     }
@@ -37,28 +37,28 @@
     /** The loop of one process; once it is killed, none of its tasks runs any more. */
     public final class Process implements EventLoop {
         private boolean killed;
-        private long frozenUntilMicros;
-        private long taskMicros;
+        private long pausedUntilMicros;
+        private long processingMicros;
 
         /** From now on whatever it does takes so long, and what comes meanwhile waits. */
         public void setProcessingMicros(long microsPerTask) {
-            taskMicros = microsPerTask;
+            processingMicros = microsPerTask;
         }
 
         /** What it is doing takes so long. */
         public void occupy(long micros) {
-            frozenUntilMicros = Math.max(frozenUntilMicros, nowMicros) + micros;
+            pausedUntilMicros = Math.max(pausedUntilMicros, nowMicros) + micros;
         }
 
         /** Stands still for so long while its clocks run on; what should have happened meanwhile happens then. */
         public void pause(long forMicros) {
-            frozenUntilMicros = nowMicros + forMicros;
+            pausedUntilMicros = nowMicros + forMicros;
         }
 
         /** Does it now or, if the process stands still, once it goes on. */
         <T> CompletableFuture<T> runOrDefer(Supplier<CompletableFuture<T>> work) {
-            if (nowMicros >= frozenUntilMicros) {
-                occupy(taskMicros);
+            if (nowMicros >= pausedUntilMicros) {
+                occupy(processingMicros);
                 return work.get();
             }
             CompletableFuture<T> later = new CompletableFuture<>();
@@ -67,10 +67,10 @@
         }
 
         private void run(Runnable task, boolean[] cancelled) {
-            if (nowMicros < frozenUntilMicros) {
-                SimTime.this.after(frozenUntilMicros - nowMicros, () -> run(task, cancelled));
+            if (nowMicros < pausedUntilMicros) {
+                SimTime.this.after(pausedUntilMicros - nowMicros, () -> run(task, cancelled));
             } else if (!killed && !cancelled[0]) {
-                occupy(taskMicros);
+                occupy(processingMicros);
                 task.run();
             }
         }
--- a/src/test/java/io/sillreel/sim/SimWorker.java
+++ b/src/test/java/io/sillreel/sim/SimWorker.java
@@ -16,25 +16,25 @@
 /** One machine's worker, as the protocol describes it. */
 public final class SimWorker {
     private static final class Task {
-        final String piece;
+        final String id;
         final long attempt;
         long endsMicros;
         String stage = "running";
         String cause = "";
 
-        Task(String piece, long attempt, long endsMicros) {
-            this.piece = piece;
+        Task(String id, long attempt, long endsMicros) {
+            this.id = id;
             this.attempt = attempt;
             this.endsMicros = endsMicros;
         }
 
-        boolean alive() {
+        boolean isActive() {
             return !stage.equals("ended");
         }
     }
 
-    private static final long ANSWER_MICROS = 4_000_000;
-    private static final long MIN_GAP_MICROS = 500_000;
+    private static final long RESPONSE_TIMEOUT_MICROS = 4_000_000;
+    private static final long MIN_HEARTBEAT_GAP_MICROS = 500_000;
 
     private final SimCluster cluster;
     private final String name;
@@ -47,11 +47,11 @@
     private int node;
     private long epoch = 1;
     private long sequence;
-    private long token;
-    private long leaseFromMicros;
-    private long lastReportMicros;
+    private long fencingToken;
+    private long leaseStartMicros;
+    private long lastHeartbeatMicros;
     private boolean inFlight;
-    private int life;
+    private int incarnation;
     private boolean tasksFail;
     private long runMicros = 3_000_000;
     private long interruptionAtMicros = -1;
@@ -65,9 +65,9 @@
         this.node = firstNode;
         this.process = cluster.time().new Process();
         this.httpClient = cluster.network().clientOf(name, process);
-        this.leaseFromMicros = cluster.time().nowMicros();
-        cluster.network().listen(address(), request -> process.runOrDefer(() -> direct(request)));
-        process.schedule(1_000, this::report);
+        this.leaseStartMicros = cluster.time().nowMicros();
+        cluster.network().listen(address(), request -> process.runOrDefer(() -> handleDirectRequest(request)));
+        process.schedule(1_000, this::sendHeartbeat);
         process.schedule(cluster.clusterSettings().tickMicros(), this::tick);
     }
 
@@ -102,7 +102,7 @@
 
     void noticeInterruption(long afterMicros) {
         interruptionAtMicros = cluster.time().nowMicros() + afterMicros;
-        changed();
+        scheduleHeartbeat();
     }
 
     /** What runs now runs for so much longer. */
@@ -112,14 +112,14 @@
 
     /** The machine starts again at once: what ran is gone, and it counts from the beginning. */
     public void reboot() {
-        life++;
+        incarnation++;
         inFlight = false;
         tasks.clear();
         epoch = 1;
         sequence = 0;
-        token = 0;
-        leaseFromMicros = cluster.time().nowMicros();
-        process.schedule(1_000, this::report);
+        fencingToken = 0;
+        leaseStartMicros = cluster.time().nowMicros();
+        process.schedule(1_000, this::sendHeartbeat);
     }
 
     public int node() {
@@ -141,154 +141,157 @@
     /** Returns the tasks that are on the machine. */
     public List<String> runningTasks() {
         List<String> running = new ArrayList<>();
-        if (leaseIsOver()) {
+        if (isLeaseExpired()) {
             return running;
         }
-        tasks.values().stream().filter(Task::alive).forEach(task -> running.add(task.piece));
+        tasks.values().stream().filter(Task::isActive).forEach(task -> running.add(task.id));
         return running;
     }
 
     /** How many tasks are on the machine. */
     int runningTaskCount() {
         int count = 0;
-        if (!leaseIsOver()) {
+        if (!isLeaseExpired()) {
             for (Task task : tasks.values()) {
-                count += task.alive() ? 1 : 0;
+                count += task.isActive() ? 1 : 0;
             }
         }
         return count;
     }
 
-    private boolean leaseIsOver() {
-        return cluster.time().nowMicros() - leaseFromMicros
+    private boolean isLeaseExpired() {
+        return cluster.time().nowMicros() - leaseStartMicros
                 > cluster.settings().workers().leaseMicros();
     }
 
-    private void endLease() {
-        if (leaseIsOver()) {
+    private void expireLease() {
+        if (isLeaseExpired()) {
             tasks.clear();
             epoch++;
-            leaseFromMicros = cluster.time().nowMicros();
-            changed();
+            leaseStartMicros = cluster.time().nowMicros();
+            scheduleHeartbeat();
         }
     }
 
     private void tick() {
         process.schedule(cluster.clusterSettings().tickMicros(), this::tick);
         long now = cluster.time().nowMicros();
-        endLease();
+        expireLease();
         for (Task task : tasks.values()) {
-            if (task.alive() && now >= task.endsMicros) {
+            if (task.isActive() && now >= task.endsMicros) {
                 task.stage = "ended";
-                task.cause = tasksFail || cluster.checker().isMistaken(uid(task.piece)) ? "error" : "done";
+                task.cause = tasksFail || cluster.checker().hasFailingTasks(uid(task.id)) ? "error" : "done";
                 if (task.cause.equals("done")) {
-                    cluster.checker().completed(task.piece);
+                    cluster.checker().completed(task.id);
                 }
-                changed();
+                scheduleHeartbeat();
             }
         }
     }
 
-    private static String uid(String piece) {
-        return piece.substring(0, piece.indexOf('/'));
+    private static String uid(String taskId) {
+        return taskId.substring(0, taskId.indexOf('/'));
     }
 
-    private void changed() {
-        long wait = lastReportMicros + MIN_GAP_MICROS - cluster.time().nowMicros();
-        process.schedule(Math.max(wait, 1_000), this::report);
+    private void scheduleHeartbeat() {
+        long wait =
+                lastHeartbeatMicros + MIN_HEARTBEAT_GAP_MICROS - cluster.time().nowMicros();
+        process.schedule(Math.max(wait, 1_000), this::sendHeartbeat);
     }
 
-    private void report() {
-        endLease();
+    private void sendHeartbeat() {
+        expireLease();
         long now = cluster.time().nowMicros();
-        if (inFlight || now - lastReportMicros < MIN_GAP_MICROS) {
+        if (inFlight || now - lastHeartbeatMicros < MIN_HEARTBEAT_GAP_MICROS) {
             return;
         }
         inFlight = true;
-        lastReportMicros = now;
+        lastHeartbeatMicros = now;
         sequence++;
-        long sentSession = epoch;
-        int sentLife = life;
+        long sentEpoch = epoch;
+        int sentIncarnation = incarnation;
         HttpRequest request = HttpRequest.post("/agent/beat", body());
-        httpClient.send(cluster.publicAddress(node), request, ANSWER_MICROS).thenAccept(response -> {
-            if (sentLife == life) {
-                inFlight = false;
-                answered(response, now, sentSession);
-            }
-        });
+        httpClient
+                .send(cluster.publicAddress(node), request, RESPONSE_TIMEOUT_MICROS)
+                .thenAccept(response -> {
+                    if (sentIncarnation == incarnation) {
+                        inFlight = false;
+                        handleResponse(response, now, sentEpoch);
+                    }
+                });
     }
 
-    private void answered(HttpResponse answer, long sentMicros, long sentSession) {
-        endLease();
+    private void handleResponse(HttpResponse answer, long sentMicros, long sentEpoch) {
+        expireLease();
         // A worker that hung has waited for too long by its own clock.
         HttpResponse response =
-                cluster.time().nowMicros() - sentMicros > ANSWER_MICROS ? HttpResponse.noResponse() : answer;
+                cluster.time().nowMicros() - sentMicros > RESPONSE_TIMEOUT_MICROS ? HttpResponse.noResponse() : answer;
         if (response.status() == 421
                 && cluster.nodeIndex(response.json().path("foreman").asText()) >= 0) {
             node = cluster.nodeIndex(response.json().path("foreman").asText());
-            process.schedule(MIN_GAP_MICROS, this::report);
+            process.schedule(MIN_HEARTBEAT_GAP_MICROS, this::sendHeartbeat);
             return;
         }
         if (!response.isOk()) {
             node = (node + 1) % cluster.nodes();
-            process.schedule(1_000_000, this::report);
+            process.schedule(1_000_000, this::sendHeartbeat);
             return;
         }
-        process.schedule(cluster.settings().workers().heartbeatIntervalMicros(), this::report);
+        process.schedule(cluster.settings().workers().heartbeatIntervalMicros(), this::sendHeartbeat);
         JsonNode body = response.json();
-        if (body.path("baton").asLong() < token || sentSession != epoch) {
+        if (body.path("baton").asLong() < fencingToken || sentEpoch != epoch) {
             return;
         }
-        leaseFromMicros = sentMicros;
-        obey(body);
+        leaseStartMicros = sentMicros;
+        execute(body);
     }
 
-    private CompletableFuture<HttpResponse> direct(HttpRequest request) {
-        endLease();
+    private CompletableFuture<HttpResponse> handleDirectRequest(HttpRequest request) {
+        expireLease();
         sequence++;
         int status = 200;
         if (request.route().equals("/do")) {
             JsonNode body = Json.parse(request.body());
-            if (body.path("baton").asLong() < token || body.path("shift").asLong() != epoch) {
+            if (body.path("baton").asLong() < fencingToken || body.path("shift").asLong() != epoch) {
                 status = 409;
             } else {
-                obey(body);
+                execute(body);
             }
         }
         return CompletableFuture.completedFuture(HttpResponse.of(status, body()));
     }
 
-    private void obey(JsonNode body) {
-        if (body.path("baton").asLong() > token) {
-            token = body.path("baton").asLong();
-            changed();
+    private void execute(JsonNode body) {
+        if (body.path("baton").asLong() > fencingToken) {
+            fencingToken = body.path("baton").asLong();
+            scheduleHeartbeat();
         }
-        for (JsonNode order : body.path("orders")) {
-            String piece = order.path("piece").asText();
-            long attempt = order.path("try").asLong();
-            String key = piece + "#" + attempt;
+        for (JsonNode command : body.path("orders")) {
+            String taskId = command.path("piece").asText();
+            long attempt = command.path("try").asLong();
+            String key = taskId + "#" + attempt;
             Task task = tasks.get(key);
-            switch (order.path("verb").asText()) {
+            switch (command.path("verb").asText()) {
                 case "launch" -> {
                     if (task == null) {
-                        long run = cluster.checker().isCompleted(piece) ? 0 : runMicros;
-                        tasks.put(key, new Task(piece, attempt, cluster.time().nowMicros() + run));
-                        cluster.checker().started(this, piece);
+                        long run = cluster.checker().isCompleted(taskId) ? 0 : runMicros;
+                        tasks.put(key, new Task(taskId, attempt, cluster.time().nowMicros() + run));
+                        cluster.checker().started(this, taskId);
                     }
                 }
                 case "halt" -> {
-                    if (task != null && task.alive()) {
+                    if (task != null && task.isActive()) {
                         task.stage = "ended";
                         task.cause = "stopped";
                     }
                 }
                 default -> {
-                    if (task != null && !task.alive()) {
+                    if (task != null && !task.isActive()) {
                         tasks.remove(key);
                     }
                 }
             }
-            changed();
+            scheduleHeartbeat();
         }
     }
 
@@ -301,17 +304,17 @@
                 .put("loaners", spot)
                 .put("shift", epoch)
                 .put("tally", sequence)
-                .put("baton", token);
+                .put("baton", fencingToken);
         if (interruptionAtMicros >= 0) {
             body.put("recall_s", (interruptionAtMicros - cluster.time().nowMicros()) / 1_000_000.0);
         }
         ArrayNode pieces = body.putArray("pieces");
         for (Task task : tasks.values()) {
             ObjectNode node = pieces.addObject()
-                    .put("piece", task.piece)
+                    .put("piece", task.id)
                     .put("try", task.attempt)
                     .put("stage", task.stage);
-            if (!task.alive()) {
+            if (!task.isActive()) {
                 node.put("cause", task.cause);
             }
         }
