--- a/src/test/java/io/sillreel/RandomScheduleTest.java
+++ b/src/test/java/io/sillreel/RandomScheduleTest.java
@@ -85,12 +85,12 @@
         return true;
     }
 
-    private static SimCluster world(long seed) {
+    private static SimCluster newCluster(long seed) {
         return new SimCluster(seed, TEAM_CPUS, seed % 3 == 0 ? 5 : 3, Version.CURRENT);
     }
 
     private static void play(long seed, boolean together) {
-        SimCluster cluster = world(seed);
+        SimCluster cluster = newCluster(seed);
         int nodes = cluster.nodes();
         Random random = new Random(seed);
         RandomFailures troubles = new RandomFailures(cluster, random);
@@ -145,11 +145,11 @@
     }
 
     private static void playMeetings(long seed) {
-        playMeetings(world(seed), seed, Play.JOBS);
+        playMeetings(newCluster(seed), seed, Play.JOBS);
     }
 
     private static void playChains(long seed) {
-        playMeetings(world(seed), seed, Play.CHAINS);
+        playMeetings(newCluster(seed), seed, Play.CHAINS);
     }
 
     private static void playUpgrade(long seed) {
--- a/src/test/java/io/sillreel/golden/GoldenSamples.java
+++ b/src/test/java/io/sillreel/golden/GoldenSamples.java
@@ -240,11 +240,11 @@
     /** Writes down what is sent and what is noted, in its order, and answers each request at once. */
     public static final class Transcript implements HttpClient {
         private final StringBuilder lines = new StringBuilder();
-        private final Function<HttpRequest, CompletableFuture<HttpResponse>> answers;
+        private final Function<HttpRequest, CompletableFuture<HttpResponse>> handler;
 
-        /** @param answers the other side */
-        public Transcript(Function<HttpRequest, CompletableFuture<HttpResponse>> answers) {
-            this.answers = answers;
+        /** @param handler the other side */
+        public Transcript(Function<HttpRequest, CompletableFuture<HttpResponse>> handler) {
+            this.handler = handler;
         }
 
         /** Writes a line. */
@@ -255,7 +255,7 @@
         @Override
         public CompletableFuture<HttpResponse> send(String address, HttpRequest request, long timeoutMicros) {
             note("-> " + address + " " + text(request));
-            return answers.apply(request);
+            return handler.apply(request);
         }
 
         @Override
--- a/src/test/java/io/sillreel/load/StoredJobs.java
+++ b/src/test/java/io/sillreel/load/StoredJobs.java
@@ -23,7 +23,7 @@
     /** Uids of other jobs of the load begin below. */
     private static final int FIRST_UID = 500_000;
     /** Half of the unfinished jobs await the one before them, half await the first. */
-    private static final int DEPENDENCY_SHAPES = 2;
+    private static final int DEPENDENCY_PATTERNS = 2;
 
     private final SimStateService stateService;
     private int nextNumber = FIRST_UID;
@@ -53,7 +53,7 @@
         for (int each = 0; each < count; each++) {
             String uid = uid(nextNumber);
             List<String> awaits =
-                    each == 0 ? List.of() : List.of(uid(each % DEPENDENCY_SHAPES == 0 ? first : nextNumber - 1));
+                    each == 0 ? List.of() : List.of(uid(each % DEPENDENCY_PATTERNS == 0 ? first : nextNumber - 1));
             List<String> builds = each == 0 ? List.of("a-type-that-is-not-there") : null;
             store(
                     PlanRecord.key(uid),
--- a/src/test/java/io/sillreel/sim/InvariantChecker.java
+++ b/src/test/java/io/sillreel/sim/InvariantChecker.java
@@ -137,9 +137,9 @@
             violations.add("orphaned " + uid + " is called " + stage);
         }
         if (stage.equals("done")) {
-            for (int taskId = 0; taskId < taskCounts.getOrDefault(uid, 0); taskId++) {
-                if (!completed.contains(uid + "/" + taskId)) {
-                    violations.add("not_done " + uid + "/" + taskId);
+            for (int index = 0; index < taskCounts.getOrDefault(uid, 0); index++) {
+                if (!completed.contains(uid + "/" + index)) {
+                    violations.add("not_done " + uid + "/" + index);
                 }
             }
         }
--- a/src/test/java/io/sillreel/sim/MachinePages.java
+++ b/src/test/java/io/sillreel/sim/MachinePages.java
@@ -15,10 +15,10 @@
     /**
      * The page that is asked for.
      *
-     * @param describe adds what is to be told of a machine beside its name
+     * @param fieldWriter adds what is to be told of a machine beside its name
      */
     public static <M> HttpResponse page(
-            HttpRequest request, NavigableMap<String, M> machines, BiConsumer<M, ObjectNode> describe) {
+            HttpRequest request, NavigableMap<String, M> machines, BiConsumer<M, ObjectNode> fieldWriter) {
         String since = request.query("since");
         int limit = Integer.parseInt(request.query("limit"));
         NavigableMap<String, M> rest = machines.tailMap(since, false);
@@ -29,7 +29,7 @@
                     .put("uid", machine.getKey())
                     .put("stage", "running")
                     .put("age_s", 1.0);
-            describe.accept(machine.getValue(), entry);
+            fieldWriter.accept(machine.getValue(), entry);
         });
         return HttpResponse.of(200, body);
     }
--- a/src/test/java/io/sillreel/sim/SimWorker.java
+++ b/src/test/java/io/sillreel/sim/SimWorker.java
@@ -91,8 +91,8 @@
         return name + ":9000";
     }
 
-    public void setTasksFail(boolean fails) {
-        tasksFail = fails;
+    public void setTasksFail(boolean fail) {
+        tasksFail = fail;
     }
 
     /** How long tasks that start from now on run. */
