--- a/src/test/java/io/sillreel/UpgradeTest.java
+++ b/src/test/java/io/sillreel/UpgradeTest.java
@@ -33,7 +33,7 @@
 
 /**
  * Controllers of the present version beside controllers of the previous one ({@code PreviousVersion}), as leaders and
- * as followers, and on each other's data. The world checks the users' rules throughout.
+ * as followers, and on each other's data. The cluster checks the users' rules throughout.
  */
 class UpgradeTest {
     private static final long SECOND = 1_000_000;
--- a/src/test/java/io/sillreel/golden/AgentResponsesSamplesTest.java
+++ b/src/test/java/io/sillreel/golden/AgentResponsesSamplesTest.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** The responses of a controller to worker agents without commands: refusals and the redirect. */
+/** Responses of a controller to worker agents that carry no commands: refusals and redirects to the leader. */
 class AgentResponsesSamplesTest {
     private static final long HEAP_BYTES = 50L << 20;
 
@@ -26,7 +26,7 @@
     private final Transcript transcript = new Transcript(stateService::handle);
     private final Controller controller = newController();
 
-    /** The other controllers can't be reached. */
+    /** Returns a controller that cannot reach the other controllers. */
     private Controller newController() {
         Settings settings = SettingsReader.parse(GoldenSamples.read("settings.toml"));
         return new Controller(
--- a/src/test/java/io/sillreel/golden/ControllerSamplesTest.java
+++ b/src/test/java/io/sillreel/golden/ControllerSamplesTest.java
@@ -47,7 +47,7 @@
     private final SimTime time = new SimTime();
     private final Transcript transcript = new Transcript(request -> null);
 
-    /** A controller whose cloud and peers can't be reached, some time after its start. */
+    /** Starts a controller that cannot reach its peers, and runs it for 20 s. */
     private Controller start(String recoveryEnabled) {
         SimStateService stateService = new SimStateService(time, 20, 8_192, 1_000);
         Settings settings = SettingsReader.parse(GoldenSamples.read("settings.toml"));
--- a/src/test/java/io/sillreel/golden/GoldenSamples.java
+++ b/src/test/java/io/sillreel/golden/GoldenSamples.java
@@ -78,7 +78,6 @@
         }
     }
 
-    /** Parses JSON text. */
     public static JsonNode json(String text) {
         return Json.parse(text.getBytes(StandardCharsets.UTF_8));
     }
@@ -237,17 +236,17 @@
         return new HttpResponse(Integer.parseInt(sample.substring(0, space)), body, 0);
     }
 
-    /** Writes down what is sent and what is noted, in its order, and answers each request at once. */
+    /** Records requests and notes in their order, and passes each request to a handler. */
     public static final class Transcript implements HttpClient {
         private final StringBuilder lines = new StringBuilder();
         private final Function<HttpRequest, CompletableFuture<HttpResponse>> handler;
 
-        /** @param handler the other side */
+        /** @param handler handles the requests */
         public Transcript(Function<HttpRequest, CompletableFuture<HttpResponse>> handler) {
             this.handler = handler;
         }
 
-        /** Writes a line. */
+        /** Appends a line. */
         public void note(String line) {
             lines.append(line).append('\n');
         }
--- a/src/test/java/io/sillreel/load/LoadDriver.java
+++ b/src/test/java/io/sillreel/load/LoadDriver.java
@@ -26,9 +26,9 @@
 import picocli.CommandLine.Option;
 
 /**
- * Measures what a start, a leader, a follower and a takeover cost: the built program as real processes on loopback,
- * under stand-ins for the state service, the cloud, its machines and the users. Linux only; not part of the test run,
- * since what it prints depends on the machine. From the repository, after a build:
+ * Measures the cost of startup, of leading, of following and of a failover. Runs the built program as processes on
+ * loopback against simulated services: the state service, the cloud, its machines and the users. Linux only. Not part
+ * of the test run, since the results depend on the machine. From the repository, after a build:
  *
  * <pre>
  * mvn -q test-compile dependency:build-classpath -Dmdep.outputFile=target/cp.txt
@@ -38,47 +38,50 @@
 @Command(name = "LoadDriver", mixinStandardHelpOptions = true)
 public final class LoadDriver implements Callable<Integer> {
     private static final long SECOND = 1_000_000;
-    /** Machines to a task of each job: enough for all of them to be busy. */
+    /** Jobs have one task per six machines, which keeps all machines busy at the submission rate. */
     private static final int MACHINES_PER_TASK = 6;
 
     private static final int PERCENT = 100;
     private static final int MAX_RESPONSE_BYTES = 1 << 20;
     private static final int WARM_UP_MILLIS = 30_000;
 
-    @Option(names = "--workers", description = "Machines that the cloud has.", defaultValue = "60")
+    @Option(names = "--workers", description = "Capacity of the cloud, in machines.", defaultValue = "60")
     private int workers;
 
-    @Option(names = "--controllers", description = "Controllers that are started.", defaultValue = "3")
+    @Option(names = "--controllers", description = "Number of controllers.", defaultValue = "3")
     private int controllers;
 
     @Option(names = "--seconds", description = "Length of each measurement.", defaultValue = "30")
     private int seconds;
 
-    @Option(names = "--done", description = "Jobs that are stored as done from the beginning.", defaultValue = "0")
+    @Option(names = "--done", description = "Number of finished jobs in the initial state.", defaultValue = "0")
     private int doneJobs;
 
-    @Option(names = "--awaiting", description = "Jobs that are stored and wait from the beginning.", defaultValue = "0")
+    @Option(names = "--awaiting", description = "Number of waiting jobs in the initial state.", defaultValue = "0")
     private int awaitingJobs;
 
     @Option(names = "--sockets", description = "max_sockets of each controller.", defaultValue = "2000")
     private int sockets;
 
-    @Option(names = "--cloud-rate", description = "Requests a second that the cloud takes.", defaultValue = "20")
+    @Option(names = "--cloud-rate", description = "Request rate limit of the cloud, per second.", defaultValue = "20")
     private double cloudRate;
 
-    @Option(names = "--report-seconds", description = "Time between two reports of a worker.", defaultValue = "3")
+    @Option(names = "--report-seconds", description = "Heartbeat interval of the workers.", defaultValue = "3")
     private double reportSeconds;
 
     @Option(names = "--log", description = "LOG_LEVEL of the controllers.", defaultValue = "error")
     private String logLevel;
 
-    @Option(names = "--logs", description = "Folder for what the controllers write; nowhere without it.")
+    @Option(names = "--logs", description = "Directory for the logs of the controllers; discarded if not set.")
     private Path logDirectory;
 
-    @Option(names = "--properties", description = "The operators' properties of the controllers.")
+    @Option(names = "--properties", description = "Operator properties file of the controllers.")
     private Path properties;
 
-    @Option(names = "--lost-seconds", description = "Loses the writes of so many seconds.", defaultValue = "0")
+    @Option(
+            names = "--lost-seconds",
+            description = "Seconds of writes to lose instead of a failover.",
+            defaultValue = "0")
     private int lostSeconds;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -128,7 +131,7 @@
         followRealTime(loop.nowMicros());
     }
 
-    /** The state service's time is the real one. */
+    /** Advances the clock of the state service with real time. */
     private void followRealTime(long beforeMicros) {
         loop.schedule(1_000, () -> {
             long now = loop.nowMicros();
@@ -198,7 +201,7 @@
         processes[node] = builder.start();
     }
 
-    /** Processor time that a process has used, threads that have ended included, in milliseconds. */
+    /** Returns the CPU time of a process in milliseconds, including that of threads that have ended. */
     private double usedCpuMillis(int node) {
         return processes[node]
                 .toHandle()
@@ -253,25 +256,25 @@
             while (!isUp(node)) {
                 Thread.sleep(10);
             }
-            System.out.printf("start of hopper-%d up to its first answer: %.0f ms%n", node, usedCpuMillis(node));
+            System.out.printf("start of hopper-%d until its first response: %.0f ms CPU%n", node, usedCpuMillis(node));
         }
         measureIdle();
         loop.execute(() -> users.submitEvery(SECOND / 2, Math.max(1, workers / MACHINES_PER_TASK)));
         loop.execute(() -> users.pollEvery(5 * SECOND));
         waitUntilProvisioned();
         Thread.sleep(WARM_UP_MILLIS);
-        measureBusy("first busy minute");
-        measureBusy("later");
+        measureBusy("under load");
+        measureBusy("under load, later");
         if (lostSeconds > 0) {
             new LossMeasurement(loop, stateService, services, this::recoveryStatus).measure(lostSeconds);
             measureBusy("after the loss");
             return;
         }
         measureTakeover();
-        measureBusy("after the takeover");
+        measureBusy("after the failover");
     }
 
-    /** Waits until all machines are rented, or no more come. */
+    /** Waits until all machines are provisioned, or the number of machines stops growing. */
     private void waitUntilProvisioned() throws InterruptedException {
         long startMicros = loop.nowMicros();
         int before = -1;
@@ -280,7 +283,7 @@
             Thread.sleep(WARM_UP_MILLIS);
         }
         System.out.printf(
-                "%d of %d machines rented after %.0f s%n",
+                "%d of %d machines provisioned after %.0f s%n",
                 services.machines(), workers, (loop.nowMicros() - startMicros) / (double) SECOND);
     }
 
@@ -302,8 +305,8 @@
         Thread.sleep(seconds * 1_000L);
         double heartbeats = services.answeredHeartbeats() - answered;
         System.out.printf(
-                "%s: %d machines, %.0f reports, %.0f launches, %.0f questions a second, "
-                        + "%d lists, %d refused by the cloud%n",
+                "%s: %d machines, %.0f heartbeats/s, %.0f launches/s, %.0f user requests/s, "
+                        + "%d machine lists, %d requests rejected by the cloud%n",
                 phase,
                 services.machines(),
                 heartbeats / seconds,
@@ -313,7 +316,7 @@
                 services.rejectedCloudRequests() - refused);
         double total = printUsage(phase, before, seconds, leader);
         System.out.printf(
-                "  all controllers: %.3f ms a report, %.0f%% of a core%n",
+                "  all controllers: %.3f ms CPU per heartbeat, %.0f%% of a core%n",
                 total / heartbeats, total / seconds * PERCENT / 1_000);
     }
 
@@ -322,14 +325,14 @@
         double[] after = usedCpuMillis();
         for (int node = 0; node < after.length; node++) {
             if (!processes[node].isAlive()) {
-                System.out.printf("  %s, hopper-%d has ended%n", phase, node);
+                System.out.printf("  %s, hopper-%d has exited%n", phase, node);
                 continue;
             }
             double usedMillis = after[node] - before[node];
             total += usedMillis;
             JsonNode metrics = metrics(node);
             System.out.printf(
-                    "  %s, %s: %.1f ms a second, %d MB resident, %d sockets, %d workers, %.1f ms a plan%n",
+                    "  %s, %s: %.1f ms CPU/s, %d MB resident, %d sockets, %d workers, %.1f ms per plan%n",
                     phase,
                     node == leader ? "leader" : "follower",
                     usedMillis / seconds,
@@ -358,8 +361,8 @@
             Thread.sleep(20);
         }
         System.out.printf(
-                "takeover: %.1f s to the new term, %.1f s to the first launch of an earlier job, "
-                        + "%.0f ms of the new leader's processor, %d MB resident%n",
+                "failover: %.1f s to the new term, %.1f s to the first launch for an earlier job, "
+                        + "%.0f ms CPU of the new leader, %d MB resident%n",
                 electionSeconds,
                 (loop.nowMicros() - startMicros) / 1e6,
                 usedCpuMillis(leader) - before[leader],
--- a/src/test/java/io/sillreel/load/LossMeasurement.java
+++ b/src/test/java/io/sillreel/load/LossMeasurement.java
@@ -9,7 +9,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 
-/** Turns the state service back by some seconds, and measures how long the controllers take to make that good. */
+/** Rolls the state service back by some seconds, and measures how long the controllers take to recover. */
 final class LossMeasurement {
     private static final long TIMEOUT_MICROS = 120_000_000;
 
@@ -18,7 +18,7 @@
     private final SimulatedServices services;
     private final Supplier<JsonNode> status;
 
-    /** @param status what the controller that leads says of the loss */
+    /** @param status returns the recovery status of the leader */
     LossMeasurement(
             EventLoop eventLoop, SimStateService stateService, SimulatedServices services, Supplier<JsonNode> status) {
         this.eventLoop = eventLoop;
@@ -27,7 +27,7 @@
         this.status = status;
     }
 
-    /** Loses what is written within so many seconds, and prints what becomes of it. */
+    /** Loses the writes of the given number of seconds, and prints how long detection and recovery take. */
     void measure(int lostSeconds) throws InterruptedException {
         Snapshot snapshot = onEventLoop(stateService::snapshot);
         TimeUnit.SECONDS.sleep(lostSeconds);
@@ -45,8 +45,8 @@
         long launched = services.launchCount();
         double launchSeconds = untilSeconds(startMicros, () -> services.launchCount() > launched);
         System.out.printf(
-                "a loss of %d revisions (%d s): known to the leader after %.2f s, made good after %.2f s, "
-                        + "launches after %.2f s; %s%n",
+                "loss of %d revisions (%d s): detected by the leader after %.2f s, recovered after %.2f s, "
+                        + "first launch after %.2f s; %s%n",
                 lost, lostSeconds, detectedSeconds, recoveredSeconds, launchSeconds, status.get());
     }
 
--- a/src/test/java/io/sillreel/load/ProcessMetrics.java
+++ b/src/test/java/io/sillreel/load/ProcessMetrics.java
@@ -5,7 +5,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** What the system tells of a running process. */
+/** Reads the memory and the sockets of a running process from {@code /proc}. */
 final class ProcessMetrics {
     private ProcessMetrics() {}
 
--- a/src/test/java/io/sillreel/load/SimulatedServices.java
+++ b/src/test/java/io/sillreel/load/SimulatedServices.java
@@ -22,8 +22,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * A cloud and its machines on real sockets, as far as a load needs them: nothing fails, no rule is checked. Lists come
- * in pages, and what passes the cloud's rate is refused.
+ * A simulated cloud and its machines on real sockets, for load measurements. There are no failures and no checks of
+ * invariants. The machine list is paginated, and requests above the cloud's rate limit are rejected with 429.
  */
 final class SimulatedServices {
     private static final long SECOND = 1_000_000;
@@ -45,10 +45,10 @@
     private long launchCount;
     private long listCount;
     private long rejectedCloudRequests;
-    /** When a task of a job that is named so was last launched. */
+    /** The time of the last launch of a task, by job id. */
     private final Map<String, Long> launchedMicros = new ConcurrentHashMap<>();
 
-    /** @param cloudRate how many requests the cloud takes a second */
+    /** @param cloudRate the request rate limit of the cloud, per second */
     SimulatedServices(
             io.netty.channel.EventLoop nettyLoop,
             EventLoop eventLoop,
@@ -64,12 +64,12 @@
         this.cloudRate = new RateLimiter(eventLoop, cloudRate, BURST_SECONDS * cloudRate);
     }
 
-    /** Lists that were answered up to their last page. */
+    /** Returns the number of machine lists that were read to their last page. */
     long listCount() {
         return listCount;
     }
 
-    /** Requests to the cloud that were refused for its rate. */
+    /** Returns the number of requests that exceeded the rate limit of the cloud. */
     long rejectedCloudRequests() {
         return rejectedCloudRequests;
     }
@@ -86,7 +86,7 @@
         return workers.size();
     }
 
-    /** True if a task of one of the jobs has been launched since. */
+    /** True if a task of one of the jobs has been launched since the given time. */
     boolean launchedSince(long micros, Set<String> jobs) {
         return launchedMicros.entrySet().stream()
                 .anyMatch(entry -> entry.getValue() > micros && jobs.contains(entry.getKey()));
@@ -245,7 +245,7 @@
         }
     }
 
-    /** Jobs that were submitted and are not known to be done. */
+    /** Simulated users, who submit jobs at a fixed rate and poll those not known to be done. */
     static final class Users {
         private final EventLoop eventLoop;
         private final NettyHttpClient client;
--- a/src/test/java/io/sillreel/load/StoredJobs.java
+++ b/src/test/java/io/sillreel/load/StoredJobs.java
@@ -17,12 +17,12 @@
 import io.sillreel.sim.SimStateService;
 import java.util.List;
 
-/** What earlier terms left in the state service: jobs that are done, and jobs that await one which never starts. */
+/** Stores jobs of earlier terms: finished jobs, and jobs that depend on a job that never starts. */
 final class StoredJobs {
     private static final long ADMITTED_WALL_MICROS = 1_700_000_000_000_000L;
-    /** Uids of other jobs of the load begin below. */
+    /** Higher than the numbers of the jobs that are submitted during the measurement. */
     private static final int FIRST_UID = 500_000;
-    /** Half of the unfinished jobs await the one before them, half await the first. */
+    /** Half of the unfinished jobs depend on the job before them, half on the first job. */
     private static final int DEPENDENCY_PATTERNS = 2;
 
     private final SimStateService stateService;
--- a/src/test/java/io/sillreel/pipeline/JobChainTest.java
+++ b/src/test/java/io/sillreel/pipeline/JobChainTest.java
@@ -14,7 +14,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Jobs that await others, seen from outside; the world checks that none starts too early and that none is orphaned. */
+/**
+ * Jobs that await others, seen from outside; the cluster checks that none starts too early and that none is orphaned.
+ */
 class JobChainTest {
     private static final long SECOND = 1_000_000;
     private final SimCluster cluster = new SimCluster(31);
--- a/src/test/java/io/sillreel/sim/FailureInjector.java
+++ b/src/test/java/io/sillreel/sim/FailureInjector.java
@@ -7,7 +7,7 @@
 import java.util.Collection;
 import java.util.Random;
 
-/** Troubles of the network between hosts, as rules. */
+/** Network rules that simulate failures between hosts. */
 public final class FailureInjector {
     private static final String CONTROLLERS = "10.0.0.";
     private static final String STATE = "state";
@@ -18,31 +18,29 @@
         return CONTROLLERS + node;
     }
 
-    /** The machine's reports arrive, but neither answers nor commands reach it. */
+    /** Heartbeats of the machine arrive, but neither responses nor commands reach it. */
     public static Rule dropInbound(String machine) {
         return (from, to, request) ->
                 from.equals(machine) ? Action.DROP_RESPONSE : to.startsWith(machine) ? Action.DROP : null;
     }
 
-    /** The machines reach no controller, while direct commands reach them. */
+    /** Drops all requests of the machines, while direct commands still reach them. */
     public static Rule dropOutbound(Collection<String> machines) {
         return (from, to, request) -> machines.contains(from) ? Action.DROP : null;
     }
 
-    /** Nothing gets to the machines or away from them. */
+    /** Applies the action to all requests to and from the machines. */
     public static Rule machineTraffic(Collection<String> machines, Action action) {
         return (from, to, request) ->
                 machines.contains(from) || machines.stream().anyMatch(to::startsWith) ? action : null;
     }
 
-    /** The state service refuses this controller alone. */
+    /** The state service rejects all requests of this controller. */
     public static Rule rejectedByStateService(int node) {
         return (from, to, request) -> from.equals(host(node)) && to.startsWith(STATE) ? Action.REJECT : null;
     }
 
-    /**
-     * The controller and the workers hear each other, but the state service and the other controllers don't hear it.
-     */
+    /** Partitions the controller from the state service and the other controllers, but not from the workers. */
     public static Rule isolated(int node) {
         String host = host(node);
         return (from, to, request) -> from.equals(host) && (to.startsWith(CONTROLLERS) || to.startsWith(STATE))
@@ -51,7 +49,7 @@
                 : null;
     }
 
-    /** That part of the transactions that match gets no answer; they are carried out late, or at once. */
+    /** Applies the action to a random share of the transactions whose body contains the text. */
     public static Rule transactions(String with, Action action, double share, Random random) {
         return (from, to, request) -> to.startsWith(STATE)
                         && request.route().equals("/txn")
@@ -61,13 +59,13 @@
                 : null;
     }
 
-    /** That becomes of this part of the workers' reports. */
+    /** Applies the action to a random share of the heartbeats. */
     public static Rule heartbeats(Action action, double share, Random random) {
         return (from, to, request) ->
                 request.route().equals("/agent/beat") && random.nextDouble() < share ? action : null;
     }
 
-    /** That becomes of direct commands. */
+    /** Applies the action to all direct commands to machines. */
     public static Rule commands(Action action) {
         return (from, to, request) -> request.route().equals("/do") ? action : null;
     }
--- a/src/test/java/io/sillreel/sim/InvariantChecker.java
+++ b/src/test/java/io/sillreel/sim/InvariantChecker.java
@@ -14,7 +14,7 @@
 import java.util.Set;
 import java.util.stream.Stream;
 
-/** Watches from outside what users are told and where tasks run, and notes every rule that is broken. */
+/** Checks the responses to users and the starts of tasks against the service's guarantees, and records violations. */
 final class InvariantChecker {
     private static final long SECOND = 1_000_000;
 
@@ -30,7 +30,7 @@
     private final Set<String> singleZoneJobs = new HashSet<>();
     private final List<String> startsAfterCancellation = new ArrayList<>();
     private final List<String> violations = new ArrayList<>();
-    /** Where each task has ever been started: nowhere else can it run. */
+    /** The machines on which each task was ever started, the only ones on which it can run. */
     private final Map<String, Set<SimWorker>> startedOn = new HashMap<>();
 
     private final Set<String> storedMachines = new HashSet<>();
@@ -41,7 +41,7 @@
         this.cluster = cluster;
     }
 
-    /** A user has asked for the job to be run. */
+    /** Records that a user has submitted the job. */
     void submitted(String uid, int tasks, boolean inOneZone, List<String> awaits) {
         dependencies.putIfAbsent(uid, awaits);
         if (taskCounts.putIfAbsent(uid, tasks) == null && inOneZone) {
@@ -53,7 +53,7 @@
         cancellationRequested.add(uid);
     }
 
-    /** A submission was answered. */
+    /** Checks the response to a submission. */
     HttpResponse submissionAnswered(String uid, HttpResponse response, long sentAt) {
         if (response.status() == 201 || response.status() == 200) {
             stageAnswered(uid, response.json().path("stage").asText(), sentAt);
@@ -63,7 +63,7 @@
         return response;
     }
 
-    /** A poll was answered. */
+    /** Checks the response to a poll. */
     HttpResponse pollAnswered(String uid, HttpResponse response, long sentAt) {
         if (response.isOk()) {
             stageAnswered(uid, response.json().path("stage").asText(), sentAt);
@@ -73,7 +73,7 @@
         return response;
     }
 
-    /** A request to cancel was answered. */
+    /** Checks the response to a cancellation. */
     HttpResponse cancellationAnswered(String uid, HttpResponse response, long sentAt) {
         if (response.isOk()) {
             stageAnswered(uid, response.json().path("stage").asText(), sentAt);
@@ -81,12 +81,12 @@
         return response;
     }
 
-    /** What users were last told of the job, or null. */
+    /** Returns the stage of the job in the last response to a user, or null without one. */
     String stageAnswered(String uid) {
         return answeredStages.get(uid);
     }
 
-    /** A rule was broken. */
+    /** Records a violation. */
     void violated(String rule) {
         violations.add(rule);
     }
@@ -103,12 +103,15 @@
         return startsAfterCancellation;
     }
 
-    /** True if a user had been told that the job is accepted before this was asked. */
+    /** True if a user had learned that the job is accepted before the request was sent. */
     boolean isKnown(String uid, long sentAt) {
         return answeredStages.containsKey(uid) && answeredMicros.get(uid) <= sentAt;
     }
 
-    /** What a user was told, and since when; a question that was under way by then may still be answered as it was. */
+    /**
+     * Checks a stage that a user was told. A request that was in flight when the job ended may still be answered with
+     * the stage before.
+     */
     void stageAnswered(String uid, String stage, long sentAt) {
         String previous = answeredStages.get(uid);
         boolean terminal = previous != null && (previous.equals("done") || previous.equals("withdrawn"));
@@ -126,7 +129,7 @@
         if (stage.equals("withdrawn")) {
             cancelledMicros.putIfAbsent(uid, cluster.time().nowMicros());
             if (dependencyClosure(uid).noneMatch(cancellationRequested::contains)) {
-                violations.add("went_back " + uid + " is called withdrawn, and nobody asked for that");
+                violations.add("went_back " + uid + " is reported as withdrawn without a cancellation request");
             }
         } else if (!stage.equals("done")
                 && dependencyClosure(uid)
@@ -134,7 +137,7 @@
                                 && cancelledMicros.get(dependency)
                                                 + cluster.settings().workers().cancelMicros()
                                         < sentAt)) {
-            violations.add("orphaned " + uid + " is called " + stage);
+            violations.add("orphaned " + uid + " is reported as " + stage);
         }
         if (stage.equals("done")) {
             for (int index = 0; index < taskCounts.getOrDefault(uid, 0); index++) {
@@ -145,7 +148,7 @@
         }
     }
 
-    /** The job and all that it needs, directly or through others. */
+    /** Returns the job and its transitive dependencies. */
     Stream<String> dependencyClosure(String uid) {
         Set<String> closure = new LinkedHashSet<>(List.of(uid));
         Deque<String> queue = new ArrayDeque<>(closure);
@@ -157,7 +160,7 @@
         return closure.stream();
     }
 
-    /** Jobs whose tasks fail on every machine. */
+    /** Makes the tasks of the job fail on every machine. */
     void failTasksOf(String uid) {
         failingJobs.add(uid);
     }
@@ -174,7 +177,7 @@
         return completed.contains(taskId);
     }
 
-    /** A worker starts a task. */
+    /** Checks the start of a task on a machine. */
     void started(SimWorker worker, String taskId) {
         startCount++;
         for (SimWorker other : startedOn.computeIfAbsent(taskId, each -> new LinkedHashSet<>())) {
@@ -187,10 +190,10 @@
         startedOn.get(taskId).add(worker);
         double maxCpus = cluster.settings().teams().get("t").maxCpus();
         if (maxCpus > 0 && cluster.runningTaskCount() > maxCpus) {
-            violations.add("quota at " + taskId);
+            violations.add("quota exceeded by the start of " + taskId);
         }
         if (!isStoredAsUp(worker.name())) {
-            violations.add("unstored " + worker.name() + ", where " + taskId + " starts");
+            violations.add("unstored " + worker.name() + ", on which " + taskId + " starts");
         }
         String uid = taskId.substring(0, taskId.indexOf('/'));
         for (String dependency : dependencies.getOrDefault(uid, List.of())) {
@@ -218,7 +221,7 @@
         }
     }
 
-    /** A successor looks for tasks where the stored rentals say that they can be. */
+    /** A new leader looks for running tasks only on the machines that the stored scale-out requests list as up. */
     private boolean isStoredAsUp(String machine) {
         if (cluster.store().revision() != storedMachinesRevision) {
             storedMachinesRevision = cluster.store().revision();
@@ -232,7 +235,7 @@
         return storedMachines.contains(machine);
     }
 
-    /** Looks from now on whether tasks of cancelled jobs are gone in time. */
+    /** Checks periodically that tasks of cancelled jobs end within the cancellation time. */
     void monitorCancelledTasks() {
         cluster.time().after(SECOND / 5, this::monitorCancelledTasks);
         for (SimWorker worker : cluster.cloud().machines().values()) {
--- a/src/test/java/io/sillreel/sim/MachinePages.java
+++ b/src/test/java/io/sillreel/sim/MachinePages.java
@@ -8,14 +8,14 @@
 import java.util.NavigableMap;
 import java.util.function.BiConsumer;
 
-/** The pages of a cloud's list of machines. */
+/** Paginates the machine list of a simulated cloud. */
 public final class MachinePages {
     private MachinePages() {}
 
     /**
-     * The page that is asked for.
+     * Returns the requested page.
      *
-     * @param fieldWriter adds what is to be told of a machine beside its name
+     * @param fieldWriter adds the fields of a machine other than its name, stage and age
      */
     public static <M> HttpResponse page(
             HttpRequest request, NavigableMap<String, M> machines, BiConsumer<M, ObjectNode> fieldWriter) {
--- a/src/test/java/io/sillreel/sim/PreviousVersion.java
+++ b/src/test/java/io/sillreel/sim/PreviousVersion.java
@@ -13,17 +13,16 @@
 import java.util.regex.Pattern;
 
 /**
- * Makes a controller behave as version 5806758 does towards everything that it shares with others: the state service,
- * the other controllers, users and workers. Whatever that version does not know is hidden from the controller, and the
- * controller is reported if it says or stores anything that version 5806758 would not, or would be shown a key on which
- * that version fails. {@code VersionsTest} holds samples of what the version itself wrote and said, and checks that
- * this class leaves them as they are.
+ * Emulates version 5806758 in the communication of a controller with the state service, other controllers, users and
+ * workers. Fields and keys that the version does not know are hidden from the controller. A violation is reported if
+ * the controller stores anything that the version would not store, or reads a key on which the version fails.
+ * {@code VersionsTest} holds samples that the version itself wrote, and checks that this class does not change them.
  */
 public final class PreviousVersion {
-    /** Everything that version 5806758 was seen to store. */
+    /** All keys that version 5806758 was observed to store. */
     private static final Pattern KNOWN_KEYS = Pattern.compile(
             "plan/job-\\d+|run/job-\\d+(/\\d+)?|withdraw/job-\\d+|hire/[a-z0-9.-]+|term|leader|flavors");
-    /** The version takes whatever follows a second slash for a number, and fails in a takeover if it is none. */
+    /** The version parses the text after a second slash as a number, and fails in a takeover if it is none. */
     private static final Pattern READABLE_RECORD_KEY = Pattern.compile("run/job-\\d+(/\\d+)?");
 
     private static final Set<String> NEWER_PLAN_FIELDS = Set.of("awaits");
@@ -33,13 +32,13 @@
     private final HttpClient network;
     private final Consumer<String> violations;
 
-    /** @param violations told what version 5806758 would not have done, or could not have read */
+    /** @param violations accepts what version 5806758 would not have stored or could not have read */
     public PreviousVersion(HttpClient network, Consumer<String> violations) {
         this.network = network;
         this.violations = violations;
     }
 
-    /** The network as the version uses it. */
+    /** Sends a request as the version would, and returns the response as the version would see it. */
     public CompletableFuture<HttpResponse> send(String address, HttpRequest request, long timeoutMicros) {
         if (request.path().contains(BITMAP_PREFIX_QUERY)) {
             // The version never lists these keys.
@@ -55,7 +54,7 @@
                 .thenApply(response -> reads && response.isOk() ? withoutNewerFieldsInResponse(response) : response);
     }
 
-    /** A user's request as the version understands it. */
+    /** Returns a user's request without the fields that the version ignores. */
     public static HttpRequest withoutNewerFields(HttpRequest request) {
         if (!request.route().equals("/v2/runs") || !(Json.parse(request.body()) instanceof ObjectNode submission)) {
             return request;
@@ -63,7 +62,7 @@
         return new HttpRequest(request.method(), request.path(), Json.bytes(submission.without(NEWER_PLAN_FIELDS)));
     }
 
-    /** A stored value as the version understands it. */
+    /** Returns a stored value without the fields that the version ignores. */
     public static JsonNode withoutNewerFields(String key, JsonNode value) {
         if (key.startsWith("plan/")) {
             ObjectNode plan = value.deepCopy();
--- a/src/test/java/io/sillreel/sim/SimCloud.java
+++ b/src/test/java/io/sillreel/sim/SimCloud.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 
-/** A cloud in memory: one machine type in two zones, a list without lag. */
+/** An in-memory cloud with one machine type in two zones, whose machine list has no lag. */
 public final class SimCloud implements HttpHandler {
     private final SimCluster cluster;
     private final TreeMap<String, SimWorker> machines = new TreeMap<>();
@@ -32,7 +32,7 @@
         outage = isDown;
     }
 
-    /** How long machines rented from now on take to come up. */
+    /** Sets the boot time of machines that are provisioned from now on. */
     public void setBootMicros(long micros) {
         bootMicros = micros;
     }
@@ -41,7 +41,7 @@
         return machines;
     }
 
-    /** The cloud takes a machine back without a word. */
+    /** Reclaims a machine without notice. */
     public void reclaim(String name) {
         SimWorker worker = machines.remove(name);
         if (worker != null) {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** The cloud takes a machine back after some time, and its worker is told. */
+    /** Gives the machine an interruption notice and reclaims it after the given time. */
     public void reclaimWithNotice(String name, long afterMicros) {
         machines.get(name).noticeInterruption(afterMicros);
         cluster.time().after(afterMicros, () -> reclaim(name));
--- a/src/test/java/io/sillreel/sim/SimCluster.java
+++ b/src/test/java/io/sillreel/sim/SimCluster.java
@@ -22,8 +22,8 @@
 import java.util.stream.Stream;
 
 /**
- * Some controllers, a state service, a cloud and its machines in virtual time, with the users' rules watched all along.
- * Everything random comes from the seed.
+ * A simulation of a deployment in virtual time: controllers, the state service, the cloud and its machines. All
+ * randomness derives from the seed. An {@link InvariantChecker} checks the guarantees to users throughout.
  */
 public final class SimCluster {
     private static final long SECOND = 1_000_000;
@@ -31,7 +31,7 @@
     private static final long HEAP_BYTES = 50L << 20;
     private static final long REQUEST_DEADLINE_MICROS = 4 * SECOND;
 
-    /** What a controller runs: the version before chains of jobs (5806758), or the present one. */
+    /** The version that a controller runs: the one before job dependencies (5806758), or the current one. */
     public enum Version {
         PREVIOUS,
         CURRENT
@@ -56,22 +56,22 @@
         this(seed, 0);
     }
 
-    /** @param cpusMax the team's limit, 0 for none */
+    /** @param cpusMax the CPU quota of the team, 0 for none */
     public SimCluster(long seed, double cpusMax) {
         this(seed, cpusMax, DEFAULT_NODES, Version.CURRENT);
     }
 
-    /** @param version what all controllers run at first */
+    /** @param version the version that all controllers run at first */
     public SimCluster(long seed, double cpusMax, int nodes, Version version) {
         this(seed, SimClusterSettings.small(nodes, cpusMax), version);
     }
 
-    /** @param version what all controllers run at first */
+    /** @param version the version that all controllers run at first */
     public SimCluster(long seed, SimClusterSettings clusterSettings, Version version) {
         this(seed, clusterSettings, version, OperatorProperties.defaults());
     }
 
-    /** @param version what all controllers run at first */
+    /** @param version the version that all controllers run at first */
     public SimCluster(long seed, SimClusterSettings clusterSettings, Version version, OperatorProperties properties) {
         this.clusterSettings = clusterSettings;
         this.properties = properties;
@@ -95,7 +95,7 @@
         checker.monitorCancelledTasks();
     }
 
-    /** The settings file of the controller. */
+    /** Returns the contents of the controller's settings file. */
     public String settingsFile(int node) {
         return clusterSettings.toml(node, versions[node] == Version.CURRENT);
     }
@@ -139,19 +139,19 @@
         return answer;
     }
 
-    /** From now on whatever the controller does takes so long. */
+    /** Sets the processing time of each event that the controller handles from now on. */
     public void setProcessingMicros(int node, long microsPerTask) {
         processes[node].setProcessingMicros(microsPerTask);
     }
 
-    /** Ends the process at once, without a word to anybody. */
+    /** Kills the process at once, without a graceful shutdown. */
     public void kill(int node) {
         processes[node].kill();
         network.stopListening("10.0.0." + node + ":8080");
         network.stopListening("10.0.0." + node + ":8081");
     }
 
-    /** The controller stands still while its clocks run on. */
+    /** Pauses the controller while its clocks run on. */
     public void pause(int node, long forMicros) {
         processes[node].pause(forMicros);
     }
@@ -161,7 +161,7 @@
         start(node);
     }
 
-    /** Ends the process and starts it again with that version, which it keeps from then on. */
+    /** Kills the process and starts it again with the given version, which later restarts keep. */
     public void restart(int node, Version version) {
         versions[node] = version;
         restart(node);
@@ -175,17 +175,17 @@
         return !processes[node].isKilled();
     }
 
-    /** True if the controller listens to users and workers. */
+    /** True if the controller listens on its public address. */
     public boolean isServing(int node) {
         return network.isListening(publicAddress(node));
     }
 
-    /** The last term that was taken. */
+    /** Returns the latest stored term. */
     public int term() {
         return stateService.value("term").path("term").asInt();
     }
 
-    /** The node that the leader key names, or -1. */
+    /** Returns the node that the leader key names, or -1 if there is none. */
     public int leader() {
         JsonNode leader = stateService.value("leader");
         return leader == null ? -1 : nodeIndex(leader.path("node").asText());
@@ -239,12 +239,12 @@
         time.runFor(Math.round(seconds * SECOND));
     }
 
-    /** Lets time pass in small steps until the condition holds; a test that never gets there fails. */
+    /** Advances time in small steps until the condition holds; fails after 300 s of virtual time. */
     public void runUntil(BooleanSupplier condition) {
         long end = time.nowMicros() + 300 * SECOND;
         while (!condition.getAsBoolean()) {
             if (time.nowMicros() > end) {
-                throw new AssertionError("it has not happened within 300 s");
+                throw new AssertionError("condition not met within 300 s of virtual time");
             }
             runSeconds(0.02);
         }
@@ -252,7 +252,7 @@
 
     // --- Users -----------------------------------------------------------------------------------------------------
 
-    /** A job that has to wait until others are done. */
+    /** Returns a valid submission of a job that depends on other jobs. */
     public static ObjectNode job(String uid, int pieces, String... awaits) {
         ObjectNode job = job(uid, pieces);
         List.of(awaits).forEach(job.putArray("awaits")::add);
@@ -264,12 +264,12 @@
         return SimJobs.job(uid, pieces);
     }
 
-    /** Sends a request and lets time pass until it is answered or its user gives up. */
+    /** Sends a user's request and advances time until it is answered or times out after 2 s. */
     public HttpResponse send(int node, HttpRequest request) {
         return send(publicAddress(node), request);
     }
 
-    /** Sends an operator's request to the controller's internal address. */
+    /** Sends a request to the controller's internal address, as operators do. */
     public HttpResponse sendInternal(int node, HttpRequest request) {
         return send("10.0.0." + node + ":8081", request);
     }
@@ -313,7 +313,7 @@
         return HttpRequest.post("/v2/runs/" + uid + "/withdraw", Json.object());
     }
 
-    /** Asks without waiting for the answer, which is noted when it comes. */
+    /** Submits a job without waiting for the response, which is checked when it arrives. */
     public void submitAsync(int node, ObjectNode job) {
         sendAsync(
                 node,
@@ -321,12 +321,12 @@
                 (response, sentAt) -> checker.submissionAnswered(job.path("uid").asText(), response, sentAt));
     }
 
-    /** Submits once more what was submitted under that name. */
+    /** Repeats the first submission of the job without waiting for the response. */
     public void resubmitAsync(int node, String uid) {
         submitAsync(node, submitted.get(uid));
     }
 
-    /** Asks for a job's state and checks the answer when it comes, without waiting for it. */
+    /** Polls a job without waiting for the response, which is checked when it arrives. */
     public void pollAsync(int node, String uid) {
         sendAsync(
                 node,
@@ -347,29 +347,29 @@
         return poll(node, uid).json().path("stage").asText();
     }
 
-    /** What users were last told of the job, or null. */
+    /** Returns the stage of the job in the last response to a user, or null without one. */
     public String known(String uid) {
         return checker.stageAnswered(uid);
     }
 
-    /** The job and all that it needs, directly or through others. */
+    /** Returns the job and its transitive dependencies. */
     public Stream<String> dependencyClosure(String uid) {
         return checker.dependencyClosure(uid);
     }
 
-    // --- Rules -----------------------------------------------------------------------------------------------------
+    // --- Invariants --------------------------------------------------------------------------------------------------
 
-    /** Told by the workers what becomes of their tasks. */
+    /** The checker that workers notify of the starts and completions of tasks. */
     InvariantChecker checker() {
         return checker;
     }
 
-    /** The tasks of the job fail on every machine from now on. */
+    /** Makes the tasks of the job fail on every machine from now on. */
     public void failTasksOf(String uid) {
         checker.failTasksOf(uid);
     }
 
-    /** Waits until so many tasks have started, each of which runs for so long. */
+    /** Advances time until the given number of tasks have started, each of which runs for the given time. */
     public void runUntilStarted(int tasks, long runMicros) {
         runUntil(() -> {
             cloud.machines().values().forEach(worker -> worker.setRunMicros(runMicros));
@@ -377,7 +377,7 @@
         });
     }
 
-    /** Tasks that are on machines now. */
+    /** Returns the number of tasks on all machines. */
     int runningTaskCount() {
         return cloud.machines().values().stream()
                 .mapToInt(SimWorker::runningTaskCount)
@@ -388,12 +388,12 @@
         return checker.startCount();
     }
 
-    /** Tasks that began after a user had been told that their job is cancelled, and how long after. */
+    /** Returns the tasks that started after a user was told that their job is cancelled, each with the delay. */
     public List<String> startsAfterCancellation() {
         return checker.startsAfterCancellation();
     }
 
-    /** The rules that were broken so far, in plain words. */
+    /** Returns a description of each violation so far. */
     public List<String> violations() {
         return checker.violations();
     }
--- a/src/test/java/io/sillreel/sim/SimClusterSettings.java
+++ b/src/test/java/io/sillreel/sim/SimClusterSettings.java
@@ -1,14 +1,14 @@
 package io.sillreel.sim;
 
 /**
- * The size of a world and how fast it goes.
+ * The size and the rates of a simulated cluster.
  *
  * @param nodes controllers
- * @param cpusMax the team's limit, 0 for none
- * @param machines the most that the cloud has
- * @param cloudRate requests a second that the cloud takes
- * @param sockets of each controller
- * @param tickMicros how often a worker looks at its tasks
+ * @param cpusMax the CPU quota of the team, 0 for none
+ * @param machines the capacity of the cloud
+ * @param cloudRate the request rate limit of the cloud, per second
+ * @param sockets the socket limit of each controller
+ * @param tickMicros the interval at which a worker checks its tasks
  */
 public record SimClusterSettings(
         int nodes,
@@ -18,10 +18,10 @@
         double cloudRate,
         int sockets,
         long tickMicros) {
-    /** Seconds between two heartbeats, of a machine's lease, and within which a cancelled task has to end. */
+    /** The heartbeat interval, the machine lease and the time within which a cancelled task has to end, in seconds. */
     public record WorkerSeconds(double report, double lease, double cancel) {}
 
-    /** The previous version does not know that limits may be announced. */
+    /** Announces future limits, which the previous version does not support. */
     private static final String ANNOUNCED_LIMITS = """
             [params.state.next]
             write_rps = 60.0
@@ -58,26 +58,26 @@
             max_sockets = %d
             """;
 
-    /** A small deployment that reports often. */
+    /** Returns a small deployment with frequent heartbeats. */
     public static SimClusterSettings small(int nodes, double cpusMax) {
         return new SimClusterSettings(nodes, cpusMax, 20, new WorkerSeconds(1, 12, 26), 10, 500, 50_000);
     }
 
-    /** A fleet of thousands. */
+    /** Returns a deployment with thousands of machines. */
     public static SimClusterSettings large(int nodes, int machines, double cpusMax) {
         return new SimClusterSettings(
                 nodes, cpusMax, machines, new WorkerSeconds(3, 18, 38), 20, 2 * machines, 500_000);
     }
 
-    /** The same with other controllers. */
+    /** Returns a copy with another socket limit per controller. */
     public SimClusterSettings withSockets(int newSockets) {
         return new SimClusterSettings(nodes, cpusMax, machines, workers, cloudRate, newSockets, tickMicros);
     }
 
     /**
-     * The settings file of one controller.
+     * Returns the contents of the settings file of one controller.
      *
-     * @param announced whether it says which limits are to come; the previous version does not know that field
+     * @param announced whether the file announces future limits; the previous version does not know that field
      */
     String toml(int node, boolean announced) {
         StringBuilder toml = new StringBuilder("""
--- a/src/test/java/io/sillreel/sim/SimJobs.java
+++ b/src/test/java/io/sillreel/sim/SimJobs.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.http.Json;
 
-/** Submissions of users. */
+/** Creates job ids and submissions. */
 public final class SimJobs {
     private SimJobs() {}
 
--- a/src/test/java/io/sillreel/sim/SimNetwork.java
+++ b/src/test/java/io/sillreel/sim/SimNetwork.java
@@ -16,20 +16,20 @@
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
 
-/** The network between the hosts of a world: delays, silent cuts that lose or hold messages, and lost answers. */
+/** A simulated network with random latency, in which rules drop, hold, delay, duplicate or reject messages. */
 public final class SimNetwork {
-    /** Decides what becomes of one message; the first rule that says something counts. */
+    /** Chooses the action for a message; the first rule that returns an action applies. */
     public interface Rule {
-        /** Null for nothing to say. */
+        /** Returns the action, or null if the rule does not apply to the message. */
         Action actionFor(String from, String to, HttpRequest request);
     }
 
     /**
-     * LOSE: never arrives. LOSE_ANSWER: is carried out, the answer never arrives. LATE: the same, but carried out 2 to
-     * 12 s later, after newer ones. SLOW_ANSWER: is carried out, and the answer takes up to a second. HOLD: arrives
-     * when released. COPY: arrives, and a copy of it once more, seconds to most of a minute later. KEEP: arrives, and a
-     * copy is kept until the kept ones are let go. REFUSE: answered 503 at once and not carried out; a watch is left
-     * open.
+     * What the network does with a request. DROP: it never arrives. DROP_RESPONSE: it is executed, and the response is
+     * dropped. DELAY_AND_DROP_RESPONSE: the same, but it is executed 2 to 12 s later, after newer requests.
+     * DELAY_RESPONSE: it is executed, and the response takes up to a second. HOLD: it arrives when held requests are
+     * released, and its response is dropped. DUPLICATE: it arrives, and a copy arrives 1 to 41 s later. RECORD: it
+     * arrives, and a copy is kept for a replay. REJECT: it is answered with 503 and not executed; a watch stays open.
      */
     public enum Action {
         DELIVER,
@@ -61,7 +61,7 @@
         this.random = new Random(seed);
     }
 
-    /** A client of the state service for one process, with its parts of the rates of requests and of changes. */
+    /** Returns a client of the state service for one process with the given rates of requests and of changes. */
     public StateStore newStateStoreClient(SimTime.Process process, double requests, double writes) {
         return new StateStore(
                 clientOf("node", process),
@@ -93,21 +93,21 @@
         rules.remove(rule);
     }
 
-    /** Lets everything through that was held back. */
+    /** Delivers all held requests. */
     public void releaseHeld() {
         List<Runnable> deliveries = new ArrayList<>(held);
         held.clear();
         deliveries.forEach(delivery -> time.after(delay(), delivery));
     }
 
-    /** Links take so many times as long. */
+    /** Multiplies the latency of all messages from now on. */
     public void setLatencyFactor(long factor) {
         latencyFactor = factor;
     }
 
     /**
-     * Delivers the kept copies to each of the hosts, in their old order, in some waves within a second; then forgets
-     * them.
+     * Replays the recorded requests to each of the hosts, in their original order and several times within about a
+     * second, and discards the recording.
      */
     public void replayRecorded(List<String> hosts) {
         SimTime.Process discarded = time.new Process();
@@ -122,7 +122,7 @@
         recorded.clear();
     }
 
-    /** Returns the network as that host and process see it. */
+    /** Returns a client that sends from the given host and runs its callbacks in the given process. */
     public HttpClient clientOf(String host, SimTime.Process process) {
         return (to, request, timeoutMicros) -> {
             CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
--- a/src/test/java/io/sillreel/sim/SimStateService.java
+++ b/src/test/java/io/sillreel/sim/SimStateService.java
@@ -16,7 +16,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 
-/** A state service in memory, as far as the protocol describes it. */
+/** An in-memory state service that implements the documented protocol. */
 public final class SimStateService implements HttpHandler {
     private static final int MAX_RETAINED_CHANGES = 10_000;
 
@@ -49,7 +49,7 @@
         setLimits(txnOps, valueBytes, writesPerSecond);
     }
 
-    /** From now on these are the limits; what is stored stays. */
+    /** Replaces the limits; stored values are kept even if they exceed them. */
     public void setLimits(int ops, int bytes, double perSecond) {
         txnOps = ops;
         valueBytes = bytes;
@@ -57,7 +57,7 @@
         writeTokens = perSecond;
     }
 
-    /** Requests that were refused since they, or values in them, were too large. */
+    /** Returns the number of requests that were rejected because they, or values in them, were too large. */
     public int rejectedForSize() {
         return rejectedForSize;
     }
@@ -66,7 +66,7 @@
         return rejectedForRate;
     }
 
-    /** Takes writes from a bucket that holds one second's worth. */
+    /** Takes writes from a token bucket that holds one second's worth; returns true if it holds too few. */
     private boolean exceedsWriteRate(int writes) {
         writeTokens = Math.min(
                 writesPerSecond, writeTokens + writesPerSecond * (time.nowMicros() - refilledMicros) / 1_000_000.0);
@@ -78,12 +78,12 @@
         return false;
     }
 
-    /** Done whenever the leader key is written. */
+    /** Sets the action to run whenever the leader key is written. */
     void onLeaderWritten(Runnable then) {
         leaderWritten = then;
     }
 
-    /** Begins or ends an outage; after it all leases have their full time again. */
+    /** Begins or ends an outage; its end renews all leases for their full duration. */
     public void setOutage(boolean isDown) {
         outage = isDown;
         if (!isDown) {
@@ -92,7 +92,7 @@
         }
     }
 
-    /** The revision of the last change. */
+    /** Returns the revision of the last change. */
     public long revision() {
         return revision;
     }
@@ -107,7 +107,7 @@
         return new HashSet<>(keys.subMap(prefix, prefix + Character.MAX_VALUE).keySet());
     }
 
-    /** Everything that is stored, to come back with later. */
+    /** All stored values, from which the service can be restored. */
     public static final class Snapshot {
         private final TreeMap<String, Value> keys;
         private final long storeRevision;
@@ -118,7 +118,7 @@
         }
     }
 
-    /** The next answer that names a revision names this one. */
+    /** Makes the next response that contains a revision report the given one instead. */
     public void misreportRevision(long revision) {
         misreportedRevision = revision;
     }
@@ -128,7 +128,7 @@
         return new Snapshot(new TreeMap<>(keys), revision);
     }
 
-    /** Comes back with an older image of itself: no lease is left, and what hung on one is gone. */
+    /** Restores an older snapshot, without its leases and the keys that were stored with one. */
     public void restore(Snapshot snapshot) {
         keys.clear();
         keys.putAll(snapshot.keys);
@@ -140,7 +140,7 @@
         compactedRevision = Math.min(compactedRevision, revision);
     }
 
-    /** Forgets the record of changes, as if very many had come since. */
+    /** Discards the change history, as after very many changes; watches from older revisions then fail with 410. */
     public void compact() {
         changes.clear();
         compactedRevision = revision;
--- a/src/test/java/io/sillreel/sim/SimTime.java
+++ b/src/test/java/io/sillreel/sim/SimTime.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 
-/** Virtual time for a whole world: tasks run one after the other, in the order of their times. */
+/** The virtual clock of a simulation: runs scheduled tasks one at a time, in the order of their times. */
 public final class SimTime {
     private record ScheduledTask(long atMicros, long order, Runnable task) {}
 
@@ -23,7 +23,7 @@
         queue.add(new ScheduledTask(nowMicros + Math.max(0, delayMicros), order++, task));
     }
 
-    /** Lets that much time pass and runs whatever becomes due. */
+    /** Advances the clock by the given time and runs all tasks that fall due. */
     public void runFor(long micros) {
         long end = nowMicros + micros;
         while (!queue.isEmpty() && queue.peek().atMicros() <= end) {
@@ -34,28 +34,28 @@
         nowMicros = end;
     }
 
-    /** The loop of one process; once it is killed, none of its tasks runs any more. */
+    /** The event loop of one process; after the process is killed, none of its tasks runs. */
     public final class Process implements EventLoop {
         private boolean killed;
         private long pausedUntilMicros;
         private long processingMicros;
 
-        /** From now on whatever it does takes so long, and what comes meanwhile waits. */
+        /** Sets the processing time of each task from now on; tasks that fall due meanwhile wait. */
         public void setProcessingMicros(long microsPerTask) {
             processingMicros = microsPerTask;
         }
 
-        /** What it is doing takes so long. */
+        /** Keeps the process busy for the given time. */
         public void occupy(long micros) {
             pausedUntilMicros = Math.max(pausedUntilMicros, nowMicros) + micros;
         }
 
-        /** Stands still for so long while its clocks run on; what should have happened meanwhile happens then. */
+        /** Pauses the process while its clocks run on; tasks that fall due meanwhile run after the pause. */
         public void pause(long forMicros) {
             pausedUntilMicros = nowMicros + forMicros;
         }
 
-        /** Does it now or, if the process stands still, once it goes on. */
+        /** Runs the work now, or after the pause if the process is paused or busy. */
         <T> CompletableFuture<T> runOrDefer(Supplier<CompletableFuture<T>> work) {
             if (nowMicros >= pausedUntilMicros) {
                 occupy(processingMicros);
--- a/src/test/java/io/sillreel/sim/SimWorker.java
+++ b/src/test/java/io/sillreel/sim/SimWorker.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 
-/** One machine's worker, as the protocol describes it. */
+/** The worker agent of one simulated machine, following the documented protocol. */
 public final class SimWorker {
     private static final class Task {
         final String id;
@@ -95,7 +95,7 @@
         tasksFail = fail;
     }
 
-    /** How long tasks that start from now on run. */
+    /** Sets the run time of tasks that start from now on. */
     public void setRunMicros(long micros) {
         runMicros = micros;
     }
@@ -105,12 +105,12 @@
         scheduleHeartbeat();
     }
 
-    /** What runs now runs for so much longer. */
+    /** Extends the run time of the running tasks. */
     public void extendRunningTasks(long micros) {
         tasks.values().forEach(task -> task.endsMicros += micros);
     }
 
-    /** The machine starts again at once: what ran is gone, and it counts from the beginning. */
+    /** Reboots the machine at once: its tasks are lost, and epoch, sequence and fencing token start anew. */
     public void reboot() {
         incarnation++;
         inFlight = false;
@@ -126,19 +126,19 @@
         return node;
     }
 
-    /** The machine hangs; what was on it goes on later if its lease still lives. */
+    /** Pauses the machine; its tasks continue afterwards if its lease has not expired. */
     public void pause(long forMicros) {
         process.pause(forMicros);
     }
 
-    /** The machine and all that was on it are gone. */
+    /** Terminates the machine and all its tasks. */
     public void terminate() {
         process.kill();
         cluster.network().stopListening(address());
         tasks.clear();
     }
 
-    /** Returns the tasks that are on the machine. */
+    /** Returns the tasks that run on the machine. */
     public List<String> runningTasks() {
         List<String> running = new ArrayList<>();
         if (isLeaseExpired()) {
@@ -148,7 +148,7 @@
         return running;
     }
 
-    /** How many tasks are on the machine. */
+    /** Returns the number of tasks that run on the machine. */
     int runningTaskCount() {
         int count = 0;
         if (!isLeaseExpired()) {
@@ -223,7 +223,7 @@
 
     private void handleResponse(HttpResponse answer, long sentMicros, long sentEpoch) {
         expireLease();
-        // A worker that hung has waited for too long by its own clock.
+        // An agent that was paused has exceeded the response timeout by its own clock.
         HttpResponse response =
                 cluster.time().nowMicros() - sentMicros > RESPONSE_TIMEOUT_MICROS ? HttpResponse.noResponse() : answer;
         if (response.status() == 421
--- a/src/test/java/io/sillreel/sim/TaskSteps.java
+++ b/src/test/java/io/sillreel/sim/TaskSteps.java
@@ -2,13 +2,16 @@
 
 import java.util.Comparator;
 
-/** What tests bring about with tasks that run. */
+/** Test steps that control running tasks. */
 public final class TaskSteps {
     private static final long SECOND = 1_000_000;
 
     private TaskSteps() {}
 
-    /** Waits until so many tasks have started and all but those of the fullest machine, which run on, have ended. */
+    /**
+     * Waits until the given number of tasks have started and only those on the machine with the most tasks still run.
+     * Returns the name of that machine.
+     */
     public static String leaveTasksOnOneMachine(SimCluster cluster, int started) {
         cluster.runUntilStarted(started, 8 * SECOND);
         SimWorker fullest = cluster.cloud().machines().values().stream()
--- a/src/test/java/io/sillreel/sim/UpgradeSteps.java
+++ b/src/test/java/io/sillreel/sim/UpgradeSteps.java
@@ -6,11 +6,11 @@
 import io.sillreel.sim.SimCluster.Version;
 import java.util.List;
 
-/** What happens during an upgrade: steps for tests, and what has to hold after them. */
+/** Steps and assertions of tests of rolling upgrades. */
 public final class UpgradeSteps {
-    /** Controllers of such a cluster. */
+    /** The number of controllers in the cluster. */
     public static final int NODES = 3;
-    /** Longer than the lease that a leader holds. */
+    /** Longer than the leader lease. */
     public static final double LEADER_EXPIRY_SECONDS = 4;
 
     private static final int TEAM_CPUS = 10;
@@ -29,7 +29,7 @@
         return version == Version.PREVIOUS ? Version.CURRENT : Version.PREVIOUS;
     }
 
-    /** Brings about that a controller of that version leads and all the others run the other version. */
+    /** Makes a controller of the given version the leader while all others run the other version. */
     public static int leadWithMixedVersions(SimCluster cluster, Version version) {
         cluster.runUntil(() -> cluster.leader() >= 0);
         int leader = cluster.leader();
@@ -50,7 +50,7 @@
         return leader;
     }
 
-    /** Ends leaders until a controller of that version leads; each comes back with the version that it had. */
+    /** Restarts the controllers of the other version so that one of the given version becomes the leader. */
     public static void failOverTo(SimCluster cluster, Version version) {
         for (int node = 0; node < NODES; node++) {
             if (cluster.version(node) != version) {
@@ -66,7 +66,7 @@
         cluster.runUntil(() -> cluster.leader() >= 0 && cluster.version(cluster.leader()) == version);
     }
 
-    /** Brings all controllers to the present version, one after the other. */
+    /** Upgrades all controllers to the current version, one after the other. */
     public static void upgradeAll(SimCluster cluster) {
         for (int node = 0; node < NODES; node++) {
             if (cluster.version(node) == Version.PREVIOUS || !cluster.isUp(node)) {
@@ -76,19 +76,19 @@
         }
     }
 
-    /** Submits a numbered job without waiting for the answer. */
+    /** Submits a numbered job without waiting for the response. */
     public static void submitAsync(SimCluster cluster, int number, int pieces) {
         cluster.submitAsync(number % NODES, SimCluster.job(uid(number), pieces));
     }
 
-    /** Asks every controller. */
+    /** Asserts that every controller reports the stage for the job. */
     public static void assertStageOnAllNodes(SimCluster cluster, String uid, String stage) {
         for (int node = 0; node < NODES; node++) {
             assertThat(cluster.stage(node, uid)).as("%s at %d", uid, node).isEqualTo(stage);
         }
     }
 
-    /** All that was accepted is done or, if its user asked for that, cancelled, whichever controller is asked. */
+    /** Asserts that every controller reports each accepted job as done, or as cancelled if its user requested that. */
     public static void assertAllJobsFinish(SimCluster cluster, int jobs, List<String> cancelled) {
         cluster.runSeconds(90);
         for (int number = 1; number <= jobs; number++) {
