--- a/src/test/java/io/sillreel/load/LoadDriver.java
+++ b/src/test/java/io/sillreel/load/LoadDriver.java
@@ -263,15 +263,15 @@
         loop.execute(() -> users.pollEvery(5 * SECOND));
         waitUntilProvisioned();
         Thread.sleep(WARM_UP_MILLIS);
-        measureBusy("under load");
-        measureBusy("under load, later");
+        measureUnderLoad("under load");
+        measureUnderLoad("under load, later");
         if (lostSeconds > 0) {
             new LossMeasurement(loop, stateService, services, this::recoveryStatus).measure(lostSeconds);
-            measureBusy("after the loss");
+            measureUnderLoad("after the loss");
             return;
         }
-        measureTakeover();
-        measureBusy("after the failover");
+        measureFailover();
+        measureUnderLoad("after the failover");
     }
 
     /** Waits until all machines are provisioned, or the number of machines stops growing. */
@@ -294,14 +294,14 @@
         printUsage("idle", before, 10, leader());
     }
 
-    private void measureBusy(String phase) throws IOException, InterruptedException {
+    private void measureUnderLoad(String phase) throws IOException, InterruptedException {
         int leader = leader();
         double[] before = usedCpuMillis();
         long answered = services.answeredHeartbeats();
         long launched = services.launchCount();
         long requests = users.requestCount();
         long lists = services.listCount();
-        long refused = services.rejectedCloudRequests();
+        long rejected = services.rejectedCloudRequests();
         Thread.sleep(seconds * 1_000L);
         double heartbeats = services.answeredHeartbeats() - answered;
         System.out.printf(
@@ -313,7 +313,7 @@
                 (double) (services.launchCount() - launched) / seconds,
                 (double) (users.requestCount() - requests) / seconds,
                 services.listCount() - lists,
-                services.rejectedCloudRequests() - refused);
+                services.rejectedCloudRequests() - rejected);
         double total = printUsage(phase, before, seconds, leader);
         System.out.printf(
                 "  all controllers: %.3f ms CPU per heartbeat, %.0f%% of a core%n",
@@ -345,7 +345,7 @@
         return total;
     }
 
-    private void measureTakeover() throws IOException, InterruptedException {
+    private void measureFailover() throws IOException, InterruptedException {
         int killed = leader();
         Set<String> earlierJobs = new HashSet<>(users.unfinishedJobs());
         double[] before = usedCpuMillis();
--- a/src/test/java/io/sillreel/load/LossMeasurement.java
+++ b/src/test/java/io/sillreel/load/LossMeasurement.java
@@ -39,18 +39,18 @@
         });
         long lost = revision - onEventLoop(stateService::revision);
         double detectedSeconds =
-                untilSeconds(startMicros, () -> status.get().path("generation").asLong() > 0);
+                secondsUntil(startMicros, () -> status.get().path("generation").asLong() > 0);
         double recoveredSeconds =
-                untilSeconds(startMicros, () -> !status.get().path("suspended").asBoolean(true));
+                secondsUntil(startMicros, () -> !status.get().path("suspended").asBoolean(true));
         long launched = services.launchCount();
-        double launchSeconds = untilSeconds(startMicros, () -> services.launchCount() > launched);
+        double launchSeconds = secondsUntil(startMicros, () -> services.launchCount() > launched);
         System.out.printf(
                 "loss of %d revisions (%d s): detected by the leader after %.2f s, recovered after %.2f s, "
                         + "first launch after %.2f s; %s%n",
                 lost, lostSeconds, detectedSeconds, recoveredSeconds, launchSeconds, status.get());
     }
 
-    private double untilSeconds(long startMicros, BooleanSupplier condition) throws InterruptedException {
+    private double secondsUntil(long startMicros, BooleanSupplier condition) throws InterruptedException {
         while (!condition.getAsBoolean() && eventLoop.nowMicros() - startMicros < TIMEOUT_MICROS) {
             TimeUnit.MILLISECONDS.sleep(20);
         }
--- a/src/test/java/io/sillreel/sim/SimNetwork.java
+++ b/src/test/java/io/sillreel/sim/SimNetwork.java
@@ -110,12 +110,12 @@
      * second, and discards the recording.
      */
     public void replayRecorded(List<String> hosts) {
-        SimTime.Process discarded = time.new Process();
+        SimTime.Process unusedCaller = time.new Process();
         for (long wave = 0; wave < REPLAY_WAVES; wave++) {
             long at = wave * 250_000;
             for (HttpRequest request : recorded) {
                 for (String host : hosts) {
-                    time.after(at++, () -> deliver(host, request, new CompletableFuture<>(), discarded));
+                    time.after(at++, () -> deliver(host, request, new CompletableFuture<>(), unusedCaller));
                 }
             }
         }
--- a/src/test/java/io/sillreel/sim/SimStateService.java
+++ b/src/test/java/io/sillreel/sim/SimStateService.java
@@ -98,23 +98,23 @@
     }
 
     public JsonNode value(String key) {
-        expire();
+        expireLeases();
         return keys.containsKey(key) ? keys.get(key).value() : null;
     }
 
     public Set<String> keysWithPrefix(String prefix) {
-        expire();
+        expireLeases();
         return new HashSet<>(keys.subMap(prefix, prefix + Character.MAX_VALUE).keySet());
     }
 
     /** All stored values, from which the service can be restored. */
     public static final class Snapshot {
         private final TreeMap<String, Value> keys;
-        private final long storeRevision;
+        private final long revision;
 
-        private Snapshot(TreeMap<String, Value> keys, long storeRevision) {
+        private Snapshot(TreeMap<String, Value> keys, long revision) {
             this.keys = keys;
-            this.storeRevision = storeRevision;
+            this.revision = revision;
         }
     }
 
@@ -124,7 +124,7 @@
     }
 
     public Snapshot snapshot() {
-        expire();
+        expireLeases();
         return new Snapshot(new TreeMap<>(keys), revision);
     }
 
@@ -135,8 +135,8 @@
         keys.values().removeIf(value -> value.leaseId() > 0);
         leaseDurations.clear();
         leaseExpirations.clear();
-        changes.removeIf(change -> change.revision() > snapshot.storeRevision);
-        revision = snapshot.storeRevision;
+        changes.removeIf(change -> change.revision() > snapshot.revision);
+        revision = snapshot.revision;
         compactedRevision = Math.min(compactedRevision, revision);
     }
 
@@ -155,7 +155,7 @@
         if (outage) {
             return answer(503, Json.object().put("error", "trouble"));
         }
-        expire();
+        expireLeases();
         if (route.equals("/kv")) {
             return list(request);
         }
@@ -261,7 +261,7 @@
             lastLeaseId++;
             leaseDurations.put(lastLeaseId, duration);
             leaseExpirations.put(lastLeaseId, time.nowMicros() + duration);
-            time.after(duration + 1, this::expire);
+            time.after(duration + 1, this::expireLeases);
             return answer(200, Json.object().put("permit", lastLeaseId));
         }
         String[] parts = route.split("/");
@@ -271,10 +271,10 @@
         }
         if (request.method().equals("DELETE")) {
             leaseExpirations.put(leaseId, time.nowMicros() - 1);
-            expire();
+            expireLeases();
         } else {
             leaseExpirations.put(leaseId, time.nowMicros() + leaseDurations.get(leaseId));
-            time.after(leaseDurations.get(leaseId) + 1, this::expire);
+            time.after(leaseDurations.get(leaseId) + 1, this::expireLeases);
         }
         return answer(200, Json.object());
     }
@@ -328,7 +328,7 @@
         }
     }
 
-    private void expire() {
+    private void expireLeases() {
         if (outage) {
             return;
         }
