--- a/src/main/java/io/sillreel/admission/JobStatusReader.java
+++ b/src/main/java/io/sillreel/admission/JobStatusReader.java
@@ -25,20 +25,20 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Reads what is stored of jobs into the cache. Its methods complete with false if something could not be read, for
- * instance because the store does not respond. Thread-safe.
+ * Reads the stored state of jobs into the cache. The methods complete with false if a read failed, for example because
+ * the state store does not respond. Thread-safe.
  */
 final class JobStatusReader {
-    /** What a status needs of the plan of a job with dependencies; plans never change. */
+    /** The part of the plan of a job with dependencies that its status requires; plans never change. */
     private record DependentPlan(long revision, List<String> dependencies) {}
 
     private final StateStore store;
     private final JobStatusCache cache;
     private final int maxDependentPlans;
-    /** The scan of all plans in progress, which all callers share, or null. Guarded by {@code this}. */
+    /** The scan of all plans in progress, shared by all callers, or null. Guarded by {@code this}. */
     private CompletableFuture<Optional<Map<String, DependentPlan>>> pendingScan;
 
-    /** @param maxDependentPlans number of plans of jobs with dependencies that may be held during a scan */
+    /** @param maxDependentPlans the maximum number of plans of jobs with dependencies that a scan may hold in memory */
     JobStatusReader(StateStore store, JobStatusCache cache, int maxDependentPlans) {
         this.store = store;
         this.cache = cache;
@@ -46,7 +46,8 @@
     }
 
     /**
-     * Scans all plans for those of the given jobs and their transitive dependencies; the other jobs are read singly.
+     * Scans all plans for those of the given jobs and their transitive dependencies. Jobs without such a plan are read
+     * individually.
      */
     CompletableFuture<Boolean> loadFromAllPlans(Set<String> uids) {
         return scanDependentPlans().thenCompose(plans -> {
@@ -57,25 +58,25 @@
         });
     }
 
-    /** Caches the plans of the jobs and of their transitive dependencies; returns the jobs without such a plan. */
+    /** Caches the plans of the jobs and their transitive dependencies; returns the jobs that are not in the map. */
     private Set<String> cacheDependentPlans(Set<String> uids, Map<String, DependentPlan> plans) {
         Set<String> withoutPlan = new LinkedHashSet<>();
-        Deque<String> open = new ArrayDeque<>(uids);
-        Set<String> seen = new HashSet<>(uids);
-        while (!open.isEmpty()) {
-            String uid = open.poll();
+        Deque<String> pending = new ArrayDeque<>(uids);
+        Set<String> visited = new HashSet<>(uids);
+        while (!pending.isEmpty()) {
+            String uid = pending.poll();
             DependentPlan plan = plans.get(uid);
             if (plan == null) {
                 withoutPlan.add(uid);
             } else if (!cache.get(uid).isAccepted()) {
                 cache.merge(JobStatus.ofPlan(uid, plan.revision(), plan.dependencies()));
-                plan.dependencies().stream().filter(seen::add).forEach(open::add);
+                plan.dependencies().stream().filter(visited::add).forEach(pending::add);
             }
         }
         return withoutPlan;
     }
 
-    /** Completes with the plans of jobs with dependencies, or empty if they could not be read or are too many. */
+    /** Completes with the plans of all jobs with dependencies, or empty if the scan failed or found too many. */
     private synchronized CompletableFuture<Optional<Map<String, DependentPlan>>> scanDependentPlans() {
         if (pendingScan != null) {
             return pendingScan;
@@ -104,7 +105,7 @@
         }
     }
 
-    /** Reads what is stored of the jobs. */
+    /** Reads the stored state of the jobs. */
     CompletableFuture<Boolean> load(Collection<String> uids) {
         List<CompletableFuture<Boolean>> reads = new ArrayList<>();
         uids.forEach(uid -> reads.add(load(uid)));
@@ -113,25 +114,25 @@
     }
 
     private CompletableFuture<Boolean> load(String uid) {
-        CompletableFuture<Optional<JobStatus>> planned = readPlan(uid);
+        CompletableFuture<Optional<JobStatus>> planStatus = readPlan(uid);
         CompletableFuture<ReadResult> run = store.get(RunRecord.key(uid));
         CompletableFuture<ReadResult> cancellation = store.get(CancellationRecord.key(uid));
-        return CompletableFuture.allOf(planned, run, cancellation)
-                .thenApply(all -> cacheIfConclusive(planned.join(), run.join(), cancellation.join()));
+        return CompletableFuture.allOf(planStatus, run, cancellation)
+                .thenApply(all -> cacheIfConclusive(planStatus.join(), run.join(), cancellation.join()));
     }
 
-    private boolean cacheIfConclusive(Optional<JobStatus> planned, ReadResult run, ReadResult cancellation) {
-        if (planned.isEmpty() || !run.isConclusive() || !cancellation.isConclusive()) {
+    private boolean cacheIfConclusive(Optional<JobStatus> planStatus, ReadResult run, ReadResult cancellation) {
+        if (planStatus.isEmpty() || !run.isConclusive() || !cancellation.isConclusive()) {
             return false;
         }
         RunRecord runRecord = run.entry().isEmpty()
                 ? null
                 : RunRecordCodec.decode(run.entry().get().value());
-        cache.merge(planned.get().withRun(run.revision(), runRecord, cancellation.revision()));
+        cache.merge(planStatus.get().withRun(run.revision(), runRecord, cancellation.revision()));
         return true;
     }
 
-    /** Completes with the status by the plan, which is read unless it is cached; empty if it could not be read. */
+    /** Completes with the status according to the plan, which is read unless cached; empty if the read failed. */
     private CompletableFuture<Optional<JobStatus>> readPlan(String uid) {
         JobStatus cached = cache.get(uid);
         if (cached.isAccepted()) {
@@ -145,8 +146,8 @@
                 return CompletableFuture.completedFuture(Optional.of(cached));
             }
             return PlanOverflow.load(PlanRecordCodec.decode(read.entry().get().value()), store)
-                    .thenApply(plan -> plan.map(whole ->
-                            JobStatus.ofPlan(uid, read.revision(), whole.spec().dependencies())));
+                    .thenApply(plan -> plan.map(completePlan -> JobStatus.ofPlan(
+                            uid, read.revision(), completePlan.spec().dependencies())));
         });
     }
 }
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatRelay.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatRelay.java
@@ -14,14 +14,14 @@
 import java.util.function.IntSupplier;
 
 /**
- * Relays the heartbeats of workers to the leader, many in one request, and passes the leader's responses back. If a
- * batch gets no answer, its workers get status 503: launches that the leader decided for them did not happen, which
- * their next heartbeats show. Thread-safe; the mutable state is guarded by this.
+ * Relays the heartbeats of workers to the leader in batches, and returns the leader's responses to the workers. If a
+ * batch gets no response, its workers get status 503: any launches in the lost responses did not happen, which the next
+ * heartbeats show. Thread-safe; the mutable state is guarded by this.
  */
 public final class HeartbeatRelay {
     /**
-     * A batch is delayed for longer the more workers there are: each costs both sides a request whatever it carries,
-     * and with hundreds of workers batches of one or two heartbeats would be most of the work of a controller.
+     * The batch delay grows with the number of workers: each batch costs both sides a request, whatever its size, and
+     * with hundreds of workers, batches of one or two heartbeats would be most of the load of a controller.
      */
     private static final long MIN_BATCH_DELAY_MICROS = 15_000;
 
@@ -30,30 +30,31 @@
     private static final long TIMEOUT_MICROS = 2_500_000;
     private static final int MIN_BATCH_HEARTBEATS = 64;
     /**
-     * A batch may carry the heartbeats of one worker in so many: with smaller batches, the round trips to a distant
+     * One heartbeat of every worker fits into this many batches. With smaller batches, the round-trip time to a distant
      * leader would limit the rate.
      */
     private static final int BATCHES_PER_WORKER_CYCLE = 16;
-    /** The estimated size of a batch of more than one heartbeat; a leader accepts a multiple of it. */
+    /** Limit on the estimated size of a batch of more than one heartbeat; a leader accepts a multiple of it. */
     private static final int MAX_BATCH_BYTES = 1 << 20;
 
     private static final int MAX_PENDING_BATCHES = 2;
-    /** How long a leader counts as unreachable after a batch was lost. */
+    /** How long a leader is considered unreachable after a lost batch. */
     private static final long UNREACHABLE_MICROS = 2_000_000;
     /**
-     * One batch without an answer may be late at a busy leader, to which redirected workers would be more load. A batch
-     * that could not be sent, or two unanswered ones in a row, mean that the leader is unreachable.
+     * A single batch without a response may be delayed by a busy leader, and redirecting workers to it would add to its
+     * load. A batch that could not be sent, or two in a row without a response, mean that the leader is unreachable.
      */
     private static final int MAX_LATE_BATCHES = 1;
 
-    private static final HttpResponse LOST = HttpResponse.retryLater(503, "the leader can't be reached", 1);
+    private static final HttpResponse LEADER_UNREACHABLE =
+            HttpResponse.retryLater(503, "the leader can't be reached", 1);
 
     private record PendingHeartbeat(Heartbeat heartbeat, long receivedMicros, CompletableFuture<HttpResponse> result) {}
 
     private final EventLoop eventLoop;
     private final HttpClient httpClient;
     private final IntSupplier workerCount;
-    private final Deque<PendingHeartbeat> waiting = new ArrayDeque<>();
+    private final Deque<PendingHeartbeat> queue = new ArrayDeque<>();
     private String currentLeader = "";
     private int pendingBatches;
     private int consecutiveLateBatches;
@@ -75,17 +76,17 @@
         return !currentLeader.equals(leaderAddress) || eventLoop.nowMicros() >= unreachableUntilMicros;
     }
 
-    /** The heartbeats that the leader has answered. */
+    /** Returns how many heartbeats the leader has answered. */
     public synchronized long relayedCount() {
         return relayedCount;
     }
 
-    /** The heartbeats whose batches got no answer. */
+    /** Returns how many heartbeats were in batches without a response. */
     public synchronized long lostCount() {
         return lostCount;
     }
 
-    /** The batches that were sent. */
+    /** Returns how many batches were sent. */
     public synchronized long batchCount() {
         return batchCount;
     }
@@ -99,7 +100,7 @@
                 unreachableUntilMicros = Long.MIN_VALUE;
                 consecutiveLateBatches = 0;
             }
-            waiting.add(new PendingHeartbeat(heartbeat, eventLoop.nowMicros(), result));
+            queue.add(new PendingHeartbeat(heartbeat, eventLoop.nowMicros(), result));
             if (sendScheduled || pendingBatches >= MAX_PENDING_BATCHES) {
                 return result;
             }
@@ -116,25 +117,26 @@
     }
 
     /**
-     * Takes the heartbeats of the next batch off the queue. Called with the lock of this object held.
+     * Removes the heartbeats of the next batch from the queue. Called with the lock of this object held.
      *
-     * @param expired takes those whose workers no longer wait for a response; they are not worth the leader's time
+     * @param expired receives the heartbeats whose workers no longer wait for a response; relaying them would only load
+     *     the leader
      */
     private List<PendingHeartbeat> nextBatch(List<PendingHeartbeat> expired) {
         List<PendingHeartbeat> batch = new ArrayList<>();
         int maxHeartbeats = Math.max(MIN_BATCH_HEARTBEATS, workerCount.getAsInt() / BATCHES_PER_WORKER_CYCLE);
         int bytes = 0;
-        while (!waiting.isEmpty() && batch.size() < maxHeartbeats) {
-            PendingHeartbeat next = waiting.peek();
+        while (!queue.isEmpty() && batch.size() < maxHeartbeats) {
+            PendingHeartbeat next = queue.peek();
             if (eventLoop.nowMicros() - next.receivedMicros() > Heartbeat.RESPONSE_TIMEOUT_MICROS) {
-                expired.add(waiting.poll());
+                expired.add(queue.poll());
                 continue;
             }
             bytes += HeartbeatBatchCodec.estimateBytes(next.heartbeat());
             if (bytes > MAX_BATCH_BYTES && !batch.isEmpty()) {
                 break;
             }
-            batch.add(waiting.poll());
+            batch.add(queue.poll());
         }
         return batch;
     }
@@ -150,7 +152,7 @@
             batchCount += batch.isEmpty() ? 0 : 1;
             leaderAddress = currentLeader;
         }
-        expired.forEach(each -> each.result().complete(LOST));
+        expired.forEach(each -> each.result().complete(LEADER_UNREACHABLE));
         if (batch.isEmpty()) {
             return;
         }
@@ -165,7 +167,7 @@
         List<HttpResponse> responses =
                 response.isOk() ? HeartbeatBatchCodec.decodeResponses(response.body()) : List.of();
         boolean isAnswered = responses.size() == batch.size();
-        boolean isNextDue;
+        boolean hasNextBatch;
         synchronized (this) {
             pendingBatches--;
             if (isAnswered) {
@@ -174,13 +176,13 @@
             } else {
                 recordLostBatch(batch, leaderAddress, response);
             }
-            isNextDue = !waiting.isEmpty() && !sendScheduled;
-            sendScheduled |= isNextDue;
+            hasNextBatch = !queue.isEmpty() && !sendScheduled;
+            sendScheduled |= hasNextBatch;
         }
         for (int i = 0; i < batch.size(); i++) {
-            batch.get(i).result().complete(isAnswered ? responses.get(i) : LOST);
+            batch.get(i).result().complete(isAnswered ? responses.get(i) : LEADER_UNREACHABLE);
         }
-        if (isNextDue) {
+        if (hasNextBatch) {
             eventLoop.schedule(0, this::sendBatch);
         }
     }
--- a/src/test/java/io/sillreel/admission/AdmissionTest.java
+++ b/src/test/java/io/sillreel/admission/JobApiHandlerTest.java
@@ -14,11 +14,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-class AdmissionTest {
+class JobApiHandlerTest {
     private final SimCluster cluster = new SimCluster(5);
 
     @BeforeEach
-    void begin() {
+    void startCluster() {
         cluster.runSeconds(2);
     }
 
@@ -27,8 +27,8 @@
     }
 
     @Test
-    void malformedFieldsAreRejectedWithAReason() {
-        List<Consumer<ObjectNode>> mistakes = List.of(
+    void rejectsMalformedFieldsWithAReason() {
+        List<Consumer<ObjectNode>> invalidChanges = List.of(
                 job -> job.remove("crew"),
                 job -> job.put("uid", "nonsense"),
                 job -> job.put("pieces", 0),
@@ -44,9 +44,9 @@
                 job -> job.put("builds", "c4"),
                 job -> job.put("due_s", -5),
                 job -> job.put("yard", 7));
-        for (Consumer<ObjectNode> mistake : mistakes) {
+        for (Consumer<ObjectNode> invalidChange : invalidChanges) {
             ObjectNode job = SimCluster.job("job-000001", 1);
-            mistake.accept(job);
+            invalidChange.accept(job);
             HttpResponse response = cluster.submit(0, job);
             assertThat(response.status()).as(job.toString()).isEqualTo(400);
             assertThat(response.json().path("error").asText()).isNotBlank();
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void bodiesThatAreNotOneJsonObjectAreRejected() {
+    void rejectsBodiesThatAreNotASingleJsonObject() {
         assertThat(submit("not json").status()).isEqualTo(400);
         assertThat(submit("[1]").status()).isEqualTo(400);
         assertThat(submit("{} {}").status()).isEqualTo(400);
@@ -63,28 +63,28 @@
     }
 
     @Test
-    void jobsThatCanNeverRunAreRejected() {
-        List<Consumer<ObjectNode>> mistakes = List.of(
+    void rejectsInfeasibleJobs() {
+        List<Consumer<ObjectNode>> invalidChanges = List.of(
                 job -> job.put("crew", "nobody"),
                 job -> job.put("vcpus", 5.0),
                 job -> job.put("ram_gb", 17.0),
                 job -> job.put("cards", 1.0),
                 job -> job.put("yard", "z"),
                 job -> job.putArray("builds").add("x9"));
-        for (Consumer<ObjectNode> mistake : mistakes) {
+        for (Consumer<ObjectNode> invalidChange : invalidChanges) {
             ObjectNode job = SimCluster.job("job-000001", 1);
-            mistake.accept(job);
+            invalidChange.accept(job);
             assertThat(cluster.submit(0, job).status()).as(job.toString()).isEqualTo(422);
         }
     }
 
     @Test
-    void unknownPathsAreNotFound() {
+    void respondsWithNotFoundToUnknownPaths() {
         assertThat(cluster.send(0, HttpRequest.get("/v2/else")).status()).isEqualTo(404);
     }
 
     @Test
-    void otherMethodsOfAKnownPathAreNotAllowed() {
+    void respondsWithMethodNotAllowedToUnsupportedMethods() {
         assertThat(cluster.send(0, HttpRequest.get("/v2/runs")).status()).isEqualTo(405);
         assertThat(cluster.send(0, HttpRequest.post("/v2/runs/job-000001", Json.object()))
                         .status())
@@ -95,29 +95,29 @@
     }
 
     @Test
-    void healthCheckIsAnswered() {
+    void respondsToHealthChecks() {
         assertThat(cluster.send(0, HttpRequest.get("/up")).status()).isEqualTo(200);
     }
 
-    /** Guards the order of the checks: an accepted job is answered as such whatever its repeat now says. */
+    /** The check for an accepted job comes first: a resubmission gets its status even if the new body is invalid. */
     @Test
-    void aRepeatedSubmissionOfADoneJobIsAnsweredWithItsStatusThoughMalformed() {
+    void respondsWithTheStatusOfADoneJobToAMalformedResubmission() {
         cluster.submit(0, SimCluster.job("job-000001", 1));
         cluster.runSeconds(30);
         for (int node = 0; node < 3; node++) {
             cluster.restart(node);
         }
         cluster.runSeconds(3);
-        ObjectNode odd = SimCluster.job("job-000001", 1);
-        odd.put("crew", "nobody").remove("rank");
-        HttpResponse response = cluster.submit(1, odd);
+        ObjectNode malformed = SimCluster.job("job-000001", 1);
+        malformed.put("crew", "nobody").remove("rank");
+        HttpResponse response = cluster.submit(1, malformed);
         assertThat(response.status()).isEqualTo(200);
         assertThat(response.json().path("stage").asText()).isEqualTo("done");
         assertThat(cluster.violations()).isEmpty();
     }
 
     @Test
-    void duringAnOutageOfTheStoreOnlyFinalStatusesAreTold() {
+    void returnsOnlyTerminalStatusesDuringAStateStoreOutage() {
         cluster.submit(0, SimCluster.job("job-000001", 1));
         cluster.runSeconds(30);
         assertThat(cluster.stage(0, "job-000001")).isEqualTo("done");
@@ -131,44 +131,44 @@
         assertThat(cluster.submit(0, SimCluster.job("job-000004", 1)).status()).isEqualTo(503);
     }
 
-    /** Guards against waiting for a store that does not respond: after the first timeout users are answered at once. */
+    /** After the first timeout of an unresponsive state store, user requests must fail without waiting for it. */
     @Test
-    void aControllerWithoutTheStoreRefusesAtOnceAndServesAgainOnceItIsBack() {
-        int cut = (cluster.leader() + 1) % 3;
+    void failsFastWithoutTheStateStoreAndServesAgainOnceItIsReachable() {
+        int partitioned = (cluster.leader() + 1) % 3;
         SimNetwork.Rule rule = cluster.network()
                 .addRule((from, to, request) ->
-                        from.equals("10.0.0." + cut) && to.equals("state:1") ? SimNetwork.Action.DROP : null);
+                        from.equals("10.0.0." + partitioned) && to.equals("state:1") ? SimNetwork.Action.DROP : null);
         cluster.runSeconds(15);
-        long before = cluster.time().nowMicros();
-        assertThat(cluster.submit(cut, SimCluster.job("job-000001", 1)).status())
+        long startMicros = cluster.time().nowMicros();
+        assertThat(cluster.submit(partitioned, SimCluster.job("job-000001", 1)).status())
                 .isEqualTo(503);
-        assertThat(cluster.poll(cut, "job-000002").status()).isEqualTo(503);
-        assertThat(cluster.time().nowMicros() - before).isLessThan(100_000);
+        assertThat(cluster.poll(partitioned, "job-000002").status()).isEqualTo(503);
+        assertThat(cluster.time().nowMicros() - startMicros).isLessThan(100_000);
         cluster.network().removeRule(rule);
         cluster.runSeconds(5);
-        assertThat(cluster.submit(cut, SimCluster.job("job-000001", 1)).status())
+        assertThat(cluster.submit(partitioned, SimCluster.job("job-000001", 1)).status())
                 .isEqualTo(201);
     }
 
     @Test
-    void aCancelledJobStaysCancelledAndItsTasksEnd() {
+    void cancellationIsFinalAndStopsTheTasks() {
         cluster.submit(0, SimCluster.job("job-000001", 4));
         cluster.runUntil(() -> {
-            cluster.cloud().machines().values().forEach(worker -> worker.setRunMicros(500_000_000));
+            cluster.cloud().machines().values().forEach(machine -> machine.setRunMicros(500_000_000));
             return cluster.startCount() >= 4;
         });
         assertThat(cluster.cancel(1, "job-000001").json().path("stage").asText())
                 .isEqualTo("withdrawn");
         cluster.runSeconds(3);
         assertThat(cluster.cloud().machines().values())
-                .allMatch(worker -> worker.runningTasks().isEmpty());
+                .allMatch(machine -> machine.runningTasks().isEmpty());
         assertThat(cluster.stage(2, "job-000001")).isEqualTo("withdrawn");
         assertThat(cluster.cancel(0, "job-000099").status()).isEqualTo(404);
     }
 
-    /** Guards the condition of the write of a done job: the leader does not know of the stored cancellation. */
+    /** The write of a completion must be conditional, since the leader may not know of a stored cancellation. */
     @Test
-    void aCancellationUnknownToTheLeaderKeepsTheJobFromBeingStoredAsDone() {
+    void cancellationUnknownToTheLeaderPreventsStoringTheCompletion() {
         cluster.submit(0, SimCluster.job("job-000001", 1));
         cluster.runUntil(() -> cluster.startCount() >= 1);
         cluster.network()
@@ -184,19 +184,20 @@
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards that done and cancelled exclude each other: whichever is stored first stays, on every controller. */
+    /** A job can't be both done and cancelled: whichever is stored first is final on every controller. */
     @Test
-    void aCancellationThatRacesWithTheEndIsToldAlikeByAllControllers() {
+    void allControllersAgreeWhenCancellationRacesWithCompletion() {
         for (int round = 0; round < 12; round++) {
             String uid = "job-00010" + round;
             cluster.submit(0, SimCluster.job(uid, 1));
             int starts = cluster.startCount();
             cluster.runUntil(() -> cluster.startCount() > starts);
             cluster.runSeconds(2.9 + 0.05 * round);
-            String told = cluster.cancel(round % 3, uid).json().path("stage").asText();
+            String reportedStage =
+                    cluster.cancel(round % 3, uid).json().path("stage").asText();
             cluster.runSeconds(2);
             for (int node = 0; node < 3; node++) {
-                assertThat(cluster.stage(node, uid)).isEqualTo(told);
+                assertThat(cluster.stage(node, uid)).isEqualTo(reportedStage);
             }
         }
         assertThat(cluster.violations()).isEmpty();
--- a/src/test/java/io/sillreel/cluster/ScaleOutRequestTest.java
+++ b/src/test/java/io/sillreel/cluster/ScaleOutRequestTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void anUnansweredRequestIsRetriedUnderItsName() {
+    void retriesUnansweredRequestUnderSameName() {
         Rule lose =
                 cluster.network().addRule((from, to, request) -> isProvisioning(request) ? Action.DROP_RESPONSE : null);
         cluster.runSeconds(2);
@@ -34,11 +34,11 @@
     }
 
     /**
-     * Guards the stored request when the response to its own write is lost: the cloud is asked twice and answers alike.
-     * The second answer provides no further machine, and made the request be discarded while its machines had tasks.
+     * Guards the stored request when the response to its own write is lost: the request is sent twice, with the same
+     * answer. The second answer adds no machine, which caused the request to be discarded while its machines had tasks.
      */
     @Test
-    void aRequestThatIsAnsweredTwiceKeepsItsMachines() {
+    void keepsMachinesOfRequestAnsweredTwice() {
         Rule lose = cluster.network()
                 .addRule((from, to, request) -> request.route().equals("/txn")
                                 && new String(request.body(), StandardCharsets.UTF_8).contains("\"hire/")
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void machinesOfARequestExecutedLongAfterItsLeaderDiedAreUsedOrReturned() {
+    void usesOrReturnsMachinesOfRequestExecutedAfterFailover() {
         Rule hold = cluster.network().addRule((from, to, request) -> isProvisioning(request) ? Action.HOLD : null);
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 2));
@@ -69,27 +69,27 @@
         cluster.runSeconds(30);
         cluster.network().releaseHeld();
         cluster.runSeconds(240);
-        int up = (leader + 1) % 3;
-        assertThat(cluster.stage(up, "job-000001")).isEqualTo("done");
+        int survivor = (leader + 1) % 3;
+        assertThat(cluster.stage(survivor, "job-000001")).isEqualTo("done");
         assertThat(cluster.cloud().machines()).isEmpty();
         assertThat(cluster.store().keysWithPrefix("hire/")).isEmpty();
         assertThat(cluster.violations()).isEmpty();
     }
 
     @Test
-    void machinesWithoutWorkAreReturnedAndForgotten() {
+    void returnsIdleMachinesAndRemovesRequests() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 6));
         cluster.runSeconds(20);
         assertThat(cluster.cloud().machines()).isNotEmpty();
-        // They are kept for a while because of the recent demand, and then returned.
+        // Idle machines are kept for a while because of the recent demand, and then returned.
         cluster.runSeconds(240);
         assertThat(cluster.cloud().machines()).isEmpty();
         assertThat(cluster.store().keysWithPrefix("hire/")).isEmpty();
     }
 
     @Test
-    void aCloudThatIsDownLosesNoJob() {
+    void completesJobsSubmittedDuringCloudOutage() {
         cluster.runSeconds(2);
         cluster.cloud().setOutage(true);
         assertThat(cluster.submit(0, SimCluster.job("job-000001", 2)).status()).isEqualTo(201);
@@ -104,28 +104,29 @@
         assertThat(cluster.stage(0, "job-000002")).isEqualTo("done");
     }
 
-    /** Guards against machines of a partitioned zone that count as capacity for as long as they might come back. */
+    /** Guards against counting machines of a partitioned zone as capacity for as long as they might come back. */
     @Test
-    void machinesThatAreAwayForLongerThanTheirLeasesAreReplaced() {
+    void replacesMachinesPartitionedBeyondLeaseExpiry() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 20));
         cluster.runUntilStarted(20, 40_000_000);
-        List<String> away = List.copyOf(cluster.cloud().machines().keySet()).subList(0, 3);
+        List<String> partitioned =
+                List.copyOf(cluster.cloud().machines().keySet()).subList(0, 3);
         int machineCount = cluster.cloud().machines().size();
         assertThat(machineCount).isBetween(4, 10);
-        cluster.network().addRule((from, to, request) -> away.contains(from) ? Action.DROP : null);
+        cluster.network().addRule((from, to, request) -> partitioned.contains(from) ? Action.DROP : null);
         cluster.runSeconds(28);
-        assertThat(cluster.cloud().machines().keySet()).containsAll(away);
+        assertThat(cluster.cloud().machines().keySet()).containsAll(partitioned);
         assertThat(cluster.cloud().machines().size()).isGreaterThan(machineCount);
         assertThat(cluster.violations()).isEmpty();
     }
 
     /**
-     * Guards jobs that may not use spot machines: one ordinary machine, however busy, counted as room for them, and a
-     * few tasks waited for minutes.
+     * Guards jobs that may not use spot machines: a single on-demand machine, however busy, counted as capacity for
+     * them, and a few tasks waited for minutes.
      */
     @Test
-    void aJobThatMayNotUseSpotMachinesGetsAnOrdinaryOne() {
+    void requestsOnDemandMachineForJobWithoutSpot() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 4).put("loaners", false));
         cluster.runUntilStarted(4, 200_000_000);
--- a/src/test/java/io/sillreel/heartbeat/TaskFailureTest.java
+++ b/src/test/java/io/sillreel/heartbeat/MachineFailureTest.java
@@ -11,27 +11,27 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Troubles between machines and controllers that are no plain cut: unanswered machines, copies, restarts, isolated
- * controllers.
+ * Failures of machines and of their connections to controllers: lost responses, duplicated heartbeats, restarts,
+ * isolated controllers, spot interruptions and silent machines.
  */
-class TaskFailureTest {
+class MachineFailureTest {
     private final SimCluster cluster = new SimCluster(11);
 
-    private SimWorker busyMachine(int running) {
+    private SimWorker untilMachineRuns(int minTasks) {
         cluster.runUntil(() -> cluster.cloud().machines().values().stream()
-                .anyMatch(worker -> worker.runningTasks().size() >= running));
+                .anyMatch(worker -> worker.runningTasks().size() >= minTasks));
         return cluster.cloud().machines().values().stream()
-                .filter(worker -> worker.runningTasks().size() >= running)
+                .filter(worker -> worker.runningTasks().size() >= minTasks)
                 .findFirst()
                 .orElseThrow();
     }
 
-    /** Guards against launches given for ever to a machine that never hears them. */
+    /** Guards against sending launches forever to a machine that receives no responses. */
     @Test
-    void aMachineThatHearsNothingIsGivenNothingMoreAndReplaced() {
+    void replacesUnresponsiveMachine() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 2));
-        SimWorker worker = busyMachine(2);
+        SimWorker worker = untilMachineRuns(2);
         cluster.network().addRule(FailureInjector.dropInbound(worker.name()));
         cluster.submit(0, SimCluster.job("job-000002", 2));
         cluster.runSeconds(60);
@@ -41,9 +41,9 @@
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards a takeover against a machine that reports for ever without hearing of the new term. */
+    /** Guards a failover against a machine that keeps sending heartbeats but never receives the new fencing token. */
     @Test
-    void aMachineThatHearsNothingDoesNotHoldUpATakeover() {
+    void replacesUnresponsiveMachineAfterFailover() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 90));
         cluster.runUntil(() -> cluster.cloud().machines().size() >= 5 && cluster.startCount() >= 15);
@@ -59,9 +59,9 @@
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards a takeover against one dead machine among several, and against those that only boot. */
+    /** Guards against a failover that is delayed by one dead machine among several, or by machines that still boot. */
     @Test
-    void theFewMachinesThatStaySilentAfterATakeoverAreReturnedAndHoldUpNobody() {
+    void returnsSilentMachineAfterFailoverBeforeLeaseExpiry() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 90));
         cluster.runUntil(() -> cluster.cloud().machines().size() >= 5 && cluster.startCount() >= 15);
@@ -72,7 +72,7 @@
         int leader = cluster.leader();
         int starts = cluster.startCount();
         cluster.kill(leader);
-        // The bound that earlier tasks may live to is 27 s after the takeover; evidence is to be had sooner.
+        // Tasks of the earlier term may live until 27 s after the failover; evidence of their end comes sooner.
         cluster.runSeconds(18);
         assertThat(cluster.cloud().machines()).doesNotContainKey(silent);
         assertThat(cluster.startCount()).isGreaterThan(starts);
@@ -81,9 +81,9 @@
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards against copies that show what was long ago: they free nothing, and nobody that is gone is taken in. */
+    /** Outdated duplicates of heartbeats must not release tasks, nor cause a returned machine to be adopted. */
     @Test
-    void lateCopiesOfReportsChangeNothing() {
+    void ignoresDuplicatedHeartbeats() {
         cluster.network()
                 .addRule((from, to, request) ->
                         request.route().equals("/agent/beat") || request.route().equals("/peer/beats")
@@ -94,8 +94,8 @@
             cluster.submit(0, SimCluster.job("job-00000" + i, 6));
             cluster.runSeconds(3);
         }
-        String taken = cluster.cloud().machines().firstKey();
-        cluster.cloud().reclaim(taken);
+        String reclaimed = cluster.cloud().machines().firstKey();
+        cluster.cloud().reclaim(reclaimed);
         int leader = cluster.leader();
         cluster.kill(leader);
         cluster.runSeconds(5);
@@ -108,12 +108,12 @@
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards against a machine that is back with its numbers begun anew and would be taken for a copy for ever. */
+    /** Guards against ignoring a restarted worker forever: its sequence starts anew, so its heartbeats look stale. */
     @Test
-    void aMachineThatStartsAgainAndCountsAnewIsNotIgnoredForEver() {
+    void completesJobAfterWorkerRestartsWithResetSequence() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 2));
-        SimWorker worker = busyMachine(2);
+        SimWorker worker = untilMachineRuns(2);
         worker.extendRunningTasks(60_000_000);
         cluster.runSeconds(10);
         worker.reboot();
@@ -122,77 +122,80 @@
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards the tasks of a leader that is cut off from everything but its workers: another one keeps them alive. */
+    /** A leader that reaches only its workers must release them, so that the next leader keeps their tasks alive. */
     @Test
-    void aLoneLeaderLetsItsWorkersGoBeforeTheirTasksDie() {
+    void isolatedLeaderReleasesWorkersBeforeLeaseExpiry() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 4));
         cluster.runUntilStarted(4, 25_000_000);
-        int isolated = cluster.leader();
-        cluster.network().addRule(FailureInjector.isolated(isolated));
+        int isolatedLeader = cluster.leader();
+        cluster.network().addRule(FailureInjector.isolated(isolatedLeader));
         cluster.runSeconds(45);
-        assertThat(cluster.leader()).isNotEqualTo(isolated);
-        assertThat(cluster.stage((isolated + 1) % 3, "job-000001")).isEqualTo("done");
+        assertThat(cluster.leader()).isNotEqualTo(isolatedLeader);
+        assertThat(cluster.stage((isolatedLeader + 1) % 3, "job-000001")).isEqualTo("done");
         assertThat(cluster.startCount()).isEqualTo(4);
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards against a leader that nobody can reach: it resigns, and one that is heard leads. */
+    /** Guards against a leader that no worker or peer can reach: it has to resign, so that a reachable one leads. */
     @Test
-    void aLeaderThatNoWorkerReachesResigns() {
+    void leaderResignsWhenNoWorkerReachesIt() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 4));
         cluster.runUntil(() -> cluster.startCount() >= 4);
-        int unresponsive = cluster.leader();
-        String host = "10.0.0." + unresponsive;
+        int unreachableLeader = cluster.leader();
+        String host = "10.0.0." + unreachableLeader;
         cluster.network()
                 .addRule((from, to, request) -> to.startsWith(host)
                                 && (from.startsWith("host-") || request.route().equals("/peer/beats"))
                         ? Action.DROP
                         : null);
-        cluster.runUntil(() -> cluster.leader() >= 0 && cluster.leader() != unresponsive);
+        cluster.runUntil(() -> cluster.leader() >= 0 && cluster.leader() != unreachableLeader);
         cluster.runSeconds(40);
-        assertThat(cluster.stage((unresponsive + 1) % 3, "job-000001")).isEqualTo("done");
+        assertThat(cluster.stage((unreachableLeader + 1) % 3, "job-000001")).isEqualTo("done");
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Workers end up spread over the controllers, also after one of them was away. */
+    /** Workers are balanced over the controllers, also after one of the controllers was down. */
     @Test
-    void workersAreSpreadAndEvenOutAgain() {
-        SimCluster many = new SimCluster(12, 0, 5, SimCluster.Version.CURRENT);
-        many.runSeconds(2);
-        many.submit(0, SimCluster.job("job-000001", 400));
-        many.runUntil(() -> {
-            many.cloud().machines().values().forEach(worker -> worker.setRunMicros(90_000_000));
-            return many.cloud().machines().size() >= 18;
+    void rebalancesWorkersAfterControllerRestart() {
+        SimCluster cluster = new SimCluster(12, 0, 5, SimCluster.Version.CURRENT);
+        cluster.runSeconds(2);
+        cluster.submit(0, SimCluster.job("job-000001", 400));
+        cluster.runUntil(() -> {
+            cluster.cloud().machines().values().forEach(worker -> worker.setRunMicros(90_000_000));
+            return cluster.cloud().machines().size() >= 18;
         });
-        many.runSeconds(15);
-        assertThat(most(many)).isLessThanOrEqualTo(9);
-        int away = (many.leader() + 1) % 5;
-        many.kill(away);
-        many.runSeconds(10);
-        assertThat(many.cloud().machines().values()).noneMatch(worker -> worker.node() == away);
-        many.restart(away);
-        many.runSeconds(40);
-        assertThat(most(many)).isLessThanOrEqualTo(9);
-        assertThat(many.violations()).isEmpty();
+        cluster.runSeconds(15);
+        assertThat(maxWorkersPerController(cluster)).isLessThanOrEqualTo(9);
+        int stopped = (cluster.leader() + 1) % 5;
+        cluster.kill(stopped);
+        cluster.runSeconds(10);
+        assertThat(cluster.cloud().machines().values()).noneMatch(worker -> worker.node() == stopped);
+        cluster.restart(stopped);
+        cluster.runSeconds(40);
+        assertThat(maxWorkersPerController(cluster)).isLessThanOrEqualTo(9);
+        assertThat(cluster.violations()).isEmpty();
     }
 
-    private static long most(SimCluster many) {
-        long most = 0;
-        for (int node = 0; node < many.nodes(); node++) {
-            int at = node;
-            most = Math.max(
-                    most,
-                    many.cloud().machines().values().stream()
-                            .filter(w -> w.node() == at)
+    private static long maxWorkersPerController(SimCluster cluster) {
+        long max = 0;
+        for (int node = 0; node < cluster.nodes(); node++) {
+            int controller = node;
+            max = Math.max(
+                    max,
+                    cluster.cloud().machines().values().stream()
+                            .filter(worker -> worker.node() == controller)
                             .count());
         }
-        return most;
+        return max;
     }
 
-    /** Some machines with tasks that run for long, on one of them at least two; the cloud's list tells nothing. */
-    private SimWorker fleetWithLongTasks() {
+    /**
+     * Starts several machines with long-running tasks, and returns one that runs at least two tasks. The cloud's list
+     * of machines is unavailable, so it gives no evidence of a loss.
+     */
+    private SimWorker startFleetWithLongTasks() {
         cluster.network()
                 .addRule((from, to, request) -> to.startsWith("cloud")
                                 && request.method().equals("GET")
@@ -203,31 +206,32 @@
         cluster.submit(0, SimCluster.job("job-000001", 20));
         cluster.runUntilStarted(20, 40_000_000);
         assertThat(cluster.cloud().machines().size()).isGreaterThan(3);
-        return busyMachine(2);
+        return untilMachineRuns(2);
     }
 
-    /** Guards against waiting for the lease of a machine whose end was announced: its tasks started 12 s later. */
+    /** Guards against waiting for the lease of an interrupted spot instance, which delayed its tasks by 12 s. */
     @Test
-    void whatIsLostWithARecalledMachineStartsElsewhereAtOnce() {
-        SimWorker worker = fleetWithLongTasks();
-        int lost = worker.runningTasks().size();
-        int before = cluster.startCount();
+    void restartsTasksOfInterruptedMachineBeforeLeaseExpiry() {
+        SimWorker worker = startFleetWithLongTasks();
+        int lostTasks = worker.runningTasks().size();
+        int startsBefore = cluster.startCount();
         cluster.cloud().reclaimWithNotice(worker.name(), 10_000_000);
         cluster.runSeconds(12);
         assertThat(cluster.cloud().machines()).doesNotContainKey(worker.name());
-        assertThat(cluster.startCount()).isEqualTo(before + lost);
+        assertThat(cluster.startCount()).isEqualTo(startsBefore + lostTasks);
         assertThat(cluster.violations()).isEmpty();
     }
 
     /**
-     * Guards against work on a recalled machine that can't end there: it held its pieces until the machine was gone.
+     * Guards against tasks that cannot end before a spot interruption but keep running until the machine is reclaimed,
+     * which delays their restart on another machine.
      */
     @Test
-    void aTaskThatCanNotEndOnARecalledMachineIsStoppedAtOnce() {
+    void stopsTasksThatCannotEndBeforeInterruption() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 20).put("guess_s", 60.0));
         cluster.runUntilStarted(20, 60_000_000);
-        SimWorker worker = busyMachine(2);
+        SimWorker worker = untilMachineRuns(2);
         cluster.cloud().reclaimWithNotice(worker.name(), 30_000_000);
         cluster.runSeconds(2);
         assertThat(worker.runningTasks()).isEmpty();
@@ -237,38 +241,38 @@
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards against waiting for the lease of a single machine that has been taken without a word. */
+    /** Guards against waiting for the lease of a single machine that was reclaimed without notice. */
     @Test
-    void aSingleMachineThatFallsSilentIsReturnedBeforeItsLeaseRunsOut() {
-        SimWorker worker = fleetWithLongTasks();
-        int lost = worker.runningTasks().size();
-        int before = cluster.startCount();
+    void returnsSingleSilentMachineBeforeLeaseExpiry() {
+        SimWorker worker = startFleetWithLongTasks();
+        int lostTasks = worker.runningTasks().size();
+        int startsBefore = cluster.startCount();
         cluster.cloud().reclaim(worker.name());
         cluster.runSeconds(10);
-        assertThat(cluster.startCount()).isEqualTo(before + lost);
+        assertThat(cluster.startCount()).isEqualTo(startsBefore + lostTasks);
         assertThat(cluster.violations()).isEmpty();
     }
 
     /**
-     * Guards against waiting, for a machine that was taken without a word, as if it might be on its way to another
+     * Guards against waiting for a machine that was reclaimed without notice as if it might be switching to another
      * controller.
      */
     @Test
-    void aMachineThatFallsSilentWhileNothingElseFailsIsReturnedSooner() {
-        SimWorker worker = fleetWithLongTasks();
+    void returnsSilentMachineSoonerWithoutOtherFailures() {
+        SimWorker worker = startFleetWithLongTasks();
         cluster.runSeconds(14);
-        int lost = worker.runningTasks().size();
-        int before = cluster.startCount();
+        int lostTasks = worker.runningTasks().size();
+        int startsBefore = cluster.startCount();
         cluster.cloud().reclaim(worker.name());
         cluster.runSeconds(5);
-        assertThat(cluster.startCount()).isEqualTo(before + lost);
+        assertThat(cluster.startCount()).isEqualTo(startsBefore + lostTasks);
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards against giving away, in vain, machines that only can't be heard for a while. */
+    /** Guards against returning machines that are only unreachable for a while. */
     @Test
-    void machinesThatFallSilentTogetherAreWaitedFor() {
-        fleetWithLongTasks();
+    void keepsMachinesThatFallSilentTogether() {
+        startFleetWithLongTasks();
         List<String> names = List.copyOf(cluster.cloud().machines().keySet());
         List<String> silent = names.subList(0, 3);
         Rule cut = cluster.network().addRule((from, to, request) -> silent.contains(from) ? Action.DROP : null);
@@ -280,22 +284,25 @@
     }
 
     /**
-     * Guards against giving a cut zone away two machines at a time, as their silence is noticed one after the other.
+     * Guards against returning the machines of a partitioned zone two at a time, as the silence of one after the other
+     * is detected.
      */
     @Test
-    void machinesThatFallSilentOneAfterTheOtherAreNotAllGivenAway() {
-        SimCluster many = new SimCluster(13);
-        many.runSeconds(2);
-        many.submit(0, SimCluster.job("job-000001", 60));
-        many.runUntilStarted(50, 60_000_000);
-        List<String> silent = List.copyOf(many.cloud().machines().keySet()).subList(0, 6);
+    void keepsMostMachinesThatFallSilentInSequence() {
+        SimCluster cluster = new SimCluster(13);
+        cluster.runSeconds(2);
+        cluster.submit(0, SimCluster.job("job-000001", 60));
+        cluster.runUntilStarted(50, 60_000_000);
+        List<String> silent = List.copyOf(cluster.cloud().machines().keySet()).subList(0, 6);
         for (String name : silent) {
-            many.network().addRule((from, to, request) -> from.equals(name) ? Action.DROP : null);
-            many.runSeconds(1);
+            cluster.network().addRule((from, to, request) -> from.equals(name) ? Action.DROP : null);
+            cluster.runSeconds(1);
         }
-        many.runSeconds(9);
-        assertThat(silent.stream().filter(many.cloud().machines()::containsKey).count())
+        cluster.runSeconds(9);
+        assertThat(silent.stream()
+                        .filter(cluster.cloud().machines()::containsKey)
+                        .count())
                 .isGreaterThanOrEqualTo(4);
-        assertThat(many.violations()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 }
--- a/src/test/java/io/sillreel/leadership/FailoverTest.java
+++ b/src/test/java/io/sillreel/leadership/FailoverTest.java
@@ -16,7 +16,7 @@
     private final SimCluster cluster = new SimCluster(1);
 
     @Test
-    void aJobRunsAndEveryControllerTellsItsEnd() {
+    void everyControllerReportsACompletedJobAsDone() {
         cluster.runSeconds(2);
         assertThat(cluster.submit(0, SimCluster.job("job-000001", 6)).status()).isEqualTo(201);
         cluster.runSeconds(30);
@@ -27,9 +27,12 @@
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards the vote after a crash of all against the crowd that waits for it; an outage keeps nobody out. */
+    /**
+     * The public port opens only after the election, which waiting agents and users would slow down after a restart of
+     * all controllers. An outage of the state store must not keep it closed.
+     */
     @Test
-    void thePublicIsLetInOnceItIsKnownWhoLeads() {
+    void opensThePublicPortOnceTheLeaderIsKnown() {
         assertThat(cluster.leader()).isEqualTo(-1);
         assertThat(cluster.isServing(0)).isFalse();
         cluster.runUntil(() -> cluster.isServing(0) && cluster.isServing(1) && cluster.isServing(2));
@@ -40,9 +43,9 @@
         assertThat(cluster.isServing(0)).isTrue();
     }
 
-    /** Guards a term against everything that is late: controllers that take 30 ms over each message still hold it. */
+    /** Controllers that need 30 ms for each message must still renew the lease in time. */
     @Test
-    void slowControllersKeepTheirTermThroughACrashOfAll() {
+    void slowControllersKeepLeadershipAfterAFullRestart() {
         for (int node = 0; node < 3; node++) {
             cluster.setProcessingMicros(node, 30_000);
         }
@@ -54,16 +57,18 @@
             cluster.setProcessingMicros(node, 30_000);
         }
         cluster.runUntil(() -> cluster.leader() >= 0);
-        int before = cluster.term();
+        int termBefore = cluster.term();
         cluster.runSeconds(40);
-        assertThat(cluster.term() - before).as("terms that ended without need").isLessThanOrEqualTo(1);
+        assertThat(cluster.term() - termBefore)
+                .as("unnecessary changes of term")
+                .isLessThanOrEqualTo(1);
         cluster.runSeconds(60);
         assertThat(cluster.stage(1, "job-000001")).isEqualTo("done");
         assertThat(cluster.violations()).isEmpty();
     }
 
     @Test
-    void theLeaderDiesBetweenStoringTheReleaseAndLaunching() {
+    void newLeaderLaunchesAJobReleasedBeforeTheLeaderCrashed() {
         cluster.runSeconds(2);
         int leader = cluster.leader();
         cluster.submit((leader + 1) % 3, SimCluster.job("job-000001", 4));
@@ -77,7 +82,7 @@
     }
 
     @Test
-    void theLeaderDiesWhileTasksRunAndTheyAreNotStartedAgain() {
+    void runningTasksAreNotRestartedAfterALeaderCrash() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 4));
         cluster.runUntilStarted(4, 10_000_000);
@@ -89,9 +94,9 @@
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards the wait for machines that are not heard: their tasks may live for as long as their leases. */
+    /** A machine that the new leader can't reach may keep its tasks running until its lease expires. */
     @Test
-    void tasksOnAMachineThatTheNewLeaderCannotHearAreNotStartedElsewhere() {
+    void tasksOfAnUnreachableMachineAreNotRestartedBeforeItsLeaseExpires() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 8));
         String machine = TaskSteps.leaveTasksOnOneMachine(cluster, 8);
@@ -106,7 +111,7 @@
     }
 
     @Test
-    void aLeaderThatIsRestartedAtOnceTakesItsOwnLeaseOver() {
+    void restartedLeaderIsReelectedWithoutWaitingForItsLeaseToExpire() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 8));
         cluster.runUntil(() -> cluster.startCount() >= 3);
@@ -122,7 +127,7 @@
     }
 
     @Test
-    void allControllersDieAndWhatWasAcceptedStillRuns() {
+    void acceptedJobsCompleteAfterAllControllersCrash() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 10));
         cluster.submit(1, SimCluster.job("job-000002", 3));
@@ -140,24 +145,24 @@
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards the condition on the leader key: without it the late write would undo the successor's. */
+    /** Without the condition on the leader key, the late write would overwrite that of the successor. */
     @Test
-    void aLateTransactionOfTheOldLeaderFails() {
+    void lateTransactionOfAFormerLeaderIsRejected() {
         cluster.runSeconds(2);
-        int old = cluster.leader();
-        String host = "10.0.0." + old;
-        Rule hold = cluster.network()
+        int formerLeader = cluster.leader();
+        String host = "10.0.0." + formerLeader;
+        Rule holdRule = cluster.network()
                 .addRule((from, to, request) -> from.equals(host)
                                 && request.route().equals("/txn")
                                 && new String(request.body(), UTF_8).contains("\"set\":\"run/")
                         ? Action.HOLD
                         : null);
-        cluster.submit((old + 1) % 3, SimCluster.job("job-000001", 2));
+        cluster.submit((formerLeader + 1) % 3, SimCluster.job("job-000001", 2));
         cluster.runSeconds(1);
-        cluster.kill(old);
-        cluster.network().removeRule(hold);
+        cluster.kill(formerLeader);
+        cluster.network().removeRule(holdRule);
         cluster.runSeconds(30);
-        assertThat(cluster.stage((old + 1) % 3, "job-000001")).isEqualTo("done");
+        assertThat(cluster.stage((formerLeader + 1) % 3, "job-000001")).isEqualTo("done");
         cluster.network().releaseHeld();
         cluster.runSeconds(2);
         assertThat(cluster.store().value("run/job-000001").path("stage").asText())
@@ -166,17 +171,17 @@
     }
 
     @Test
-    void aLeaderCutFromTheStateServiceStopsLaunchingAndIsSucceeded() {
+    void leaderPartitionedFromTheStateStoreIsReplaced() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 4));
         cluster.runSeconds(8);
-        int old = cluster.leader();
-        String host = "10.0.0." + old;
+        int formerLeader = cluster.leader();
+        String host = "10.0.0." + formerLeader;
         cluster.network()
                 .addRule((from, to, request) -> from.equals(host) && to.equals("state:1") ? Action.DROP : null);
         cluster.runSeconds(5);
-        assertThat(cluster.leader()).isNotEqualTo(old);
-        int other = (old + 1) % 3;
+        assertThat(cluster.leader()).isNotEqualTo(formerLeader);
+        int other = (formerLeader + 1) % 3;
         assertThat(cluster.submit(other, SimCluster.job("job-000002", 4)).status())
                 .isEqualTo(201);
         cluster.runSeconds(40);
@@ -185,16 +190,16 @@
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards the grace period: tasks outlive an outage of the state service that is longer than a worker's lease. */
+    /** Tests the grace period: tasks survive a state store outage that is longer than the lease of a machine. */
     @Test
-    void tasksSurviveAnOutageOfTheStateService() {
+    void runningTasksSurviveAStateStoreOutage() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 2));
         cluster.runUntilStarted(2, 18_000_000);
         cluster.store().setOutage(true);
         cluster.runSeconds(14);
         assertThat(cluster.cloud().machines().values())
-                .anyMatch(worker -> !worker.runningTasks().isEmpty());
+                .anyMatch(machine -> !machine.runningTasks().isEmpty());
         cluster.store().setOutage(false);
         cluster.runSeconds(15);
         assertThat(cluster.stage(0, "job-000001")).isEqualTo("done");
@@ -203,16 +208,17 @@
     }
 
     /**
-     * Guards the grace period's bound: a leader that can't hear of cancellations must let the leases run out in time.
+     * Tests the end of the grace period: a leader that can't learn of cancellations must let the leases of machines
+     * expire in time.
      */
     @Test
-    void aLeaderCutFromTheStateServiceDoesNotKeepCancelledTasksAlive() {
+    void leaderPartitionedFromTheStateStoreDoesNotKeepCancelledTasksAlive() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 2));
         cluster.runUntilStarted(2, 600_000_000);
-        int old = cluster.leader();
-        String host = "10.0.0." + old;
-        // The old leader and its workers see nothing of the others.
+        int formerLeader = cluster.leader();
+        String host = "10.0.0." + formerLeader;
+        // The former leader and the machines are partitioned from everything else.
         cluster.network()
                 .addRule((from, to, request) -> from.equals(host) && !to.startsWith("host-")
                                 || to.startsWith(host) && !from.startsWith("host-")
@@ -221,18 +227,18 @@
                         ? Action.DROP
                         : null);
         cluster.runSeconds(4);
-        int other = (old + 1) % 3;
+        int other = (formerLeader + 1) % 3;
         assertThat(cluster.store().value("withdraw/job-000001")).isNull();
         cluster.runSeconds(1);
         cluster.runUntil(() -> cluster.cancel(other, "job-000001").isOk());
         cluster.runSeconds(40);
         assertThat(cluster.violations()).isEmpty();
         assertThat(cluster.cloud().machines().values())
-                .allMatch(worker -> worker.runningTasks().isEmpty());
+                .allMatch(machine -> machine.runningTasks().isEmpty());
     }
 
     @Test
-    void aWorkerCutFromTheLeaderReportsThroughAnotherController() {
+    void agentPartitionedFromTheLeaderReportsThroughAFollower() {
         cluster.runSeconds(2);
         int leader = cluster.leader();
         cluster.network()
@@ -246,7 +252,7 @@
     }
 
     @Test
-    void changesThatWereMissedEndTheTerm() {
+    void compactedWatchEndsTheTerm() {
         cluster.runSeconds(2);
         long term = cluster.store().value("term").path("term").asLong();
         cluster.store().compact();
@@ -258,7 +264,7 @@
     }
 
     @Test
-    void anOldTokenIsNotAnsweredAsIfItWereOurs() {
+    void heartbeatWithANewerFencingTokenIsRejected() {
         cluster.runSeconds(2);
         int leader = cluster.leader();
         var heartbeat = Json.object()
@@ -278,9 +284,9 @@
         assertThat(cluster.leader()).isNotNegative();
     }
 
-    /** Guards against waiting, after a crash, for machines whose tasks the earlier leader knew to be dead. */
+    /** Guards against a new leader that waits for machines whose leases had expired before the crash. */
     @Test
-    void machinesThatWereSilentBeyondTheirLeasesHoldUpNoTakeover() {
+    void failoverDoesNotWaitForMachinesWithExpiredLeases() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 900));
         cluster.runUntilStarted(30, 6_000_000);
@@ -294,28 +300,29 @@
         int leader = cluster.leader();
         cluster.kill(leader);
         cluster.runUntil(() -> cluster.leader() >= 0 && cluster.leader() != leader);
-        int before = cluster.startCount();
+        int startsBefore = cluster.startCount();
         cluster.runSeconds(10);
-        assertThat(cluster.startCount()).isGreaterThan(before);
+        assertThat(cluster.startCount()).isGreaterThan(startsBefore);
         assertThat(cluster.violations()).isEmpty();
     }
 
     /**
-     * Guards against a leader that stands still, and acts on what it knew when it goes on: another one leads by then.
+     * Guards against a leader that is paused, for example by the operating system, and acts on outdated state when it
+     * resumes, after another controller has been elected.
      */
     @Test
-    void aLeaderThatStandsStillYieldsWhenItGoesOn() {
+    void pausedLeaderYieldsToItsSuccessorWhenItResumes() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 8));
         cluster.runUntilStarted(8, 30_000_000);
-        cluster.cloud().machines().values().forEach(worker -> worker.setRunMicros(3_000_000));
+        cluster.cloud().machines().values().forEach(machine -> machine.setRunMicros(3_000_000));
         int leader = cluster.leader();
         cluster.pause(leader, 10_000_000);
         cluster.runUntil(() -> cluster.leader() >= 0 && cluster.leader() != leader);
-        int next = cluster.leader();
-        cluster.submit(next, SimCluster.job("job-000002", 4));
+        int successor = cluster.leader();
+        cluster.submit(successor, SimCluster.job("job-000002", 4));
         cluster.runSeconds(20);
-        assertThat(cluster.leader()).isEqualTo(next);
+        assertThat(cluster.leader()).isEqualTo(successor);
         assertThat(cluster.stage(leader, "job-000002")).isEqualTo("done");
         cluster.runSeconds(30);
         assertThat(cluster.stage(leader, "job-000001")).isEqualTo("done");
@@ -323,15 +330,15 @@
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards against reports that a follower had in hand when it stood still, and hands on when it goes on. */
+    /** Guards against heartbeats that a paused follower relays to the leader only when it resumes. */
     @Test
-    void aFollowerThatStandsStillHandsOnNothingThatMatters() {
+    void outdatedHeartbeatsOfAResumedFollowerHaveNoEffect() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 40));
         cluster.runUntilStarted(16, 4_000_000);
         int leader = cluster.leader();
         int follower = (leader + 1) % 3;
-        assertThat(cluster.cloud().machines().values()).anyMatch(worker -> worker.node() == follower);
+        assertThat(cluster.cloud().machines().values()).anyMatch(machine -> machine.node() == follower);
         cluster.pause(follower, 14_000_000);
         cluster.runSeconds(60);
         assertThat(cluster.leader()).isEqualTo(leader);
@@ -341,24 +348,27 @@
     }
 
     /**
-     * Guards an election against a candidate that stands still with the lease half taken: nobody waits for it for long.
+     * Guards against a candidate that is paused between its lease request and its claim: the other controller must be
+     * elected without a long wait.
      */
     @Test
-    void aCandidateThatStandsStillInMidElectionHoldsUpNobody() {
+    void candidatePausedDuringAnElectionDoesNotBlockIt() {
         for (int halfSeconds = 4; halfSeconds <= 8; halfSeconds++) {
-            SimCluster each = new SimCluster(30 + halfSeconds);
-            each.runSeconds(2);
-            each.submit(0, SimCluster.job("job-000001", 8));
-            each.runUntil(() -> each.startCount() >= 8);
-            int leader = each.leader();
-            each.kill(leader);
-            each.runSeconds(halfSeconds / 2.0);
-            each.pause((leader + 1) % 3, 15_000_000);
-            each.runSeconds(10);
-            assertThat(each.leader()).as("after %d half seconds", halfSeconds).isEqualTo((leader + 2) % 3);
-            each.runSeconds(60);
-            assertThat(each.stage((leader + 1) % 3, "job-000001")).isEqualTo("done");
-            assertThat(each.violations()).isEmpty();
+            SimCluster candidateCluster = new SimCluster(30 + halfSeconds);
+            candidateCluster.runSeconds(2);
+            candidateCluster.submit(0, SimCluster.job("job-000001", 8));
+            candidateCluster.runUntil(() -> candidateCluster.startCount() >= 8);
+            int leader = candidateCluster.leader();
+            candidateCluster.kill(leader);
+            candidateCluster.runSeconds(halfSeconds / 2.0);
+            candidateCluster.pause((leader + 1) % 3, 15_000_000);
+            candidateCluster.runSeconds(10);
+            assertThat(candidateCluster.leader())
+                    .as("after %d half seconds", halfSeconds)
+                    .isEqualTo((leader + 2) % 3);
+            candidateCluster.runSeconds(60);
+            assertThat(candidateCluster.stage((leader + 1) % 3, "job-000001")).isEqualTo("done");
+            assertThat(candidateCluster.violations()).isEmpty();
         }
     }
 }
--- a/src/test/java/io/sillreel/leadership/StoredStateReaderTest.java
+++ b/src/test/java/io/sillreel/leadership/StoredStateReaderTest.java
@@ -40,7 +40,7 @@
         stateService.handle(HttpRequest.post("/txn", body)).join();
     }
 
-    /** Stores jobs under ids of many lengths in a random order: some done, some released, some only admitted. */
+    /** Stores jobs with ids of different lengths: at random some done, some released, some only admitted. */
     private void store(Random random) {
         for (int job = 0; job < JOBS; job++) {
             String uid = "job-" + "0".repeat(random.nextInt(4)) + job;
@@ -61,9 +61,9 @@
         }
     }
 
-    /** Guards against lists that arrive out of step: whatever comes first, no job is taken for another kind. */
+    /** Scans progress at different speeds; no order of their pages may lead to a wrong classification of a job. */
     @RepeatedTest(5)
-    void jobsAreToldApartHoweverTheListsInterleave(RepetitionInfo repetition) {
+    void classifiesJobsWhateverOrderThePagesArriveIn(RepetitionInfo repetition) {
         Random random = new Random(repetition.getCurrentRepetition());
         store(random);
         SimNetwork network = new SimNetwork(time, repetition.getCurrentRepetition());
@@ -82,24 +82,24 @@
         assertThat(stored.unfinished().stream().map(job -> job.plan().spec().uid()))
                 .containsExactlyElementsOf(unfinished);
         assertThat(stored.unfinished().stream()
-                        .filter(job -> job.head() != null)
+                        .filter(job -> job.runRecord() != null)
                         .map(job -> job.plan().spec().uid()))
                 .containsExactlyElementsOf(released);
         assertThat(stored.done().size()).isEqualTo(JOBS - unfinished.size());
     }
 
-    /** Guards the lease: a leader whose reading neither ends nor fails would hold it for ever and do nothing. */
+    /** A leader whose read neither completes nor fails would hold the lease forever without doing any work. */
     @Test
-    void aListOfRecordsThatFailsEndsTheReadingWhenPlansComeLater() {
+    void completesEmptyWhenTheRunRecordScanFailsBeforePlansArrive() {
         store(new Random(1));
         SimNetwork network = new SimNetwork(time, 1);
         network.listen("state:1", stateService);
-        int[] plans = new int[1];
+        int[] planRequests = new int[1];
         network.addRule((from, to, request) -> {
             if (request.path().contains("prefix=run/")) {
                 return Action.REJECT;
             }
-            return request.path().contains("prefix=plan/") && plans[0]++ == 0 ? Action.DROP : null;
+            return request.path().contains("prefix=plan/") && planRequests[0]++ == 0 ? Action.DROP : null;
         });
         SimTime.Process process = time.new Process();
         CompletableFuture<Optional<StoredState>> read = new StoredStateReader(
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void idsThatDifferByZerosAloneAreDifferentJobs() {
+    void idsThatDifferOnlyInLeadingZerosAreDistinct() {
         JobIdSet ids = new JobIdSet();
         assertThat(ids.add("job-7")).isTrue();
         assertThat(ids.contains("job-07")).isFalse();
