--- a/src/test/java/io/sillreel/load/LoadDriver.java
+++ b/src/test/java/io/sillreel/load/LoadDriver.java
@@ -26,9 +26,9 @@
 import picocli.CommandLine.Option;
 
 /**
- * Measures what a start, a leader, a follower and a takeover cost: the built program as real processes on loopback,
- * under stand-ins for the state service, the cloud, its machines and the users. Linux only; not part of the test run,
- * since what it prints depends on the machine. From the repository, after a build:
+ * Measures the cost of startup, of leading, of following and of a failover. Runs the built program as processes on
+ * loopback against simulated services: the state service, the cloud, its machines and the users. Linux only. Not part
+ * of the test run, since the results depend on the machine. From the repository, after a build:
  *
  * <pre>
  * mvn -q test-compile dependency:build-classpath -Dmdep.outputFile=target/cp.txt
@@ -38,66 +38,69 @@
 @Command(name = "LoadDriver", mixinStandardHelpOptions = true)
 public final class LoadDriver implements Callable<Integer> {
     private static final long SECOND = 1_000_000;
-    /** Machines to a task of each job: enough for all of them to be busy. */
-    private static final int MACHINES_PER_PIECE = 6;
+    /** Jobs have one task per six machines, which keeps all machines busy at the submission rate. */
+    private static final int MACHINES_PER_TASK = 6;
 
     private static final int PERCENT = 100;
-    private static final int MAX_ANSWER_BYTES = 1 << 20;
+    private static final int MAX_RESPONSE_BYTES = 1 << 20;
     private static final int WARM_UP_MILLIS = 30_000;
 
-    @Option(names = "--workers", description = "Machines that the cloud has.", defaultValue = "60")
+    @Option(names = "--workers", description = "Capacity of the cloud, in machines.", defaultValue = "60")
     private int workers;
 
-    @Option(names = "--controllers", description = "Controllers that are started.", defaultValue = "3")
+    @Option(names = "--controllers", description = "Number of controllers.", defaultValue = "3")
     private int controllers;
 
     @Option(names = "--seconds", description = "Length of each measurement.", defaultValue = "30")
     private int seconds;
 
-    @Option(names = "--done", description = "Jobs that are stored as done from the beginning.", defaultValue = "0")
-    private int done;
+    @Option(names = "--done", description = "Number of finished jobs in the initial state.", defaultValue = "0")
+    private int doneJobs;
 
-    @Option(names = "--awaiting", description = "Jobs that are stored and wait from the beginning.", defaultValue = "0")
-    private int awaiting;
+    @Option(names = "--awaiting", description = "Number of waiting jobs in the initial state.", defaultValue = "0")
+    private int awaitingJobs;
 
     @Option(names = "--sockets", description = "max_sockets of each controller.", defaultValue = "2000")
     private int sockets;
 
-    @Option(names = "--cloud-rate", description = "Requests a second that the cloud takes.", defaultValue = "20")
+    @Option(names = "--cloud-rate", description = "Request rate limit of the cloud, per second.", defaultValue = "20")
     private double cloudRate;
 
-    @Option(names = "--report-seconds", description = "Time between two reports of a worker.", defaultValue = "3")
+    @Option(names = "--report-seconds", description = "Heartbeat interval of the workers.", defaultValue = "3")
     private double reportSeconds;
 
     @Option(names = "--log", description = "LOG_LEVEL of the controllers.", defaultValue = "error")
     private String logLevel;
 
-    @Option(names = "--logs", description = "Folder for what the controllers write; nowhere without it.")
-    private Path logs;
+    @Option(names = "--logs", description = "Directory for the logs of the controllers; discarded if not set.")
+    private Path logDirectory;
 
-    @Option(names = "--properties", description = "The operators' properties of the controllers.")
+    @Option(names = "--properties", description = "Operator properties file of the controllers.")
     private Path properties;
 
-    @Option(names = "--lost-seconds", description = "Loses the writes of so many seconds.", defaultValue = "0")
+    @Option(
+            names = "--lost-seconds",
+            description = "Seconds of writes to lose instead of a failover.",
+            defaultValue = "0")
     private int lostSeconds;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final NettyEventLoop loop = new NettyEventLoop(group.next());
-    private final NettyHttpClient client = new NettyHttpClient(group.next(), 4, MAX_ANSWER_BYTES);
+    private final NettyHttpClient client = new NettyHttpClient(group.next(), 4, MAX_RESPONSE_BYTES);
     private final SimTime time = new SimTime();
-    private final List<String> run = new ArrayList<>();
+    private final List<String> runCommand = new ArrayList<>();
     private final List<String> publicAddresses = new ArrayList<>();
     private final List<String> internalAddresses = new ArrayList<>();
-    private final List<Path> configs = new ArrayList<>();
+    private final List<Path> settingsFiles = new ArrayList<>();
     private Process[] processes = {};
     private SimStateService stateService;
-    private SimulatedServices standIns;
+    private SimulatedServices services;
     private SimulatedServices.Users users;
 
     private void setUp() throws IOException {
         for (String line : Files.readAllLines(Path.of("deploy/service.toml"))) {
             if (line.startsWith("run = ")) {
-                run.addAll(List.of(line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'))
+                runCommand.addAll(List.of(line.substring(line.indexOf('"') + 1, line.lastIndexOf('"'))
                         .split(" ")));
             }
         }
@@ -108,32 +111,32 @@
         }
         int statePort = freePort();
         int cloudPort = freePort();
-        standIns = new SimulatedServices(
+        services = new SimulatedServices(
                 group.next(), loop, publicAddresses, workers, Math.round(reportSeconds * SECOND), cloudRate);
         users = new SimulatedServices.Users(group.next(), loop, publicAddresses);
         stateService = new SimStateService(time, 48, 32 * 1024, Double.MAX_VALUE);
         StoredJobs stored = new StoredJobs(stateService);
-        stored.addDone(done);
-        stored.addAwaiting(awaiting);
+        stored.addDone(doneJobs);
+        stored.addAwaiting(awaitingJobs);
         stateService.setLimits(48, 32 * 1024, 100);
         new NettyHttpServer(group, 128 * 1024, 1_000)
                 .listen(new InetSocketAddress("127.0.0.1", statePort), stateService);
         new NettyHttpServer(group, 128 * 1024, 1_000)
-                .listen(new InetSocketAddress("127.0.0.1", cloudPort), standIns::cloud);
-        Path folder = Files.createTempDirectory("sillreel-load");
+                .listen(new InetSocketAddress("127.0.0.1", cloudPort), services::handleCloudRequest);
+        Path directory = Files.createTempDirectory("sillreel-load");
         for (int node = 0; node < controllers; node++) {
-            configs.add(Files.writeString(
-                    folder.resolve("hopper-" + node + ".toml"), settings(node, statePort, cloudPort)));
+            settingsFiles.add(Files.writeString(
+                    directory.resolve("hopper-" + node + ".toml"), settings(node, statePort, cloudPort)));
         }
-        passTime(loop.nowMicros());
+        followRealTime(loop.nowMicros());
     }
 
-    /** The state service's time is the real one. */
-    private void passTime(long beforeMicros) {
+    /** Advances the clock of the state service with real time. */
+    private void followRealTime(long beforeMicros) {
         loop.schedule(1_000, () -> {
             long now = loop.nowMicros();
             time.runFor(now - beforeMicros);
-            passTime(now);
+            followRealTime(now);
         });
     }
 
@@ -183,23 +186,23 @@
     }
 
     private void start(int node) throws IOException {
-        List<String> command = new ArrayList<>(run);
+        List<String> command = new ArrayList<>(runCommand);
         if (properties != null) {
             command.addAll(command.size() - 1, List.of("--properties", properties.toString()));
         }
-        command.add(configs.get(node).toString());
-        ProcessBuilder.Redirect output = logs == null
+        command.add(settingsFiles.get(node).toString());
+        ProcessBuilder.Redirect output = logDirectory == null
                 ? ProcessBuilder.Redirect.DISCARD
                 : ProcessBuilder.Redirect.appendTo(
-                        logs.resolve("hopper-" + node + ".log").toFile());
+                        logDirectory.resolve("hopper-" + node + ".log").toFile());
         ProcessBuilder builder =
                 new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(output);
         builder.environment().put("LOG_LEVEL", logLevel);
         processes[node] = builder.start();
     }
 
-    /** Processor time that a process has used, threads that have ended included, in milliseconds. */
-    private double used(int node) {
+    /** Returns the CPU time of a process in milliseconds, including that of threads that have ended. */
+    private double usedCpuMillis(int node) {
         return processes[node]
                 .toHandle()
                 .info()
@@ -208,12 +211,12 @@
                 .toMillis();
     }
 
-    private double[] used() {
-        double[] all = new double[processes.length];
-        for (int node = 0; node < all.length; node++) {
-            all[node] = processes[node].isAlive() ? used(node) : 0;
+    private double[] usedCpuMillis() {
+        double[] total = new double[processes.length];
+        for (int node = 0; node < total.length; node++) {
+            total[node] = processes[node].isAlive() ? usedCpuMillis(node) : 0;
         }
-        return all;
+        return total;
     }
 
     private boolean isUp(int node) {
@@ -223,15 +226,15 @@
     }
 
     private JsonNode metrics(int node) {
-        return ask(node, "/metrics");
+        return get(node, "/metrics");
     }
 
     private JsonNode recoveryStatus() {
         int leader = Math.max(0, leader());
-        return ask(leader, "/recovery/status");
+        return get(leader, "/recovery/status");
     }
 
-    private JsonNode ask(int node, String path) {
+    private JsonNode get(int node, String path) {
         return client.send(internalAddresses.get(node), HttpRequest.get(path), SECOND)
                 .join()
                 .json();
@@ -247,122 +250,122 @@
         return -1;
     }
 
-    private void play() throws IOException, InterruptedException {
+    private void runMeasurements() throws IOException, InterruptedException {
         for (int node = 0; node < processes.length; node++) {
             start(node);
             while (!isUp(node)) {
                 Thread.sleep(10);
             }
-            System.out.printf("start of hopper-%d up to its first answer: %.0f ms%n", node, used(node));
+            System.out.printf("start of hopper-%d until its first response: %.0f ms CPU%n", node, usedCpuMillis(node));
         }
-        idle();
-        loop.execute(() -> users.submitEvery(SECOND / 2, Math.max(1, workers / MACHINES_PER_PIECE)));
+        measureIdle();
+        loop.execute(() -> users.submitEvery(SECOND / 2, Math.max(1, workers / MACHINES_PER_TASK)));
         loop.execute(() -> users.pollEvery(5 * SECOND));
-        untilRented();
+        waitUntilProvisioned();
         Thread.sleep(WARM_UP_MILLIS);
-        busy("first busy minute");
-        busy("later");
+        measureUnderLoad("under load");
+        measureUnderLoad("under load, later");
         if (lostSeconds > 0) {
-            new LossMeasurement(loop, stateService, standIns, this::recoveryStatus).measure(lostSeconds);
-            busy("after the loss");
+            new LossMeasurement(loop, stateService, services, this::recoveryStatus).measure(lostSeconds);
+            measureUnderLoad("after the loss");
             return;
         }
-        takeover();
-        busy("after the takeover");
+        measureFailover();
+        measureUnderLoad("after the failover");
     }
 
-    /** Waits until all machines are rented, or no more come. */
-    private void untilRented() throws InterruptedException {
-        long begun = loop.nowMicros();
+    /** Waits until all machines are provisioned, or the number of machines stops growing. */
+    private void waitUntilProvisioned() throws InterruptedException {
+        long startMicros = loop.nowMicros();
         int before = -1;
-        while (standIns.machines() < workers && standIns.machines() > before) {
-            before = standIns.machines();
+        while (services.machines() < workers && services.machines() > before) {
+            before = services.machines();
             Thread.sleep(WARM_UP_MILLIS);
         }
         System.out.printf(
-                "%d of %d machines rented after %.0f s%n",
-                standIns.machines(), workers, (loop.nowMicros() - begun) / (double) SECOND);
+                "%d of %d machines provisioned after %.0f s%n",
+                services.machines(), workers, (loop.nowMicros() - startMicros) / (double) SECOND);
     }
 
-    private void idle() throws IOException, InterruptedException {
+    private void measureIdle() throws IOException, InterruptedException {
         Thread.sleep(5_000);
-        double[] before = used();
+        double[] before = usedCpuMillis();
         Thread.sleep(10_000);
-        tell("idle", before, 10, leader());
+        printUsage("idle", before, 10, leader());
     }
 
-    private void busy(String what) throws IOException, InterruptedException {
+    private void measureUnderLoad(String phase) throws IOException, InterruptedException {
         int leader = leader();
-        double[] before = used();
-        long answered = standIns.answered();
-        long launched = standIns.launched();
-        long asked = users.asked();
-        long lists = standIns.lists();
-        long refused = standIns.refused();
+        double[] before = usedCpuMillis();
+        long answered = services.answeredHeartbeats();
+        long launched = services.launchCount();
+        long requests = users.requestCount();
+        long lists = services.listCount();
+        long rejected = services.rejectedCloudRequests();
         Thread.sleep(seconds * 1_000L);
-        double reports = standIns.answered() - answered;
+        double heartbeats = services.answeredHeartbeats() - answered;
         System.out.printf(
-                "%s: %d machines, %.0f reports, %.0f launches, %.0f questions a second, "
-                        + "%d lists, %d refused by the cloud%n",
-                what,
-                standIns.machines(),
-                reports / seconds,
-                (double) (standIns.launched() - launched) / seconds,
-                (double) (users.asked() - asked) / seconds,
-                standIns.lists() - lists,
-                standIns.refused() - refused);
-        double all = tell(what, before, seconds, leader);
+                "%s: %d machines, %.0f heartbeats/s, %.0f launches/s, %.0f user requests/s, "
+                        + "%d machine lists, %d requests rejected by the cloud%n",
+                phase,
+                services.machines(),
+                heartbeats / seconds,
+                (double) (services.launchCount() - launched) / seconds,
+                (double) (users.requestCount() - requests) / seconds,
+                services.listCount() - lists,
+                services.rejectedCloudRequests() - rejected);
+        double total = printUsage(phase, before, seconds, leader);
         System.out.printf(
-                "  all controllers: %.3f ms a report, %.0f%% of a core%n",
-                all / reports, all / seconds * PERCENT / 1_000);
+                "  all controllers: %.3f ms CPU per heartbeat, %.0f%% of a core%n",
+                total / heartbeats, total / seconds * PERCENT / 1_000);
     }
 
-    private double tell(String what, double[] before, int seconds, int leader) throws IOException {
-        double all = 0;
-        double[] after = used();
+    private double printUsage(String phase, double[] before, int seconds, int leader) throws IOException {
+        double total = 0;
+        double[] after = usedCpuMillis();
         for (int node = 0; node < after.length; node++) {
             if (!processes[node].isAlive()) {
-                System.out.printf("  %s, hopper-%d has ended%n", what, node);
+                System.out.printf("  %s, hopper-%d has exited%n", phase, node);
                 continue;
             }
-            double spent = after[node] - before[node];
-            all += spent;
+            double usedMillis = after[node] - before[node];
+            total += usedMillis;
             JsonNode metrics = metrics(node);
             System.out.printf(
-                    "  %s, %s: %.1f ms a second, %d MB resident, %d sockets, %d workers, %.1f ms a plan%n",
-                    what,
+                    "  %s, %s: %.1f ms CPU/s, %d MB resident, %d sockets, %d workers, %.1f ms per plan%n",
+                    phase,
                     node == leader ? "leader" : "follower",
-                    spent / seconds,
+                    usedMillis / seconds,
                     ProcessMetrics.residentMb(processes[node]),
                     ProcessMetrics.openSockets(processes[node]),
                     metrics.path("sillreel.workers").asInt(),
                     metrics.path("sillreel.plans.ms").asDouble()
                             / Math.max(1, metrics.path("sillreel.plans").asDouble()));
         }
-        return all;
+        return total;
     }
 
-    private void takeover() throws IOException, InterruptedException {
-        int gone = leader();
-        Set<String> earlier = new HashSet<>(users.open());
-        double[] before = used();
-        long begun = loop.nowMicros();
-        processes[gone].destroyForcibly().waitFor();
+    private void measureFailover() throws IOException, InterruptedException {
+        int killed = leader();
+        Set<String> earlierJobs = new HashSet<>(users.unfinishedJobs());
+        double[] before = usedCpuMillis();
+        long startMicros = loop.nowMicros();
+        processes[killed].destroyForcibly().waitFor();
         while (leader() < 0) {
             Thread.sleep(20);
         }
         int leader = leader();
-        double taken = (loop.nowMicros() - begun) / 1e6;
-        while (!standIns.launchedSince(begun + (long) (taken * SECOND), earlier)
-                && loop.nowMicros() - begun < 60 * SECOND) {
+        double electionSeconds = (loop.nowMicros() - startMicros) / 1e6;
+        while (!services.launchedSince(startMicros + (long) (electionSeconds * SECOND), earlierJobs)
+                && loop.nowMicros() - startMicros < 60 * SECOND) {
             Thread.sleep(20);
         }
         System.out.printf(
-                "takeover: %.1f s to the new term, %.1f s to the first launch of an earlier job, "
-                        + "%.0f ms of the new leader's processor, %d MB resident%n",
-                taken,
-                (loop.nowMicros() - begun) / 1e6,
-                used(leader) - before[leader],
+                "failover: %.1f s to the new term, %.1f s to the first launch for an earlier job, "
+                        + "%.0f ms CPU of the new leader, %d MB resident%n",
+                electionSeconds,
+                (loop.nowMicros() - startMicros) / 1e6,
+                usedCpuMillis(leader) - before[leader],
                 ProcessMetrics.residentMb(processes[leader]));
     }
 
@@ -370,7 +373,7 @@
     public Integer call() throws Exception {
         try {
             setUp();
-            play();
+            runMeasurements();
         } finally {
             for (Process process : processes) {
                 if (process != null) {
--- a/src/test/java/io/sillreel/sim/SimCloud.java
+++ b/src/test/java/io/sillreel/sim/SimCloud.java
@@ -12,13 +12,13 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 
-/** A cloud in memory: one machine type in two zones, a list without lag. */
+/** An in-memory cloud with one machine type in two zones, whose machine list has no lag. */
 public final class SimCloud implements HttpHandler {
     private final SimCluster cluster;
     private final TreeMap<String, SimWorker> machines = new TreeMap<>();
     private final TreeMap<String, String> booting = new TreeMap<>();
-    private final Map<String, ArrayNode> answers = new LinkedHashMap<>();
-    private int created;
+    private final Map<String, ArrayNode> provisionedMachines = new LinkedHashMap<>();
+    private int createdCount;
     private boolean outage;
     private long bootMicros = 4_000_000;
     private final int capacity;
@@ -28,11 +28,11 @@
         this.capacity = capacity;
     }
 
-    public void setOutage(boolean down) {
-        outage = down;
+    public void setOutage(boolean isDown) {
+        outage = isDown;
     }
 
-    /** How long machines rented from now on take to come up. */
+    /** Sets the boot time of machines that are provisioned from now on. */
     public void setBootMicros(long micros) {
         bootMicros = micros;
     }
@@ -41,7 +41,7 @@
         return machines;
     }
 
-    /** The cloud takes a machine back without a word. */
+    /** Reclaims a machine without notice. */
     public void reclaim(String name) {
         SimWorker worker = machines.remove(name);
         if (worker != null) {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** The cloud takes a machine back after some time, and its worker is told. */
+    /** Gives the machine an interruption notice and reclaims it after the given time. */
     public void reclaimWithNotice(String name, long afterMicros) {
         machines.get(name).noticeInterruption(afterMicros);
         cluster.time().after(afterMicros, () -> reclaim(name));
@@ -63,8 +63,8 @@
         return CompletableFuture.completedFuture(
                 switch (request.method() + " " + request.route()) {
                     case "GET /flavors" -> HttpResponse.of(200, machineTypes());
-                    case "POST /machines" -> rental(Json.parse(request.body()));
-                    case "POST /machines/return" -> giveBack(Json.parse(request.body()));
+                    case "POST /machines" -> provision(Json.parse(request.body()));
+                    case "POST /machines/return" -> returnMachines(Json.parse(request.body()));
                     default -> list(request);
                 });
     }
@@ -86,9 +86,9 @@
         return body;
     }
 
-    private HttpResponse rental(JsonNode body) {
+    private HttpResponse provision(JsonNode body) {
         String request = body.path("hire").asText();
-        ArrayNode names = answers.get(request);
+        ArrayNode names = provisionedMachines.get(request);
         if (names == null) {
             names = Json.array();
             for (int i = 0; i < body.path("count").asInt() && machines.size() + booting.size() < capacity; i++) {
@@ -100,7 +100,7 @@
             if (names.isEmpty()) {
                 return HttpResponse.error(503, "no capacity");
             }
-            answers.put(request, names);
+            provisionedMachines.put(request, names);
         }
         ObjectNode answer = Json.object();
         answer.set("hoppers", names);
@@ -108,17 +108,18 @@
     }
 
     private String boot(String machineType, String zone, boolean spot) {
-        String name = "host-%06d".formatted(created++);
+        String name = "host-%06d".formatted(createdCount++);
         booting.put(name, machineType);
         cluster.time().after(bootMicros, () -> {
             if (booting.remove(name) != null) {
-                machines.put(name, new SimWorker(cluster, name, machineType, zone, spot, created % cluster.nodes()));
+                machines.put(
+                        name, new SimWorker(cluster, name, machineType, zone, spot, createdCount % cluster.nodes()));
             }
         });
         return name;
     }
 
-    private HttpResponse giveBack(JsonNode body) {
+    private HttpResponse returnMachines(JsonNode body) {
         for (JsonNode name : body.path("hoppers")) {
             booting.remove(name.asText());
             reclaim(name.asText());
--- a/src/test/java/io/sillreel/sim/SimNetwork.java
+++ b/src/test/java/io/sillreel/sim/SimNetwork.java
@@ -16,20 +16,20 @@
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
 
-/** The network between the hosts of a world: delays, silent cuts that lose or hold messages, and lost answers. */
+/** A simulated network with random latency, in which rules drop, hold, delay, duplicate or reject messages. */
 public final class SimNetwork {
-    /** Decides what becomes of one message; the first rule that says something counts. */
+    /** Chooses the action for a message; the first rule that returns an action applies. */
     public interface Rule {
-        /** Null for nothing to say. */
+        /** Returns the action, or null if the rule does not apply to the message. */
         Action actionFor(String from, String to, HttpRequest request);
     }
 
     /**
-     * LOSE: never arrives. LOSE_ANSWER: is carried out, the answer never arrives. LATE: the same, but carried out 2 to
-     * 12 s later, after newer ones. SLOW_ANSWER: is carried out, and the answer takes up to a second. HOLD: arrives
-     * when released. COPY: arrives, and a copy of it once more, seconds to most of a minute later. KEEP: arrives, and a
-     * copy is kept until the kept ones are let go. REFUSE: answered 503 at once and not carried out; a watch is left
-     * open.
+     * What the network does with a request. DROP: it never arrives. DROP_RESPONSE: it is executed, and the response is
+     * dropped. DELAY_AND_DROP_RESPONSE: the same, but it is executed 2 to 12 s later, after newer requests.
+     * DELAY_RESPONSE: it is executed, and the response takes up to a second. HOLD: it arrives when held requests are
+     * released, and its response is dropped. DUPLICATE: it arrives, and a copy arrives 1 to 41 s later. RECORD: it
+     * arrives, and a copy is kept for a replay. REJECT: it is answered with 503 and not executed; a watch stays open.
      */
     public enum Action {
         DELIVER,
@@ -43,17 +43,17 @@
         REJECT
     }
 
-    private static final int LATEST_COPY_MICROS = 40_000_000;
-    private static final int LATEST_CARRIED_OUT_MICROS = 12_000_000;
-    private static final int MAX_KEPT = 2_000;
-    private static final int WAVES = 5;
+    private static final int MAX_COPY_DELAY_MICROS = 40_000_000;
+    private static final int MAX_EXECUTION_DELAY_MICROS = 12_000_000;
+    private static final int MAX_RECORDED = 2_000;
+    private static final int REPLAY_WAVES = 5;
 
     private final SimTime time;
     private final Random random;
     private final Map<String, HttpHandler> handlers = new HashMap<>();
     private final List<Rule> rules = new ArrayList<>();
     private final List<Runnable> held = new ArrayList<>();
-    private final Deque<HttpRequest> kept = new ArrayDeque<>();
+    private final Deque<HttpRequest> recorded = new ArrayDeque<>();
     private long latencyFactor = 1;
 
     public SimNetwork(SimTime time, long seed) {
@@ -61,7 +61,7 @@
         this.random = new Random(seed);
     }
 
-    /** A client of the state service for one process, with its parts of the rates of requests and of changes. */
+    /** Returns a client of the state service for one process with the given rates of requests and of changes. */
     public StateStore newStateStoreClient(SimTime.Process process, double requests, double writes) {
         return new StateStore(
                 clientOf("node", process),
@@ -93,36 +93,36 @@
         rules.remove(rule);
     }
 
-    /** Lets everything through that was held back. */
+    /** Delivers all held requests. */
     public void releaseHeld() {
-        List<Runnable> late = new ArrayList<>(held);
+        List<Runnable> deliveries = new ArrayList<>(held);
         held.clear();
-        late.forEach(delivery -> time.after(delay(), delivery));
+        deliveries.forEach(delivery -> time.after(delay(), delivery));
     }
 
-    /** Links take so many times as long. */
-    public void setLatencyFactor(long times) {
-        latencyFactor = times;
+    /** Multiplies the latency of all messages from now on. */
+    public void setLatencyFactor(long factor) {
+        latencyFactor = factor;
     }
 
     /**
-     * Delivers the kept copies to each of the hosts, in their old order, in some waves within a second; then forgets
-     * them.
+     * Replays the recorded requests to each of the hosts, in their original order and several times within about a
+     * second, and discards the recording.
      */
     public void replayRecorded(List<String> hosts) {
-        SimTime.Process nobody = time.new Process();
-        for (long wave = 0; wave < WAVES; wave++) {
+        SimTime.Process unusedCaller = time.new Process();
+        for (long wave = 0; wave < REPLAY_WAVES; wave++) {
             long at = wave * 250_000;
-            for (HttpRequest request : kept) {
+            for (HttpRequest request : recorded) {
                 for (String host : hosts) {
-                    time.after(at++, () -> deliver(host, request, new CompletableFuture<>(), nobody));
+                    time.after(at++, () -> deliver(host, request, new CompletableFuture<>(), unusedCaller));
                 }
             }
         }
-        kept.clear();
+        recorded.clear();
     }
 
-    /** Returns the network as that host and process see it. */
+    /** Returns a client that sends from the given host and runs its callbacks in the given process. */
     public HttpClient clientOf(String host, SimTime.Process process) {
         return (to, request, timeoutMicros) -> {
             CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
@@ -130,20 +130,20 @@
             answer.thenRun(timer::cancel);
             Action action = Action.DELIVER;
             for (Rule rule : rules) {
-                Action said = rule.actionFor(host, to, request);
-                if (said != null) {
-                    action = said;
+                Action ruled = rule.actionFor(host, to, request);
+                if (ruled != null) {
+                    action = ruled;
                     break;
                 }
             }
-            boolean answered = action == Action.DELIVER
+            boolean responds = action == Action.DELIVER
                     || action == Action.DUPLICATE
                     || action == Action.RECORD
                     || action == Action.DELAY_RESPONSE;
             if (action == Action.DELAY_RESPONSE) {
-                CompletableFuture<HttpResponse> slow = new CompletableFuture<>();
-                slow.thenAccept(result -> process.schedule(random.nextInt(1_000_000), () -> answer.complete(result)));
-                time.after(delay(), () -> deliver(to, request, slow, process));
+                CompletableFuture<HttpResponse> late = new CompletableFuture<>();
+                late.thenAccept(result -> process.schedule(random.nextInt(1_000_000), () -> answer.complete(result)));
+                time.after(delay(), () -> deliver(to, request, late, process));
                 return answer;
             }
             if (action == Action.REJECT) {
@@ -154,19 +154,19 @@
             }
             if (action == Action.DUPLICATE) {
                 time.after(
-                        1_000_000 + random.nextInt(LATEST_COPY_MICROS),
+                        1_000_000 + random.nextInt(MAX_COPY_DELAY_MICROS),
                         () -> deliver(to, request, new CompletableFuture<>(), process));
             } else if (action == Action.RECORD) {
-                kept.add(request);
-                if (kept.size() > MAX_KEPT) {
-                    kept.poll();
+                recorded.add(request);
+                if (recorded.size() > MAX_RECORDED) {
+                    recorded.poll();
                 }
             }
-            Runnable delivery = () -> deliver(to, request, answered ? answer : new CompletableFuture<>(), process);
+            Runnable delivery = () -> deliver(to, request, responds ? answer : new CompletableFuture<>(), process);
             if (action == Action.HOLD) {
                 held.add(delivery);
             } else if (action == Action.DELAY_AND_DROP_RESPONSE) {
-                time.after(2_000_000 + random.nextInt(LATEST_CARRIED_OUT_MICROS - 2_000_000), delivery);
+                time.after(2_000_000 + random.nextInt(MAX_EXECUTION_DELAY_MICROS - 2_000_000), delivery);
             } else if (action != Action.DROP) {
                 time.after(delay(), delivery);
             }
