--- a/src/main/java/io/sillreel/recovery/StoreRebuild.java
+++ b/src/main/java/io/sillreel/recovery/StoreRebuild.java
@@ -11,60 +11,61 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Puts back what the state service has lost, under one term of the lease: stores the verdict, collects what the
- * controllers remember, raises the revision above every one that was ever reached, so that no stamp means two things,
- * and writes what is missing. It may be begun anew by any later leader, at any point.
+ * Restores the writes that the state service has lost, within one leadership term: stores the open recovery record,
+ * collects the controllers' change logs, raises the store revision above every one that was ever reached, so that no
+ * key revision is used twice, and writes the missing changes. Any later leader can restart the procedure at any point.
+ * Runs on the event loop.
  */
 final class StoreRebuild {
-    /** How far it has come. */
+    /** The current step, which operators see. */
     enum Step {
         OPENING,
         COLLECTING,
         RAISING,
         RESTORING,
-        /** All that is remembered has been put back, and that may not be everything. */
+        /** All collected changes have been restored, but further writes may have been lost. */
         INCOMPLETE,
         CLOSING,
         CLOSED
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(StoreRebuild.class);
-    private static final long ASK_AGAIN_MICROS = 2_000_000;
+    private static final long COLLECT_RETRY_MICROS = 2_000_000;
 
-    private final RebuildLease term;
+    private final RebuildLease lease;
     private final Settings settings;
-    private final StoreHistory history;
-    private final CollectedMemories memories;
-    private final PeerMemoryCollector collector;
+    private final RevisionTracker revisions;
+    private final CollectedSnapshots snapshots;
+    private final PeerSnapshotCollector collector;
     private final ChangeRestorer restorer;
     private final Runnable onClosed;
 
     private RecoveryRecord record;
-    private long recordStamp;
+    private long recordRevision;
     private Step step = Step.OPENING;
-    private int heardBefore;
-    private String gap = "";
+    private int collectedBefore;
+    private String incompleteReason = "";
     private boolean lossAccepted;
 
     /**
-     * @param survivors what this controller remembers
-     * @param record the verdict to store
-     * @param onClosed run once everything has been put back, or its loss has been accepted
+     * @param snapshots contains this controller's own change log
+     * @param record the recovery record to store
+     * @param onClosed run once all writes have been restored, or the loss of the others has been accepted
      */
     StoreRebuild(
-            RebuildLease term,
+            RebuildLease lease,
             Settings settings,
-            StoreHistory history,
-            CollectedMemories memories,
-            PeerMemoryCollector collector,
+            RevisionTracker revisions,
+            CollectedSnapshots snapshots,
+            PeerSnapshotCollector collector,
             RecoveryRecord record,
             Runnable onClosed) {
-        this.term = term;
+        this.lease = lease;
         this.settings = settings;
-        this.history = history;
-        this.memories = memories;
+        this.revisions = revisions;
+        this.snapshots = snapshots;
         this.collector = collector;
-        this.restorer = new ChangeRestorer(term, history, settings.state().maxTransactionChanges());
+        this.restorer = new ChangeRestorer(lease, revisions, settings.state().maxTransactionChanges());
         this.record = record;
         this.onClosed = onClosed;
     }
@@ -73,12 +74,12 @@
         open();
     }
 
-    /** Ends it: the term is over, or writes have been lost once more. */
-    void end() {
-        term.end();
+    /** Aborts the rebuild, since the term has ended or further writes have been lost. */
+    void abort() {
+        lease.end();
     }
 
-    /** What could not be put back is given up. */
+    /** Closes the record even though some writes could not be restored. */
     void acceptLoss() {
         lossAccepted = true;
         if (step == Step.INCOMPLETE) {
@@ -90,9 +91,9 @@
         return step;
     }
 
-    /** Why more may have been lost than could be put back; empty if that is not so, or not known yet. */
-    String gap() {
-        return gap;
+    /** The reason why more may have been lost than could be restored; empty if none is known. */
+    String incompleteReason() {
+        return incompleteReason;
     }
 
     long generation() {
@@ -103,66 +104,67 @@
         return record;
     }
 
-    int restored() {
-        return restorer.restored();
+    int restoredCount() {
+        return restorer.restoredCount();
     }
 
-    /** The controllers whose memory has been taken into account. */
+    /** The controllers whose change logs have been collected. */
     Set<String> collectedFrom() {
-        return memories.nodes();
+        return snapshots.nodes();
     }
 
     private void open() {
-        term.store().get(RecoveryRecord.KEY).thenAccept(read -> {
-            if (term.isOver()) {
+        lease.store().get(RecoveryRecord.KEY).thenAccept(read -> {
+            if (lease.isEnded()) {
                 return;
             }
             if (!read.isConclusive()) {
-                term.later(this::open);
+                lease.retryLater(this::open);
                 return;
             }
-            recordStamp = read.revision();
+            recordRevision = read.revision();
             RecoveryRecord stored = RecoveryRecord.of(read);
             if (stored.generation() > record.generation()) {
                 record = stored;
             }
             writeRecord(record, () -> {
-                LOG.warn("generation {} is open ({}): putting lost writes back", generation(), record.evidence());
+                LOG.warn("recovery generation {} is open ({}); restoring lost writes", generation(), record.evidence());
                 collect();
             });
         });
     }
 
-    /** Writes the verdict, which also raises the revision by one. */
-    private void writeRecord(RecoveryRecord next, Runnable written) {
-        Transaction transaction =
-                term.txn().requireRevision(RecoveryRecord.KEY, recordStamp).set(RecoveryRecord.KEY, next.json());
-        term.store().commit(transaction).thenAccept(commit -> {
-            if (term.isOverAfter(commit)) {
+    /** Writes the recovery record, which also raises the store revision by one. */
+    private void writeRecord(RecoveryRecord newRecord, Runnable onWritten) {
+        Transaction transaction = lease.newTransaction()
+                .requireRevision(RecoveryRecord.KEY, recordRevision)
+                .set(RecoveryRecord.KEY, newRecord.toJson());
+        lease.store().commit(transaction).thenAccept(commit -> {
+            if (lease.isEndedAfter(commit)) {
                 return;
             }
             if (commit.outcome() == StoreOutcome.OK) {
-                recordStamp = commit.storeRevision();
-                record = next;
-                written.run();
+                recordRevision = commit.storeRevision();
+                record = newRecord;
+                onWritten.run();
             } else if (commit.outcome() == StoreOutcome.REFUSED) {
-                term.later(() -> writeRecord(next, written));
+                lease.retryLater(() -> writeRecord(newRecord, onWritten));
             } else {
-                rereadRecord(next, written);
+                rereadRecord(newRecord, onWritten);
             }
         });
     }
 
-    private void rereadRecord(RecoveryRecord next, Runnable written) {
-        term.store().get(RecoveryRecord.KEY).thenAccept(read -> {
-            if (term.isOver()) {
+    private void rereadRecord(RecoveryRecord newRecord, Runnable onWritten) {
+        lease.store().get(RecoveryRecord.KEY).thenAccept(read -> {
+            if (lease.isEnded()) {
                 return;
             }
             if (read.isConclusive()) {
-                recordStamp = read.revision();
-                term.later(() -> writeRecord(next, written));
+                recordRevision = read.revision();
+                lease.retryLater(() -> writeRecord(newRecord, onWritten));
             } else {
-                term.later(() -> rereadRecord(next, written));
+                lease.retryLater(() -> rereadRecord(newRecord, onWritten));
             }
         });
     }
@@ -170,52 +172,53 @@
     private void collect() {
         step = Step.COLLECTING;
         collector.collect(settings.members(), generation()).thenRun(() -> {
-            if (term.isOver()) {
+            if (lease.isEnded()) {
                 return;
             }
-            if (term.term() < history.highWatermarks().term()) {
-                // A worker or a controller has seen a later one: its attempts must not be mistaken for ours.
-                term.resign("term " + history.highWatermarks().term() + " was reached before the loss");
+            if (lease.term() < revisions.highWatermarks().term()) {
+                // A later term existed before the loss: its task attempts must not be mistaken for those of this term.
+                lease.resign("term " + revisions.highWatermarks().term() + " was reached before the loss");
                 return;
             }
-            int heard = memories.nodes().size();
-            if (heard > heardBefore) {
-                heardBefore = heard;
-                raise();
+            int collected = snapshots.nodes().size();
+            if (collected > collectedBefore) {
+                collectedBefore = collected;
+                raiseRevision();
             } else {
-                judge();
+                checkCompleteness();
             }
         });
     }
 
     /**
-     * Until the revision lies above all that were reached, a new change could get the stamp of one that was lost: late
-     * transactions would take it for theirs, and controllers would take what they remember for newer.
+     * Raises the store revision above all that were reached before. Otherwise a new change could get the revision of a
+     * lost one: the conditions of delayed transactions would hold by mistake, and controllers would take changes in
+     * their logs for newer ones.
      */
-    private void raise() {
+    private void raiseRevision() {
         step = Step.RAISING;
-        if (recordStamp > history.highWatermarks().keyRevision()) {
+        if (recordRevision > revisions.highWatermarks().keyRevision()) {
             step = Step.RESTORING;
-            restorer.restore(memories.newestFirst(), memories::isWitnessed, this::judge);
+            restorer.restore(snapshots.newestFirst(), snapshots::isObservedBeforeLoss, this::checkCompleteness);
         } else {
-            writeRecord(record, this::raise);
+            writeRecord(record, this::raiseRevision);
         }
     }
 
-    private void judge() {
-        Optional<String> reason = memories.findGap(
-                        members(), restorer.kept(), history.highWatermarks(), 2 * settings.clockSkewMicros())
-                .or(() -> restorer.tooLarge().map(key -> key + " is larger than the state service takes now"));
+    private void checkCompleteness() {
+        Optional<String> reason = snapshots
+                .findGap(members(), restorer.keptRevision(), revisions.highWatermarks(), 2 * settings.clockSkewMicros())
+                .or(() -> restorer.oversizedKey().map(key -> key + " is larger than the state service takes now"));
         if (reason.isEmpty() || lossAccepted) {
             close();
             return;
         }
-        if (!reason.get().equals(gap)) {
-            LOG.error("generation {} stays open: {}", generation(), reason.get());
+        if (!reason.get().equals(incompleteReason)) {
+            LOG.error("recovery generation {} cannot be closed: {}", generation(), reason.get());
         }
-        gap = reason.get();
+        incompleteReason = reason.get();
         step = Step.INCOMPLETE;
-        term.after(ASK_AGAIN_MICROS, () -> {
+        lease.schedule(COLLECT_RETRY_MICROS, () -> {
             if (step == Step.INCOMPLETE) {
                 collect();
             }
@@ -231,15 +234,15 @@
 
     private void close() {
         step = Step.CLOSING;
-        writeRecord(record.closed(settings.nodeName(), restorer.kept()), () -> {
+        writeRecord(record.closedBy(settings.nodeName(), restorer.keptRevision()), () -> {
             step = Step.CLOSED;
             LOG.warn(
-                    "generation {} is closed by {}: {} keys put back, remembered by {}{}",
+                    "recovery generation {} closed by {}: {} keys restored from the change logs of {}{}",
                     generation(),
                     settings.nodeName(),
-                    restored(),
+                    restoredCount(),
                     collectedFrom(),
-                    gap.isEmpty() || !lossAccepted ? "" : "; loss accepted: " + gap);
+                    incompleteReason.isEmpty() || !lossAccepted ? "" : "; loss accepted: " + incompleteReason);
             onClosed.run();
         });
     }
--- a/src/test/java/io/sillreel/golden/GoldenSamples.java
+++ b/src/test/java/io/sillreel/golden/GoldenSamples.java
@@ -34,8 +34,8 @@
  * storage formats, so no sample depends on the name of a Java type, method or constant.
  */
 public final class GoldenSamples {
-    private static final String NAME = "# ";
-    private static final String INPUT = "< ";
+    private static final String TITLE_PREFIX = "# ";
+    private static final String INPUT_PREFIX = "< ";
 
     private GoldenSamples() {}
 
@@ -57,14 +57,14 @@
     public static void assertConverts(String file, Conversion conversion) throws Exception {
         StringBuilder actual = new StringBuilder();
         for (String line : read(file).split("\n")) {
-            if (line.startsWith(NAME)) {
+            if (line.startsWith(TITLE_PREFIX)) {
                 actual.append(line).append('\n');
-            } else if (line.startsWith(INPUT)) {
-                String converted = conversion.apply(line.substring(INPUT.length()));
+            } else if (line.startsWith(INPUT_PREFIX)) {
+                String converted = conversion.apply(line.substring(INPUT_PREFIX.length()));
                 actual.append(line).append('\n').append(converted).append('\n');
             }
         }
-        assertThat(actual.toString()).as("number of samples").contains(INPUT);
+        assertThat(actual.toString()).as("number of samples").contains(INPUT_PREFIX);
         assertMatches(file, actual.toString());
     }
 
@@ -78,7 +78,6 @@
         }
     }
 
-    /** Parses JSON text. */
     public static JsonNode json(String text) {
         return Json.parse(text.getBytes(StandardCharsets.UTF_8));
     }
@@ -103,23 +102,23 @@
      * text does not change with Java names.
      */
     public static String values(Object value) {
-        return text(tree(value));
+        return text(toTree(value));
     }
 
-    private static JsonNode tree(Object value) {
+    private static JsonNode toTree(Object value) {
         if (value instanceof JsonNode node) {
-            return node.isMissingNode() ? tree("missing") : node;
+            return node.isMissingNode() ? toTree("missing") : node;
         } else if (value instanceof Record fields) {
             return components(fields);
         } else if (value instanceof Enum<?> constant) {
             return Json.array().add(constant.ordinal()).get(0);
         } else if (value instanceof Collection<?> elements) {
             ArrayNode array = Json.array();
-            elements.forEach(element -> array.add(tree(element)));
+            elements.forEach(element -> array.add(toTree(element)));
             return array;
         } else if (value instanceof Map<?, ?> entries) {
             ObjectNode object = Json.object();
-            entries.forEach((key, entry) -> object.set(key.toString(), tree(entry)));
+            entries.forEach((key, entry) -> object.set(key.toString(), toTree(entry)));
             return object;
         }
         return scalar(value);
@@ -160,7 +159,7 @@
             try {
                 Method accessor = component.getAccessor();
                 accessor.setAccessible(true);
-                array.add(tree(accessor.invoke(value)));
+                array.add(toTree(accessor.invoke(value)));
             } catch (IllegalAccessException | InvocationTargetException e) {
                 throw new IllegalStateException(e);
             }
@@ -237,17 +236,17 @@
         return new HttpResponse(Integer.parseInt(sample.substring(0, space)), body, 0);
     }
 
-    /** Writes down what is sent and what is noted, in its order, and answers each request at once. */
+    /** Records requests and notes in their order, and passes each request to a handler. */
     public static final class Transcript implements HttpClient {
         private final StringBuilder lines = new StringBuilder();
-        private final Function<HttpRequest, CompletableFuture<HttpResponse>> answers;
+        private final Function<HttpRequest, CompletableFuture<HttpResponse>> handler;
 
-        /** @param answers the other side */
-        public Transcript(Function<HttpRequest, CompletableFuture<HttpResponse>> answers) {
-            this.answers = answers;
+        /** @param handler handles the requests */
+        public Transcript(Function<HttpRequest, CompletableFuture<HttpResponse>> handler) {
+            this.handler = handler;
         }
 
-        /** Writes a line. */
+        /** Appends a line. */
         public void note(String line) {
             lines.append(line).append('\n');
         }
@@ -255,7 +254,7 @@
         @Override
         public CompletableFuture<HttpResponse> send(String address, HttpRequest request, long timeoutMicros) {
             note("-> " + address + " " + text(request));
-            return answers.apply(request);
+            return handler.apply(request);
         }
 
         @Override
--- a/src/test/java/io/sillreel/load/StoredJobs.java
+++ b/src/test/java/io/sillreel/load/StoredJobs.java
@@ -17,16 +17,16 @@
 import io.sillreel.sim.SimStateService;
 import java.util.List;
 
-/** What earlier terms left in the state service: jobs that are done, and jobs that await one which never starts. */
+/** Stores jobs of earlier terms: finished jobs, and jobs that depend on a job that never starts. */
 final class StoredJobs {
     private static final long ADMITTED_WALL_MICROS = 1_700_000_000_000_000L;
-    /** Uids of other jobs of the load begin below. */
+    /** Higher than the numbers of the jobs that are submitted during the measurement. */
     private static final int FIRST_UID = 500_000;
-    /** Half of the unfinished jobs await the one before them, half await the first. */
-    private static final int FANS = 2;
+    /** Half of the unfinished jobs depend on the job before them, half on the first job. */
+    private static final int DEPENDENCY_PATTERNS = 2;
 
     private final SimStateService stateService;
-    private int next = FIRST_UID;
+    private int nextNumber = FIRST_UID;
 
     StoredJobs(SimStateService stateService) {
         this.stateService = stateService;
@@ -34,7 +34,7 @@
 
     void addDone(int count) {
         for (int each = 0; each < count; each++) {
-            String uid = uid(next++);
+            String uid = uid(nextNumber++);
             store(
                     PlanRecord.key(uid),
                     PlanRecordCodec.encode(new PlanRecord(ADMITTED_WALL_MICROS, spec(uid, null, List.of()))));
@@ -49,15 +49,16 @@
     }
 
     void addAwaiting(int count) {
-        int first = next;
+        int first = nextNumber;
         for (int each = 0; each < count; each++) {
-            String uid = uid(next);
-            List<String> awaits = each == 0 ? List.of() : List.of(uid(each % FANS == 0 ? first : next - 1));
+            String uid = uid(nextNumber);
+            List<String> awaits =
+                    each == 0 ? List.of() : List.of(uid(each % DEPENDENCY_PATTERNS == 0 ? first : nextNumber - 1));
             List<String> builds = each == 0 ? List.of("a-type-that-is-not-there") : null;
             store(
                     PlanRecord.key(uid),
                     PlanRecordCodec.encode(new PlanRecord(ADMITTED_WALL_MICROS, spec(uid, builds, awaits))));
-            next++;
+            nextNumber++;
         }
     }
 
--- a/src/test/java/io/sillreel/recovery/LostWritesTest.java
+++ b/src/test/java/io/sillreel/recovery/LostWritesTest.java
@@ -1,7 +1,7 @@
 package io.sillreel.recovery;
 
 import static io.sillreel.recovery.RecoveryClusters.NODES;
-import static io.sillreel.recovery.RecoveryClusters.open;
+import static io.sillreel.recovery.RecoveryClusters.isLossOpen;
 import static io.sillreel.sim.SimJobs.uid;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -18,11 +18,11 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** A state service that comes back with an older image of itself, seen from outside. */
+/** Recovery of a simulated cluster whose state service is rolled back to an older image, observed through its API. */
 class LostWritesTest {
     private static final long SECOND = 1_000_000;
 
-    private static SimCluster begun(long seed) {
+    private static SimCluster startCluster(long seed) {
         SimCluster cluster = RecoveryClusters.start(seed);
         cluster.runSeconds(2);
         return cluster;
@@ -33,78 +33,78 @@
         return record == null ? 0 : record.path("generation").asLong();
     }
 
-    private static void untilClosed(SimCluster cluster, long generation) {
-        cluster.runUntil(() -> generation(cluster) >= generation && !open(cluster));
+    private static void awaitClosed(SimCluster cluster, long generation) {
+        cluster.runUntil(() -> generation(cluster) >= generation && !isLossOpen(cluster));
     }
 
     private static JsonNode status(SimCluster cluster, int node) {
         return cluster.sendInternal(node, HttpRequest.get("/recovery/status")).json();
     }
 
-    private static void everyNodeSays(SimCluster cluster, int job, String stage) {
+    private static void assertStageOnAllNodes(SimCluster cluster, int job, String stage) {
         FailureScenario.assertStageOnAllNodes(cluster, uid(job), stage);
     }
 
-    /** A user repeats what is not accepted. */
-    private static void submit(SimCluster cluster, int node, ObjectNode job) {
+    /** Repeats the submission until it is accepted, as users do. */
+    private static void submitUntilAccepted(SimCluster cluster, int node, ObjectNode job) {
         cluster.runUntil(() -> cluster.submit(node, job).status() / 100 == 2);
     }
 
-    /** Jobs in every state, most of which they reach after the image was taken; returns the image. */
-    private static Snapshot jobsInEveryState(SimCluster cluster) {
-        submit(cluster, 0, SimCluster.job(uid(1), 4));
-        submit(cluster, 1, SimCluster.job(uid(2), 6));
-        submit(cluster, 2, SimCluster.job(uid(3), 2));
+    /** Brings jobs into all states, most of them after taking an image of the state service; returns the image. */
+    private static Snapshot createJobsInAllStates(SimCluster cluster) {
+        submitUntilAccepted(cluster, 0, SimCluster.job(uid(1), 4));
+        submitUntilAccepted(cluster, 1, SimCluster.job(uid(2), 6));
+        submitUntilAccepted(cluster, 2, SimCluster.job(uid(3), 2));
         cluster.runUntilStarted(6, 60 * SECOND);
         Snapshot image = cluster.store().snapshot();
         cluster.cloud().machines().values().forEach(worker -> worker.setRunMicros(2 * SECOND));
         cluster.runUntil(() -> cluster.cancel(1, uid(3)).isOk());
-        submit(cluster, 2, SimCluster.job(uid(4), 3));
-        submit(cluster, 0, SimCluster.job(uid(5), 2, uid(4)));
-        submit(cluster, 1, SimCluster.job(uid(6), 2));
+        submitUntilAccepted(cluster, 2, SimCluster.job(uid(4), 3));
+        submitUntilAccepted(cluster, 0, SimCluster.job(uid(5), 2, uid(4)));
+        submitUntilAccepted(cluster, 1, SimCluster.job(uid(6), 2));
         cluster.runUntil(() -> cluster.cancel(2, uid(6)).isOk());
         cluster.runUntil(() -> cluster.stage(0, uid(1)).equals("done"));
-        submit(cluster, 0, SimCluster.job(uid(7), 12));
+        submitUntilAccepted(cluster, 0, SimCluster.job(uid(7), 12));
         cluster.runUntilStarted(cluster.startCount() + 3, 8 * SECOND);
         return image;
     }
 
-    private static void everyJobEnds(SimCluster cluster) {
+    private static void assertAllJobsEnd(SimCluster cluster) {
         cluster.cloud().machines().values().forEach(worker -> worker.setRunMicros(3 * SECOND));
         cluster.runSeconds(60);
         for (int job : new int[] {1, 2, 4, 5, 7}) {
-            everyNodeSays(cluster, job, "done");
+            assertStageOnAllNodes(cluster, job, "done");
         }
-        // It may have been done before it could be cancelled.
-        everyNodeSays(cluster, 3, cluster.known(uid(3)));
-        everyNodeSays(cluster, 6, "withdrawn");
+        // Job 3 may have finished before it could be cancelled.
+        assertStageOnAllNodes(cluster, 3, cluster.known(uid(3)));
+        assertStageOnAllNodes(cluster, 6, "withdrawn");
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards every kind of record: admissions, releases, ends, cancellations, rentals, and the term. */
+    /** Covers every kind of record: admissions, releases, final stages, cancellations, machine rentals and the term. */
     @Test
-    void whatTheControllersRememberIsPutBackAndNothingRunsTwice() {
+    void restoresLostWritesWithoutRunningTasksTwice() {
         for (long seed = 1; seed <= 4; seed++) {
-            SimCluster cluster = begun(seed);
-            Snapshot image = jobsInEveryState(cluster);
+            SimCluster cluster = startCluster(seed);
+            Snapshot image = createJobsInAllStates(cluster);
             int term = cluster.term();
             long storeRevision = cluster.store().revision();
             cluster.store().restore(image);
-            untilClosed(cluster, 1);
+            awaitClosed(cluster, 1);
             assertThat(cluster.store().revision()).isGreaterThan(storeRevision);
             assertThat(cluster.term()).isGreaterThan(term + 1_000);
-            everyJobEnds(cluster);
+            assertAllJobsEnd(cluster);
             int tasks = 4 + 6 + 2 + 3 + 2 + 2 + 12;
             assertThat(cluster.startCount()).as("each task once").isLessThanOrEqualTo(tasks);
         }
     }
 
     @Test
-    void usersAreToldNothingOlderMeanwhile() {
-        SimCluster cluster = begun(5);
-        Snapshot image = jobsInEveryState(cluster);
+    void returnsNoStaleStatusDuringRecovery() {
+        SimCluster cluster = startCluster(5);
+        Snapshot image = createJobsInAllStates(cluster);
         cluster.store().restore(image);
-        for (int look = 0; look < 200; look++) {
+        for (int poll = 0; poll < 200; poll++) {
             for (int node = 0; node < NODES; node++) {
                 for (int job = 1; job <= 7; job++) {
                     cluster.pollAsync(node, uid(job));
@@ -112,13 +112,13 @@
             }
             cluster.runSeconds(0.05);
         }
-        everyJobEnds(cluster);
+        assertAllJobsEnd(cluster);
     }
 
-    /** Guards against a false alarm: slow, refused, lost and late answers are no loss. */
+    /** Guards against false positives: slow, refused, lost and delayed responses are no evidence of a loss. */
     @Test
-    void answersThatAreLateOrLostAreNoEvidence() {
-        SimCluster cluster = begun(6);
+    void delayedAndLostResponsesAreNotTakenForLoss() {
+        SimCluster cluster = startCluster(6);
         Random random = new Random(6);
         Rule[] rules = {
             cluster.network().addRule(FailureInjector.transactions("\"set\"", Action.DELAY_RESPONSE, 0.5, random)),
@@ -143,151 +143,155 @@
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards a verdict that rests on one wrong answer: it is closed again, and changes nothing. */
+    /** Guards against a record opened because of a single wrong response: it is closed again without any change. */
     @Test
-    void aVerdictWithoutALossIsClosedAgain() {
-        SimCluster cluster = begun(7);
-        jobsInEveryState(cluster);
+    void closesGenerationOpenedByWrongResponse() {
+        SimCluster cluster = startCluster(7);
+        createJobsInAllStates(cluster);
         cluster.store().misreportRevision(cluster.store().revision() - 3);
-        untilClosed(cluster, 1);
+        awaitClosed(cluster, 1);
         cluster.runSeconds(2);
         for (int node = 0; node < NODES; node++) {
             assertThat(status(cluster, node).path("suspended").asBoolean()).isFalse();
         }
-        everyJobEnds(cluster);
+        assertAllJobsEnd(cluster);
     }
 
-    /** Guards writes that nobody who is left remembers: the service stops until an operator decides. */
+    /** Guards writes that are in no remaining change log: the controllers stay suspended until an operator decides. */
     @Test
-    void withoutTheControllerThatWroteLastTheServiceWaitsForAnOperator() {
-        SimCluster cluster = begun(8);
-        Snapshot image = jobsInEveryState(cluster);
+    void staysSuspendedUntilOperatorAcceptsLossIfLastWriterIsDown() {
+        SimCluster cluster = startCluster(8);
+        Snapshot image = createJobsInAllStates(cluster);
         int starts = cluster.startCount();
-        int ended = cluster.leader();
-        cluster.kill(ended);
+        int killed = cluster.leader();
+        cluster.kill(killed);
         cluster.store().restore(image);
         cluster.runUntil(() -> cluster.leader() >= 0
                 && status(cluster, cluster.leader()).path("step").asText().equals("incomplete"));
         cluster.runSeconds(20);
         assertThat(cluster.startCount()).isEqualTo(starts);
         int leader = cluster.leader();
-        assertThat(status(cluster, leader).path("incomplete").asText()).startsWith("hopper-" + ended);
+        assertThat(status(cluster, leader).path("incomplete").asText()).startsWith("hopper-" + killed);
         assertThat(cluster.poll(leader, uid(1)).status()).isEqualTo(503);
         assertThat(cluster.poll(leader, uid(1)).retryAfterSeconds()).isPositive();
         HttpRequest accept = HttpRequest.post("/recovery/accept-loss", Json.object());
-        int other = 3 - leader - ended;
+        int other = 3 - leader - killed;
         assertThat(cluster.sendInternal(other, accept).status()).isEqualTo(409);
         assertThat(cluster.sendInternal(leader, accept).status()).isEqualTo(200);
-        untilClosed(cluster, 1);
-        everyJobEnds(cluster);
+        awaitClosed(cluster, 1);
+        assertAllJobsEnd(cluster);
     }
 
-    /** Guards a controller that comes back after the loss with the memory it had: it was only cut off. */
+    /** Guards the change log of a controller that was only partitioned during the loss and returns later. */
     @Test
-    void aControllerThatWasCutOffBringsWhatItRemembersLater() {
-        SimCluster cluster = begun(9);
-        Snapshot image = jobsInEveryState(cluster);
-        int away = (cluster.leader() + 1) % NODES;
-        Rule cut = cluster.network().addRule(FailureInjector.isolated(away));
+    void completesRecoveryOncePartitionedControllerReturns() {
+        SimCluster cluster = startCluster(9);
+        Snapshot image = createJobsInAllStates(cluster);
+        int partitioned = (cluster.leader() + 1) % NODES;
+        Rule partition = cluster.network().addRule(FailureInjector.isolated(partitioned));
         cluster.runSeconds(1);
         cluster.store().restore(image);
         cluster.runUntil(() -> cluster.leader() >= 0
                 && status(cluster, cluster.leader()).path("step").asText().equals("incomplete"));
-        cluster.network().removeRule(cut);
-        untilClosed(cluster, 1);
-        everyJobEnds(cluster);
+        cluster.network().removeRule(partition);
+        awaitClosed(cluster, 1);
+        assertAllJobsEnd(cluster);
     }
 
     @Test
-    void theStateServiceGoesBackTwiceAndAgainWhileWritesArePutBack() {
-        SimCluster cluster = begun(10);
-        Snapshot image = jobsInEveryState(cluster);
+    void recoversFromRepeatedRollbacks() {
+        SimCluster cluster = startCluster(10);
+        Snapshot image = createJobsInAllStates(cluster);
         cluster.store().restore(image);
-        cluster.runUntil(() -> open(cluster));
+        cluster.runUntil(() -> isLossOpen(cluster));
         cluster.runSeconds(0.3);
         cluster.store().restore(image);
-        untilClosed(cluster, 1);
-        submit(cluster, 0, SimCluster.job(uid(8), 2));
-        Snapshot later = cluster.store().snapshot();
+        awaitClosed(cluster, 1);
+        submitUntilAccepted(cluster, 0, SimCluster.job(uid(8), 2));
+        Snapshot laterImage = cluster.store().snapshot();
         cluster.runSeconds(4);
-        submit(cluster, 1, SimCluster.job(uid(9), 2));
+        submitUntilAccepted(cluster, 1, SimCluster.job(uid(9), 2));
         cluster.runSeconds(0.4);
-        long before = generation(cluster);
-        cluster.store().restore(later);
-        untilClosed(cluster, before + 1);
-        everyJobEnds(cluster);
-        everyNodeSays(cluster, 8, "done");
-        everyNodeSays(cluster, 9, "done");
+        long generationBefore = generation(cluster);
+        cluster.store().restore(laterImage);
+        awaitClosed(cluster, generationBefore + 1);
+        assertAllJobsEnd(cluster);
+        assertStageOnAllNodes(cluster, 8, "done");
+        assertStageOnAllNodes(cluster, 9, "done");
     }
 
-    /** Guards every point at which the controller that puts writes back can end; the others remember the same. */
+    /**
+     * Guards every point at which the controller that restores writes can fail: another one must be able to restart the
+     * rebuild, since the other change logs contain the same writes.
+     */
     @Test
-    void theLeaderIsCutOffAtAnyMomentOfIt() {
-        for (int moment = 1; moment <= 12; moment++) {
-            SimCluster cluster = begun(20 + moment);
-            Snapshot image = jobsInEveryState(cluster);
+    void recoversIfLeaderFreezesDuringRebuild() {
+        for (int delaySteps = 1; delaySteps <= 12; delaySteps++) {
+            SimCluster cluster = startCluster(20 + delaySteps);
+            Snapshot image = createJobsInAllStates(cluster);
             cluster.store().restore(image);
             cluster.runUntil(() -> cluster.leader() >= 0 && generation(cluster) > 0);
-            cluster.runSeconds(0.02 * moment);
+            cluster.runSeconds(0.02 * delaySteps);
             int leader = Math.max(0, cluster.leader());
             cluster.pause(leader, 8 * SECOND);
-            untilClosed(cluster, 1);
-            everyJobEnds(cluster);
+            awaitClosed(cluster, 1);
+            assertAllJobsEnd(cluster);
         }
     }
 
-    /** Guards stamps: a transaction from before the loss comes after it, and finds none that it waits for. */
+    /** Guards key revisions: a transaction sent before the loss and delivered after it must fail on its conditions. */
     @Test
-    void lateTransactionsFromBeforeTheLossChangeNothing() {
-        SimCluster cluster = begun(40);
-        Rule late = cluster.network()
+    void ignoresDelayedTransactionsFromBeforeLoss() {
+        SimCluster cluster = startCluster(40);
+        Rule delayedWrites = cluster.network()
                 .addRule(FailureInjector.transactions("\"set\"", Action.DELAY_AND_DROP_RESPONSE, 0.5, new Random(40)));
-        Snapshot image = jobsInEveryState(cluster);
+        Snapshot image = createJobsInAllStates(cluster);
         cluster.runSeconds(1);
         cluster.store().restore(image);
-        cluster.network().removeRule(late);
+        cluster.network().removeRule(delayedWrites);
         cluster.runSeconds(15);
-        untilClosed(cluster, 1);
-        everyJobEnds(cluster);
+        awaitClosed(cluster, 1);
+        assertAllJobsEnd(cluster);
     }
 
     /**
-     * Guards users against a controller that starts after the loss: it asks the others before it says "no such job".
+     * Guards against stale responses of a controller that starts after the loss: it must consult its peers before it
+     * responds that a job does not exist.
      */
     @Test
-    void aControllerThatStartsAfterTheLossTellsNothingOlder() {
-        SimCluster cluster = begun(43);
+    void controllerStartedAfterLossReturnsNoStaleStatus() {
+        SimCluster cluster = startCluster(43);
         Snapshot image = cluster.store().snapshot();
-        submit(cluster, 0, SimCluster.job(uid(1), 2));
+        submitUntilAccepted(cluster, 0, SimCluster.job(uid(1), 2));
         cluster.runSeconds(1);
-        int fresh = (cluster.leader() + 1) % NODES;
+        int restarted = (cluster.leader() + 1) % NODES;
         for (int node = 0; node < NODES; node++) {
             cluster.pause(node, SECOND / 2);
         }
         cluster.store().restore(image);
-        cluster.restart(fresh);
-        for (int look = 0; look < 60; look++) {
-            cluster.pollAsync(fresh, uid(1));
+        cluster.restart(restarted);
+        for (int poll = 0; poll < 60; poll++) {
+            cluster.pollAsync(restarted, uid(1));
             cluster.runSeconds(0.05);
         }
         cluster.runSeconds(10);
-        assertThat(open(cluster))
-                .as("what it had stored before its end is not remembered")
+        assertThat(isLossOpen(cluster))
+                .as("what it had stored before the restart is in no change log")
                 .isTrue();
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards against starting everything again when nobody but the workers knows of the later terms. */
+    /** Guards against launching all tasks again when only the workers know of later terms. */
     @Test
-    void afterAllControllersHaveEndedTheWorkersTokensShowTheLoss() {
-        SimCluster cluster = begun(41);
+    void detectsLossByFencingTokensAfterAllControllersRestarted() {
+        SimCluster cluster = startCluster(41);
         cluster.submit(0, SimCluster.job(uid(1), 4));
         cluster.runUntilStarted(4, 60 * SECOND);
         Snapshot image = cluster.store().snapshot();
         int starts = cluster.startCount();
-        int old = cluster.leader();
-        cluster.kill(old);
-        cluster.runUntil(() -> cluster.leader() >= 0 && cluster.leader() != old);
+        int oldLeader = cluster.leader();
+        cluster.kill(oldLeader);
+        cluster.runUntil(() -> cluster.leader() >= 0 && cluster.leader() != oldLeader);
         cluster.runSeconds(4);
         for (int node = 0; node < NODES; node++) {
             cluster.kill(node);
@@ -296,9 +300,9 @@
         for (int node = 0; node < NODES; node++) {
             cluster.restart(node);
         }
-        cluster.runUntil(() -> open(cluster));
+        cluster.runUntil(() -> isLossOpen(cluster));
         cluster.runSeconds(10);
-        assertThat(open(cluster)).isTrue();
+        assertThat(isLossOpen(cluster)).isTrue();
         assertThat(cluster.startCount()).isEqualTo(starts);
         assertThat(cluster.store().value(RecoveryRecord.KEY).path("evidence").asText())
                 .contains("term");
@@ -306,7 +310,7 @@
     }
 
     @Test
-    void whatIsOffSaysNothing() {
+    void servesNoRecoveryRoutesIfDisabled() {
         SimCluster cluster = new SimCluster(42);
         cluster.runSeconds(3);
         assertThat(cluster.sendInternal(0, HttpRequest.get("/recovery/status")).status())
--- a/src/test/java/io/sillreel/recovery/RandomLossTest.java
+++ b/src/test/java/io/sillreel/recovery/RandomLossTest.java
@@ -1,7 +1,7 @@
 package io.sillreel.recovery;
 
 import static io.sillreel.recovery.RecoveryClusters.NODES;
-import static io.sillreel.recovery.RecoveryClusters.open;
+import static io.sillreel.recovery.RecoveryClusters.isLossOpen;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.sillreel.sim.FailureInjector;
@@ -18,19 +18,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The state service is turned back at random moments, once or twice, among random troubles of several machines and
- * controllers. From outside: no rule is broken, and every accepted job ends; or, if a controller has ended, writes stay
- * held back with a reason. A seed that fails is named.
+ * Rolls the state service back at random moments, once or twice, among random failures of machines and controllers. No
+ * invariant may be violated, and every accepted job must end; if a controller was restarted, the cluster may instead
+ * stay suspended with a reason. The seed of a failed run is reported.
  */
 class RandomLossTest {
     private static final Logger LOG = LoggerFactory.getLogger(RandomLossTest.class);
     private static final int SEEDS = Integer.getInteger("sillreel.seeds", 120);
-    private static final double FOLLOWED_SECONDS = 0.3;
+    private static final double WATCH_DELAY_SECONDS = 0.3;
 
     private final List<String> accepted = new ArrayList<>();
 
-    /** Users submit, cancel and ask for a while. */
-    private void usersAct(SimCluster cluster, Random random, int steps) {
+    /** Submits, cancels and polls jobs at random. */
+    private void runUserRequests(SimCluster cluster, Random random, int steps) {
         for (int step = 0; step < steps; step++) {
             int node = random.nextInt(NODES);
             String uid = "job-%06d".formatted(accepted.size() + 1);
@@ -42,12 +42,12 @@
                 accepted.add(uid);
             }
             if (!accepted.isEmpty()) {
-                String some = accepted.get(random.nextInt(accepted.size()));
-                for (int each = 0; each < NODES; each++) {
-                    cluster.pollAsync(each, some);
+                String polledUid = accepted.get(random.nextInt(accepted.size()));
+                for (int polledNode = 0; polledNode < NODES; polledNode++) {
+                    cluster.pollAsync(polledNode, polledUid);
                 }
                 if (random.nextInt(6) == 0) {
-                    cluster.cancelAsync(random.nextInt(NODES), some);
+                    cluster.cancelAsync(random.nextInt(NODES), polledUid);
                 }
             }
             for (SimWorker machine : cluster.cloud().machines().values()) {
@@ -57,8 +57,8 @@
         }
     }
 
-    /** A trouble that ends no controller. */
-    private static void trouble(SimCluster cluster, Random random, List<Rule> rules) {
+    /** Injects a random failure that ends no controller process. */
+    private static void injectFailure(SimCluster cluster, Random random, List<Rule> rules) {
         int node = random.nextInt(NODES);
         List<SimWorker> machines = List.copyOf(cluster.cloud().machines().values());
         switch (random.nextInt(8)) {
@@ -81,29 +81,33 @@
         }
     }
 
-    private SimCluster play(long seed, boolean controllersEnd) {
+    private SimCluster runScenario(long seed, boolean restartController) {
         accepted.clear();
         SimCluster cluster = RecoveryClusters.start(seed);
         cluster.runSeconds(3);
         Random random = new Random(seed);
         List<Rule> rules = new ArrayList<>();
-        usersAct(cluster, random, 3 + random.nextInt(6));
+        runUserRequests(cluster, random, 3 + random.nextInt(6));
         int losses = 1 + random.nextInt(2);
         for (int loss = 0; loss < losses; loss++) {
             Snapshot image = cluster.store().snapshot();
-            usersAct(cluster, random, random.nextInt(6));
-            trouble(cluster, random, rules);
+            runUserRequests(cluster, random, random.nextInt(6));
+            injectFailure(cluster, random, rules);
             cluster.runSeconds(random.nextDouble());
-            // What one controller has told, the others hear of a little later.
-            cluster.runSeconds(FOLLOWED_SECONDS);
-            if (controllersEnd) {
+            // Gives the other controllers time to receive by their watches what one controller has confirmed to users.
+            cluster.runSeconds(WATCH_DELAY_SECONDS);
+            if (restartController) {
                 cluster.restart(random.nextInt(NODES));
             }
-            LOG.info("turned back from {}", cluster.store().revision());
+            LOG.info(
+                    "rolling the state service back from revision {}",
+                    cluster.store().revision());
             cluster.store().restore(image);
-            LOG.info("to {}", cluster.store().revision());
-            usersAct(cluster, random, random.nextInt(4));
-            trouble(cluster, random, rules);
+            LOG.info(
+                    "rolled the state service back to revision {}",
+                    cluster.store().revision());
+            runUserRequests(cluster, random, random.nextInt(4));
+            injectFailure(cluster, random, rules);
             cluster.runSeconds(random.nextDouble() * 6);
         }
         rules.forEach(cluster.network()::removeRule);
@@ -112,32 +116,33 @@
             machine.setRunMicros(3_000_000);
         }
         cluster.runSeconds(120);
-        assertThat(brokenRules(cluster)).as("seed %d", seed).isEmpty();
+        assertThat(violations(cluster)).as("seed %d", seed).isEmpty();
         return cluster;
     }
 
-    private void everyAcceptedJobHasEnded(SimCluster cluster, long seed) {
+    private void assertAcceptedJobsEnded(SimCluster cluster, long seed) {
         for (String uid : accepted) {
             assertThat(cluster.stage(0, uid)).as("seed %d, %s", seed, uid).isIn("done", "withdrawn");
         }
-        assertThat(brokenRules(cluster)).as("seed %d", seed).isEmpty();
+        assertThat(violations(cluster)).as("seed %d", seed).isEmpty();
     }
 
     /**
-     * The users' rules. That a machine is stored as up before it is given tasks is none of them: until a leader notices
-     * the loss, it knows of machines whose rentals are gone from the store, and puts them back afterwards.
+     * The violated invariants that concern users. That a machine is stored as up before tasks are launched on it is not
+     * one of them: until a leader detects the loss, it uses machines whose rentals were lost, and restores them later.
      */
-    private static List<String> brokenRules(SimCluster cluster) {
+    private static List<String> violations(SimCluster cluster) {
         return cluster.violations().stream()
                 .filter(rule -> !rule.startsWith("unstored"))
                 .toList();
     }
 
     /**
-     * A loss of few writes that others have made up for before anybody asked shows only where a lost key is read; then
-     * nobody can say what else came from before it, and it is held back for an operator.
+     * False if the loss was detected in another way. If other writes raise the revision past a small loss before the
+     * next response, only reading a lost key reveals it. It is then unknown which other writes precede the loss, and
+     * the cluster stays suspended until an operator decides.
      */
-    private static boolean seenByTheLedger(SimCluster cluster) {
+    private static boolean isDetectedByStoreRevision(SimCluster cluster) {
         return cluster.store()
                 .value(RecoveryRecord.KEY)
                 .path("evidence")
@@ -146,28 +151,30 @@
     }
 
     @Test
-    void whileAllControllersLiveNothingIsLost() {
+    void restoresAllWritesWhileAllControllersRun() {
         for (long seed = Long.getLong("sillreel.seed", 1); seed <= SEEDS; seed++) {
-            SimCluster cluster = play(seed, false);
-            if (open(cluster)) {
-                assertThat(seenByTheLedger(cluster)).as("seed %d", seed).isFalse();
+            SimCluster cluster = runScenario(seed, false);
+            if (isLossOpen(cluster)) {
+                assertThat(isDetectedByStoreRevision(cluster))
+                        .as("seed %d", seed)
+                        .isFalse();
             } else {
-                everyAcceptedJobHasEnded(cluster, seed);
+                assertAcceptedJobsEnded(cluster, seed);
             }
         }
     }
 
     @Test
-    void whenControllersEndWithTheLossWritesAreHeldBackOrNothingIsLost() {
-        int held = 0;
+    void staysSuspendedOrLosesNothingIfControllersRestart() {
+        int suspendedCount = 0;
         for (long seed = 100 + Long.getLong("sillreel.seed", 1); seed <= 100 + SEEDS; seed++) {
-            SimCluster cluster = play(seed, true);
-            if (open(cluster)) {
-                held++;
+            SimCluster cluster = runScenario(seed, true);
+            if (isLossOpen(cluster)) {
+                suspendedCount++;
             } else {
-                everyAcceptedJobHasEnded(cluster, seed);
+                assertAcceptedJobsEnded(cluster, seed);
             }
         }
-        assertThat(held).isPositive();
+        assertThat(suspendedCount).isPositive();
     }
 }
