--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -21,7 +21,7 @@
 import io.sillreel.leadership.TermServices;
 import io.sillreel.limits.FleetCapacity;
 import io.sillreel.limits.ProcessLimits;
-import io.sillreel.overload.AdaptiveLimit;
+import io.sillreel.overload.AdaptiveConcurrencyLimit;
 import io.sillreel.overload.EventLoopLag;
 import io.sillreel.overload.RateLimiter;
 import io.sillreel.peer.CancellationCodec;
@@ -52,7 +52,7 @@
     private final MachineTypeCatalog machineTypes;
     private final LeaderElection election;
     private final ActiveTerm activeTerm;
-    private final AdaptiveLimit admissionLimit;
+    private final AdaptiveConcurrencyLimit admissionLimit;
     private final HeartbeatRelay heartbeatRelay;
     private final HeartbeatRouter heartbeatRouter;
     private final WorkerLoadBalancer loadBalancer;
@@ -117,7 +117,7 @@
                 settings,
                 httpClient,
                 limits.recentChangeBytes(),
-                operator.recovery().followMicros()));
+                operator.recovery().changePollIntervalMicros()));
     }
 
     private static StateStore newStore(
@@ -139,7 +139,8 @@
         return new CloudClient(httpClient, eventLoop, settings.services().cloudAddress(), rateLimiter);
     }
 
-    private AdaptiveLimit newAdmission(Settings settings, OperatorProperties operator, ProcessLimits limits) {
+    private AdaptiveConcurrencyLimit newAdmission(
+            Settings settings, OperatorProperties operator, ProcessLimits limits) {
         Admission admission = new Admission(
                 store,
                 eventLoop,
@@ -148,7 +149,7 @@
                 machineTypes::types,
                 activeTerm,
                 activeTerm::notifyLeaderOfCancellation);
-        return new AdaptiveLimit(
+        return new AdaptiveConcurrencyLimit(
                 admission, operator.maxRequestsInProgress(), limits.cachedJobStatuses(), eventLoop::nowMicros);
     }
 
--- a/src/main/java/io/sillreel/ControllerMetrics.java
+++ b/src/main/java/io/sillreel/ControllerMetrics.java
@@ -15,7 +15,7 @@
 import io.sillreel.http.Json;
 import io.sillreel.http.RequestQueue;
 import io.sillreel.leadership.LeaderElection;
-import io.sillreel.overload.AdaptiveLimit;
+import io.sillreel.overload.AdaptiveConcurrencyLimit;
 import io.sillreel.overload.EventLoopLag;
 import java.util.Map;
 
@@ -23,7 +23,7 @@
 final class ControllerMetrics implements MeterBinder {
     private final HeartbeatRouter heartbeatRouter;
     private final LeaderElection leadership;
-    private final AdaptiveLimit admissionLimit;
+    private final AdaptiveConcurrencyLimit admissionLimit;
     private final HeartbeatRelay heartbeatRelay;
     private final WorkerLoadBalancer loadBalancer;
     private final EventLoopLag eventLoopLag;
@@ -34,7 +34,7 @@
     ControllerMetrics(
             HeartbeatRouter reports,
             LeaderElection leadership,
-            AdaptiveLimit users,
+            AdaptiveConcurrencyLimit users,
             HeartbeatRelay heartbeatRelay,
             WorkerLoadBalancer loadBalancer,
             EventLoopLag eventLoopLag,
@@ -62,9 +62,9 @@
                 .register(registry);
         FunctionCounter.builder("sillreel.workers.moved", heartbeatRouter, HeartbeatRouter::redirectCount)
                 .register(registry);
-        FunctionCounter.builder("sillreel.requests.refused", admissionLimit, AdaptiveLimit::refusedCount)
+        FunctionCounter.builder("sillreel.requests.refused", admissionLimit, AdaptiveConcurrencyLimit::refusedCount)
                 .register(registry);
-        Gauge.builder("sillreel.requests.limit", admissionLimit, AdaptiveLimit::limit)
+        Gauge.builder("sillreel.requests.limit", admissionLimit, AdaptiveConcurrencyLimit::limit)
                 .register(registry);
         Gauge.builder("sillreel.workers", loadBalancer, WorkerLoadBalancer::workerCount)
                 .register(registry);
--- a/src/main/java/io/sillreel/admission/JobTransactions.java
+++ b/src/main/java/io/sillreel/admission/JobTransactions.java
@@ -53,7 +53,7 @@
         boolean maySplit = !spec.dependencies().isEmpty();
         Optional<Map<String, JsonNode>> values = maySplit
                 ? split(plan)
-                : PlanOverflow.split(plan, limits.values().presentBytes(), ONE_VALUE);
+                : PlanOverflow.split(plan, limits.values().currentBytes(), ONE_VALUE);
         if (values.isEmpty()) {
             return CompletableFuture.completedFuture(new CommitResult(StoreOutcome.TOO_LARGE, 0, List.of()));
         }
--- a/src/main/java/io/sillreel/cli/TrainingServices.java
+++ b/src/main/java/io/sillreel/cli/TrainingServices.java
@@ -27,7 +27,9 @@
         String route = request.route();
         if (route.equals("/watch")) {
             Watcher watcher = new Watcher(
-                    request.query("prefix"), Long.parseLong(request.query("since")), new CompletableFuture<>());
+                    request.queryParameter("prefix"),
+                    Long.parseLong(request.queryParameter("since")),
+                    new CompletableFuture<>());
             watchers.add(watcher);
             wake();
             return watcher.answer();
@@ -35,7 +37,7 @@
         return CompletableFuture.completedFuture(
                 switch (route) {
                     case "/txn" -> commit(Json.parse(request.body()));
-                    case "/kv" -> list(request.query("prefix"));
+                    case "/kv" -> list(request.queryParameter("prefix"));
                     case "/grants" -> HttpResponse.of(200, Json.object().put("permit", 1));
                     case "/flavors" -> HttpResponse.of(200, machineTypes());
                     case "/machines" -> HttpResponse.of(200, machines());
--- a/src/main/java/io/sillreel/cloud/CloudClient.java
+++ b/src/main/java/io/sillreel/cloud/CloudClient.java
@@ -43,7 +43,7 @@
             String name, String address, String machineType, String zone, boolean isSpot, boolean hasFailed) {}
 
     /** The machine types on offer; the list is empty unless the outcome is OK. */
-    record MachineTypesAnswer(Outcome outcome, MachineTypeList list) {}
+    record MachineTypesResult(Outcome outcome, MachineTypeList list) {}
 
     /** The names of the machines that a provisioning request obtained, fewer than requested if the cloud ran out. */
     public record ProvisioningResult(Outcome outcome, List<String> machines) {}
@@ -73,25 +73,25 @@
         this.rateLimiter = rateLimiter;
     }
 
-    CompletableFuture<MachineTypesAnswer> listMachineTypes() {
+    CompletableFuture<MachineTypesResult> listMachineTypes() {
         return send(HttpRequest.get("/flavors"))
                 .thenApply(response ->
-                        new MachineTypesAnswer(Outcome.of(response), CloudCodec.readMachineTypes(response.json())));
+                        new MachineTypesResult(Outcome.of(response), CloudCodec.readMachineTypes(response.json())));
     }
 
     /**
      * Provisions up to {@code count} machines. The request is idempotent: repeated under the same name it returns the
      * machines that it has already obtained.
      *
-     * @param request name of the request, never used for another one
+     * @param requestName name of the request, never used for another one
      * @param count at most {@link #MAX_MACHINES_PER_REQUEST}
      */
     public CompletableFuture<ProvisioningResult> provisionMachines(
-            String request, String machineType, String zone, boolean isSpot, int count) {
+            String requestName, String machineType, String zone, boolean isSpot, int count) {
         return send(HttpRequest.post(
-                        "/machines", CloudCodec.provisioningRequest(request, machineType, zone, isSpot, count)))
+                        "/machines", CloudCodec.provisioningRequest(requestName, machineType, zone, isSpot, count)))
                 .thenApply(response -> new ProvisioningResult(
-                        provisioningOutcome(response), CloudCodec.provisionedMachines(response.json())));
+                        provisioningOutcome(response), CloudCodec.readProvisionedMachines(response.json())));
     }
 
     private static Outcome provisioningOutcome(HttpResponse response) {
@@ -105,8 +105,8 @@
      * machines, and all that was on them, are gone.
      */
     public CompletableFuture<Outcome> returnMachines(Collection<String> machines) {
-        List<String> named = machines.stream().limit(MAX_MACHINES_PER_RETURN).toList();
-        return send(HttpRequest.post("/machines/return", CloudCodec.returnRequest(named)))
+        List<String> batch = machines.stream().limit(MAX_MACHINES_PER_RETURN).toList();
+        return send(HttpRequest.post("/machines/return", CloudCodec.returnRequest(batch)))
                 .thenApply(Outcome::of);
     }
 
--- a/src/main/java/io/sillreel/cloud/CloudCodec.java
+++ b/src/main/java/io/sillreel/cloud/CloudCodec.java
@@ -22,9 +22,10 @@
 
     private CloudCodec() {}
 
-    static ObjectNode provisioningRequest(String request, String machineType, String zone, boolean spot, int count) {
+    static ObjectNode provisioningRequest(
+            String requestName, String machineType, String zone, boolean spot, int count) {
         return Json.object()
-                .put("hire", request)
+                .put("hire", requestName)
                 .put(MACHINE_TYPE, machineType)
                 .put(ZONE, zone)
                 .put(SPOT, spot)
@@ -32,7 +33,7 @@
     }
 
     /** Returns the names of the machines that a provisioning request obtained. */
-    static List<String> provisionedMachines(JsonNode body) {
+    static List<String> readProvisionedMachines(JsonNode body) {
         List<String> names = new ArrayList<>();
         for (JsonNode name : body.path(MACHINES)) {
             names.add(name.asText());
--- a/src/main/java/io/sillreel/cloud/MachineListRequest.java
+++ b/src/main/java/io/sillreel/cloud/MachineListRequest.java
@@ -23,9 +23,9 @@
 final class MachineListRequest {
     private static final int PAGE_SIZE = 500;
     /** The part of a full bucket that pages leave to other requests. */
-    private static final double RESERVED_PART = 0.5;
+    private static final double RESERVED_FRACTION = 0.5;
 
-    private static final long PAGE_PAUSE_MICROS = 100_000;
+    private static final long RATE_LIMIT_RETRY_MICROS = 100_000;
     /** A page that has waited for longer may use the whole rate, so that the list ends under load as well. */
     private static final long MAX_PAGE_WAIT_MICROS = 3_000_000;
 
@@ -38,8 +38,8 @@
     private final RateLimiter rateLimiter;
     private final List<ListedMachine> machines = new ArrayList<>();
     private final CompletableFuture<MachineList> result = new CompletableFuture<>();
-    private String lastName = "";
-    private long pageDueMicros;
+    private String lastMachineName = "";
+    private long pageWaitStartMicros;
     private int pageFailures;
 
     MachineListRequest(HttpClient httpClient, EventLoop eventLoop, String address, RateLimiter rateLimiter) {
@@ -51,20 +51,23 @@
 
     /** Requests the first page; the future completes with the whole list, or with the outcome that ended it. */
     CompletableFuture<MachineList> start() {
-        pageDueMicros = eventLoop.nowMicros();
+        pageWaitStartMicros = eventLoop.nowMicros();
         requestPage();
         return result;
     }
 
     private void requestPage() {
-        boolean mayWait = eventLoop.nowMicros() - pageDueMicros < MAX_PAGE_WAIT_MICROS;
-        if (!rateLimiter.tryAcquireLeaving(1, mayWait ? RESERVED_PART * rateLimiter.burst() : 0)) {
-            eventLoop.schedule(PAGE_PAUSE_MICROS, this::requestPage);
+        boolean mayWait = eventLoop.nowMicros() - pageWaitStartMicros < MAX_PAGE_WAIT_MICROS;
+        if (!rateLimiter.tryAcquireKeepingReserve(1, mayWait ? RESERVED_FRACTION * rateLimiter.burst() : 0)) {
+            eventLoop.schedule(RATE_LIMIT_RETRY_MICROS, this::requestPage);
             return;
         }
-        String start = lastName.isEmpty() ? "" : "&since=" + lastName;
+        String sinceParameter = lastMachineName.isEmpty() ? "" : "&since=" + lastMachineName;
         httpClient
-                .send(address, HttpRequest.get("/machines?limit=" + PAGE_SIZE + start), CloudClient.TIMEOUT_MICROS)
+                .send(
+                        address,
+                        HttpRequest.get("/machines?limit=" + PAGE_SIZE + sinceParameter),
+                        CloudClient.TIMEOUT_MICROS)
                 .thenAccept(this::handleResponse);
     }
 
@@ -81,8 +84,8 @@
     private void addPage(JsonNode body) {
         CloudCodec.readPage(body, machines);
         if (CloudCodec.isTruncated(body) && !machines.isEmpty()) {
-            lastName = machines.get(machines.size() - 1).name();
-            pageDueMicros = eventLoop.nowMicros();
+            lastMachineName = machines.get(machines.size() - 1).name();
+            pageWaitStartMicros = eventLoop.nowMicros();
             pageFailures = 0;
             requestPage();
         } else {
--- a/src/main/java/io/sillreel/cloud/MachineTypeCatalog.java
+++ b/src/main/java/io/sillreel/cloud/MachineTypeCatalog.java
@@ -44,20 +44,20 @@
         store.read().thenAccept(stored -> {
             update(stored.types());
             if (types.isEmpty() || isLeader.getAsBoolean()) {
-                requestFromCloud(stored);
+                fetchFromCloud(stored);
             }
             eventLoop.schedule(types.isEmpty() ? RETRY_MICROS : REFRESH_MICROS, this::start);
         });
     }
 
-    private void requestFromCloud(MachineTypeStore.StoredTypes stored) {
-        cloud.listMachineTypes().thenAccept(answer -> {
-            if (answer.outcome() != CloudClient.Outcome.OK || answer.list().isEmpty()) {
+    private void fetchFromCloud(MachineTypeStore.StoredTypes stored) {
+        cloud.listMachineTypes().thenAccept(result -> {
+            if (result.outcome() != CloudClient.Outcome.OK || result.list().isEmpty()) {
                 return;
             }
-            update(answer.list());
+            update(result.list());
             if (stored.isConclusive()) {
-                store.write(answer.list(), stored.revision());
+                store.write(result.list(), stored.revision());
             }
         });
     }
--- a/src/main/java/io/sillreel/http/HttpRequest.java
+++ b/src/main/java/io/sillreel/http/HttpRequest.java
@@ -24,7 +24,7 @@
     }
 
     /** The first value of a query parameter, or an empty string if it is missing. */
-    public String query(String name) {
+    public String queryParameter(String name) {
         List<String> values = new QueryStringDecoder(path).parameters().get(name);
         return values == null ? "" : values.get(0);
     }
--- a/src/main/java/io/sillreel/http/NettyHttpServer.java
+++ b/src/main/java/io/sillreel/http/NettyHttpServer.java
@@ -152,7 +152,7 @@
         }
 
         /** Counts the connection as a worker's with its first such request; false if there are too many of them. */
-        private boolean mayServe(RequestClass requestClass) {
+        private boolean tryAdmit(RequestClass requestClass) {
             if (isWorkerConnection || requestClass != RequestClass.WORKERS) {
                 return true;
             }
@@ -184,17 +184,17 @@
             }
             HttpRequest request = new HttpRequest(nettyRequest.method().name(), nettyRequest.uri(), body);
             RequestClass requestClass = requestClassifier.apply(request);
-            if (!mayServe(requestClass)) {
+            if (!tryAdmit(requestClass)) {
                 write(ctx, HttpResponse.retryLater(503, "too many connections", 1), false);
             } else if (requestClass == RequestClass.IMMEDIATE) {
-                answer(ctx, request, keepAlive);
+                respond(ctx, request, keepAlive);
             } else if (!requestQueue.enqueue(
-                    requestClass, body.length, ctx.channel()::isActive, () -> answer(ctx, request, keepAlive))) {
+                    requestClass, body.length, ctx.channel()::isActive, () -> respond(ctx, request, keepAlive))) {
                 write(ctx, HttpResponse.retryLater(503, "too much waits already", 1), keepAlive);
             }
         }
 
-        private void answer(ChannelHandlerContext ctx, HttpRequest request, boolean keepAlive) {
+        private void respond(ChannelHandlerContext ctx, HttpRequest request, boolean keepAlive) {
             handle(request).whenComplete((response, failure) -> {
                 if (failure != null) {
                     LOG.error("a request could not be handled: {} {}", request.method(), request.path(), failure);
--- a/src/main/java/io/sillreel/http/RequestQueue.java
+++ b/src/main/java/io/sillreel/http/RequestQueue.java
@@ -25,21 +25,21 @@
         WORKERS
     }
 
-    private static final int MAX_REQUESTS_PER_SLICE = 16;
-    private static final long MAX_SLICE_MICROS = 20_000;
+    private static final int MAX_BATCH_REQUESTS = 16;
+    private static final long MAX_BATCH_MICROS = 20_000;
     /** Below the two seconds after which users' clients time out. */
-    private static final long NEWEST_FIRST_AFTER_MICROS = 1_000_000;
+    private static final long LIFO_THRESHOLD_MICROS = 1_000_000;
 
-    private record WaitingRequest(long queuedAtMicros, int bytes, BooleanSupplier isWanted, Runnable work) {}
+    private record QueuedRequest(long queuedAtMicros, int bytes, BooleanSupplier isClientWaiting, Runnable task) {}
 
     private final EventLoop eventLoop;
     private final long maxBytes;
-    private final Deque<WaitingRequest> users = new ArrayDeque<>();
-    private final Deque<WaitingRequest> workers = new ArrayDeque<>();
+    private final Deque<QueuedRequest> userRequests = new ArrayDeque<>();
+    private final Deque<QueuedRequest> workerRequests = new ArrayDeque<>();
     private boolean workersNext;
-    private boolean sliceScheduled;
+    private boolean batchScheduled;
     private long abandonedCount;
-    private long bytesWaiting;
+    private long queuedBytes;
 
     /**
      * @param maxBytes the total size of the waiting requests beyond which more are refused, so that hundreds of large
@@ -54,64 +54,64 @@
      * Queues the work of a request, or does it at once if the class is {@link RequestClass#IMMEDIATE}.
      *
      * @param bytes memory that the request holds while it waits
-     * @param isWanted false once the client has given up; the work is then not done
+     * @param isClientWaiting false once the client has given up; the work is then not done
      * @return false if the request was refused because too much waits already
      */
-    public boolean enqueue(RequestClass requestClass, int bytes, BooleanSupplier isWanted, Runnable work) {
+    public boolean enqueue(RequestClass requestClass, int bytes, BooleanSupplier isClientWaiting, Runnable task) {
         if (requestClass == RequestClass.IMMEDIATE) {
-            work.run();
+            task.run();
             return true;
         }
         synchronized (this) {
-            if (bytesWaiting + bytes > maxBytes) {
+            if (queuedBytes + bytes > maxBytes) {
                 return false;
             }
-            bytesWaiting += bytes;
-            (requestClass == RequestClass.USERS ? users : workers)
-                    .add(new WaitingRequest(eventLoop.nowMicros(), bytes, isWanted, work));
-            if (sliceScheduled) {
+            queuedBytes += bytes;
+            (requestClass == RequestClass.USERS ? userRequests : workerRequests)
+                    .add(new QueuedRequest(eventLoop.nowMicros(), bytes, isClientWaiting, task));
+            if (batchScheduled) {
                 return true;
             }
-            sliceScheduled = true;
+            batchScheduled = true;
         }
-        eventLoop.schedule(0, this::runSlice);
+        eventLoop.schedule(0, this::runBatch);
         return true;
     }
 
-    private void runSlice() {
+    private void runBatch() {
         long startedMicros = eventLoop.nowMicros();
         for (int handled = 0;
-                handled < MAX_REQUESTS_PER_SLICE && eventLoop.nowMicros() - startedMicros < MAX_SLICE_MICROS;
+                handled < MAX_BATCH_REQUESTS && eventLoop.nowMicros() - startedMicros < MAX_BATCH_MICROS;
                 handled++) {
-            WaitingRequest request = next();
+            QueuedRequest request = poll();
             if (request == null) {
                 return;
             }
-            request.work().run();
+            request.task().run();
         }
         // A task with a delay of zero would run before the event loop processes the network again.
-        eventLoop.schedule(1, this::runSlice);
+        eventLoop.schedule(1, this::runBatch);
     }
 
     /** Removes the next request to be handled, or returns null if none waits. */
-    private synchronized WaitingRequest next() {
+    private synchronized QueuedRequest poll() {
         workersNext = !workersNext;
-        WaitingRequest request = next(workersNext ? workers : users);
+        QueuedRequest request = poll(workersNext ? workerRequests : userRequests);
         if (request == null) {
-            request = next(workersNext ? users : workers);
+            request = poll(workersNext ? userRequests : workerRequests);
         }
-        sliceScheduled = request != null;
+        batchScheduled = request != null;
         return request;
     }
 
-    private WaitingRequest next(Deque<WaitingRequest> queue) {
+    private QueuedRequest poll(Deque<QueuedRequest> queue) {
         while (!queue.isEmpty()) {
-            WaitingRequest oldest = queue.peekFirst();
-            boolean isLate = eventLoop.nowMicros() - oldest.queuedAtMicros() > NEWEST_FIRST_AFTER_MICROS;
-            boolean isOldestWanted = oldest.isWanted().getAsBoolean();
-            WaitingRequest request = isLate && isOldestWanted ? queue.pollLast() : queue.pollFirst();
-            bytesWaiting -= request.bytes();
-            if (isOldestWanted && request.isWanted().getAsBoolean()) {
+            QueuedRequest oldest = queue.peekFirst();
+            boolean isOldestOverdue = eventLoop.nowMicros() - oldest.queuedAtMicros() > LIFO_THRESHOLD_MICROS;
+            boolean isOldestClientWaiting = oldest.isClientWaiting().getAsBoolean();
+            QueuedRequest request = isOldestOverdue && isOldestClientWaiting ? queue.pollLast() : queue.pollFirst();
+            queuedBytes -= request.bytes();
+            if (isOldestClientWaiting && request.isClientWaiting().getAsBoolean()) {
                 return request;
             }
             abandonedCount++;
@@ -126,6 +126,6 @@
 
     /** The number of requests that wait. */
     public synchronized int waitingCount() {
-        return users.size() + workers.size();
+        return userRequests.size() + workerRequests.size();
     }
 }
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -166,7 +166,7 @@
     }
 
     private StoredStateLoader newStateLoader(FleetConfiguration configuration) {
-        int firstVersionValueBytes = settings.state().values().presentBytes();
+        int firstVersionValueBytes = settings.state().values().currentBytes();
         return new StoredStateLoader(
                 eventLoop, store, firstVersionValueBytes, configuration.machineTypes(), authority, this::beginLeading);
     }
--- a/src/main/java/io/sillreel/overload/AdaptiveLimit.java
+++ b/src/main/java/io/sillreel/overload/AdaptiveConcurrencyLimit.java
@@ -19,8 +19,8 @@
  * pass in addition to the limit; otherwise a job could stay without any response for as long as the load lasts.
  * Thread-safe; all state is guarded by this.
  */
-public final class AdaptiveLimit implements HttpHandler {
-    private static final double POLL_SHARE = 0.7;
+public final class AdaptiveConcurrencyLimit implements HttpHandler {
+    private static final double MAX_POLL_FRACTION = 0.7;
     private static final int INITIAL_LIMIT = 20;
     private static final int MIN_LIMIT = 8;
     private static final long OVERDUE_AFTER_MICROS = 10_000_000;
@@ -33,20 +33,20 @@
     private long refusedCount;
     private int overdueInProgress;
     /** The time of the first refusal by path, in the order of insertion. */
-    private final Map<String, Long> refusedSince;
+    private final Map<String, Long> firstRefusalByPath;
 
     /**
      * @param maxLimit the upper bound of the limit, however fast requests are handled
-     * @param maxRefused how many refused polls are remembered
+     * @param maxTrackedPolls how many refused polls are remembered
      * @param nowMicros monotonic time in microseconds
      */
-    public AdaptiveLimit(HttpHandler delegate, int maxLimit, int maxRefused, LongSupplier nowMicros) {
-        this.refusedSince = new LinkedHashMap<>() {
+    public AdaptiveConcurrencyLimit(HttpHandler delegate, int maxLimit, int maxTrackedPolls, LongSupplier nowMicros) {
+        this.firstRefusalByPath = new LinkedHashMap<>() {
             private static final long serialVersionUID = 1L;
 
             @Override
             protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-                return size() > maxRefused;
+                return size() > maxTrackedPolls;
             }
         };
         this.delegate = delegate;
@@ -65,8 +65,9 @@
         boolean isPoll = request.method().equals("GET");
         Optional<Limiter.Listener> admitted;
         synchronized (this) {
-            admitted =
-                    isPoll && inProgress >= POLL_SHARE * limiter.getLimit() ? Optional.empty() : limiter.acquire(null);
+            admitted = isPoll && inProgress >= MAX_POLL_FRACTION * limiter.getLimit()
+                    ? Optional.empty()
+                    : limiter.acquire(null);
             if (admitted.isEmpty() && !(isPoll && isOverdue(request.path()))) {
                 refusedCount++;
                 return CompletableFuture.completedFuture(HttpResponse.retryLater(429, "too much is asked at once", 1));
@@ -74,26 +75,26 @@
             inProgress += admitted.isPresent() ? 1 : 0;
             overdueInProgress += admitted.isPresent() ? 0 : 1;
         }
-        CompletableFuture<HttpResponse> answer = delegate.handle(request);
-        answer.whenComplete((response, failure) -> {
-            boolean served = failure == null && response.status() != 503;
+        CompletableFuture<HttpResponse> responseFuture = delegate.handle(request);
+        responseFuture.whenComplete((response, failure) -> {
+            boolean isServed = failure == null && response.status() != 503;
             synchronized (this) {
                 inProgress -= admitted.isPresent() ? 1 : 0;
                 overdueInProgress -= admitted.isPresent() ? 0 : 1;
-                if (served && isPoll) {
-                    refusedSince.remove(request.path());
+                if (isServed && isPoll) {
+                    firstRefusalByPath.remove(request.path());
                 }
             }
             // A failure of another service says nothing about the capacity of this process.
-            admitted.ifPresent(served ? Limiter.Listener::onSuccess : Limiter.Listener::onIgnore);
+            admitted.ifPresent(isServed ? Limiter.Listener::onSuccess : Limiter.Listener::onIgnore);
         });
-        return answer;
+        return responseFuture;
     }
 
     /** Records the refusal of a poll; true if the poll is overdue and may pass now. */
     private boolean isOverdue(String path) {
         long now = nowMicros.getAsLong();
-        Long firstRefusal = refusedSince.putIfAbsent(path, now);
+        Long firstRefusal = firstRefusalByPath.putIfAbsent(path, now);
         return firstRefusal != null
                 && now - firstRefusal > OVERDUE_AFTER_MICROS
                 && overdueInProgress < MAX_OVERDUE_IN_PROGRESS;
--- a/src/main/java/io/sillreel/overload/EventLoopLag.java
+++ b/src/main/java/io/sillreel/overload/EventLoopLag.java
@@ -28,9 +28,9 @@
 
     private void sample() {
         synchronized (this) {
-            long late = Math.max(0, eventLoop.nowMicros() - dueMicros);
-            currentMicros = Math.max(late, currentMicros - currentMicros / DECAY_DIVISOR);
-            maxMicros = Math.max(maxMicros, late);
+            long lagMicros = Math.max(0, eventLoop.nowMicros() - dueMicros);
+            currentMicros = Math.max(lagMicros, currentMicros - currentMicros / DECAY_DIVISOR);
+            maxMicros = Math.max(maxMicros, lagMicros);
         }
         start();
     }
--- a/src/main/java/io/sillreel/overload/RateLimiter.java
+++ b/src/main/java/io/sillreel/overload/RateLimiter.java
@@ -8,16 +8,16 @@
  * Thread-safe; all state is guarded by this.
  */
 public final class RateLimiter {
-    private static final double SHRINK_FACTOR = 0.6;
-    private static final double MIN_SHARE = 0.05;
-    private static final double SHARE_RECOVERY_PER_SECOND = 0.02;
+    private static final double REJECTION_BACKOFF_FACTOR = 0.6;
+    private static final double MIN_RATE_FRACTION = 0.05;
+    private static final double RATE_FRACTION_RECOVERY_PER_SECOND = 0.02;
     /** Rejections within this time have the same cause and shrink the share once. */
     private static final long REJECTION_WINDOW_MICROS = 300_000;
 
     private final EventLoop eventLoop;
     private final double maxPerSecond;
     private final double maxBurst;
-    private double share = 1;
+    private double rateFraction = 1;
     private double tokens;
     private long refilledAtMicros;
     private long rejectedAtMicros = Long.MIN_VALUE / 2;
@@ -36,13 +36,13 @@
 
     /** Takes the tokens if they are available; an amount larger than the bucket may overdraw a full one. */
     public boolean tryAcquire(double amount) {
-        return tryAcquireLeaving(amount, 0);
+        return tryAcquireKeepingReserve(amount, 0);
     }
 
     /** Takes the tokens if the given number is left after that, or if the bucket is full. */
-    public synchronized boolean tryAcquireLeaving(double amount, double left) {
+    public synchronized boolean tryAcquireKeepingReserve(double amount, double reserve) {
         refill();
-        if (tokens >= Math.min(amount + left, burst())) {
+        if (tokens >= Math.min(amount + reserve, burst())) {
             tokens -= amount;
             return true;
         }
@@ -61,7 +61,7 @@
         tokens = Math.min(tokens, 0);
         if (eventLoop.nowMicros() - rejectedAtMicros > REJECTION_WINDOW_MICROS) {
             rejectedAtMicros = eventLoop.nowMicros();
-            share = Math.max(MIN_SHARE, share * SHRINK_FACTOR);
+            rateFraction = Math.max(MIN_RATE_FRACTION, rateFraction * REJECTION_BACKOFF_FACTOR);
         }
     }
 
@@ -73,14 +73,14 @@
 
     /** The current size of the bucket. */
     public synchronized double burst() {
-        return share * maxBurst;
+        return rateFraction * maxBurst;
     }
 
     private void refill() {
         long now = eventLoop.nowMicros();
         double seconds = (now - refilledAtMicros) / 1_000_000.0;
-        share = Math.min(1, share + SHARE_RECOVERY_PER_SECOND * seconds);
-        tokens = Math.min(burst(), tokens + share * maxPerSecond * seconds);
+        rateFraction = Math.min(1, rateFraction + RATE_FRACTION_RECOVERY_PER_SECOND * seconds);
+        tokens = Math.min(burst(), tokens + rateFraction * maxPerSecond * seconds);
         refilledAtMicros = now;
     }
 }
--- a/src/main/java/io/sillreel/overload/package-info.java
+++ b/src/main/java/io/sillreel/overload/package-info.java
@@ -1,7 +1,7 @@
 /**
  * Protection of this process and of the services it calls against too many requests.
  *
- * <p>{@link io.sillreel.overload.AdaptiveLimit} limits users' requests in progress,
+ * <p>{@link io.sillreel.overload.AdaptiveConcurrencyLimit} limits users' requests in progress,
  * {@link io.sillreel.overload.RateLimiter} the rate of requests to a shared service, and
  * {@link io.sillreel.overload.EventLoopLag} shows whether the process gets enough processor time. All state is in
  * memory.
--- a/src/main/java/io/sillreel/pipeline/StoredCompletionBitmap.java
+++ b/src/main/java/io/sillreel/pipeline/StoredCompletionBitmap.java
@@ -37,7 +37,7 @@
         int tasksPerChunk = CompletionBitmapCodec.tasksPerChunk(limits.announcedBytes());
         this.chunks =
                 tasks <= tasksPerChunk ? null : new CompletionBitmapChunks(uid, tasks, tasksPerChunk, onChunksStored);
-        this.usesChunks = tasks > CompletionBitmapCodec.tasksPerChunk(limits.presentBytes());
+        this.usesChunks = tasks > CompletionBitmapCodec.tasksPerChunk(limits.currentBytes());
     }
 
     /** Takes over what is stored. */
--- a/src/main/java/io/sillreel/recovery/RecoveryApi.java
+++ b/src/main/java/io/sillreel/recovery/RecoveryApi.java
@@ -62,7 +62,7 @@
     }
 
     private static long number(HttpRequest request, String name) {
-        String text = request.query(name);
+        String text = request.queryParameter(name);
         return text.matches("[0-9]{1,18}") ? Long.parseLong(text) : 0;
     }
 
--- a/src/main/java/io/sillreel/settings/OperatorProperties.java
+++ b/src/main/java/io/sillreel/settings/OperatorProperties.java
@@ -33,9 +33,9 @@
      * What is done about a state service that has lost writes.
      *
      * @param enabled false if nothing is
-     * @param followMicros how long changes are collected before a controller asks for them
+     * @param changePollIntervalMicros how long changes are collected before a controller asks for them
      */
-    public record RecoveryProperties(boolean enabled, long followMicros) {}
+    public record RecoveryProperties(boolean enabled, long changePollIntervalMicros) {}
 
     /** The known properties with their keys, defaults and bounds. */
     private enum Property {
@@ -46,7 +46,7 @@
         RETRY_PARKED_MILLIS("retry.parked.ms", 60_000, 1_000, 86_400_000),
         MAX_REQUESTS("overload.max.requests", 64, 4, 10_000),
         RECOVERY_ENABLED("recovery.enabled", 0, 0, 1),
-        RECOVERY_FOLLOW_MILLIS("recovery.follow.ms", 250, 20, 10_000);
+        RECOVERY_POLL_INTERVAL_MILLIS("recovery.follow.ms", 250, 20, 10_000);
 
         private static final long MICROS_PER_MILLI = 1_000;
 
@@ -133,6 +133,6 @@
                 (int) Property.MAX_REQUESTS.valueIn(properties),
                 new RecoveryProperties(
                         Property.RECOVERY_ENABLED.valueIn(properties) == 1,
-                        Property.RECOVERY_FOLLOW_MILLIS.microsIn(properties)));
+                        Property.RECOVERY_POLL_INTERVAL_MILLIS.microsIn(properties)));
     }
 }
--- a/src/main/java/io/sillreel/settings/SettingsReader.java
+++ b/src/main/java/io/sillreel/settings/SettingsReader.java
@@ -71,28 +71,28 @@
             throw new SettingsException(
                     "settings", "can't be read (" + e.getClass().getSimpleName() + ")");
         }
-        return settings(new TomlTable("", root));
+        return readSettings(new TomlTable("", root));
     }
 
     /** Reads the fields in the order of the file, which decides about the one that is named if several are wrong. */
-    private static Settings settings(TomlTable root) {
+    private static Settings readSettings(TomlTable root) {
         TomlTable params = root.table("params");
         TomlTable state = params.table("state");
         TomlTable cloud = params.table("cloud");
         TomlTable resources = params.table("resources");
         TomlTable endpoints = root.table("endpoints");
 
-        LocalController localController = localController(root);
-        List<Member> members = members(root);
+        LocalController localController = readLocalController(root);
+        List<Member> members = readMembers(root);
         String cloudAddress = endpoints.hostPort("cloud");
         String stateAddress = endpoints.hostPort("state");
         // The platform always gives the list; the zones that count are those of the machine types.
-        params.texts("zones");
-        long clockSkewMicros = Math.round(params.amount("skew_ms") * MICROS_PER_MILLI);
-        SchedulingPolicy scheduling = new SchedulingPolicy(teams(params), objectives(params));
-        WorkerTimes workers = workerTimes(params.table("workers"));
-        StateLimits stateLimits = stateLimits(state);
-        CloudLimits cloudLimits = new CloudLimits(cloud.positive("rps"), cloud.micros("list_lag_s"));
+        params.strings("zones");
+        long clockSkewMicros = Math.round(params.nonNegative("skew_ms") * MICROS_PER_MILLI);
+        SchedulingPolicy scheduling = new SchedulingPolicy(readTeams(params), readObjectives(params));
+        WorkerTimes workers = readWorkerTimes(params.table("workers"));
+        StateLimits stateLimits = readStateLimits(state);
+        CloudLimits cloudLimits = new CloudLimits(cloud.positive("rps"), cloud.durationMicros("list_lag_s"));
         return new Settings(
                 localController,
                 members,
@@ -100,39 +100,39 @@
                 clockSkewMicros,
                 scheduling,
                 workers,
-                resources(resources));
+                readResources(resources));
     }
 
-    private static LocalController localController(TomlTable root) {
+    private static LocalController readLocalController(TomlTable root) {
         return new LocalController(
-                root.text("node_name"),
-                root.text("area"),
-                address(root.hostPort("public_addr")),
-                address(root.hostPort("internal_addr")));
+                root.string("node_name"),
+                root.string("area"),
+                parseAddress(root.hostPort("public_addr")),
+                parseAddress(root.hostPort("internal_addr")));
     }
 
-    private static Resources resources(TomlTable resources) {
+    private static Resources readResources(TomlTable resources) {
         return new Resources(resources.positive("cores"), resources.atLeast("memory_mb", MIN_MEMORY_MB), (int)
                 resources.atLeast("max_sockets", MIN_SOCKETS));
     }
 
-    private static List<Member> members(TomlTable root) {
+    private static List<Member> readMembers(TomlTable root) {
         List<Member> members = new ArrayList<>();
         for (TomlTable member : root.tables("members")) {
-            members.add(new Member(member.text("node_name"), member.text("area"), member.hostPort("address")));
+            members.add(new Member(member.string("node_name"), member.string("area"), member.hostPort("address")));
         }
         return List.copyOf(members);
     }
 
-    private static Map<String, Team> teams(TomlTable params) {
+    private static Map<String, Team> readTeams(TomlTable params) {
         Map<String, Team> teams = new LinkedHashMap<>();
         for (TomlTable table : params.tables("teams")) {
             Team team = new Team(
-                    table.text("name"),
-                    table.amountOr("cpus", 0),
-                    table.amountOr("cpus_max", 0),
-                    table.amountOr("gpus", 0),
-                    table.amountOr("gpus_max", 0));
+                    table.string("name"),
+                    table.nonNegativeOr("cpus", 0),
+                    table.nonNegativeOr("cpus_max", 0),
+                    table.nonNegativeOr("gpus", 0),
+                    table.nonNegativeOr("gpus_max", 0));
             if (team.maxCpus() > 0 && team.maxCpus() < team.guaranteedCpus()) {
                 throw new SettingsException(table.qualifiedName("cpus_max"), "is below cpus");
             }
@@ -144,21 +144,23 @@
         return teams;
     }
 
-    private static List<Objective> objectives(TomlTable params) {
+    private static List<Objective> readObjectives(TomlTable params) {
         List<Objective> objectives = new ArrayList<>();
         for (TomlTable table : params.tables("objectives")) {
             objectives.add(new Objective(
-                    table.textOr("kind", ""),
-                    table.textOr("class", ""),
-                    Math.round(table.amountOr("within_s", 0) * TomlTable.MICROS_PER_SECOND),
-                    table.amountOr("share", 0)));
+                    table.stringOr("kind", ""),
+                    table.stringOr("class", ""),
+                    Math.round(table.nonNegativeOr("within_s", 0) * TomlTable.MICROS_PER_SECOND),
+                    table.nonNegativeOr("share", 0)));
         }
         return List.copyOf(objectives);
     }
 
-    private static WorkerTimes workerTimes(TomlTable workers) {
-        WorkerTimes times =
-                new WorkerTimes(workers.micros("report_s"), workers.micros("lease_s"), workers.micros("cancel_s"));
+    private static WorkerTimes readWorkerTimes(TomlTable workers) {
+        WorkerTimes times = new WorkerTimes(
+                workers.durationMicros("report_s"),
+                workers.durationMicros("lease_s"),
+                workers.durationMicros("cancel_s"));
         if (times.leaseMicros() <= 2 * times.heartbeatIntervalMicros()) {
             throw new SettingsException(
                     workers.qualifiedName("lease_s"), "must be longer than two heartbeat intervals (report_s)");
@@ -169,22 +171,22 @@
         return times;
     }
 
-    private static StateLimits stateLimits(TomlTable state) {
-        double requests = state.atLeast("rps", MIN_REQUESTS);
-        double writes = state.atLeast("write_rps", MIN_WRITES);
+    private static StateLimits readStateLimits(TomlTable state) {
+        double requestsPerSecond = state.atLeast("rps", MIN_REQUESTS);
+        double writesPerSecond = state.atLeast("write_rps", MIN_WRITES);
         double valueKb = state.atLeast("value_kb", MIN_VALUE_KB);
         double maxChanges = state.atLeast("txn_ops", MIN_TRANSACTION_CHANGES);
         TomlTable next = state.tableOrEmpty("next");
-        next.atLeastOr("rps", MIN_REQUESTS, requests);
-        next.atLeastOr("write_rps", MIN_WRITES, writes);
+        next.atLeastOr("rps", MIN_REQUESTS, requestsPerSecond);
+        next.atLeastOr("write_rps", MIN_WRITES, writesPerSecond);
         double announcedKb = Math.min(valueKb, next.atLeastOr("value_kb", MIN_VALUE_KB, valueKb));
         double maxAnnouncedChanges =
                 Math.min(maxChanges, next.atLeastOr("txn_ops", MIN_TRANSACTION_CHANGES, maxChanges));
         ValueLimits values = new ValueLimits((int) (valueKb * BYTES_PER_KB), (int) (announcedKb * BYTES_PER_KB));
-        return new StateLimits(requests, writes, values, (int) maxAnnouncedChanges);
+        return new StateLimits(requestsPerSecond, writesPerSecond, values, (int) maxAnnouncedChanges);
     }
 
-    private static InetSocketAddress address(String hostPort) {
+    private static InetSocketAddress parseAddress(String hostPort) {
         int colon = hostPort.lastIndexOf(':');
         return new InetSocketAddress(hostPort.substring(0, colon), Integer.parseInt(hostPort.substring(colon + 1)));
     }
--- a/src/main/java/io/sillreel/settings/TomlTable.java
+++ b/src/main/java/io/sillreel/settings/TomlTable.java
@@ -60,18 +60,18 @@
     }
 
     /** Reads a list of texts that has to be there. */
-    List<String> texts(String field) {
+    List<String> strings(String field) {
         JsonNode value = required(field);
         if (!value.isArray()) {
             throw new SettingsException(qualifiedName(field), "is not a list");
         }
-        List<String> texts = new ArrayList<>();
-        value.forEach(element -> texts.add(element.asText()));
-        return List.copyOf(texts);
+        List<String> strings = new ArrayList<>();
+        value.forEach(element -> strings.add(element.asText()));
+        return List.copyOf(strings);
     }
 
     /** Reads a text that is not blank. */
-    String text(String field) {
+    String string(String field) {
         JsonNode value = required(field);
         if (!value.isTextual() || value.asText().isBlank()) {
             throw new SettingsException(qualifiedName(field), "is not a text");
@@ -80,13 +80,13 @@
     }
 
     /** Reads a text, or returns the default if there is none. */
-    String textOr(String field, String defaultText) {
-        return node.path(field).asText(defaultText);
+    String stringOr(String field, String defaultValue) {
+        return node.path(field).asText(defaultValue);
     }
 
     /** Reads an address of the form host:port. */
     String hostPort(String field) {
-        String value = text(field);
+        String value = string(field);
         int colon = value.lastIndexOf(':');
         try {
             int port = colon < 1 ? -1 : Integer.parseInt(value.substring(colon + 1));
@@ -100,7 +100,7 @@
     }
 
     /** Reads a finite number of at least 0. */
-    double amount(String field) {
+    double nonNegative(String field) {
         JsonNode value = required(field);
         if (!value.isNumber() || !Double.isFinite(value.asDouble()) || value.asDouble() < 0) {
             throw new SettingsException(
@@ -110,13 +110,13 @@
     }
 
     /** Reads a finite number of at least 0, or returns the default if there is none. */
-    double amountOr(String field, double defaultAmount) {
-        return node.hasNonNull(field) ? amount(field) : defaultAmount;
+    double nonNegativeOr(String field, double defaultValue) {
+        return node.hasNonNull(field) ? nonNegative(field) : defaultValue;
     }
 
     /** Reads a finite number above 0. */
     double positive(String field) {
-        double value = amount(field);
+        double value = nonNegative(field);
         if (value <= 0) {
             throw new SettingsException(qualifiedName(field), "is " + value + ", and more than 0 is needed");
         }
@@ -125,7 +125,7 @@
 
     /** Reads a finite number that is not below the minimum. */
     double atLeast(String field, double min) {
-        double value = amount(field);
+        double value = nonNegative(field);
         if (value < min) {
             throw new SettingsException(qualifiedName(field), "is " + value + ", and at least " + min + " is needed");
         }
@@ -133,12 +133,12 @@
     }
 
     /** Reads a finite number that is not below the minimum, or returns the default if there is none. */
-    double atLeastOr(String field, double min, double defaultAmount) {
-        return node.hasNonNull(field) ? atLeast(field, min) : defaultAmount;
+    double atLeastOr(String field, double min, double defaultValue) {
+        return node.hasNonNull(field) ? atLeast(field, min) : defaultValue;
     }
 
     /** Reads a duration in seconds above 0 and returns it in microseconds. */
-    long micros(String field) {
+    long durationMicros(String field) {
         return Math.round(positive(field) * MICROS_PER_SECOND);
     }
 }
--- a/src/test/java/io/sillreel/cloud/CloudClientTest.java
+++ b/src/test/java/io/sillreel/cloud/CloudClientTest.java
@@ -23,20 +23,20 @@
     private static final int MACHINES = 4_000;
     private static final long SECOND = 1_000_000;
     /** Requests a second: the least that an operator has, less what a controller leaves to others. */
-    private static final double RATE = 1.2;
+    private static final double REQUESTS_PER_SECOND = 1.2;
 
     private final SimTime time = new SimTime();
     private final SimNetwork network = new SimNetwork(time, 1);
     private final SimTime.Process process = time.new Process();
-    private final RateLimiter rateLimiter = new RateLimiter(process, RATE, RATE);
+    private final RateLimiter rateLimiter = new RateLimiter(process, REQUESTS_PER_SECOND, REQUESTS_PER_SECOND);
     private final CloudClient cloud = new CloudClient(network.from("node", process), process, "cloud:1", rateLimiter);
     private int requests;
 
     CloudClientTest() {
-        network.listen("cloud:1", request -> CompletableFuture.completedFuture(answer(request)));
+        network.listen("cloud:1", request -> CompletableFuture.completedFuture(respond(request)));
     }
 
-    private HttpResponse answer(HttpRequest request) {
+    private HttpResponse respond(HttpRequest request) {
         requests++;
         if (request.method().equals("POST")) {
             return HttpResponse.of(200, Json.object());
@@ -47,16 +47,16 @@
         int first = Integer.parseInt(since.substring("host-".length())) + 1;
         int limit = Integer.parseInt(query.parameters().get("limit").get(0));
         ObjectNode body = Json.object().put("truncated", first + limit <= MACHINES);
-        ArrayNode hoppers = body.putArray("hoppers");
-        for (int each = first; each < first + limit && each <= MACHINES; each++) {
-            hoppers.addObject().put("uid", "host-%06d".formatted(each)).put("stage", "running");
+        ArrayNode machines = body.putArray("hoppers");
+        for (int index = first; index < first + limit && index <= MACHINES; index++) {
+            machines.addObject().put("uid", "host-%06d".formatted(index)).put("stage", "running");
         }
         return HttpResponse.of(200, body);
     }
 
     /** Guards the list of a large fleet: a page beyond the rate ended it, so that beyond some 500 it never came. */
     @Test
-    void theListOfALargeFleetIsReadAtALowRate() {
+    void listsLargeFleetAtLowRequestRate() {
         CompletableFuture<MachineList> list = cloud.listMachines();
         time.runFor(12 * SECOND);
         assertThat(list).isCompletedWithValueMatching(machines -> machines.outcome() == Outcome.OK);
@@ -65,34 +65,34 @@
     }
 
     @Test
-    void aListLeavesRateToReturnsAndEndsAlthoughTheyUseAllOfIt() {
+    void listingAndReturningMachinesShareTheRequestRate() {
         CompletableFuture<MachineList> list = cloud.listMachines();
-        int served = 0;
+        int acceptedReturns = 0;
         for (int second = 0; second < 60; second++) {
-            CompletableFuture<Outcome> given = cloud.returnMachines(List.of("host-000001"));
+            CompletableFuture<Outcome> returned = cloud.returnMachines(List.of("host-000001"));
             time.runFor(SECOND);
-            served += given.join() == Outcome.OK ? 1 : 0;
+            acceptedReturns += returned.join() == Outcome.OK ? 1 : 0;
         }
         assertThat(list).isCompletedWithValueMatching(machines -> machines.outcome() == Outcome.OK);
-        assertThat(served).isGreaterThan(40);
+        assertThat(acceptedReturns).isGreaterThan(40);
     }
 
     @Test
-    void aReturnNamesNoMoreMachinesThanTheProtocolAllows() {
-        List<String> many =
+    void returnRequestIsCappedAtProtocolLimit() {
+        List<String> machines =
                 IntStream.range(0, 250).mapToObj("host-%06d"::formatted).toList();
-        int[] named = new int[1];
+        int[] returnedCount = new int[1];
         network.add((from, to, request) -> {
-            named[0] = Json.parse(request.body()).path("hoppers").size();
+            returnedCount[0] = Json.parse(request.body()).path("hoppers").size();
             return null;
         });
-        cloud.returnMachines(many);
+        cloud.returnMachines(machines);
         time.runFor(SECOND);
-        assertThat(named[0]).isEqualTo(100);
+        assertThat(returnedCount[0]).isEqualTo(100);
     }
 
     @Test
-    void aRefusedPageIsRequestedAgain() {
+    void retriesRefusedPages() {
         network.add((from, to, request) -> requests++ % 3 == 0 ? Fate.REFUSE : null);
         CompletableFuture<MachineList> list = cloud.listMachines();
         time.runFor(60 * SECOND);
@@ -100,11 +100,11 @@
     }
 
     @Test
-    void anOutageEndsTheList() {
+    void listingFailsDuringOutage() {
         network.add((from, to, request) -> Fate.REFUSE);
         network.silence("cloud:1");
-        CompletableFuture<MachineList> refused = cloud.listMachines();
+        CompletableFuture<MachineList> list = cloud.listMachines();
         time.runFor(60 * SECOND);
-        assertThat(refused.join().outcome()).isNotEqualTo(Outcome.OK);
+        assertThat(list.join().outcome()).isNotEqualTo(Outcome.OK);
     }
 }
--- a/src/test/java/io/sillreel/cloud/CloudSamplesTest.java
+++ b/src/test/java/io/sillreel/cloud/CloudSamplesTest.java
@@ -5,7 +5,7 @@
 
 import io.sillreel.cloud.CloudClient.ListedMachine;
 import io.sillreel.cloud.CloudClient.MachineList;
-import io.sillreel.cloud.CloudClient.MachineTypesAnswer;
+import io.sillreel.cloud.CloudClient.MachineTypesResult;
 import io.sillreel.golden.GoldenSamples;
 import io.sillreel.golden.GoldenSamples.Transcript;
 import io.sillreel.overload.RateLimiter;
@@ -41,7 +41,7 @@
         GoldenSamples.assertConverts("cloud-answers.txt", input -> {
             Transcript transcript = new Transcript(request -> CompletableFuture.completedFuture(response(input)));
             CloudClient cloud = cloud(transcript);
-            MachineTypesAnswer types = cloud.listMachineTypes().join();
+            MachineTypesResult types = cloud.listMachineTypes().join();
             transcript.note(values(List.of(
                     types.outcome(),
                     types.list().types().values().stream()
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void requestsTheNextPageAfterTheLastMachine() {
+    void requestsNextPageAfterLastMachine() {
         Deque<String> pages = new ArrayDeque<>(List.of(
                 "200 {\"hoppers\":[{\"uid\":\"host-000001\"},{\"uid\":\"host-000002\"}],\"truncated\":true}",
                 "200 {\"hoppers\":[{\"uid\":\"host-000003\"}],\"truncated\":false}"));
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void storesTheMachineTypesAndReadsThemBack() {
+    void storesMachineTypesAndReadsThemBack() {
         SimStateStore state = new SimStateStore(time, 20, 8_192, 1_000);
         Transcript transcript = new Transcript(request -> request.path().equals("/flavors")
                 ? CompletableFuture.completedFuture(response(TYPES))
--- a/src/test/java/io/sillreel/cloud/MachineTypeCatalogTest.java
+++ b/src/test/java/io/sillreel/cloud/MachineTypeCatalogTest.java
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void machineTypesAreReadFromTheCloud() {
+    void readsMachineTypesFromCloud() {
         MachineType type = start(true).types().get("c4");
         assertThat(type.cpus()).isEqualTo(4);
         assertThat(type.priceOf(false)).isEqualTo(2);
@@ -55,20 +55,20 @@
     }
 
     @Test
-    void theAnswerOfTheCloudIsStoredUnchanged() {
+    void storesCloudResponseUnchanged() {
         start(true);
         assertThat(state.value("flavors")).isEqualTo(Json.parse(Json.bytes(offered)));
     }
 
     @Test
-    void storedMachineTypesAreKnownWhileTheCloudIsUnavailable() {
+    void readsStoredMachineTypesDuringCloudOutage() {
         start(true);
         isCloudAvailable = false;
         assertThat(start(false).types()).containsOnlyKeys("c4");
     }
 
     @Test
-    void aControllerThatDoesNotLeadDoesNotRequestWhatIsStored() {
+    void followerDoesNotQueryCloudWhenMachineTypesAreStored() {
         start(true);
         requests = 0;
         start(false);
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void aCatalogThatIsEmptyIsFilledOnceTheCloudIsAvailable() {
+    void fillsEmptyCatalogOnceCloudIsAvailable() {
         isCloudAvailable = false;
         MachineTypeCatalog catalog = start(false);
         assertThat(catalog.types()).isEmpty();
--- a/src/test/java/io/sillreel/http/HttpTest.java
+++ b/src/test/java/io/sillreel/http/HttpTest.java
@@ -18,15 +18,15 @@
 
 /** The client and the server on real sockets: persistent connections, limits and failures. */
 class HttpTest {
-    private static final long LONG_MICROS = 20_000_000;
+    private static final long TIMEOUT_MICROS = 20_000_000;
 
-    private static final int MAX_ANSWER_BYTES = 100_000;
+    private static final int MAX_RESPONSE_BYTES = 100_000;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final NettyHttpClient client = new NettyHttpClient(group.next(), 2, MAX_ANSWER_BYTES);
+    private final NettyHttpClient client = new NettyHttpClient(group.next(), 2, MAX_RESPONSE_BYTES);
 
     @AfterEach
-    void end() {
+    void shutDownEventLoops() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
@@ -37,39 +37,41 @@
     }
 
     @Test
-    void responsesBelongToTheirRequestsOnSharedConnections() {
+    void matchesResponsesToRequestsOnSharedConnections() {
         String address = listen(request -> CompletableFuture.completedFuture(
                 new HttpResponse(200, request.path().getBytes(java.nio.charset.StandardCharsets.US_ASCII), 7)));
-        List<CompletableFuture<HttpResponse>> answers = new ArrayList<>();
+        List<CompletableFuture<HttpResponse>> responses = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
-            answers.add(client.send(address, HttpRequest.get("/" + i), LONG_MICROS));
+            responses.add(client.send(address, HttpRequest.get("/" + i), TIMEOUT_MICROS));
         }
         for (int i = 0; i < 50; i++) {
-            assertThat(new String(answers.get(i).join().body(), java.nio.charset.StandardCharsets.US_ASCII))
+            assertThat(new String(responses.get(i).join().body(), java.nio.charset.StandardCharsets.US_ASCII))
                     .isEqualTo("/" + i);
-            assertThat(answers.get(i).join().retryAfterSeconds()).isEqualTo(7);
+            assertThat(responses.get(i).join().retryAfterSeconds()).isEqualTo(7);
         }
     }
 
     @Test
-    void aBodyOver64KiBIsRefused() {
+    void rejectsRequestBodyOver64KiB() {
         String address = listen(request -> CompletableFuture.completedFuture(HttpResponse.of(200, Json.object())));
-        HttpRequest large = new HttpRequest("POST", "/", new byte[NettyHttpServer.MAX_BODY_BYTES + 1]);
-        assertThat(client.send(address, large, LONG_MICROS).join().status()).isEqualTo(400);
-        HttpRequest fits = new HttpRequest("POST", "/", new byte[NettyHttpServer.MAX_BODY_BYTES]);
-        assertThat(client.send(address, fits, LONG_MICROS).join().status()).isEqualTo(200);
+        HttpRequest tooLarge = new HttpRequest("POST", "/", new byte[NettyHttpServer.MAX_BODY_BYTES + 1]);
+        assertThat(client.send(address, tooLarge, TIMEOUT_MICROS).join().status())
+                .isEqualTo(400);
+        HttpRequest atLimit = new HttpRequest("POST", "/", new byte[NettyHttpServer.MAX_BODY_BYTES]);
+        assertThat(client.send(address, atLimit, TIMEOUT_MICROS).join().status())
+                .isEqualTo(200);
     }
 
     /** Guards the heap: the response to a watch has no limit. */
     @Test
-    void aResponseThatIsTooLargeIsReportedAndDelaysNoOther() {
+    void reportsOversizedResponseAndServesNextRequest() {
         String address = listen(request -> CompletableFuture.completedFuture(new HttpResponse(
-                200, new byte[request.route().equals("/large") ? MAX_ANSWER_BYTES + 1 : MAX_ANSWER_BYTES], 0)));
-        assertThat(client.send(address, HttpRequest.get("/large"), LONG_MICROS)
+                200, new byte[request.route().equals("/large") ? MAX_RESPONSE_BYTES + 1 : MAX_RESPONSE_BYTES], 0)));
+        assertThat(client.send(address, HttpRequest.get("/large"), TIMEOUT_MICROS)
                         .join()
                         .status())
                 .isEqualTo(HttpResponse.RESPONSE_TOO_LARGE);
-        assertThat(client.send(address, HttpRequest.get("/"), LONG_MICROS)
+        assertThat(client.send(address, HttpRequest.get("/"), TIMEOUT_MICROS)
                         .join()
                         .status())
                 .isEqualTo(200);
@@ -77,7 +79,7 @@
 
     /** Guards workers that connect to the last controller all at once and wait until they are accepted. */
     @Test
-    void theBacklogHoldsAsManyConnectionsAsMayBeOpen() {
+    void acceptBacklogMatchesConnectionLimit() {
         NettyHttpServer server = new NettyHttpServer(group, NettyHttpServer.MAX_BODY_BYTES, 3_000);
         NioServerSocketChannel channel =
                 (NioServerSocketChannel) server.listen(new InetSocketAddress("127.0.0.1", 0), request -> null);
@@ -85,49 +87,49 @@
     }
 
     @Test
-    void workersLeaveConnectionsForOtherClients() {
+    void workerConnectionLimitLeavesConnectionsForOtherClients() {
         NettyHttpServer server = new NettyHttpServer(
                 group,
                 NettyHttpServer.MAX_BODY_BYTES,
                 10,
                 request -> request.route().equals("/beat") ? RequestClass.WORKERS : RequestClass.IMMEDIATE,
-                new RequestQueue(new NettyEventLoop(group.next()), MAX_ANSWER_BYTES),
+                new RequestQueue(new NettyEventLoop(group.next()), MAX_RESPONSE_BYTES),
                 2);
         Channel listening = server.listen(
                 new InetSocketAddress("127.0.0.1", 0),
                 request -> CompletableFuture.completedFuture(HttpResponse.of(200, Json.object())));
         String address = "127.0.0.1:" + ((InetSocketAddress) listening.localAddress()).getPort();
         List<NettyHttpClient> workers = List.of(
-                new NettyHttpClient(group.next(), 1, MAX_ANSWER_BYTES),
-                new NettyHttpClient(group.next(), 1, MAX_ANSWER_BYTES),
-                new NettyHttpClient(group.next(), 1, MAX_ANSWER_BYTES));
+                new NettyHttpClient(group.next(), 1, MAX_RESPONSE_BYTES),
+                new NettyHttpClient(group.next(), 1, MAX_RESPONSE_BYTES),
+                new NettyHttpClient(group.next(), 1, MAX_RESPONSE_BYTES));
         assertThat(workers.stream()
-                        .map(worker -> worker.send(address, HttpRequest.get("/beat"), LONG_MICROS)
+                        .map(worker -> worker.send(address, HttpRequest.get("/beat"), TIMEOUT_MICROS)
                                 .join()
                                 .status()))
                 .containsExactly(200, 200, 503);
-        assertThat(client.send(address, HttpRequest.get("/up"), LONG_MICROS)
+        assertThat(client.send(address, HttpRequest.get("/up"), TIMEOUT_MICROS)
                         .join()
                         .status())
                 .isEqualTo(200);
         assertThat(workers.get(0)
-                        .send(address, HttpRequest.get("/beat"), LONG_MICROS)
+                        .send(address, HttpRequest.get("/beat"), TIMEOUT_MICROS)
                         .join()
                         .status())
                 .isEqualTo(200);
     }
 
     @Test
-    void idleConnectionsAreClosed() {
+    void closesConnectionsIdleSincePreviousSweep() {
         String address = listen(request -> CompletableFuture.completedFuture(HttpResponse.of(200, Json.object())));
-        client.send(address, HttpRequest.get("/"), LONG_MICROS).join();
+        client.send(address, HttpRequest.get("/"), TIMEOUT_MICROS).join();
         assertThat(connectionsAfterSweep())
                 .as("it has been used since the sweep before")
                 .isEqualTo(1);
-        client.send(address, HttpRequest.get("/"), LONG_MICROS).join();
+        client.send(address, HttpRequest.get("/"), TIMEOUT_MICROS).join();
         assertThat(connectionsAfterSweep()).isEqualTo(1);
         assertThat(connectionsAfterSweep()).isZero();
-        assertThat(client.send(address, HttpRequest.get("/"), LONG_MICROS)
+        assertThat(client.send(address, HttpRequest.get("/"), TIMEOUT_MICROS)
                         .join()
                         .status())
                 .isEqualTo(200);
@@ -144,21 +146,21 @@
     }
 
     @Test
-    void aFailedHandlerIsReportedAsUnavailable() {
+    void respondsWith503WhenHandlerFails() {
         String address = listen(request -> CompletableFuture.failedFuture(new IllegalStateException("on purpose")));
-        assertThat(client.send(address, HttpRequest.get("/"), LONG_MICROS)
+        assertThat(client.send(address, HttpRequest.get("/"), TIMEOUT_MICROS)
                         .join()
                         .status())
                 .isEqualTo(503);
     }
 
     @Test
-    void aRequestToAClosedPortIsReportedAsNotSent() {
-        Channel gone =
+    void reportsNotSentWhenConnectionIsRefused() {
+        Channel channel =
                 new NettyHttpServer(group, 10, 10).listen(new InetSocketAddress("127.0.0.1", 0), request -> null);
-        int port = ((InetSocketAddress) gone.localAddress()).getPort();
-        gone.close().syncUninterruptibly();
-        assertThat(client.send("127.0.0.1:" + port, HttpRequest.get("/"), LONG_MICROS)
+        int port = ((InetSocketAddress) channel.localAddress()).getPort();
+        channel.close().syncUninterruptibly();
+        assertThat(client.send("127.0.0.1:" + port, HttpRequest.get("/"), TIMEOUT_MICROS)
                         .join()
                         .status())
                 .isEqualTo(HttpResponse.NOT_SENT);
--- a/src/test/java/io/sillreel/http/RequestQueueTest.java
+++ b/src/test/java/io/sillreel/http/RequestQueueTest.java
@@ -9,17 +9,17 @@
 import org.junit.jupiter.api.Test;
 
 class RequestQueueTest {
-    private static final long WORK_MICROS = 20_000;
+    private static final long HANDLING_MICROS = 20_000;
 
     private final SimTime time = new SimTime();
     private final SimTime.Process process = time.new Process();
     private final RequestQueue requestQueue = new RequestQueue(process, 4 * 1024 * 1024);
     private final List<String> served = new ArrayList<>();
 
-    private void enqueue(RequestClass requestClass, String client, long givesUpAfterMicros) {
-        long until = time.nowMicros() + givesUpAfterMicros;
-        requestQueue.enqueue(requestClass, 1_000, () -> time.nowMicros() < until, () -> {
-            process.works(WORK_MICROS);
+    private void enqueue(RequestClass requestClass, String client, long clientTimeoutMicros) {
+        long clientDeadlineMicros = time.nowMicros() + clientTimeoutMicros;
+        requestQueue.enqueue(requestClass, 1_000, () -> time.nowMicros() < clientDeadlineMicros, () -> {
+            process.works(HANDLING_MICROS);
             served.add(client);
         });
     }
@@ -32,7 +32,7 @@
 
     /** Guards the lease renewal: handling all workers at once after a crash took longer than the lease lasts. */
     @Test
-    void manyWaitingRequestsDoNotDelayTimers() {
+    void runsTimersOnTimeWhileManyRequestsAreQueued() {
         enqueueWorkers(300);
         long dueMicros = time.nowMicros() + 100_000;
         long[] ranAtMicros = new long[1];
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void usersAndWorkersAreServedAlternately() {
+    void alternatesBetweenUserAndWorkerRequests() {
         enqueueWorkers(20);
         enqueue(RequestClass.USERS, "user", 2_000_000);
         enqueue(RequestClass.USERS, "user", 2_000_000);
@@ -52,7 +52,7 @@
 
     /** Guards against work for clients that have given up, of which there are most under load. */
     @Test
-    void requestsOfClientsThatGaveUpAreDropped() {
+    void dropsRequestsWhoseClientsHaveTimedOut() {
         process.freeze(5_000_000);
         enqueueWorkers(50);
         time.runFor(5_000_000);
@@ -65,7 +65,7 @@
 
     /** Guards against serving every client just too late: the oldest request is the next to time out. */
     @Test
-    void theNewestRequestIsServedFirstOnceTheOldestIsLate() {
+    void servesNewestFirstOnceOldestIsOverdue() {
         process.freeze(2_000_000);
         enqueue(RequestClass.WORKERS, "old", 4_000_000);
         enqueue(RequestClass.WORKERS, "older than new", 4_000_000);
@@ -77,21 +77,21 @@
 
     /** Guards the heap, which hundreds of large requests would fill. */
     @Test
-    void requestsBeyondTheMemoryLimitAreRefused() {
-        int taken = 0;
-        while (taken < 1_000
+    void rejectsRequestsBeyondMemoryLimit() {
+        int accepted = 0;
+        while (accepted < 1_000
                 && requestQueue.enqueue(RequestClass.USERS, 64 * 1024, () -> true, () -> served.add("user"))) {
-            taken++;
+            accepted++;
         }
-        assertThat(taken).isBetween(32, 64);
+        assertThat(accepted).isBetween(32, 64);
         time.runFor(100_000);
-        assertThat(served).hasSize(taken);
+        assertThat(served).hasSize(accepted);
         assertThat(requestQueue.enqueue(RequestClass.USERS, 64 * 1024, () -> true, () -> {}))
                 .isTrue();
     }
 
     @Test
-    void immediateRequestsDoNotWait() {
+    void handlesImmediateRequestsWithoutQueueing() {
         enqueueWorkers(100);
         enqueue(RequestClass.IMMEDIATE, "check", 1_000_000);
         assertThat(served).containsExactly("check");
--- a/src/test/java/io/sillreel/overload/AdaptiveLimitTest.java
+++ b/src/test/java/io/sillreel/overload/AdaptiveConcurrencyLimitTest.java
@@ -10,17 +10,17 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-class AdaptiveLimitTest {
+class AdaptiveConcurrencyLimitTest {
     private long nowMicros;
 
     @Test
-    void pollsLeaveRoomForSubmissionsAndRequestsOverTheLimitAreRefused() {
-        List<CompletableFuture<HttpResponse>> held = new ArrayList<>();
-        AdaptiveLimit limit = new AdaptiveLimit(
+    void reservesCapacityForSubmissionsAndRefusesRequestsOverLimit() {
+        List<CompletableFuture<HttpResponse>> pending = new ArrayList<>();
+        AdaptiveConcurrencyLimit limit = new AdaptiveConcurrencyLimit(
                 request -> {
-                    CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
-                    held.add(answer);
-                    return answer;
+                    CompletableFuture<HttpResponse> response = new CompletableFuture<>();
+                    pending.add(response);
+                    return response;
                 },
                 20,
                 4_000,
@@ -28,27 +28,27 @@
         for (int i = 0; i < 30; i++) {
             limit.handle(HttpRequest.get("/v2/runs/job-000001"));
         }
-        int polls = held.size();
+        int polls = pending.size();
         assertThat(polls).isEqualTo(14);
         CompletableFuture<HttpResponse> submission = limit.handle(HttpRequest.post("/v2/runs", Json.object()));
         assertThat(submission).isNotDone();
         for (int i = 0; i < 10; i++) {
             limit.handle(HttpRequest.post("/v2/runs", Json.object()));
         }
-        CompletableFuture<HttpResponse> tooMany = limit.handle(HttpRequest.post("/v2/runs", Json.object()));
-        assertThat(tooMany.join().status()).isEqualTo(429);
-        assertThat(tooMany.join().retryAfterSeconds()).isPositive();
-        held.forEach(answer -> answer.complete(HttpResponse.of(200, Json.object())));
+        CompletableFuture<HttpResponse> overLimit = limit.handle(HttpRequest.post("/v2/runs", Json.object()));
+        assertThat(overLimit.join().status()).isEqualTo(429);
+        assertThat(overLimit.join().retryAfterSeconds()).isPositive();
+        pending.forEach(response -> response.complete(HttpResponse.of(200, Json.object())));
         assertThat(limit.handle(HttpRequest.get("/v2/runs/job-000001"))).isNotDone();
     }
 
     /** Guards against a job whose status is never returned while others are polled without end. */
     @Test
-    void aPollRefusedForTenSecondsPassesDespiteTheLimit() {
-        List<String> asked = new ArrayList<>();
-        AdaptiveLimit limit = new AdaptiveLimit(
+    void admitsPollRefusedForTenSecondsDespiteLimit() {
+        List<String> forwardedPaths = new ArrayList<>();
+        AdaptiveConcurrencyLimit limit = new AdaptiveConcurrencyLimit(
                 request -> {
-                    asked.add(request.path());
+                    forwardedPaths.add(request.path());
                     return request.path().endsWith("overdue")
                             ? CompletableFuture.completedFuture(HttpResponse.of(200, Json.object()))
                             : new CompletableFuture<>();
@@ -69,6 +69,6 @@
                 .isEqualTo(200);
         assertThat(limit.handle(HttpRequest.get("/v2/runs/overdue")).join().status())
                 .isEqualTo(429);
-        assertThat(asked).containsOnlyOnce("/v2/runs/overdue");
+        assertThat(forwardedPaths).containsOnlyOnce("/v2/runs/overdue");
     }
 }
--- a/src/test/java/io/sillreel/overload/RateLimiterTest.java
+++ b/src/test/java/io/sillreel/overload/RateLimiterTest.java
@@ -10,13 +10,13 @@
     private final SimTime.Process process = time.new Process();
 
     @Test
-    void acquiredTokensStayBelowTheRate() {
+    void grantsNoMoreTokensThanRateAllows() {
         RateLimiter limiter = new RateLimiter(process, 10, 10);
-        int taken = 0;
+        int granted = 0;
         for (int i = 0; i < 200; i++) {
-            taken += limiter.tryAcquire(1) ? 1 : 0;
+            granted += limiter.tryAcquire(1) ? 1 : 0;
             time.runFor(10_000);
         }
-        assertThat(taken).isBetween(28, 30);
+        assertThat(granted).isBetween(28, 30);
     }
 }
--- a/src/test/java/io/sillreel/settings/OperatorPropertiesTest.java
+++ b/src/test/java/io/sillreel/settings/OperatorPropertiesTest.java
@@ -10,13 +10,13 @@
     private final Properties properties = new Properties();
 
     @Test
-    void millisecondsAreReadAsMicroseconds() {
+    void convertsMillisecondsToMicroseconds() {
         properties.setProperty("leader.lease.ms", "5000");
         assertThat(OperatorProperties.of(properties).leaderLeaseMicros()).isEqualTo(5_000_000);
     }
 
     @Test
-    void absentPropertiesHaveTheirDefaults() {
+    void usesDefaultsForAbsentProperties() {
         assertThat(OperatorProperties.of(properties))
                 .isEqualTo(new OperatorProperties(
                         3_000_000,
@@ -29,20 +29,20 @@
     }
 
     @Test
-    void aValueThatIsNotANumberIsNamed() {
+    void rejectsNonNumericValueNamingItsKey() {
         properties.setProperty("leader.lease.ms", "soon");
         assertThatThrownBy(() -> OperatorProperties.of(properties)).hasMessageContaining("leader.lease.ms");
     }
 
     @Test
-    void aValueOutOfBoundsIsNamedWithItsBounds() {
+    void rejectsOutOfRangeValueNamingKeyAndBounds() {
         properties.setProperty("leader.lease.ms", "999");
         assertThatThrownBy(() -> OperatorProperties.of(properties))
                 .hasMessage("leader.lease.ms: must be a whole number from 1000 to 60000");
     }
 
     @Test
-    void anUnknownKeyIsNamedWithTheKnownOnes() {
+    void rejectsUnknownKeyListingKnownKeys() {
         properties.setProperty("leader.lease.ms", "5000");
         properties.setProperty("leader.leese.ms", "5000");
         assertThatThrownBy(() -> OperatorProperties.of(properties))
--- a/src/test/java/io/sillreel/settings/SettingsSamplesTest.java
+++ b/src/test/java/io/sillreel/settings/SettingsSamplesTest.java
@@ -23,7 +23,7 @@
             "nothing");
 
     @Test
-    void readsEachPropertyWithinItsBounds() {
+    void readsOrRejectsEachProperty() {
         StringBuilder lines = new StringBuilder(values(OperatorProperties.of(new Properties())) + "\n");
         for (String key : KEYS) {
             for (String value : List.of("1", "1234", "12345678901", "x")) {
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void readsAllSettingsAndThoseWithoutOneLine() {
+    void readsSettingsWithEachLineRemovedInTurn() {
         String toml = GoldenSamples.read("settings.toml");
         List<String> lines = List.of(toml.split("\n"));
         StringBuilder read = new StringBuilder("all: " + readSettings(toml) + "\n");
--- a/src/test/java/io/sillreel/sim/MachinePages.java
+++ b/src/test/java/io/sillreel/sim/MachinePages.java
@@ -19,8 +19,8 @@
      */
     public static <M> HttpResponse page(
             HttpRequest request, NavigableMap<String, M> machines, BiConsumer<M, ObjectNode> describe) {
-        String since = request.query("since");
-        int limit = Integer.parseInt(request.query("limit"));
+        String since = request.queryParameter("since");
+        int limit = Integer.parseInt(request.queryParameter("limit"));
         NavigableMap<String, M> rest = machines.tailMap(since, false);
         ObjectNode body = Json.object().put("truncated", rest.size() > limit);
         ArrayNode hoppers = body.putArray("hoppers");
--- a/src/test/java/io/sillreel/sim/SimStateStore.java
+++ b/src/test/java/io/sillreel/sim/SimStateStore.java
@@ -174,9 +174,9 @@
     }
 
     private CompletableFuture<HttpResponse> list(HttpRequest request) {
-        String prefix = request.query("prefix");
-        String since = request.query("since");
-        int limit = Integer.parseInt(request.query("limit"));
+        String prefix = request.queryParameter("prefix");
+        String since = request.queryParameter("since");
+        int limit = Integer.parseInt(request.queryParameter("limit"));
         ObjectNode body = Json.object().put("ledger", storeRevision);
         ArrayNode entries = body.putArray("entries");
         boolean truncated = false;
@@ -280,10 +280,10 @@
     }
 
     private CompletableFuture<HttpResponse> watch(HttpRequest request) {
-        String prefix = request.query("prefix");
-        long since = Long.parseLong(request.query("since"));
+        String prefix = request.queryParameter("prefix");
+        long since = Long.parseLong(request.queryParameter("since"));
         CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
-        long end = time.nowMicros() + Long.parseLong(request.query("block_ms")) * 1_000;
+        long end = time.nowMicros() + Long.parseLong(request.queryParameter("block_ms")) * 1_000;
         if (outage) {
             return answer(503, Json.object().put("error", "trouble"));
         }
