--- a/src/main/java/io/sillreel/cloud/CloudClient.java
+++ b/src/main/java/io/sillreel/cloud/CloudClient.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Client of the cloud's interface, limited to this controller's share of the request rate. Futures never complete
- * exceptionally: every failure is an {@link Outcome}. Safe for use by several threads.
+ * Client of the cloud's API, limited to this controller's share of the request rate. Futures never complete
+ * exceptionally: every failure is an {@link Outcome}. Thread-safe.
  */
 public final class CloudClient {
     /** The result of a request to the cloud. */
@@ -22,7 +22,7 @@
         NO_CAPACITY,
         /** The request was not sent or not accepted; it was certainly not executed. */
         REFUSED,
-        /** No usable answer came: the request may have been executed, or may yet be. */
+        /** No usable response was received: the request may have been executed, or may still be. */
         UNKNOWN;
 
         static Outcome of(HttpResponse response) {
@@ -36,13 +36,13 @@
     /**
      * A machine as the cloud lists it.
      *
-     * @param address where the machine accepts commands; empty if the cloud does not tell
-     * @param hasFailed true if the machine has failed and its tasks are gone
+     * @param address where the machine accepts commands; empty if the cloud does not report it
+     * @param hasFailed true if the machine has failed and its tasks are lost
      */
     public record ListedMachine(
             String name, String address, String machineType, String zone, boolean isSpot, boolean hasFailed) {}
 
-    /** The machine types on offer; the list is empty unless the outcome is OK. */
+    /** The available machine types; the list is empty unless the outcome is OK. */
     record MachineTypesResult(Outcome outcome, MachineTypeList list) {}
 
     /** The names of the machines that a provisioning request obtained, fewer than requested if the cloud ran out. */
@@ -51,11 +51,11 @@
     /** All machines of this operator; empty unless the outcome is OK. */
     public record MachineList(Outcome outcome, List<ListedMachine> machines) {}
 
-    /** A request without an answer is given up after this time, in microseconds. */
+    /** Timeout of a request, in microseconds. */
     public static final long TIMEOUT_MICROS = 6_000_000;
-    /** The most machines that one return request may name. */
+    /** Maximum number of machines in one return request. */
     public static final int MAX_MACHINES_PER_RETURN = 100;
-    /** The most machines that one provisioning request may ask for. */
+    /** Maximum number of machines in one provisioning request. */
     public static final int MAX_MACHINES_PER_REQUEST = 50;
 
     private static final int SERVICE_UNAVAILABLE = 503;
@@ -80,10 +80,10 @@
     }
 
     /**
-     * Provisions up to {@code count} machines. The request is idempotent: repeated under the same name it returns the
-     * machines that it has already obtained.
+     * Provisions up to {@code count} machines. The request is idempotent: if it is repeated under the same name, it
+     * returns the machines that it has already obtained.
      *
-     * @param requestName name of the request, never used for another one
+     * @param requestName unique name of the request
      * @param count at most {@link #MAX_MACHINES_PER_REQUEST}
      */
     public CompletableFuture<ProvisioningResult> provisionMachines(
@@ -101,8 +101,8 @@
     }
 
     /**
-     * Returns the first {@link #MAX_MACHINES_PER_RETURN} of the machines to the cloud. Once the outcome is OK the
-     * machines, and all that was on them, are gone.
+     * Returns the first {@link #MAX_MACHINES_PER_RETURN} of the machines to the cloud. Once the outcome is OK, the
+     * machines and all data on them are gone.
      */
     public CompletableFuture<Outcome> returnMachines(Collection<String> machines) {
         List<String> batch = machines.stream().limit(MAX_MACHINES_PER_RETURN).toList();
@@ -110,7 +110,7 @@
                 .thenApply(Outcome::of);
     }
 
-    /** Lists all machines; a long list takes several requests and waits for the rate to allow them. */
+    /** Lists all machines; a long list takes several requests, which are sent as the rate limit allows. */
     public CompletableFuture<MachineList> listMachines() {
         return new MachineListRequest(httpClient, eventLoop, address, rateLimiter).start();
     }
--- a/src/main/java/io/sillreel/cloud/CloudCodec.java
+++ b/src/main/java/io/sillreel/cloud/CloudCodec.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads and writes the messages of the cloud's interface; the only place that knows its field names. */
+/** Encodes requests to the cloud's API and decodes its responses; the only class that knows its field names. */
 final class CloudCodec {
     private static final double MICROS_PER_SECOND = 1_000_000;
     private static final String MACHINES = "hoppers";
@@ -41,7 +41,7 @@
         return names;
     }
 
-    /** Returns true if the cloud refused the request because it has no such machine. */
+    /** Returns true if the cloud refused the request because it has no machine of the requested type. */
     static boolean isNoCapacityError(JsonNode body) {
         return body.path("error").asText().equals("no capacity");
     }
@@ -54,7 +54,7 @@
         return body;
     }
 
-    /** Appends the machines of one page of the machine list. */
+    /** Appends the machines on one page of the machine list. */
     static void readPage(JsonNode body, List<CloudClient.ListedMachine> machines) {
         for (JsonNode node : body.path(MACHINES)) {
             machines.add(new CloudClient.ListedMachine(
@@ -72,7 +72,7 @@
         return body.path("truncated").asBoolean();
     }
 
-    /** Reads the list of machine types, from the cloud or from the state store; empty if there are none in it. */
+    /** Reads a list of machine types from the cloud or from the state store; empty if the document has none. */
     static MachineTypeList readMachineTypes(JsonNode document) {
         Map<String, MachineType> types = new LinkedHashMap<>();
         for (JsonNode node : document.path("builds")) {
--- a/src/main/java/io/sillreel/cloud/MachineListRequest.java
+++ b/src/main/java/io/sillreel/cloud/MachineListRequest.java
@@ -15,18 +15,18 @@
 
 /**
  * Reads the cloud's list of machines page by page. The list of a fleet of thousands takes more requests than the rate
- * allows at once, so a page waits for its turn and leaves part of the rate to other requests, unless it has waited for
- * {@link #MAX_PAGE_WAIT_MICROS}. A page that is refused or lost is requested again by itself.
+ * limit allows at once, so each page waits for the rate limiter and leaves part of the rate to other requests, until it
+ * has waited for {@link #MAX_PAGE_WAIT_MICROS}. A page that is refused or lost is retried individually.
  *
- * <p>One page is under way at a time, so the fields are confined to one thread after the other.
+ * <p>Only one page is in flight at a time, so the fields are never accessed concurrently.
  */
 final class MachineListRequest {
     private static final int PAGE_SIZE = 500;
-    /** The part of a full bucket that pages leave to other requests. */
+    /** The fraction of a full bucket that pages leave to other requests. */
     private static final double RESERVED_FRACTION = 0.5;
 
     private static final long RATE_LIMIT_RETRY_MICROS = 100_000;
-    /** A page that has waited for longer may use the whole rate, so that the list ends under load as well. */
+    /** A page that has waited for longer may use the whole rate, so that the listing also completes under load. */
     private static final long MAX_PAGE_WAIT_MICROS = 3_000_000;
 
     private static final long PAGE_RETRY_MICROS = 1_000_000;
@@ -49,7 +49,9 @@
         this.rateLimiter = rateLimiter;
     }
 
-    /** Requests the first page; the future completes with the whole list, or with the outcome that ended it. */
+    /**
+     * Requests the first page; the future completes with the whole list or with the outcome of the page that failed.
+     */
     CompletableFuture<MachineList> start() {
         pageWaitStartMicros = eventLoop.nowMicros();
         requestPage();
--- a/src/main/java/io/sillreel/cloud/MachineType.java
+++ b/src/main/java/io/sillreel/cloud/MachineType.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * A machine type that the cloud offers. The resources are those of an empty machine.
+ * A machine type that the cloud offers. The resources are those of an idle machine.
  *
  * @param cpus processors
  * @param gpus accelerator cards
  * @param ramGb memory in gigabytes
- * @param bootMicros how long a machine usually takes from the request to its first heartbeat, in microseconds
+ * @param bootMicros usual time from the request for a machine to its first heartbeat, in microseconds
  * @param zones names of the zones in which the type is offered
  */
 public record MachineType(
@@ -22,14 +22,14 @@
         List<String> zones) {
 
     /**
-     * How a machine fetches and keeps the images of its tasks.
+     * How a machine pulls and caches the images of its tasks.
      *
      * @param cacheGb size of the image cache in gigabytes
-     * @param pullGbPerSecond rate at which images are fetched, in gigabytes per second
+     * @param pullGbPerSecond rate at which images are pulled, in gigabytes per second
      */
     public record ImageStorage(double cacheGb, double pullGbPerSecond) {}
 
-    /** Price of an on-demand and nominal price of a spot machine, per hour. */
+    /** Hourly prices: of an on-demand machine, and nominal of a spot machine. */
     public record Pricing(double onDemand, double spot) {}
 
     /** Returns the size of the image cache in gigabytes. */
@@ -37,12 +37,12 @@
         return imageStorage.cacheGb();
     }
 
-    /** Returns the rate at which images are fetched, in gigabytes per second. */
+    /** Returns the rate at which images are pulled, in gigabytes per second. */
     public double pullGbPerSecond() {
         return imageStorage.pullGbPerSecond();
     }
 
-    /** Returns the price per hour of a spot machine, or else of an on-demand machine. */
+    /** Returns the hourly price of a spot or an on-demand machine. */
     public double priceOf(boolean isSpot) {
         return isSpot ? pricing.spot() : pricing.onDemand();
     }
--- a/src/main/java/io/sillreel/cloud/MachineTypeCatalog.java
+++ b/src/main/java/io/sillreel/cloud/MachineTypeCatalog.java
@@ -8,9 +8,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The machine types that the cloud offers. The leader requests them from the cloud and stores the answer, so that a
- * controller that starts while the cloud is unavailable can still check submissions. The catalog is replaced as a whole
- * and may be read by any thread.
+ * The machine types that the cloud offers. The leader requests them from the cloud and stores the response, so that a
+ * controller that starts while the cloud is unavailable can still validate submissions. The catalog is replaced
+ * atomically and may be read by any thread.
  */
 public final class MachineTypeCatalog {
     private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
@@ -23,7 +23,7 @@
     private final BooleanSupplier isLeader;
     private volatile Map<String, MachineType> types = Map.of();
 
-    /** @param isLeader true while this controller may update the stored machine types */
+    /** @param isLeader true while this controller is the leader, which keeps the stored machine types current */
     public MachineTypeCatalog(StateStore store, CloudClient cloud, EventLoop eventLoop, BooleanSupplier isLeader) {
         this.store = new MachineTypeStore(store);
         this.cloud = cloud;
@@ -31,14 +31,14 @@
         this.isLeader = isLeader;
     }
 
-    /** Returns the machine types by name; empty until they have first been read. */
+    /** Returns the machine types by name; empty until they have been read for the first time. */
     public Map<String, MachineType> types() {
         return types;
     }
 
     /**
-     * Starts to keep the catalog current: reads the store, and asks the cloud while the catalog is empty or this
-     * controller leads. Repeats every second until the catalog is filled, then every minute.
+     * Starts refreshing the catalog: reads the store, and queries the cloud if the catalog is empty or this controller
+     * is the leader. Repeats every second until the catalog is filled, then every minute.
      */
     public void start() {
         store.read().thenAccept(stored -> {
@@ -67,7 +67,7 @@
             return;
         }
         if (types.isEmpty()) {
-            LOG.info("machine types: {}", String.join(", ", list.types().keySet()));
+            LOG.info("loaded machine types: {}", String.join(", ", list.types().keySet()));
         }
         types = list.types();
     }
--- a/src/main/java/io/sillreel/cloud/MachineTypeList.java
+++ b/src/main/java/io/sillreel/cloud/MachineTypeList.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The machine types as the cloud or the state store lists them. Keeps the document it was read from, because the store
- * holds the cloud's answer unchanged, including fields that this version does not know.
+ * The machine types as listed by the cloud or the state store. Keeps the document from which they were read, because
+ * the cloud's response is stored unchanged, including fields that this version does not know.
  */
 final class MachineTypeList {
     private final Map<String, MachineType> types;
@@ -16,7 +16,7 @@
         this.document = document;
     }
 
-    /** Returns the machine types by name, in the order of the list; not to be modified. */
+    /** Returns the machine types by name, in the order of the list; must not be modified. */
     Map<String, MachineType> types() {
         return types;
     }
--- a/src/main/java/io/sillreel/cloud/MachineTypeStore.java
+++ b/src/main/java/io/sillreel/cloud/MachineTypeStore.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The machine types as they are kept in the state store, under one key. */
+/** Reads and writes the machine types in the state store, under one key. */
 final class MachineTypeStore {
     static final String KEY = "flavors";
     private static final Logger LOG = LoggerFactory.getLogger(MachineTypeStore.class);
@@ -16,9 +16,9 @@
     /**
      * The stored machine types.
      *
-     * @param types empty if none are stored or the store gave no answer
+     * @param types empty if none are stored or the store did not respond
      * @param revision revision of the key, for the compare-and-swap that replaces it
-     * @param isConclusive true if the store answered, so that the revision is known
+     * @param isConclusive true if the store responded, so that the revision is known
      */
     record StoredTypes(MachineTypeList types, long revision, boolean isConclusive) {}
 
@@ -37,14 +37,14 @@
                         read.isConclusive()));
     }
 
-    /** Replaces the stored list if it still has the revision; a write that loses the comparison is dropped. */
+    /** Replaces the stored list by compare-and-swap; a write that conflicts with another one is dropped. */
     void write(MachineTypeList types, long revision) {
         store.commit(new Transaction().requireRevision(KEY, revision).set(KEY, types.document()))
                 .thenAccept(commit -> {
                     if (commit.outcome() == StoreOutcome.TOO_LARGE) {
                         LOG.error(
-                                "the state store refuses {} with {} bytes as too large; controllers that start "
-                                        + "while the cloud is unavailable will not know the machine types",
+                                "state store rejected value of {} ({} bytes) as too large; controllers that start "
+                                        + "while the cloud is unavailable will have no machine types",
                                 KEY,
                                 Json.bytes(types.document()).length);
                     }
--- a/src/main/java/io/sillreel/http/ConnectionPool.java
+++ b/src/main/java/io/sillreel/http/ConnectionPool.java
@@ -23,8 +23,8 @@
 import java.util.List;
 
 /**
- * The connections of a {@link NettyHttpClient} to one address and the requests that wait for one of them. Used on the
- * client's event loop only.
+ * The connections of a {@link NettyHttpClient} to one address, and the queue of requests that wait for a connection.
+ * Confined to the client's event loop.
  */
 final class ConnectionPool {
     private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
@@ -36,12 +36,12 @@
     private final int maxResponseBytes;
     private final Deque<PendingExchange> waiting = new ArrayDeque<>();
     private final Deque<Channel> idle = new ArrayDeque<>();
-    /** Connections that are open or being opened. */
+    /** Number of connections that are open or being opened. */
     private int openCount;
 
     private int connectingCount;
 
-    /** @param client told once the pool has neither connections nor requests */
+    /** @param client removes the pool once it has neither connections nor requests */
     ConnectionPool(
             NettyHttpClient client, EventLoop nettyLoop, String address, int maxConnections, int maxResponseBytes) {
         this.client = client;
@@ -59,19 +59,19 @@
         return idle.size();
     }
 
-    /** Sends the request on an idle connection, or as soon as there is one. */
+    /** Sends the request on an idle connection, or queues it until a connection is available. */
     void submit(PendingExchange exchange) {
         waiting.add(exchange);
         sendWaiting();
     }
 
-    /** Completes an exchange whose time is over. */
+    /** Completes an exchange that has timed out. */
     void expire(PendingExchange exchange) {
         if (exchange.channel() == null) {
             waiting.remove(exchange);
             exchange.complete(HttpResponse.notSent());
         } else {
-            // A late response must not be taken for that of the next request.
+            // On a connection kept open, a late response would be matched with the next request.
             exchange.channel().close();
             exchange.complete(HttpResponse.noResponse());
         }
@@ -88,7 +88,7 @@
         sendWaiting();
     }
 
-    /** Closes the idle connections that have not been used since this was called last. */
+    /** Closes the idle connections that have not been used since the previous call. */
     void closeUnused() {
         for (Channel channel : List.copyOf(idle)) {
             HttpResponseHandler handler = channel.pipeline().get(HttpResponseHandler.class);
@@ -152,7 +152,7 @@
         sendWaiting();
     }
 
-    /** Fails one request for each failed connection; the others try a connection of their own. */
+    /** Fails one waiting request for each failed connection attempt; the others trigger new attempts. */
     private void handleConnectFailed() {
         openCount--;
         PendingExchange first = waiting.poll();
--- a/src/main/java/io/sillreel/http/EventLoop.java
+++ b/src/main/java/io/sillreel/http/EventLoop.java
@@ -1,14 +1,16 @@
 package io.sillreel.http;
 
 /**
- * The clock and the timers of a controller, injected so that tests can run in simulated time. Tasks of one event loop
- * never run at the same time; tasks may be scheduled from any thread.
+ * Clock and timers of a controller, injected so that tests can run in simulated time. The tasks of an event loop never
+ * run concurrently; they may be scheduled from any thread.
  */
 public interface EventLoop {
-    /** Monotonic time in microseconds since an arbitrary start; not comparable between processes. */
+    /** Monotonic time in microseconds since an arbitrary origin; not comparable between processes. */
     long nowMicros();
 
-    /** Time of day in microseconds since 1970 UTC; its error is at most the clock skew given in the settings. */
+    /**
+     * Wall-clock time in microseconds since the Unix epoch; its error is at most the clock skew given in the settings.
+     */
     long wallMicros();
 
     /** Runs the task after the delay; an exception it throws is logged and ends only this task. */
@@ -21,7 +23,7 @@
 
     /** A scheduled task. */
     interface Timer {
-        /** Keeps the task from running; without effect if it has run or been cancelled. */
+        /** Cancels the task; has no effect if it has already run or been cancelled. */
         void cancel();
     }
 }
--- a/src/main/java/io/sillreel/http/HttpClient.java
+++ b/src/main/java/io/sillreel/http/HttpClient.java
@@ -8,9 +8,10 @@
      * Sends a request.
      *
      * @param address host and port, separated by a colon
-     * @param timeoutMicros time until the future completes without a response, including the wait for a connection
-     * @return completes always, never with an exception: without a response with one of the negative or zero statuses
-     *     of {@link HttpResponse}
+     * @param timeoutMicros time after which the future completes without a response, including the wait for a
+     *     connection
+     * @return a future that always completes normally; if there is no response, its status is one of the constants of
+     *     {@link HttpResponse}
      */
     CompletableFuture<HttpResponse> send(String address, HttpRequest request, long timeoutMicros);
 }
--- a/src/main/java/io/sillreel/http/HttpHandler.java
+++ b/src/main/java/io/sillreel/http/HttpHandler.java
@@ -7,7 +7,7 @@
     /**
      * Handles a request; called on the event loop.
      *
-     * @return the response; an exception, thrown or in the future, is sent as status 503
+     * @return the response; if the method throws or the future fails, the client receives status 503
      */
     CompletableFuture<HttpResponse> handle(HttpRequest request);
 }
--- a/src/main/java/io/sillreel/http/HttpRequest.java
+++ b/src/main/java/io/sillreel/http/HttpRequest.java
@@ -13,23 +13,23 @@
 public record HttpRequest(String method, String path, byte[] body) {
     public static final byte[] NO_BODY = new byte[0];
 
-    /** A GET request without a body. */
+    /** Creates a GET request without a body. */
     public static HttpRequest get(String path) {
         return new HttpRequest("GET", path, NO_BODY);
     }
 
-    /** A POST request with a JSON body. */
+    /** Creates a POST request with a JSON body. */
     public static HttpRequest post(String path, JsonNode body) {
         return new HttpRequest("POST", path, Json.bytes(body));
     }
 
-    /** The first value of a query parameter, or an empty string if it is missing. */
+    /** Returns the first value of a query parameter, or an empty string if it is missing. */
     public String queryParameter(String name) {
         List<String> values = new QueryStringDecoder(path).parameters().get(name);
         return values == null ? "" : values.get(0);
     }
 
-    /** The path without its query. */
+    /** Returns the path without its query. */
     public String route() {
         int mark = path.indexOf('?');
         return mark < 0 ? path : path.substring(0, mark);
--- a/src/main/java/io/sillreel/http/HttpResponseHandler.java
+++ b/src/main/java/io/sillreel/http/HttpResponseHandler.java
@@ -8,7 +8,7 @@
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpUtil;
 
-/** Matches the responses on one connection of a {@link ConnectionPool} with the request in progress. */
+/** Matches each response on one connection of a {@link ConnectionPool} with the request in progress. */
 final class HttpResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
     private final ConnectionPool pool;
     /** The request in progress, or null if the connection is idle. */
@@ -20,13 +20,13 @@
         this.pool = pool;
     }
 
-    /** Makes the exchange the one that the next response belongs to. */
+    /** Associates the next response with the exchange. */
     void begin(PendingExchange exchange) {
         current = exchange;
         usedSinceSweep = true;
     }
 
-    /** Returns whether a request was sent since this was called last. */
+    /** Returns whether a request was sent since the previous call. */
     boolean clearUsedSinceSweep() {
         boolean used = usedSinceSweep;
         usedSinceSweep = false;
@@ -66,7 +66,10 @@
         }
     }
 
-    /** Collects a response and closes the connection if it is too large, which is reported as such. */
+    /**
+     * Aggregates the parts of a response. If it is too large, completes the request with
+     * {@link HttpResponse#RESPONSE_TOO_LARGE} and closes the connection.
+     */
     static final class Aggregator extends HttpObjectAggregator {
         Aggregator(int maxResponseBytes) {
             super(maxResponseBytes);
--- a/src/main/java/io/sillreel/http/Json.java
+++ b/src/main/java/io/sillreel/http/Json.java
@@ -14,8 +14,8 @@
 import java.io.UncheckedIOException;
 
 /**
- * Reads and writes JSON with Jackson's streams and trees, without an ObjectMapper: creating a mapper, whose data
- * binding is not used here, took a quarter of the processor time of a start. Thread-safe.
+ * Reads and writes JSON with Jackson's streaming API and tree model. There is no ObjectMapper, because data binding is
+ * not used and creating a mapper took a quarter of the CPU time of a process start. Thread-safe.
  */
 public final class Json {
     private static final JsonFactory JSON_FACTORY = new JsonFactory();
@@ -23,17 +23,17 @@
 
     private Json() {}
 
-    /** A parser of the body, for messages that are too frequent to build a tree of each. */
+    /** Creates a streaming parser, for messages that are too frequent to build a tree for each. */
     public static JsonParser createParser(byte[] body) throws IOException {
         return JSON_FACTORY.createParser(body);
     }
 
-    /** A new, empty object. */
+    /** Creates an empty object. */
     public static ObjectNode object() {
         return NODE_FACTORY.objectNode();
     }
 
-    /** A new, empty array. */
+    /** Creates an empty array. */
     public static ArrayNode array() {
         return NODE_FACTORY.arrayNode();
     }
@@ -52,7 +52,7 @@
         }
     }
 
-    /** The parsed body, or a missing node if it is not JSON. */
+    /** Parses the body; returns a missing node if it is not JSON. */
     public static JsonNode parse(byte[] body) {
         try (JsonParser in = createParser(body)) {
             return readTree(in);
--- a/src/main/java/io/sillreel/http/NettyEventLoop.java
+++ b/src/main/java/io/sillreel/http/NettyEventLoop.java
@@ -7,7 +7,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** An event loop on Netty's and the clocks of the system. */
+/** An {@link EventLoop} that is backed by a Netty event loop and the system clocks. */
 public final class NettyEventLoop implements EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(NettyEventLoop.class);
 
@@ -40,12 +40,12 @@
         nettyLoop.execute(() -> runLoggingFailure(task));
     }
 
-    /** An exception is logged here, since Netty would only store it in the future of the task. */
+    /** Logs an exception of the task, since Netty would only store it in the task's future. */
     private static void runLoggingFailure(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.error("a task of the event loop failed", e);
+            LOG.error("event loop task failed", e);
         }
     }
 }
--- a/src/main/java/io/sillreel/http/NettyHttpClient.java
+++ b/src/main/java/io/sillreel/http/NettyHttpClient.java
@@ -10,13 +10,13 @@
 /**
  * An HTTP/1.1 client on one Netty event loop, with a bounded pool of persistent connections for each address and one
  * request at a time on each connection. A request that times out closes its connection. {@link #send} may be called
- * from any thread; everything else runs on the event loop, where the futures complete too.
+ * from any thread; everything else runs on the event loop, which also completes the futures.
  */
 public final class NettyHttpClient implements HttpClient {
     /**
-     * Interval between sweeps, each of which closes the connections that have been idle since the sweep before. The
-     * leader sends commands to every machine occasionally; if it kept those connections, their number would grow with
-     * the fleet and use up the sockets needed for the state service.
+     * Interval between sweeps, each of which closes the connections that have been idle since the previous sweep. The
+     * leader occasionally sends commands to every machine; if it kept those connections open, their number would grow
+     * with the fleet and exhaust the sockets needed for the state service.
      */
     private static final long IDLE_SWEEP_MICROS = 2_000_000;
 
@@ -27,7 +27,7 @@
     private boolean sweepScheduled;
 
     /**
-     * @param connectionsPerAddress how many connections may be open to one address
+     * @param connectionsPerAddress the maximum number of open connections to one address
      * @param maxResponseBytes the largest response body accepted; a larger one completes its request with
      *     {@link HttpResponse#RESPONSE_TOO_LARGE}
      */
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Closes the connections that have not been used since this was called last. */
+    /** Closes the connections that have not been used since the previous call. */
     void closeUnused() {
         List.copyOf(pools.values()).forEach(ConnectionPool::closeUnused);
     }
--- a/src/main/java/io/sillreel/http/NettyHttpServer.java
+++ b/src/main/java/io/sillreel/http/NettyHttpServer.java
@@ -33,16 +33,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * An HTTP/1.1 server with persistent connections. Connections over the limit are closed at once. Workers may have only
- * a part of the connections: when all of them connect to the last controller that is up, users and health checks must
- * still get through. The event loop group has one thread, on which all state is used.
+ * An HTTP/1.1 server with persistent connections. Connections over the limit are closed at once. Worker agents may use
+ * only part of the connections, so that users and health checks are still served when all agents connect to the only
+ * controller that is up. The event loop group must have a single thread, to which all state is confined.
  */
 public final class NettyHttpServer {
     public static final int MAX_BODY_BYTES = 64 * 1024;
-    /** Connections that may wait to be accepted, since all workers connect at once when other controllers fail. */
+    /** Minimum accept backlog: all worker agents connect at once when the other controllers fail. */
     private static final int MIN_BACKLOG = 1_024;
 
-    /** Time for the client to finish sending a body that is too large before the connection is closed. */
+    /** Time for the client to finish sending an oversized body before the connection is closed. */
     private static final int DRAIN_MILLIS = 1_000;
 
     private static final Logger LOG = LoggerFactory.getLogger(NettyHttpServer.class);
@@ -56,16 +56,17 @@
     private int openConnections;
     private int workerConnections;
 
-    /** A server that handles every request as soon as it arrives. */
+    /** Creates a server that handles every request without queueing it. */
     public NettyHttpServer(EventLoopGroup group, int maxBodyBytes, int maxConnections) {
         this(group, maxBodyBytes, maxConnections, request -> RequestClass.IMMEDIATE, null, 0);
     }
 
     /**
-     * @param maxBodyBytes the largest request body; a larger one is refused with status 400
-     * @param requestClassifier the class by which a request is queued
-     * @param requestQueue where requests wait that are not {@link RequestClass#IMMEDIATE}
-     * @param maxWorkerConnections how many of the connections may send requests of class {@link RequestClass#WORKERS}
+     * @param maxBodyBytes the largest request body accepted; a larger one is rejected with status 400
+     * @param requestClassifier determines the class by which a request is queued
+     * @param requestQueue holds the requests that are not {@link RequestClass#IMMEDIATE}
+     * @param maxWorkerConnections the number of connections that may send requests of class
+     *     {@link RequestClass#WORKERS}
      */
     public NettyHttpServer(
             EventLoopGroup group,
@@ -82,12 +83,15 @@
         this.maxWorkerConnections = maxWorkerConnections;
     }
 
-    /** Listens on the address; throws the cause, such as a BindException, if that fails. Not for the event loop. */
+    /**
+     * Binds the address and waits for the result; must not be called on the event loop. Throws the cause of a failure,
+     * such as a BindException.
+     */
     public Channel listen(InetSocketAddress address, HttpHandler handler) {
         return bind(address, handler).syncUninterruptibly().channel();
     }
 
-    /** Starts to listen on the address; may be called on the event loop. */
+    /** Binds the address without waiting; may be called on the event loop. */
     public ChannelFuture bind(InetSocketAddress address, HttpHandler handler) {
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(group)
@@ -126,7 +130,7 @@
         return nettyResponse;
     }
 
-    /** Refuses bodies that are too large with status 400, as the protocol says, instead of Netty's 413. */
+    /** Rejects oversized bodies with status 400, as the protocol requires, instead of Netty's default 413. */
     private static final class Aggregator extends HttpObjectAggregator {
         Aggregator(int maxBodyBytes) {
             super(maxBodyBytes);
@@ -137,7 +141,7 @@
             FullHttpResponse refusal = nettyResponse(HttpResponse.error(400, "the body is larger than 64 KiB"));
             refusal.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             ctx.writeAndFlush(refusal);
-            // Closing while the client still sends would reset the connection before it has read the response.
+            // Closing while the client is still sending would reset the connection before it has read the response.
             ctx.executor().schedule(() -> ctx.close(), DRAIN_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
@@ -151,7 +155,10 @@
             this.handler = handler;
         }
 
-        /** Counts the connection as a worker's with its first such request; false if there are too many of them. */
+        /**
+         * Marks the connection as a worker connection on its first request of class {@link RequestClass#WORKERS};
+         * returns false if there are too many worker connections.
+         */
         private boolean tryAdmit(RequestClass requestClass) {
             if (isWorkerConnection || requestClass != RequestClass.WORKERS) {
                 return true;
@@ -197,7 +204,7 @@
         private void respond(ChannelHandlerContext ctx, HttpRequest request, boolean keepAlive) {
             handle(request).whenComplete((response, failure) -> {
                 if (failure != null) {
-                    LOG.error("a request could not be handled: {} {}", request.method(), request.path(), failure);
+                    LOG.error("failed to handle request {} {}", request.method(), request.path(), failure);
                     write(ctx, HttpResponse.retryLater(503, "internal error", 1), keepAlive);
                 } else {
                     write(ctx, response, keepAlive);
@@ -205,7 +212,7 @@
             });
         }
 
-        /** An exception thrown by the handler is treated like one in its future. */
+        /** Converts an exception thrown by the handler to a failed future. */
         private CompletableFuture<HttpResponse> handle(HttpRequest request) {
             try {
                 return handler.handle(request);
@@ -226,7 +233,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            LOG.debug("connection {} ended: {}", ctx.channel(), cause.toString());
+            LOG.debug("closing connection {}: {}", ctx.channel(), cause.toString());
             ctx.close();
         }
     }
--- a/src/main/java/io/sillreel/http/PendingExchange.java
+++ b/src/main/java/io/sillreel/http/PendingExchange.java
@@ -4,7 +4,7 @@
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.concurrent.CompletableFuture;
 
-/** A request of {@link NettyHttpClient} that has no response yet. Used on the client's event loop only. */
+/** A request of {@link NettyHttpClient} that awaits its response. Confined to the client's event loop. */
 final class PendingExchange {
     private final HttpRequest request;
     private final CompletableFuture<HttpResponse> future = new CompletableFuture<>();
@@ -23,12 +23,12 @@
         return future;
     }
 
-    /** Sets the timeout's timer, which is cancelled once the exchange is complete. */
+    /** Sets the timeout timer, which is cancelled once the exchange is complete. */
     void setTimer(ScheduledFuture<?> timer) {
         this.timer = timer;
     }
 
-    /** The connection on which the request was sent, or null as long as it waits. */
+    /** Returns the connection on which the request was sent, or null while it is queued. */
     Channel channel() {
         return channel;
     }
--- a/src/main/java/io/sillreel/http/RequestQueue.java
+++ b/src/main/java/io/sillreel/http/RequestQueue.java
@@ -5,29 +5,31 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Holds requests until the event loop handles them. Requests of users and of workers wait in separate queues that are
- * served alternately. Only a slice of the requests is handled before the event loop processes the network and timers
- * again: with hundreds of workers and 5% of a core, handling all of them in one go would take longer than the leader's
- * lease lasts, which has to be renewed meanwhile.
+ * Holds requests until the event loop handles them. Requests of users and of worker agents wait in separate queues that
+ * are served alternately. Requests are handled in batches, between which the event loop processes I/O and timers: with
+ * hundreds of workers and 5% of a core, handling all requests at once would take longer than the leader's lease, which
+ * has to be renewed in the meantime.
  *
  * <p>A request whose client has closed the connection is dropped. Once the oldest request of a queue has waited so long
- * that its client is about to time out, the newest is served first, since in order of arrival every response would come
- * just too late. Thread-safe; all state is guarded by this.
+ * that its client is about to time out, the queue is served in LIFO order, since in FIFO order every response would be
+ * slightly too late. Thread-safe; all state is guarded by {@code this}.
  */
 public final class RequestQueue {
     /** The queue in which a request waits. */
     public enum RequestClass {
-        /** Does not wait, such as a health check. */
+        /** Requests that are not queued, such as health checks. */
         IMMEDIATE,
-        /** Requests of users; their clients wait two seconds for a status. */
+        /** Requests of users, whose clients time out two seconds after a status query. */
         USERS,
-        /** Messages of worker agents, which wait four seconds. */
+        /** Messages of worker agents, which time out after four seconds. */
         WORKERS
     }
 
     private static final int MAX_BATCH_REQUESTS = 16;
     private static final long MAX_BATCH_MICROS = 20_000;
-    /** Below the two seconds after which users' clients time out. */
+    /**
+     * Age of the oldest request from which on a queue is served in LIFO order; below the two seconds of users' clients.
+     */
     private static final long LIFO_THRESHOLD_MICROS = 1_000_000;
 
     private record QueuedRequest(long queuedAtMicros, int bytes, BooleanSupplier isClientWaiting, Runnable task) {}
@@ -42,8 +44,8 @@
     private long queuedBytes;
 
     /**
-     * @param maxBytes the total size of the waiting requests beyond which more are refused, so that hundreds of large
-     *     ones cannot fill the heap
+     * @param maxBytes the maximum total size of the queued requests; further requests are refused, so that hundreds of
+     *     large ones cannot exhaust the heap
      */
     public RequestQueue(EventLoop eventLoop, long maxBytes) {
         this.eventLoop = eventLoop;
@@ -51,11 +53,12 @@
     }
 
     /**
-     * Queues the work of a request, or does it at once if the class is {@link RequestClass#IMMEDIATE}.
+     * Queues a request, or handles it at once if its class is {@link RequestClass#IMMEDIATE}.
      *
      * @param bytes memory that the request holds while it waits
-     * @param isClientWaiting false once the client has given up; the work is then not done
-     * @return false if the request was refused because too much waits already
+     * @param isClientWaiting false once the client has given up; the request is then dropped
+     * @param task handles the request
+     * @return false if the request was refused because the queue is full
      */
     public boolean enqueue(RequestClass requestClass, int bytes, BooleanSupplier isClientWaiting, Runnable task) {
         if (requestClass == RequestClass.IMMEDIATE) {
@@ -89,11 +92,11 @@
             }
             request.task().run();
         }
-        // A task with a delay of zero would run before the event loop processes the network again.
+        // A task with a delay of zero would run before the event loop processes I/O again.
         eventLoop.schedule(1, this::runBatch);
     }
 
-    /** Removes the next request to be handled, or returns null if none waits. */
+    /** Removes and returns the next request to handle, or null if none is queued. */
     private synchronized QueuedRequest poll() {
         workersNext = !workersNext;
         QueuedRequest request = poll(workersNext ? workerRequests : userRequests);
@@ -119,12 +122,12 @@
         return null;
     }
 
-    /** The number of requests dropped because their clients had given up. */
+    /** Returns the number of requests dropped because their clients had given up. */
     public synchronized long abandonedCount() {
         return abandonedCount;
     }
 
-    /** The number of requests that wait. */
+    /** Returns the number of queued requests. */
     public synchronized int waitingCount() {
         return userRequests.size() + workerRequests.size();
     }
--- a/src/main/java/io/sillreel/overload/AdaptiveConcurrencyLimit.java
+++ b/src/main/java/io/sillreel/overload/AdaptiveConcurrencyLimit.java
@@ -13,11 +13,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * Limits the number of users' requests in progress, adapting the limit to measured response times. Status polls may
- * take only a part of it, so that submissions and cancellations still pass under load. A request over the limit is
- * refused with status 429 at once. A poll that has been refused for ten seconds is overdue, and a few overdue polls
- * pass in addition to the limit; otherwise a job could stay without any response for as long as the load lasts.
- * Thread-safe; all state is guarded by this.
+ * Limits the number of user requests in progress and adapts the limit to the measured response times. Status polls may
+ * use only a fraction of the limit, so that submissions and cancellations are still admitted under load. A request over
+ * the limit is refused at once with status 429. A poll that has been refused for ten seconds is overdue; a few overdue
+ * polls are admitted beyond the limit, since the polls of a job could otherwise be refused for as long as the load
+ * lasts. Thread-safe; all state is guarded by {@code this}.
  */
 public final class AdaptiveConcurrencyLimit implements HttpHandler {
     private static final double MAX_POLL_FRACTION = 0.7;
@@ -32,12 +32,12 @@
     private int inProgress;
     private long refusedCount;
     private int overdueInProgress;
-    /** The time of the first refusal by path, in the order of insertion. */
+    /** Time of the first refusal of each poll by path, in insertion order. */
     private final Map<String, Long> firstRefusalByPath;
 
     /**
      * @param maxLimit the upper bound of the limit, however fast requests are handled
-     * @param maxTrackedPolls how many refused polls are remembered
+     * @param maxTrackedPolls the number of refused polls that are tracked; beyond it the eldest are evicted
      * @param nowMicros monotonic time in microseconds
      */
     public AdaptiveConcurrencyLimit(HttpHandler delegate, int maxLimit, int maxTrackedPolls, LongSupplier nowMicros) {
@@ -85,13 +85,13 @@
                     firstRefusalByPath.remove(request.path());
                 }
             }
-            // A failure of another service says nothing about the capacity of this process.
+            // A failure of another service does not indicate the capacity of this process.
             admitted.ifPresent(isServed ? Limiter.Listener::onSuccess : Limiter.Listener::onIgnore);
         });
         return responseFuture;
     }
 
-    /** Records the refusal of a poll; true if the poll is overdue and may pass now. */
+    /** Records the refusal of a poll; returns true if the poll is overdue and may be admitted. */
     private boolean isOverdue(String path) {
         long now = nowMicros.getAsLong();
         Long firstRefusal = firstRefusalByPath.putIfAbsent(path, now);
@@ -100,12 +100,12 @@
                 && overdueInProgress < MAX_OVERDUE_IN_PROGRESS;
     }
 
-    /** The current limit on requests in progress. */
+    /** Returns the current limit on requests in progress. */
     public synchronized int limit() {
         return limiter.getLimit();
     }
 
-    /** The number of requests refused since the start. */
+    /** Returns the number of requests refused since the process started. */
     public synchronized long refusedCount() {
         return refusedCount;
     }
--- a/src/main/java/io/sillreel/overload/EventLoopLag.java
+++ b/src/main/java/io/sillreel/overload/EventLoopLag.java
@@ -3,12 +3,12 @@
 import io.sillreel.http.EventLoop;
 
 /**
- * Measures how late timers of the event loop run, the first sign that this process gets too little processor time.
- * Thread-safe; the lags are guarded by this.
+ * Measures how late timers of the event loop run, which is the first sign of CPU starvation of this process.
+ * Thread-safe; the lags are guarded by {@code this}.
  */
 public final class EventLoopLag {
     private static final long SAMPLE_INTERVAL_MICROS = 500_000;
-    /** The lag loses a quarter with each sample, so that it falls within seconds once timers run on time again. */
+    /** The lag decays by a quarter with each sample, so that it falls within seconds once timers run on time again. */
     private static final int DECAY_DIVISOR = 4;
 
     private final EventLoop eventLoop;
@@ -35,12 +35,12 @@
         start();
     }
 
-    /** The decaying maximum of recent lags, in microseconds. */
+    /** Returns the decaying maximum of recent lags in microseconds. */
     public synchronized long currentMicros() {
         return currentMicros;
     }
 
-    /** The largest lag since the start, in microseconds. */
+    /** Returns the largest lag since the process started, in microseconds. */
     public synchronized long maxMicros() {
         return maxMicros;
     }
--- a/src/main/java/io/sillreel/overload/RateLimiter.java
+++ b/src/main/java/io/sillreel/overload/RateLimiter.java
@@ -3,28 +3,30 @@
 import io.sillreel.http.EventLoop;
 
 /**
- * A token bucket for this controller's share of a rate that several controllers use. A rejection by the service shows
- * that the rate was lowered or that others use more of it; the share then shrinks at once and recovers slowly.
- * Thread-safe; all state is guarded by this.
+ * A token bucket for this controller's share of a rate limit that several controllers use. A rejection by the service
+ * shows that the limit was lowered or that other controllers use more of it; the rate is then reduced at once and
+ * recovers slowly. Thread-safe; all state is guarded by {@code this}.
  */
 public final class RateLimiter {
     private static final double REJECTION_BACKOFF_FACTOR = 0.6;
     private static final double MIN_RATE_FRACTION = 0.05;
     private static final double RATE_FRACTION_RECOVERY_PER_SECOND = 0.02;
-    /** Rejections within this time have the same cause and shrink the share once. */
+    /** Rejections within this window are taken to have one cause and reduce the rate only once. */
     private static final long REJECTION_WINDOW_MICROS = 300_000;
 
     private final EventLoop eventLoop;
     private final double maxPerSecond;
     private final double maxBurst;
+    /** The fraction of the configured rate and burst that is currently used. */
     private double rateFraction = 1;
+
     private double tokens;
     private long refilledAtMicros;
     private long rejectedAtMicros = Long.MIN_VALUE / 2;
 
     /**
-     * @param perSecond how many tokens are added each second
-     * @param burst how many tokens the bucket holds at most
+     * @param perSecond the number of tokens added per second
+     * @param burst the capacity of the bucket
      */
     public RateLimiter(EventLoop eventLoop, double perSecond, double burst) {
         this.eventLoop = eventLoop;
@@ -34,12 +36,12 @@
         this.refilledAtMicros = eventLoop.nowMicros();
     }
 
-    /** Takes the tokens if they are available; an amount larger than the bucket may overdraw a full one. */
+    /** Takes the tokens if they are available; an amount above the capacity may overdraw a full bucket. */
     public boolean tryAcquire(double amount) {
         return tryAcquireKeepingReserve(amount, 0);
     }
 
-    /** Takes the tokens if the given number is left after that, or if the bucket is full. */
+    /** Takes the tokens if that leaves at least the reserve in the bucket, or if the bucket is full. */
     public synchronized boolean tryAcquireKeepingReserve(double amount, double reserve) {
         refill();
         if (tokens >= Math.min(amount + reserve, burst())) {
@@ -55,7 +57,7 @@
         tokens -= amount;
     }
 
-    /** Reports that the service rejected a request because of its rate; empties the bucket and shrinks the share. */
+    /** Records that the service rejected a request because of its rate: empties the bucket and reduces the rate. */
     public synchronized void onRejected() {
         refill();
         tokens = Math.min(tokens, 0);
@@ -65,13 +67,13 @@
         }
     }
 
-    /** The tokens in the bucket; negative if it is overdrawn. */
+    /** Returns the number of tokens in the bucket; negative if it is overdrawn. */
     public synchronized double availableTokens() {
         refill();
         return tokens;
     }
 
-    /** The current size of the bucket. */
+    /** Returns the current capacity of the bucket. */
     public synchronized double burst() {
         return rateFraction * maxBurst;
     }
--- a/src/main/java/io/sillreel/settings/OperatorProperties.java
+++ b/src/main/java/io/sillreel/settings/OperatorProperties.java
@@ -9,16 +9,16 @@
 import java.util.TreeSet;
 
 /**
- * The settings of the operators: a file of Java properties, all optional, durations in whole milliseconds. An unknown
- * key is an error, since a misspelt property would otherwise be taken to be in force. Immutable.
+ * The operators' settings, read from a Java properties file. All properties are optional, and durations are whole
+ * milliseconds. An unknown key is an error, since a misspelt property would otherwise be ignored silently. Immutable.
  *
  * @param leaderLeaseMicros time to live of the lease that the leader key is bound to
- * @param idleTimeoutMicros how long a machine may be without work before it is returned
+ * @param idleTimeoutMicros time without work after which a machine is returned to the cloud
  * @param retryInitialDelayMicros first backoff after an attempt that failed because of the job
- * @param retryMaxDelayMicros longest backoff of the stored schedule
- * @param parkedRetryIntervalMicros interval at which a parked job is tried again
+ * @param retryMaxDelayMicros longest backoff of the stored retry schedule
+ * @param parkedRetryIntervalMicros interval between attempts of a parked job
  * @param maxRequestsInProgress upper bound of the adaptive limit on requests in progress
- * @param recovery what is done about a state service that has lost writes
+ * @param recovery recovery of writes that the state service has lost
  */
 public record OperatorProperties(
         long leaderLeaseMicros,
@@ -30,10 +30,10 @@
         RecoveryProperties recovery) {
 
     /**
-     * What is done about a state service that has lost writes.
+     * Recovery of writes that the state service has lost.
      *
-     * @param enabled false if nothing is
-     * @param changePollIntervalMicros how long changes are collected before a controller asks for them
+     * @param enabled true if lost writes are detected and recovered
+     * @param changePollIntervalMicros interval at which a controller polls the state service for changes
      */
     public record RecoveryProperties(boolean enabled, long changePollIntervalMicros) {}
 
@@ -91,7 +91,7 @@
         }
     }
 
-    /** The properties of operators who give none. */
+    /** Returns the default values of all properties. */
     public static OperatorProperties defaults() {
         return of(new Properties());
     }
@@ -99,7 +99,7 @@
     /**
      * Reads a properties file.
      *
-     * @throws SettingsException naming the file if it can't be read, or the key that is unknown or out of bounds
+     * @throws SettingsException naming the file if it cannot be read, or the key that is unknown or out of bounds
      */
     public static OperatorProperties read(Path file) {
         Properties properties = new Properties();
--- a/src/main/java/io/sillreel/settings/Settings.java
+++ b/src/main/java/io/sillreel/settings/Settings.java
@@ -6,12 +6,12 @@
 import java.util.Optional;
 
 /**
- * The settings that the platform gives a controller, checked by {@link SettingsReader}. Immutable.
+ * The settings that the platform provides to a controller, validated by {@link SettingsReader}. Immutable.
  *
  * @param localController this controller
  * @param members the other controllers of the deployment
- * @param clockSkewMicros the most that the clocks of two machines differ
- * @param scheduling what users and teams were promised
+ * @param clockSkewMicros maximum difference between the clocks of two machines
+ * @param scheduling team quotas and service-level objectives
  */
 public record Settings(
         LocalController localController,
@@ -39,7 +39,7 @@
     public record Member(String nodeName, String area, String address) {}
 
     /**
-     * The services that the controllers use.
+     * The external services that the controllers use.
      *
      * @param cloudAddress host:port of the cloud
      * @param stateAddress host:port of the state service
@@ -47,46 +47,46 @@
     public record ExternalServices(String cloudAddress, CloudLimits cloud, String stateAddress, StateLimits state) {}
 
     /**
-     * What users and teams were promised.
+     * Team quotas and service-level objectives.
      *
-     * @param teams quotas by the name of the team
+     * @param teams quotas by team name
      */
     public record SchedulingPolicy(Map<String, Team> teams, List<Objective> objectives) {}
 
     /**
      * The quota of a team.
      *
-     * @param guaranteedCpus processors that the team gets before others exceed their guarantees
-     * @param maxCpus processors that the team never exceeds; 0 for no limit
-     * @param guaranteedGpus accelerators that the team gets before others exceed their guarantees
-     * @param maxGpus accelerators that the team never exceeds; 0 for no limit
+     * @param guaranteedCpus processors that the team receives before other teams exceed their guarantees
+     * @param maxCpus maximum number of processors of the team; 0 for no limit
+     * @param guaranteedGpus accelerators that the team receives before other teams exceed their guarantees
+     * @param maxGpus maximum number of accelerators of the team; 0 for no limit
      */
     public record Team(String name, double guaranteedCpus, double maxCpus, double guaranteedGpus, double maxGpus) {}
 
     /**
      * A service-level objective for the start or the end of jobs.
      *
-     * @param kind what the objective is about, in the words of the platform; empty if it gives none
-     * @param jobClass the class of jobs that it holds for; empty if it gives none
-     * @param withinMicros the time within which it is to happen; 0 if it gives none
-     * @param share the share of jobs for which it is to hold, from 0 to 1
+     * @param kind kind of the objective as the platform names it; empty if it is not specified
+     * @param jobClass class of the jobs to which the objective applies; empty if it is not specified
+     * @param withinMicros time within which a job must start or end; 0 if it is not specified
+     * @param share fraction of the jobs that must meet the objective, from 0 to 1
      */
     public record Objective(String kind, String jobClass, long withinMicros, double share) {}
 
     /**
-     * Times of the worker agents.
+     * Timing of the worker agents.
      *
      * @param heartbeatIntervalMicros time between two heartbeats of an agent
      * @param leaseMicros time without a heartbeat after which a machine's lease expires
-     * @param cancelMicros time after a cancellation by which the tasks of the job have to be gone
+     * @param cancelMicros time after a cancellation within which all tasks of the job must end
      */
     public record WorkerTimes(long heartbeatIntervalMicros, long leaseMicros, long cancelMicros) {}
 
     /**
-     * Limits of the state service. It may lower them at any moment to the announced ones, so what is written is never
-     * larger than both allow. The rates are the present ones: the rate limiters follow what is refused.
+     * Limits of the state service. The service may lower them to the announced limits at any time, so writes must fit
+     * both the current and the announced limits. The rates are the current ones: the rate limiters adapt to rejections.
      *
-     * @param maxTransactionChanges changes of one transaction: the smaller of the present limit and the announced one
+     * @param maxTransactionChanges changes in one transaction: the smaller of the current and the announced limit
      */
     public record StateLimits(
             double requestsPerSecond, double writesPerSecond, ValueLimits values, int maxTransactionChanges) {}
@@ -94,44 +94,44 @@
     /**
      * Limits of the cloud.
      *
-     * @param listLagMicros the most that its machine list lags behind
+     * @param listLagMicros maximum staleness of the machine list
      */
     public record CloudLimits(double requestsPerSecond, long listLagMicros) {}
 
-    /** What the platform gives this process; memory in megabytes. */
+    /** The resources that the platform allocates to this process; memory in megabytes. */
     public record Resources(double cores, double memoryMb, int maxSockets) {}
 
-    /** The name of this controller. */
+    /** Returns the name of this controller. */
     public String nodeName() {
         return localController.nodeName();
     }
 
-    /** The quotas by the name of the team. */
+    /** Returns the quotas by team name. */
     public Map<String, Team> teams() {
         return scheduling.teams();
     }
 
-    /** The service-level objectives. */
+    /** Returns the service-level objectives. */
     public List<Objective> objectives() {
         return scheduling.objectives();
     }
 
-    /** The limits of the state service. */
+    /** Returns the limits of the state service. */
     public StateLimits state() {
         return services.state();
     }
 
-    /** The limits of the cloud. */
+    /** Returns the limits of the cloud. */
     public CloudLimits cloud() {
         return services.cloud();
     }
 
-    /** The number of all controllers, this one included. */
+    /** Returns the number of controllers, including this one. */
     public int controllerCount() {
         return members.size() + 1;
     }
 
-    /** Returns the other controller of that name, if there is one. */
+    /** Returns the other controller with the name, if there is one. */
     public Optional<Member> findMember(String name) {
         return members.stream().filter(member -> member.nodeName().equals(name)).findFirst();
     }
--- a/src/main/java/io/sillreel/settings/SettingsException.java
+++ b/src/main/java/io/sillreel/settings/SettingsException.java
@@ -1,6 +1,6 @@
 package io.sillreel.settings;
 
-/** A setting that is missing or impossible; the message is one line naming field and reason. */
+/** Thrown if a setting is missing or invalid; the message is a single line with the field and the reason. */
 public final class SettingsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -8,7 +8,7 @@
      * Creates the exception.
      *
      * @param field the qualified name of the setting, or the file
-     * @param reason what is wrong with it, and what is needed
+     * @param reason why the setting is rejected, and which values are valid
      */
     public SettingsException(String field, String reason) {
         super(field + ": " + reason);
--- a/src/main/java/io/sillreel/settings/SettingsReader.java
+++ b/src/main/java/io/sillreel/settings/SettingsReader.java
@@ -23,7 +23,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads and checks the settings file of the platform, which is TOML. Unknown fields are ignored. */
+/** Reads and validates the platform's settings file, which is TOML. Unknown fields are ignored. */
 public final class SettingsReader {
     private static final double MICROS_PER_MILLI = 1_000;
     private static final int BYTES_PER_KB = 1024;
@@ -31,13 +31,13 @@
     private static final double MIN_REQUESTS = 4;
     /** Writes per second that a leader needs to keep its lease. */
     private static final double MIN_WRITES = 2;
-    /** Leadership is taken by a transaction of two changes. */
+    /** Acquiring leadership takes a transaction of two changes. */
     private static final double MIN_TRANSACTION_CHANGES = 2;
-    /** Size of a submission with all its texts, or of a scale-out request for a few machines. */
+    /** Size of a submission with all its strings, or of a scale-out request for a few machines. */
     private static final double MIN_VALUE_KB = 1;
-    /** Measured memory of a process that has only started. */
+    /** Measured memory use of a process that has just started. */
     private static final double MIN_MEMORY_MB = 48;
-    /** Sockets for the listeners, the controller's own requests and a few users. */
+    /** Sockets for the listeners, the controller's outgoing requests and a few users. */
     private static final double MIN_SOCKETS = 40;
 
     private SettingsReader() {}
@@ -45,7 +45,7 @@
     /**
      * Reads the settings file.
      *
-     * @throws SettingsException naming the field that is missing or impossible
+     * @throws SettingsException naming the field that is missing or invalid
      */
     public static Settings read(Path file) {
         try {
@@ -59,7 +59,7 @@
     /**
      * Reads settings from TOML text.
      *
-     * @throws SettingsException naming the field that is missing or impossible
+     * @throws SettingsException naming the field that is missing or invalid
      */
     public static Settings parse(String toml) {
         JsonNode root;
@@ -74,7 +74,7 @@
         return readSettings(new TomlTable("", root));
     }
 
-    /** Reads the fields in the order of the file, which decides about the one that is named if several are wrong. */
+    /** Reads the fields in the order of the file, so that the first is reported if several are invalid. */
     private static Settings readSettings(TomlTable root) {
         TomlTable params = root.table("params");
         TomlTable state = params.table("state");
@@ -86,7 +86,7 @@
         List<Member> members = readMembers(root);
         String cloudAddress = endpoints.hostPort("cloud");
         String stateAddress = endpoints.hostPort("state");
-        // The platform always gives the list; the zones that count are those of the machine types.
+        // The list is required but not used: the zones of the machine types are authoritative.
         params.strings("zones");
         long clockSkewMicros = Math.round(params.nonNegative("skew_ms") * MICROS_PER_MILLI);
         SchedulingPolicy scheduling = new SchedulingPolicy(readTeams(params), readObjectives(params));
--- a/src/main/java/io/sillreel/settings/TomlTable.java
+++ b/src/main/java/io/sillreel/settings/TomlTable.java
@@ -6,17 +6,17 @@
 import java.util.List;
 
 /**
- * Typed reading of the fields of a TOML table. Each method throws {@link SettingsException} with the qualified name of
- * the field if it is missing or not of the type.
+ * Typed access to the fields of a TOML table. Each method throws {@link SettingsException} with the qualified name of
+ * the field if the field is missing or has the wrong type.
  *
- * @param path name of the table within the file; empty for the file itself
+ * @param path qualified name of the table; empty for the root table
  */
 record TomlTable(String path, JsonNode node) {
     static final double MICROS_PER_SECOND = 1_000_000;
 
     private static final int MAX_PORT = 65_535;
 
-    /** Returns the name of a field with the path of this table, as messages show it. */
+    /** Returns the name of a field prefixed with the path of this table, as used in error messages. */
     String qualifiedName(String field) {
         return path.isEmpty() ? field : path + "." + field;
     }
@@ -29,7 +29,7 @@
         return value;
     }
 
-    /** Reads a table that has to be there. */
+    /** Reads a required table. */
     TomlTable table(String field) {
         JsonNode value = required(field);
         if (!value.isObject()) {
@@ -38,12 +38,12 @@
         return new TomlTable(qualifiedName(field), value);
     }
 
-    /** Reads a table, or returns an empty one if there is none. */
+    /** Reads an optional table; returns an empty one if it is absent. */
     TomlTable tableOrEmpty(String field) {
         return node.hasNonNull(field) ? table(field) : new TomlTable(qualifiedName(field), MissingNode.getInstance());
     }
 
-    /** Reads a list of tables; an absent one is empty. */
+    /** Reads an optional list of tables; returns an empty one if it is absent. */
     List<TomlTable> tables(String field) {
         JsonNode value = node.path(field);
         List<TomlTable> tables = new ArrayList<>();
@@ -59,7 +59,7 @@
         return tables;
     }
 
-    /** Reads a list of texts that has to be there. */
+    /** Reads a required list of strings. */
     List<String> strings(String field) {
         JsonNode value = required(field);
         if (!value.isArray()) {
@@ -70,7 +70,7 @@
         return List.copyOf(strings);
     }
 
-    /** Reads a text that is not blank. */
+    /** Reads a required string that is not blank. */
     String string(String field) {
         JsonNode value = required(field);
         if (!value.isTextual() || value.asText().isBlank()) {
@@ -79,12 +79,12 @@
         return value.asText();
     }
 
-    /** Reads a text, or returns the default if there is none. */
+    /** Reads an optional string; returns the default if it is absent. */
     String stringOr(String field, String defaultValue) {
         return node.path(field).asText(defaultValue);
     }
 
-    /** Reads an address of the form host:port. */
+    /** Reads a required address of the form host:port. */
     String hostPort(String field) {
         String value = string(field);
         int colon = value.lastIndexOf(':');
@@ -99,7 +99,7 @@
         throw new SettingsException(qualifiedName(field), "is not host:port");
     }
 
-    /** Reads a finite number of at least 0. */
+    /** Reads a required finite number that is not negative. */
     double nonNegative(String field) {
         JsonNode value = required(field);
         if (!value.isNumber() || !Double.isFinite(value.asDouble()) || value.asDouble() < 0) {
@@ -109,12 +109,12 @@
         return value.asDouble();
     }
 
-    /** Reads a finite number of at least 0, or returns the default if there is none. */
+    /** Reads an optional finite number that is not negative; returns the default if it is absent. */
     double nonNegativeOr(String field, double defaultValue) {
         return node.hasNonNull(field) ? nonNegative(field) : defaultValue;
     }
 
-    /** Reads a finite number above 0. */
+    /** Reads a required finite number above 0. */
     double positive(String field) {
         double value = nonNegative(field);
         if (value <= 0) {
@@ -123,7 +123,7 @@
         return value;
     }
 
-    /** Reads a finite number that is not below the minimum. */
+    /** Reads a required finite number that is not below the minimum. */
     double atLeast(String field, double min) {
         double value = nonNegative(field);
         if (value < min) {
@@ -132,12 +132,12 @@
         return value;
     }
 
-    /** Reads a finite number that is not below the minimum, or returns the default if there is none. */
+    /** Reads an optional finite number that is not below the minimum; returns the default if it is absent. */
     double atLeastOr(String field, double min, double defaultValue) {
         return node.hasNonNull(field) ? atLeast(field, min) : defaultValue;
     }
 
-    /** Reads a duration in seconds above 0 and returns it in microseconds. */
+    /** Reads a required duration in seconds, which must be above 0, and returns it in microseconds. */
     long durationMicros(String field) {
         return Math.round(positive(field) * MICROS_PER_SECOND);
     }
--- a/src/test/java/io/sillreel/cloud/CloudClientTest.java
+++ b/src/test/java/io/sillreel/cloud/CloudClientTest.java
@@ -22,7 +22,7 @@
 class CloudClientTest {
     private static final int MACHINES = 4_000;
     private static final long SECOND = 1_000_000;
-    /** Requests a second: the least that an operator has, less what a controller leaves to others. */
+    /** The lowest rate limit of an operator, less the part that a controller leaves to the others. */
     private static final double REQUESTS_PER_SECOND = 1.2;
 
     private final SimTime time = new SimTime();
@@ -54,7 +54,10 @@
         return HttpResponse.of(200, body);
     }
 
-    /** Guards the list of a large fleet: a page beyond the rate ended it, so that beyond some 500 it never came. */
+    /**
+     * Guards the listing of a large fleet: a page beyond the rate limit used to end it, so that fleets of more than
+     * about 500 machines were never listed.
+     */
     @Test
     void listsLargeFleetAtLowRequestRate() {
         CompletableFuture<MachineList> list = cloud.listMachines();
--- a/src/test/java/io/sillreel/cloud/CloudSamplesTest.java
+++ b/src/test/java/io/sillreel/cloud/CloudSamplesTest.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** The requests to the cloud, what is read of its responses, and the stored machine types. */
+/** Compares requests to the cloud, decoded responses and stored machine types with golden samples. */
 class CloudSamplesTest {
     private static final String TYPES =
             "200 {\"builds\":[{\"sku\":\"g\\\"8\",\"vcpus\":8,\"cards\":0.5,\"ram_gb\":64.25,"
--- a/src/test/java/io/sillreel/http/HttpTest.java
+++ b/src/test/java/io/sillreel/http/HttpTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The client and the server on real sockets: persistent connections, limits and failures. */
+/** Tests the client and the server over real sockets: persistent connections, limits and failures. */
 class HttpTest {
     private static final long TIMEOUT_MICROS = 20_000_000;
 
@@ -62,7 +62,7 @@
                 .isEqualTo(200);
     }
 
-    /** Guards the heap: the response to a watch has no limit. */
+    /** Guards against exhausting the heap: the service does not limit the size of a watch response. */
     @Test
     void reportsOversizedResponseAndServesNextRequest() {
         String address = listen(request -> CompletableFuture.completedFuture(new HttpResponse(
@@ -77,7 +77,7 @@
                 .isEqualTo(200);
     }
 
-    /** Guards workers that connect to the last controller all at once and wait until they are accepted. */
+    /** Guards against refused connections when all worker agents connect to the only remaining controller at once. */
     @Test
     void acceptBacklogMatchesConnectionLimit() {
         NettyHttpServer server = new NettyHttpServer(group, NettyHttpServer.MAX_BODY_BYTES, 3_000);
@@ -124,7 +124,7 @@
         String address = listen(request -> CompletableFuture.completedFuture(HttpResponse.of(200, Json.object())));
         client.send(address, HttpRequest.get("/"), TIMEOUT_MICROS).join();
         assertThat(connectionsAfterSweep())
-                .as("it has been used since the sweep before")
+                .as("connection used since the previous sweep")
                 .isEqualTo(1);
         client.send(address, HttpRequest.get("/"), TIMEOUT_MICROS).join();
         assertThat(connectionsAfterSweep()).isEqualTo(1);
--- a/src/test/java/io/sillreel/http/RequestQueueTest.java
+++ b/src/test/java/io/sillreel/http/RequestQueueTest.java
@@ -30,7 +30,7 @@
         }
     }
 
-    /** Guards the lease renewal: handling all workers at once after a crash took longer than the lease lasts. */
+    /** Guards lease renewal: handling the requests of all workers at once after a crash took longer than the lease. */
     @Test
     void runsTimersOnTimeWhileManyRequestsAreQueued() {
         enqueueWorkers(300);
@@ -50,7 +50,7 @@
         assertThat(served.subList(0, 4)).containsExactlyInAnyOrder("worker", "user", "worker", "user");
     }
 
-    /** Guards against work for clients that have given up, of which there are most under load. */
+    /** Guards against wasting time on clients that have timed out, which are most frequent under load. */
     @Test
     void dropsRequestsWhoseClientsHaveTimedOut() {
         process.freeze(5_000_000);
@@ -63,7 +63,7 @@
         assertThat(requestQueue.waitingCount()).isZero();
     }
 
-    /** Guards against serving every client just too late: the oldest request is the next to time out. */
+    /** Guards against responding to every client slightly too late: the oldest request is the next to time out. */
     @Test
     void servesNewestFirstOnceOldestIsOverdue() {
         process.freeze(2_000_000);
@@ -75,7 +75,7 @@
         assertThat(served).containsExactly("new", "older than new", "old");
     }
 
-    /** Guards the heap, which hundreds of large requests would fill. */
+    /** Guards against hundreds of large requests exhausting the heap. */
     @Test
     void rejectsRequestsBeyondMemoryLimit() {
         int accepted = 0;
--- a/src/test/java/io/sillreel/overload/AdaptiveConcurrencyLimitTest.java
+++ b/src/test/java/io/sillreel/overload/AdaptiveConcurrencyLimitTest.java
@@ -42,7 +42,7 @@
         assertThat(limit.handle(HttpRequest.get("/v2/runs/job-000001"))).isNotDone();
     }
 
-    /** Guards against a job whose status is never returned while others are polled without end. */
+    /** Guards against starvation: the status of a job must be served while others are polled continuously. */
     @Test
     void admitsPollRefusedForTenSecondsDespiteLimit() {
         List<String> forwardedPaths = new ArrayList<>();
--- a/src/test/java/io/sillreel/settings/SettingsSamplesTest.java
+++ b/src/test/java/io/sillreel/settings/SettingsSamplesTest.java
@@ -9,7 +9,7 @@
 import java.util.Properties;
 import org.junit.jupiter.api.Test;
 
-/** The keys of the operators' properties and the names of the platform's settings. */
+/** Compares the operators' properties and the platform's settings, as read or rejected, with golden samples. */
 class SettingsSamplesTest {
     private static final List<String> KEYS = List.of(
             "leader.lease.ms",
