--- a/src/test/java/io/sillreel/cloud/CloudClientTest.java
+++ b/src/test/java/io/sillreel/cloud/CloudClientTest.java
@@ -22,7 +22,7 @@
 class CloudClientTest {
     private static final int MACHINES = 4_000;
     private static final long SECOND = 1_000_000;
-    /** The lowest rate limit of an operator, less the part that a controller leaves to the others. */
+    /** The lowest rate limit that an operator has, less the part that a controller leaves to the others. */
     private static final double REQUESTS_PER_SECOND = 1.2;
 
     private final SimTime time = new SimTime();
