--- a/src/main/java/io/sillreel/leadership/LeaderStatus.java
+++ b/src/main/java/io/sillreel/leadership/LeaderStatus.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Counts of jobs, tasks, machines and CPUs of a term, for the log and for metrics. Guarded by the cluster's lock. */
+/** Counts of jobs, tasks, machines and CPUs of a term for the log and metrics. Guarded by the lock of the cluster. */
 final class LeaderStatus {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderStatus.class);
     private static final long LOG_INTERVAL_MICROS = 10_000_000;
@@ -41,25 +41,25 @@
         loggedMicros = now;
         Map<String, Double> gauges = gauges();
         LOG.info(
-                "term {}: {} unfinished jobs, {} waiting tasks; cpus: {} up, {} busy, {} starting, {} wanted, "
-                        + "{} standing; {} machines, {} on demand",
+                "term {}: {} unfinished jobs, {} waiting tasks; cpus: {} up, {} busy, {} starting, {} required, "
+                        + "{} steady demand; {} machines, {} on-demand",
                 term,
-                count(gauges, "sillreel.jobs.unfinished"),
-                count(gauges, "sillreel.tasks.waiting"),
-                count(gauges, "sillreel.cpus.up"),
-                count(gauges, "sillreel.cpus.busy"),
-                count(gauges, "sillreel.cpus.starting"),
-                count(gauges, "sillreel.cpus.wanted"),
-                count(gauges, "sillreel.cpus.standing"),
-                count(gauges, "sillreel.machines"),
-                count(gauges, "sillreel.machines.ordinary"));
+                rounded(gauges, "sillreel.jobs.unfinished"),
+                rounded(gauges, "sillreel.tasks.waiting"),
+                rounded(gauges, "sillreel.cpus.up"),
+                rounded(gauges, "sillreel.cpus.busy"),
+                rounded(gauges, "sillreel.cpus.starting"),
+                rounded(gauges, "sillreel.cpus.wanted"),
+                rounded(gauges, "sillreel.cpus.standing"),
+                rounded(gauges, "sillreel.machines"),
+                rounded(gauges, "sillreel.machines.ordinary"));
     }
 
-    private static long count(Map<String, Double> gauges, String name) {
+    private static long rounded(Map<String, Double> gauges, String name) {
         return Math.round(gauges.get(name));
     }
 
-    /** The values of the metrics by their names; takes the lock of the cluster. */
+    /** The values of the metrics by name; takes the lock of the cluster. */
     Map<String, Double> gauges() {
         synchronized (cluster) {
             Map<String, Double> gauges = new HashMap<>();
--- a/src/test/java/io/sillreel/cluster/ScaleOutRequestSamplesTest.java
+++ b/src/test/java/io/sillreel/cluster/ScaleOutRequestSamplesTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The stored form of scale-out requests. */
+/** Compares the stored form of scale-out requests with golden samples. */
 class ScaleOutRequestSamplesTest {
     @Test
     void readsAndWritesScaleOutRequests() throws Exception {
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void writesScaleOutRequestsAsTheyAreSentAnsweredSplitAndDiscarded() {
+    void writesSentAnsweredSplitAndDiscardedRequests() {
         StringBuilder text = new StringBuilder();
         ScaleOutRequest request = new ScaleOutRequest("hopper-1.3.8", "g8", "a", true, 3);
         text.append(change(request)).append('\n');
