--- a/src/test/java/io/sillreel/cloud/CloudClientTest.java
+++ b/src/test/java/io/sillreel/cloud/CloudClientTest.java
@@ -12,7 +12,7 @@
 import io.sillreel.http.Json;
 import io.sillreel.overload.RateLimiter;
 import io.sillreel.sim.SimNetwork;
-import io.sillreel.sim.SimNetwork.Fate;
+import io.sillreel.sim.SimNetwork.Action;
 import io.sillreel.sim.SimTime;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -29,7 +29,8 @@
     private final SimNetwork network = new SimNetwork(time, 1);
     private final SimTime.Process process = time.new Process();
     private final RateLimiter rateLimiter = new RateLimiter(process, REQUESTS_PER_SECOND, REQUESTS_PER_SECOND);
-    private final CloudClient cloud = new CloudClient(network.from("node", process), process, "cloud:1", rateLimiter);
+    private final CloudClient cloud =
+            new CloudClient(network.clientOf("node", process), process, "cloud:1", rateLimiter);
     private int requests;
 
     CloudClientTest() {
@@ -85,7 +86,7 @@
         List<String> machines =
                 IntStream.range(0, 250).mapToObj("host-%06d"::formatted).toList();
         int[] returnedCount = new int[1];
-        network.add((from, to, request) -> {
+        network.addRule((from, to, request) -> {
             returnedCount[0] = Json.parse(request.body()).path("hoppers").size();
             return null;
         });
@@ -96,7 +97,7 @@
 
     @Test
     void retriesRefusedPages() {
-        network.add((from, to, request) -> requests++ % 3 == 0 ? Fate.REFUSE : null);
+        network.addRule((from, to, request) -> requests++ % 3 == 0 ? Action.REJECT : null);
         CompletableFuture<MachineList> list = cloud.listMachines();
         time.runFor(60 * SECOND);
         assertThat(list.join().machines()).hasSize(MACHINES);
@@ -104,8 +105,8 @@
 
     @Test
     void listingFailsDuringOutage() {
-        network.add((from, to, request) -> Fate.REFUSE);
-        network.silence("cloud:1");
+        network.addRule((from, to, request) -> Action.REJECT);
+        network.stopListening("cloud:1");
         CompletableFuture<MachineList> list = cloud.listMachines();
         time.runFor(60 * SECOND);
         assertThat(list.join().outcome()).isNotEqualTo(Outcome.OK);
--- a/src/test/java/io/sillreel/http/RequestQueueTest.java
+++ b/src/test/java/io/sillreel/http/RequestQueueTest.java
@@ -19,7 +19,7 @@
     private void enqueue(RequestClass requestClass, String client, long clientTimeoutMicros) {
         long clientDeadlineMicros = time.nowMicros() + clientTimeoutMicros;
         requestQueue.enqueue(requestClass, 1_000, () -> time.nowMicros() < clientDeadlineMicros, () -> {
-            process.works(HANDLING_MICROS);
+            process.occupy(HANDLING_MICROS);
             served.add(client);
         });
     }
@@ -53,7 +53,7 @@
     /** Guards against wasting time on clients that have timed out, which are most frequent under load. */
     @Test
     void dropsRequestsWhoseClientsHaveTimedOut() {
-        process.freeze(5_000_000);
+        process.pause(5_000_000);
         enqueueWorkers(50);
         time.runFor(5_000_000);
         enqueue(RequestClass.WORKERS, "late", 4_000_000);
@@ -66,7 +66,7 @@
     /** Guards against responding to every client slightly too late: the oldest request is the next to time out. */
     @Test
     void servesNewestFirstOnceOldestIsOverdue() {
-        process.freeze(2_000_000);
+        process.pause(2_000_000);
         enqueue(RequestClass.WORKERS, "old", 4_000_000);
         enqueue(RequestClass.WORKERS, "older than new", 4_000_000);
         time.runFor(1_900_000);
