--- a/src/main/java/io/sillreel/settings/OperatorProperties.java
+++ b/src/main/java/io/sillreel/settings/OperatorProperties.java
@@ -9,16 +9,16 @@
 import java.util.TreeSet;
 
 /**
- * The settings of the operators: a file of Java properties, all optional, durations in whole milliseconds. An unknown
- * key is an error, since a misspelt property would otherwise be taken to be in force. Immutable.
+ * The operators' settings, read from a Java properties file. All properties are optional, and durations are whole
+ * milliseconds. An unknown key is an error, since a misspelt property would otherwise be ignored silently. Immutable.
  *
  * @param leaderLeaseMicros time to live of the lease that the leader key is bound to
- * @param idleTimeoutMicros how long a machine may be without work before it is returned
+ * @param idleTimeoutMicros time without work after which a machine is returned to the cloud
  * @param retryInitialDelayMicros first backoff after an attempt that failed because of the job
- * @param retryMaxDelayMicros longest backoff of the stored schedule
- * @param parkedRetryIntervalMicros interval at which a parked job is tried again
+ * @param retryMaxDelayMicros longest backoff of the stored retry schedule
+ * @param parkedRetryIntervalMicros interval between attempts of a parked job
  * @param maxRequestsInProgress upper bound of the adaptive limit on requests in progress
- * @param recovery what is done about a state service that has lost writes
+ * @param recovery recovery of writes that the state service has lost
  */
 public record OperatorProperties(
         long leaderLeaseMicros,
@@ -30,12 +30,12 @@
         RecoveryProperties recovery) {
 
     /**
-     * What is done about a state service that has lost writes.
+     * Recovery of writes that the state service has lost.
      *
-     * @param enabled false if nothing is
-     * @param followMicros how long changes are collected before a controller asks for them
+     * @param enabled true if lost writes are detected and recovered
+     * @param changePollIntervalMicros interval at which a controller polls the state service for changes
      */
-    public record RecoveryProperties(boolean enabled, long followMicros) {}
+    public record RecoveryProperties(boolean enabled, long changePollIntervalMicros) {}
 
     /** The known properties with their keys, defaults and bounds. */
     private enum Property {
@@ -46,7 +46,7 @@
         RETRY_PARKED_MILLIS("retry.parked.ms", 60_000, 1_000, 86_400_000),
         MAX_REQUESTS("overload.max.requests", 64, 4, 10_000),
         RECOVERY_ENABLED("recovery.enabled", 0, 0, 1),
-        RECOVERY_FOLLOW_MILLIS("recovery.follow.ms", 250, 20, 10_000);
+        RECOVERY_POLL_INTERVAL_MILLIS("recovery.follow.ms", 250, 20, 10_000);
 
         private static final long MICROS_PER_MILLI = 1_000;
 
@@ -91,7 +91,7 @@
         }
     }
 
-    /** The properties of operators who give none. */
+    /** Returns the default values of all properties. */
     public static OperatorProperties defaults() {
         return of(new Properties());
     }
@@ -99,7 +99,7 @@
     /**
      * Reads a properties file.
      *
-     * @throws SettingsException naming the file if it can't be read, or the key that is unknown or out of bounds
+     * @throws SettingsException naming the file if it cannot be read, or the key that is unknown or out of bounds
      */
     public static OperatorProperties read(Path file) {
         Properties properties = new Properties();
@@ -133,6 +133,6 @@
                 (int) Property.MAX_REQUESTS.valueIn(properties),
                 new RecoveryProperties(
                         Property.RECOVERY_ENABLED.valueIn(properties) == 1,
-                        Property.RECOVERY_FOLLOW_MILLIS.microsIn(properties)));
+                        Property.RECOVERY_POLL_INTERVAL_MILLIS.microsIn(properties)));
     }
 }
--- a/src/test/java/io/sillreel/cloud/CloudSamplesTest.java
+++ b/src/test/java/io/sillreel/cloud/CloudSamplesTest.java
@@ -5,7 +5,7 @@
 
 import io.sillreel.cloud.CloudClient.ListedMachine;
 import io.sillreel.cloud.CloudClient.MachineList;
-import io.sillreel.cloud.CloudClient.MachineTypesAnswer;
+import io.sillreel.cloud.CloudClient.MachineTypesResult;
 import io.sillreel.golden.GoldenSamples;
 import io.sillreel.golden.GoldenSamples.Transcript;
 import io.sillreel.overload.RateLimiter;
@@ -18,7 +18,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** The requests to the cloud, what is read of its responses, and the stored machine types. */
+/** Compares requests to the cloud, decoded responses and stored machine types with golden samples. */
 class CloudSamplesTest {
     private static final String TYPES =
             "200 {\"builds\":[{\"sku\":\"g\\\"8\",\"vcpus\":8,\"cards\":0.5,\"ram_gb\":64.25,"
@@ -41,7 +41,7 @@
         GoldenSamples.assertConverts("cloud-answers.txt", input -> {
             Transcript transcript = new Transcript(request -> CompletableFuture.completedFuture(response(input)));
             CloudClient cloud = cloud(transcript);
-            MachineTypesAnswer types = cloud.listMachineTypes().join();
+            MachineTypesResult types = cloud.listMachineTypes().join();
             transcript.note(values(List.of(
                     types.outcome(),
                     types.list().types().values().stream()
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void requestsTheNextPageAfterTheLastMachine() {
+    void requestsNextPageAfterLastMachine() {
         Deque<String> pages = new ArrayDeque<>(List.of(
                 "200 {\"hoppers\":[{\"uid\":\"host-000001\"},{\"uid\":\"host-000002\"}],\"truncated\":true}",
                 "200 {\"hoppers\":[{\"uid\":\"host-000003\"}],\"truncated\":false}"));
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void storesTheMachineTypesAndReadsThemBack() {
+    void storesMachineTypesAndReadsThemBack() {
         SimStateService stateService = new SimStateService(time, 20, 8_192, 1_000);
         Transcript transcript = new Transcript(request -> request.path().equals("/flavors")
                 ? CompletableFuture.completedFuture(response(TYPES))
--- a/src/test/java/io/sillreel/http/RequestQueueTest.java
+++ b/src/test/java/io/sillreel/http/RequestQueueTest.java
@@ -9,17 +9,17 @@
 import org.junit.jupiter.api.Test;
 
 class RequestQueueTest {
-    private static final long WORK_MICROS = 20_000;
+    private static final long HANDLING_MICROS = 20_000;
 
     private final SimTime time = new SimTime();
     private final SimTime.Process process = time.new Process();
     private final RequestQueue requestQueue = new RequestQueue(process, 4 * 1024 * 1024);
     private final List<String> served = new ArrayList<>();
 
-    private void enqueue(RequestClass requestClass, String client, long givesUpAfterMicros) {
-        long until = time.nowMicros() + givesUpAfterMicros;
-        requestQueue.enqueue(requestClass, 1_000, () -> time.nowMicros() < until, () -> {
-            process.occupy(WORK_MICROS);
+    private void enqueue(RequestClass requestClass, String client, long clientTimeoutMicros) {
+        long clientDeadlineMicros = time.nowMicros() + clientTimeoutMicros;
+        requestQueue.enqueue(requestClass, 1_000, () -> time.nowMicros() < clientDeadlineMicros, () -> {
+            process.occupy(HANDLING_MICROS);
             served.add(client);
         });
     }
@@ -30,9 +30,9 @@
         }
     }
 
-    /** Guards the lease renewal: handling all workers at once after a crash took longer than the lease lasts. */
+    /** Guards lease renewal: handling the requests of all workers at once after a crash took longer than the lease. */
     @Test
-    void manyWaitingRequestsDoNotDelayTimers() {
+    void runsTimersOnTimeWhileManyRequestsAreQueued() {
         enqueueWorkers(300);
         long dueMicros = time.nowMicros() + 100_000;
         long[] ranAtMicros = new long[1];
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void usersAndWorkersAreServedAlternately() {
+    void alternatesBetweenUserAndWorkerRequests() {
         enqueueWorkers(20);
         enqueue(RequestClass.USERS, "user", 2_000_000);
         enqueue(RequestClass.USERS, "user", 2_000_000);
@@ -50,9 +50,9 @@
         assertThat(served.subList(0, 4)).containsExactlyInAnyOrder("worker", "user", "worker", "user");
     }
 
-    /** Guards against work for clients that have given up, of which there are most under load. */
+    /** Guards against wasting time on clients that have timed out, which are most frequent under load. */
     @Test
-    void requestsOfClientsThatGaveUpAreDropped() {
+    void dropsRequestsWhoseClientsHaveTimedOut() {
         process.pause(5_000_000);
         enqueueWorkers(50);
         time.runFor(5_000_000);
@@ -63,9 +63,9 @@
         assertThat(requestQueue.waitingCount()).isZero();
     }
 
-    /** Guards against serving every client just too late: the oldest request is the next to time out. */
+    /** Guards against responding to every client slightly too late: the oldest request is the next to time out. */
     @Test
-    void theNewestRequestIsServedFirstOnceTheOldestIsLate() {
+    void servesNewestFirstOnceOldestIsOverdue() {
         process.pause(2_000_000);
         enqueue(RequestClass.WORKERS, "old", 4_000_000);
         enqueue(RequestClass.WORKERS, "older than new", 4_000_000);
@@ -75,23 +75,23 @@
         assertThat(served).containsExactly("new", "older than new", "old");
     }
 
-    /** Guards the heap, which hundreds of large requests would fill. */
+    /** Guards against hundreds of large requests exhausting the heap. */
     @Test
-    void requestsBeyondTheMemoryLimitAreRefused() {
-        int taken = 0;
-        while (taken < 1_000
+    void rejectsRequestsBeyondMemoryLimit() {
+        int accepted = 0;
+        while (accepted < 1_000
                 && requestQueue.enqueue(RequestClass.USERS, 64 * 1024, () -> true, () -> served.add("user"))) {
-            taken++;
+            accepted++;
         }
-        assertThat(taken).isBetween(32, 64);
+        assertThat(accepted).isBetween(32, 64);
         time.runFor(100_000);
-        assertThat(served).hasSize(taken);
+        assertThat(served).hasSize(accepted);
         assertThat(requestQueue.enqueue(RequestClass.USERS, 64 * 1024, () -> true, () -> {}))
                 .isTrue();
     }
 
     @Test
-    void immediateRequestsDoNotWait() {
+    void handlesImmediateRequestsWithoutQueueing() {
         enqueueWorkers(100);
         enqueue(RequestClass.IMMEDIATE, "check", 1_000_000);
         assertThat(served).containsExactly("check");
--- a/src/test/java/io/sillreel/settings/SettingsSamplesTest.java
+++ b/src/test/java/io/sillreel/settings/SettingsSamplesTest.java
@@ -9,7 +9,7 @@
 import java.util.Properties;
 import org.junit.jupiter.api.Test;
 
-/** The keys of the operators' properties and the names of the platform's settings. */
+/** Compares the operators' properties and the platform's settings, as read or rejected, with golden samples. */
 class SettingsSamplesTest {
     private static final List<String> KEYS = List.of(
             "leader.lease.ms",
@@ -23,7 +23,7 @@
             "nothing");
 
     @Test
-    void readsEachPropertyWithinItsBounds() {
+    void readsOrRejectsEachProperty() {
         StringBuilder lines = new StringBuilder(values(OperatorProperties.of(new Properties())) + "\n");
         for (String key : KEYS) {
             for (String value : List.of("1", "1234", "12345678901", "x")) {
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void readsAllSettingsAndThoseWithoutOneLine() {
+    void readsSettingsWithEachLineRemovedInTurn() {
         String toml = GoldenSamples.read("settings.toml");
         List<String> lines = List.of(toml.split("\n"));
         StringBuilder read = new StringBuilder("all: " + readSettings(toml) + "\n");
