--- a/src/main/java/io/sillreel/HealthCheck.java
+++ b/src/main/java/io/sillreel/HealthCheck.java
@@ -27,7 +27,8 @@
 
     /** True if the state store has answered this controller lately; for a while after the start in any case. */
     boolean isStoreReachable() {
-        return eventLoop.nowMicros() - Math.max(store.lastAnswerMicros(), startedMicros) < MAX_STORE_SILENCE_MICROS;
+        return eventLoop.nowMicros() - Math.max(store.lastConclusiveResponseMicros(), startedMicros)
+                < MAX_STORE_SILENCE_MICROS;
     }
 
     /**
--- a/src/main/java/io/sillreel/cloud/CloudClient.java
+++ b/src/main/java/io/sillreel/cloud/CloudClient.java
@@ -11,7 +11,7 @@
 
 /**
  * Client of the cloud's interface, limited to this controller's share of the request rate. Futures never complete
- * exceptionally: every failure is an {@link Outcome}. Safe for use by several threads.
+ * exceptionally: every failure is an {@link DependencyResolver}. Safe for use by several threads.
  */
 public final class CloudClient {
     /** The result of a request to the cloud. */
--- a/src/main/java/io/sillreel/heartbeat/FaultAttribution.java
+++ b/src/main/java/io/sillreel/heartbeat/FaultAttribution.java
@@ -23,7 +23,7 @@
 
     /** Records that a task of the job failed on the machine, and attributes the fault. */
     static Fault attribute(ActiveJob job, Machine machine) {
-        if (job.hasSucceededOnce()) {
+        if (job.hasCompletedTask()) {
             return Fault.MACHINE;
         }
         machine.health().addSuspicion(job.uid());
--- a/src/main/java/io/sillreel/leadership/DependencyLookup.java
+++ b/src/main/java/io/sillreel/leadership/DependencyLookup.java
@@ -58,7 +58,7 @@
             return;
         }
         if (doneUids.contains(uid)) {
-            dependencies.lookupSucceeded(uid);
+            dependencies.markExternalDone(uid);
             return;
         }
         store.get(RunRecord.key(uid)).thenAccept(read -> {
@@ -66,7 +66,7 @@
                 if (read.outcome() == StoreOutcome.OK
                         && RunRecordCodec.isDone(read.entry().orElseThrow().value())) {
                     recordDone(uid);
-                    dependencies.lookupSucceeded(uid);
+                    dependencies.markExternalDone(uid);
                     return;
                 }
             }
--- a/src/main/java/io/sillreel/pipeline/ActiveJob.java
+++ b/src/main/java/io/sillreel/pipeline/ActiveJob.java
@@ -38,7 +38,7 @@
     private final EffectiveUrgency urgency;
     private final Set<String> failedMachines = new HashSet<>();
     private RetryState retry = RetryState.NONE;
-    private boolean hasSucceededOnce;
+    private boolean hasCompletedTask;
     private boolean isReady;
     private long readyWallMicros;
     private boolean isInherited;
@@ -79,7 +79,7 @@
         retry = record.retry();
         completed.inherit(record.bitmap(), storedChunks);
         occupancy.inherit(completed);
-        hasSucceededOnce = completed.count() > 0;
+        hasCompletedTask = completed.count() > 0;
     }
 
     public JobSpec spec() {
@@ -196,7 +196,7 @@
             return false;
         }
         occupancy.markDone(task);
-        hasSucceededOnce = true;
+        hasCompletedTask = true;
         failedMachines.clear();
         retry = RetryState.NONE;
         return true;
@@ -252,8 +252,8 @@
     }
 
     /** True once a task of the job was done: later failures are not caused by its specification. */
-    public boolean hasSucceededOnce() {
-        return hasSucceededOnce;
+    public boolean hasCompletedTask() {
+        return hasCompletedTask;
     }
 
     /** Names of the machines on which tasks of the current attempt failed; callers add and remove them. */
--- a/src/main/java/io/sillreel/pipeline/CascadingCancellation.java
+++ b/src/main/java/io/sillreel/pipeline/CascadingCancellation.java
@@ -1,10 +1,10 @@
 package io.sillreel.pipeline;
 
+import io.sillreel.statestore.AbstractPendingWrite;
 import io.sillreel.statestore.KeyChange;
-import io.sillreel.statestore.SingleKeyWrite;
 
 /** The write that cancels a job which depends on a cancelled one; nothing is written if it is cancelled already. */
-public final class CascadingCancellation extends SingleKeyWrite {
+public final class CascadingCancellation extends AbstractPendingWrite {
     private final String cause;
     private final long wallMicros;
 
--- a/src/main/java/io/sillreel/pipeline/CompletionBitmapChunks.java
+++ b/src/main/java/io/sillreel/pipeline/CompletionBitmapChunks.java
@@ -1,8 +1,8 @@
 package io.sillreel.pipeline;
 
+import io.sillreel.statestore.AbstractPendingWrite;
 import io.sillreel.statestore.KeyChange;
 import io.sillreel.statestore.PendingWrite;
-import io.sillreel.statestore.SingleKeyWrite;
 import io.sillreel.statestore.WriteUrgency;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -85,12 +85,12 @@
 
     /** Starts to write the next generation of a chunk; false while the one before is being written. */
     private boolean startWrite(int index, BitSet completed) {
-        ChunkWrite older = pending.get(index);
-        if (older != null && !older.isStored()) {
+        ChunkWrite previous = pending.get(index);
+        if (previous != null && !previous.isStored()) {
             return false;
         }
-        if (older != null) {
-            storedRevisions.put(older.key(), older.revision());
+        if (previous != null) {
+            storedRevisions.put(previous.key(), previous.revision());
         }
         BitSet tasks = completed.get(index * tasksPerChunk, (index + 1) * tasksPerChunk);
         pending.put(index, new ChunkWrite(index, ++lastGeneration, tasks));
@@ -109,7 +109,7 @@
     }
 
     /** Adds the tasks of chunks that are stored and to which the stored record does not refer yet. */
-    void copyInto(BitSet completed) {
+    void addStoredTasksTo(BitSet completed) {
         for (ChunkWrite chunk : pending.values()) {
             if (chunk.isStored()) {
                 chunk.tasks.stream().forEach(bit -> completed.set(chunk.index * tasksPerChunk + bit));
@@ -131,12 +131,12 @@
             }
             return false;
         });
-        Set<String> kept = new HashSet<>();
+        Set<String> retainedKeys = new HashSet<>();
         for (int index = 0; index < referencedGenerations.length; index++) {
-            kept.add(ChunkKey.of(uid, index, referencedGenerations[index]));
+            retainedKeys.add(ChunkKey.of(uid, index, referencedGenerations[index]));
         }
-        pending.values().forEach(chunk -> kept.add(chunk.key()));
-        return removeExcept(kept);
+        pending.values().forEach(chunk -> retainedKeys.add(chunk.key()));
+        return removeExcept(retainedKeys);
     }
 
     /** Removals of all chunks, of a job that is over. */
@@ -146,10 +146,10 @@
         return removeExcept(Set.of());
     }
 
-    private List<PendingWrite> removeExcept(Set<String> kept) {
+    private List<PendingWrite> removeExcept(Set<String> retainedKeys) {
         List<PendingWrite> removals = new ArrayList<>();
         storedRevisions.entrySet().removeIf(entry -> {
-            if (kept.contains(entry.getKey())) {
+            if (retainedKeys.contains(entry.getKey())) {
                 return false;
             }
             removals.add(new KeyRemoval(entry.getKey(), entry.getValue()));
@@ -165,7 +165,7 @@
     }
 
     /** The write of one generation of a chunk, with the tasks that were done when it was created. */
-    private final class ChunkWrite extends SingleKeyWrite {
+    private final class ChunkWrite extends AbstractPendingWrite {
         final int index;
         final long generation;
         final BitSet tasks;
--- a/src/main/java/io/sillreel/pipeline/DependencyGraph.java
+++ b/src/main/java/io/sillreel/pipeline/DependencyGraph.java
@@ -29,7 +29,9 @@
         /** The job is cancelled, since the given job is, on which it depends directly or through others. */
         void dependencyCancelled(ActiveJob job, String cause);
 
-        /** Asks to look up whether a job that is not driven here is done, and to call {@link #lookupSucceeded} then. */
+        /**
+         * Asks to look up whether a job that is not driven here is done, and to call {@link #markExternalDone} then.
+         */
         void lookUpCompletion(String uid);
     }
 
@@ -154,7 +156,7 @@
     }
 
     /** The job, which {@link Callbacks#lookUp} asked for, is done. */
-    public void lookupSucceeded(String uid) {
+    public void markExternalDone(String uid) {
         notifyReady(run.completeExternal(uid, true));
         if (run.isInState(uid, JobState.SUCCEEDED)) {
             run.remove(uid);
@@ -172,8 +174,8 @@
 
     /** The cancellation of the job is stored: all jobs that depend on it are cancelled, in topological order. */
     public void markCancelled(String uid) {
-        for (String skipped : run.cancel(uid)) {
-            ActiveJob job = jobs.get(skipped);
+        for (String skippedUid : run.cancel(uid)) {
+            ActiveJob job = jobs.get(skippedUid);
             if (job != null) {
                 callbacks.dependencyCancelled(job, uid);
             }
@@ -185,32 +187,32 @@
         List<String> upstream = run.upstreamJobs(job.uid());
         run.remove(job.uid());
         jobs.remove(job.uid());
-        for (String each : upstream) {
+        for (String upstreamJob : upstream) {
             // No job depends on it any more, so its end needs no lookup.
-            if (run.isExternal(each) && run.downstreamJobs(each).isEmpty()) {
-                run.remove(each);
+            if (run.isExternal(upstreamJob) && run.downstreamJobs(upstreamJob).isEmpty()) {
+                run.remove(upstreamJob);
             }
         }
     }
 
     /** Jobs that depend on the given one directly. */
     public List<ActiveJob> dependents(ActiveJob job) {
-        return present(run.downstreamJobs(job.uid()));
+        return activeJobs(run.downstreamJobs(job.uid()));
     }
 
     /** Unfinished jobs that the given one depends on directly, as far as they are driven here. */
     public List<ActiveJob> dependencies(ActiveJob job) {
-        return present(run.upstreamJobs(job.uid()));
+        return activeJobs(run.upstreamJobs(job.uid()));
     }
 
-    private List<ActiveJob> present(List<String> uids) {
-        List<ActiveJob> present = new ArrayList<>();
+    private List<ActiveJob> activeJobs(List<String> uids) {
+        List<ActiveJob> active = new ArrayList<>();
         for (String uid : uids) {
             ActiveJob job = jobs.get(uid);
             if (job != null) {
-                present.add(job);
+                active.add(job);
             }
         }
-        return present;
+        return active;
     }
 }
--- a/src/main/java/io/sillreel/pipeline/JobIdSet.java
+++ b/src/main/java/io/sillreel/pipeline/JobIdSet.java
@@ -38,10 +38,10 @@
         if (!uid.startsWith(PREFIX)) {
             throw new IllegalArgumentException("not the id of a job: " + uid);
         }
-        long code = 1;
-        for (int at = PREFIX.length(); at < uid.length(); at++) {
-            code = code * DECIMAL + Character.digit(uid.charAt(at), DECIMAL);
+        long encoded = 1;
+        for (int index = PREFIX.length(); index < uid.length(); index++) {
+            encoded = encoded * DECIMAL + Character.digit(uid.charAt(index), DECIMAL);
         }
-        return code;
+        return encoded;
     }
 }
--- a/src/main/java/io/sillreel/pipeline/KeyRemoval.java
+++ b/src/main/java/io/sillreel/pipeline/KeyRemoval.java
@@ -1,11 +1,11 @@
 package io.sillreel.pipeline;
 
+import io.sillreel.statestore.AbstractPendingWrite;
 import io.sillreel.statestore.KeyChange;
-import io.sillreel.statestore.SingleKeyWrite;
 import io.sillreel.statestore.WriteUrgency;
 
 /** The removal of a key that no record refers to any more. */
-final class KeyRemoval extends SingleKeyWrite {
+final class KeyRemoval extends AbstractPendingWrite {
     /** @param revision the revision that the key is known to have */
     KeyRemoval(String key, long revision) {
         super(key, revision);
--- a/src/main/java/io/sillreel/pipeline/PipelineRun.java
+++ b/src/main/java/io/sillreel/pipeline/PipelineRun.java
@@ -128,7 +128,7 @@
      * @throws IllegalStateException if the job is not ready
      */
     public void release(String job) {
-        expect(job, JobState.READY).state = JobState.RELEASED;
+        requireState(job, JobState.READY).state = JobState.RELEASED;
     }
 
     /**
@@ -138,7 +138,7 @@
      * @throws IllegalStateException if the job is not released
      */
     public List<String> complete(String job, boolean succeeded) {
-        return endJob(expect(job, JobState.RELEASED), succeeded);
+        return endJob(requireState(job, JobState.RELEASED), succeeded);
     }
 
     /**
@@ -153,12 +153,14 @@
 
     private List<String> endJob(Node node, boolean succeeded) {
         node.state = isCancelled ? JobState.CANCELLED : succeeded ? JobState.SUCCEEDED : JobState.FAILED;
-        Condition taken = succeeded ? Condition.ON_SUCCESS : Condition.ON_FAILURE;
+        Condition metCondition = succeeded ? Condition.ON_SUCCESS : Condition.ON_FAILURE;
         List<Node> changed = resolveDependents(
                 node,
                 dependency -> isCancelled
                         ? DependencyState.SKIPPED
-                        : dependency.condition() == taken ? DependencyState.SATISFIED : DependencyState.UNSATISFIED);
+                        : dependency.condition() == metCondition
+                                ? DependencyState.SATISFIED
+                                : DependencyState.UNSATISFIED);
         return inTopologicalOrder(
                 changed.stream().filter(each -> each.state == JobState.READY).toList());
     }
@@ -258,8 +260,8 @@
     }
 
     /** The state that a dependency takes when its upstream job ends. */
-    private interface Outcome {
-        DependencyState of(Dependency dependency);
+    private interface DependencyResolver {
+        DependencyState resolve(Dependency dependency);
     }
 
     /**
@@ -268,10 +270,10 @@
      *
      * @return jobs that have become ready or are skipped
      */
-    private List<Node> resolveDependents(Node first, Outcome outcome) {
+    private List<Node> resolveDependents(Node ended, DependencyResolver resolver) {
         List<Node> changed = new ArrayList<>();
         Deque<Node> workList = new ArrayDeque<>();
-        resolveDependencies(first, outcome, workList);
+        resolveDirectDependents(ended, resolver, workList);
         while (!workList.isEmpty()) {
             Node node = workList.poll();
             if (isCancelled || node.state != JobState.WAITING) {
@@ -283,7 +285,7 @@
             if (skipped) {
                 node.state = JobState.SKIPPED;
                 changed.add(node);
-                resolveDependencies(node, dependency -> DependencyState.SKIPPED, workList);
+                resolveDirectDependents(node, dependency -> DependencyState.SKIPPED, workList);
             } else if (node.unsatisfiedCount == 0) {
                 node.state = JobState.READY;
                 changed.add(node);
@@ -293,12 +295,12 @@
     }
 
     /** Resolves the dependencies on one job and adds the jobs to look at to the work list. */
-    private void resolveDependencies(Node node, Outcome outcome, Deque<Node> workList) {
+    private void resolveDirectDependents(Node node, DependencyResolver resolver, Deque<Node> workList) {
         for (Dependency dependency : node.dependents.values()) {
             if (dependencyStates.get(dependency.id()) != DependencyState.PENDING) {
                 continue;
             }
-            DependencyState state = outcome.of(dependency);
+            DependencyState state = resolver.resolve(dependency);
             dependencyStates.put(dependency.id(), state);
             Node downstream = nodes.get(dependency.downstream());
             if (state == DependencyState.SATISFIED) {
@@ -318,7 +320,7 @@
                 .toList();
     }
 
-    private Node expect(String job, JobState state) {
+    private Node requireState(String job, JobState state) {
         Node node = nodes.get(job);
         if (node == null || node.state != state) {
             throw new IllegalStateException(
--- a/src/main/java/io/sillreel/pipeline/PlanOverflow.java
+++ b/src/main/java/io/sillreel/pipeline/PlanOverflow.java
@@ -26,9 +26,9 @@
     public static Optional<Map<String, JsonNode>> split(PlanRecord plan, int maxBytes, int maxValues) {
         JobSpec spec = plan.spec();
         Map<String, JsonNode> values = new LinkedHashMap<>();
-        ObjectNode whole = PlanRecordCodec.encode(plan);
-        if (Json.bytes(whole).length <= maxBytes) {
-            values.put(PlanRecord.key(spec.uid()), whole);
+        ObjectNode complete = PlanRecordCodec.encode(plan);
+        if (Json.bytes(complete).length <= maxBytes) {
+            values.put(PlanRecord.key(spec.uid()), complete);
             return Optional.of(values);
         }
         List<ObjectNode> overflow = new ArrayList<>();
@@ -69,9 +69,9 @@
             value.path(JobSpecCodec.MACHINE_TYPES).forEach(name -> machineTypes.add(name.asText()));
             value.path(JobSpecCodec.DEPENDENCIES).forEach(name -> dependencies.add(name.asText()));
         }
-        JobSpec whole =
+        JobSpec complete =
                 plan.spec().withMachineTypesAndDependencies(machineTypes.isEmpty() ? null : machineTypes, dependencies);
-        return new PlanRecord(plan.admittedWallMicros(), whole);
+        return new PlanRecord(plan.admittedWallMicros(), complete);
     }
 
     /** Reads the overflow values of a plan and merges them; empty if one of them could not be read now. */
--- a/src/main/java/io/sillreel/pipeline/RetryState.java
+++ b/src/main/java/io/sillreel/pipeline/RetryState.java
@@ -14,9 +14,9 @@
     /** The state after one more failed attempt: the next one is scheduled, or the job is parked. */
     RetryState afterFailure(RetrySchedule schedule, long wallMicros, String cause) {
         int attempts = failedAttempts + 1;
-        String told = schedule.isExhausted(attempts)
+        String newReason = schedule.isExhausted(attempts)
                 ? "parked after " + attempts + " failed attempts: " + cause
                 : "attempt " + attempts + " failed: " + cause;
-        return new RetryState(attempts, schedule.nextAttemptMicros(attempts, wallMicros), told);
+        return new RetryState(attempts, schedule.nextAttemptMicros(attempts, wallMicros), newReason);
     }
 }
--- a/src/main/java/io/sillreel/pipeline/RunRecordWrite.java
+++ b/src/main/java/io/sillreel/pipeline/RunRecordWrite.java
@@ -77,7 +77,7 @@
     public KeyChange change() {
         sentFailedAttempts = job.retry().failedAttempts();
         isCompletionSent = job.isComplete();
-        BitmapReference bitmap = completed.write();
+        BitmapReference bitmap = completed.beginRecordWrite();
         RunRecord record = new RunRecord(
                 job.spec().tasks(),
                 completed.count(),
--- a/src/main/java/io/sillreel/pipeline/StoredCompletionBitmap.java
+++ b/src/main/java/io/sillreel/pipeline/StoredCompletionBitmap.java
@@ -86,7 +86,7 @@
     }
 
     /** Adds all tasks that are done to another set. */
-    void copyInto(BitSet other) {
+    void addDoneTasksTo(BitSet other) {
         other.or(done);
     }
 
@@ -96,11 +96,11 @@
     }
 
     /** Returns what the record that is written now says of the bitmap, and remembers it for {@link #recordStored}. */
-    BitmapReference write() {
+    BitmapReference beginRecordWrite() {
         sent.clear();
         if (writesChunks()) {
             sent.or(stored);
-            chunks.copyInto(sent);
+            chunks.addStoredTasksTo(sent);
             sentGenerations = chunks.generations();
             return BitmapReference.chunks(chunks.tasksPerChunk(), sentGenerations);
         }
--- a/src/main/java/io/sillreel/pipeline/TaskOccupancy.java
+++ b/src/main/java/io/sillreel/pipeline/TaskOccupancy.java
@@ -26,7 +26,7 @@
 
     /** Takes over the tasks that are done according to the stored record. */
     void inherit(StoredCompletionBitmap done) {
-        done.copyInto(occupied);
+        done.addDoneTasksTo(occupied);
         occupiedCount = done.count();
     }
 
--- a/src/main/java/io/sillreel/placement/QueuedJob.java
+++ b/src/main/java/io/sillreel/placement/QueuedJob.java
@@ -43,7 +43,7 @@
      * the job may fail on every machine.
      */
     boolean isProbing() {
-        return !job.hasSucceededOnce() && !job.failedMachines().isEmpty();
+        return !job.hasCompletedTask() && !job.failedMachines().isEmpty();
     }
 
     /** Returns how many of the job's tasks the plan has not placed yet. */
--- a/src/main/java/io/sillreel/recovery/ChangeRestorer.java
+++ b/src/main/java/io/sillreel/recovery/ChangeRestorer.java
@@ -180,13 +180,13 @@
             for (int index = 0; index < batch.size(); index++) {
                 add(transaction, batch.get(index), reads.get(index).join());
             }
-            if (transaction.size() == 0) {
+            if (transaction.changeCount() == 0) {
                 write(rest, then);
                 return;
             }
             term.store()
                     .commit(transaction)
-                    .thenAccept(commit -> settle(commit, transaction.size(), batch, rest, then));
+                    .thenAccept(commit -> settle(commit, transaction.changeCount(), batch, rest, then));
         });
     }
 
--- a/src/main/java/io/sillreel/statestore/SingleKeyWrite.java
+++ b/src/main/java/io/sillreel/statestore/AbstractPendingWrite.java
@@ -1,12 +1,12 @@
 package io.sillreel.statestore;
 
 /** Base of a pending write that tracks the revision of its key. Used on the event loop only. */
-public abstract class SingleKeyWrite implements PendingWrite {
+public abstract class AbstractPendingWrite implements PendingWrite {
     private final String key;
     private long revision;
 
     /** @param revision the revision that the key is expected to have, 0 if it must not exist */
-    protected SingleKeyWrite(String key, long revision) {
+    protected AbstractPendingWrite(String key, long revision) {
         this.key = key;
         this.revision = revision;
     }
--- a/src/main/java/io/sillreel/statestore/StateStore.java
+++ b/src/main/java/io/sillreel/statestore/StateStore.java
@@ -48,8 +48,8 @@
     /**
      * When the service last carried out or decided a request, by the event loop's clock; very small if it never has.
      */
-    public long lastAnswerMicros() {
-        return transport.lastAnswerMicros();
+    public long lastConclusiveResponseMicros() {
+        return transport.lastConclusiveResponseMicros();
     }
 
     /**
@@ -110,8 +110,8 @@
 
     /** Sends a transaction, or completes as refused at once if the rates do not allow it. */
     public CompletableFuture<CommitResult> commit(Transaction transaction) {
-        boolean hasChanges = transaction.size() > 0;
-        if (!transport.tryAcquireRequest() || hasChanges && !writeLimiter.tryAcquire(transaction.size())) {
+        boolean hasChanges = transaction.changeCount() > 0;
+        if (!transport.tryAcquireRequest() || hasChanges && !writeLimiter.tryAcquire(transaction.changeCount())) {
             return CompletableFuture.completedFuture(new CommitResult(StoreOutcome.REFUSED, 0, List.of()));
         }
         return transport
--- a/src/main/java/io/sillreel/statestore/StateStoreCodec.java
+++ b/src/main/java/io/sillreel/statestore/StateStoreCodec.java
@@ -89,7 +89,7 @@
     }
 
     /** True if the status shows that the service itself carried the request out or decided it. */
-    static boolean isDecided(HttpResponse response) {
+    static boolean isConclusive(HttpResponse response) {
         return switch (response.status()) {
             case 200, 404, 409, 410 -> true;
             default -> false;
--- a/src/main/java/io/sillreel/statestore/StateStoreTransport.java
+++ b/src/main/java/io/sillreel/statestore/StateStoreTransport.java
@@ -21,7 +21,7 @@
     private final String address;
     private final RateLimiter requestLimiter;
     /** Guarded by this. */
-    private long lastAnswerMicros = Long.MIN_VALUE;
+    private long lastConclusiveResponseMicros = Long.MIN_VALUE;
     /** Guarded by this. */
     private int consecutiveFailures;
 
@@ -38,8 +38,8 @@
         this.requestLimiter = requestLimiter;
     }
 
-    synchronized long lastAnswerMicros() {
-        return lastAnswerMicros;
+    synchronized long lastConclusiveResponseMicros() {
+        return lastConclusiveResponseMicros;
     }
 
     synchronized boolean isUnresponsive() {
@@ -89,8 +89,8 @@
     StoreOutcome recordOutcome(HttpResponse response) {
         synchronized (this) {
             consecutiveFailures = response.status() > 0 ? 0 : consecutiveFailures + 1;
-            if (StateStoreCodec.isDecided(response)) {
-                lastAnswerMicros = eventLoop.nowMicros();
+            if (StateStoreCodec.isConclusive(response)) {
+                lastConclusiveResponseMicros = eventLoop.nowMicros();
             }
         }
         return StateStoreCodec.outcome(response);
--- a/src/main/java/io/sillreel/statestore/Transaction.java
+++ b/src/main/java/io/sillreel/statestore/Transaction.java
@@ -41,7 +41,7 @@
     }
 
     /** The number of changes; conditions are not counted. */
-    public int size() {
+    public int changeCount() {
         return changes.size();
     }
 
--- a/src/main/java/io/sillreel/statestore/WriteBacklog.java
+++ b/src/main/java/io/sillreel/statestore/WriteBacklog.java
@@ -13,7 +13,7 @@
     /** How long progress waits so that more of it is written at once. */
     private static final long PROGRESS_BATCHING_DELAY_MICROS = 2_000_000;
 
-    private static final int URGENCIES = WriteUrgency.values().length;
+    private static final int URGENCY_COUNT = WriteUrgency.values().length;
 
     private final Map<String, PendingWrite> writes = new LinkedHashMap<>();
     private final Map<String, Long> queuedAtMicros = new HashMap<>();
@@ -68,7 +68,7 @@
     /** The writes that may be sent now, the most urgent first and among equals in the order of their arrival. */
     List<PendingWrite> dueByUrgency(long nowMicros) {
         List<List<PendingWrite>> byUrgency = new ArrayList<>();
-        for (int i = 0; i < URGENCIES; i++) {
+        for (int i = 0; i < URGENCY_COUNT; i++) {
             byUrgency.add(new ArrayList<>());
         }
         for (PendingWrite write : writes.values()) {
--- a/src/main/java/io/sillreel/statestore/WriteBatch.java
+++ b/src/main/java/io/sillreel/statestore/WriteBatch.java
@@ -39,7 +39,7 @@
      */
     boolean tryAdd(PendingWrite write, KeyChange change, boolean exclusive, double maxChanges) {
         int size = change.value() == null ? 0 : change.bytes() + CHANGE_OVERHEAD_BYTES;
-        if (transaction.size() + 1 > maxChanges) {
+        if (transaction.changeCount() + 1 > maxChanges) {
             return false;
         }
         if (!writes.isEmpty() && (this.exclusive || exclusive || bytes + size > MAX_BYTES)) {
--- a/src/main/java/io/sillreel/statestore/WriteQueue.java
+++ b/src/main/java/io/sillreel/statestore/WriteQueue.java
@@ -98,7 +98,7 @@
         if (!writeInProgress && !closed) {
             writeInProgress = true;
             writeStartedAtMicros = eventLoop.nowMicros();
-            eventLoop.schedule(delayMicros, this::write);
+            eventLoop.schedule(delayMicros, this::writeNextBatch);
         }
     }
 
@@ -112,7 +112,7 @@
         scheduleWrite(delayMicros);
     }
 
-    private void write() {
+    private void writeNextBatch() {
         WriteBatch batch;
         synchronized (this) {
             if (closed || backlog.isEmpty()) {
@@ -188,17 +188,17 @@
             onLeadershipLost.run();
             return;
         }
-        List<PendingWrite> changedElsewhere = new ArrayList<>();
+        List<PendingWrite> conflicting = new ArrayList<>();
         for (PendingWrite write : writes) {
             if (write.requiredAbsentKey().filter(failedKeys::contains).isPresent()) {
                 notifyResult(write, PendingWrite::onPreconditionFailed);
             } else if (failedKeys.contains(write.key())) {
-                changedElsewhere.add(write);
+                conflicting.add(write);
             } else {
                 add(write);
             }
         }
-        rereadRevisions(changedElsewhere);
+        rereadRevisions(conflicting);
     }
 
     /** Writes that are too large together are sent one by one; a write that is too large alone is not sent again. */
--- a/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
+++ b/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
@@ -10,8 +10,8 @@
 import io.sillreel.http.Json;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.CompletionBitmapCodec;
-import io.sillreel.pipeline.IgnoringListener;
 import io.sillreel.pipeline.JobSpec;
+import io.sillreel.pipeline.NoOpJobListener;
 import io.sillreel.pipeline.RunRecordCodec;
 import io.sillreel.pipeline.StoredChunks;
 import io.sillreel.settings.ValueLimits;
@@ -38,7 +38,7 @@
     @Test
     void aDoneSetIsWrittenAsItWroteItUntilTheStateServiceRefusesItsSize() {
         List<PendingWrite> queued = new ArrayList<>();
-        ActiveJob.Listener watcher = new IgnoringListener() {
+        ActiveJob.Listener watcher = new NoOpJobListener() {
             @Override
             public void enqueueWrites(List<? extends PendingWrite> items) {
                 queued.addAll(items);
@@ -89,7 +89,7 @@
             time.runFor(100_000);
             state.limits(2, 160, 1_000);
             writeQueue = new WriteQueue(store, process, "leader", 101, 2, () -> {});
-            watcher = new IgnoringListener() {
+            watcher = new NoOpJobListener() {
                 @Override
                 public void enqueueWrites(List<? extends PendingWrite> items) {
                     items.forEach(writeQueue::enqueue);
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -18,9 +18,9 @@
 import io.sillreel.peer.HelloCodec;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.Checkpointing;
-import io.sillreel.pipeline.IgnoringListener;
 import io.sillreel.pipeline.JobSpec;
 import io.sillreel.pipeline.JobSpecCodec;
+import io.sillreel.pipeline.NoOpJobListener;
 import io.sillreel.pipeline.PlacementRequirements;
 import io.sillreel.pipeline.PriorityClass;
 import io.sillreel.pipeline.RetrySchedule;
@@ -101,7 +101,7 @@
     }
 
     private static ActiveJob job(int pieces) {
-        return new ActiveJob(spec("job-000412", pieces), 7, 0, ValueLimits.fixed(2_048), new IgnoringListener());
+        return new ActiveJob(spec("job-000412", pieces), 7, 0, ValueLimits.fixed(2_048), new NoOpJobListener());
     }
 
     @Test
--- /dev/null
+++ b/src/test/java/io/sillreel/pipeline/JobDependencyTest.java
@@ -0,0 +1,397 @@
+package io.sillreel.pipeline;
+
+import static io.sillreel.sim.SimJobs.uid;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.sillreel.http.HttpResponse;
+import io.sillreel.sim.FailureInjector;
+import io.sillreel.sim.SimCluster;
+import io.sillreel.sim.SimNetwork.Fate;
+import io.sillreel.sim.SimNetwork.Rule;
+import java.util.List;
+import java.util.function.Consumer;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** Jobs that await others, seen from outside; the world checks that none starts too early and that none is orphaned. */
+class JobDependencyTest {
+    private static final long SECOND = 1_000_000;
+    private final SimCluster cluster = new SimCluster(31);
+
+    @BeforeEach
+    void startCluster() {
+        cluster.seconds(2);
+    }
+
+    private int submitUntilAccepted(int node, ObjectNode job) {
+        HttpResponse response = cluster.submit(node, job);
+        for (int tries = 0; tries < 20 && response.status() / 100 != 2; tries++) {
+            cluster.seconds(1);
+            response = cluster.submit(node, job);
+        }
+        return response.status();
+    }
+
+    private void assertStageOnAllNodes(String uid, String stage) {
+        for (int node = 0; node < cluster.nodes(); node++) {
+            if (cluster.isUp(node)) {
+                assertThat(cluster.stage(node, uid)).as("%s at %d", uid, node).isEqualTo(stage);
+            }
+        }
+    }
+
+    private int anyRunningNode() {
+        return cluster.isUp(0) ? 0 : 1;
+    }
+
+    /** The chain of the users: one, then two beside each other, then one that needs the first as well. */
+    @Test
+    void startsJobOnlyAfterAllDependenciesAreDone() {
+        cluster.submit(0, SimCluster.job(uid(1), 3));
+        cluster.submit(1, SimCluster.job(uid(2), 4, uid(1)));
+        cluster.submit(2, SimCluster.job(uid(3), 2, uid(1)));
+        assertThat(cluster.submit(0, SimCluster.job(uid(4), 2, uid(2), uid(3), uid(1)))
+                        .status())
+                .isEqualTo(201);
+        assertStageOnAllNodes(uid(4), "queued");
+        cluster.untilStarted(3, 3 * SECOND);
+        assertThat(cluster.state().value("run/" + uid(2))).isNull();
+        cluster.seconds(60);
+        for (int job = 1; job <= 4; job++) {
+            assertStageOnAllNodes(uid(job), "done");
+        }
+        assertThat(cluster.starts()).isEqualTo(11);
+        assertThat(cluster.broken()).isEmpty();
+    }
+
+    /** Guards what a submission may name, and who says so: the state service, and nobody's memory. */
+    @Test
+    void validatesDependenciesOfSubmission() {
+        cluster.submit(0, SimCluster.job(uid(1), 1));
+        assertThat(cluster.submit(1, SimCluster.job(uid(2), 1).putNull("awaits"))
+                        .status())
+                .isEqualTo(201);
+        assertThat(cluster.submit(1, SimCluster.job(uid(3), 1, new String[0])).status())
+                .isEqualTo(201);
+        List<Consumer<ObjectNode>> invalidEdits = List.of(
+                job -> job.put("awaits", uid(1)),
+                job -> job.put("awaits", 3),
+                job -> job.putObject("awaits"),
+                job -> job.putArray("awaits").add(7),
+                job -> job.putArray("awaits").add("nonsense"),
+                job -> job.putArray("awaits").addNull(),
+                job -> job.putArray("awaits").add(uid(1)).add("job-"));
+        for (Consumer<ObjectNode> invalidEdit : invalidEdits) {
+            ObjectNode job = SimCluster.job(uid(4), 1);
+            invalidEdit.accept(job);
+            assertThat(cluster.submit(2, job).status()).as(job.toString()).isEqualTo(400);
+        }
+        assertThat(cluster.submit(2, SimCluster.job(uid(4), 1, uid(1), uid(99))).status())
+                .isEqualTo(422);
+        assertThat(cluster.submit(2, SimCluster.job(uid(4), 1, uid(4))).status())
+                .isEqualTo(422);
+        assertThat(cluster.submit(2, SimCluster.job(uid(4), 1, uid(1)).put("vcpus", 64.0))
+                        .status())
+                .isEqualTo(422);
+        assertThat(cluster.poll(0, uid(4)).status()).isEqualTo(404);
+        assertThat(cluster.submit(2, SimCluster.job(uid(4), 1, uid(1), uid(1))).status())
+                .isEqualTo(201);
+        assertThat(cluster.state().value("plan/" + uid(4)).path("job").path("awaits"))
+                .hasSize(1);
+        cluster.state().outage(true);
+        assertThat(cluster.submit(2, SimCluster.job(uid(5), 1, uid(99))).status())
+                .isEqualTo(503);
+        cluster.state().outage(false);
+        cluster.seconds(30);
+        // A repeat is answered with the state, whatever became of what it names.
+        assertThat(cluster.submit(0, SimCluster.job(uid(4), 1, uid(1)))
+                        .json()
+                        .path("stage")
+                        .asText())
+                .isEqualTo("done");
+        assertThat(cluster.submit(0, SimCluster.job(uid(4), 1, uid(98))).status())
+                .isEqualTo(200);
+        assertThat(cluster.broken()).isEmpty();
+    }
+
+    /** Guards a name that was accepted a moment ago, by a controller whose answer to that was lost. */
+    @Test
+    void acceptsDependencyJustAdmittedByAnotherController() {
+        for (int i = 1; i <= 20; i++) {
+            String first = uid(2 * i);
+            cluster.submitMeanwhile(i % 3, SimCluster.job(first, 1));
+            cluster.until(() -> cluster.state().value("plan/" + first) != null);
+            assertThat(cluster.submit((i + 1) % 3, SimCluster.job(uid(2 * i + 1), 1, first))
+                            .status())
+                    .isEqualTo(201);
+        }
+        cluster.seconds(60);
+        assertStageOnAllNodes(uid(41), "done");
+        assertThat(cluster.broken()).isEmpty();
+    }
+
+    /** Guards readers: what follows a cancelled job is cancelled at once, though nobody has written that down yet. */
+    @Test
+    void reportsTransitiveDependentsAsCancelledOnEveryController() {
+        cluster.submit(0, SimCluster.job(uid(1), 4).put("guess_s", 60.0));
+        cluster.submit(1, SimCluster.job(uid(2), 2, uid(1)));
+        cluster.submit(2, SimCluster.job(uid(3), 2, uid(2)));
+        cluster.submit(0, SimCluster.job(uid(4), 2, uid(3)));
+        cluster.submit(0, SimCluster.job(uid(5), 2).put("guess_s", 60.0));
+        cluster.untilStarted(6, 600 * SECOND);
+        int leader = cluster.leader();
+        // Nobody leads for the next seconds, so nobody writes what follows.
+        cluster.kill(leader);
+        int follower = (leader + 1) % 3;
+        assertThat(cluster.cancel(follower, uid(1)).json().path("stage").asText())
+                .isEqualTo("withdrawn");
+        for (int job = 2; job <= 4; job++) {
+            assertThat(cluster.state().value("withdraw/" + uid(job))).isNull();
+            assertStageOnAllNodes(uid(job), "withdrawn");
+            assertThat(cluster.cancel(follower, uid(job)).json().path("stage").asText())
+                    .isEqualTo("withdrawn");
+        }
+        // Who names one of them now is accepted, and cancelled with them.
+        HttpResponse lateSubmission = cluster.submit(follower, SimCluster.job(uid(6), 1, uid(4)));
+        assertThat(lateSubmission.status()).isEqualTo(201);
+        assertThat(lateSubmission.json().path("stage").asText()).isEqualTo("withdrawn");
+        assertStageOnAllNodes(uid(6), "withdrawn");
+        cluster.seconds(15);
+        for (int job = 1; job <= 4; job++) {
+            assertThat(cluster.state().value("withdraw/" + uid(job)))
+                    .as(uid(job))
+                    .isNotNull();
+        }
+        assertThat(cluster.stage(follower, uid(5))).isIn("queued", "running");
+        assertThat(cluster.broken()).isEmpty();
+    }
+
+    /** Guards what a reader says against a cancellation of any step, first, middle or last, at any moment. */
+    @Test
+    void cancelsOnlyTransitiveDependentsAtAnyPointOfChain() {
+        for (int interval = 0; interval < 24; interval++) {
+            SimCluster sim = new SimCluster(200 + interval);
+            sim.seconds(2);
+            sim.submit(0, SimCluster.job(uid(1), 2));
+            sim.submit(1, SimCluster.job(uid(2), 2, uid(1)));
+            sim.submit(2, SimCluster.job(uid(3), 2, uid(2)));
+            sim.seconds(interval * 0.9);
+            int step = 1 + interval % 3;
+            String reported =
+                    sim.cancel(interval % 3, uid(step)).json().path("stage").asText();
+            sim.seconds(3);
+            if (reported.equals("withdrawn")) {
+                // The leader has written down what follows.
+                for (int job = step; job <= 3; job++) {
+                    assertThat(sim.state().value("withdraw/" + uid(job)))
+                            .as("after %d", interval)
+                            .isNotNull();
+                }
+            }
+            sim.seconds(47);
+            for (int job = 1; job <= 3; job++) {
+                String expected = reported.equals("withdrawn") && job >= step ? "withdrawn" : "done";
+                for (int node = 0; node < 3; node++) {
+                    assertThat(sim.stage(node, uid(job)))
+                            .as("after %d times 0.9 s, %s", interval, uid(job))
+                            .isEqualTo(expected);
+                }
+            }
+            assertThat(sim.broken()).isEmpty();
+        }
+    }
+
+    /** Guards the order of what is stored: the release of a step is never there before the end of what it awaits. */
+    @Test
+    void completesChainDespiteFailoversDuplicateHeartbeatsAndLostResponses() {
+        for (int seed = 1; seed <= 5; seed++) {
+            SimCluster sim = new SimCluster(300 + seed);
+            sim.seconds(2);
+            for (int job = 1; job <= 8; job++) {
+                sim.submit(job % 3, job == 1 ? SimCluster.job(uid(1), 3) : SimCluster.job(uid(job), 3, uid(job - 1)));
+            }
+            int lossOffset = seed;
+            Rule rule = sim.network()
+                    .add((from, to, request) -> request.route().equals("/txn")
+                                    && new String(request.body(), java.nio.charset.StandardCharsets.UTF_8)
+                                            .contains("\"run/")
+                                    && (from.hashCode() + request.body().length + lossOffset) % 3 == 0
+                            ? Fate.LOSE_ANSWER
+                            : null);
+            sim.network().add((from, to, request) -> request.route().equals("/agent/beat") ? Fate.COPY : null);
+            for (int failover = 0; failover < 4; failover++) {
+                sim.seconds(7 + seed);
+                int leader = sim.leader();
+                if (leader >= 0) {
+                    sim.kill(leader);
+                    sim.seconds(4);
+                    sim.restart(leader);
+                }
+            }
+            sim.network().remove(rule);
+            sim.seconds(150);
+            for (int job = 1; job <= 8; job++) {
+                assertThat(sim.stage(0, uid(job)))
+                        .as("seed %d, %s", seed, uid(job))
+                        .isEqualTo("done");
+            }
+            assertThat(sim.broken()).isEmpty();
+        }
+    }
+
+    /** Guards what is awaited and was done long ago, before this term and before this controller. */
+    @Test
+    void releasesJobWhoseDependenciesWereDoneInEarlierTerm() {
+        cluster.submit(0, SimCluster.job(uid(1), 1));
+        cluster.submit(0, SimCluster.job(uid(2), 1));
+        cluster.seconds(25);
+        assertStageOnAllNodes(uid(1), "done");
+        cluster.submit(1, SimCluster.job(uid(3), 1, uid(1), uid(2)));
+        for (int node = 0; node < 3; node++) {
+            cluster.restart(node);
+        }
+        cluster.seconds(5);
+        assertThat(cluster.submit(2, SimCluster.job(uid(4), 1, uid(1), uid(3))).status())
+                .isEqualTo(201);
+        cluster.seconds(40);
+        assertStageOnAllNodes(uid(3), "done");
+        assertStageOnAllNodes(uid(4), "done");
+        assertThat(cluster.broken()).isEmpty();
+    }
+
+    /**
+     * Guards a list that is read page by page: it shows a job and not what that awaits, which was admitted in between.
+     */
+    @Test
+    void doesNotReleaseJobWhoseDependencyWasMissedByPagedRead() {
+        cluster.cloud().outage(true);
+        for (int job = 1; job <= 220; job++) {
+            cluster.submitMeanwhile(job % 3, SimCluster.job(uid(job), 1));
+            cluster.seconds(0.05);
+        }
+        cluster.seconds(10);
+        int leader = cluster.leader();
+        boolean[] isReadingSecondPage = {false};
+        cluster.network().add((from, to, request) -> {
+            if (request.path().startsWith("/kv?prefix=plan/&since=") && !isReadingSecondPage[0]) {
+                isReadingSecondPage[0] = true;
+                cluster.network().slowness(250);
+            }
+            return null;
+        });
+        cluster.kill(leader);
+        cluster.until(() -> isReadingSecondPage[0]);
+        // Only the second page is on its way for so long, and what came meanwhile is not seen either for some seconds.
+        cluster.network().slowness(1);
+        Rule lostWatches = cluster.network()
+                .add((from, to, request) -> request.path().startsWith("/watch?prefix=plan/") ? Fate.LOSE : null);
+        int node = (leader + 1) % 3;
+        assertThat(submitUntilAccepted(node, SimCluster.job(uid(0), 1))).isEqualTo(201);
+        assertThat(submitUntilAccepted(node, SimCluster.job(uid(999), 1, uid(0))))
+                .isEqualTo(201);
+        cluster.seconds(8);
+        cluster.network().remove(lostWatches);
+        assertThat(cluster.state().value("run/" + uid(999))).isNull();
+        cluster.until(() -> cluster.state().value("run/" + uid(0)) != null);
+        cluster.seconds(5);
+        assertThat(cluster.state().value("run/" + uid(999))).isNull();
+        cluster.cloud().outage(false);
+        cluster.seconds(60);
+        assertStageOnAllNodes(uid(999), "done");
+        assertThat(cluster.broken()).isEmpty();
+    }
+
+    /** Guards the way through a long chain: its links are settled one by one, and polls of its end stay answered. */
+    @Test
+    void cancelsLongChainAfterFailover() {
+        cluster.submit(0, SimCluster.job(uid(1), 1));
+        cluster.untilStarted(1, 600 * SECOND);
+        for (int job = 2; job <= 300; job++) {
+            assertThat(submitUntilAccepted(job % 3, SimCluster.job(uid(job), 1, uid(job - 1))))
+                    .isEqualTo(201);
+        }
+        cluster.seconds(2);
+        assertThat(cluster.stage(1, uid(300))).isEqualTo("queued");
+        // A successor reads the chain in the order of its keys, and closes it in that of its links.
+        cluster.kill(cluster.leader());
+        cluster.cancel(anyRunningNode(), uid(1));
+        cluster.seconds(5);
+        assertThat(cluster.stage(anyRunningNode(), uid(300))).isEqualTo("withdrawn");
+        cluster.seconds(25);
+        assertThat(cluster.state().keysUnder("withdraw/")).hasSize(300);
+        assertThat(cluster.broken()).isEmpty();
+    }
+
+    /**
+     * A controller that knows nothing yet is asked for the end of a chain: it reads all plans once, not step by step.
+     */
+    @Test
+    void answersFirstPollOfLongChainWithFewStoreRequests() {
+        cluster.cloud().outage(true);
+        for (int job = 1; job <= 500; job++) {
+            ObjectNode next = job == 1 ? SimCluster.job(uid(1), 1) : SimCluster.job(uid(job), 1, uid(job - 1));
+            assertThat(submitUntilAccepted(0, next)).isIn(200, 201);
+        }
+        int polledNode = cluster.leader() == 1 ? 2 : 1;
+        cluster.restart(polledNode);
+        cluster.until(() -> cluster.isOpen(polledNode));
+        cluster.seconds(3);
+        int[] requests = {0};
+        cluster.network().add((from, to, request) -> {
+            boolean counts = from.equals(FailureInjector.host(polledNode))
+                    && to.startsWith("state")
+                    && !request.path().contains("grants");
+            requests[0] += counts ? 1 : 0;
+            return null;
+        });
+        assertThat(cluster.stage(polledNode, uid(500))).isEqualTo("queued");
+        assertThat(requests[0]).isLessThan(60);
+        assertThat(cluster.broken()).isEmpty();
+    }
+
+    /** Guards a step that thousands await: each of them costs its own links and no more. */
+    @Test
+    void releasesAllDependentsOfOneJob() {
+        cluster.submit(0, SimCluster.job(uid(1), 1));
+        cluster.untilStarted(1, 90 * SECOND);
+        for (int job = 2; job <= 400; job++) {
+            cluster.submitMeanwhile(job % 3, SimCluster.job(uid(job), 1, uid(1)));
+            cluster.seconds(0.06);
+        }
+        cluster.seconds(10);
+        assertThat(cluster.state().keysUnder("run/")).hasSize(1);
+        cluster.cloud().machines().values().forEach(worker -> worker.runMicros(SECOND / 2));
+        cluster.seconds(160);
+        int done = 0;
+        for (int job = 2; job <= 400; job++) {
+            done += cluster.told(uid(job)) != null
+                            && cluster.stage(job % 3, uid(job)).equals("done")
+                    ? 1
+                    : 0;
+        }
+        assertThat(done).isGreaterThan(380);
+        assertThat(cluster.broken()).isEmpty();
+    }
+
+    /**
+     * Guards writes against limits that fall without notice: nothing is larger than they will be, and 429 only slows.
+     */
+    @Test
+    void losesNoJobWhenStoreLimitsAreLowered() {
+        for (int job = 1; job <= 30; job++) {
+            cluster.submitMeanwhile(
+                    job % 3, job % 3 == 1 ? SimCluster.job(uid(job), 6) : SimCluster.job(uid(job), 6, uid(job - 1)));
+            cluster.seconds(0.4);
+            if (job == 14) {
+                cluster.state().limits(6, 2 * 1024, 15);
+            }
+        }
+        cluster.seconds(200);
+        for (int job = 1; job <= 30; job++) {
+            assertStageOnAllNodes(uid(job), "done");
+        }
+        assertThat(cluster.state().refusedForSize()).isZero();
+        assertThat(cluster.broken()).isEmpty();
+    }
+}
--- /dev/null
+++ b/src/test/java/io/sillreel/pipeline/LongDependencyListTest.java
@@ -0,0 +1,100 @@
+package io.sillreel.pipeline;
+
+import static io.sillreel.sim.SimJobs.uid;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.sillreel.http.HttpResponse;
+import io.sillreel.sim.SimCluster;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** Jobs that await more others than fit into one value of the state service. */
+class LongDependencyListTest {
+    private final SimCluster cluster = new SimCluster(31);
+
+    @BeforeEach
+    void startCluster() {
+        cluster.seconds(2);
+    }
+
+    private int submitUntilAccepted(int node, ObjectNode job) {
+        HttpResponse response = cluster.submit(node, job);
+        for (int tries = 0; tries < 20 && response.status() / 100 != 2; tries++) {
+            cluster.seconds(1);
+            response = cluster.submit(node, job);
+        }
+        return response.status();
+    }
+
+    private void assertStageOnAllNodes(String uid, String stage) {
+        for (int node = 0; node < cluster.nodes(); node++) {
+            if (cluster.isUp(node)) {
+                assertThat(cluster.stage(node, uid)).as("%s at %d", uid, node).isEqualTo(stage);
+            }
+        }
+    }
+
+    /** Guards a long list against being lost or forgotten in part: it lies in several values beside the plan. */
+    @Test
+    void startsJobWithHundredsOfDependenciesAfterAllAreDone() {
+        String[] dependencies = new String[300];
+        for (int i = 0; i < dependencies.length; i++) {
+            dependencies[i] = uid(i + 1);
+            cluster.submitMeanwhile(i % 3, SimCluster.job(dependencies[i], 1));
+            cluster.seconds(0.05);
+        }
+        cluster.seconds(5);
+        ObjectNode large = SimCluster.job(uid(999), 1, dependencies);
+        assertThat(submitUntilAccepted(0, large)).isIn(200, 201);
+        assertThat(cluster.state().keysUnder("plan-overflow/" + uid(999))).isNotEmpty();
+        assertStageOnAllNodes(uid(999), "queued");
+        // Whoever leads next reads the list again, and so does who is asked for the first time.
+        int leader = cluster.leader();
+        cluster.restart((leader + 1) % 3);
+        cluster.kill(leader);
+        cluster.seconds(5);
+        cluster.restart(leader);
+        cluster.until(() -> cluster.told(uid(300)) != null && cluster.leader() >= 0);
+        cluster.seconds(140);
+        assertStageOnAllNodes(uid(999), "done");
+        assertThat(cluster.state().refusedForSize()).isZero();
+        assertThat(cluster.broken()).isEmpty();
+    }
+
+    @Test
+    void cancelsJobWhenOneOfHundredsOfDependenciesIsCancelled() {
+        String[] dependencies = new String[200];
+        for (int i = 0; i < dependencies.length; i++) {
+            dependencies[i] = uid(i + 1);
+            cluster.submitMeanwhile(i % 3, SimCluster.job(dependencies[i], 1).put("guess_s", 60.0));
+            cluster.seconds(0.05);
+        }
+        cluster.seconds(2);
+        assertThat(submitUntilAccepted(0, SimCluster.job(uid(999), 1, dependencies)))
+                .isIn(200, 201);
+        cluster.restart(1);
+        cluster.seconds(4);
+        assertThat(cluster.cancel(2, uid(200)).isOk()).isTrue();
+        assertStageOnAllNodes(uid(999), "withdrawn");
+        cluster.seconds(5);
+        assertThat(cluster.state().value("withdraw/" + uid(999))).isNotNull();
+        assertThat(cluster.broken()).isEmpty();
+    }
+
+    /** Guards a list that can't be stored against being accepted and lost. */
+    @Test
+    void rejectsDependencyListTooLargeToStore() {
+        String[] dependencies = new String[1_000];
+        for (int i = 0; i < dependencies.length; i++) {
+            dependencies[i] = uid(i + 1);
+        }
+        HttpResponse response = cluster.submit(0, SimCluster.job(uid(9_999), 1, dependencies));
+        assertThat(response.status()).isEqualTo(422);
+        assertThat(response.json().path("error").asText()).contains("too large", "awaits 1000 jobs");
+        assertThat(cluster.poll(1, uid(9_999)).status()).isEqualTo(404);
+        assertThat(cluster.state().keysUnder("plan")).isEmpty();
+        assertThat(cluster.state().refusedForSize()).isZero();
+        assertThat(cluster.broken()).isEmpty();
+    }
+}
--- a/src/test/java/io/sillreel/pipeline/IgnoringListener.java
+++ b/src/test/java/io/sillreel/pipeline/NoOpJobListener.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** Takes no notice of what becomes of a job's record. */
-public class IgnoringListener implements ActiveJob.Listener {
+public class NoOpJobListener implements ActiveJob.Listener {
     @Override
     public void recordStored(ActiveJob job) {}
 
@@ -12,5 +12,5 @@
     public void cancellationFound(ActiveJob job) {}
 
     @Override
-    public void enqueueWrites(List<? extends PendingWrite> items) {}
+    public void enqueueWrites(List<? extends PendingWrite> writes) {}
 }
--- a/src/test/java/io/sillreel/pipeline/PipelineTest.java
+++ b/src/test/java/io/sillreel/pipeline/PipelineTest.java
@@ -18,38 +18,44 @@
 import org.junit.jupiter.api.Test;
 
 class PipelineTest {
-    private static Dependency link(String id, String from, Condition port, String to) {
-        return new Dependency(id, from, port, to);
+    private static Dependency dependency(String id, String upstream, Condition condition, String downstream) {
+        return new Dependency(id, upstream, condition, downstream);
     }
 
     @Test
-    void theOrderIsTopologicalAndTiesGoByJobId() {
+    void sortsTopologicallyAndBreaksTiesByJobId() {
         PipelinePlan plan = PipelinePlan.compile(
                 List.of("d", "b", "c", "a"),
-                List.of(link("1", "d", Condition.ON_SUCCESS, "a"), link("2", "b", Condition.ON_SUCCESS, "a")));
+                List.of(
+                        dependency("1", "d", Condition.ON_SUCCESS, "a"),
+                        dependency("2", "b", Condition.ON_SUCCESS, "a")));
         assertThat(plan.topologicalOrder()).containsExactly("b", "c", "d", "a");
     }
 
     @Test
-    void cyclesAndLooseEndsAreRefused() {
+    void rejectsCyclesUnknownJobsAndDuplicates() {
         assertThatThrownBy(() -> PipelinePlan.compile(
                         List.of("a", "b"),
-                        List.of(link("1", "a", Condition.ON_SUCCESS, "b"), link("2", "b", Condition.ON_SUCCESS, "a"))))
+                        List.of(
+                                dependency("1", "a", Condition.ON_SUCCESS, "b"),
+                                dependency("2", "b", Condition.ON_SUCCESS, "a"))))
                 .hasMessageContaining("cycle");
-        assertThatThrownBy(() -> PipelinePlan.compile(List.of("a"), List.of(link("1", "a", Condition.ON_SUCCESS, "x"))))
+        assertThatThrownBy(() ->
+                        PipelinePlan.compile(List.of("a"), List.of(dependency("1", "a", Condition.ON_SUCCESS, "x"))))
                 .hasMessageContaining("no job");
         assertThatThrownBy(() -> PipelinePlan.compile(List.of("a", "a"), List.of()))
                 .hasMessageContaining("twice");
     }
 
     @Test
-    void aJobIsReadyOnceAllItsLinksHaveEmittedAndSkippedOnceOneIsClosed() {
+    void jobIsReadyOnceAllDependenciesAreSatisfiedAndSkippedOnceOneIsUnsatisfied() {
         PipelineRun run = new PipelineRun(PipelinePlan.compile(
                 List.of("a", "b", "join", "repair", "after"),
                 List.of(
-                        link("1", "a", Condition.ON_SUCCESS, "join"), link("2", "b", Condition.ON_SUCCESS, "join"),
-                        link("3", "b", Condition.ON_FAILURE, "repair"),
-                                link("4", "join", Condition.ON_SUCCESS, "after"))));
+                        dependency("1", "a", Condition.ON_SUCCESS, "join"),
+                                dependency("2", "b", Condition.ON_SUCCESS, "join"),
+                        dependency("3", "b", Condition.ON_FAILURE, "repair"),
+                                dependency("4", "join", Condition.ON_SUCCESS, "after"))));
         assertThat(run.readyJobs()).containsExactly("a", "b");
         run.release("a");
         run.release("b");
@@ -67,9 +73,9 @@
     }
 
     @Test
-    void aCancelledPipelineReleasesNothingMore() {
+    void cancelledPipelineReleasesNoJobs() {
         PipelineRun run = new PipelineRun(
-                PipelinePlan.compile(List.of("a", "b"), List.of(link("1", "a", Condition.ON_SUCCESS, "b"))));
+                PipelinePlan.compile(List.of("a", "b"), List.of(dependency("1", "a", Condition.ON_SUCCESS, "b"))));
         run.release("a");
         run.cancel();
         run.complete("a", true);
@@ -79,7 +85,7 @@
     }
 
     @Test
-    void retriesFollowAFixedScheduleAndEndInParking() {
+    void backsOffExponentiallyAndParksAfterMaxAttempts() {
         RetrySchedule schedule = new RetrySchedule(2, 10, 60);
         assertThat(schedule.nextAttemptMicros(1, 100)).isEqualTo(102);
         assertThat(schedule.nextAttemptMicros(2, 100)).isEqualTo(104);
@@ -90,47 +96,47 @@
     }
 
     @Test
-    void aVeryLargeDoneSetStaysWithinTheLargestValue() {
+    void storesLargeCompletionBitmapWithinMaxValueSize() {
         int valueBytes = 8 * 1024;
         JobSpec spec = spec(100_000);
-        ActiveJob job = new ActiveJob(spec, 7, 0, ValueLimits.fixed(valueBytes), new IgnoringListener());
-        for (int piece = 0; piece < 99_999; piece += 2) {
-            job.markTaskDone(piece);
+        ActiveJob job = new ActiveJob(spec, 7, 0, ValueLimits.fixed(valueBytes), new NoOpJobListener());
+        for (int task = 0; task < 99_999; task += 2) {
+            job.markTaskDone(task);
         }
         // The parts first, one after the other, then the head that names them: each a value and a change of its own.
-        List<PendingWrite> parts = List.copyOf(job.recordWrite().prerequisites());
-        assertThat(parts)
+        List<PendingWrite> chunkWrites = List.copyOf(job.recordWrite().prerequisites());
+        assertThat(chunkWrites)
                 .hasSize((100_000 + CompletionBitmapCodec.tasksPerChunk(valueBytes) - 1)
                         / CompletionBitmapCodec.tasksPerChunk(valueBytes));
         Map<String, String> values = new HashMap<>();
-        for (PendingWrite part : parts) {
-            JsonNode value = storedValue(part, part.key());
+        for (PendingWrite chunkWrite : chunkWrites) {
+            JsonNode value = storedValue(chunkWrite, chunkWrite.key());
             assertThat(value.toString().length()).isLessThan(valueBytes);
-            values.put(part.key(), value.path("bits").asText());
-            part.onStored(8);
+            values.put(chunkWrite.key(), value.path("bits").asText());
+            chunkWrite.onStored(8);
         }
         assertThat(job.recordWrite().prerequisites()).isEmpty();
-        JsonNode head = storedValue(job.recordWrite(), job.recordWrite().key());
-        assertThat(head.toString().length()).isLessThan(valueBytes);
+        JsonNode record = storedValue(job.recordWrite(), job.recordWrite().key());
+        assertThat(record.toString().length()).isLessThan(valueBytes);
         job.recordWrite().onStored(9);
         assertThat(job.isTaskStored(99_998)).isTrue();
 
-        ActiveJob again = new ActiveJob(spec, 7, 0, ValueLimits.fixed(valueBytes), new IgnoringListener());
-        again.inherit(9, RunRecordCodec.decode(head), pieces(values));
-        assertThat(again.doneCount()).isEqualTo(50_000);
-        assertThat(again.nextWaitingTask()).isEqualTo(1);
+        ActiveJob inheritedJob = new ActiveJob(spec, 7, 0, ValueLimits.fixed(valueBytes), new NoOpJobListener());
+        inheritedJob.inherit(9, RunRecordCodec.decode(record), storedChunks(values));
+        assertThat(inheritedJob.doneCount()).isEqualTo(50_000);
+        assertThat(inheritedJob.nextWaitingTask()).isEqualTo(1);
     }
 
-    private static StoredChunks pieces(Map<String, String> values) {
-        Map<String, Long> stamps = new HashMap<>();
-        values.keySet().forEach(key -> stamps.put(key, 8L));
-        return new StoredChunks(values, stamps, CompletionBitmapCodec.tasksPerChunk(8 * 1024));
+    private static StoredChunks storedChunks(Map<String, String> values) {
+        Map<String, Long> revisions = new HashMap<>();
+        values.keySet().forEach(key -> revisions.put(key, 8L));
+        return new StoredChunks(values, revisions, CompletionBitmapCodec.tasksPerChunk(8 * 1024));
     }
 
     /** Guards against freeing a piece that a second live task still holds. */
     @Test
-    void aPieceWaitsOnlyOnceNoTaskOfItIsLeft() {
-        ActiveJob job = new ActiveJob(spec(1), 7, 0, ValueLimits.fixed(8192), new IgnoringListener());
+    void taskWaitsOnlyAfterLastAllocationIsRemoved() {
+        ActiveJob job = new ActiveJob(spec(1), 7, 0, ValueLimits.fixed(8192), new NoOpJobListener());
         job.allocate(0);
         job.allocate(0);
         job.deallocate(0);
@@ -140,22 +146,22 @@
     }
 
     @Test
-    void theDoneSetSurvivesItsStoredForm() {
-        BitSet set = new BitSet();
-        set.set(3);
-        set.set(70);
-        assertThat(CompletionBitmapCodec.decode(CompletionBitmapCodec.encode(set)))
-                .isEqualTo(set);
+    void encodesAndDecodesCompletionBitmap() {
+        BitSet bitmap = new BitSet();
+        bitmap.set(3);
+        bitmap.set(70);
+        assertThat(CompletionBitmapCodec.decode(CompletionBitmapCodec.encode(bitmap)))
+                .isEqualTo(bitmap);
         assertThat(CompletionBitmapCodec.decode(null)).isEqualTo(new BitSet());
     }
 
-    private static JobSpec spec(int pieces) {
+    private static JobSpec spec(int tasks) {
         return new JobSpec(
                 "job-000001",
                 "l",
                 "t",
                 new Urgency(PriorityClass.NORMAL, -1),
-                pieces,
+                tasks,
                 new TaskSpec(1, 0, 1, "img", 1, 1, new Checkpointing(0, 0)),
                 new PlacementRequirements(null, null, false, false, true),
                 List.of());
--- a/src/test/java/io/sillreel/pipeline/PlanRecordTest.java
+++ b/src/test/java/io/sillreel/pipeline/PlanRecordTest.java
@@ -21,7 +21,7 @@
         return names;
     }
 
-    private static PlanRecord plan(List<String> builds, List<String> awaits) {
+    private static PlanRecord plan(List<String> machineTypes, List<String> dependencies) {
         JobSpec spec = new JobSpec(
                 "job-000412",
                 "train",
@@ -29,13 +29,13 @@
                 new Urgency(PriorityClass.HIGH, 900_000_000L),
                 16,
                 new TaskSpec(8.0, 1.0, 64.0, "img-07", 6.2, 240_000_000L, new Checkpointing(30_000_000L, 4_000_000L)),
-                new PlacementRequirements(builds, "a", true, false, true),
-                awaits);
+                new PlacementRequirements(machineTypes, "a", true, false, true),
+                dependencies);
         return new PlanRecord(1_700_000_123_456_789L, spec);
     }
 
     @Test
-    void aPlanThatFitsIsOneValueThatAllVersionsRead() {
+    void storesPlanThatFitsAsOneValueReadableByAllVersions() {
         PlanRecord plan = plan(List.of("g8", "c4"), List.of());
         Map<String, JsonNode> values = PlanOverflow.split(plan, VALUE_BYTES, 1).orElseThrow();
         assertThat(values).containsExactly(Map.entry("plan/job-000412", PlanRecordCodec.encode(plan)));
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void namesThatDoNotFitAreCutAndPutTogetherAgain() {
+    void splitsAndMergesNamesThatDoNotFit() {
         for (PlanRecord plan : List.of(
                 plan(null, names("job-", 600)),
                 plan(names("type-", 90), names("job-", 300)),
@@ -51,19 +51,19 @@
             Map<String, JsonNode> values =
                     PlanOverflow.split(plan, VALUE_BYTES, MAX_VALUES).orElseThrow();
             assertThat(values.values()).allMatch(value -> Json.bytes(value).length <= VALUE_BYTES);
-            PlanRecord head = PlanRecordCodec.decode(values.get("plan/job-000412"));
-            assertThat(head.isComplete()).isFalse();
+            PlanRecord incomplete = PlanRecordCodec.decode(values.get("plan/job-000412"));
+            assertThat(incomplete.isComplete()).isFalse();
             List<JsonNode> overflow = new ArrayList<>();
-            for (int index = 0; index < head.overflowValues(); index++) {
+            for (int index = 0; index < incomplete.overflowValues(); index++) {
                 overflow.add(values.get(PlanRecord.overflowKey("job-000412", index)));
             }
             assertThat(values).hasSize(1 + overflow.size());
-            assertThat(PlanOverflow.merge(head, overflow)).isEqualTo(plan);
+            assertThat(PlanOverflow.merge(incomplete, overflow)).isEqualTo(plan);
         }
     }
 
     @Test
-    void whatTakesTooManyValuesOrHasATooLongNameIsNotCut() {
+    void doesNotSplitPlanWithTooManyValuesOrTooLongName() {
         assertThat(PlanOverflow.split(plan(null, names("job-", 900)), VALUE_BYTES, MAX_VALUES))
                 .isEmpty();
         assertThat(PlanOverflow.split(plan(null, names("job-", 200)), VALUE_BYTES, 1))
--- a/src/test/java/io/sillreel/pipeline/StoredJobSamplesTest.java
+++ b/src/test/java/io/sillreel/pipeline/StoredJobSamplesTest.java
@@ -34,7 +34,7 @@
     private final Transcript transcript = new Transcript(request -> null);
 
     @Test
-    void readsAndWritesRunRecordsWithBitmapsWithChunksAndOfTheFirstVersion() throws Exception {
+    void readsAndWritesRunRecordsOfAllFormats() throws Exception {
         GoldenSamples.assertConverts("run-heads.txt", input -> {
             RunRecord record = RunRecordCodec.decode(json(input));
             return values(fieldsOf(record)) + "\n" + record.isDone() + RunRecordCodec.isDone(json(input)) + "\n"
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void writesChunksOfTheirOwnGenerationsAndRemovesThoseWithoutReference() {
+    void writesNewChunkGenerationsAndRemovesUnreferencedOnes() {
         StoredCompletionBitmap bitmap =
                 new StoredCompletionBitmap(UID, TASKS, SMALL, () -> transcript.note("all parts are stored"));
         store(bitmap, 0, 5, 191, 192, 399);
@@ -106,7 +106,7 @@
         List<PendingWrite> chunks = bitmap.prerequisites();
         note(chunks);
         chunks.forEach(chunk -> chunk.onStored(1_000_000_000_001L));
-        transcript.note(values(bitmap.write()));
+        transcript.note(values(bitmap.beginRecordWrite()));
         note(bitmap.recordStored(false));
     }
 
@@ -127,8 +127,8 @@
             StoredCompletionBitmap bitmap = new StoredCompletionBitmap(UID, TASKS, SMALL, () -> {});
             bitmap.inherit(record.bitmap(), chunks);
             BitSet done = new BitSet();
-            bitmap.copyInto(done);
-            return done + "\n" + values(bitmap.write()) + "\n" + removals(bitmap);
+            bitmap.addDoneTasksTo(done);
+            return done + "\n" + values(bitmap.beginRecordWrite()) + "\n" + removals(bitmap);
         });
     }
 
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void namesTheKeys() {
+    void buildsStoreKeys() {
         transcript.note(RunRecord.key(UID) + " " + PlanRecord.key(UID) + " " + PlanRecord.overflowKey(UID, 3));
         transcript.note(CancellationRecord.key(UID) + " " + ChunkKey.of(UID, 2, 1_000_000_000_001L));
         transcript.note(RunRecord.PREFIX + " " + PlanRecord.PREFIX + " " + PlanRecord.OVERFLOW_PREFIX);
--- a/src/test/java/io/sillreel/placement/PlannerTest.java
+++ b/src/test/java/io/sillreel/placement/PlannerTest.java
@@ -15,8 +15,8 @@
 import io.sillreel.http.Json;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.Checkpointing;
-import io.sillreel.pipeline.IgnoringListener;
 import io.sillreel.pipeline.JobSpec;
+import io.sillreel.pipeline.NoOpJobListener;
 import io.sillreel.pipeline.PlacementRequirements;
 import io.sillreel.pipeline.PriorityClass;
 import io.sillreel.pipeline.TaskSpec;
@@ -82,7 +82,7 @@
                 new PlacementRequirements(null, null, false, false, true),
                 List.of());
         ActiveJob job =
-                new ActiveJob(spec, jobs, nowMicros - ageMicros, ValueLimits.fixed(8_192), new IgnoringListener());
+                new ActiveJob(spec, jobs, nowMicros - ageMicros, ValueLimits.fixed(8_192), new NoOpJobListener());
         job.recordWrite().onStored(1);
         cluster.add(job);
         return job;
--- a/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
+++ b/src/test/java/io/sillreel/placement/PriorityInheritanceTest.java
@@ -6,8 +6,8 @@
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.Checkpointing;
 import io.sillreel.pipeline.DependencyGraph;
-import io.sillreel.pipeline.IgnoringListener;
 import io.sillreel.pipeline.JobSpec;
+import io.sillreel.pipeline.NoOpJobListener;
 import io.sillreel.pipeline.PlacementRequirements;
 import io.sillreel.pipeline.PriorityClass;
 import io.sillreel.pipeline.TaskSpec;
@@ -62,7 +62,7 @@
                 new TaskSpec(1, 0, 1, "img", 1, 20 * SECOND, new Checkpointing(0, 0)),
                 new PlacementRequirements(null, null, false, false, true),
                 List.of(awaits));
-        return new ActiveJob(spec, 1, NOW, ValueLimits.fixed(8_192), new IgnoringListener());
+        return new ActiveJob(spec, 1, NOW, ValueLimits.fixed(8_192), new NoOpJobListener());
     }
 
     private ActiveJob joined(String uid, PriorityClass rank, long dueMicros, String... awaits) {
@@ -151,7 +151,7 @@
         assertThat(ready).containsExactly("job-000001", "job-000002");
         dependencies.markCancelled("job-000002");
         assertThat(closed).containsExactly("job-000003", "job-000000");
-        dependencies.lookupSucceeded("job-000009");
+        dependencies.markExternalDone("job-000009");
         assertThat(ready).hasSize(2);
     }
 
@@ -160,7 +160,7 @@
     void whatIsAwaitedMayBeSeenLaterOrHaveEndedLongAgo() {
         joined("job-000002", PriorityClass.NORMAL, -1, "job-000001", "job-000007");
         assertThat(lookedUp).containsExactly("job-000001", "job-000007");
-        dependencies.lookupSucceeded("job-000007");
+        dependencies.markExternalDone("job-000007");
         ActiveJob first = joined("job-000001", PriorityClass.NORMAL, -1);
         assertThat(dependencies.isAwaitingLookup("job-000001")).isFalse();
         assertThat(ready).containsExactly("job-000001");
--- a/src/test/java/io/sillreel/statestore/ScanTest.java
+++ b/src/test/java/io/sillreel/statestore/StateStoreReadTest.java
@@ -14,17 +14,17 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-class ScanTest {
+class StateStoreReadTest {
     private static final int ENTRIES = 2_000;
 
     private final SimTime time = new SimTime();
     private final SimNetwork network = new SimNetwork(time, 1);
     private final SimStateStore state = new SimStateStore(time, 100, 8192, 10_000);
     private final SimTime.Process process = time.new Process();
-    private final List<String> read = new ArrayList<>();
+    private final List<String> readKeys = new ArrayList<>();
     private final StateStore store;
 
-    ScanTest() {
+    StateStoreReadTest() {
         network.listen("state:1", state);
         store = network.stateStore(process, 4, 10_000);
         for (int from = 0; from < ENTRIES; from += 100) {
@@ -38,22 +38,22 @@
     }
 
     private CompletableFuture<Boolean> collect(List<StoredEntry> page) {
-        page.forEach(entry -> read.add(entry.key()));
+        page.forEach(entry -> readKeys.add(entry.key()));
         return CompletableFuture.completedFuture(true);
     }
 
     /** Guards failovers: a scan of more pages than the rate allows at once started anew without end. */
     @Test
-    void aScanOfMorePagesThanTheRateAllowsAtOnceIsCompleted() {
+    void completesScanWithMorePagesThanRateAllowsAtOnce() {
         CompletableFuture<ScanResult> scan = store.scan("k/", this::collect);
         time.runFor(5_000_000);
         assertThat(scan).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.OK);
-        assertThat(read).hasSize(ENTRIES).doesNotHaveDuplicates().isSorted();
+        assertThat(readKeys).hasSize(ENTRIES).doesNotHaveDuplicates().isSorted();
     }
 
     /** Guards failovers: after an exception on an entry the scan never completed, and the new leader waited for it. */
     @Test
-    void aConsumerThatFailsEndsTheScan() {
+    void endsScanWhenConsumerThrows() {
         CompletableFuture<ScanResult> scan = store.scan("k/", page -> {
             throw new IllegalArgumentException("not understood");
         });
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void aLostOrRefusedPageIsRequestedAgain() {
+    void retriesLostAndRefusedPages() {
         int[] requests = new int[1];
         network.add((from, to, request) -> {
             if (!request.route().equals("/kv")) {
@@ -74,12 +74,12 @@
         CompletableFuture<ScanResult> scan = store.scan("k/", this::collect);
         time.runFor(60_000_000);
         assertThat(scan).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.OK);
-        assertThat(read).hasSize(ENTRIES).doesNotHaveDuplicates();
+        assertThat(readKeys).hasSize(ENTRIES).doesNotHaveDuplicates();
     }
 
     /** Guards starts in an outage: users are admitted once it is known that the leader cannot be known. */
     @Test
-    void aRefusedListIsReportedAtOnce() {
+    void reportsRefusedListWithoutRetry() {
         state.outage(true);
         CompletableFuture<ListResult> refused = store.list("k/");
         time.runFor(200_000);
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void aListWithoutAResponseAfterAnOutageIsReported() {
+    void reportsUnknownOutcomeWhenListGetsNoResponseAfterOutage() {
         state.outage(true);
         store.list("k/");
         time.runFor(200_000);
@@ -100,7 +100,7 @@
 
     /** Guards followers of changes, which would request the same response that is too large without end. */
     @Test
-    void aWatchWhoseResponseIsTooLargeCannotContinue() {
+    void reportsWatchAsCompactedWhenResponseIsTooLarge() {
         StateStore small = new StateStore(
                 (to, request, timeout) -> CompletableFuture.completedFuture(HttpResponse.responseTooLarge()),
                 network.from("node", process),
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void aScanEndsInAnOutage() {
+    void endsScanDuringOutage() {
         state.outage(true);
         CompletableFuture<ScanResult> refused = store.scan("k/", this::collect);
         time.runFor(5_000_000);
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void aScanAfterAnOutageEndsWhenTheConsumerWantsNoMorePages() {
+    void endsScanWhenConsumerStopsReadingAfterOutage() {
         state.outage(true);
         store.scan("k/", this::collect);
         time.runFor(5_000_000);
--- a/src/test/java/io/sillreel/statestore/WriteQueueTest.java
+++ b/src/test/java/io/sillreel/statestore/WriteQueueTest.java
@@ -35,12 +35,12 @@
      * rest.
      */
     @Test
-    void writesTooLargeTogetherAreSentAloneAndOneTooLargeAloneDelaysNoOther() {
+    void splitsOversizedBatchAndDropsOversizedWriteWithoutBlockingOthers() {
         state.limits(1, 40, 1_000);
-        Count small = new Count("a");
-        Count large = new Count("a-key-whose-value-is-not-small");
+        CounterWrite small = new CounterWrite("a");
+        CounterWrite large = new CounterWrite("a-key-whose-value-is-not-small");
         large.padding = "x".repeat(100);
-        Count last = new Count("b");
+        CounterWrite last = new CounterWrite("b");
         List.of(small, large, last).forEach(writeQueue::enqueue);
         time.runFor(3_000_000);
         assertThat(small.revision).isPositive();
@@ -60,14 +60,15 @@
      * anything.
      */
     @Test
-    void rejectionsForTheRateSlowWritingAndLoseNothing() {
+    void slowsDownWithoutLossWhenRateLimited() {
         // A quarter of what this controller takes for its part.
-        StateStore paced = network.stateStore(process, 1_000, 40);
-        WriteQueue writeQueue = new WriteQueue(paced, process, "leader", 101, 4, () -> leadershipLost = true);
+        StateStore rateLimitedStore = network.stateStore(process, 1_000, 40);
+        WriteQueue writeQueue =
+                new WriteQueue(rateLimitedStore, process, "leader", 101, 4, () -> leadershipLost = true);
         state.limits(4, 8192, 10);
-        List<Count> counts = new ArrayList<>();
+        List<CounterWrite> counts = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            counts.add(new Count("k%02d".formatted(i)));
+            counts.add(new CounterWrite("k%02d".formatted(i)));
             writeQueue.enqueue(counts.get(i));
         }
         time.runFor(1_500_000);
@@ -79,7 +80,7 @@
                 .isLessThan(25);
     }
 
-    private static final class Count implements PendingWrite {
+    private static final class CounterWrite implements PendingWrite {
         private final String key;
         private String padding = "";
         private int value;
@@ -88,7 +89,7 @@
         private long revision;
         private WriteUrgency urgency = WriteUrgency.JOB_START;
 
-        Count(String key) {
+        CounterWrite(String key) {
             this.key = key;
         }
 
@@ -126,10 +127,10 @@
     }
 
     @Test
-    void writesAreBatchedWithinTheTransactionLimit() {
-        Count[] counts = new Count[10];
+    void batchesWritesWithinTransactionLimit() {
+        CounterWrite[] counts = new CounterWrite[10];
         for (int i = 0; i < counts.length; i++) {
-            counts[i] = new Count("k" + i);
+            counts[i] = new CounterWrite("k" + i);
             counts[i].value = i + 1;
             writeQueue.enqueue(counts[i]);
         }
@@ -143,13 +144,13 @@
 
     /** Guards against a lease that expires because other requests used up the rate. */
     @Test
-    void leaseRenewalIsNotDelayedByTheRate() {
-        StateStore spent = network.stateStore(process, 1, 1);
+    void renewsLeaseWhenRequestRateIsExhausted() {
+        StateStore exhaustedStore = network.stateStore(process, 1, 1);
         long leaseId =
                 store.grantLease(3_000_000).thenApply(grant -> grant.leaseId()).getNow(0L);
-        spent.get("leader");
-        var refused = spent.get("leader");
-        var renewed = spent.renewLease(leaseId);
+        exhaustedStore.get("leader");
+        var refused = exhaustedStore.get("leader");
+        var renewed = exhaustedStore.renewLease(leaseId);
         time.runFor(100_000);
         assertThat(refused.join().outcome()).isEqualTo(StoreOutcome.REFUSED);
         assertThat(renewed.join()).isNotEqualTo(StoreOutcome.REFUSED);
@@ -157,31 +158,31 @@
 
     /** Guards against ends of jobs that wait behind progress when the store takes less than there is to write. */
     @Test
-    void jobEndsAreWrittenBeforeStartsAndStartsBeforeProgress() {
-        StateStore slow = new StateStore(
+    void writesJobEndsBeforeStartsAndStartsBeforeProgress() {
+        StateStore slowStore = new StateStore(
                 network.from("node", process),
                 network.from("node", process),
                 process,
                 "state:1",
                 new RateLimiter(process, 1_000, 1_000),
                 new RateLimiter(process, 2, 6));
-        WriteQueue scarce = new WriteQueue(slow, process, "leader", 101, 4, () -> leadershipLost = true);
-        Count[] progress = new Count[8];
+        WriteQueue slowQueue = new WriteQueue(slowStore, process, "leader", 101, 4, () -> leadershipLost = true);
+        CounterWrite[] progress = new CounterWrite[8];
         for (int i = 0; i < progress.length; i++) {
-            progress[i] = new Count("p" + i);
+            progress[i] = new CounterWrite("p" + i);
             progress[i].urgency = WriteUrgency.PROGRESS;
-            scarce.enqueue(progress[i]);
+            slowQueue.enqueue(progress[i]);
         }
         time.runFor(1_900_000);
         assertThat(progress).allMatch(count -> count.revision == 0);
-        Count[] starts = new Count[6];
+        CounterWrite[] starts = new CounterWrite[6];
         for (int i = 0; i < starts.length; i++) {
-            starts[i] = new Count("s" + i);
-            scarce.enqueue(starts[i]);
+            starts[i] = new CounterWrite("s" + i);
+            slowQueue.enqueue(starts[i]);
         }
-        Count end = new Count("e");
+        CounterWrite end = new CounterWrite("e");
         end.urgency = WriteUrgency.JOB_END;
-        scarce.enqueue(end);
+        slowQueue.enqueue(end);
         time.runFor(8_000_000);
         assertThat(end.revision).isPositive();
         assertThat(starts).allMatch(start -> start.revision >= end.revision);
@@ -196,13 +197,14 @@
      * Guards the condition on the changed key's own revision: an own write that arrives late must not undo a newer one.
      */
     @Test
-    void anOwnLateTransactionDoesNotUndoALaterWrite() {
-        Count count = new Count("k");
+    void delayedTransactionDoesNotUndoNewerWrite() {
+        CounterWrite count = new CounterWrite("k");
         count.value = 1;
-        Rule hold = network.add((from, to, request) -> request.route().equals("/txn") ? Fate.HOLD : null);
+        Rule heldTransactions =
+                network.add((from, to, request) -> request.route().equals("/txn") ? Fate.HOLD : null);
         writeQueue.enqueue(count);
         time.runFor(1_000_000);
-        network.remove(hold);
+        network.remove(heldTransactions);
         count.value = 2;
         time.runFor(3_000_000);
         assertThat(count.stored).isEqualTo(2);
@@ -212,23 +214,24 @@
     }
 
     @Test
-    void afterALostResponseTheRevisionIsReadBeforeTheNextWrite() {
-        Count count = new Count("k");
+    void rereadsRevisionAfterLostResponse() {
+        CounterWrite count = new CounterWrite("k");
         count.value = 1;
-        Rule lose = network.add((from, to, request) -> request.route().equals("/txn") ? Fate.LOSE_ANSWER : null);
+        Rule lostResponses =
+                network.add((from, to, request) -> request.route().equals("/txn") ? Fate.LOSE_ANSWER : null);
         writeQueue.enqueue(count);
         time.runFor(1_000_000);
-        network.remove(lose);
+        network.remove(lostResponses);
         time.runFor(3_000_000);
         assertThat(count.stored).isEqualTo(1);
         assertThat(count.revision).isEqualTo(103);
     }
 
     @Test
-    void writingStopsOnceTheLeaderKeyHasChanged() {
+    void stopsWritingOnceLeaderKeyHasChanged() {
         store.commit(new Transaction().set("leader", Json.object().put("node", "other")));
         time.runFor(100_000);
-        Count count = new Count("k");
+        CounterWrite count = new CounterWrite("k");
         writeQueue.enqueue(count);
         time.runFor(1_000_000);
         assertThat(leadershipLost).isTrue();
@@ -236,7 +239,7 @@
     }
 
     @Test
-    void listsArePagedAndAWatchFromACompactedRevisionIsReported() {
+    void readsListsInPagesAndReportsWatchFromCompactedRevision() {
         for (int i = 0; i < 1_200; i += 4) {
             Transaction transaction = new Transaction();
             for (int j = i; j < i + 4; j++) {
@@ -259,13 +262,13 @@
      * that.
      */
     @Test
-    void waitingProgressDoesNotCountAsUrgent() {
+    void excludesPendingProgressFromUrgentCount() {
         for (int i = 0; i < 30; i++) {
-            Count progress = new Count("p/" + i);
+            CounterWrite progress = new CounterWrite("p/" + i);
             progress.urgency = WriteUrgency.PROGRESS;
             writeQueue.enqueue(progress);
         }
-        writeQueue.enqueue(new Count("hire/1"));
+        writeQueue.enqueue(new CounterWrite("hire/1"));
         assertThat(writeQueue.pendingCount()).isEqualTo(31);
         assertThat(writeQueue.urgentCount()).isEqualTo(1);
         time.runFor(1_000_000);
