--- a/src/main/java/io/sillreel/pipeline/ActiveJob.java
+++ b/src/main/java/io/sillreel/pipeline/ActiveJob.java
@@ -7,23 +7,23 @@
 import java.util.Set;
 
 /**
- * An unfinished job as the leader drives it: which tasks are done, which have an allocation on a machine, how urgent
- * the job is, and what of that is stored. No task is launched before the release is stored, and no worker is told to
- * drop a completed task before its completion is stored.
+ * In-memory state of an unfinished job on the leader: which tasks are done, which are allocated to a machine, the
+ * effective urgency of the job, and how much of this has been stored. No task is launched before the release is stored,
+ * and no worker is instructed to drop a completed task before its completion is stored.
  *
- * <p>Tasks, urgency and retry state are changed under the lock of the cluster. The write of the record is driven by the
- * write queue in the event loop.
+ * <p>Tasks, urgency and retry state are changed under the cluster lock. The write queue drives the write of the record
+ * on the event loop.
  */
 public final class ActiveJob {
-    /** Told in the event loop what became of the job's record. */
+    /** Receives the results of writing the job's record; called on the event loop. */
     public interface Listener {
-        /** The record is stored; {@link #isCompletionStored} tells whether the job is over. */
+        /** Called when the record is stored; {@link #isCompletionStored} is true if that completed the job. */
         void recordStored(ActiveJob job);
 
-        /** The record can't be stored, since the job is cancelled. */
+        /** Called when the record can't be stored because the job is cancelled. */
         void cancellationFound(ActiveJob job);
 
-        /** Writes to be queued, among them the job's own record if it has to be written again. */
+        /** Queues writes, which include the job's own record if it has to be written again. */
         void enqueueWrites(List<? extends PendingWrite> writes);
     }
 
@@ -45,11 +45,11 @@
     private boolean isCancelled;
 
     /**
-     * Creates a job that has not been released; {@link #inherit} adds what is stored of it.
+     * Creates a job that has not been released; {@link #inherit} restores the stored progress of one that has.
      *
      * @param planRevision the revision of the stored plan
-     * @param admittedWallMicros when the job was admitted; time of day
-     * @param limits decide in which form the completion bitmap is stored
+     * @param admittedWallMicros wall-clock time of the job's admission
+     * @param limits the value sizes that decide whether the completion bitmap is stored in chunks
      */
     public ActiveJob(JobSpec spec, long planRevision, long admittedWallMicros, ValueLimits limits, Listener listener) {
         this.spec = spec;
@@ -68,7 +68,7 @@
         listener.enqueueWrites(List.of(recordWrite));
     }
 
-    /** Takes over what an earlier leader stored: any inherited machine may run tasks of the job. */
+    /** Restores the progress that an earlier leader stored. Any inherited machine may be running tasks of the job. */
     public void inherit(long revision, RunRecord record, StoredChunks storedChunks) {
         recordWrite.inherit(revision, record);
         isInherited = true;
@@ -90,32 +90,32 @@
         return spec.uid();
     }
 
-    /** The revision of the stored plan; jobs of equal urgency are served in this order. */
+    /** The revision of the stored plan; jobs of equal urgency are scheduled in this order. */
     public long planRevision() {
         return planRevision;
     }
 
-    /** When the job was admitted; time of day. */
+    /** The wall-clock time of the job's admission. */
     public long admittedWallMicros() {
         return admittedWallMicros;
     }
 
-    /** When the last dependency was done, or the job was admitted if it has none; time of day. */
+    /** The wall-clock time at which the last dependency was done, or of the admission without dependencies. */
     public long readyWallMicros() {
         return readyWallMicros;
     }
 
-    /** The highest priority class of the job and of all that depend on it; it decides order and preemption. */
+    /** The highest priority class of the job and its transitive dependents; it decides queue order and preemption. */
     public PriorityClass effectivePriority() {
         return urgency.priorityClass();
     }
 
-    /** By when its dependents need the job, time of day; {@link Long#MAX_VALUE} without a deadline. */
+    /** The earliest wall-clock deadline inherited from dependents; {@link Long#MAX_VALUE} without one. */
     public long inheritedDeadlineMicros() {
         return urgency.inheritedDeadlineMicros();
     }
 
-    /** By when the job has to be done for itself and for its dependents, time of day. */
+    /** The earlier of the job's own and its inherited wall-clock deadline. */
     public long effectiveDeadlineMicros() {
         return urgency.deadlineWallMicros();
     }
@@ -123,19 +123,19 @@
     /**
      * Inherits the urgency of a dependent job.
      *
-     * @param deadlineWallMicros by when the dependent needs this job
-     * @return true if this job is more urgent than before
+     * @param deadlineWallMicros the wall-clock time by which the dependent needs this job
+     * @return true if this job became more urgent
      */
     public boolean inheritUrgency(PriorityClass dependentPriority, long deadlineWallMicros) {
         return urgency.inherit(dependentPriority, deadlineWallMicros);
     }
 
-    /** Forgets the urgency that was inherited. */
+    /** Resets the urgency to that of the job's own submission. */
     public void resetInheritedUrgency() {
         urgency.reset();
     }
 
-    /** All dependencies are done. */
+    /** Marks all dependencies as done. */
     public void markReady(long wallMicros) {
         if (!isReady) {
             isReady = true;
@@ -143,12 +143,12 @@
         }
     }
 
-    /** True while a dependency is not done: the job demands no machine and uses no quota or guarantee. */
+    /** True while a dependency is not done; such a job requests no machine and uses no quota or guarantee. */
     public boolean hasUnmetDependencies() {
         return !isReady;
     }
 
-    /** True once the release is stored: only then may tasks be launched. */
+    /** True once the release is stored; tasks may be launched only then. */
     public boolean isReleased() {
         return recordWrite.isReleased();
     }
@@ -167,12 +167,12 @@
         isCancelled = true;
     }
 
-    /** True if all tasks are done, whether or not that is stored. */
+    /** True if all tasks are done, whether or not their completion is stored. */
     public boolean isComplete() {
         return completed.isComplete();
     }
 
-    /** True once it is stored that the job is done, so that users may be told. */
+    /** True once the completion of the job is stored, so that it may be reported to users. */
     public boolean isCompletionStored() {
         return recordWrite.isCompletionStored();
     }
@@ -185,12 +185,12 @@
         return completed.contains(task);
     }
 
-    /** True once it is stored that the task is done. */
+    /** True once the completion of the task is stored. */
     public boolean isTaskStored(int task) {
         return completed.isStored(task);
     }
 
-    /** Marks the task as done and ends the series of failed attempts; false if it was done before. */
+    /** Marks the task as done and resets the retry state; returns false if the task was already done. */
     public boolean markTaskDone(int task) {
         if (!completed.add(task)) {
             return false;
@@ -202,7 +202,7 @@
         return true;
     }
 
-    /** Adds an allocation of the task; normally its only one. */
+    /** Adds an allocation of the task; normally a task has only one. */
     public void allocate(int task) {
         occupancy.allocate(task);
     }
@@ -216,17 +216,17 @@
         return occupancy.isAllocated(task);
     }
 
-    /** How many tasks have an allocation. */
+    /** The number of tasks with an allocation. */
     public int allocatedCount() {
         return occupancy.allocatedCount();
     }
 
-    /** The first task that is neither done nor allocated, or -1. */
+    /** The lowest index of a task that is neither done nor allocated, or -1. */
     public int nextWaitingTask() {
         return occupancy.nextWaitingTask();
     }
 
-    /** How many tasks are neither done nor allocated. */
+    /** The number of tasks that are neither done nor allocated. */
     public int waitingCount() {
         return occupancy.waitingCount();
     }
@@ -236,42 +236,42 @@
         return runtimes;
     }
 
-    /** The failed attempts since a task was last done. */
+    /** The failed attempts since the last task completion. */
     RetryState retry() {
         return retry;
     }
 
-    /** No task is launched before this time of day. */
+    /** The wall-clock time before which no task is launched. */
     public long nextAttemptWallMicros() {
         return retry.nextAttemptWallMicros();
     }
 
-    /** What users are told of the last failed attempt, or null without one. */
+    /** The reason of the last failed attempt as reported to users, or null without one. */
     public String reason() {
         return retry.reason();
     }
 
-    /** True once a task of the job was done: later failures are not caused by its specification. */
+    /** True once a task of the job is done; later failures are then not attributed to the job's specification. */
     public boolean hasCompletedTask() {
         return hasCompletedTask;
     }
 
-    /** Names of the machines on which tasks of the current attempt failed; callers add and remove them. */
+    /** Names of the machines on which tasks of the current attempt failed; modified by callers. */
     public Set<String> failedMachines() {
         return failedMachines;
     }
 
-    /** An attempt failed through the job's own fault: the next one is scheduled, or the job is parked. */
+    /** Records an attempt whose failure is attributed to the job, and schedules the next attempt or parks the job. */
     public void recordFailedAttempt(RetrySchedule schedule, long wallMicros, String cause) {
         retry = retry.afterFailure(schedule, wallMicros, cause);
     }
 
-    /** The write of the job's record; always the same object, to be queued after each change. */
+    /** The write of the job's record; the same object every time, to be queued after each change. */
     public RunRecordWrite recordWrite() {
         return recordWrite;
     }
 
-    /** Writes that remove all chunks of the completion bitmap, of a job that is over. */
+    /** Writes that remove all chunks of the completion bitmap once the job has ended. */
     public List<PendingWrite> removalsOfChunks() {
         return completed.removalsOfChunks();
     }
--- a/src/main/java/io/sillreel/pipeline/CancellationRecord.java
+++ b/src/main/java/io/sillreel/pipeline/CancellationRecord.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.sillreel.http.Json;
 
-/** The stored cancellation of a job: the presence of {@code withdraw/UID} says that the job is cancelled. */
+/** The stored cancellation of a job; a job is cancelled if and only if the key {@code withdraw/UID} exists. */
 public final class CancellationRecord {
-    /** The prefix of all cancellations. */
+    /** Key prefix of all cancellations. */
     public static final String PREFIX = "withdraw/";
 
     private static final String CANCELLED = "at_us";
@@ -13,7 +13,7 @@
 
     private CancellationRecord() {}
 
-    /** The key of a job's cancellation. */
+    /** Returns the key of a job's cancellation. */
     public static String key(String uid) {
         return PREFIX + uid;
     }
@@ -21,16 +21,16 @@
     /**
      * Returns the value for a job that a user cancelled.
      *
-     * @param wallMicros when it was cancelled; time of day
+     * @param wallMicros wall-clock time of the cancellation
      */
     public static ObjectNode encode(long wallMicros) {
         return Json.object().put(CANCELLED, wallMicros);
     }
 
     /**
-     * Returns the value for a job that is cancelled since it depends on a cancelled one.
+     * Returns the value for a job that is cancelled because it depends on a cancelled one.
      *
-     * @param cause the cancelled job, on which this one depends directly or through others
+     * @param cause the id of the cancelled job on which this one depends, directly or transitively
      */
     public static ObjectNode encode(long wallMicros, String cause) {
         return encode(wallMicros).put(CAUSE, cause);
--- a/src/main/java/io/sillreel/pipeline/CascadingCancellation.java
+++ b/src/main/java/io/sillreel/pipeline/CascadingCancellation.java
@@ -3,14 +3,14 @@
 import io.sillreel.statestore.AbstractPendingWrite;
 import io.sillreel.statestore.KeyChange;
 
-/** The write that cancels a job which depends on a cancelled one; nothing is written if it is cancelled already. */
+/** The write that cancels a dependent of a cancelled job; writes nothing if the dependent is already cancelled. */
 public final class CascadingCancellation extends AbstractPendingWrite {
     private final String cause;
     private final long wallMicros;
 
     /**
-     * @param cause the cancelled job, on which this one depends directly or through others
-     * @param wallMicros when the cancellation was found; time of day
+     * @param cause the id of the cancelled job on which this one depends, directly or transitively
+     * @param wallMicros wall-clock time at which the leader found the cancellation
      */
     public CascadingCancellation(String uid, String cause, long wallMicros) {
         super(CancellationRecord.key(uid), 0);
--- a/src/main/java/io/sillreel/pipeline/CompletionBitmapChunks.java
+++ b/src/main/java/io/sillreel/pipeline/CompletionBitmapChunks.java
@@ -14,26 +14,27 @@
 import java.util.Set;
 
 /**
- * A completion bitmap that is too large for one value. Each generation of a chunk has a key of its own, and the record
- * of the job refers to the generations that count. So chunks may be written one after the other, and readers see either
- * all of a new bitmap or all of the old one. Generations to which no record refers are removed.
+ * A completion bitmap that is too large for one value and is stored in chunks. Each generation of a chunk has its own
+ * key, and the job's record refers to the current generation of each chunk. Chunks can therefore be written one after
+ * the other, while readers see either all of the new bitmap or all of the old one. Unreferenced generations are
+ * removed.
  */
 final class CompletionBitmapChunks {
     private final String uid;
     private final int tasksPerChunk;
-    /** Generations to which the stored record refers, by the index of the chunk. */
+    /** Generations to which the stored record refers, by chunk index. */
     private final long[] referencedGenerations;
 
     private final Set<Integer> changedChunks = new HashSet<>();
-    /** Chunks that are being written or are stored, and to which the next record will refer; by index. */
+    /** Chunks that are being written or are stored and to which the next record will refer, by chunk index. */
     private final Map<Integer, ChunkWrite> pending = new LinkedHashMap<>();
-    /** Revisions of stored chunks by key; those to which the next record does not refer are removed after it. */
+    /** Revisions of stored chunks by key; chunks that the next record does not refer to are removed after it. */
     private final Map<String, Long> storedRevisions = new HashMap<>();
 
     private final Runnable onAllStored;
     private long lastGeneration;
 
-    /** @param onAllStored run when all chunks to which the next record is to refer are stored */
+    /** @param onAllStored run when all chunks to which the next record will refer are stored */
     CompletionBitmapChunks(String uid, int tasks, int tasksPerChunk, Runnable onAllStored) {
         this.uid = uid;
         this.tasksPerChunk = tasksPerChunk;
@@ -41,7 +42,7 @@
         this.onAllStored = onAllStored;
     }
 
-    /** Takes over the chunks to which the record refers if they have the same size; else all are written again. */
+    /** Adopts the chunks to which the record refers if they have the same size; otherwise rewrites all chunks. */
     void inherit(BitmapReference reference, Map<String, Long> revisions, BitSet completed) {
         storedRevisions.putAll(revisions);
         for (String key : revisions.keySet()) {
@@ -74,7 +75,7 @@
         changedChunks.add(task / tasksPerChunk);
     }
 
-    /** Chunks to be written before the next record; none once all to which it is to refer are stored. */
+    /** Returns the chunks to write before the next record; empty once all that it will refer to are stored. */
     List<PendingWrite> pendingWrites(BitSet completed) {
         changedChunks.removeIf(index -> startWrite(index, completed));
         return pending.values().stream()
@@ -83,7 +84,7 @@
                 .toList();
     }
 
-    /** Starts to write the next generation of a chunk; false while the one before is being written. */
+    /** Starts to write the next generation of a chunk; returns false while the previous one is being written. */
     private boolean startWrite(int index, BitSet completed) {
         ChunkWrite previous = pending.get(index);
         if (previous != null && !previous.isStored()) {
@@ -97,7 +98,7 @@
         return true;
     }
 
-    /** The generations to which the record is to refer now. */
+    /** Returns the generations to which a record written now has to refer. */
     long[] generations() {
         long[] generations = referencedGenerations.clone();
         for (ChunkWrite chunk : pending.values()) {
@@ -108,7 +109,7 @@
         return generations;
     }
 
-    /** Adds the tasks of chunks that are stored and to which the stored record does not refer yet. */
+    /** Adds the tasks of stored chunks to which the stored record does not refer yet. */
     void addStoredTasksTo(BitSet completed) {
         for (ChunkWrite chunk : pending.values()) {
             if (chunk.isStored()) {
@@ -118,9 +119,9 @@
     }
 
     /**
-     * The record that refers to those generations is stored.
+     * Marks the record that refers to the given generations as stored.
      *
-     * @return removals of the generations to which it does not refer
+     * @return removals of the generations to which the record does not refer
      */
     List<PendingWrite> recordStored(long[] generations) {
         System.arraycopy(generations, 0, referencedGenerations, 0, referencedGenerations.length);
@@ -139,7 +140,7 @@
         return removeExcept(retainedKeys);
     }
 
-    /** Removals of all chunks, of a job that is over. */
+    /** Returns the removals of all chunks of a job that has ended. */
     List<PendingWrite> removeAll() {
         pending.values().forEach(chunk -> storedRevisions.put(chunk.key(), chunk.revision()));
         pending.clear();
@@ -164,7 +165,7 @@
         }
     }
 
-    /** The write of one generation of a chunk, with the tasks that were done when it was created. */
+    /** The write of one generation of a chunk, with the tasks that were done when the write was created. */
     private final class ChunkWrite extends AbstractPendingWrite {
         final int index;
         final long generation;
--- a/src/main/java/io/sillreel/pipeline/CompletionBitmapCodec.java
+++ b/src/main/java/io/sillreel/pipeline/CompletionBitmapCodec.java
@@ -6,36 +6,36 @@
 import java.util.Base64;
 import java.util.BitSet;
 
-/** The stored form of completion bitmaps: the bytes of the set in Base64, in a value of its own for a chunk. */
+/** The stored form of completion bitmaps: the bytes of the bit set in Base64; each chunk has a value of its own. */
 public final class CompletionBitmapCodec {
     private static final String BITMAP = "bits";
     private static final int MIN_TASKS = 8;
 
     private CompletionBitmapCodec() {}
 
-    /** How many tasks a bitmap may cover in a value of that size in bytes, if half of the value is left to the rest. */
+    /** Returns how many tasks a bitmap may cover if it takes at most half of a value of that size in bytes. */
     public static int tasksPerChunk(int valueBytes) {
         return Math.max(MIN_TASKS, valueBytes / 2 / 4 * 3 * 8);
     }
 
-    /** Returns the text of a bitmap. */
+    /** Encodes a bitmap as text. */
     public static String encode(BitSet bitmap) {
         return Base64.getEncoder().encodeToString(bitmap.toByteArray());
     }
 
-    /** Reads the text of a bitmap; null stands for an empty one. */
+    /** Decodes the text of a bitmap; null stands for an empty one. */
     public static BitSet decode(String encoded) {
         return encoded == null
                 ? new BitSet()
                 : BitSet.valueOf(Base64.getDecoder().decode(encoded));
     }
 
-    /** Returns the value of a chunk. */
+    /** Encodes a bitmap as the value of a chunk. */
     static ObjectNode encodeChunk(BitSet bitmap) {
         return Json.object().put(BITMAP, encode(bitmap));
     }
 
-    /** Returns the text of the bitmap in a chunk's value; empty if there is none. */
+    /** Returns the encoded bitmap in a chunk's value; empty if there is none. */
     static String chunkText(JsonNode value) {
         return value.path(BITMAP).asText();
     }
--- a/src/main/java/io/sillreel/pipeline/DependencyGraph.java
+++ b/src/main/java/io/sillreel/pipeline/DependencyGraph.java
@@ -15,23 +15,22 @@
 
 /**
  * The jobs of a leader's term and their dependencies. A job is released only once the completion of all of its
- * dependencies is stored; jobs that depend on a cancelled one are cancelled. A dependency that is not driven in this
- * term, since it was done long ago or its plan has not been seen yet, is looked up in the state store.
+ * dependencies is stored; jobs that depend on a cancelled job are cancelled. A dependency that is not active in this
+ * term, because it was done in an earlier one or its plan has not been read yet, is external: its completion is looked
+ * up in the state store.
  *
- * <p>Guarded by the lock of the cluster; callbacks are called under it.
+ * <p>Guarded by the cluster lock, which is held during callbacks.
  */
 public final class DependencyGraph {
-    /** Told what becomes of jobs when their dependencies end. */
+    /** Receives the consequences of the end of dependencies. */
     public interface Callbacks {
-        /** The completion of all dependencies is stored: the job may be released. */
+        /** Called when the completion of all dependencies is stored: the job may be released. */
         void dependenciesMet(ActiveJob job);
 
-        /** The job is cancelled, since the given job is, on which it depends directly or through others. */
+        /** Called when a job is cancelled because {@code cause}, a direct or transitive dependency, is cancelled. */
         void dependencyCancelled(ActiveJob job, String cause);
 
-        /**
-         * Asks to look up whether a job that is not driven here is done, and to call {@link #markExternalDone} then.
-         */
+        /** Requests a lookup of whether an external job is done; {@link #markExternalDone} is to be called if so. */
         void lookUpCompletion(String uid);
     }
 
@@ -45,9 +44,9 @@
     }
 
     /**
-     * Takes over the stored jobs at the beginning of a term; they may be given in any order.
+     * Adds the stored jobs at the beginning of a term, in any order.
      *
-     * @param unfinished the jobs of the term; the dependencies of those whose release is stored are done
+     * @param unfinished the jobs of the term; if the release of a job is stored, its dependencies are done
      * @param done true for the id of a job whose completion is stored
      * @param cancelled true for the id of a job whose cancellation is stored
      */
@@ -74,7 +73,7 @@
         external.forEach(callbacks::lookUpCompletion);
     }
 
-    /** Compiles the given jobs and what they depend on; adds the dependencies that are not among them to a set. */
+    /** Compiles the given jobs and their dependencies; adds the ids of dependencies outside of them to a set. */
     private static PipelinePlan compile(Map<String, ActiveJob> byUid, Predicate<String> done, Set<String> external) {
         Set<String> uids = new LinkedHashSet<>(byUid.keySet());
         List<Dependency> dependencies = new ArrayList<>();
@@ -136,18 +135,18 @@
     }
 
     private static List<String> unmetDependencies(ActiveJob job) {
-        // A job is released only after all of its dependencies are done.
+        // The dependencies of a released job are done.
         return job.isReleased() ? List.of() : job.spec().dependencies();
     }
 
-    /** The release of the job is stored. */
+    /** Marks the release of the job as stored. */
     public void markReleased(ActiveJob job) {
         if (run.isInState(job.uid(), JobState.READY)) {
             run.release(job.uid());
         }
     }
 
-    /** The completion of the job is stored: jobs that lacked only this dependency are ready. */
+    /** Marks the completion of the job as stored; jobs for which this was the last unmet dependency become ready. */
     public void markDone(ActiveJob job) {
         if (run.isInState(job.uid(), JobState.RELEASED)) {
             notifyReady(run.complete(job.uid(), true));
@@ -155,7 +154,7 @@
         remove(job);
     }
 
-    /** The job, which {@link Callbacks#lookUp} asked for, is done. */
+    /** Marks an external job as done, after {@link Callbacks#lookUpCompletion}. */
     public void markExternalDone(String uid) {
         notifyReady(run.completeExternal(uid, true));
         if (run.isInState(uid, JobState.SUCCEEDED)) {
@@ -163,7 +162,7 @@
         }
     }
 
-    /** True if a job still depends on that one and its completion has not been found. */
+    /** True if the job is external, a job still depends on it, and its completion has not been found. */
     public boolean isAwaitingLookup(String uid) {
         return run.isExternal(uid) && run.isInState(uid, JobState.WAITING);
     }
@@ -172,7 +171,7 @@
         uids.forEach(uid -> callbacks.dependenciesMet(jobs.get(uid)));
     }
 
-    /** The cancellation of the job is stored: all jobs that depend on it are cancelled, in topological order. */
+    /** Marks the cancellation of the job as stored and cancels all jobs that depend on it, in topological order. */
     public void markCancelled(String uid) {
         for (String skippedUid : run.cancel(uid)) {
             ActiveJob job = jobs.get(skippedUid);
@@ -182,25 +181,25 @@
         }
     }
 
-    /** Removes a job that is over and has no allocation any more. */
+    /** Removes a job that has ended and has no allocations left. */
     public void remove(ActiveJob job) {
         List<String> upstream = run.upstreamJobs(job.uid());
         run.remove(job.uid());
         jobs.remove(job.uid());
         for (String upstreamJob : upstream) {
-            // No job depends on it any more, so its end needs no lookup.
+            // No job depends on the external job any more, so its completion need not be looked up.
             if (run.isExternal(upstreamJob) && run.downstreamJobs(upstreamJob).isEmpty()) {
                 run.remove(upstreamJob);
             }
         }
     }
 
-    /** Jobs that depend on the given one directly. */
+    /** Returns the jobs that depend directly on the given one. */
     public List<ActiveJob> dependents(ActiveJob job) {
         return activeJobs(run.downstreamJobs(job.uid()));
     }
 
-    /** Unfinished jobs that the given one depends on directly, as far as they are driven here. */
+    /** Returns the unfinished jobs of this term on which the given one depends directly. */
     public List<ActiveJob> dependencies(ActiveJob job) {
         return activeJobs(run.upstreamJobs(job.uid()));
     }
--- a/src/main/java/io/sillreel/pipeline/EffectiveUrgency.java
+++ b/src/main/java/io/sillreel/pipeline/EffectiveUrgency.java
@@ -1,8 +1,8 @@
 package io.sillreel.pipeline;
 
 /**
- * How urgent a job is by itself and for the jobs that depend on it (priority inheritance). Guarded by the lock of the
- * cluster.
+ * The urgency of a job by its own submission and that inherited from its dependents (priority inheritance). Guarded by
+ * the cluster lock.
  */
 final class EffectiveUrgency {
     private final Urgency own;
@@ -10,7 +10,7 @@
     private PriorityClass priorityClass;
     private long inheritedDeadlineMicros;
 
-    /** @param admittedWallMicros when the job was admitted: its own deadline counts from then */
+    /** @param admittedWallMicros wall-clock time of the admission, to which the job's own deadline is relative */
     EffectiveUrgency(Urgency own, long admittedWallMicros) {
         this.own = own;
         this.ownDeadlineWallMicros =
@@ -18,13 +18,13 @@
         reset();
     }
 
-    /** Forgets what was inherited. */
+    /** Discards the inherited urgency. */
     void reset() {
         priorityClass = own.priorityClass();
         inheritedDeadlineMicros = Long.MAX_VALUE;
     }
 
-    /** Inherits from a dependent job; true if that makes this job more urgent than before. */
+    /** Inherits the urgency of a dependent job; returns true if this job became more urgent. */
     boolean inherit(PriorityClass dependentPriority, long deadlineWallMicros) {
         boolean isMoreUrgent = dependentPriority.isAbove(priorityClass) || deadlineWallMicros < inheritedDeadlineMicros;
         priorityClass = dependentPriority.isAbove(priorityClass) ? dependentPriority : priorityClass;
@@ -36,12 +36,12 @@
         return priorityClass;
     }
 
-    /** The earliest deadline that was inherited, time of day; {@link Long#MAX_VALUE} without one. */
+    /** The earliest inherited wall-clock deadline; {@link Long#MAX_VALUE} without one. */
     long inheritedDeadlineMicros() {
         return inheritedDeadlineMicros;
     }
 
-    /** The earlier of the job's own and the inherited deadline, time of day. */
+    /** The earlier of the job's own and its inherited wall-clock deadline. */
     long deadlineWallMicros() {
         return Math.min(inheritedDeadlineMicros, ownDeadlineWallMicros);
     }
--- a/src/main/java/io/sillreel/pipeline/JobIdSet.java
+++ b/src/main/java/io/sillreel/pipeline/JobIdSet.java
@@ -3,22 +3,22 @@
 import org.agrona.collections.LongHashSet;
 
 /**
- * A set of job ids that takes about sixteen bytes for each: a new leader keeps the ids of all jobs that were ever done,
- * and a set of strings would take ten times as much. Not thread-safe.
+ * A memory-efficient set of job ids, at about sixteen bytes per id. A new leader holds the ids of all jobs that were
+ * ever done, and a set of strings would take ten times as much memory. Not thread-safe.
  */
 public final class JobIdSet {
     private static final String PREFIX = "job-";
     private static final int DECIMAL = 10;
 
-    /** Ids as numbers; none is encoded as the value by which the hash set marks a free slot. */
+    /** Encoded ids; no id is encoded as the value with which the hash set marks a free slot. */
     private final LongHashSet encodedIds = new LongHashSet();
 
-    /** Adds the id; true if it was not in the set. */
+    /** Adds the id; returns true if the set did not contain it. */
     public boolean add(String uid) {
         return encodedIds.add(encode(uid));
     }
 
-    /** True if the id was added. */
+    /** True if the set contains the id. */
     public boolean contains(String uid) {
         return encodedIds.contains(encode(uid));
     }
@@ -29,14 +29,14 @@
     }
 
     /**
-     * Returns the digits of the id behind a 1, since ids may begin with zeros: job-07 is not job-7. An id has at most
-     * eighteen digits, so the number fits.
+     * Encodes an id as the number formed by a 1 followed by the id's digits. The 1 preserves leading zeros, since
+     * job-07 and job-7 are different jobs. An id has at most eighteen digits, so the number fits into a long.
      *
-     * @throws IllegalArgumentException if the text is not the id of a job
+     * @throws IllegalArgumentException if the text is not a job id
      */
     private static long encode(String uid) {
         if (!uid.startsWith(PREFIX)) {
-            throw new IllegalArgumentException("not the id of a job: " + uid);
+            throw new IllegalArgumentException("invalid job id: " + uid);
         }
         long encoded = 1;
         for (int index = PREFIX.length(); index < uid.length(); index++) {
--- a/src/main/java/io/sillreel/pipeline/JobSpec.java
+++ b/src/main/java/io/sillreel/pipeline/JobSpec.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * A job array as it was submitted. The accessors below the components spare callers to know how the components are
- * grouped.
+ * The specification of a job array as submitted. The additional accessors hide the grouping of the nested components
+ * from callers.
  *
- * @param uid the id that the user chose; a repeated submission of it is idempotent
- * @param jobClass jobs of one class run for similar times
+ * @param uid the id chosen by the user; a repeated submission with the same id is idempotent
+ * @param jobClass a name that groups jobs with similar run times
  * @param team the team whose quota and fair share the job uses
- * @param tasks the number of tasks, numbered from 0
+ * @param tasks the number of tasks; task indexes start at 0
  * @param dependencies ids of the jobs that have to be done before this one is released
  */
 public record JobSpec(
@@ -22,27 +22,27 @@
         PlacementRequirements placement,
         List<String> dependencies) {
 
-    /** The priority class of the job itself. */
+    /** The job's own priority class, without what it inherits from its dependents. */
     public PriorityClass priorityClass() {
         return urgency.priorityClass();
     }
 
-    /** Time from submission to the job's own deadline; negative without a deadline. */
+    /** The job's own deadline relative to its submission; negative without a deadline. */
     public long deadlineMicros() {
         return urgency.deadlineMicros();
     }
 
-    /** Processors that one task occupies. */
+    /** CPUs required by one task. */
     public double cpus() {
         return task.cpus();
     }
 
-    /** Accelerators that one task occupies. */
+    /** GPUs required by one task. */
     public double gpus() {
         return task.gpus();
     }
 
-    /** Memory that one task occupies, in gigabytes. */
+    /** Memory required by one task, in gigabytes. */
     public double ramGb() {
         return task.ramGb();
     }
@@ -62,7 +62,7 @@
         return task.estimatedMicros();
     }
 
-    /** True if a task saves its progress when it is stopped with enough notice. */
+    /** True if a task that is stopped with enough notice writes a checkpoint. */
     public boolean supportsCheckpoints() {
         return task.checkpointing().isSupported();
     }
@@ -72,12 +72,12 @@
         return task.checkpointing().durationMicros();
     }
 
-    /** True if tasks may run on machines of the type of that name. */
+    /** True if tasks may run on machines of the named type. */
     public boolean allowsMachineType(String machineType) {
         return placement.allowsMachineType(machineType);
     }
 
-    /** True if tasks may run in the zone of that name. */
+    /** True if tasks may run in the named zone. */
     public boolean allowsZone(String zone) {
         return placement.allowsZone(zone);
     }
@@ -87,7 +87,7 @@
         return placement.zone();
     }
 
-    /** True if all running tasks have to be in the same zone. */
+    /** True if all running tasks have to be in one zone. */
     public boolean zoneAffinity() {
         return placement.zoneAffinity();
     }
@@ -102,12 +102,12 @@
         return placement.spotAllowed();
     }
 
-    /** The most tasks that may run in one zone at a time. */
+    /** The maximum number of tasks that may run in one zone at the same time. */
     public int maxTasksPerZone() {
         return placement.zoneAntiAffinity() ? (tasks + 1) / 2 : tasks;
     }
 
-    /** The same job with other machine types, null for any, and other dependencies. */
+    /** Returns a copy with other dependencies and other machine types, where null allows any. */
     JobSpec withMachineTypesAndDependencies(List<String> otherMachineTypes, List<String> otherDependencies) {
         return new JobSpec(
                 uid,
--- a/src/main/java/io/sillreel/pipeline/JobSpecCodec.java
+++ b/src/main/java/io/sillreel/pipeline/JobSpecCodec.java
@@ -7,9 +7,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The form in which a job's specification is stored within its plan. Times are stored in microseconds. */
+/** The stored form of a {@link JobSpec} within its plan. Times are stored in microseconds. */
 public final class JobSpecCodec {
-    /** Field of the allowed machine types; absent if any is allowed. */
+    /** Field of the allowed machine types; absent if any type is allowed. */
     static final String MACHINE_TYPES = "builds";
     /** Field of the dependencies; absent if there are none. */
     static final String DEPENDENCIES = "awaits";
@@ -35,7 +35,7 @@
 
     private JobSpecCodec() {}
 
-    /** Returns the stored form. Previous versions read it, so the order of the fields stays as it is. */
+    /** Returns the stored form. Previous versions read it, so the order of the fields must not change. */
     public static ObjectNode encode(JobSpec spec) {
         TaskSpec task = spec.task();
         PlacementRequirements placement = spec.placement();
@@ -67,7 +67,7 @@
         return node;
     }
 
-    /** Reads what {@link #encode} wrote; it is not validated again, since it was when the job was admitted. */
+    /** Reads the stored form. It is not validated again, since the job was validated when it was admitted. */
     public static JobSpec decode(JsonNode node) {
         PriorityClass priorityClass =
                 PriorityClass.fromWireName(node.path(PRIORITY_CLASS).asText()).orElse(PriorityClass.NORMAL);
--- a/src/main/java/io/sillreel/pipeline/KeyRemoval.java
+++ b/src/main/java/io/sillreel/pipeline/KeyRemoval.java
@@ -4,9 +4,9 @@
 import io.sillreel.statestore.KeyChange;
 import io.sillreel.statestore.WriteUrgency;
 
-/** The removal of a key that no record refers to any more. */
+/** The removal of a key that is no longer referenced by any record. */
 final class KeyRemoval extends AbstractPendingWrite {
-    /** @param revision the revision that the key is known to have */
+    /** @param revision the last known revision of the key */
     KeyRemoval(String key, long revision) {
         super(key, revision);
     }
--- a/src/main/java/io/sillreel/pipeline/LiveTaskCounts.java
+++ b/src/main/java/io/sillreel/pipeline/LiveTaskCounts.java
@@ -2,17 +2,17 @@
 
 import java.util.Optional;
 
-/** Counts of tasks for answers to users; only the leader knows them before they are stored. */
+/** Task counts for status responses to users; only the leader has counts that are not stored yet. */
 public interface LiveTaskCounts {
     /**
-     * Counts of an unfinished job.
+     * The task counts of an unfinished job.
      *
-     * @param done tasks that are done
-     * @param running tasks that have an allocation
-     * @param reason what users are told of the job's last failed attempt, or null without one
+     * @param done number of tasks that are done
+     * @param running number of tasks with an allocation
+     * @param reason the reason of the job's last failed attempt as reported to users, or null without one
      */
     record Counts(int done, int running, String reason) {}
 
-    /** The counts of an unfinished job; empty if this controller does not know them. */
+    /** Returns the task counts of an unfinished job; empty if this controller does not have them. */
     Optional<Counts> countsOf(String uid);
 }
--- a/src/main/java/io/sillreel/pipeline/PipelinePlan.java
+++ b/src/main/java/io/sillreel/pipeline/PipelinePlan.java
@@ -9,9 +9,9 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 
-/** A DAG of jobs, compiled into a stable topological order in which the job id breaks ties (ADR 0006). */
+/** A DAG of jobs, compiled into a deterministic topological order in which the job id breaks ties (ADR 0006). */
 public final class PipelinePlan {
-    /** Which end of the upstream job satisfies a dependency; any other end leaves it unsatisfied for ever. */
+    /** The result of the upstream job that satisfies a dependency; with any other result it is never satisfied. */
     public enum Condition {
         ON_SUCCESS,
         ON_FAILURE
@@ -40,7 +40,8 @@
     /**
      * Compiles jobs and their dependencies.
      *
-     * @throws IllegalArgumentException if an id repeats, a dependency names no job of the plan, or there is a cycle
+     * @throws IllegalArgumentException if an id is duplicated, a dependency refers to a job that is not part of the
+     *     plan, or there is a cycle
      */
     public static PipelinePlan compile(Collection<String> jobs, Collection<Dependency> dependencies) {
         Map<String, Integer> unmetCounts = new HashMap<>();
@@ -66,7 +67,7 @@
         return new PipelinePlan(sort(unmetCounts, downstreamJobs), dependencies);
     }
 
-    /** Sorts topologically; uses up the counts of unmet dependencies. */
+    /** Sorts the jobs topologically; modifies the counts of unmet dependencies. */
     private static List<String> sort(Map<String, Integer> unmetCounts, Map<String, List<String>> downstreamJobs) {
         PriorityQueue<String> ready = new PriorityQueue<>();
         unmetCounts.forEach((job, count) -> {
@@ -90,12 +91,12 @@
         return List.copyOf(order);
     }
 
-    /** All jobs, each after those that it depends on. */
+    /** All jobs, each after its dependencies. */
     public List<String> topologicalOrder() {
         return topologicalOrder;
     }
 
-    /** The dependencies of a job on others. */
+    /** The dependencies of a job on upstream jobs. */
     public List<Dependency> dependenciesOf(String job) {
         return dependenciesOf.getOrDefault(job, List.of());
     }
--- a/src/main/java/io/sillreel/pipeline/PipelineRun.java
+++ b/src/main/java/io/sillreel/pipeline/PipelineRun.java
@@ -14,15 +14,15 @@
 import java.util.Optional;
 
 /**
- * The state of the jobs of a pipeline (ADR 0006). Each dependency is resolved once; a job is ready once all of its
- * dependencies are satisfied, and skipped once one of them can't be satisfied any more. A cancelled pipeline releases
- * nothing more. Jobs are added after those that they depend on and removed once they are over; the cost of either is
+ * State machine of the jobs of a pipeline (ADR 0006). Each dependency is resolved once; a job is ready once all of its
+ * dependencies are satisfied, and skipped once one of them can no longer be satisfied. A cancelled pipeline releases no
+ * further jobs. Jobs are added after their dependencies and removed once they have ended; the cost of either is
  * proportional to the number of their dependencies and dependents.
  *
- * <p>Not thread-safe; guarded by the lock of the cluster where a term uses it.
+ * <p>Not thread-safe; a leader's term guards its run by the cluster lock.
  */
 public final class PipelineRun {
-    /** The state of a dependency; it leaves {@code PENDING} once and then stays as it is. */
+    /** The state of a dependency; every state except {@code PENDING} is final. */
     public enum DependencyState {
         PENDING,
         SATISFIED,
@@ -47,9 +47,9 @@
         final Map<String, Dependency> dependents = new LinkedHashMap<>();
         /** The position in the topological order. */
         long position;
-        /** Dependencies that are not satisfied; counted, so that they are looked at only when one is resolved. */
+        /** Number of unsatisfied dependencies; kept as a counter to avoid iterating over all of them each time. */
         int unsatisfiedCount;
-        /** True if the job is only known as a dependency of others: its end is looked up, not brought about here. */
+        /** True if the job is known only as a dependency of others and its result has to be looked up. */
         boolean isExternal;
 
         JobState state = JobState.WAITING;
@@ -64,16 +64,16 @@
     private long nextPosition;
     private boolean isCancelled;
 
-    /** Begins a run with all jobs of the plan. */
+    /** Creates a run with all jobs of the plan. */
     public PipelineRun(PipelinePlan plan) {
         plan.topologicalOrder().forEach(job -> add(job, plan.dependenciesOf(job)));
     }
 
     /**
-     * Adds a job after all jobs that it depends on, since those were admitted before it. A job that was external is
-     * driven from now on and keeps its position.
+     * Adds a job, whose dependencies have to be added before it, as they were admitted before it. An external job
+     * becomes a regular one and keeps its position.
      *
-     * @throws IllegalArgumentException if a dependency names an upstream job that is not part of the pipeline
+     * @throws IllegalArgumentException if the upstream job of a dependency is not part of the pipeline
      */
     public void add(String job, Collection<Dependency> dependencies) {
         addExternal(job);
@@ -83,7 +83,7 @@
             Node upstream = nodes.get(dependency.upstream());
             if (upstream == null) {
                 throw new IllegalArgumentException(
-                        "dependency " + dependency.id() + " names an upstream job that is not known");
+                        "dependency " + dependency.id() + " refers to an unknown upstream job");
             }
             node.dependencies.put(dependency.id(), dependency);
             upstream.dependents.put(dependency.id(), dependency);
@@ -95,7 +95,7 @@
         }
     }
 
-    /** Adds a job on which others depend and that is not driven here, or not yet; its end has still to be looked up. */
+    /** Adds an external job: others depend on it, it is not active in this run, and its result has to be looked up. */
     public void addExternal(String job) {
         nodes.computeIfAbsent(job, name -> {
             Node node = new Node(name);
@@ -105,17 +105,17 @@
         });
     }
 
-    /** True if the job is part of the pipeline, driven or external. */
+    /** True if the job is part of the pipeline, whether external or not. */
     public boolean contains(String job) {
         return nodes.containsKey(job);
     }
 
-    /** True if the job is only known as a dependency of others. */
+    /** True if the job is known only as a dependency of others. */
     public boolean isExternal(String job) {
         return nodes.containsKey(job) && nodes.get(job).isExternal;
     }
 
-    /** Jobs that may be released now, in topological order. */
+    /** Returns the jobs that may be released now, in topological order. */
     public List<String> readyJobs() {
         return inTopologicalOrder(nodes.values().stream()
                 .filter(node -> node.state == JobState.READY)
@@ -132,9 +132,9 @@
     }
 
     /**
-     * Ends a released job, which resolves the dependencies of others on it for good.
+     * Ends a released job and resolves the dependencies of other jobs on it.
      *
-     * @return jobs that become ready by that, in topological order
+     * @return jobs that become ready as a result, in topological order
      * @throws IllegalStateException if the job is not released
      */
     public List<String> complete(String job, boolean succeeded) {
@@ -142,9 +142,9 @@
     }
 
     /**
-     * Ends an external job; does nothing if it has ended or is not external.
+     * Ends an external job; does nothing if the job is not external or has already ended.
      *
-     * @return jobs that become ready by that, in topological order
+     * @return jobs that become ready as a result, in topological order
      */
     public List<String> completeExternal(String job, boolean succeeded) {
         Node node = nodes.get(job);
@@ -166,9 +166,9 @@
     }
 
     /**
-     * Cancels one job in whatever state it is, unless it is over: nothing that depends on it is released any more.
+     * Cancels one job unless it has already ended, and skips the jobs that depend on it.
      *
-     * @return the jobs that are skipped by that, directly or through others, in topological order
+     * @return the direct and transitive dependents that are skipped, in topological order
      */
     public List<String> cancel(String job) {
         Node node = nodes.get(job);
@@ -184,7 +184,7 @@
                 changed.stream().filter(each -> each.state == JobState.SKIPPED).toList());
     }
 
-    /** Cancels the pipeline: nothing is released from now on, and released jobs still end. */
+    /** Cancels the pipeline: no further job is released, but jobs already released still run to their end. */
     public void cancel() {
         isCancelled = true;
         for (Node node : List.copyOf(nodes.values())) {
@@ -195,7 +195,7 @@
         }
     }
 
-    /** Removes a job that is over, and the dependencies on both sides. */
+    /** Removes a job that has ended, together with its dependencies and those of other jobs on it. */
     public void remove(String job) {
         Node node = nodes.remove(job);
         if (node == null) {
@@ -211,23 +211,23 @@
         }
     }
 
-    /** The state of a job; empty if the job is not part of the pipeline. */
+    /** Returns the state of a job; empty if the job is not part of the pipeline. */
     public Optional<JobState> state(String job) {
         return Optional.ofNullable(nodes.get(job)).map(node -> node.state);
     }
 
-    /** True if the job is part of the pipeline and in that state. */
+    /** True if the job is part of the pipeline and in the given state. */
     public boolean isInState(String job, JobState state) {
         Node node = nodes.get(job);
         return node != null && node.state == state;
     }
 
-    /** The state of a dependency; empty if it is not part of the pipeline. */
+    /** Returns the state of a dependency; empty if the dependency is not part of the pipeline. */
     public Optional<DependencyState> dependencyState(String id) {
         return Optional.ofNullable(dependencyStates.get(id));
     }
 
-    /** Jobs that the given one depends on. */
+    /** Returns the jobs on which the given one depends directly. */
     public List<String> upstreamJobs(String job) {
         Node node = nodes.get(job);
         return node == null
@@ -235,7 +235,7 @@
                 : node.dependencies.values().stream().map(Dependency::upstream).toList();
     }
 
-    /** Jobs that depend on the given one. */
+    /** Returns the jobs that depend directly on the given one. */
     public List<String> downstreamJobs(String job) {
         Node node = nodes.get(job);
         return node == null
@@ -251,7 +251,7 @@
                         || node.state == JobState.RELEASED);
     }
 
-    /** True if a job failed and no other job depends on that failure. */
+    /** True if a job failed and no other job depends on its failure. */
     public boolean hasUnhandledFailure() {
         return nodes.values().stream()
                 .anyMatch(node -> node.state == JobState.FAILED
@@ -259,16 +259,16 @@
                                 .noneMatch(dependency -> dependency.condition() == Condition.ON_FAILURE));
     }
 
-    /** The state that a dependency takes when its upstream job ends. */
+    /** Determines the state of a dependency when its upstream job ends. */
     private interface DependencyResolver {
         DependencyState resolve(Dependency dependency);
     }
 
     /**
-     * Resolves the dependencies of others on a job, and on those that are skipped by that. It iterates over a work
-     * list, since recursion along a long chain would overflow the stack.
+     * Resolves the dependencies of other jobs on a job that ended, and on jobs that are skipped as a result. Iterates
+     * over a work list, since recursion along a long chain would overflow the stack.
      *
-     * @return jobs that have become ready or are skipped
+     * @return jobs that became ready or were skipped
      */
     private List<Node> resolveDependents(Node ended, DependencyResolver resolver) {
         List<Node> changed = new ArrayList<>();
@@ -294,7 +294,7 @@
         return changed;
     }
 
-    /** Resolves the dependencies on one job and adds the jobs to look at to the work list. */
+    /** Resolves the dependencies on one job and adds the jobs whose state may change to the work list. */
     private void resolveDirectDependents(Node node, DependencyResolver resolver, Deque<Node> workList) {
         for (Dependency dependency : node.dependents.values()) {
             if (dependencyStates.get(dependency.id()) != DependencyState.PENDING) {
@@ -324,7 +324,7 @@
         Node node = nodes.get(job);
         if (node == null || node.state != state) {
             throw new IllegalStateException(
-                    "job " + job + " is " + (node == null ? null : node.state) + ", not " + state);
+                    "job " + job + " is in state " + (node == null ? null : node.state) + ", expected " + state);
         }
         return node;
     }
--- a/src/main/java/io/sillreel/pipeline/PlanOverflow.java
+++ b/src/main/java/io/sillreel/pipeline/PlanOverflow.java
@@ -14,14 +14,14 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** Stores the lists of names of a plan in values of their own if the plan is too large for one value. */
+/** Moves the lists of machine types and dependencies of a plan that is too large for one value to overflow values. */
 public final class PlanOverflow {
     private PlanOverflow() {}
 
     /**
-     * Splits a complete plan into values of a limited size.
+     * Splits a complete plan into values of limited size.
      *
-     * @return the values by key, or nothing if that takes more values than allowed
+     * @return the values by key; empty if more than {@code maxValues} values are needed or a name is too long for one
      */
     public static Optional<Map<String, JsonNode>> split(PlanRecord plan, int maxBytes, int maxValues) {
         JobSpec spec = plan.spec();
@@ -44,7 +44,7 @@
         return fits ? Optional.of(values) : Optional.empty();
     }
 
-    /** Distributes the names of one field over as many values as they take. */
+    /** Distributes the names of one field over as many values as needed. */
     private static void addNames(List<ObjectNode> overflow, String field, List<String> names, int maxBytes) {
         ArrayNode current = null;
         int bytes = 0;
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Returns the complete record, given the overflow values of the job in the order of their keys. */
+    /** Returns the complete plan, given the overflow values of the job in the order of their keys. */
     public static PlanRecord merge(PlanRecord plan, List<JsonNode> overflow) {
         List<String> machineTypes = new ArrayList<>();
         List<String> dependencies = new ArrayList<>();
@@ -74,7 +74,7 @@
         return new PlanRecord(plan.admittedWallMicros(), complete);
     }
 
-    /** Reads the overflow values of a plan and merges them; empty if one of them could not be read now. */
+    /** Reads the overflow values of a plan and merges them; completes empty if one of them could not be read. */
     public static CompletableFuture<Optional<PlanRecord>> load(PlanRecord plan, StateStore store) {
         if (plan.isComplete()) {
             return CompletableFuture.completedFuture(Optional.of(plan));
--- a/src/main/java/io/sillreel/pipeline/PlanRecordCodec.java
+++ b/src/main/java/io/sillreel/pipeline/PlanRecordCodec.java
@@ -12,14 +12,14 @@
 
     private PlanRecordCodec() {}
 
-    /** Returns the whole record as one value, the form that all versions read. */
+    /** Returns the whole plan as one value, the form that all versions read. */
     public static ObjectNode encode(PlanRecord plan) {
         ObjectNode node = Json.object().put(ADMITTED, plan.admittedWallMicros());
         node.set(JOB, JobSpecCodec.encode(plan.spec()));
         return node;
     }
 
-    /** Returns the value of a record whose machine types and dependencies are stored in that many overflow values. */
+    /** Returns the value of a plan whose machine types and dependencies are stored in that many overflow values. */
     static ObjectNode encodeWithoutNames(PlanRecord plan, int overflowValues) {
         ObjectNode job = JobSpecCodec.encode(plan.spec());
         job.remove(JobSpecCodec.MACHINE_TYPES);
@@ -29,7 +29,7 @@
         return node;
     }
 
-    /** Reads a stored plan; it is incomplete if it has overflow values. */
+    /** Decodes a stored plan, which is incomplete if it has overflow values. */
     public static PlanRecord decode(JsonNode node) {
         return new PlanRecord(
                 admittedWallMicros(node),
@@ -37,7 +37,7 @@
                 node.path(OVERFLOW).asInt());
     }
 
-    /** When the job of a stored plan was admitted; cheaper than to decode all of it. */
+    /** Returns the wall-clock time of the admission without decoding the rest of the plan. */
     public static long admittedWallMicros(JsonNode node) {
         return node.path(ADMITTED).asLong();
     }
--- a/src/main/java/io/sillreel/pipeline/PriorityClass.java
+++ b/src/main/java/io/sillreel/pipeline/PriorityClass.java
@@ -15,7 +15,7 @@
         this.wireName = wireName;
     }
 
-    /** The name in the users' interface and in stored plans. */
+    /** The name in the public API and in stored plans. */
     public String wireName() {
         return wireName;
     }
@@ -25,7 +25,7 @@
         return ordinal() < other.ordinal();
     }
 
-    /** Returns the class of that name in the users' interface, or nothing for an unknown name. */
+    /** Returns the class with that name in the public API; empty for an unknown name. */
     public static Optional<PriorityClass> fromWireName(String name) {
         for (PriorityClass priorityClass : values()) {
             if (priorityClass.wireName.equals(name)) {
--- a/src/main/java/io/sillreel/pipeline/RetrySchedule.java
+++ b/src/main/java/io/sillreel/pipeline/RetrySchedule.java
@@ -1,24 +1,24 @@
 package io.sillreel.pipeline;
 
 /**
- * When a job whose attempt failed is tried again (ADR 0006): exponential backoff without jitter. The absolute time is
- * stored, so that a successor of the leader keeps it.
+ * The backoff between the attempts of a failing job (ADR 0006): exponential, without jitter. The absolute time of the
+ * next attempt is stored, so that it survives a failover.
  *
  * @param initialMicros the delay after the first failed attempt; it doubles with each further one
- * @param maximumMicros the longest delay before the job is parked
+ * @param maximumMicros the maximum delay before the job is parked
  * @param parkedMicros the delay after {@link #MAX_ATTEMPTS} failed attempts
  */
 public record RetrySchedule(long initialMicros, long maximumMicros, long parkedMicros) {
-    /** After so many failed attempts a job is parked: it is tried only rarely. */
+    /** The number of failed attempts after which a job is parked, that is, retried only rarely. */
     public static final int MAX_ATTEMPTS = 5;
 
     private static final int MAX_DOUBLINGS = 30;
 
     /**
-     * Returns when the next attempt may begin; time of day.
+     * Returns the wall-clock time at which the next attempt may begin.
      *
-     * @param failedAttempts attempts that failed through the job's own fault, at least one
-     * @param failedWallMicros when the last of them failed; time of day
+     * @param failedAttempts number of failed attempts attributed to the job, at least one
+     * @param failedWallMicros wall-clock time of the last failure
      */
     public long nextAttemptMicros(int failedAttempts, long failedWallMicros) {
         if (isExhausted(failedAttempts)) {
@@ -28,7 +28,7 @@
         return failedWallMicros + Math.min(maximumMicros, initialMicros << doublings);
     }
 
-    /** True if the job is parked after so many failed attempts. */
+    /** True if a job is parked after the given number of failed attempts. */
     public boolean isExhausted(int failedAttempts) {
         return failedAttempts >= MAX_ATTEMPTS;
     }
--- a/src/main/java/io/sillreel/pipeline/RetryState.java
+++ b/src/main/java/io/sillreel/pipeline/RetryState.java
@@ -1,17 +1,17 @@
 package io.sillreel.pipeline;
 
 /**
- * How often a job has failed since one of its tasks was last done.
+ * The failures of a job since its last task completion.
  *
- * @param failedAttempts attempts that failed through the job's own fault
- * @param nextAttemptWallMicros no task is launched before this time of day; 0 if none has to wait
- * @param reason what users are told of the last failure, or null without one
+ * @param failedAttempts number of failed attempts attributed to the job
+ * @param nextAttemptWallMicros wall-clock time before which no task is launched; 0 without backoff
+ * @param reason the reason of the last failure as reported to users, or null without one
  */
 public record RetryState(int failedAttempts, long nextAttemptWallMicros, String reason) {
-    /** The state of a job that has not failed. */
+    /** The state of a job without failed attempts. */
     public static final RetryState NONE = new RetryState(0, 0, null);
 
-    /** The state after one more failed attempt: the next one is scheduled, or the job is parked. */
+    /** Returns the state after one more failed attempt: the next one is scheduled, or the job is parked. */
     RetryState afterFailure(RetrySchedule schedule, long wallMicros, String cause) {
         int attempts = failedAttempts + 1;
         String newReason = schedule.isExhausted(attempts)
--- a/src/main/java/io/sillreel/pipeline/RunRecord.java
+++ b/src/main/java/io/sillreel/pipeline/RunRecord.java
@@ -1,11 +1,11 @@
 package io.sillreel.pipeline;
 
 /**
- * The stored record of a released job, {@code run/UID}: how far it has come. A completion bitmap that is too large for
- * this value is stored in chunks of its own, to which the record refers ({@link CompletionBitmapChunks}).
+ * The stored progress of a released job, under the key {@code run/UID}. A completion bitmap that is too large for this
+ * value is stored in chunks, to which the record refers ({@link CompletionBitmapChunks}).
  *
- * @param stage {@link #DONE}, or what the job does in the users' words
- * @param readyWallMicros when the last dependency was done, time of day; 0 for a job without dependencies
+ * @param stage the stage of the job as reported to users, {@link #DONE} if all tasks are done
+ * @param readyWallMicros wall-clock time at which the last dependency was done; 0 for a job without dependencies
  */
 public record RunRecord(
         int tasks,
@@ -15,7 +15,7 @@
         RetryState retry,
         BitmapReference bitmap,
         long readyWallMicros) {
-    /** The prefix of all records. */
+    /** Key prefix of all run records. */
     public static final String PREFIX = "run/";
     /** The stage of a job whose tasks are all done. */
     public static final String DONE = "done";
@@ -23,17 +23,17 @@
     static final String RUNNING = "running";
     static final String QUEUED = "queued";
 
-    /** The key of a job's record. */
+    /** Returns the key of a job's run record. */
     public static String key(String uid) {
         return PREFIX + uid;
     }
 
-    /** True if the whole job is done. */
+    /** True if all tasks of the job are done. */
     public boolean isDone() {
         return DONE.equals(stage);
     }
 
-    /** Why the job waits for its next attempt, or null if its last attempt has not failed. */
+    /** The reason of the last failed attempt, or null if the last attempt has not failed. */
     public String reason() {
         return retry.reason();
     }
--- a/src/main/java/io/sillreel/pipeline/RunRecordCodec.java
+++ b/src/main/java/io/sillreel/pipeline/RunRecordCodec.java
@@ -21,7 +21,7 @@
 
     private RunRecordCodec() {}
 
-    /** Returns the form that is stored; fields without meaning for the job are left out. */
+    /** Returns the stored form; fields that do not apply to the job are omitted. */
     public static ObjectNode encode(RunRecord record) {
         ObjectNode node = Json.object()
                 .put(TASKS, record.tasks())
@@ -52,7 +52,7 @@
         return node;
     }
 
-    /** Reads a stored record; absent fields have the meaning that they had before the field was introduced. */
+    /** Decodes a stored record; an absent field is read as records written before its introduction require. */
     public static RunRecord decode(JsonNode node) {
         RetryState retry = new RetryState(
                 node.path(FAILED_ATTEMPTS).asInt(),
@@ -82,7 +82,7 @@
         return node.hasNonNull(field) ? node.path(field).asText() : null;
     }
 
-    /** True if a stored record says that the job is done; cheaper than to decode all of it. */
+    /** True if a stored record marks the job as done; does not decode the rest of the record. */
     public static boolean isDone(JsonNode node) {
         return node.path(STAGE).asText().equals(RunRecord.DONE);
     }
--- a/src/main/java/io/sillreel/pipeline/RunRecordWrite.java
+++ b/src/main/java/io/sillreel/pipeline/RunRecordWrite.java
@@ -7,8 +7,8 @@
 import java.util.Optional;
 
 /**
- * The write of a job's {@link RunRecord}. It stores what the job has come to by the time it is sent, so one write is
- * enough for all changes that are queued before. The first one releases the job; it fails if the job is cancelled.
+ * The write of a job's {@link RunRecord}. It stores the state of the job at the time when it is sent, so one write
+ * covers all changes made before. The first write releases the job; writes fail if the job is cancelled.
  */
 public final class RunRecordWrite implements PendingWrite {
     private final ActiveJob job;
@@ -27,19 +27,19 @@
         this.listener = listener;
     }
 
-    /** Takes over the record that an earlier leader stored. */
+    /** Restores the state of the record that an earlier leader stored. */
     void inherit(long storedRevision, RunRecord record) {
         revision = storedRevision;
         isReleased = true;
         sentFailedAttempts = record.retry().failedAttempts();
     }
 
-    /** True once a record of the job is stored. */
+    /** True once any record of the job is stored. */
     boolean isReleased() {
         return isReleased;
     }
 
-    /** True once a record is stored that says that the job is done. */
+    /** True once a record that marks the job as done is stored. */
     boolean isCompletionStored() {
         return isCompletionStored;
     }
--- a/src/main/java/io/sillreel/pipeline/StoredChunks.java
+++ b/src/main/java/io/sillreel/pipeline/StoredChunks.java
@@ -8,15 +8,15 @@
 import java.util.Map;
 
 /**
- * The chunks that are stored beside a job's record when a term begins. The first version stored them under
- * {@code run/UID/INDEX}, in the same transaction as the record and without generations; these are still read.
+ * The completion bitmap chunks of a job that are stored when a term begins. The first version stored them under
+ * {@code run/UID/INDEX}, in the same transaction as the record and without generations; that format is still read.
  *
  * @param values the encoded bitmaps by key
  * @param revisions the revisions of the same keys
- * @param firstVersionTasksPerChunk how many tasks the first version put into one chunk
+ * @param firstVersionTasksPerChunk the number of tasks per chunk in the format of the first version
  */
 public record StoredChunks(Map<String, String> values, Map<String, Long> revisions, int firstVersionTasksPerChunk) {
-    /** Nothing is stored beside the record. */
+    /** A job without stored chunks. */
     public static final StoredChunks NONE = new StoredChunks(Map.of(), Map.of(), 0);
 
     /** Adds a stored chunk. */
@@ -25,7 +25,7 @@
         revisions.put(entry.key(), entry.revision());
     }
 
-    /** Returns the tasks that are done by a record and the chunks that it refers to. */
+    /** Returns the tasks that are done according to a record and the chunks to which it refers. */
     BitSet completedTasks(String uid, BitmapReference reference) {
         BitSet completed = CompletionBitmapCodec.decode(reference.inline());
         if (reference.isChunked()) {
@@ -48,7 +48,7 @@
         CompletionBitmapCodec.decode(encoded).stream().forEach(bit -> completed.set(firstTask + bit));
     }
 
-    /** Returns the writes that remove all of the chunks. */
+    /** Returns the writes that remove all of these chunks. */
     public List<PendingWrite> removals() {
         List<PendingWrite> removals = new ArrayList<>();
         revisions.forEach((key, revision) -> removals.add(new KeyRemoval(key, revision)));
--- a/src/main/java/io/sillreel/pipeline/StoredCompletionBitmap.java
+++ b/src/main/java/io/sillreel/pipeline/StoredCompletionBitmap.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Which tasks of a job are done, and which of those the state store knows of. A bitmap that is small enough is stored
- * in the job's record; a larger one is stored in chunks ({@link CompletionBitmapChunks}) to which the record refers.
+ * Tracks which tasks of a job are done and for which of them the completion is stored. A small bitmap is stored in the
+ * job's record; a larger one is stored in chunks ({@link CompletionBitmapChunks}) to which the record refers.
  */
 final class StoredCompletionBitmap {
     private final String uid;
@@ -16,9 +16,9 @@
     /** Null if the bitmap fits into the record under all limits. */
     private final CompletionBitmapChunks chunks;
     /**
-     * False while the bitmap is written into the record though it will not fit there under the announced limits. The
-     * previous version reads no chunks; it would start tasks again that are done. Once the state store refuses the
-     * record for its size, the announced limits are in force, which they are only after the upgrade.
+     * False while the bitmap is written into the record although it will not fit under the announced limits. The
+     * previous version does not read chunks and would run completed tasks again. The announced limits come into force
+     * only after the upgrade, which shows in the state service rejecting the record for its size.
      */
     private boolean usesChunks;
 
@@ -27,10 +27,10 @@
     private final BitSet sent = new BitSet();
     private int count;
     private long[] sentGenerations = {};
-    /** Removals of chunks that only another version writes; made once this version's record is stored. */
+    /** Removals of chunks written by another version; sent once a record of this version is stored. */
     private final List<PendingWrite> obsoleteChunks = new ArrayList<>();
 
-    /** @param onChunksStored run when all chunks to which the next record is to refer are stored */
+    /** @param onChunksStored run when all chunks to which the next record will refer are stored */
     StoredCompletionBitmap(String uid, int tasks, ValueLimits limits, Runnable onChunksStored) {
         this.uid = uid;
         this.tasks = tasks;
@@ -40,7 +40,7 @@
         this.usesChunks = tasks > CompletionBitmapCodec.tasksPerChunk(limits.presentBytes());
     }
 
-    /** Takes over what is stored. */
+    /** Restores the stored bitmap. */
     void inherit(BitmapReference reference, StoredChunks storedChunks) {
         done.or(storedChunks.completedTasks(uid, reference));
         stored.or(done);
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Adds the task; true if it is one of the job's and was not done before. */
+    /** Marks a task as done; returns false if the job has no such task or it was already done. */
     boolean add(int task) {
         if (task < 0 || task >= tasks || done.get(task)) {
             return false;
@@ -70,12 +70,12 @@
         return done.get(task);
     }
 
-    /** True once a record is stored that says that the task is done. */
+    /** True once a record that marks the task as done is stored. */
     boolean isStored(int task) {
         return stored.get(task);
     }
 
-    /** How many tasks are done. */
+    /** The number of tasks that are done. */
     int count() {
         return count;
     }
@@ -85,17 +85,19 @@
         return count == tasks;
     }
 
-    /** Adds all tasks that are done to another set. */
+    /** Adds all tasks that are done to the given set. */
     void addDoneTasksTo(BitSet other) {
         other.or(done);
     }
 
-    /** Chunks that have to be stored before the record. */
+    /** Returns the writes of chunks that have to be stored before the record. */
     List<PendingWrite> prerequisites() {
         return writesChunks() ? chunks.pendingWrites(done) : List.of();
     }
 
-    /** Returns what the record that is written now says of the bitmap, and remembers it for {@link #recordStored}. */
+    /**
+     * Returns the bitmap reference for the record that is written now, and keeps its state for {@link #recordStored}.
+     */
     BitmapReference beginRecordWrite() {
         sent.clear();
         if (writesChunks()) {
@@ -109,10 +111,10 @@
     }
 
     /**
-     * The record last written is stored.
+     * Marks the last written record as stored.
      *
-     * @param isCompletionStored true if a record is stored that says that the whole job is done
-     * @return removals of the chunks to which no record refers any more
+     * @param isCompletionStored true if a record that marks the whole job as done is stored
+     * @return removals of chunks that are no longer referenced
      */
     List<PendingWrite> recordStored(boolean isCompletionStored) {
         stored.or(sent);
@@ -126,14 +128,14 @@
         return removals;
     }
 
-    /** The record was refused for its size; true if the bitmap can be stored in chunks instead. */
+    /** Handles the rejection of a record for its size; returns true if the bitmap is stored in chunks from now on. */
     boolean moveToChunks() {
         boolean isMovable = chunks != null && !usesChunks;
         usesChunks |= isMovable;
         return isMovable;
     }
 
-    /** Removals of everything that is stored beside the record. */
+    /** Returns the removals of all chunks. */
     List<PendingWrite> removalsOfChunks() {
         return chunks == null ? List.copyOf(obsoleteChunks) : chunks.removeAll();
     }
--- a/src/main/java/io/sillreel/pipeline/TaskOccupancy.java
+++ b/src/main/java/io/sillreel/pipeline/TaskOccupancy.java
@@ -4,12 +4,13 @@
 import org.agrona.collections.Int2IntCounterMap;
 
 /**
- * Which tasks of a job need no machine, since they are done or have an allocation. The counts are kept up to date with
- * the sets, since each heartbeat and each planning cycle asks for them. Guarded by the lock of the cluster.
+ * Tracks the occupied tasks of a job, that is, those that need no machine because they are done or have an allocation.
+ * Counters are maintained along with the sets, since every heartbeat and every planning cycle reads them. Guarded by
+ * the cluster lock.
  */
 final class TaskOccupancy {
     private final int tasks;
-    /** Allocations by task; a task may have two for a short time after a failover. */
+    /** Number of allocations by task; a task may have two for a short time after a failover. */
     private final Int2IntCounterMap allocations = new Int2IntCounterMap(0);
 
     private final BitSet allocated = new BitSet();
@@ -24,7 +25,7 @@
         this.tasks = tasks;
     }
 
-    /** Takes over the tasks that are done according to the stored record. */
+    /** Restores the tasks that are done according to the stored record. */
     void inherit(StoredCompletionBitmap done) {
         done.addDoneTasksTo(occupied);
         occupiedCount = done.count();
@@ -54,7 +55,7 @@
     /**
      * Removes an allocation of the task.
      *
-     * @param isDone true if the task is done: it stays occupied without an allocation
+     * @param isDone true if the task is done, in which case it stays occupied
      */
     void deallocate(int task, boolean isDone) {
         if (allocations.decrementAndGet(task) > 0) {
@@ -79,7 +80,7 @@
         return allocatedCount;
     }
 
-    /** The first task that is neither done nor allocated, or -1. */
+    /** The lowest index of a task that is neither done nor allocated, or -1. */
     int nextWaitingTask() {
         int task = occupied.nextClearBit(0);
         return task < tasks ? task : -1;
--- a/src/main/java/io/sillreel/pipeline/TaskRuntimes.java
+++ b/src/main/java/io/sillreel/pipeline/TaskRuntimes.java
@@ -1,6 +1,6 @@
 package io.sillreel.pipeline;
 
-/** How long the tasks of a job ran that ended in this term. Guarded by the lock of the cluster. */
+/** Run time statistics of the tasks of a job that ended in this term. Guarded by the cluster lock. */
 public final class TaskRuntimes {
     private int count;
     private long totalMicros;
@@ -13,7 +13,7 @@
         maxMicros = Math.max(maxMicros, micros);
     }
 
-    /** How many tasks have been measured. */
+    /** The number of run times added. */
     public int count() {
         return count;
     }
@@ -23,7 +23,7 @@
         return totalMicros;
     }
 
-    /** The longest run time; 0 if none has been measured. */
+    /** The longest run time; 0 if none has been added. */
     public long maxMicros() {
         return maxMicros;
     }
--- a/src/main/java/io/sillreel/pipeline/TaskSpec.java
+++ b/src/main/java/io/sillreel/pipeline/TaskSpec.java
@@ -1,11 +1,11 @@
 package io.sillreel.pipeline;
 
 /**
- * What one task of a job array needs; all tasks of a job need the same.
+ * The resource requirements of one task of a job array; they are the same for all tasks of a job.
  *
- * @param cpus processors that the task occupies
- * @param gpus accelerators that the task occupies
- * @param ramGb memory that the task occupies, in gigabytes
+ * @param cpus CPUs required by the task
+ * @param gpus GPUs required by the task
+ * @param ramGb memory required by the task, in gigabytes
  * @param image name of the container image
  * @param imageGb size of the image in gigabytes
  * @param estimatedMicros the user's estimate of the run time of one task
--- a/src/main/java/io/sillreel/statestore/AbstractPendingWrite.java
+++ b/src/main/java/io/sillreel/statestore/AbstractPendingWrite.java
@@ -1,6 +1,6 @@
 package io.sillreel.statestore;
 
-/** Base of a pending write that tracks the revision of its key. Used on the event loop only. */
+/** Base class of pending writes that tracks the revision of the key. Used on the event loop only. */
 public abstract class AbstractPendingWrite implements PendingWrite {
     private final String key;
     private long revision;
--- a/src/main/java/io/sillreel/statestore/KeyChange.java
+++ b/src/main/java/io/sillreel/statestore/KeyChange.java
@@ -3,12 +3,12 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.sillreel.http.Json;
 
-/** What a write does to its key: it stores a value, removes the key, or does nothing. Immutable. */
+/** The effect of a write on its key: a put, a removal, or no change. Immutable. */
 public final class KeyChange {
-    /** Nothing is written. */
+    /** No change; nothing is written. */
     public static final KeyChange NONE = new KeyChange(null);
 
-    /** The key is removed. */
+    /** Removes the key. */
     public static final KeyChange REMOVAL = new KeyChange(null);
 
     private final JsonNode value;
@@ -17,7 +17,7 @@
         this.value = value;
     }
 
-    /** The value is stored under the key. */
+    /** Returns the change that stores a value under the key. */
     public static KeyChange put(JsonNode value) {
         return new KeyChange(value);
     }
@@ -32,12 +32,12 @@
         return this == NONE;
     }
 
-    /** The size of the value as JSON in bytes, 0 without a value. */
+    /** The size of the value's JSON in bytes, 0 without a value. */
     int bytes() {
         return value == null ? 0 : Json.bytes(value).length;
     }
 
-    /** Adds the change of the key to a transaction; not called for {@link #NONE}. */
+    /** Adds this change of the key to a transaction; must not be called on {@link #NONE}. */
     void addTo(Transaction transaction, String key) {
         if (value == null) {
             transaction.remove(key);
--- a/src/main/java/io/sillreel/statestore/PendingWrite.java
+++ b/src/main/java/io/sillreel/statestore/PendingWrite.java
@@ -5,7 +5,8 @@
 
 /**
  * A change of one key that waits in a {@link WriteQueue}. The write is a compare-and-swap: it succeeds only if the key
- * still has the expected {@link #revision}. All methods are called on the event loop, partly under the queue's lock.
+ * still has the expected {@link #revision}. All methods are called on the event loop, some of them under the queue's
+ * lock.
  */
 public interface PendingWrite {
     /** The key that is written. */
@@ -15,41 +16,41 @@
     long revision();
 
     /**
-     * The change to make. Called when the write is sent, so that it includes everything that changed since the write
-     * was queued; the implementation notes what it has sent for {@link #onStored}.
+     * Returns the change to make. Called when the write is sent, so that it covers all state changed since the write
+     * was queued. Implementations keep what they return here until {@link #onStored} confirms it.
      */
     KeyChange change();
 
     /**
-     * Writes that have to be stored before this one. If there are any, they are queued instead of this one, and the
-     * last of them to be stored has to queue this one again.
+     * Returns the writes that have to be stored before this one. If there are any, they are queued instead of this one,
+     * and the last of them to be stored has to queue this one again.
      */
     default List<PendingWrite> prerequisites() {
         return List.of();
     }
 
-    /** The urgency of the change that would be written now. */
+    /** Returns the urgency of the change that would be written now. */
     default WriteUrgency urgency() {
         return WriteUrgency.JOB_START;
     }
 
-    /** Another key that must not exist for the write to succeed, if there is one. */
+    /** Returns another key that must not exist for the write to succeed, if there is one. */
     default Optional<String> requiredAbsentKey() {
         return Optional.empty();
     }
 
-    /** Called when the last change is stored; the key now has the given revision. */
+    /** Called when the last returned change is stored; the key now has the given revision. */
     void onStored(long revision);
 
-    /** Called when the key has another revision than expected; the write is sent again with that revision. */
+    /** Called when the key has a revision other than the expected one; the write is retried with that revision. */
     void onConflict(long revision);
 
     /**
-     * Called when the state service refuses the write for its size even in a transaction of its own. It is not sent
-     * again unless it is queued again, with a smaller change.
+     * Called when the state service rejects the write for its size even in a transaction of its own. The write is not
+     * retried; it may be queued again with a smaller change.
      */
     default void onTooLarge() {}
 
-    /** Called when the {@link #requiredAbsentKey} exists; the write is not sent again. */
+    /** Called when the {@link #requiredAbsentKey} exists; the write is not retried. */
     default void onPreconditionFailed() {}
 }
--- a/src/main/java/io/sillreel/statestore/PrefixScan.java
+++ b/src/main/java/io/sillreel/statestore/PrefixScan.java
@@ -8,16 +8,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/**
- * Reads the entries under a prefix one page after the other. Only one page is requested at a time, so the fields need
- * no lock.
- */
+/** Reads the entries under a prefix page by page. Only one page is requested at a time, so the fields need no lock. */
 final class PrefixScan {
     private static final Logger LOG = LoggerFactory.getLogger(PrefixScan.class);
     private static final long PAGE_TIMEOUT_MICROS = 1_500_000;
-    /** A page is processed in one task of the event loop, and lease renewal has to wait for its end. */
+    /** Limits the time of one event loop task: a page is processed in one task, which delays lease renewal. */
     private static final int PAGE_SIZE = 200;
-    /** Delay until a page is requested again if the request rate did not allow it. */
+    /** Delay before a page that the request rate did not allow is requested again. */
     private static final long RATE_LIMITED_DELAY_MICROS = 20_000;
 
     private static final long RETRY_DELAY_MICROS = 300_000;
@@ -34,7 +31,7 @@
     private long firstPageRevision = UNKNOWN_REVISION;
     private int failures;
 
-    /** @param retries whether a page that was refused or lost is requested again */
+    /** @param retries whether a page that was refused or got no response is requested again */
     PrefixScan(
             StateStoreTransport transport, EventLoop eventLoop, String prefix, boolean retries, PageConsumer consumer) {
         this.transport = transport;
@@ -81,8 +78,8 @@
         List<StoredEntry> entries = StateStoreCodec.entries(body);
         failures = 0;
         if (firstPageRevision == UNKNOWN_REVISION) {
-            // Keys of an earlier page may change while later pages are read. A watch from the first page's revision
-            // reports those changes.
+            // Keys of an earlier page may change while later pages are read. A watch from the revision of the first
+            // page reports those changes.
             firstPageRevision = StateStoreCodec.storeRevision(body);
         }
         boolean hasMore = StateStoreCodec.isTruncated(body) && !entries.isEmpty();
@@ -98,12 +95,12 @@
         });
     }
 
-    /** A consumer that fails ends the scan, so that the caller's future completes. */
+    /** An exception thrown by the consumer ends the scan, so that the caller's future completes. */
     private CompletableFuture<Boolean> passToConsumer(List<StoredEntry> entries) {
         try {
             return consumer.accept(entries);
         } catch (RuntimeException e) {
-            LOG.error("a page of the keys under {} could not be processed", prefix, e);
+            LOG.error("failed to process a page of the keys under {}", prefix, e);
             return CompletableFuture.completedFuture(false);
         }
     }
--- a/src/main/java/io/sillreel/statestore/ReadResult.java
+++ b/src/main/java/io/sillreel/statestore/ReadResult.java
@@ -13,7 +13,7 @@
         return entry.isEmpty() ? 0 : entry.get().revision();
     }
 
-    /** True if the read established that the key exists or that it does not. */
+    /** True if the read established whether the key exists. */
     public boolean isConclusive() {
         return outcome == StoreOutcome.OK || outcome == StoreOutcome.NOT_FOUND;
     }
--- a/src/main/java/io/sillreel/statestore/StateStore.java
+++ b/src/main/java/io/sillreel/statestore/StateStore.java
@@ -11,14 +11,14 @@
 
 /**
  * Client of the state service, limited to this controller's share of the request and write rates. The futures never
- * complete with an exception: the {@link StoreOutcome} of a result tells how the request ended. Thread-safe; futures
- * complete on the event loop, or at once if the rate does not allow the request.
+ * complete exceptionally; the {@link StoreOutcome} of a result indicates success or failure. Thread-safe; futures
+ * complete on the event loop, or immediately if the rate does not allow the request.
  */
 public final class StateStore {
     private static final long TIMEOUT_MICROS = 1_500_000;
-    /** Shorter, since a comparison may be repeated without harm and users give up polling after two seconds. */
+    /** Shorter, since a compare-only transaction is safe to retry and users' polls time out after two seconds. */
     private static final long COMPARE_TIMEOUT_MICROS = 700_000;
-    /** How much longer than the service itself the client waits for the end of a watch. */
+    /** Time beyond the service's own block time that the client waits for the response to a watch. */
     private static final long WATCH_SLACK_MICROS = 2_500_000;
 
     private final StateStoreTransport transport;
@@ -27,8 +27,8 @@
     private final RateLimiter writeLimiter;
 
     /**
-     * @param leaseHttpClient sends lease requests on connections of its own: under load, a renewal that waited for a
-     *     connection shared with users' requests took longer than the lease lasts
+     * @param leaseHttpClient sends lease requests on dedicated connections: under load, a renewal that waited for a
+     *     connection shared with user requests took longer than the lease lasts
      * @param requestLimiter this controller's share of the request rate
      * @param writeLimiter this controller's share of the write rate, counted in changed keys
      */
@@ -46,26 +46,27 @@
     }
 
     /**
-     * When the service last carried out or decided a request, by the event loop's clock; very small if it never has.
+     * The time on the event loop's clock of the last response that shows that the service itself processed a request;
+     * {@link Long#MIN_VALUE} if there was none.
      */
     public long lastConclusiveResponseMicros() {
         return transport.lastConclusiveResponseMicros();
     }
 
     /**
-     * True while consecutive requests get no response. Requests that depend on the store are then better refused at
-     * once than kept waiting for a timeout.
+     * True while consecutive requests get no response. Requests that depend on the store should then be refused
+     * immediately instead of waiting for a timeout.
      */
     public boolean isUnresponsive() {
         return transport.isUnresponsive();
     }
 
-    /** How many keys may be changed now within this controller's share of the write rate. */
+    /** The number of keys that may be changed now within this controller's share of the write rate. */
     public double availableWrites() {
         return writeLimiter.availableTokens();
     }
 
-    /** How many keys may be changed at once after a pause. */
+    /** The maximum number of keys that may be changed in one burst. */
     public double maxWriteBurst() {
         return writeLimiter.burst();
     }
@@ -83,8 +84,8 @@
     }
 
     /**
-     * Lists the entries under a prefix that has few. A page that is refused or lost is not requested again: the caller,
-     * such as the leader election, has to learn at once that the entries are unknown.
+     * Lists the entries under a prefix with few entries. A page that is refused or gets no response is not retried,
+     * since callers such as the leader election have to learn immediately that the entries are unknown.
      */
     public CompletableFuture<ListResult> list(String prefix) {
         List<StoredEntry> entries = new ArrayList<>();
@@ -100,15 +101,15 @@
 
     /**
      * Reads all entries under a prefix and passes them on page by page, so that they are never all in memory. The pages
-     * are not a snapshot: later ones may be newer. Pages are requested within the rate; a page that is refused or lost
-     * is requested again by itself, since a scan with more pages than the rate allows at once would never end if it
-     * started anew.
+     * do not form a snapshot: later pages may be newer. Pages are requested within the request rate. A page that is
+     * refused or gets no response is retried individually: a scan that restarted from the beginning would never
+     * complete if it had more pages than the rate allows in one burst.
      */
     public CompletableFuture<ScanResult> scan(String prefix, PageConsumer consumer) {
         return new PrefixScan(transport, eventLoop, prefix, true, consumer).start();
     }
 
-    /** Sends a transaction, or completes as refused at once if the rates do not allow it. */
+    /** Sends a transaction, or completes with {@link StoreOutcome#REFUSED} if the rates do not allow it. */
     public CompletableFuture<CommitResult> commit(Transaction transaction) {
         boolean hasChanges = transaction.changeCount() > 0;
         if (!transport.tryAcquireRequest() || hasChanges && !writeLimiter.tryAcquire(transaction.changeCount())) {
@@ -123,19 +124,19 @@
                         response -> StateStoreCodec.commitResult(transport.recordOutcome(response), response.json()));
     }
 
-    /** Requests a lease; sent even if the request rate is used up. */
+    /** Requests a lease; sent even if the request rate is exhausted. */
     public CompletableFuture<LeaseGrant> grantLease(long lifeMicros) {
         return transport
                 .sendLeaseRequest(StateStoreCodec.grantRequest(lifeMicros))
                 .thenApply(response -> StateStoreCodec.leaseGrant(transport.recordOutcome(response), response.json()));
     }
 
-    /** Renews a lease for its full life; sent even if the request rate is used up. */
+    /** Renews a lease for its full duration; sent even if the request rate is exhausted. */
     public CompletableFuture<StoreOutcome> renewLease(long leaseId) {
         return transport.sendLeaseRequest(StateStoreCodec.renewRequest(leaseId)).thenApply(transport::recordOutcome);
     }
 
-    /** Ends a lease, which removes the keys that were stored with it. */
+    /** Revokes a lease, which removes the keys attached to it. */
     public CompletableFuture<StoreOutcome> revokeLease(long leaseId) {
         return transport
                 .send(StateStoreCodec.revokeRequest(leaseId), TIMEOUT_MICROS)
@@ -156,7 +157,7 @@
                 .thenApply(response -> StateStoreCodec.watchResult(watchOutcome(response), response.json()));
     }
 
-    /** A watch whose events are too large for one response can only go on after the keys have been read in pages. */
+    /** A watch whose events are too large for one response can only be resumed after reading the keys in pages. */
     private StoreOutcome watchOutcome(HttpResponse response) {
         return response.status() == HttpResponse.RESPONSE_TOO_LARGE
                 ? StoreOutcome.COMPACTED
--- a/src/main/java/io/sillreel/statestore/StateStoreCodec.java
+++ b/src/main/java/io/sillreel/statestore/StateStoreCodec.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The wire format of the state service: its paths, field names and status codes. */
+/** The wire format of the state service: paths, field names and status codes. */
 final class StateStoreCodec {
     static final int TOO_MANY_REQUESTS = 429;
 
@@ -19,7 +19,7 @@
         return HttpRequest.get("/kv/" + key);
     }
 
-    /** @param afterKey the key after which the page begins, empty for the first page */
+    /** @param afterKey the last key of the previous page, empty for the first page */
     static HttpRequest pageRequest(String prefix, String afterKey, int limit) {
         String after = afterKey.isEmpty() ? "" : "&since=" + afterKey;
         return HttpRequest.get("/kv?prefix=" + prefix + after + "&limit=" + limit);
@@ -88,7 +88,7 @@
         };
     }
 
-    /** True if the status shows that the service itself carried the request out or decided it. */
+    /** True if the status shows that the service itself executed or decided the request. */
     static boolean isConclusive(HttpResponse response) {
         return switch (response.status()) {
             case 200, 404, 409, 410 -> true;
@@ -109,7 +109,7 @@
         return entries;
     }
 
-    /** True if the page ends before the last entry under the prefix. */
+    /** True if further entries under the prefix follow the page. */
     static boolean isTruncated(JsonNode body) {
         return body.path("truncated").asBoolean();
     }
--- a/src/main/java/io/sillreel/statestore/StateStoreTransport.java
+++ b/src/main/java/io/sillreel/statestore/StateStoreTransport.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Sends requests to the state service within this controller's share of the request rate and keeps track of whether the
- * service responds. Thread-safe.
+ * Sends requests to the state service within this controller's share of the request rate and tracks whether the service
+ * responds. Thread-safe.
  */
 final class StateStoreTransport {
     private static final long LEASE_TIMEOUT_MICROS = 1_500_000;
@@ -46,12 +46,12 @@
         return consecutiveFailures >= UNRESPONSIVE_AFTER_FAILURES;
     }
 
-    /** Takes one request from the rate; false if none is left now. */
+    /** Acquires one request from the rate limiter; returns false if none is available now. */
     boolean tryAcquireRequest() {
         return requestLimiter.tryAcquire(1);
     }
 
-    /** Sends a request if the rate allows it, else completes with status 429 at once. */
+    /** Sends a request if the rate allows it, otherwise completes immediately with status 429. */
     CompletableFuture<HttpResponse> send(HttpRequest request, long timeoutMicros) {
         if (!tryAcquireRequest()) {
             return CompletableFuture.completedFuture(
@@ -68,7 +68,7 @@
     /**
      * Sends a request that {@link #tryAcquireRequest} has been called for.
      *
-     * @param exceededLimiter the limiter whose rate is lowered if the service responds that a rate is exceeded
+     * @param exceededLimiter the limiter whose rate is lowered if the service responds with status 429
      */
     CompletableFuture<HttpResponse> sendAcquired(HttpRequest request, long timeoutMicros, RateLimiter exceededLimiter) {
         return httpClient.send(address, request, timeoutMicros).thenApply(response -> {
@@ -79,13 +79,13 @@
         });
     }
 
-    /** Sends a request that keeps a lease alive, which must not wait for the rate or for a connection in use. */
+    /** Sends a lease request, which must not wait for the rate limiter or for a busy connection. */
     CompletableFuture<HttpResponse> sendLeaseRequest(HttpRequest request) {
         requestLimiter.acquireUnconditionally(1);
         return leaseHttpClient.send(address, request, LEASE_TIMEOUT_MICROS);
     }
 
-    /** Records whether the service responded and returns the outcome that the response stands for. */
+    /** Records whether the service responded and returns the outcome that the response represents. */
     StoreOutcome recordOutcome(HttpResponse response) {
         synchronized (this) {
             consecutiveFailures = response.status() > 0 ? 0 : consecutiveFailures + 1;
--- a/src/main/java/io/sillreel/statestore/StoreOutcome.java
+++ b/src/main/java/io/sillreel/statestore/StoreOutcome.java
@@ -1,21 +1,21 @@
 package io.sillreel.statestore;
 
-/** How a request to the state service ended. */
+/** The outcome of a request to the state service. */
 public enum StoreOutcome {
-    /** The request was carried out. */
+    /** The request was executed. */
     OK,
     /** The key does not exist. */
     NOT_FOUND,
-    /** A transaction was not carried out, since one of its conditions did not hold. */
+    /** The transaction was not executed because one of its conditions did not hold. */
     CONFLICT,
-    /** The request was certainly not executed, because of a rate limit or an outage; it may be sent again. */
+    /** The request was definitely not executed, because of a rate limit or an outage; it may be retried. */
     REFUSED,
-    /** The request was not executed because of its size, and never will be unless it becomes smaller. */
+    /** The request was rejected because of its size; a retry can succeed only with a smaller one. */
     TOO_LARGE,
     /** The lease does not exist or has expired. */
     NO_SUCH_LEASE,
-    /** The service no longer has the changes since the given revision; the keys have to be read again. */
+    /** The service no longer holds the changes since the given revision; the keys have to be read again. */
     COMPACTED,
-    /** No response came: the request may have been executed, or may still be. Read before deciding. */
+    /** No response was received; the request may have been executed or may still be. Read the keys before retrying. */
     UNKNOWN
 }
--- a/src/main/java/io/sillreel/statestore/StoredEntry.java
+++ b/src/main/java/io/sillreel/statestore/StoredEntry.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * A key with its value.
+ * A key with its value and revision.
  *
  * @param revision the revision of the store at which the key was last changed
  */
--- a/src/main/java/io/sillreel/statestore/Transaction.java
+++ b/src/main/java/io/sillreel/statestore/Transaction.java
@@ -5,17 +5,17 @@
 import io.sillreel.http.Json;
 
 /**
- * A compare-and-swap over several keys: all changes are made, or none if one of the conditions does not hold. A
- * transaction without changes compares only. Not thread-safe.
+ * A compare-and-swap over several keys: either all changes are made, or none if one of the conditions does not hold. A
+ * transaction without changes only checks its conditions. Not thread-safe.
  */
 public final class Transaction {
     private final ArrayNode conditions = Json.array();
     private final ArrayNode changes = Json.array();
 
     /**
-     * Adds the condition that the key has the revision.
+     * Adds the condition that the key has the given revision.
      *
-     * @param revision the revision expected, 0 if the key must not exist
+     * @param revision the expected revision, 0 if the key must not exist
      */
     public Transaction requireRevision(String key, long revision) {
         conditions.add(StateStoreCodec.condition(key, revision));
--- a/src/main/java/io/sillreel/statestore/WatchEvent.java
+++ b/src/main/java/io/sillreel/statestore/WatchEvent.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * A change of one key that a watch has seen.
+ * A change of one key, as reported by a watch.
  *
  * @param value the new value, or null if the key was removed
  * @param revision the revision of the store at which the key was changed
--- a/src/main/java/io/sillreel/statestore/WriteBacklog.java
+++ b/src/main/java/io/sillreel/statestore/WriteBacklog.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The writes that wait in a {@link WriteQueue}, at most one for each key. Guarded by the queue. */
+/** The pending writes of a {@link WriteQueue}, at most one for each key. Guarded by the queue's lock. */
 final class WriteBacklog {
-    /** How long progress waits so that more of it is written at once. */
+    /** How long {@link WriteUrgency#PROGRESS} writes are held back so that more of them share a transaction. */
     private static final long PROGRESS_BATCHING_DELAY_MICROS = 2_000_000;
 
     private static final int URGENCY_COUNT = WriteUrgency.values().length;
@@ -19,7 +19,7 @@
     private final Map<String, Long> queuedAtMicros = new HashMap<>();
     private final Set<String> exclusiveKeys = new HashSet<>();
 
-    /** Adds a write unless one of the same key waits already. */
+    /** Adds a write unless a write of the same key is already pending. */
     void add(PendingWrite write, long nowMicros) {
         if (writes.putIfAbsent(write.key(), write) == null) {
             queuedAtMicros.putIfAbsent(write.key(), nowMicros);
@@ -36,7 +36,7 @@
         queuedAtMicros.clear();
     }
 
-    /** Decides whether the key has to be written in a transaction of its own. */
+    /** Sets whether the key has to be written in a transaction of its own. */
     void setExclusive(PendingWrite write, boolean exclusive) {
         if (exclusive) {
             exclusiveKeys.add(write.key());
@@ -65,7 +65,7 @@
         return count;
     }
 
-    /** The writes that may be sent now, the most urgent first and among equals in the order of their arrival. */
+    /** Returns the writes that may be sent now, most urgent first and in arrival order within an urgency. */
     List<PendingWrite> dueByUrgency(long nowMicros) {
         List<List<PendingWrite>> byUrgency = new ArrayList<>();
         for (int i = 0; i < URGENCY_COUNT; i++) {
--- a/src/main/java/io/sillreel/statestore/WriteBatch.java
+++ b/src/main/java/io/sillreel/statestore/WriteBatch.java
@@ -5,12 +5,12 @@
 import java.util.Optional;
 
 /**
- * Writes that are sent in one transaction, which succeeds only if each key and the leader key have their expected
+ * Writes that are sent in one transaction, which succeeds only if all their keys and the leader key have the expected
  * revisions.
  */
 final class WriteBatch {
     private static final int MAX_BYTES = 48 * 1024;
-    /** Estimated size of a change without its value: the key, its conditions and the field names. */
+    /** Estimated size of a change excluding its value: the key, its conditions and the field names. */
     private static final int CHANGE_OVERHEAD_BYTES = 300;
 
     private final List<PendingWrite> writes = new ArrayList<>();
@@ -31,10 +31,10 @@
     }
 
     /**
-     * Adds a write unless there is no room for it. The first write is added whatever its size.
+     * Adds a write if there is room for it. The first write is added regardless of its size.
      *
-     * @param exclusive true if the write must not share its transaction with another
-     * @param maxChanges how many changes the transaction may have, this one included
+     * @param exclusive true if the write must not share its transaction with another one
+     * @param maxChanges the maximum number of changes in the transaction, including this one
      * @return whether the write was added
      */
     boolean tryAdd(PendingWrite write, KeyChange change, boolean exclusive, double maxChanges) {
--- a/src/main/java/io/sillreel/statestore/WriteQueue.java
+++ b/src/main/java/io/sillreel/statestore/WriteQueue.java
@@ -9,25 +9,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the leader's state to the store, in one transaction at a time. Each transaction requires the revision of the
- * leader key, so that a former leader's late transaction fails, and the known revision of each changed key, so that an
- * own transaction whose response was lost cannot undo a later one. Thread-safe; all state is guarded by this.
+ * Writes the leader's state to the store, one transaction at a time. Each transaction requires the revision of the
+ * leader key as a fencing token, so that a delayed transaction of a former leader fails. It also requires the known
+ * revision of each changed key, so that a delayed transaction of this leader whose response was lost cannot undo a
+ * later one. Thread-safe; all state is guarded by this.
  */
 public final class WriteQueue {
     private static final Logger LOG = LoggerFactory.getLogger(WriteQueue.class);
-    /** How long a write waits so that more are sent in the same transaction. */
+    /** How long a write is held back so that more writes share its transaction. */
     private static final long BATCHING_DELAY_MICROS = 5_000;
 
     private static final long RETRY_DELAY_MICROS = 250_000;
-    /** Delay until the next attempt if nothing may be written within the rate. */
+    /** Delay before the next attempt if the write rate allows no write now. */
     private static final long RATE_LIMITED_DELAY_MICROS = 50_000;
 
     private static final long STUCK_AFTER_MICROS = 15_000_000;
-    /** Writes left to cancellations and admissions on this controller, which do not pass through the queue. */
+    /** Writes reserved for cancellations and admissions on this controller, which bypass the queue. */
     private static final double RESERVED_WRITES = 2;
-    /** The largest part of the burst that {@link #RESERVED_WRITES} may take. */
+    /** The maximum fraction of the burst that {@link #RESERVED_WRITES} may take. */
     private static final double MAX_RESERVED_FRACTION = 0.25;
-    /** The part of the burst that progress leaves to more urgent writes. */
+    /** The fraction of the burst that progress writes leave to more urgent ones. */
     private static final double PROGRESS_RESERVED_FRACTION = 0.3;
 
     private final StateStore store;
@@ -42,8 +43,8 @@
     private boolean closed;
 
     /**
-     * @param leaderRevision the revision that the leader key got when this controller became the leader
-     * @param onLeadershipLost called when a write shows that the leader key has changed; nothing is written after it
+     * @param leaderRevision the revision of the leader key when this controller became the leader
+     * @param onLeadershipLost called when a write fails because the leader key has changed; no further write is sent
      */
     public WriteQueue(
             StateStore store,
@@ -60,32 +61,32 @@
         this.onLeadershipLost = onLeadershipLost;
     }
 
-    /** Queues the write unless one of the same key waits already. */
+    /** Queues the write unless a write of the same key is already pending. */
     public synchronized void enqueue(PendingWrite write) {
         add(write);
         scheduleWrite(BATCHING_DELAY_MICROS);
     }
 
-    /** Stops writing and discards what waits; the results of a transaction in progress are not reported. */
+    /** Stops writing and discards all pending writes; the result of a transaction in progress is not reported. */
     public synchronized void close() {
         closed = true;
         backlog.clear();
     }
 
-    /** The number of writes that wait. */
+    /** The number of pending writes. */
     public synchronized int pendingCount() {
         return backlog.size();
     }
 
     /**
-     * The number of waiting writes other than progress. Progress waits on purpose, so that it does not show whether the
-     * store falls behind.
+     * The number of pending writes other than progress. Progress writes are held back on purpose, so their number does
+     * not indicate whether the store falls behind.
      */
     public synchronized int urgentCount() {
         return backlog.countUrgent();
     }
 
-    /** True if one transaction has been in progress for longer than its timeouts allow, which means a defect. */
+    /** True if one transaction has been in progress for longer than its timeouts allow, which indicates a bug. */
     public synchronized boolean isStuck() {
         return writeInProgress && eventLoop.nowMicros() - writeStartedAtMicros > STUCK_AFTER_MICROS;
     }
@@ -128,13 +129,13 @@
         store.commit(batch.transaction()).thenAccept(commit -> handleResult(batch.writes(), commit));
     }
 
-    /** Removes as many due writes as may be sent now from the backlog. */
+    /** Takes as many due writes from the backlog as may be sent now. */
     private WriteBatch takeBatch() {
         WriteBatch batch = new WriteBatch(leaderKey, leaderRevision);
         double burst = store.maxWriteBurst();
         double available = store.availableWrites() - Math.min(RESERVED_WRITES, MAX_RESERVED_FRACTION * burst);
         for (PendingWrite write : backlog.dueByUrgency(eventLoop.nowMicros())) {
-            // Read before change(), by which the write counts its urgent part as sent.
+            // Read before change(), after which the write regards its urgent part as sent.
             boolean isProgress = write.urgency() == WriteUrgency.PROGRESS;
             double allowed = isProgress ? available - PROGRESS_RESERVED_FRACTION * burst : available;
             List<PendingWrite> prerequisites = write.prerequisites();
@@ -167,7 +168,7 @@
             case CONFLICT -> handleConflict(writes, commit.failedKeys());
             case TOO_LARGE -> handleTooLarge(writes);
             case UNKNOWN -> {
-                LOG.info("a transaction of {} keys got no response, reading their revisions again", writes.size());
+                LOG.info("transaction of {} keys got no response; rereading their revisions", writes.size());
                 rereadRevisions(writes);
             }
             default -> {
@@ -201,7 +202,7 @@
         rereadRevisions(conflicting);
     }
 
-    /** Writes that are too large together are sent one by one; a write that is too large alone is not sent again. */
+    /** Writes that are too large together are sent one by one; a write that is too large on its own is not retried. */
     private void handleTooLarge(List<PendingWrite> writes) {
         if (writes.size() > 1) {
             setExclusive(writes, true);
@@ -210,7 +211,7 @@
             PendingWrite write = writes.get(0);
             int bytes = write.change().bytes();
             LOG.error(
-                    "the state service refuses {} for its size of {} bytes, it is not written again unchanged",
+                    "state service rejected the write of {}: value of {} bytes is too large; not retried unchanged",
                     write.key(),
                     bytes);
             notifyResult(write, PendingWrite::onTooLarge);
@@ -222,18 +223,18 @@
         writes.forEach(write -> backlog.setExclusive(write, exclusive));
     }
 
-    /** A write whose callback fails must not keep the others from being written. */
+    /** Runs a callback; an exception thrown by it must not prevent other writes. */
     private static void notifyResult(PendingWrite write, Consumer<PendingWrite> callback) {
         try {
             callback.accept(write);
         } catch (RuntimeException e) {
-            LOG.error("the result of the write of {} could not be processed", write.key(), e);
+            LOG.error("failed to process the result of the write of {}", write.key(), e);
         }
     }
 
     /**
-     * Reads the keys' revisions and queues the writes again. If a transaction without a response is carried out after
-     * that, the next write of the same key fails instead of undoing it.
+     * Reads the current revisions of the keys and queues the writes again. If a transaction that got no response is
+     * executed after these reads, the next write of the same key fails instead of undoing it.
      */
     private void rereadRevisions(List<PendingWrite> writes) {
         if (writes.isEmpty()) {
--- a/src/main/java/io/sillreel/statestore/WriteUrgency.java
+++ b/src/main/java/io/sillreel/statestore/WriteUrgency.java
@@ -1,8 +1,8 @@
 package io.sillreel.statestore;
 
-/** The order in which writes are sent when the state service takes less than there is to write; most urgent first. */
+/** The order in which writes are sent when there are more than the write rate allows; most urgent first. */
 public enum WriteUrgency {
-    /** The end of a job, on which jobs that depend on it and users wait. */
+    /** The end of a job, for which its dependents and users wait. */
     JOB_END,
     /** The start of a job and every other change that is neither its end nor progress. */
     JOB_START,
--- a/src/test/java/io/sillreel/pipeline/JobDependencyTest.java
+++ b/src/test/java/io/sillreel/pipeline/JobDependencyTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Jobs that await others, seen from outside; the world checks that none starts too early and that none is orphaned. */
+/** Jobs with dependencies, through the public API; {@link SimCluster} detects early starts and orphaned jobs. */
 class JobDependencyTest {
     private static final long SECOND = 1_000_000;
     private final SimCluster cluster = new SimCluster(31);
@@ -45,7 +45,7 @@
         return cluster.isUp(0) ? 0 : 1;
     }
 
-    /** The chain of the users: one, then two beside each other, then one that needs the first as well. */
+    /** A diamond of four jobs, the last of which also depends directly on the first. */
     @Test
     void startsJobOnlyAfterAllDependenciesAreDone() {
         cluster.submit(0, SimCluster.job(uid(1), 3));
@@ -65,7 +65,7 @@
         assertThat(cluster.broken()).isEmpty();
     }
 
-    /** Guards what a submission may name, and who says so: the state service, and nobody's memory. */
+    /** Guards against validating dependencies by a controller's cached state instead of the state service. */
     @Test
     void validatesDependenciesOfSubmission() {
         cluster.submit(0, SimCluster.job(uid(1), 1));
@@ -104,7 +104,7 @@
                 .isEqualTo(503);
         cluster.state().outage(false);
         cluster.seconds(30);
-        // A repeat is answered with the state, whatever became of what it names.
+        // A repeated submission is answered with the job's status, whatever its dependencies are.
         assertThat(cluster.submit(0, SimCluster.job(uid(4), 1, uid(1)))
                         .json()
                         .path("stage")
@@ -115,7 +115,7 @@
         assertThat(cluster.broken()).isEmpty();
     }
 
-    /** Guards a name that was accepted a moment ago, by a controller whose answer to that was lost. */
+    /** Guards against rejecting a dependency just admitted by another controller whose response was lost. */
     @Test
     void acceptsDependencyJustAdmittedByAnotherController() {
         for (int i = 1; i <= 20; i++) {
@@ -131,7 +131,7 @@
         assertThat(cluster.broken()).isEmpty();
     }
 
-    /** Guards readers: what follows a cancelled job is cancelled at once, though nobody has written that down yet. */
+    /** Guards status reads: dependents of a cancelled job are cancelled even before their cancellation is stored. */
     @Test
     void reportsTransitiveDependentsAsCancelledOnEveryController() {
         cluster.submit(0, SimCluster.job(uid(1), 4).put("guess_s", 60.0));
@@ -141,7 +141,7 @@
         cluster.submit(0, SimCluster.job(uid(5), 2).put("guess_s", 60.0));
         cluster.untilStarted(6, 600 * SECOND);
         int leader = cluster.leader();
-        // Nobody leads for the next seconds, so nobody writes what follows.
+        // Without a leader for the next seconds, no cascading cancellations are stored.
         cluster.kill(leader);
         int follower = (leader + 1) % 3;
         assertThat(cluster.cancel(follower, uid(1)).json().path("stage").asText())
@@ -152,7 +152,7 @@
             assertThat(cluster.cancel(follower, uid(job)).json().path("stage").asText())
                     .isEqualTo("withdrawn");
         }
-        // Who names one of them now is accepted, and cancelled with them.
+        // A new job that depends on one of them is admitted and cancelled along with them.
         HttpResponse lateSubmission = cluster.submit(follower, SimCluster.job(uid(6), 1, uid(4)));
         assertThat(lateSubmission.status()).isEqualTo(201);
         assertThat(lateSubmission.json().path("stage").asText()).isEqualTo("withdrawn");
@@ -167,7 +167,7 @@
         assertThat(cluster.broken()).isEmpty();
     }
 
-    /** Guards what a reader says against a cancellation of any step, first, middle or last, at any moment. */
+    /** Guards reported stages when the first, middle or last job of a chain is cancelled at any time. */
     @Test
     void cancelsOnlyTransitiveDependentsAtAnyPointOfChain() {
         for (int interval = 0; interval < 24; interval++) {
@@ -182,7 +182,7 @@
                     sim.cancel(interval % 3, uid(step)).json().path("stage").asText();
             sim.seconds(3);
             if (reported.equals("withdrawn")) {
-                // The leader has written down what follows.
+                // The leader has stored the cascading cancellations.
                 for (int job = step; job <= 3; job++) {
                     assertThat(sim.state().value("withdraw/" + uid(job)))
                             .as("after %d", interval)
@@ -202,7 +202,7 @@
         }
     }
 
-    /** Guards the order of what is stored: the release of a step is never there before the end of what it awaits. */
+    /** Guards the order of writes: the release of a job is never stored before the completion of its dependencies. */
     @Test
     void completesChainDespiteFailoversDuplicateHeartbeatsAndLostResponses() {
         for (int seed = 1; seed <= 5; seed++) {
@@ -240,7 +240,7 @@
         }
     }
 
-    /** Guards what is awaited and was done long ago, before this term and before this controller. */
+    /** Guards dependencies that were done before the current term and before the controllers started. */
     @Test
     void releasesJobWhoseDependenciesWereDoneInEarlierTerm() {
         cluster.submit(0, SimCluster.job(uid(1), 1));
@@ -261,7 +261,7 @@
     }
 
     /**
-     * Guards a list that is read page by page: it shows a job and not what that awaits, which was admitted in between.
+     * Guards paged reads of plans: a page may show a job but not its dependency, which was admitted between two pages.
      */
     @Test
     void doesNotReleaseJobWhoseDependencyWasMissedByPagedRead() {
@@ -282,7 +282,7 @@
         });
         cluster.kill(leader);
         cluster.until(() -> isReadingSecondPage[0]);
-        // Only the second page is on its way for so long, and what came meanwhile is not seen either for some seconds.
+        // Only the second page is delayed that long; lost watches hide the plans admitted meanwhile for some seconds.
         cluster.network().slowness(1);
         Rule lostWatches = cluster.network()
                 .add((from, to, request) -> request.path().startsWith("/watch?prefix=plan/") ? Fate.LOSE : null);
@@ -302,7 +302,7 @@
         assertThat(cluster.broken()).isEmpty();
     }
 
-    /** Guards the way through a long chain: its links are settled one by one, and polls of its end stay answered. */
+    /** Guards long chains: dependencies are resolved one by one, and polls of the last job are still answered. */
     @Test
     void cancelsLongChainAfterFailover() {
         cluster.submit(0, SimCluster.job(uid(1), 1));
@@ -313,7 +313,7 @@
         }
         cluster.seconds(2);
         assertThat(cluster.stage(1, uid(300))).isEqualTo("queued");
-        // A successor reads the chain in the order of its keys, and closes it in that of its links.
+        // The new leader reads the jobs in key order and cancels them in topological order.
         cluster.kill(cluster.leader());
         cluster.cancel(anyRunningNode(), uid(1));
         cluster.seconds(5);
@@ -324,7 +324,8 @@
     }
 
     /**
-     * A controller that knows nothing yet is asked for the end of a chain: it reads all plans once, not step by step.
+     * A restarted controller with an empty cache, polled for the last job of a chain, reads all plans in one scan
+     * instead of one by one.
      */
     @Test
     void answersFirstPollOfLongChainWithFewStoreRequests() {
@@ -350,7 +351,7 @@
         assertThat(cluster.broken()).isEmpty();
     }
 
-    /** Guards a step that thousands await: each of them costs its own links and no more. */
+    /** Guards jobs with thousands of dependents: the cost per dependent is proportional to its own dependencies. */
     @Test
     void releasesAllDependentsOfOneJob() {
         cluster.submit(0, SimCluster.job(uid(1), 1));
@@ -375,7 +376,7 @@
     }
 
     /**
-     * Guards writes against limits that fall without notice: nothing is larger than they will be, and 429 only slows.
+     * Guards against limits lowered without notice: no value exceeds the announced size, and 429 only slows writing.
      */
     @Test
     void losesNoJobWhenStoreLimitsAreLowered() {
--- a/src/test/java/io/sillreel/pipeline/LongDependencyListTest.java
+++ b/src/test/java/io/sillreel/pipeline/LongDependencyListTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Jobs that await more others than fit into one value of the state service. */
+/** Jobs with more dependencies than fit into one value of the state service. */
 class LongDependencyListTest {
     private final SimCluster cluster = new SimCluster(31);
 
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Guards a long list against being lost or forgotten in part: it lies in several values beside the plan. */
+    /** Guards against losing part of a long dependency list, which is stored in several overflow values of the plan. */
     @Test
     void startsJobWithHundredsOfDependenciesAfterAllAreDone() {
         String[] dependencies = new String[300];
@@ -49,7 +49,7 @@
         assertThat(submitUntilAccepted(0, large)).isIn(200, 201);
         assertThat(cluster.state().keysUnder("plan-overflow/" + uid(999))).isNotEmpty();
         assertStageOnAllNodes(uid(999), "queued");
-        // Whoever leads next reads the list again, and so does who is asked for the first time.
+        // The next leader and a restarted controller have to read the list again.
         int leader = cluster.leader();
         cluster.restart((leader + 1) % 3);
         cluster.kill(leader);
@@ -82,7 +82,7 @@
         assertThat(cluster.broken()).isEmpty();
     }
 
-    /** Guards a list that can't be stored against being accepted and lost. */
+    /** Guards against admitting a job whose dependency list can't be stored. */
     @Test
     void rejectsDependencyListTooLargeToStore() {
         String[] dependencies = new String[1_000];
--- a/src/test/java/io/sillreel/pipeline/NoOpJobListener.java
+++ b/src/test/java/io/sillreel/pipeline/NoOpJobListener.java
@@ -3,7 +3,7 @@
 import io.sillreel.statestore.PendingWrite;
 import java.util.List;
 
-/** Takes no notice of what becomes of a job's record. */
+/** A listener that ignores all results of writing a job's record. */
 public class NoOpJobListener implements ActiveJob.Listener {
     @Override
     public void recordStored(ActiveJob job) {}
--- a/src/test/java/io/sillreel/pipeline/PipelineTest.java
+++ b/src/test/java/io/sillreel/pipeline/PipelineTest.java
@@ -103,7 +103,7 @@
         for (int task = 0; task < 99_999; task += 2) {
             job.markTaskDone(task);
         }
-        // The parts first, one after the other, then the head that names them: each a value and a change of its own.
+        // The chunks are written first, then the record that refers to them; each is a value and a change of its own.
         List<PendingWrite> chunkWrites = List.copyOf(job.recordWrite().prerequisites());
         assertThat(chunkWrites)
                 .hasSize((100_000 + CompletionBitmapCodec.tasksPerChunk(valueBytes) - 1)
@@ -133,7 +133,7 @@
         return new StoredChunks(values, revisions, CompletionBitmapCodec.tasksPerChunk(8 * 1024));
     }
 
-    /** Guards against freeing a piece that a second live task still holds. */
+    /** Guards against launching a task again while it still has a second allocation. */
     @Test
     void taskWaitsOnlyAfterLastAllocationIsRemoved() {
         ActiveJob job = new ActiveJob(spec(1), 7, 0, ValueLimits.fixed(8192), new NoOpJobListener());
--- a/src/test/java/io/sillreel/pipeline/StoredJobSamplesTest.java
+++ b/src/test/java/io/sillreel/pipeline/StoredJobSamplesTest.java
@@ -26,7 +26,7 @@
  */
 class StoredJobSamplesTest {
     private static final String UID = "job-000000000000000042";
-    /** Room for the bitmap of 192 tasks in one value. */
+    /** Limits under which one value holds the bitmap of 192 tasks. */
     private static final ValueLimits SMALL = ValueLimits.fixed(64);
 
     private static final int TASKS = 400;
--- a/src/test/java/io/sillreel/statestore/StateStoreReadTest.java
+++ b/src/test/java/io/sillreel/statestore/StateStoreReadTest.java
@@ -42,7 +42,7 @@
         return CompletableFuture.completedFuture(true);
     }
 
-    /** Guards failovers: a scan of more pages than the rate allows at once started anew without end. */
+    /** Guards failovers: a scan with more pages than the rate allows in one burst used to restart without end. */
     @Test
     void completesScanWithMorePagesThanRateAllowsAtOnce() {
         CompletableFuture<ScanResult> scan = store.scan("k/", this::collect);
@@ -51,11 +51,11 @@
         assertThat(readKeys).hasSize(ENTRIES).doesNotHaveDuplicates().isSorted();
     }
 
-    /** Guards failovers: after an exception on an entry the scan never completed, and the new leader waited for it. */
+    /** Guards failovers: after an exception in the consumer the scan never completed and blocked the new leader. */
     @Test
     void endsScanWhenConsumerThrows() {
         CompletableFuture<ScanResult> scan = store.scan("k/", page -> {
-            throw new IllegalArgumentException("not understood");
+            throw new IllegalArgumentException("malformed entry");
         });
         time.runFor(1_000_000);
         assertThat(scan).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.REFUSED);
@@ -77,7 +77,7 @@
         assertThat(readKeys).hasSize(ENTRIES).doesNotHaveDuplicates();
     }
 
-    /** Guards starts in an outage: users are admitted once it is known that the leader cannot be known. */
+    /** Guards startup in an outage: users are served once it is certain that the leader can't be determined. */
     @Test
     void reportsRefusedListWithoutRetry() {
         state.outage(true);
@@ -98,7 +98,7 @@
         assertThat(unanswered).isCompletedWithValueMatching(listing -> listing.outcome() == StoreOutcome.UNKNOWN);
     }
 
-    /** Guards followers of changes, which would request the same response that is too large without end. */
+    /** Guards watchers of changes, which would otherwise repeat a watch whose response is too large without end. */
     @Test
     void reportsWatchAsCompactedWhenResponseIsTooLarge() {
         StateStore small = new StateStore(
--- a/src/test/java/io/sillreel/statestore/StateStoreSamplesTest.java
+++ b/src/test/java/io/sillreel/statestore/StateStoreSamplesTest.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** The requests to the state service and what is read of its responses. */
+/** The requests to the state service and the decoding of its responses. */
 class StateStoreSamplesTest {
     private static final long LEASE = 9_007_199_254_740_993L;
 
--- a/src/test/java/io/sillreel/statestore/WriteQueueTest.java
+++ b/src/test/java/io/sillreel/statestore/WriteQueueTest.java
@@ -31,8 +31,8 @@
     }
 
     /**
-     * Guards writes against limits that fall below what was announced: none is sent again as it was, none blocks the
-     * rest.
+     * Guards against size limits lowered below the announced ones: an oversized write is not retried unchanged and does
+     * not block others.
      */
     @Test
     void splitsOversizedBatchAndDropsOversizedWriteWithoutBlockingOthers() {
@@ -56,12 +56,12 @@
     }
 
     /**
-     * Guards against a rate that falls: what is refused slows the writer, within a second, and is no failure of
-     * anything.
+     * Guards against a lowered rate limit: rejections slow the writer down within a second and are not treated as
+     * failures.
      */
     @Test
     void slowsDownWithoutLossWhenRateLimited() {
-        // A quarter of what this controller takes for its part.
+        // A quarter of the write rate configured for this controller.
         StateStore rateLimitedStore = network.stateStore(process, 1_000, 40);
         WriteQueue writeQueue =
                 new WriteQueue(rateLimitedStore, process, "leader", 101, 4, () -> leadershipLost = true);
@@ -142,7 +142,7 @@
         assertThat(counts[9].revision).isEqualTo(104);
     }
 
-    /** Guards against a lease that expires because other requests used up the rate. */
+    /** Guards against lease expiry because other requests exhausted the request rate. */
     @Test
     void renewsLeaseWhenRequestRateIsExhausted() {
         StateStore exhaustedStore = network.stateStore(process, 1, 1);
@@ -156,7 +156,7 @@
         assertThat(renewed.join()).isNotEqualTo(StoreOutcome.REFUSED);
     }
 
-    /** Guards against ends of jobs that wait behind progress when the store takes less than there is to write. */
+    /** Guards against job ends that are delayed by progress writes when the write rate is exhausted. */
     @Test
     void writesJobEndsBeforeStartsAndStartsBeforeProgress() {
         StateStore slowStore = new StateStore(
@@ -194,7 +194,8 @@
     }
 
     /**
-     * Guards the condition on the changed key's own revision: an own write that arrives late must not undo a newer one.
+     * Guards the condition on the revision of the changed key: a delayed write of the same leader must not undo a newer
+     * one.
      */
     @Test
     void delayedTransactionDoesNotUndoNewerWrite() {
@@ -258,8 +259,8 @@
     }
 
     /**
-     * Guards scale-out requests, which wait while the store falls behind: waiting progress of many jobs does not show
-     * that.
+     * Guards scale-out requests, which are held back while the store falls behind: pending progress writes of many jobs
+     * do not indicate that.
      */
     @Test
     void excludesPendingProgressFromUrgentCount() {
