--- a/src/main/java/io/sillreel/pipeline/ActiveJob.java
+++ b/src/main/java/io/sillreel/pipeline/ActiveJob.java
@@ -31,7 +31,7 @@
     private final long planRevision;
     private final long admittedWallMicros;
     private final Listener listener;
-    private final StoredCompletionBitmap completed;
+    private final StoredCompletionBitmap completionBitmap;
     private final RunRecordWrite recordWrite;
     private final TaskOccupancy occupancy;
     private final TaskRuntimes runtimes = new TaskRuntimes();
@@ -56,8 +56,8 @@
         this.planRevision = planRevision;
         this.admittedWallMicros = admittedWallMicros;
         this.listener = listener;
-        this.completed = new StoredCompletionBitmap(spec.uid(), spec.tasks(), limits, this::enqueueRecordWrite);
-        this.recordWrite = new RunRecordWrite(this, completed, listener);
+        this.completionBitmap = new StoredCompletionBitmap(spec.uid(), spec.tasks(), limits, this::enqueueRecordWrite);
+        this.recordWrite = new RunRecordWrite(this, completionBitmap, listener);
         this.occupancy = new TaskOccupancy(spec.tasks());
         this.urgency = new EffectiveUrgency(spec.urgency(), admittedWallMicros);
         this.isReady = spec.dependencies().isEmpty();
@@ -77,9 +77,9 @@
             readyWallMicros = record.readyWallMicros();
         }
         retry = record.retry();
-        completed.inherit(record.bitmap(), storedChunks);
-        occupancy.inherit(completed);
-        hasCompletedTask = completed.count() > 0;
+        completionBitmap.inherit(record.bitmap(), storedChunks);
+        occupancy.inherit(completionBitmap);
+        hasCompletedTask = completionBitmap.count() > 0;
     }
 
     public JobSpec spec() {
@@ -169,7 +169,7 @@
 
     /** True if all tasks are done, whether or not their completion is stored. */
     public boolean isComplete() {
-        return completed.isComplete();
+        return completionBitmap.isComplete();
     }
 
     /** True once the completion of the job is stored, so that it may be reported to users. */
@@ -178,21 +178,21 @@
     }
 
     public int doneCount() {
-        return completed.count();
+        return completionBitmap.count();
     }
 
     public boolean isTaskDone(int task) {
-        return completed.contains(task);
+        return completionBitmap.contains(task);
     }
 
     /** True once the completion of the task is stored. */
     public boolean isTaskStored(int task) {
-        return completed.isStored(task);
+        return completionBitmap.isStored(task);
     }
 
     /** Marks the task as done and resets the retry state; returns false if the task was already done. */
     public boolean markTaskDone(int task) {
-        if (!completed.add(task)) {
+        if (!completionBitmap.add(task)) {
             return false;
         }
         occupancy.markDone(task);
@@ -209,7 +209,7 @@
 
     /** Removes an allocation of the task; the task waits again once none is left. */
     public void deallocate(int task) {
-        occupancy.deallocate(task, completed.contains(task));
+        occupancy.deallocate(task, completionBitmap.contains(task));
     }
 
     public boolean isAllocated(int task) {
@@ -273,6 +273,6 @@
 
     /** Writes that remove all chunks of the completion bitmap once the job has ended. */
     public List<PendingWrite> removalsOfChunks() {
-        return completed.removalsOfChunks();
+        return completionBitmap.removalsOfChunks();
     }
 }
--- a/src/main/java/io/sillreel/pipeline/CompletionBitmapChunks.java
+++ b/src/main/java/io/sillreel/pipeline/CompletionBitmapChunks.java
@@ -137,17 +137,17 @@
             retainedKeys.add(ChunkKey.of(uid, index, referencedGenerations[index]));
         }
         pending.values().forEach(chunk -> retainedKeys.add(chunk.key()));
-        return removeExcept(retainedKeys);
+        return removalsExcept(retainedKeys);
     }
 
     /** Returns the removals of all chunks of a job that has ended. */
-    List<PendingWrite> removeAll() {
+    List<PendingWrite> removalsOfAll() {
         pending.values().forEach(chunk -> storedRevisions.put(chunk.key(), chunk.revision()));
         pending.clear();
-        return removeExcept(Set.of());
+        return removalsExcept(Set.of());
     }
 
-    private List<PendingWrite> removeExcept(Set<String> retainedKeys) {
+    private List<PendingWrite> removalsExcept(Set<String> retainedKeys) {
         List<PendingWrite> removals = new ArrayList<>();
         storedRevisions.entrySet().removeIf(entry -> {
             if (retainedKeys.contains(entry.getKey())) {
--- a/src/main/java/io/sillreel/pipeline/PipelineRun.java
+++ b/src/main/java/io/sillreel/pipeline/PipelineRun.java
@@ -244,7 +244,7 @@
     }
 
     /** True once all jobs have ended. */
-    public boolean isOver() {
+    public boolean isFinished() {
         return nodes.values().stream()
                 .noneMatch(node -> node.state == JobState.WAITING
                         || node.state == JobState.READY
--- a/src/main/java/io/sillreel/pipeline/RunRecordWrite.java
+++ b/src/main/java/io/sillreel/pipeline/RunRecordWrite.java
@@ -12,7 +12,7 @@
  */
 public final class RunRecordWrite implements PendingWrite {
     private final ActiveJob job;
-    private final StoredCompletionBitmap completed;
+    private final StoredCompletionBitmap completionBitmap;
     private final ActiveJob.Listener listener;
 
     private long revision;
@@ -21,9 +21,9 @@
     private boolean isCompletionStored;
     private int sentFailedAttempts;
 
-    RunRecordWrite(ActiveJob job, StoredCompletionBitmap completed, ActiveJob.Listener listener) {
+    RunRecordWrite(ActiveJob job, StoredCompletionBitmap completionBitmap, ActiveJob.Listener listener) {
         this.job = job;
-        this.completed = completed;
+        this.completionBitmap = completionBitmap;
         this.listener = listener;
     }
 
@@ -70,21 +70,21 @@
 
     @Override
     public List<PendingWrite> prerequisites() {
-        return completed.prerequisites();
+        return completionBitmap.prerequisites();
     }
 
     @Override
     public KeyChange change() {
         sentFailedAttempts = job.retry().failedAttempts();
         isCompletionSent = job.isComplete();
-        BitmapReference bitmap = completed.beginRecordWrite();
+        BitmapReference bitmapReference = completionBitmap.beginRecordWrite();
         RunRecord record = new RunRecord(
                 job.spec().tasks(),
-                completed.count(),
+                completionBitmap.count(),
                 job.allocatedCount(),
                 stage(),
                 job.retry(),
-                bitmap,
+                bitmapReference,
                 job.spec().dependencies().isEmpty() ? 0 : job.readyWallMicros());
         return KeyChange.put(RunRecordCodec.encode(record));
     }
@@ -101,7 +101,7 @@
         revision = newRevision;
         isReleased = true;
         isCompletionStored |= isCompletionSent;
-        List<PendingWrite> removals = completed.recordStored(isCompletionStored);
+        List<PendingWrite> removals = completionBitmap.recordStored(isCompletionStored);
         if (!removals.isEmpty()) {
             listener.enqueueWrites(removals);
         }
@@ -110,7 +110,7 @@
 
     @Override
     public void onTooLarge() {
-        if (completed.moveToChunks()) {
+        if (completionBitmap.moveToChunks()) {
             listener.enqueueWrites(List.of(this));
         }
     }
--- a/src/main/java/io/sillreel/pipeline/StoredCompletionBitmap.java
+++ b/src/main/java/io/sillreel/pipeline/StoredCompletionBitmap.java
@@ -121,7 +121,7 @@
         List<PendingWrite> removals = new ArrayList<>(obsoleteChunks);
         obsoleteChunks.clear();
         if (isCompletionStored && chunks != null) {
-            removals.addAll(chunks.removeAll());
+            removals.addAll(chunks.removalsOfAll());
         } else if (usesChunks) {
             removals.addAll(chunks.recordStored(sentGenerations));
         }
@@ -130,14 +130,14 @@
 
     /** Handles the rejection of a record for its size; returns true if the bitmap is stored in chunks from now on. */
     boolean moveToChunks() {
-        boolean isMovable = chunks != null && !usesChunks;
-        usesChunks |= isMovable;
-        return isMovable;
+        boolean canMove = chunks != null && !usesChunks;
+        usesChunks |= canMove;
+        return canMove;
     }
 
     /** Returns the removals of all chunks. */
     List<PendingWrite> removalsOfChunks() {
-        return chunks == null ? List.copyOf(obsoleteChunks) : chunks.removeAll();
+        return chunks == null ? List.copyOf(obsoleteChunks) : chunks.removalsOfAll();
     }
 
     private boolean writesChunks() {
--- a/src/main/java/io/sillreel/statestore/PrefixScan.java
+++ b/src/main/java/io/sillreel/statestore/PrefixScan.java
@@ -24,20 +24,24 @@
     private final StateStoreTransport transport;
     private final EventLoop eventLoop;
     private final String prefix;
-    private final boolean retries;
+    private final boolean retriesPages;
     private final PageConsumer consumer;
     private final CompletableFuture<ScanResult> result = new CompletableFuture<>();
     private String lastKey = "";
     private long firstPageRevision = UNKNOWN_REVISION;
     private int failures;
 
-    /** @param retries whether a page that was refused or got no response is requested again */
+    /** @param retriesPages whether a page that was refused or got no response is requested again */
     PrefixScan(
-            StateStoreTransport transport, EventLoop eventLoop, String prefix, boolean retries, PageConsumer consumer) {
+            StateStoreTransport transport,
+            EventLoop eventLoop,
+            String prefix,
+            boolean retriesPages,
+            PageConsumer consumer) {
         this.transport = transport;
         this.eventLoop = eventLoop;
         this.prefix = prefix;
-        this.retries = retries;
+        this.retriesPages = retriesPages;
         this.consumer = consumer;
     }
 
@@ -58,7 +62,7 @@
                     handleFailure(outcome);
                 }
             });
-        } else if (retries) {
+        } else if (retriesPages) {
             eventLoop.schedule(RATE_LIMITED_DELAY_MICROS, this::requestPage);
         } else {
             finish(StoreOutcome.REFUSED, 0);
@@ -66,7 +70,7 @@
     }
 
     private void handleFailure(StoreOutcome outcome) {
-        if (retries && failures < MAX_RETRIES) {
+        if (retriesPages && failures < MAX_RETRIES) {
             failures++;
             eventLoop.schedule(RETRY_DELAY_MICROS, this::requestPage);
         } else {
--- a/src/test/java/io/sillreel/pipeline/JobDependencyTest.java
+++ b/src/test/java/io/sillreel/pipeline/JobDependencyTest.java
@@ -119,10 +119,10 @@
     @Test
     void acceptsDependencyJustAdmittedByAnotherController() {
         for (int i = 1; i <= 20; i++) {
-            String first = uid(2 * i);
-            cluster.submitMeanwhile(i % 3, SimCluster.job(first, 1));
-            cluster.until(() -> cluster.state().value("plan/" + first) != null);
-            assertThat(cluster.submit((i + 1) % 3, SimCluster.job(uid(2 * i + 1), 1, first))
+            String dependency = uid(2 * i);
+            cluster.submitMeanwhile(i % 3, SimCluster.job(dependency, 1));
+            cluster.until(() -> cluster.state().value("plan/" + dependency) != null);
+            assertThat(cluster.submit((i + 1) % 3, SimCluster.job(uid(2 * i + 1), 1, dependency))
                             .status())
                     .isEqualTo(201);
         }
@@ -177,13 +177,15 @@
             sim.submit(1, SimCluster.job(uid(2), 2, uid(1)));
             sim.submit(2, SimCluster.job(uid(3), 2, uid(2)));
             sim.seconds(interval * 0.9);
-            int step = 1 + interval % 3;
-            String reported =
-                    sim.cancel(interval % 3, uid(step)).json().path("stage").asText();
+            int cancelledJob = 1 + interval % 3;
+            String reported = sim.cancel(interval % 3, uid(cancelledJob))
+                    .json()
+                    .path("stage")
+                    .asText();
             sim.seconds(3);
             if (reported.equals("withdrawn")) {
                 // The leader has stored the cascading cancellations.
-                for (int job = step; job <= 3; job++) {
+                for (int job = cancelledJob; job <= 3; job++) {
                     assertThat(sim.state().value("withdraw/" + uid(job)))
                             .as("after %d", interval)
                             .isNotNull();
@@ -191,7 +193,7 @@
             }
             sim.seconds(47);
             for (int job = 1; job <= 3; job++) {
-                String expected = reported.equals("withdrawn") && job >= step ? "withdrawn" : "done";
+                String expected = reported.equals("withdrawn") && job >= cancelledJob ? "withdrawn" : "done";
                 for (int node = 0; node < 3; node++) {
                     assertThat(sim.stage(node, uid(job)))
                             .as("after %d times 0.9 s, %s", interval, uid(job))
--- a/src/test/java/io/sillreel/pipeline/PipelineTest.java
+++ b/src/test/java/io/sillreel/pipeline/PipelineTest.java
@@ -81,7 +81,7 @@
         run.complete("a", true);
         assertThat(run.readyJobs()).isEmpty();
         assertThat(run.dependencyState("1")).contains(DependencyState.SKIPPED);
-        assertThat(run.isOver()).isTrue();
+        assertThat(run.isFinished()).isTrue();
     }
 
     @Test
--- a/src/test/java/io/sillreel/statestore/StateStoreReadTest.java
+++ b/src/test/java/io/sillreel/statestore/StateStoreReadTest.java
@@ -47,7 +47,7 @@
     void completesScanWithMorePagesThanRateAllowsAtOnce() {
         CompletableFuture<ScanResult> scan = store.scan("k/", this::collect);
         time.runFor(5_000_000);
-        assertThat(scan).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.OK);
+        assertThat(scan).isCompletedWithValueMatching(scanResult -> scanResult.outcome() == StoreOutcome.OK);
         assertThat(readKeys).hasSize(ENTRIES).doesNotHaveDuplicates().isSorted();
     }
 
@@ -58,7 +58,7 @@
             throw new IllegalArgumentException("malformed entry");
         });
         time.runFor(1_000_000);
-        assertThat(scan).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.REFUSED);
+        assertThat(scan).isCompletedWithValueMatching(scanResult -> scanResult.outcome() == StoreOutcome.REFUSED);
     }
 
     @Test
@@ -73,7 +73,7 @@
         });
         CompletableFuture<ScanResult> scan = store.scan("k/", this::collect);
         time.runFor(60_000_000);
-        assertThat(scan).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.OK);
+        assertThat(scan).isCompletedWithValueMatching(scanResult -> scanResult.outcome() == StoreOutcome.OK);
         assertThat(readKeys).hasSize(ENTRIES).doesNotHaveDuplicates();
     }
 
@@ -101,14 +101,14 @@
     /** Guards watchers of changes, which would otherwise repeat a watch whose response is too large without end. */
     @Test
     void reportsWatchAsCompactedWhenResponseIsTooLarge() {
-        StateStore small = new StateStore(
+        StateStore limitedStore = new StateStore(
                 (to, request, timeout) -> CompletableFuture.completedFuture(HttpResponse.responseTooLarge()),
                 network.from("node", process),
                 process,
                 "state:1",
                 new RateLimiter(process, 4, 4),
                 new RateLimiter(process, 4, 4));
-        assertThat(small.watch("k/", 0, 1_000).join().outcome()).isEqualTo(StoreOutcome.COMPACTED);
+        assertThat(limitedStore.watch("k/", 0, 1_000).join().outcome()).isEqualTo(StoreOutcome.COMPACTED);
     }
 
     @Test
@@ -116,7 +116,7 @@
         state.outage(true);
         CompletableFuture<ScanResult> refused = store.scan("k/", this::collect);
         time.runFor(5_000_000);
-        assertThat(refused).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.REFUSED);
+        assertThat(refused).isCompletedWithValueMatching(scanResult -> scanResult.outcome() == StoreOutcome.REFUSED);
     }
 
     @Test
@@ -129,7 +129,7 @@
         CompletableFuture<ScanResult> ended =
                 store.scan("k/", page -> CompletableFuture.completedFuture(++pages[0] < 2));
         time.runFor(5_000_000);
-        assertThat(ended).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.REFUSED);
+        assertThat(ended).isCompletedWithValueMatching(scanResult -> scanResult.outcome() == StoreOutcome.REFUSED);
         assertThat(pages[0]).isEqualTo(2);
     }
 }
--- a/src/test/java/io/sillreel/statestore/WriteQueueTest.java
+++ b/src/test/java/io/sillreel/statestore/WriteQueueTest.java
@@ -66,15 +66,15 @@
         WriteQueue writeQueue =
                 new WriteQueue(rateLimitedStore, process, "leader", 101, 4, () -> leadershipLost = true);
         state.limits(4, 8192, 10);
-        List<CounterWrite> counts = new ArrayList<>();
+        List<CounterWrite> writes = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            counts.add(new CounterWrite("k%02d".formatted(i)));
-            writeQueue.enqueue(counts.get(i));
+            writes.add(new CounterWrite("k%02d".formatted(i)));
+            writeQueue.enqueue(writes.get(i));
         }
         time.runFor(1_500_000);
         int refusedSoon = state.refusedForRate();
         time.runFor(10_000_000);
-        assertThat(counts).allMatch(count -> count.revision > 0);
+        assertThat(writes).allMatch(write -> write.revision > 0);
         assertThat(state.refusedForRate() - refusedSoon)
                 .as("refused once the writer had slowed")
                 .isLessThan(25);
@@ -128,18 +128,18 @@
 
     @Test
     void batchesWritesWithinTransactionLimit() {
-        CounterWrite[] counts = new CounterWrite[10];
-        for (int i = 0; i < counts.length; i++) {
-            counts[i] = new CounterWrite("k" + i);
-            counts[i].value = i + 1;
-            writeQueue.enqueue(counts[i]);
+        CounterWrite[] writes = new CounterWrite[10];
+        for (int i = 0; i < writes.length; i++) {
+            writes[i] = new CounterWrite("k" + i);
+            writes[i].value = i + 1;
+            writeQueue.enqueue(writes[i]);
         }
         time.runFor(1_000_000);
-        for (int i = 0; i < counts.length; i++) {
-            assertThat(counts[i].stored).isEqualTo(i + 1);
+        for (int i = 0; i < writes.length; i++) {
+            assertThat(writes[i].stored).isEqualTo(i + 1);
             assertThat(state.value("k" + i).path("n").asInt()).isEqualTo(i + 1);
         }
-        assertThat(counts[9].revision).isEqualTo(104);
+        assertThat(writes[9].revision).isEqualTo(104);
     }
 
     /** Guards against lease expiry because other requests exhausted the request rate. */
@@ -174,7 +174,7 @@
             slowQueue.enqueue(progress[i]);
         }
         time.runFor(1_900_000);
-        assertThat(progress).allMatch(count -> count.revision == 0);
+        assertThat(progress).allMatch(write -> write.revision == 0);
         CounterWrite[] starts = new CounterWrite[6];
         for (int i = 0; i < starts.length; i++) {
             starts[i] = new CounterWrite("s" + i);
@@ -187,10 +187,10 @@
         assertThat(end.revision).isPositive();
         assertThat(starts).allMatch(start -> start.revision >= end.revision);
         assertThat(progress)
-                .filteredOn(count -> count.revision > 0)
-                .allMatch(count -> count.revision > starts[5].revision);
+                .filteredOn(write -> write.revision > 0)
+                .allMatch(write -> write.revision > starts[5].revision);
         time.runFor(20_000_000);
-        assertThat(progress).allMatch(count -> count.revision > 0);
+        assertThat(progress).allMatch(write -> write.revision > 0);
     }
 
     /**
@@ -199,16 +199,16 @@
      */
     @Test
     void delayedTransactionDoesNotUndoNewerWrite() {
-        CounterWrite count = new CounterWrite("k");
-        count.value = 1;
+        CounterWrite write = new CounterWrite("k");
+        write.value = 1;
         Rule heldTransactions =
                 network.add((from, to, request) -> request.route().equals("/txn") ? Fate.HOLD : null);
-        writeQueue.enqueue(count);
+        writeQueue.enqueue(write);
         time.runFor(1_000_000);
         network.remove(heldTransactions);
-        count.value = 2;
+        write.value = 2;
         time.runFor(3_000_000);
-        assertThat(count.stored).isEqualTo(2);
+        assertThat(write.stored).isEqualTo(2);
         network.release();
         time.runFor(1_000_000);
         assertThat(state.value("k").path("n").asInt()).isEqualTo(2);
@@ -216,24 +216,24 @@
 
     @Test
     void rereadsRevisionAfterLostResponse() {
-        CounterWrite count = new CounterWrite("k");
-        count.value = 1;
+        CounterWrite write = new CounterWrite("k");
+        write.value = 1;
         Rule lostResponses =
                 network.add((from, to, request) -> request.route().equals("/txn") ? Fate.LOSE_ANSWER : null);
-        writeQueue.enqueue(count);
+        writeQueue.enqueue(write);
         time.runFor(1_000_000);
         network.remove(lostResponses);
         time.runFor(3_000_000);
-        assertThat(count.stored).isEqualTo(1);
-        assertThat(count.revision).isEqualTo(103);
+        assertThat(write.stored).isEqualTo(1);
+        assertThat(write.revision).isEqualTo(103);
     }
 
     @Test
     void stopsWritingOnceLeaderKeyHasChanged() {
         store.commit(new Transaction().set("leader", Json.object().put("node", "other")));
         time.runFor(100_000);
-        CounterWrite count = new CounterWrite("k");
-        writeQueue.enqueue(count);
+        CounterWrite write = new CounterWrite("k");
+        writeQueue.enqueue(write);
         time.runFor(1_000_000);
         assertThat(leadershipLost).isTrue();
         assertThat(state.value("k")).isNull();
