--- a/src/main/java/io/sillreel/pipeline/DependencyGraph.java
+++ b/src/main/java/io/sillreel/pipeline/DependencyGraph.java
@@ -22,7 +22,7 @@
  * <p>Guarded by the cluster lock, which is held during callbacks.
  */
 public final class DependencyGraph {
-    /** Receives the consequences of the end of dependencies. */
+    /** Receives the effects of completed and cancelled dependencies, and lookup requests. */
     public interface Callbacks {
         /** Called when the completion of all dependencies is stored: the job may be released. */
         void dependenciesMet(ActiveJob job);
--- a/src/test/java/io/sillreel/pipeline/JobDependencyTest.java
+++ b/src/test/java/io/sillreel/pipeline/JobDependencyTest.java
@@ -262,9 +262,7 @@
         assertThat(cluster.broken()).isEmpty();
     }
 
-    /**
-     * Guards paged reads of plans: a page may show a job but not its dependency, which was admitted between two pages.
-     */
+    /** Guards paged reads: a page may show a job but not its dependency, which was admitted between two pages. */
     @Test
     void doesNotReleaseJobWhoseDependencyWasMissedByPagedRead() {
         cluster.cloud().outage(true);
@@ -326,8 +324,7 @@
     }
 
     /**
-     * A restarted controller with an empty cache, polled for the last job of a chain, reads all plans in one scan
-     * instead of one by one.
+     * A restarted controller that is polled for the last job of a chain reads all plans in one scan, not one by one.
      */
     @Test
     void answersFirstPollOfLongChainWithFewStoreRequests() {
@@ -377,9 +374,7 @@
         assertThat(cluster.broken()).isEmpty();
     }
 
-    /**
-     * Guards against limits lowered without notice: no value exceeds the announced size, and 429 only slows writing.
-     */
+    /** Guards against limits lowered without notice: no value exceeds the announced size; 429 only slows writing. */
     @Test
     void losesNoJobWhenStoreLimitsAreLowered() {
         for (int job = 1; job <= 30; job++) {
