--- a/src/main/java/io/sillreel/admission/JobTransactions.java
+++ b/src/main/java/io/sillreel/admission/JobTransactions.java
@@ -20,7 +20,7 @@
 
 /** Stores plans and cancellations of jobs by compare-and-swap. Thread-safe. */
 final class JobTransactions {
-    private static final int ONE_VALUE = 1;
+    private static final int SINGLE_VALUE = 1;
 
     private final StateStore store;
     private final EventLoop eventLoop;
@@ -32,43 +32,44 @@
         this.limits = limits;
     }
 
-    /** True if the plan can be stored under the announced limits, split or not. */
+    /** True if the plan fits into the announced limits, split or not. */
     boolean isStorable(JobSpec spec) {
         return split(newPlan(spec)).isPresent();
     }
 
     /**
-     * Stores the plan of a job under the condition that there is none. If one of the dependencies is cancelled, the job
-     * is cancelled in the same transaction; else the transaction requires that none of them is.
+     * Stores the plan of a job unless it has one. If a dependency is cancelled, the same transaction cancels the job;
+     * otherwise the transaction requires that no dependency is cancelled.
      *
-     * <p>Controllers of the previous version read only plans that are one value, so the plan of a job that such a
-     * controller may lead is split only after the store has refused its size: then the announced limits are in force,
-     * and no such controller is left. Jobs with dependencies are submitted only after the upgrade.
+     * <p>Controllers of the previous version can only read plans that are stored as a single value. A plan that such a
+     * controller may still have to read is therefore split only after the state store has rejected its size: by then
+     * the announced limits are in force, and no such controller is left. Jobs with dependencies are submitted only
+     * after the upgrade.
      *
      * @param dependencies the statuses of all dependencies
-     * @return the result; CONFLICT without the key of the plan if a dependency has been cancelled meanwhile
+     * @return the result; CONFLICT without the key of the plan if a dependency has been cancelled in the meantime
      */
     CompletableFuture<CommitResult> storePlan(JobSpec spec, List<JobStatus> dependencies) {
         PlanRecord plan = newPlan(spec);
         boolean maySplit = !spec.dependencies().isEmpty();
         Optional<Map<String, JsonNode>> values = maySplit
                 ? split(plan)
-                : PlanOverflow.split(plan, limits.values().presentBytes(), ONE_VALUE);
+                : PlanOverflow.split(plan, limits.values().presentBytes(), SINGLE_VALUE);
         if (values.isEmpty()) {
             return CompletableFuture.completedFuture(new CommitResult(StoreOutcome.TOO_LARGE, 0, List.of()));
         }
         return commit(plan, values.get(), dependencies).thenCompose(result -> {
             boolean retrySplit = result.outcome() == StoreOutcome.TOO_LARGE && !maySplit;
-            Optional<Map<String, JsonNode>> smaller = retrySplit ? split(plan) : Optional.empty();
-            return smaller.isPresent()
-                    ? commit(plan, smaller.get(), dependencies)
+            Optional<Map<String, JsonNode>> splitValues = retrySplit ? split(plan) : Optional.empty();
+            return splitValues.isPresent()
+                    ? commit(plan, splitValues.get(), dependencies)
                     : CompletableFuture.completedFuture(result);
         });
     }
 
     /**
-     * Stores the cancellation of a job unless it has one, under the condition that its run record is still the one that
-     * was read: done and cancelled exclude each other.
+     * Stores the cancellation of a job unless it has one, on condition that its run record has not changed since it was
+     * read: a job can't be both done and cancelled.
      */
     CompletableFuture<CommitResult> storeCancellation(JobStatus status) {
         String key = CancellationRecord.key(status.uid());
@@ -82,10 +83,10 @@
         return new PlanRecord(eventLoop.wallMicros(), spec);
     }
 
-    /** Splits the plan by the announced limits; one change of the transaction is left for a cancellation. */
+    /** Splits the plan by the announced limits, reserving one change of the transaction for a cancellation. */
     private Optional<Map<String, JsonNode>> split(PlanRecord plan) {
         return PlanOverflow.split(
-                plan, limits.values().announcedBytes(), Math.max(ONE_VALUE, limits.maxTransactionChanges() - 1));
+                plan, limits.values().announcedBytes(), Math.max(SINGLE_VALUE, limits.maxTransactionChanges() - 1));
     }
 
     private CompletableFuture<CommitResult> commit(
@@ -106,14 +107,14 @@
     }
 
     /**
-     * Requires that no unfinished dependency is cancelled, for as many as a transaction has conditions. A cancellation
-     * that is missed here cancels the job all the same, only later.
+     * Requires that no unfinished dependency is cancelled, up to the number of conditions of a transaction. A
+     * cancellation that is not covered still cancels the job, only later.
      */
     private void requireNotCancelled(Transaction transaction, List<JobStatus> dependencies) {
-        int room = RevisionComparison.maxConditions(limits.maxTransactionChanges()) - 1;
+        int maxDependencyConditions = RevisionComparison.maxConditions(limits.maxTransactionChanges()) - 1;
         dependencies.stream()
                 .filter(dependency -> !dependency.isDone())
-                .limit(room)
+                .limit(maxDependencyConditions)
                 .forEach(dependency -> transaction.requireRevision(CancellationRecord.key(dependency.uid()), 0));
     }
 }
--- a/src/main/java/io/sillreel/leadership/StoredJobsReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredJobsAssembler.java
@@ -25,17 +25,17 @@
 
 /**
  * Assembles the jobs of a stored state from pages of plans, run records and completion bitmap chunks. Plans and run
- * records come in the order of their ids, each list at its own pace. Whether the job of a plan is done is known once
- * the run records have been read up to its id; the next page of plans is accepted only then, so that at most one page
- * waits. Runs on the event loop.
+ * records arrive ordered by job id, but the two scans progress independently. Whether the job of a plan is done is
+ * known once the run records have been read up to its id. The next page of plans is requested only then, so that at
+ * most one page of plans is buffered. Runs on the event loop.
  */
-final class StoredJobsReader {
-    private record StoredHead(RunRecord head, long revision) {}
+final class StoredJobsAssembler {
+    private record StoredRunRecord(RunRecord runRecord, long revision) {}
 
     private final int firstVersionTasksPerChunk;
     private final LongPredicate countsAsDemand;
     private final JobIdSet done = new JobIdSet();
-    private final Map<String, StoredHead> heads = new HashMap<>();
+    private final Map<String, StoredRunRecord> runRecords = new HashMap<>();
     private final Map<String, StoredChunks> chunks = new HashMap<>();
     private final List<StoredJob> unfinished = new ArrayList<>();
     private final List<PlanRecord> recentlyDone = new ArrayList<>();
@@ -46,15 +46,15 @@
     private boolean runRecordsFailed;
 
     /**
-     * @param firstVersionTasksPerChunk how many tasks the first version put into one chunk of a completion bitmap
-     * @param countsAsDemand true for the wall-clock time of an admission that still counts as demand, in microseconds
+     * @param firstVersionTasksPerChunk how many tasks the first version stored in one chunk of a completion bitmap
+     * @param countsAsDemand true for an admission time (wall clock, in microseconds) that still counts as demand
      */
-    StoredJobsReader(int firstVersionTasksPerChunk, LongPredicate countsAsDemand) {
+    StoredJobsAssembler(int firstVersionTasksPerChunk, LongPredicate countsAsDemand) {
         this.firstVersionTasksPerChunk = firstVersionTasksPerChunk;
         this.countsAsDemand = countsAsDemand;
     }
 
-    /** Adds a page of run records, among which the first version stored its chunks as well. */
+    /** Adds a page of run records; the first version stored its chunks under the same prefix. */
     void addRunRecords(List<StoredEntry> page) {
         for (StoredEntry entry : page) {
             String suffix = keySuffix(RunRecord.PREFIX, entry);
@@ -64,7 +64,7 @@
             } else if (RunRecordCodec.isDone(entry.value())) {
                 done.add(suffix);
             } else {
-                heads.put(suffix, new StoredHead(RunRecordCodec.decode(entry.value()), entry.revision()));
+                runRecords.put(suffix, new StoredRunRecord(RunRecordCodec.decode(entry.value()), entry.revision()));
             }
             lastRunRecordUid = suffix;
         }
@@ -72,9 +72,9 @@
     }
 
     /**
-     * No more run records come.
+     * Ends the scan of run records.
      *
-     * @param complete true if all of them have been read, false if the list has failed
+     * @param complete true if all of them have been read, false if the scan has failed
      */
     void endRunRecords(boolean complete) {
         if (complete) {
@@ -86,9 +86,9 @@
         }
     }
 
-    /** Adds a page of plans; completes with true once all of it has been classified, with false if it can't be. */
+    /** Adds a page of plans; completes with true once all its plans are classified, with false if they can't be. */
     CompletableFuture<Boolean> addPlans(List<StoredEntry> page) {
-        // Without the run records a plan could never be classified, and the scan of plans would wait without end.
+        // Without the run records a plan would never be classified, and the scan of plans would never end.
         if (runRecordsFailed) {
             return CompletableFuture.completedFuture(false);
         }
@@ -126,19 +126,19 @@
     private void classify(StoredEntry plan) {
         String uid = keySuffix(PlanRecord.PREFIX, plan);
         if (!done.contains(uid)) {
-            StoredHead head = heads.remove(uid);
+            StoredRunRecord stored = runRecords.remove(uid);
             unfinished.add(new StoredJob(
                     PlanRecordCodec.decode(plan.value()),
                     plan.revision(),
-                    head == null ? null : head.head(),
-                    head == null ? 0 : head.revision(),
+                    stored == null ? null : stored.runRecord(),
+                    stored == null ? 0 : stored.revision(),
                     StoredChunks.NONE));
         } else if (countsAsDemand.test(PlanRecordCodec.admittedWallMicros(plan.value()))) {
             recentlyDone.add(PlanRecordCodec.decode(plan.value()));
         }
     }
 
-    /** Everything that was read; called once all lists are complete. */
+    /** Builds the stored state from all pages; called once all scans are complete. */
     StoredState toStoredState(
             JobIdSet cancelled,
             List<ScaleOutRequest> scaleOutRequests,
