--- a/src/test/java/io/sillreel/pipeline/JobDependencyTest.java
+++ b/src/test/java/io/sillreel/pipeline/JobDependencyTest.java
@@ -7,7 +7,7 @@
 import io.sillreel.http.HttpResponse;
 import io.sillreel.sim.FailureInjector;
 import io.sillreel.sim.SimCluster;
-import io.sillreel.sim.SimNetwork.Fate;
+import io.sillreel.sim.SimNetwork.Action;
 import io.sillreel.sim.SimNetwork.Rule;
 import java.util.List;
 import java.util.function.Consumer;
@@ -21,13 +21,13 @@
 
     @BeforeEach
     void startCluster() {
-        cluster.seconds(2);
+        cluster.runSeconds(2);
     }
 
     private int submitUntilAccepted(int node, ObjectNode job) {
         HttpResponse response = cluster.submit(node, job);
         for (int tries = 0; tries < 20 && response.status() / 100 != 2; tries++) {
-            cluster.seconds(1);
+            cluster.runSeconds(1);
             response = cluster.submit(node, job);
         }
         return response.status();
@@ -55,14 +55,14 @@
                         .status())
                 .isEqualTo(201);
         assertStageOnAllNodes(uid(4), "queued");
-        cluster.untilStarted(3, 3 * SECOND);
-        assertThat(cluster.state().value("run/" + uid(2))).isNull();
-        cluster.seconds(60);
+        cluster.runUntilStarted(3, 3 * SECOND);
+        assertThat(cluster.store().value("run/" + uid(2))).isNull();
+        cluster.runSeconds(60);
         for (int job = 1; job <= 4; job++) {
             assertStageOnAllNodes(uid(job), "done");
         }
-        assertThat(cluster.starts()).isEqualTo(11);
-        assertThat(cluster.broken()).isEmpty();
+        assertThat(cluster.startCount()).isEqualTo(11);
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards against validating dependencies by a controller's cached state instead of the state service. */
@@ -97,13 +97,13 @@
         assertThat(cluster.poll(0, uid(4)).status()).isEqualTo(404);
         assertThat(cluster.submit(2, SimCluster.job(uid(4), 1, uid(1), uid(1))).status())
                 .isEqualTo(201);
-        assertThat(cluster.state().value("plan/" + uid(4)).path("job").path("awaits"))
+        assertThat(cluster.store().value("plan/" + uid(4)).path("job").path("awaits"))
                 .hasSize(1);
-        cluster.state().outage(true);
+        cluster.store().setOutage(true);
         assertThat(cluster.submit(2, SimCluster.job(uid(5), 1, uid(99))).status())
                 .isEqualTo(503);
-        cluster.state().outage(false);
-        cluster.seconds(30);
+        cluster.store().setOutage(false);
+        cluster.runSeconds(30);
         // A repeated submission is answered with the job's status, whatever its dependencies are.
         assertThat(cluster.submit(0, SimCluster.job(uid(4), 1, uid(1)))
                         .json()
@@ -112,7 +112,7 @@
                 .isEqualTo("done");
         assertThat(cluster.submit(0, SimCluster.job(uid(4), 1, uid(98))).status())
                 .isEqualTo(200);
-        assertThat(cluster.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards against rejecting a dependency just admitted by another controller whose response was lost. */
@@ -120,15 +120,15 @@
     void acceptsDependencyJustAdmittedByAnotherController() {
         for (int i = 1; i <= 20; i++) {
             String dependency = uid(2 * i);
-            cluster.submitMeanwhile(i % 3, SimCluster.job(dependency, 1));
-            cluster.until(() -> cluster.state().value("plan/" + dependency) != null);
+            cluster.submitAsync(i % 3, SimCluster.job(dependency, 1));
+            cluster.runUntil(() -> cluster.store().value("plan/" + dependency) != null);
             assertThat(cluster.submit((i + 1) % 3, SimCluster.job(uid(2 * i + 1), 1, dependency))
                             .status())
                     .isEqualTo(201);
         }
-        cluster.seconds(60);
+        cluster.runSeconds(60);
         assertStageOnAllNodes(uid(41), "done");
-        assertThat(cluster.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards status reads: dependents of a cancelled job are cancelled even before their cancellation is stored. */
@@ -139,7 +139,7 @@
         cluster.submit(2, SimCluster.job(uid(3), 2, uid(2)));
         cluster.submit(0, SimCluster.job(uid(4), 2, uid(3)));
         cluster.submit(0, SimCluster.job(uid(5), 2).put("guess_s", 60.0));
-        cluster.untilStarted(6, 600 * SECOND);
+        cluster.runUntilStarted(6, 600 * SECOND);
         int leader = cluster.leader();
         // Without a leader for the next seconds, no cascading cancellations are stored.
         cluster.kill(leader);
@@ -147,7 +147,7 @@
         assertThat(cluster.cancel(follower, uid(1)).json().path("stage").asText())
                 .isEqualTo("withdrawn");
         for (int job = 2; job <= 4; job++) {
-            assertThat(cluster.state().value("withdraw/" + uid(job))).isNull();
+            assertThat(cluster.store().value("withdraw/" + uid(job))).isNull();
             assertStageOnAllNodes(uid(job), "withdrawn");
             assertThat(cluster.cancel(follower, uid(job)).json().path("stage").asText())
                     .isEqualTo("withdrawn");
@@ -157,14 +157,14 @@
         assertThat(lateSubmission.status()).isEqualTo(201);
         assertThat(lateSubmission.json().path("stage").asText()).isEqualTo("withdrawn");
         assertStageOnAllNodes(uid(6), "withdrawn");
-        cluster.seconds(15);
+        cluster.runSeconds(15);
         for (int job = 1; job <= 4; job++) {
-            assertThat(cluster.state().value("withdraw/" + uid(job)))
+            assertThat(cluster.store().value("withdraw/" + uid(job)))
                     .as(uid(job))
                     .isNotNull();
         }
         assertThat(cluster.stage(follower, uid(5))).isIn("queued", "running");
-        assertThat(cluster.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards reported stages when the first, middle or last job of a chain is cancelled at any time. */
@@ -172,26 +172,26 @@
     void cancelsOnlyTransitiveDependentsAtAnyPointOfChain() {
         for (int interval = 0; interval < 24; interval++) {
             SimCluster sim = new SimCluster(200 + interval);
-            sim.seconds(2);
+            sim.runSeconds(2);
             sim.submit(0, SimCluster.job(uid(1), 2));
             sim.submit(1, SimCluster.job(uid(2), 2, uid(1)));
             sim.submit(2, SimCluster.job(uid(3), 2, uid(2)));
-            sim.seconds(interval * 0.9);
+            sim.runSeconds(interval * 0.9);
             int cancelledJob = 1 + interval % 3;
             String reported = sim.cancel(interval % 3, uid(cancelledJob))
                     .json()
                     .path("stage")
                     .asText();
-            sim.seconds(3);
+            sim.runSeconds(3);
             if (reported.equals("withdrawn")) {
                 // The leader has stored the cascading cancellations.
                 for (int job = cancelledJob; job <= 3; job++) {
-                    assertThat(sim.state().value("withdraw/" + uid(job)))
+                    assertThat(sim.store().value("withdraw/" + uid(job)))
                             .as("after %d", interval)
                             .isNotNull();
                 }
             }
-            sim.seconds(47);
+            sim.runSeconds(47);
             for (int job = 1; job <= 3; job++) {
                 String expected = reported.equals("withdrawn") && job >= cancelledJob ? "withdrawn" : "done";
                 for (int node = 0; node < 3; node++) {
@@ -200,7 +200,7 @@
                             .isEqualTo(expected);
                 }
             }
-            assertThat(sim.broken()).isEmpty();
+            assertThat(sim.violations()).isEmpty();
         }
     }
 
@@ -209,36 +209,37 @@
     void completesChainDespiteFailoversDuplicateHeartbeatsAndLostResponses() {
         for (int seed = 1; seed <= 5; seed++) {
             SimCluster sim = new SimCluster(300 + seed);
-            sim.seconds(2);
+            sim.runSeconds(2);
             for (int job = 1; job <= 8; job++) {
                 sim.submit(job % 3, job == 1 ? SimCluster.job(uid(1), 3) : SimCluster.job(uid(job), 3, uid(job - 1)));
             }
             int lossOffset = seed;
             Rule rule = sim.network()
-                    .add((from, to, request) -> request.route().equals("/txn")
+                    .addRule((from, to, request) -> request.route().equals("/txn")
                                     && new String(request.body(), java.nio.charset.StandardCharsets.UTF_8)
                                             .contains("\"run/")
                                     && (from.hashCode() + request.body().length + lossOffset) % 3 == 0
-                            ? Fate.LOSE_ANSWER
+                            ? Action.DROP_RESPONSE
                             : null);
-            sim.network().add((from, to, request) -> request.route().equals("/agent/beat") ? Fate.COPY : null);
+            sim.network()
+                    .addRule((from, to, request) -> request.route().equals("/agent/beat") ? Action.DUPLICATE : null);
             for (int failover = 0; failover < 4; failover++) {
-                sim.seconds(7 + seed);
+                sim.runSeconds(7 + seed);
                 int leader = sim.leader();
                 if (leader >= 0) {
                     sim.kill(leader);
-                    sim.seconds(4);
+                    sim.runSeconds(4);
                     sim.restart(leader);
                 }
             }
-            sim.network().remove(rule);
-            sim.seconds(150);
+            sim.network().removeRule(rule);
+            sim.runSeconds(150);
             for (int job = 1; job <= 8; job++) {
                 assertThat(sim.stage(0, uid(job)))
                         .as("seed %d, %s", seed, uid(job))
                         .isEqualTo("done");
             }
-            assertThat(sim.broken()).isEmpty();
+            assertThat(sim.violations()).isEmpty();
         }
     }
 
@@ -247,80 +248,80 @@
     void releasesJobWhoseDependenciesWereDoneInEarlierTerm() {
         cluster.submit(0, SimCluster.job(uid(1), 1));
         cluster.submit(0, SimCluster.job(uid(2), 1));
-        cluster.seconds(25);
+        cluster.runSeconds(25);
         assertStageOnAllNodes(uid(1), "done");
         cluster.submit(1, SimCluster.job(uid(3), 1, uid(1), uid(2)));
         for (int node = 0; node < 3; node++) {
             cluster.restart(node);
         }
-        cluster.seconds(5);
+        cluster.runSeconds(5);
         assertThat(cluster.submit(2, SimCluster.job(uid(4), 1, uid(1), uid(3))).status())
                 .isEqualTo(201);
-        cluster.seconds(40);
+        cluster.runSeconds(40);
         assertStageOnAllNodes(uid(3), "done");
         assertStageOnAllNodes(uid(4), "done");
-        assertThat(cluster.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards paged reads: a page may show a job but not its dependency, which was admitted between two pages. */
     @Test
     void doesNotReleaseJobWhoseDependencyWasMissedByPagedRead() {
-        cluster.cloud().outage(true);
+        cluster.cloud().setOutage(true);
         for (int job = 1; job <= 220; job++) {
-            cluster.submitMeanwhile(job % 3, SimCluster.job(uid(job), 1));
-            cluster.seconds(0.05);
+            cluster.submitAsync(job % 3, SimCluster.job(uid(job), 1));
+            cluster.runSeconds(0.05);
         }
-        cluster.seconds(10);
+        cluster.runSeconds(10);
         int leader = cluster.leader();
         boolean[] isReadingSecondPage = {false};
-        cluster.network().add((from, to, request) -> {
+        cluster.network().addRule((from, to, request) -> {
             if (request.path().startsWith("/kv?prefix=plan/&since=") && !isReadingSecondPage[0]) {
                 isReadingSecondPage[0] = true;
-                cluster.network().slowness(250);
+                cluster.network().setLatencyFactor(250);
             }
             return null;
         });
         cluster.kill(leader);
-        cluster.until(() -> isReadingSecondPage[0]);
+        cluster.runUntil(() -> isReadingSecondPage[0]);
         // Only the second page is delayed that long; lost watches hide the plans admitted meanwhile for some seconds.
-        cluster.network().slowness(1);
+        cluster.network().setLatencyFactor(1);
         Rule lostWatches = cluster.network()
-                .add((from, to, request) -> request.path().startsWith("/watch?prefix=plan/") ? Fate.LOSE : null);
+                .addRule((from, to, request) -> request.path().startsWith("/watch?prefix=plan/") ? Action.DROP : null);
         int node = (leader + 1) % 3;
         assertThat(submitUntilAccepted(node, SimCluster.job(uid(0), 1))).isEqualTo(201);
         assertThat(submitUntilAccepted(node, SimCluster.job(uid(999), 1, uid(0))))
                 .isEqualTo(201);
-        cluster.seconds(8);
-        cluster.network().remove(lostWatches);
-        assertThat(cluster.state().value("run/" + uid(999))).isNull();
-        cluster.until(() -> cluster.state().value("run/" + uid(0)) != null);
-        cluster.seconds(5);
-        assertThat(cluster.state().value("run/" + uid(999))).isNull();
-        cluster.cloud().outage(false);
-        cluster.seconds(60);
+        cluster.runSeconds(8);
+        cluster.network().removeRule(lostWatches);
+        assertThat(cluster.store().value("run/" + uid(999))).isNull();
+        cluster.runUntil(() -> cluster.store().value("run/" + uid(0)) != null);
+        cluster.runSeconds(5);
+        assertThat(cluster.store().value("run/" + uid(999))).isNull();
+        cluster.cloud().setOutage(false);
+        cluster.runSeconds(60);
         assertStageOnAllNodes(uid(999), "done");
-        assertThat(cluster.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards long chains: dependencies are resolved one by one, and polls of the last job are still answered. */
     @Test
     void cancelsLongChainAfterFailover() {
         cluster.submit(0, SimCluster.job(uid(1), 1));
-        cluster.untilStarted(1, 600 * SECOND);
+        cluster.runUntilStarted(1, 600 * SECOND);
         for (int job = 2; job <= 300; job++) {
             assertThat(submitUntilAccepted(job % 3, SimCluster.job(uid(job), 1, uid(job - 1))))
                     .isEqualTo(201);
         }
-        cluster.seconds(2);
+        cluster.runSeconds(2);
         assertThat(cluster.stage(1, uid(300))).isEqualTo("queued");
         // The new leader reads the jobs in key order and cancels them in topological order.
         cluster.kill(cluster.leader());
         cluster.cancel(anyRunningNode(), uid(1));
-        cluster.seconds(5);
+        cluster.runSeconds(5);
         assertThat(cluster.stage(anyRunningNode(), uid(300))).isEqualTo("withdrawn");
-        cluster.seconds(25);
-        assertThat(cluster.state().keysUnder("withdraw/")).hasSize(300);
-        assertThat(cluster.broken()).isEmpty();
+        cluster.runSeconds(25);
+        assertThat(cluster.store().keysWithPrefix("withdraw/")).hasSize(300);
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /**
@@ -328,17 +329,17 @@
      */
     @Test
     void answersFirstPollOfLongChainWithFewStoreRequests() {
-        cluster.cloud().outage(true);
+        cluster.cloud().setOutage(true);
         for (int job = 1; job <= 500; job++) {
             ObjectNode next = job == 1 ? SimCluster.job(uid(1), 1) : SimCluster.job(uid(job), 1, uid(job - 1));
             assertThat(submitUntilAccepted(0, next)).isIn(200, 201);
         }
         int polledNode = cluster.leader() == 1 ? 2 : 1;
         cluster.restart(polledNode);
-        cluster.until(() -> cluster.isOpen(polledNode));
-        cluster.seconds(3);
+        cluster.runUntil(() -> cluster.isServing(polledNode));
+        cluster.runSeconds(3);
         int[] requests = {0};
-        cluster.network().add((from, to, request) -> {
+        cluster.network().addRule((from, to, request) -> {
             boolean counts = from.equals(FailureInjector.host(polledNode))
                     && to.startsWith("state")
                     && !request.path().contains("grants");
@@ -347,49 +348,49 @@
         });
         assertThat(cluster.stage(polledNode, uid(500))).isEqualTo("queued");
         assertThat(requests[0]).isLessThan(60);
-        assertThat(cluster.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards jobs with thousands of dependents: the cost per dependent is proportional to its own dependencies. */
     @Test
     void releasesAllDependentsOfOneJob() {
         cluster.submit(0, SimCluster.job(uid(1), 1));
-        cluster.untilStarted(1, 90 * SECOND);
+        cluster.runUntilStarted(1, 90 * SECOND);
         for (int job = 2; job <= 400; job++) {
-            cluster.submitMeanwhile(job % 3, SimCluster.job(uid(job), 1, uid(1)));
-            cluster.seconds(0.06);
+            cluster.submitAsync(job % 3, SimCluster.job(uid(job), 1, uid(1)));
+            cluster.runSeconds(0.06);
         }
-        cluster.seconds(10);
-        assertThat(cluster.state().keysUnder("run/")).hasSize(1);
-        cluster.cloud().machines().values().forEach(worker -> worker.runMicros(SECOND / 2));
-        cluster.seconds(160);
+        cluster.runSeconds(10);
+        assertThat(cluster.store().keysWithPrefix("run/")).hasSize(1);
+        cluster.cloud().machines().values().forEach(worker -> worker.setRunMicros(SECOND / 2));
+        cluster.runSeconds(160);
         int done = 0;
         for (int job = 2; job <= 400; job++) {
-            done += cluster.told(uid(job)) != null
+            done += cluster.known(uid(job)) != null
                             && cluster.stage(job % 3, uid(job)).equals("done")
                     ? 1
                     : 0;
         }
         assertThat(done).isGreaterThan(380);
-        assertThat(cluster.broken()).isEmpty();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards against limits lowered without notice: no value exceeds the announced size; 429 only slows writing. */
     @Test
     void losesNoJobWhenStoreLimitsAreLowered() {
         for (int job = 1; job <= 30; job++) {
-            cluster.submitMeanwhile(
+            cluster.submitAsync(
                     job % 3, job % 3 == 1 ? SimCluster.job(uid(job), 6) : SimCluster.job(uid(job), 6, uid(job - 1)));
-            cluster.seconds(0.4);
+            cluster.runSeconds(0.4);
             if (job == 14) {
-                cluster.state().limits(6, 2 * 1024, 15);
+                cluster.store().setLimits(6, 2 * 1024, 15);
             }
         }
-        cluster.seconds(200);
+        cluster.runSeconds(200);
         for (int job = 1; job <= 30; job++) {
             assertStageOnAllNodes(uid(job), "done");
         }
-        assertThat(cluster.state().refusedForSize()).isZero();
-        assertThat(cluster.broken()).isEmpty();
+        assertThat(cluster.store().rejectedForSize()).isZero();
+        assertThat(cluster.violations()).isEmpty();
     }
 }
--- a/src/test/java/io/sillreel/pipeline/LongDependencyListTest.java
+++ b/src/test/java/io/sillreel/pipeline/LongDependencyListTest.java
@@ -15,13 +15,13 @@
 
     @BeforeEach
     void startCluster() {
-        cluster.seconds(2);
+        cluster.runSeconds(2);
     }
 
     private int submitUntilAccepted(int node, ObjectNode job) {
         HttpResponse response = cluster.submit(node, job);
         for (int tries = 0; tries < 20 && response.status() / 100 != 2; tries++) {
-            cluster.seconds(1);
+            cluster.runSeconds(1);
             response = cluster.submit(node, job);
         }
         return response.status();
@@ -41,25 +41,25 @@
         String[] dependencies = new String[300];
         for (int i = 0; i < dependencies.length; i++) {
             dependencies[i] = uid(i + 1);
-            cluster.submitMeanwhile(i % 3, SimCluster.job(dependencies[i], 1));
-            cluster.seconds(0.05);
+            cluster.submitAsync(i % 3, SimCluster.job(dependencies[i], 1));
+            cluster.runSeconds(0.05);
         }
-        cluster.seconds(5);
+        cluster.runSeconds(5);
         ObjectNode large = SimCluster.job(uid(999), 1, dependencies);
         assertThat(submitUntilAccepted(0, large)).isIn(200, 201);
-        assertThat(cluster.state().keysUnder("plan-overflow/" + uid(999))).isNotEmpty();
+        assertThat(cluster.store().keysWithPrefix("plan-overflow/" + uid(999))).isNotEmpty();
         assertStageOnAllNodes(uid(999), "queued");
         // The next leader and a restarted controller have to read the list again.
         int leader = cluster.leader();
         cluster.restart((leader + 1) % 3);
         cluster.kill(leader);
-        cluster.seconds(5);
+        cluster.runSeconds(5);
         cluster.restart(leader);
-        cluster.until(() -> cluster.told(uid(300)) != null && cluster.leader() >= 0);
-        cluster.seconds(140);
+        cluster.runUntil(() -> cluster.known(uid(300)) != null && cluster.leader() >= 0);
+        cluster.runSeconds(140);
         assertStageOnAllNodes(uid(999), "done");
-        assertThat(cluster.state().refusedForSize()).isZero();
-        assertThat(cluster.broken()).isEmpty();
+        assertThat(cluster.store().rejectedForSize()).isZero();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     @Test
@@ -67,19 +67,19 @@
         String[] dependencies = new String[200];
         for (int i = 0; i < dependencies.length; i++) {
             dependencies[i] = uid(i + 1);
-            cluster.submitMeanwhile(i % 3, SimCluster.job(dependencies[i], 1).put("guess_s", 60.0));
-            cluster.seconds(0.05);
+            cluster.submitAsync(i % 3, SimCluster.job(dependencies[i], 1).put("guess_s", 60.0));
+            cluster.runSeconds(0.05);
         }
-        cluster.seconds(2);
+        cluster.runSeconds(2);
         assertThat(submitUntilAccepted(0, SimCluster.job(uid(999), 1, dependencies)))
                 .isIn(200, 201);
         cluster.restart(1);
-        cluster.seconds(4);
+        cluster.runSeconds(4);
         assertThat(cluster.cancel(2, uid(200)).isOk()).isTrue();
         assertStageOnAllNodes(uid(999), "withdrawn");
-        cluster.seconds(5);
-        assertThat(cluster.state().value("withdraw/" + uid(999))).isNotNull();
-        assertThat(cluster.broken()).isEmpty();
+        cluster.runSeconds(5);
+        assertThat(cluster.store().value("withdraw/" + uid(999))).isNotNull();
+        assertThat(cluster.violations()).isEmpty();
     }
 
     /** Guards against admitting a job whose dependency list can't be stored. */
@@ -93,8 +93,8 @@
         assertThat(response.status()).isEqualTo(422);
         assertThat(response.json().path("error").asText()).contains("too large", "awaits 1000 jobs");
         assertThat(cluster.poll(1, uid(9_999)).status()).isEqualTo(404);
-        assertThat(cluster.state().keysUnder("plan")).isEmpty();
-        assertThat(cluster.state().refusedForSize()).isZero();
-        assertThat(cluster.broken()).isEmpty();
+        assertThat(cluster.store().keysWithPrefix("plan")).isEmpty();
+        assertThat(cluster.store().rejectedForSize()).isZero();
+        assertThat(cluster.violations()).isEmpty();
     }
 }
--- a/src/test/java/io/sillreel/statestore/WriteQueueTest.java
+++ b/src/test/java/io/sillreel/statestore/WriteQueueTest.java
@@ -5,9 +5,9 @@
 import io.sillreel.http.Json;
 import io.sillreel.overload.RateLimiter;
 import io.sillreel.sim.SimNetwork;
-import io.sillreel.sim.SimNetwork.Fate;
+import io.sillreel.sim.SimNetwork.Action;
 import io.sillreel.sim.SimNetwork.Rule;
-import io.sillreel.sim.SimStateStore;
+import io.sillreel.sim.SimStateService;
 import io.sillreel.sim.SimTime;
 import java.util.ArrayList;
 import java.util.List;
@@ -16,15 +16,15 @@
 class WriteQueueTest {
     private final SimTime time = new SimTime();
     private final SimNetwork network = new SimNetwork(time, 1);
-    private final SimStateStore state = new SimStateStore(time, 4, 8192, 1_000);
+    private final SimStateService stateService = new SimStateService(time, 4, 8192, 1_000);
     private final SimTime.Process process = time.new Process();
     private final StateStore store;
     private final WriteQueue writeQueue;
     private boolean leadershipLost;
 
     WriteQueueTest() {
-        network.listen("state:1", state);
-        store = network.stateStore(process, 1_000, 1_000);
+        network.listen("state:1", stateService);
+        store = network.newStateStoreClient(process, 1_000, 1_000);
         store.commit(new Transaction().set("leader", Json.object()));
         time.runFor(100_000);
         writeQueue = new WriteQueue(store, process, "leader", 101, 4, () -> leadershipLost = true);
@@ -36,7 +36,7 @@
      */
     @Test
     void splitsOversizedBatchAndDropsOversizedWriteWithoutBlockingOthers() {
-        state.limits(1, 40, 1_000);
+        stateService.setLimits(1, 40, 1_000);
         CounterWrite small = new CounterWrite("a");
         CounterWrite large = new CounterWrite("a-key-whose-value-is-not-small");
         large.padding = "x".repeat(100);
@@ -46,9 +46,9 @@
         assertThat(small.revision).isPositive();
         assertThat(last.revision).isPositive();
         assertThat(large.revision).isZero();
-        int refused = state.refusedForSize();
+        int refused = stateService.rejectedForSize();
         time.runFor(10_000_000);
-        assertThat(state.refusedForSize()).isEqualTo(refused);
+        assertThat(stateService.rejectedForSize()).isEqualTo(refused);
         large.padding = "";
         writeQueue.enqueue(large);
         time.runFor(1_000_000);
@@ -62,20 +62,20 @@
     @Test
     void slowsDownWithoutLossWhenRateLimited() {
         // A quarter of the write rate configured for this controller.
-        StateStore rateLimitedStore = network.stateStore(process, 1_000, 40);
+        StateStore rateLimitedStore = network.newStateStoreClient(process, 1_000, 40);
         WriteQueue writeQueue =
                 new WriteQueue(rateLimitedStore, process, "leader", 101, 4, () -> leadershipLost = true);
-        state.limits(4, 8192, 10);
+        stateService.setLimits(4, 8192, 10);
         List<CounterWrite> writes = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             writes.add(new CounterWrite("k%02d".formatted(i)));
             writeQueue.enqueue(writes.get(i));
         }
         time.runFor(1_500_000);
-        int refusedSoon = state.refusedForRate();
+        int refusedSoon = stateService.rejectedForRate();
         time.runFor(10_000_000);
         assertThat(writes).allMatch(write -> write.revision > 0);
-        assertThat(state.refusedForRate() - refusedSoon)
+        assertThat(stateService.rejectedForRate() - refusedSoon)
                 .as("refused once the writer had slowed")
                 .isLessThan(25);
     }
@@ -137,7 +137,7 @@
         time.runFor(1_000_000);
         for (int i = 0; i < writes.length; i++) {
             assertThat(writes[i].stored).isEqualTo(i + 1);
-            assertThat(state.value("k" + i).path("n").asInt()).isEqualTo(i + 1);
+            assertThat(stateService.value("k" + i).path("n").asInt()).isEqualTo(i + 1);
         }
         assertThat(writes[9].revision).isEqualTo(104);
     }
@@ -145,7 +145,7 @@
     /** Guards against lease expiry because other requests exhausted the request rate. */
     @Test
     void renewsLeaseWhenRequestRateIsExhausted() {
-        StateStore exhaustedStore = network.stateStore(process, 1, 1);
+        StateStore exhaustedStore = network.newStateStoreClient(process, 1, 1);
         long leaseId =
                 store.grantLease(3_000_000).thenApply(grant -> grant.leaseId()).getNow(0L);
         exhaustedStore.get("leader");
@@ -160,8 +160,8 @@
     @Test
     void writesJobEndsBeforeStartsAndStartsBeforeProgress() {
         StateStore slowStore = new StateStore(
-                network.from("node", process),
-                network.from("node", process),
+                network.clientOf("node", process),
+                network.clientOf("node", process),
                 process,
                 "state:1",
                 new RateLimiter(process, 1_000, 1_000),
@@ -202,16 +202,16 @@
         CounterWrite write = new CounterWrite("k");
         write.value = 1;
         Rule heldTransactions =
-                network.add((from, to, request) -> request.route().equals("/txn") ? Fate.HOLD : null);
+                network.addRule((from, to, request) -> request.route().equals("/txn") ? Action.HOLD : null);
         writeQueue.enqueue(write);
         time.runFor(1_000_000);
-        network.remove(heldTransactions);
+        network.removeRule(heldTransactions);
         write.value = 2;
         time.runFor(3_000_000);
         assertThat(write.stored).isEqualTo(2);
-        network.release();
+        network.releaseHeld();
         time.runFor(1_000_000);
-        assertThat(state.value("k").path("n").asInt()).isEqualTo(2);
+        assertThat(stateService.value("k").path("n").asInt()).isEqualTo(2);
     }
 
     @Test
@@ -219,10 +219,10 @@
         CounterWrite write = new CounterWrite("k");
         write.value = 1;
         Rule lostResponses =
-                network.add((from, to, request) -> request.route().equals("/txn") ? Fate.LOSE_ANSWER : null);
+                network.addRule((from, to, request) -> request.route().equals("/txn") ? Action.DROP_RESPONSE : null);
         writeQueue.enqueue(write);
         time.runFor(1_000_000);
-        network.remove(lostResponses);
+        network.removeRule(lostResponses);
         time.runFor(3_000_000);
         assertThat(write.stored).isEqualTo(1);
         assertThat(write.revision).isEqualTo(103);
@@ -236,7 +236,7 @@
         writeQueue.enqueue(write);
         time.runFor(1_000_000);
         assertThat(leadershipLost).isTrue();
-        assertThat(state.value("k")).isNull();
+        assertThat(stateService.value("k")).isNull();
     }
 
     @Test
@@ -252,7 +252,7 @@
         var listing = store.list("many/");
         time.runFor(100_000);
         assertThat(listing.join().entries()).hasSize(1_200);
-        state.compact();
+        stateService.compact();
         var watch = store.watch("many/", 5, 1_000_000);
         time.runFor(100_000);
         assertThat(watch.join().outcome()).isEqualTo(StoreOutcome.COMPACTED);
