--- a/src/main/java/io/sillreel/pipeline/RunRecordWrite.java
+++ b/src/main/java/io/sillreel/pipeline/RunRecordWrite.java
@@ -7,12 +7,12 @@
 import java.util.Optional;
 
 /**
- * The write of a job's {@link RunRecord}. It stores what the job has come to by the time it is sent, so one write is
- * enough for all changes that are queued before. The first one releases the job; it fails if the job is cancelled.
+ * The write of a job's {@link RunRecord}. It stores the state of the job at the time when it is sent, so one write
+ * covers all changes made before. The first write releases the job; writes fail if the job is cancelled.
  */
 public final class RunRecordWrite implements PendingWrite {
     private final ActiveJob job;
-    private final StoredCompletionBitmap completed;
+    private final StoredCompletionBitmap completionBitmap;
     private final ActiveJob.Listener listener;
 
     private long revision;
@@ -21,25 +21,25 @@
     private boolean isCompletionStored;
     private int sentFailedAttempts;
 
-    RunRecordWrite(ActiveJob job, StoredCompletionBitmap completed, ActiveJob.Listener listener) {
+    RunRecordWrite(ActiveJob job, StoredCompletionBitmap completionBitmap, ActiveJob.Listener listener) {
         this.job = job;
-        this.completed = completed;
+        this.completionBitmap = completionBitmap;
         this.listener = listener;
     }
 
-    /** Takes over the record that an earlier leader stored. */
+    /** Restores the state of the record that an earlier leader stored. */
     void inherit(long storedRevision, RunRecord record) {
         revision = storedRevision;
         isReleased = true;
         sentFailedAttempts = record.retry().failedAttempts();
     }
 
-    /** True once a record of the job is stored. */
+    /** True once any record of the job is stored. */
     boolean isReleased() {
         return isReleased;
     }
 
-    /** True once a record is stored that says that the job is done. */
+    /** True once a record that marks the job as done is stored. */
     boolean isCompletionStored() {
         return isCompletionStored;
     }
@@ -70,21 +70,21 @@
 
     @Override
     public List<PendingWrite> prerequisites() {
-        return completed.prerequisites();
+        return completionBitmap.prerequisites();
     }
 
     @Override
     public KeyChange change() {
         sentFailedAttempts = job.retry().failedAttempts();
         isCompletionSent = job.isComplete();
-        BitmapReference bitmap = completed.write();
+        BitmapReference bitmapReference = completionBitmap.beginRecordWrite();
         RunRecord record = new RunRecord(
                 job.spec().tasks(),
-                completed.count(),
+                completionBitmap.count(),
                 job.allocatedCount(),
                 stage(),
                 job.retry(),
-                bitmap,
+                bitmapReference,
                 job.spec().dependencies().isEmpty() ? 0 : job.readyWallMicros());
         return KeyChange.put(RunRecordCodec.encode(record));
     }
@@ -101,7 +101,7 @@
         revision = newRevision;
         isReleased = true;
         isCompletionStored |= isCompletionSent;
-        List<PendingWrite> removals = completed.recordStored(isCompletionStored);
+        List<PendingWrite> removals = completionBitmap.recordStored(isCompletionStored);
         if (!removals.isEmpty()) {
             listener.enqueueWrites(removals);
         }
@@ -110,7 +110,7 @@
 
     @Override
     public void onTooLarge() {
-        if (completed.moveToChunks()) {
+        if (completionBitmap.moveToChunks()) {
             listener.enqueueWrites(List.of(this));
         }
     }
--- a/src/main/java/io/sillreel/recovery/ChangeRestorer.java
+++ b/src/main/java/io/sillreel/recovery/ChangeRestorer.java
@@ -190,13 +190,13 @@
             for (int index = 0; index < batch.size(); index++) {
                 addRestoration(transaction, batch.get(index), reads.get(index).join());
             }
-            if (transaction.size() == 0) {
+            if (transaction.changeCount() == 0) {
                 restoreMissing(rest, onDone);
                 return;
             }
             lease.store()
                     .commit(transaction)
-                    .thenAccept(commit -> handleCommit(commit, transaction.size(), batch, rest, onDone));
+                    .thenAccept(commit -> handleCommit(commit, transaction.changeCount(), batch, rest, onDone));
         });
     }
 
--- a/src/test/java/io/sillreel/pipeline/JobChainTest.java
+++ b/src/test/java/io/sillreel/pipeline/JobDependencyTest.java
@@ -14,19 +14,17 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/**
- * Jobs that await others, seen from outside; the cluster checks that none starts too early and that none is orphaned.
- */
-class JobChainTest {
+/** Jobs with dependencies, through the public API; {@link SimCluster} detects early starts and orphaned jobs. */
+class JobDependencyTest {
     private static final long SECOND = 1_000_000;
     private final SimCluster cluster = new SimCluster(31);
 
     @BeforeEach
-    void begin() {
+    void startCluster() {
         cluster.runSeconds(2);
     }
 
-    private int accepted(int node, ObjectNode job) {
+    private int submitUntilAccepted(int node, ObjectNode job) {
         HttpResponse response = cluster.submit(node, job);
         for (int tries = 0; tries < 20 && response.status() / 100 != 2; tries++) {
             cluster.runSeconds(1);
@@ -35,7 +33,7 @@
         return response.status();
     }
 
-    private void everyNodeSays(String uid, String stage) {
+    private void assertStageOnAllNodes(String uid, String stage) {
         for (int node = 0; node < cluster.nodes(); node++) {
             if (cluster.isUp(node)) {
                 assertThat(cluster.stage(node, uid)).as("%s at %d", uid, node).isEqualTo(stage);
@@ -43,40 +41,40 @@
         }
     }
 
-    private int someNode() {
+    private int anyRunningNode() {
         return cluster.isUp(0) ? 0 : 1;
     }
 
-    /** The chain of the users: one, then two beside each other, then one that needs the first as well. */
+    /** A diamond of four jobs, the last of which also depends directly on the first. */
     @Test
-    void eachStepStartsOnlyOnceAllThatItAwaitsIsDone() {
+    void startsJobOnlyAfterAllDependenciesAreDone() {
         cluster.submit(0, SimCluster.job(uid(1), 3));
         cluster.submit(1, SimCluster.job(uid(2), 4, uid(1)));
         cluster.submit(2, SimCluster.job(uid(3), 2, uid(1)));
         assertThat(cluster.submit(0, SimCluster.job(uid(4), 2, uid(2), uid(3), uid(1)))
                         .status())
                 .isEqualTo(201);
-        everyNodeSays(uid(4), "queued");
+        assertStageOnAllNodes(uid(4), "queued");
         cluster.runUntilStarted(3, 3 * SECOND);
         assertThat(cluster.store().value("run/" + uid(2))).isNull();
         cluster.runSeconds(60);
         for (int job = 1; job <= 4; job++) {
-            everyNodeSays(uid(job), "done");
+            assertStageOnAllNodes(uid(job), "done");
         }
         assertThat(cluster.startCount()).isEqualTo(11);
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards what a submission may name, and who says so: the state service, and nobody's memory. */
+    /** Guards against validating dependencies by a controller's cached state instead of the state service. */
     @Test
-    void whatASubmissionNamesIsChecked() {
+    void validatesDependenciesOfSubmission() {
         cluster.submit(0, SimCluster.job(uid(1), 1));
         assertThat(cluster.submit(1, SimCluster.job(uid(2), 1).putNull("awaits"))
                         .status())
                 .isEqualTo(201);
         assertThat(cluster.submit(1, SimCluster.job(uid(3), 1, new String[0])).status())
                 .isEqualTo(201);
-        List<Consumer<ObjectNode>> mistakes = List.of(
+        List<Consumer<ObjectNode>> invalidEdits = List.of(
                 job -> job.put("awaits", uid(1)),
                 job -> job.put("awaits", 3),
                 job -> job.putObject("awaits"),
@@ -84,9 +82,9 @@
                 job -> job.putArray("awaits").add("nonsense"),
                 job -> job.putArray("awaits").addNull(),
                 job -> job.putArray("awaits").add(uid(1)).add("job-"));
-        for (Consumer<ObjectNode> mistake : mistakes) {
+        for (Consumer<ObjectNode> invalidEdit : invalidEdits) {
             ObjectNode job = SimCluster.job(uid(4), 1);
-            mistake.accept(job);
+            invalidEdit.accept(job);
             assertThat(cluster.submit(2, job).status()).as(job.toString()).isEqualTo(400);
         }
         assertThat(cluster.submit(2, SimCluster.job(uid(4), 1, uid(1), uid(99))).status())
@@ -106,7 +104,7 @@
                 .isEqualTo(503);
         cluster.store().setOutage(false);
         cluster.runSeconds(30);
-        // A repeat is answered with the state, whatever became of what it names.
+        // A repeated submission is answered with the job's status, whatever its dependencies are.
         assertThat(cluster.submit(0, SimCluster.job(uid(4), 1, uid(1)))
                         .json()
                         .path("stage")
@@ -117,25 +115,25 @@
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards a name that was accepted a moment ago, by a controller whose answer to that was lost. */
+    /** Guards against rejecting a dependency just admitted by another controller whose response was lost. */
     @Test
-    void whatAnotherControllerAcceptedThisVeryMomentIsFound() {
+    void acceptsDependencyJustAdmittedByAnotherController() {
         for (int i = 1; i <= 20; i++) {
-            String first = uid(2 * i);
-            cluster.submitAsync(i % 3, SimCluster.job(first, 1));
-            cluster.runUntil(() -> cluster.store().value("plan/" + first) != null);
-            assertThat(cluster.submit((i + 1) % 3, SimCluster.job(uid(2 * i + 1), 1, first))
+            String dependency = uid(2 * i);
+            cluster.submitAsync(i % 3, SimCluster.job(dependency, 1));
+            cluster.runUntil(() -> cluster.store().value("plan/" + dependency) != null);
+            assertThat(cluster.submit((i + 1) % 3, SimCluster.job(uid(2 * i + 1), 1, dependency))
                             .status())
                     .isEqualTo(201);
         }
         cluster.runSeconds(60);
-        everyNodeSays(uid(41), "done");
+        assertStageOnAllNodes(uid(41), "done");
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards readers: what follows a cancelled job is cancelled at once, though nobody has written that down yet. */
+    /** Guards status reads: dependents of a cancelled job are cancelled even before their cancellation is stored. */
     @Test
-    void aCancellationClosesAllThatFollowsWhoeverIsAsked() {
+    void reportsTransitiveDependentsAsCancelledOnEveryController() {
         cluster.submit(0, SimCluster.job(uid(1), 4).put("guess_s", 60.0));
         cluster.submit(1, SimCluster.job(uid(2), 2, uid(1)));
         cluster.submit(2, SimCluster.job(uid(3), 2, uid(2)));
@@ -143,111 +141,115 @@
         cluster.submit(0, SimCluster.job(uid(5), 2).put("guess_s", 60.0));
         cluster.runUntilStarted(6, 600 * SECOND);
         int leader = cluster.leader();
-        // Nobody leads for the next seconds, so nobody writes what follows.
+        // Without a leader for the next seconds, no cascading cancellations are stored.
         cluster.kill(leader);
-        int other = (leader + 1) % 3;
-        assertThat(cluster.cancel(other, uid(1)).json().path("stage").asText()).isEqualTo("withdrawn");
+        int follower = (leader + 1) % 3;
+        assertThat(cluster.cancel(follower, uid(1)).json().path("stage").asText())
+                .isEqualTo("withdrawn");
         for (int job = 2; job <= 4; job++) {
             assertThat(cluster.store().value("withdraw/" + uid(job))).isNull();
-            everyNodeSays(uid(job), "withdrawn");
-            assertThat(cluster.cancel(other, uid(job)).json().path("stage").asText())
+            assertStageOnAllNodes(uid(job), "withdrawn");
+            assertThat(cluster.cancel(follower, uid(job)).json().path("stage").asText())
                     .isEqualTo("withdrawn");
         }
-        // Who names one of them now is accepted, and cancelled with them.
-        HttpResponse late = cluster.submit(other, SimCluster.job(uid(6), 1, uid(4)));
-        assertThat(late.status()).isEqualTo(201);
-        assertThat(late.json().path("stage").asText()).isEqualTo("withdrawn");
-        everyNodeSays(uid(6), "withdrawn");
+        // A new job that depends on one of them is admitted and cancelled along with them.
+        HttpResponse lateSubmission = cluster.submit(follower, SimCluster.job(uid(6), 1, uid(4)));
+        assertThat(lateSubmission.status()).isEqualTo(201);
+        assertThat(lateSubmission.json().path("stage").asText()).isEqualTo("withdrawn");
+        assertStageOnAllNodes(uid(6), "withdrawn");
         cluster.runSeconds(15);
         for (int job = 1; job <= 4; job++) {
             assertThat(cluster.store().value("withdraw/" + uid(job)))
                     .as(uid(job))
                     .isNotNull();
         }
-        assertThat(cluster.stage(other, uid(5))).isIn("queued", "running");
+        assertThat(cluster.stage(follower, uid(5))).isIn("queued", "running");
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards what a reader says against a cancellation of any step, first, middle or last, at any moment. */
+    /** Guards reported stages when the first, middle or last job of a chain is cancelled at any time. */
     @Test
-    void aCancellationInEachSecondOfAChainClosesWhatFollowsAndNothingElse() {
-        for (int half = 0; half < 24; half++) {
-            SimCluster each = new SimCluster(200 + half);
-            each.runSeconds(2);
-            each.submit(0, SimCluster.job(uid(1), 2));
-            each.submit(1, SimCluster.job(uid(2), 2, uid(1)));
-            each.submit(2, SimCluster.job(uid(3), 2, uid(2)));
-            each.runSeconds(half * 0.9);
-            int step = 1 + half % 3;
-            String told = each.cancel(half % 3, uid(step)).json().path("stage").asText();
-            each.runSeconds(3);
-            if (told.equals("withdrawn")) {
-                // The leader has written down what follows.
-                for (int job = step; job <= 3; job++) {
-                    assertThat(each.store().value("withdraw/" + uid(job)))
-                            .as("after %d", half)
+    void cancelsOnlyTransitiveDependentsAtAnyPointOfChain() {
+        for (int interval = 0; interval < 24; interval++) {
+            SimCluster sim = new SimCluster(200 + interval);
+            sim.runSeconds(2);
+            sim.submit(0, SimCluster.job(uid(1), 2));
+            sim.submit(1, SimCluster.job(uid(2), 2, uid(1)));
+            sim.submit(2, SimCluster.job(uid(3), 2, uid(2)));
+            sim.runSeconds(interval * 0.9);
+            int cancelledJob = 1 + interval % 3;
+            String reported = sim.cancel(interval % 3, uid(cancelledJob))
+                    .json()
+                    .path("stage")
+                    .asText();
+            sim.runSeconds(3);
+            if (reported.equals("withdrawn")) {
+                // The leader has stored the cascading cancellations.
+                for (int job = cancelledJob; job <= 3; job++) {
+                    assertThat(sim.store().value("withdraw/" + uid(job)))
+                            .as("after %d", interval)
                             .isNotNull();
                 }
             }
-            each.runSeconds(47);
+            sim.runSeconds(47);
             for (int job = 1; job <= 3; job++) {
-                String expected = told.equals("withdrawn") && job >= step ? "withdrawn" : "done";
+                String expected = reported.equals("withdrawn") && job >= cancelledJob ? "withdrawn" : "done";
                 for (int node = 0; node < 3; node++) {
-                    assertThat(each.stage(node, uid(job)))
-                            .as("after %d times 0.9 s, %s", half, uid(job))
+                    assertThat(sim.stage(node, uid(job)))
+                            .as("after %d times 0.9 s, %s", interval, uid(job))
                             .isEqualTo(expected);
                 }
             }
-            assertThat(each.violations()).isEmpty();
+            assertThat(sim.violations()).isEmpty();
         }
     }
 
-    /** Guards the order of what is stored: the release of a step is never there before the end of what it awaits. */
+    /** Guards the order of writes: the release of a job is never stored before the completion of its dependencies. */
     @Test
-    void aChainGoesOnThroughTakeoversLateReportsAndLostAnswers() {
+    void completesChainDespiteFailoversDuplicateHeartbeatsAndLostResponses() {
         for (int seed = 1; seed <= 5; seed++) {
-            SimCluster each = new SimCluster(300 + seed);
-            each.runSeconds(2);
+            SimCluster sim = new SimCluster(300 + seed);
+            sim.runSeconds(2);
             for (int job = 1; job <= 8; job++) {
-                each.submit(job % 3, job == 1 ? SimCluster.job(uid(1), 3) : SimCluster.job(uid(job), 3, uid(job - 1)));
+                sim.submit(job % 3, job == 1 ? SimCluster.job(uid(1), 3) : SimCluster.job(uid(job), 3, uid(job - 1)));
             }
-            int lost = seed;
-            Rule rule = each.network()
+            int lossOffset = seed;
+            Rule rule = sim.network()
                     .addRule((from, to, request) -> request.route().equals("/txn")
                                     && new String(request.body(), java.nio.charset.StandardCharsets.UTF_8)
                                             .contains("\"run/")
-                                    && (from.hashCode() + request.body().length + lost) % 3 == 0
+                                    && (from.hashCode() + request.body().length + lossOffset) % 3 == 0
                             ? Action.DROP_RESPONSE
                             : null);
-            each.network()
+            sim.network()
                     .addRule((from, to, request) -> request.route().equals("/agent/beat") ? Action.DUPLICATE : null);
-            for (int change = 0; change < 4; change++) {
-                each.runSeconds(7 + seed);
-                int leader = each.leader();
+            for (int failover = 0; failover < 4; failover++) {
+                sim.runSeconds(7 + seed);
+                int leader = sim.leader();
                 if (leader >= 0) {
-                    each.kill(leader);
-                    each.runSeconds(4);
-                    each.restart(leader);
+                    sim.kill(leader);
+                    sim.runSeconds(4);
+                    sim.restart(leader);
                 }
             }
-            each.network().removeRule(rule);
-            each.runSeconds(150);
+            sim.network().removeRule(rule);
+            sim.runSeconds(150);
             for (int job = 1; job <= 8; job++) {
-                assertThat(each.stage(0, uid(job)))
+                assertThat(sim.stage(0, uid(job)))
                         .as("seed %d, %s", seed, uid(job))
                         .isEqualTo("done");
             }
-            assertThat(each.violations()).isEmpty();
+            assertThat(sim.violations()).isEmpty();
         }
     }
 
-    /** Guards what is awaited and was done long ago, before this term and before this controller. */
+    /** Guards dependencies that were done before the current term and before the controllers started. */
     @Test
-    void whatIsAwaitedMayBeDoneLongAgo() {
+    void releasesJobWhoseDependenciesWereDoneInEarlierTerm() {
         cluster.submit(0, SimCluster.job(uid(1), 1));
         cluster.submit(0, SimCluster.job(uid(2), 1));
         cluster.runSeconds(25);
-        everyNodeSays(uid(1), "done");
+        assertStageOnAllNodes(uid(1), "done");
         cluster.submit(1, SimCluster.job(uid(3), 1, uid(1), uid(2)));
         for (int node = 0; node < 3; node++) {
             cluster.restart(node);
@@ -256,16 +258,14 @@
         assertThat(cluster.submit(2, SimCluster.job(uid(4), 1, uid(1), uid(3))).status())
                 .isEqualTo(201);
         cluster.runSeconds(40);
-        everyNodeSays(uid(3), "done");
-        everyNodeSays(uid(4), "done");
+        assertStageOnAllNodes(uid(3), "done");
+        assertStageOnAllNodes(uid(4), "done");
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /**
-     * Guards a list that is read page by page: it shows a job and not what that awaits, which was admitted in between.
-     */
+    /** Guards paged reads: a page may show a job but not its dependency, which was admitted between two pages. */
     @Test
-    void whatIsReadBeforeThePlanOfWhatItAwaitsIsNotReleased() {
+    void doesNotReleaseJobWhoseDependencyWasMissedByPagedRead() {
         cluster.cloud().setOutage(true);
         for (int job = 1; job <= 220; job++) {
             cluster.submitAsync(job % 3, SimCluster.job(uid(job), 1));
@@ -273,86 +273,87 @@
         }
         cluster.runSeconds(10);
         int leader = cluster.leader();
-        boolean[] reading = {false};
+        boolean[] isReadingSecondPage = {false};
         cluster.network().addRule((from, to, request) -> {
-            if (request.path().startsWith("/kv?prefix=plan/&since=") && !reading[0]) {
-                reading[0] = true;
+            if (request.path().startsWith("/kv?prefix=plan/&since=") && !isReadingSecondPage[0]) {
+                isReadingSecondPage[0] = true;
                 cluster.network().setLatencyFactor(250);
             }
             return null;
         });
         cluster.kill(leader);
-        cluster.runUntil(() -> reading[0]);
-        // Only the second page is on its way for so long, and what came meanwhile is not seen either for some seconds.
+        cluster.runUntil(() -> isReadingSecondPage[0]);
+        // Only the second page is delayed that long; lost watches hide the plans admitted meanwhile for some seconds.
         cluster.network().setLatencyFactor(1);
-        Rule unseen = cluster.network()
+        Rule lostWatches = cluster.network()
                 .addRule((from, to, request) -> request.path().startsWith("/watch?prefix=plan/") ? Action.DROP : null);
         int node = (leader + 1) % 3;
-        assertThat(accepted(node, SimCluster.job(uid(0), 1))).isEqualTo(201);
-        assertThat(accepted(node, SimCluster.job(uid(999), 1, uid(0)))).isEqualTo(201);
+        assertThat(submitUntilAccepted(node, SimCluster.job(uid(0), 1))).isEqualTo(201);
+        assertThat(submitUntilAccepted(node, SimCluster.job(uid(999), 1, uid(0))))
+                .isEqualTo(201);
         cluster.runSeconds(8);
-        cluster.network().removeRule(unseen);
+        cluster.network().removeRule(lostWatches);
         assertThat(cluster.store().value("run/" + uid(999))).isNull();
         cluster.runUntil(() -> cluster.store().value("run/" + uid(0)) != null);
         cluster.runSeconds(5);
         assertThat(cluster.store().value("run/" + uid(999))).isNull();
         cluster.cloud().setOutage(false);
         cluster.runSeconds(60);
-        everyNodeSays(uid(999), "done");
+        assertStageOnAllNodes(uid(999), "done");
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards the way through a long chain: its links are settled one by one, and polls of its end stay answered. */
+    /** Guards long chains: dependencies are resolved one by one, and polls of the last job are still answered. */
     @Test
-    void aChainOfHundredsIsClosedFromItsBeginning() {
+    void cancelsLongChainAfterFailover() {
         cluster.submit(0, SimCluster.job(uid(1), 1));
         cluster.runUntilStarted(1, 600 * SECOND);
         for (int job = 2; job <= 300; job++) {
-            assertThat(accepted(job % 3, SimCluster.job(uid(job), 1, uid(job - 1))))
+            assertThat(submitUntilAccepted(job % 3, SimCluster.job(uid(job), 1, uid(job - 1))))
                     .isEqualTo(201);
         }
         cluster.runSeconds(2);
         assertThat(cluster.stage(1, uid(300))).isEqualTo("queued");
-        // A successor reads the chain in the order of its keys, and closes it in that of its links.
+        // The new leader reads the jobs in key order and cancels them in topological order.
         cluster.kill(cluster.leader());
-        cluster.cancel(someNode(), uid(1));
+        cluster.cancel(anyRunningNode(), uid(1));
         cluster.runSeconds(5);
-        assertThat(cluster.stage(someNode(), uid(300))).isEqualTo("withdrawn");
+        assertThat(cluster.stage(anyRunningNode(), uid(300))).isEqualTo("withdrawn");
         cluster.runSeconds(25);
         assertThat(cluster.store().keysWithPrefix("withdraw/")).hasSize(300);
         assertThat(cluster.violations()).isEmpty();
     }
 
     /**
-     * A controller that knows nothing yet is asked for the end of a chain: it reads all plans once, not step by step.
+     * A restarted controller that is polled for the last job of a chain reads all plans in one scan, not one by one.
      */
     @Test
-    void theFirstPollAtTheEndOfALongChainTakesFewRequests() {
+    void answersFirstPollOfLongChainWithFewStoreRequests() {
         cluster.cloud().setOutage(true);
         for (int job = 1; job <= 500; job++) {
             ObjectNode next = job == 1 ? SimCluster.job(uid(1), 1) : SimCluster.job(uid(job), 1, uid(job - 1));
-            assertThat(accepted(0, next)).isIn(200, 201);
+            assertThat(submitUntilAccepted(0, next)).isIn(200, 201);
         }
-        int asked = cluster.leader() == 1 ? 2 : 1;
-        cluster.restart(asked);
-        cluster.runUntil(() -> cluster.isServing(asked));
+        int polledNode = cluster.leader() == 1 ? 2 : 1;
+        cluster.restart(polledNode);
+        cluster.runUntil(() -> cluster.isServing(polledNode));
         cluster.runSeconds(3);
         int[] requests = {0};
         cluster.network().addRule((from, to, request) -> {
-            boolean counts = from.equals(FailureInjector.host(asked))
+            boolean counts = from.equals(FailureInjector.host(polledNode))
                     && to.startsWith("state")
                     && !request.path().contains("grants");
             requests[0] += counts ? 1 : 0;
             return null;
         });
-        assertThat(cluster.stage(asked, uid(500))).isEqualTo("queued");
+        assertThat(cluster.stage(polledNode, uid(500))).isEqualTo("queued");
         assertThat(requests[0]).isLessThan(60);
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Guards a step that thousands await: each of them costs its own links and no more. */
+    /** Guards jobs with thousands of dependents: the cost per dependent is proportional to its own dependencies. */
     @Test
-    void manyFollowersOfOneJobAreAllReleasedByItsEnd() {
+    void releasesAllDependentsOfOneJob() {
         cluster.submit(0, SimCluster.job(uid(1), 1));
         cluster.runUntilStarted(1, 90 * SECOND);
         for (int job = 2; job <= 400; job++) {
@@ -374,11 +375,9 @@
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /**
-     * Guards writes against limits that fall without notice: nothing is larger than they will be, and 429 only slows.
-     */
+    /** Guards against limits lowered without notice: no value exceeds the announced size; 429 only slows writing. */
     @Test
-    void limitsThatFallInTheMiddleLoseNothing() {
+    void losesNoJobWhenStoreLimitsAreLowered() {
         for (int job = 1; job <= 30; job++) {
             cluster.submitAsync(
                     job % 3, job % 3 == 1 ? SimCluster.job(uid(job), 6) : SimCluster.job(uid(job), 6, uid(job - 1)));
@@ -389,7 +388,7 @@
         }
         cluster.runSeconds(200);
         for (int job = 1; job <= 30; job++) {
-            everyNodeSays(uid(job), "done");
+            assertStageOnAllNodes(uid(job), "done");
         }
         assertThat(cluster.store().rejectedForSize()).isZero();
         assertThat(cluster.violations()).isEmpty();
--- a/src/test/java/io/sillreel/statestore/ScanTest.java
+++ b/src/test/java/io/sillreel/statestore/StateStoreReadTest.java
@@ -14,18 +14,18 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-class ScanTest {
+class StateStoreReadTest {
     private static final int ENTRIES = 2_000;
 
     private final SimTime time = new SimTime();
     private final SimNetwork network = new SimNetwork(time, 1);
-    private final SimStateService stateService = new SimStateService(time, 100, 8192, 10_000);
+    private final SimStateService state = new SimStateService(time, 100, 8192, 10_000);
     private final SimTime.Process process = time.new Process();
-    private final List<String> read = new ArrayList<>();
+    private final List<String> readKeys = new ArrayList<>();
     private final StateStore store;
 
-    ScanTest() {
-        network.listen("state:1", stateService);
+    StateStoreReadTest() {
+        network.listen("state:1", state);
         store = network.newStateStoreClient(process, 4, 10_000);
         for (int from = 0; from < ENTRIES; from += 100) {
             Transaction transaction = new Transaction();
@@ -38,31 +38,31 @@
     }
 
     private CompletableFuture<Boolean> collect(List<StoredEntry> page) {
-        page.forEach(entry -> read.add(entry.key()));
+        page.forEach(entry -> readKeys.add(entry.key()));
         return CompletableFuture.completedFuture(true);
     }
 
-    /** Guards failovers: a scan of more pages than the rate allows at once started anew without end. */
+    /** Guards failovers: a scan with more pages than the rate allows in one burst used to restart without end. */
     @Test
-    void aScanOfMorePagesThanTheRateAllowsAtOnceIsCompleted() {
+    void completesScanWithMorePagesThanRateAllowsAtOnce() {
         CompletableFuture<ScanResult> scan = store.scan("k/", this::collect);
         time.runFor(5_000_000);
-        assertThat(scan).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.OK);
-        assertThat(read).hasSize(ENTRIES).doesNotHaveDuplicates().isSorted();
+        assertThat(scan).isCompletedWithValueMatching(scanResult -> scanResult.outcome() == StoreOutcome.OK);
+        assertThat(readKeys).hasSize(ENTRIES).doesNotHaveDuplicates().isSorted();
     }
 
-    /** Guards failovers: after an exception on an entry the scan never completed, and the new leader waited for it. */
+    /** Guards failovers: after an exception in the consumer the scan never completed and blocked the new leader. */
     @Test
-    void aConsumerThatFailsEndsTheScan() {
+    void endsScanWhenConsumerThrows() {
         CompletableFuture<ScanResult> scan = store.scan("k/", page -> {
-            throw new IllegalArgumentException("not understood");
+            throw new IllegalArgumentException("malformed entry");
         });
         time.runFor(1_000_000);
-        assertThat(scan).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.REFUSED);
+        assertThat(scan).isCompletedWithValueMatching(scanResult -> scanResult.outcome() == StoreOutcome.REFUSED);
     }
 
     @Test
-    void aLostOrRefusedPageIsRequestedAgain() {
+    void retriesLostAndRefusedPages() {
         int[] requests = new int[1];
         network.addRule((from, to, request) -> {
             if (!request.route().equals("/kv")) {
@@ -73,63 +73,63 @@
         });
         CompletableFuture<ScanResult> scan = store.scan("k/", this::collect);
         time.runFor(60_000_000);
-        assertThat(scan).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.OK);
-        assertThat(read).hasSize(ENTRIES).doesNotHaveDuplicates();
+        assertThat(scan).isCompletedWithValueMatching(scanResult -> scanResult.outcome() == StoreOutcome.OK);
+        assertThat(readKeys).hasSize(ENTRIES).doesNotHaveDuplicates();
     }
 
-    /** Guards starts in an outage: users are admitted once it is known that the leader cannot be known. */
+    /** Guards startup in an outage: users are served once it is certain that the leader can't be determined. */
     @Test
-    void aRefusedListIsReportedAtOnce() {
-        stateService.setOutage(true);
+    void reportsRefusedListWithoutRetry() {
+        state.setOutage(true);
         CompletableFuture<ListResult> refused = store.list("k/");
         time.runFor(200_000);
         assertThat(refused).isCompletedWithValueMatching(listing -> listing.outcome() == StoreOutcome.REFUSED);
     }
 
     @Test
-    void aListWithoutAResponseAfterAnOutageIsReported() {
-        stateService.setOutage(true);
+    void reportsUnknownOutcomeWhenListGetsNoResponseAfterOutage() {
+        state.setOutage(true);
         store.list("k/");
         time.runFor(200_000);
-        stateService.setOutage(false);
+        state.setOutage(false);
         network.addRule((from, to, request) -> Action.DROP);
         CompletableFuture<ListResult> unanswered = store.list("k/");
         time.runFor(1_600_000);
         assertThat(unanswered).isCompletedWithValueMatching(listing -> listing.outcome() == StoreOutcome.UNKNOWN);
     }
 
-    /** Guards followers of changes, which would request the same response that is too large without end. */
+    /** Guards watchers of changes, which would otherwise repeat a watch whose response is too large without end. */
     @Test
-    void aWatchWhoseResponseIsTooLargeCannotContinue() {
-        StateStore small = new StateStore(
+    void reportsWatchAsCompactedWhenResponseIsTooLarge() {
+        StateStore limitedStore = new StateStore(
                 (to, request, timeout) -> CompletableFuture.completedFuture(HttpResponse.responseTooLarge()),
                 network.clientOf("node", process),
                 process,
                 "state:1",
                 new RateLimiter(process, 4, 4),
                 new RateLimiter(process, 4, 4));
-        assertThat(small.watch("k/", 0, 1_000).join().outcome()).isEqualTo(StoreOutcome.COMPACTED);
+        assertThat(limitedStore.watch("k/", 0, 1_000).join().outcome()).isEqualTo(StoreOutcome.COMPACTED);
     }
 
     @Test
-    void aScanEndsInAnOutage() {
-        stateService.setOutage(true);
+    void endsScanDuringOutage() {
+        state.setOutage(true);
         CompletableFuture<ScanResult> refused = store.scan("k/", this::collect);
         time.runFor(5_000_000);
-        assertThat(refused).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.REFUSED);
+        assertThat(refused).isCompletedWithValueMatching(scanResult -> scanResult.outcome() == StoreOutcome.REFUSED);
     }
 
     @Test
-    void aScanAfterAnOutageEndsWhenTheConsumerWantsNoMorePages() {
-        stateService.setOutage(true);
+    void endsScanWhenConsumerStopsReadingAfterOutage() {
+        state.setOutage(true);
         store.scan("k/", this::collect);
         time.runFor(5_000_000);
-        stateService.setOutage(false);
+        state.setOutage(false);
         int[] pages = new int[1];
         CompletableFuture<ScanResult> ended =
                 store.scan("k/", page -> CompletableFuture.completedFuture(++pages[0] < 2));
         time.runFor(5_000_000);
-        assertThat(ended).isCompletedWithValueMatching(done -> done.outcome() == StoreOutcome.REFUSED);
+        assertThat(ended).isCompletedWithValueMatching(scanResult -> scanResult.outcome() == StoreOutcome.REFUSED);
         assertThat(pages[0]).isEqualTo(2);
     }
 }
