--- a/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
+++ b/src/test/java/io/sillreel/CompletionBitmapVersionsTest.java
@@ -10,8 +10,8 @@
 import io.sillreel.http.Json;
 import io.sillreel.pipeline.ActiveJob;
 import io.sillreel.pipeline.CompletionBitmapCodec;
-import io.sillreel.pipeline.IgnoringListener;
 import io.sillreel.pipeline.JobSpec;
+import io.sillreel.pipeline.NoOpJobListener;
 import io.sillreel.pipeline.RunRecordCodec;
 import io.sillreel.pipeline.StoredChunks;
 import io.sillreel.settings.ValueLimits;
@@ -38,7 +38,7 @@
     @Test
     void writesBitmapInlineUntilStateServiceRejectsItsSize() {
         List<PendingWrite> queued = new ArrayList<>();
-        ActiveJob.Listener listener = new IgnoringListener() {
+        ActiveJob.Listener listener = new NoOpJobListener() {
             @Override
             public void enqueueWrites(List<? extends PendingWrite> items) {
                 queued.addAll(items);
@@ -90,7 +90,7 @@
             time.runFor(100_000);
             stateService.setLimits(2, 160, 1_000);
             writeQueue = new WriteQueue(store, process, "leader", 101, 2, () -> {});
-            listener = new IgnoringListener() {
+            listener = new NoOpJobListener() {
                 @Override
                 public void enqueueWrites(List<? extends PendingWrite> items) {
                     items.forEach(writeQueue::enqueue);
--- a/src/test/java/io/sillreel/statestore/WriteQueueTest.java
+++ b/src/test/java/io/sillreel/statestore/WriteQueueTest.java
@@ -31,16 +31,16 @@
     }
 
     /**
-     * Guards writes against limits that fall below what was announced: none is sent again as it was, none blocks the
-     * rest.
+     * Guards against size limits lowered below the announced ones: an oversized write is not retried unchanged and does
+     * not block others.
      */
     @Test
-    void writesTooLargeTogetherAreSentAloneAndOneTooLargeAloneDelaysNoOther() {
+    void splitsOversizedBatchAndDropsOversizedWriteWithoutBlockingOthers() {
         stateService.setLimits(1, 40, 1_000);
-        Count small = new Count("a");
-        Count large = new Count("a-key-whose-value-is-not-small");
+        CounterWrite small = new CounterWrite("a");
+        CounterWrite large = new CounterWrite("a-key-whose-value-is-not-small");
         large.padding = "x".repeat(100);
-        Count last = new Count("b");
+        CounterWrite last = new CounterWrite("b");
         List.of(small, large, last).forEach(writeQueue::enqueue);
         time.runFor(3_000_000);
         assertThat(small.revision).isPositive();
@@ -56,30 +56,31 @@
     }
 
     /**
-     * Guards against a rate that falls: what is refused slows the writer, within a second, and is no failure of
-     * anything.
+     * Guards against a lowered rate limit: rejections slow the writer down within a second and are not treated as
+     * failures.
      */
     @Test
-    void rejectionsForTheRateSlowWritingAndLoseNothing() {
-        // A quarter of what this controller takes for its part.
-        StateStore paced = network.newStateStoreClient(process, 1_000, 40);
-        WriteQueue writeQueue = new WriteQueue(paced, process, "leader", 101, 4, () -> leadershipLost = true);
+    void slowsDownWithoutLossWhenRateLimited() {
+        // A quarter of the write rate configured for this controller.
+        StateStore rateLimitedStore = network.newStateStoreClient(process, 1_000, 40);
+        WriteQueue writeQueue =
+                new WriteQueue(rateLimitedStore, process, "leader", 101, 4, () -> leadershipLost = true);
         stateService.setLimits(4, 8192, 10);
-        List<Count> counts = new ArrayList<>();
+        List<CounterWrite> writes = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            counts.add(new Count("k%02d".formatted(i)));
-            writeQueue.enqueue(counts.get(i));
+            writes.add(new CounterWrite("k%02d".formatted(i)));
+            writeQueue.enqueue(writes.get(i));
         }
         time.runFor(1_500_000);
         int refusedSoon = stateService.rejectedForRate();
         time.runFor(10_000_000);
-        assertThat(counts).allMatch(count -> count.revision > 0);
+        assertThat(writes).allMatch(write -> write.revision > 0);
         assertThat(stateService.rejectedForRate() - refusedSoon)
                 .as("refused once the writer had slowed")
                 .isLessThan(25);
     }
 
-    private static final class Count implements PendingWrite {
+    private static final class CounterWrite implements PendingWrite {
         private final String key;
         private String padding = "";
         private int value;
@@ -88,7 +89,7 @@
         private long revision;
         private WriteUrgency urgency = WriteUrgency.JOB_START;
 
-        Count(String key) {
+        CounterWrite(String key) {
             this.key = key;
         }
 
@@ -126,118 +127,120 @@
     }
 
     @Test
-    void writesAreBatchedWithinTheTransactionLimit() {
-        Count[] counts = new Count[10];
-        for (int i = 0; i < counts.length; i++) {
-            counts[i] = new Count("k" + i);
-            counts[i].value = i + 1;
-            writeQueue.enqueue(counts[i]);
+    void batchesWritesWithinTransactionLimit() {
+        CounterWrite[] writes = new CounterWrite[10];
+        for (int i = 0; i < writes.length; i++) {
+            writes[i] = new CounterWrite("k" + i);
+            writes[i].value = i + 1;
+            writeQueue.enqueue(writes[i]);
         }
         time.runFor(1_000_000);
-        for (int i = 0; i < counts.length; i++) {
-            assertThat(counts[i].stored).isEqualTo(i + 1);
+        for (int i = 0; i < writes.length; i++) {
+            assertThat(writes[i].stored).isEqualTo(i + 1);
             assertThat(stateService.value("k" + i).path("n").asInt()).isEqualTo(i + 1);
         }
-        assertThat(counts[9].revision).isEqualTo(104);
+        assertThat(writes[9].revision).isEqualTo(104);
     }
 
-    /** Guards against a lease that expires because other requests used up the rate. */
+    /** Guards against lease expiry because other requests exhausted the request rate. */
     @Test
-    void leaseRenewalIsNotDelayedByTheRate() {
-        StateStore spent = network.newStateStoreClient(process, 1, 1);
+    void renewsLeaseWhenRequestRateIsExhausted() {
+        StateStore exhaustedStore = network.newStateStoreClient(process, 1, 1);
         long leaseId =
                 store.grantLease(3_000_000).thenApply(grant -> grant.leaseId()).getNow(0L);
-        spent.get("leader");
-        var refused = spent.get("leader");
-        var renewed = spent.renewLease(leaseId);
+        exhaustedStore.get("leader");
+        var refused = exhaustedStore.get("leader");
+        var renewed = exhaustedStore.renewLease(leaseId);
         time.runFor(100_000);
         assertThat(refused.join().outcome()).isEqualTo(StoreOutcome.REFUSED);
         assertThat(renewed.join()).isNotEqualTo(StoreOutcome.REFUSED);
     }
 
-    /** Guards against ends of jobs that wait behind progress when the store takes less than there is to write. */
+    /** Guards against job ends that are delayed by progress writes when the write rate is exhausted. */
     @Test
-    void jobEndsAreWrittenBeforeStartsAndStartsBeforeProgress() {
-        StateStore slow = new StateStore(
+    void writesJobEndsBeforeStartsAndStartsBeforeProgress() {
+        StateStore slowStore = new StateStore(
                 network.clientOf("node", process),
                 network.clientOf("node", process),
                 process,
                 "state:1",
                 new RateLimiter(process, 1_000, 1_000),
                 new RateLimiter(process, 2, 6));
-        WriteQueue scarce = new WriteQueue(slow, process, "leader", 101, 4, () -> leadershipLost = true);
-        Count[] progress = new Count[8];
+        WriteQueue slowQueue = new WriteQueue(slowStore, process, "leader", 101, 4, () -> leadershipLost = true);
+        CounterWrite[] progress = new CounterWrite[8];
         for (int i = 0; i < progress.length; i++) {
-            progress[i] = new Count("p" + i);
+            progress[i] = new CounterWrite("p" + i);
             progress[i].urgency = WriteUrgency.PROGRESS;
-            scarce.enqueue(progress[i]);
+            slowQueue.enqueue(progress[i]);
         }
         time.runFor(1_900_000);
-        assertThat(progress).allMatch(count -> count.revision == 0);
-        Count[] starts = new Count[6];
+        assertThat(progress).allMatch(write -> write.revision == 0);
+        CounterWrite[] starts = new CounterWrite[6];
         for (int i = 0; i < starts.length; i++) {
-            starts[i] = new Count("s" + i);
-            scarce.enqueue(starts[i]);
+            starts[i] = new CounterWrite("s" + i);
+            slowQueue.enqueue(starts[i]);
         }
-        Count end = new Count("e");
+        CounterWrite end = new CounterWrite("e");
         end.urgency = WriteUrgency.JOB_END;
-        scarce.enqueue(end);
+        slowQueue.enqueue(end);
         time.runFor(8_000_000);
         assertThat(end.revision).isPositive();
         assertThat(starts).allMatch(start -> start.revision >= end.revision);
         assertThat(progress)
-                .filteredOn(count -> count.revision > 0)
-                .allMatch(count -> count.revision > starts[5].revision);
+                .filteredOn(write -> write.revision > 0)
+                .allMatch(write -> write.revision > starts[5].revision);
         time.runFor(20_000_000);
-        assertThat(progress).allMatch(count -> count.revision > 0);
+        assertThat(progress).allMatch(write -> write.revision > 0);
     }
 
     /**
-     * Guards the condition on the changed key's own revision: an own write that arrives late must not undo a newer one.
+     * Guards the condition on the revision of the changed key: a delayed write of the same leader must not undo a newer
+     * one.
      */
     @Test
-    void anOwnLateTransactionDoesNotUndoALaterWrite() {
-        Count count = new Count("k");
-        count.value = 1;
-        Rule hold = network.addRule((from, to, request) -> request.route().equals("/txn") ? Action.HOLD : null);
-        writeQueue.enqueue(count);
+    void delayedTransactionDoesNotUndoNewerWrite() {
+        CounterWrite write = new CounterWrite("k");
+        write.value = 1;
+        Rule heldTransactions =
+                network.addRule((from, to, request) -> request.route().equals("/txn") ? Action.HOLD : null);
+        writeQueue.enqueue(write);
         time.runFor(1_000_000);
-        network.removeRule(hold);
-        count.value = 2;
+        network.removeRule(heldTransactions);
+        write.value = 2;
         time.runFor(3_000_000);
-        assertThat(count.stored).isEqualTo(2);
+        assertThat(write.stored).isEqualTo(2);
         network.releaseHeld();
         time.runFor(1_000_000);
         assertThat(stateService.value("k").path("n").asInt()).isEqualTo(2);
     }
 
     @Test
-    void afterALostResponseTheRevisionIsReadBeforeTheNextWrite() {
-        Count count = new Count("k");
-        count.value = 1;
-        Rule lose =
+    void rereadsRevisionAfterLostResponse() {
+        CounterWrite write = new CounterWrite("k");
+        write.value = 1;
+        Rule lostResponses =
                 network.addRule((from, to, request) -> request.route().equals("/txn") ? Action.DROP_RESPONSE : null);
-        writeQueue.enqueue(count);
+        writeQueue.enqueue(write);
         time.runFor(1_000_000);
-        network.removeRule(lose);
+        network.removeRule(lostResponses);
         time.runFor(3_000_000);
-        assertThat(count.stored).isEqualTo(1);
-        assertThat(count.revision).isEqualTo(103);
+        assertThat(write.stored).isEqualTo(1);
+        assertThat(write.revision).isEqualTo(103);
     }
 
     @Test
-    void writingStopsOnceTheLeaderKeyHasChanged() {
+    void stopsWritingOnceLeaderKeyHasChanged() {
         store.commit(new Transaction().set("leader", Json.object().put("node", "other")));
         time.runFor(100_000);
-        Count count = new Count("k");
-        writeQueue.enqueue(count);
+        CounterWrite write = new CounterWrite("k");
+        writeQueue.enqueue(write);
         time.runFor(1_000_000);
         assertThat(leadershipLost).isTrue();
         assertThat(stateService.value("k")).isNull();
     }
 
     @Test
-    void listsArePagedAndAWatchFromACompactedRevisionIsReported() {
+    void readsListsInPagesAndReportsWatchFromCompactedRevision() {
         for (int i = 0; i < 1_200; i += 4) {
             Transaction transaction = new Transaction();
             for (int j = i; j < i + 4; j++) {
@@ -256,17 +259,17 @@
     }
 
     /**
-     * Guards scale-out requests, which wait while the store falls behind: waiting progress of many jobs does not show
-     * that.
+     * Guards scale-out requests, which are held back while the store falls behind: pending progress writes of many jobs
+     * do not indicate that.
      */
     @Test
-    void waitingProgressDoesNotCountAsUrgent() {
+    void excludesPendingProgressFromUrgentCount() {
         for (int i = 0; i < 30; i++) {
-            Count progress = new Count("p/" + i);
+            CounterWrite progress = new CounterWrite("p/" + i);
             progress.urgency = WriteUrgency.PROGRESS;
             writeQueue.enqueue(progress);
         }
-        writeQueue.enqueue(new Count("hire/1"));
+        writeQueue.enqueue(new CounterWrite("hire/1"));
         assertThat(writeQueue.pendingCount()).isEqualTo(31);
         assertThat(writeQueue.urgentCount()).isEqualTo(1);
         time.runFor(1_000_000);
