--- a/src/main/java/io/sillreel/cli/TrainingServices.java
+++ b/src/main/java/io/sillreel/cli/TrainingServices.java
@@ -27,7 +27,9 @@
         String route = request.route();
         if (route.equals("/watch")) {
             PendingWatch watch = new PendingWatch(
-                    request.queryParameter("prefix"), Long.parseLong(request.queryParameter("since")), new CompletableFuture<>());
+                    request.queryParameter("prefix"),
+                    Long.parseLong(request.queryParameter("since")),
+                    new CompletableFuture<>());
             pendingWatches.add(watch);
             notifyWatchers();
             return watch.response();
