--- a/src/main/java/io/sillreel/cli/FailureTraining.java
+++ b/src/main/java/io/sillreel/cli/FailureTraining.java
@@ -171,7 +171,7 @@
         nettyLoop.newSucceededFuture(null).addListener(done -> throwFailure());
         CompletableFuture<HttpResponse> reply =
                 client.send(address(port), new HttpRequest("GET", "/", new byte[0]), MAX_WAIT_MILLIS * 1_000L);
-        await(reply.thenApply(answer -> {
+        await(reply.thenApply(response -> {
             throw newFailure();
         }));
     }
