--- a/src/test/java/io/sillreel/FailoverFailuresTest.java
+++ b/src/test/java/io/sillreel/FailoverFailuresTest.java
@@ -65,7 +65,7 @@
 
     /**
      * Guards the single-zone constraint: tasks of a lost machine restart in the zone of the rest of their job, or the
-     * whole job moves to another zone.
+     * whole job restarts in a zone that has room for it.
      */
     @Test
     void keepsSingleZoneJobsInOneZoneAfterMachineLoss() {
