--- a/src/main/java/io/sillreel/cli/Main.java
+++ b/src/main/java/io/sillreel/cli/Main.java
@@ -27,27 +27,28 @@
 import picocli.CommandLine.IVersionProvider;
 import picocli.CommandLine.Option;
 
-/** The daemon's command line. */
+/** Command line of the controller daemon. */
 @Command(
         name = "sillreel",
         mixinStandardHelpOptions = true,
         versionProvider = Main.Version.class,
         subcommands = RecoveryCommand.class,
         description = "Runs one controller of the cluster scheduler.",
-        footer = "Logs go to standard error; LOG_LEVEL sets how much (error, info, debug).")
+        footer = "Logs go to standard error; LOG_LEVEL sets the level (error, info, debug).")
 public final class Main implements Callable<Integer> {
-    private static final int BAD_SETTINGS = 2;
-    private static final int THREAD_ENDED = 3;
+    private static final int EXIT_INVALID_SETTINGS = 2;
+    private static final int EXIT_THREAD_DIED = 3;
     private static final int CONNECTIONS_PER_ADDRESS = 24;
     private static final int LEASE_CONNECTIONS = 2;
-    /** What a batch of the longest reports may take. */
+    /** Size limit of a batch of heartbeats, at their maximum length. */
     private static final int MAX_BATCH_BYTES = 8 * 1024 * 1024;
 
     /**
-     * What the libraries would else find out at a start, which at a small share of a core takes seconds: the logger's
-     * backend, the host's network cards for an id that nobody uses, an allocator's arenas and flight recordings.
+     * Presets for what the libraries would otherwise detect or initialize at startup, which takes seconds on a small
+     * share of a core: the logging backend, the network interfaces (for a machine id that is not used), the arenas of
+     * the pooled allocator, and flight recorder events.
      */
-    private static final Map<String, String> LIBRARY_SETTINGS = Map.of(
+    private static final Map<String, String> LIBRARY_PROPERTIES = Map.of(
             "slf4j.provider", "org.slf4j.simple.SimpleServiceProvider",
             "slf4j.internal.verbosity", "WARN",
             "io.netty.machineId", "00:00:00:00:00:00:00:01",
@@ -55,33 +56,39 @@
             "io.netty.allocator.type", "unpooled",
             "io.netty.jfr.enabled", "false");
 
-    private static final String CONFIG = "--config";
+    private static final String CONFIG_OPTION = "--config";
 
-    @Option(names = CONFIG, paramLabel = "FILE", description = "The platform's settings (TOML).")
+    @Option(names = CONFIG_OPTION, paramLabel = "FILE", description = "Settings file of the platform (TOML).")
     private Path config;
 
-    @Option(names = "--properties", paramLabel = "FILE", description = "The operators' own settings (Java properties).")
+    @Option(
+            names = "--properties",
+            paramLabel = "FILE",
+            description = "Properties file of the operators (Java properties).")
     private Path properties;
 
-    @Option(names = "--check", description = "Checks the settings and ends.")
+    @Option(names = "--check", description = "Checks the settings and exits.")
     private boolean check;
 
     @Option(
             names = "--machines",
             paramLabel = "N",
-            description = "With --check: whether the controllers carry a fleet of N machines.")
+            description = "With --check: also checks that the controllers can serve a fleet of N machines.")
     private int machines;
 
     @Option(
             names = "--tasks-per-machine",
             paramLabel = "N",
-            description = "With --machines: how many tasks run on a machine at once (${DEFAULT-VALUE}).")
+            description = "With --machines: concurrent tasks per machine (${DEFAULT-VALUE}).")
     private double tasksPerMachine = FleetCapacity.DEFAULT_TASKS_PER_MACHINE;
 
-    @Option(names = "--rehearse", hidden = true, description = "Starts, talks to itself and ends (used by the build).")
+    @Option(
+            names = "--rehearse",
+            hidden = true,
+            description = "Performs the training run for the class archive (used by the build).")
     private boolean rehearse;
 
-    /** What {@code --version} says. */
+    /** Provides the output of {@code --version}. */
     static final class Version implements IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -89,29 +96,31 @@
         }
     }
 
-    /** A controller whose event loop has died serves nobody, and is only started again once its process has ended. */
-    private static void endProcess(Thread thread, Throwable error) {
+    /**
+     * A controller whose event loop has died can't serve requests, and is restarted only after its process has ended.
+     */
+    private static void exitOnUncaughtException(Thread thread, Throwable error) {
         try {
-            System.err.println("sillreel: thread " + thread.getName() + " ended: " + error);
+            System.err.println("sillreel: thread " + thread.getName() + " died: " + error);
         } finally {
-            Runtime.getRuntime().halt(THREAD_ENDED);
+            Runtime.getRuntime().halt(EXIT_THREAD_DIED);
         }
     }
 
-    /** Runs the daemon, or does what the command line asks for instead. */
+    /** Starts the daemon or runs the command given on the command line. */
     public static void main(String[] args) throws Exception {
         String level = System.getenv().getOrDefault("LOG_LEVEL", "info").toLowerCase(Locale.ROOT);
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", level);
-        for (Map.Entry<String, String> setting : LIBRARY_SETTINGS.entrySet()) {
-            System.setProperty(setting.getKey(), setting.getValue());
+        for (Map.Entry<String, String> property : LIBRARY_PROPERTIES.entrySet()) {
+            System.setProperty(property.getKey(), property.getValue());
         }
-        Thread.setDefaultUncaughtExceptionHandler(Main::endProcess);
+        Thread.setDefaultUncaughtExceptionHandler(Main::exitOnUncaughtException);
         if (System.getProperty("os.name").equals("Linux")) {
-            // Else every archive of the class path is opened to look for another one.
+            // Without this property, the lookup of a provider opens every jar on the class path.
             System.setProperty("java.nio.channels.spi.SelectorProvider", "sun.nio.ch.EPollSelectorProvider");
         }
-        if (args.length == 2 && args[0].equals(CONFIG)) {
-            // As the platform starts it: building the parser would be the costliest part of a start.
+        if (args.length == 2 && args[0].equals(CONFIG_OPTION)) {
+            // The platform's run command: building the picocli parser would be the most expensive part of startup.
             Main main = new Main();
             main.config = Path.of(args[1]);
             System.exit(main.call());
@@ -125,8 +134,8 @@
             try {
                 ArchiveTrainingRun.run();
             } catch (IOException e) {
-                // The archive then lacks some classes, which makes starts slower and nothing else.
-                System.err.println("sillreel: the rehearsal ended early (" + e.getMessage() + ")");
+                // The archive then lacks some classes, which only slows down startup.
+                System.err.println("sillreel: class archive training run aborted (" + e.getMessage() + ")");
             }
             return 0;
         }
@@ -135,20 +144,20 @@
                 throw new SettingsException("--config", "is missing");
             }
             Settings settings = SettingsReader.read(config);
-            OperatorProperties operator =
+            OperatorProperties operatorProperties =
                     properties == null ? OperatorProperties.defaults() : OperatorProperties.read(properties);
             if (check) {
                 return check(settings);
             }
-            run(settings, operator).terminationFuture().await();
+            run(settings, operatorProperties).terminationFuture().await();
             return 0;
         } catch (SettingsException e) {
             System.err.println("sillreel: " + e.getMessage());
-            return BAD_SETTINGS;
+            return EXIT_INVALID_SETTINGS;
         }
     }
 
-    /** Says what the settings allow, under the heap of this very process. */
+    /** Prints the fleet capacity for the settings, under the heap limit of this process. */
     private int check(Settings settings) {
         FleetCapacity capacity = new FleetCapacity(limits(settings));
         if (machines > capacity.maxMachines(tasksPerMachine)) {
@@ -165,11 +174,11 @@
         return ProcessLimits.of(settings, Runtime.getRuntime().maxMemory());
     }
 
-    /** Starts a controller on one event loop. */
-    static EventLoopGroup run(Settings settings, OperatorProperties operator) {
+    /** Starts a controller on a single event loop. */
+    static EventLoopGroup run(Settings settings, OperatorProperties operatorProperties) {
         LoggerFactory.getLogger(Main.class)
                 .info(
-                        "{} in {} starts, version {}, {} UTC",
+                        "starting {} in area {}, version {}, at {} UTC",
                         settings.nodeName(),
                         settings.localController().area(),
                         Controller.version(),
@@ -180,8 +189,8 @@
         NettyEventLoop loop = new NettyEventLoop(group.next());
         NettyHttpClient client = new NettyHttpClient(group.next(), CONNECTIONS_PER_ADDRESS, limits.maxResponseBytes());
         NettyHttpClient leaseClient = new NettyHttpClient(group.next(), LEASE_CONNECTIONS, limits.maxResponseBytes());
-        Controller controller = new Controller(loop, client, leaseClient, settings, operator, limits);
-        NettyHttpServer users = new NettyHttpServer(
+        Controller controller = new Controller(loop, client, leaseClient, settings, operatorProperties, limits);
+        NettyHttpServer publicServer = new NettyHttpServer(
                 group,
                 NettyHttpServer.MAX_BODY_BYTES,
                 limits.maxPublicConnections(),
@@ -190,15 +199,15 @@
                 limits.maxWorkerConnections());
         new NettyHttpServer(group, MAX_BATCH_BYTES, limits.maxInternalConnections())
                 .listen(settings.localController().internalAddress(), controller::handleInternal);
-        loop.execute(() ->
-                controller.start(() -> users.bind(settings.localController().publicAddress(), controller::handlePublic)
-                        .addListener(bound -> {
-                            if (!bound.isSuccess()) {
-                                System.err.println("sillreel: public_addr: can't be listened on: "
-                                        + bound.cause().getMessage());
-                                System.exit(BAD_SETTINGS);
-                            }
-                        })));
+        loop.execute(() -> controller.start(() -> publicServer
+                .bind(settings.localController().publicAddress(), controller::handlePublic)
+                .addListener(bound -> {
+                    if (!bound.isSuccess()) {
+                        System.err.println("sillreel: public_addr: can't be listened on: "
+                                + bound.cause().getMessage());
+                        System.exit(EXIT_INVALID_SETTINGS);
+                    }
+                })));
         return group;
     }
 }
--- a/src/main/java/io/sillreel/cli/TrainingServices.java
+++ b/src/main/java/io/sillreel/cli/TrainingServices.java
@@ -12,27 +12,27 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * What a rehearsal plays before: a state service that says yes to everything and a cloud with one machine. It serves to
- * load the classes that a lease leader needs, and checks nothing.
+ * Stub services for the training run: a state service that commits every transaction and a cloud with one machine. They
+ * exist to load the classes that a leader needs, and check nothing.
  */
 final class TrainingServices {
-    private record Watcher(String prefix, long since, CompletableFuture<HttpResponse> answer) {}
+    private record PendingWatch(String prefix, long since, CompletableFuture<HttpResponse> response) {}
 
     private final TreeMap<String, ObjectNode> keys = new TreeMap<>();
     private final List<ObjectNode> changes = new ArrayList<>();
-    private final List<Watcher> watchers = new ArrayList<>();
+    private final List<PendingWatch> pendingWatches = new ArrayList<>();
     private long storeRevision = 1;
 
     synchronized CompletableFuture<HttpResponse> handle(HttpRequest request) {
         String route = request.route();
         if (route.equals("/watch")) {
-            Watcher watcher = new Watcher(
+            PendingWatch watch = new PendingWatch(
                     request.queryParameter("prefix"),
                     Long.parseLong(request.queryParameter("since")),
                     new CompletableFuture<>());
-            watchers.add(watcher);
-            wake();
-            return watcher.answer();
+            pendingWatches.add(watch);
+            notifyWatchers();
+            return watch.response();
         }
         return CompletableFuture.completedFuture(
                 switch (route) {
@@ -59,22 +59,22 @@
                         .set("v", change.path("v")));
             }
         }
-        wake();
+        notifyWatchers();
         return HttpResponse.of(200, Json.object().put("ledger", storeRevision));
     }
 
-    private void wake() {
-        watchers.removeIf(watcher -> {
-            ArrayNode result = Json.array();
+    private void notifyWatchers() {
+        pendingWatches.removeIf(watch -> {
+            ArrayNode events = Json.array();
             for (ObjectNode change : changes) {
-                if (change.path("stamp").asLong() > watcher.since()
-                        && change.path("set").asText().startsWith(watcher.prefix())) {
-                    result.add(change);
+                if (change.path("stamp").asLong() > watch.since()
+                        && change.path("set").asText().startsWith(watch.prefix())) {
+                    events.add(change);
                 }
             }
             ObjectNode body = Json.object().put("ledger", storeRevision);
-            body.set("news", result);
-            return !result.isEmpty() && watcher.answer().complete(HttpResponse.of(200, body));
+            body.set("news", events);
+            return !events.isEmpty() && watch.response().complete(HttpResponse.of(200, body));
         });
     }
 
--- a/src/test/java/io/sillreel/UpgradeTest.java
+++ b/src/test/java/io/sillreel/UpgradeTest.java
@@ -32,15 +32,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Controllers of the present version beside controllers of the previous one ({@code PreviousVersion}), as leaders and
- * as followers, and on each other's data. The cluster checks the users' rules throughout.
+ * Controllers of the current and of the previous version ({@code PreviousVersion}) together, as leaders and as
+ * followers, each on the data of the other. The simulated cluster checks the invariants throughout.
  */
 class UpgradeTest {
     private static final long SECOND = 1_000_000;
 
     @ParameterizedTest
     @EnumSource
-    void allJobsAreServedWhileOneVersionLeadsAndTheOthersFollow(Version leading) {
+    void completesAllJobsWithMixedVersions(Version leading) {
         SimCluster cluster = startPreviousVersion(51);
         int leader = leadWithMixedVersions(cluster, leading);
         int follower = (leader + 1) % NODES;
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void jobsSurviveTenChangesOfLeaderBetweenVersionsInTwoMinutes() {
+    void survivesTenFailoversBetweenVersionsInTwoMinutes() {
         SimCluster cluster = startPreviousVersion(52);
         leadWithMixedVersions(cluster, Version.PREVIOUS);
         cluster.restart((cluster.leader() + 1) % NODES, Version.PREVIOUS);
@@ -79,10 +79,10 @@
         assertAllJobsFinish(cluster, jobs, cancelled);
     }
 
-    /** The moments run from the start of the process to well after the end of the election. */
+    /** The delays range from the start of the process to well after the end of the election. */
     @ParameterizedTest
     @ValueSource(doubles = {0.01, 0.05, 0.3, 1, 2, 3, 3.5, 4, 5, 7})
-    void aControllerThatDiesInAnElectionComesBackAsThePreviousVersion(double seconds) {
+    void survivesRollbackOfControllerDuringElection(double seconds) {
         SimCluster cluster = startPreviousVersion(53);
         for (int number = 1; number <= 6; number++) {
             submitAsync(cluster, number, 5);
@@ -101,9 +101,9 @@
         assertAllJobsFinish(cluster, 6, List.of());
     }
 
-    /** Guards everything that is stored against writes and reports that were held up until their sender was gone. */
+    /** Guards the stored state against writes and heartbeats that were delayed until their sender was gone. */
     @Test
-    void lateMessagesOfThePreviousVersionChangeNothingAfterTheUpgrade() {
+    void ignoresLateMessagesOfPreviousVersionAfterUpgrade() {
         SimCluster cluster = startPreviousVersion(54);
         for (int number = 1; number <= 8; number++) {
             submitAsync(cluster, number, 4);
@@ -112,7 +112,7 @@
         Rule held = cluster.network()
                 .addRule((from, to, request) -> from.startsWith("10.0.0.")
                                 && (request.route().equals("/txn")
-                                                && text(request).contains("\"set\"")
+                                                && bodyText(request).contains("\"set\"")
                                         || request.route().equals("/peer/beats"))
                         ? Action.HOLD
                         : null);
@@ -133,10 +133,10 @@
         assertAllJobsFinish(cluster, 8, List.of(cancelled));
     }
 
-    /** The write may have been carried out or not; who leads next has to find out from the store. */
+    /** A write without a response may have been applied or not; the next leader has to read the state service. */
     @ParameterizedTest
     @EnumSource
-    void writesWhoseAnswersAreLostAtTheChangeOfLeaderCountForTheOtherVersion(Version leading) {
+    void otherVersionResolvesWritesWithLostResponsesAfterFailover(Version leading) {
         SimCluster cluster = startPreviousVersion(55);
         int leader = leadWithMixedVersions(cluster, leading);
         for (int number = 1; number <= 6; number++) {
@@ -144,7 +144,7 @@
         }
         cluster.runUntilStarted(5, 3 * SECOND);
         Random random = new Random(55);
-        Rule unanswered =
+        Rule lostResponses =
                 cluster.network().addRule(FailureInjector.transactions("\"set\"", Action.DROP_RESPONSE, 0.7, random));
         cluster.runSeconds(4);
         submitAsync(cluster, 7, 2);
@@ -152,18 +152,19 @@
         cluster.runSeconds(0.2);
         cluster.kill(leader);
         cluster.runSeconds(LEADER_EXPIRY_SECONDS);
-        cluster.network().removeRule(unanswered);
+        cluster.network().removeRule(lostResponses);
         cluster.runUntil(() -> cluster.leader() >= 0 && cluster.version(cluster.leader()) == otherVersion(leading));
         cluster.restart(leader, Version.CURRENT);
         assertAllJobsFinish(cluster, 7, List.of(uid(6)));
     }
 
     /**
-     * The state service refuses the leader alone, and then everybody, while one version confirms and the other leads.
+     * The state service rejects the leader, and then all controllers, while one version leads and the other one
+     * confirms cancellations.
      */
     @ParameterizedTest
     @EnumSource
-    void tasksOfAJobThatTheOtherVersionCancelledEndInTime(Version leading) {
+    void endsTasksInTimeWhenOtherVersionCancels(Version leading) {
         SimCluster cluster = startPreviousVersion(56);
         int leader = leadWithMixedVersions(cluster, leading);
         int follower = (leader + 1) % NODES;
@@ -175,14 +176,14 @@
                 .isEqualTo("withdrawn");
         assertStageOnAllNodes(cluster, uid(1), "withdrawn");
         cluster.runSeconds(3);
-        Rule refused = cluster.network().addRule(FailureInjector.rejectedByStateService(leader));
+        Rule rejection = cluster.network().addRule(FailureInjector.rejectedByStateService(leader));
         cluster.runSeconds(1);
         assertThat(cluster.cancel(follower, uid(2)).json().path("stage").asText())
                 .isEqualTo("withdrawn");
         cluster.store().setOutage(true);
         cluster.runSeconds(35);
         cluster.store().setOutage(false);
-        cluster.network().removeRule(refused);
+        cluster.network().removeRule(rejection);
         upgradeAll(cluster);
         cluster.cloud().machines().values().forEach(machine -> machine.setRunMicros(3 * SECOND));
         cluster.runSeconds(200);
@@ -191,18 +192,18 @@
     }
 
     /**
-     * Only its workers hear the leader while another controller confirms the cancellation, and then the state service
-     * is out for all: nobody can tell the leader, so it has to stop answering in time.
+     * The leader reaches only its workers while another controller confirms the cancellation, and then the state
+     * service fails for all. No controller can notify the leader, so it has to stop answering heartbeats in time.
      */
     @ParameterizedTest
     @EnumSource
-    void tasksEndInTimeUnderALeaderThatCanNotHearOfTheirCancellation(Version leading) {
+    void endsTasksInTimeWhenIsolatedLeaderMissesCancellation(Version leading) {
         SimCluster cluster = startPreviousVersion(62);
         int leader = leadWithMixedVersions(cluster, leading);
         int follower = (leader + 1) % NODES;
         submitAsync(cluster, 1, 4);
         cluster.runUntilStarted(4, 200 * SECOND);
-        Rule alone = cluster.network().addRule(FailureInjector.isolated(leader));
+        Rule isolation = cluster.network().addRule(FailureInjector.isolated(leader));
         cluster.runSeconds(1);
         assertThat(cluster.cancel(follower, uid(1)).json().path("stage").asText())
                 .isEqualTo("withdrawn");
@@ -210,46 +211,47 @@
         cluster.runSeconds(60);
         assertThat(cluster.violations()).isEmpty();
         cluster.store().setOutage(false);
-        cluster.network().removeRule(alone);
+        cluster.network().removeRule(isolation);
         assertAllJobsFinish(cluster, 1, List.of(uid(1)));
     }
 
-    /** The write of the end is on its way while another controller confirms the cancellation. */
+    /** The write of the completion is in flight while another controller confirms the cancellation. */
     @ParameterizedTest
     @EnumSource
-    void aCancellationThatOvertakesTheWriteOfTheEndHoldsForBothVersions(Version leading) {
+    void cancellationBeforeCompletionWriteHoldsForBothVersions(Version leading) {
         SimCluster cluster = startPreviousVersion(63);
         int follower = (leadWithMixedVersions(cluster, leading) + 1) % NODES;
         for (int round = 1; round <= 4; round++) {
             boolean[] held = {false};
-            Rule endHeld = cluster.network().addRule((from, to, request) -> {
-                boolean end = request.route().equals("/txn") && text(request).contains("\"stage\":\"done\"");
-                held[0] |= end;
-                return end ? Action.HOLD : null;
+            Rule holdCompletion = cluster.network().addRule((from, to, request) -> {
+                boolean isCompletionWrite =
+                        request.route().equals("/txn") && bodyText(request).contains("\"stage\":\"done\"");
+                held[0] |= isCompletionWrite;
+                return isCompletionWrite ? Action.HOLD : null;
             });
             submitAsync(cluster, round, 1);
             cluster.runUntil(() -> held[0]);
             HttpResponse response = cluster.cancel(follower, uid(round));
             assertThat(response.json().path("stage").asText()).isEqualTo("withdrawn");
-            cluster.network().removeRule(endHeld);
+            cluster.network().removeRule(holdCompletion);
             cluster.network().releaseHeld();
             cluster.runSeconds(3);
             assertStageOnAllNodes(cluster, uid(round), "withdrawn");
-            // An end and a cancellation exclude each other in the store, not only in what readers make of them.
+            // Completion and cancellation exclude each other in the stored state, not only in how readers merge it.
             assertThat(cluster.store().value("run/" + uid(round)).path("stage").asText())
                     .isNotEqualTo("done");
         }
         assertThat(cluster.violations()).isEmpty();
     }
 
-    private static String text(HttpRequest request) {
+    private static String bodyText(HttpRequest request) {
         return new String(request.body(), StandardCharsets.UTF_8);
     }
 
-    /** The announced limits may come while the last controllers of the previous version are still there. */
+    /** The announced limits may take effect while the last controllers of the previous version are still running. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3})
-    void nothingIsLostWhenTheLimitsFallDuringTheUpgrade(int upgradedBefore) {
+    void losesNothingWhenLimitsDropDuringUpgrade(int upgradedBefore) {
         SimCluster cluster = startPreviousVersion(57 + upgradedBefore);
         int jobs = 0;
         for (int node = 0; node < NODES; node++) {
@@ -268,22 +270,22 @@
         assertAllJobsFinish(cluster, jobs, List.of());
     }
 
-    /** A description with long names that was always accepted stays acceptable, whichever limits hold. */
+    /** A job spec with long names that earlier versions accepted stays acceptable under the new limits. */
     @Test
-    void aDescriptionThatFitsOnlyThePresentLimitIsAcceptedBeforeAndAfterTheLimitsFall() {
+    void acceptsLargeJobSpecBeforeAndAfterLimitsDrop() {
         SimCluster cluster = startPreviousVersion(64);
         leadWithMixedVersions(cluster, Version.PREVIOUS);
         for (int node = 0; node < NODES; node++) {
-            assertThat(cluster.submit(node, withLongNames(uid(1 + node))).status())
+            assertThat(cluster.submit(node, jobWithLongNames(uid(1 + node))).status())
                     .isEqualTo(201);
         }
         assertThat(cluster.store().keysWithPrefix("plan-overflow/")).isEmpty();
         upgradeAll(cluster);
         cluster.store().setLimits(6, 2 * 1024, 30);
         for (int node = 0; node < NODES; node++) {
-            assertThat(cluster.submit(node, withLongNames(uid(11 + node))).status())
+            assertThat(cluster.submit(node, jobWithLongNames(uid(11 + node))).status())
                     .isEqualTo(201);
-            assertThat(cluster.submit(node, withLongNames(uid(11 + node))).status())
+            assertThat(cluster.submit(node, jobWithLongNames(uid(11 + node))).status())
                     .isEqualTo(200);
         }
         assertThat(cluster.store().keysWithPrefix("plan-overflow/")).isNotEmpty();
@@ -293,7 +295,7 @@
         assertAllJobsFinish(cluster, 13, List.of());
     }
 
-    private static ObjectNode withLongNames(String uid) {
+    private static ObjectNode jobWithLongNames(String uid) {
         ObjectNode job = SimCluster.job(uid, 2);
         ArrayNode builds = job.putArray("builds").add("c4");
         for (int number = 0; number < 100; number++) {
@@ -303,7 +305,7 @@
     }
 
     @Test
-    void afterTheUpgradeJobsMayAwaitWhatThePreviousVersionAccepted() {
+    void acceptsDependenciesOnJobsOfPreviousVersionAfterUpgrade() {
         SimCluster cluster = startPreviousVersion(61);
         int done = 1;
         int running = 2;
@@ -318,24 +320,24 @@
         upgradeAll(cluster);
         for (int node = 0; node < NODES; node++) {
             int number = 10 + 10 * node;
-            ObjectNode awaitsNothing = SimCluster.job(uid(number), 1).putNull("awaits");
-            assertThat(cluster.submit(node, awaitsNothing).status()).isEqualTo(201);
+            ObjectNode withoutDependencies = SimCluster.job(uid(number), 1).putNull("awaits");
+            assertThat(cluster.submit(node, withoutDependencies).status()).isEqualTo(201);
             assertThat(cluster.submit(node, SimCluster.job(uid(number + 1), 1, uid(done)))
                             .status())
                     .isEqualTo(201);
             assertThat(cluster.submit(node, SimCluster.job(uid(number + 2), 1, uid(running), uid(done)))
                             .status())
                     .isEqualTo(201);
-            HttpResponse closed =
+            HttpResponse dependsOnCancelled =
                     cluster.submit(node, SimCluster.job(uid(number + 3), 1, uid(running), uid(cancelled)));
-            assertThat(closed.status()).isEqualTo(201);
-            assertThat(closed.json().path("stage").asText()).isEqualTo("withdrawn");
+            assertThat(dependsOnCancelled.status()).isEqualTo(201);
+            assertThat(dependsOnCancelled.json().path("stage").asText()).isEqualTo("withdrawn");
             assertThat(cluster.submit(node, SimCluster.job(uid(number + 4), 1, uid(99)))
                             .status())
                     .isEqualTo(422);
             ObjectNode malformed = SimCluster.job(uid(number + 5), 1).put("awaits", uid(done));
             assertThat(cluster.submit(node, malformed).status()).isEqualTo(400);
-            // A job that the previous version accepted stays as it was, whatever a repeat names.
+            // A job that the previous version accepted is not changed by a resubmission with other dependencies.
             assertThat(cluster.submit(node, SimCluster.job(uid(done), 2, uid(99)))
                             .json()
                             .path("stage")
--- a/src/test/java/io/sillreel/cli/ClassArchiveIT.java
+++ b/src/test/java/io/sillreel/cli/ClassArchiveIT.java
@@ -27,32 +27,32 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Guards the cost of a start on a small share of a core: what the program loads comes from the class archive that the
- * build has made. The rehearsal is the start of the daemon and a short term as leader, and ends by itself.
+ * Guards startup time on a small share of a core: the program must load its classes from the class archive of the
+ * build. The training run ({@code --rehearse}) starts the daemon, leads for a short term and exits.
  */
 class ClassArchiveIT {
-    private static final Pattern LOADED = Pattern.compile("\\[class,load\\] (\\S+) source: (.*)");
-    private static final String ARCHIVED = "shared objects file";
-    /** Made while the program runs: proxies, method handles, accessors, and the JDK's serializable comparators. */
-    private static final Pattern MADE_AT_RUN_TIME = Pattern.compile("java\\.lang\\.invoke\\..*|.*\\$Proxy\\d+"
+    private static final Pattern CLASS_LOAD_LINE = Pattern.compile("\\[class,load\\] (\\S+) source: (.*)");
+    private static final String ARCHIVE_SOURCE = "shared objects file";
+    /** Generated at run time: proxies, method handles, accessors, and the JDK's serializable comparators. */
+    private static final Pattern GENERATED_AT_RUN_TIME = Pattern.compile("java\\.lang\\.invoke\\..*|.*\\$Proxy\\d+"
             + "|jdk\\.internal\\.reflect\\..*|java\\.util\\.Comparator\\$\\$Lambda.*");
-    /** Classes of the JDK that the rehearsal loads now and then, or that can't be archived. */
+    /** JDK classes that only some training runs load, or that can't be archived. */
     private static final Set<String> NOT_ARCHIVED = Set.of(
             "java.util.concurrent.atomic.Striped64$Cell",
             "jdk.internal.event.Event",
             "jdk.internal.misc.Signal$1",
             "jdk.jfr.Event");
 
-    /** The two loops of the rehearsal may link the same lambda at once; only one of them gets the archived class. */
+    /** Both event loops of the training run may link a lambda concurrently; only one gets the archived class. */
     private static final Pattern LAMBDA = Pattern.compile(".*\\$\\$Lambda\\$.*");
 
     private static final int MAX_LAMBDAS_LINKED_TWICE = 9;
-    private static final int MAX_REHEARSALS = 3;
+    private static final int MAX_TRAINING_RUNS = 3;
     private static final int MIN_ARCHIVED = 1_000;
-    private static final int MAX_SECONDS = 120;
+    private static final int TIMEOUT_SECONDS = 120;
     private static final int POLL_MILLIS = 200;
-    /** The exit status of a process that SIGTERM has ended. */
-    private static final int STOPPED_BY_SIGNAL = 143;
+    /** Exit status of a process terminated by SIGTERM. */
+    private static final int SIGTERM_EXIT_STATUS = 143;
 
     private static List<String> command(String argument) throws IOException {
         List<String> command = new ArrayList<>();
@@ -67,71 +67,71 @@
         return command;
     }
 
-    /** Classes by where they came from, over a run of the program that ends by itself. */
-    private record Loaded(int archived, Set<String> names, List<String> outside) {}
+    /** Classes that a run of the program loaded, from the archive and from elsewhere. */
+    private record LoadedClasses(int archivedCount, Set<String> archived, List<String> notArchived) {}
 
-    private static Loaded run(Path folder, String argument) throws IOException, InterruptedException {
+    private static LoadedClasses run(Path directory, String argument) throws IOException, InterruptedException {
         Process process = new ProcessBuilder(command(argument))
-                .directory(folder.toFile())
+                .directory(directory.toFile())
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
                 .start();
-        Loaded loaded;
+        LoadedClasses loaded;
         try (BufferedReader output = process.inputReader()) {
-            loaded = read(output);
+            loaded = parse(output);
         }
         assertThat(process.waitFor()).isZero();
         return loaded;
     }
 
-    private static Loaded read(BufferedReader output) throws IOException {
-        List<String> outside = new ArrayList<>();
-        Set<String> names = new TreeSet<>();
-        int archived = 0;
+    private static LoadedClasses parse(BufferedReader output) throws IOException {
+        List<String> notArchived = new ArrayList<>();
+        Set<String> archivedNames = new TreeSet<>();
+        int archivedCount = 0;
         for (String line = output.readLine(); line != null; line = output.readLine()) {
-            Matcher loaded = LOADED.matcher(line);
-            if (!loaded.find()) {
+            Matcher matcher = CLASS_LOAD_LINE.matcher(line);
+            if (!matcher.find()) {
                 continue;
             }
-            if (loaded.group(2).startsWith(ARCHIVED)) {
-                archived++;
-                names.add(loaded.group(1));
+            if (matcher.group(2).startsWith(ARCHIVE_SOURCE)) {
+                archivedCount++;
+                archivedNames.add(matcher.group(1));
             } else {
-                outside.add(loaded.group(1));
+                notArchived.add(matcher.group(1));
             }
         }
-        outside.removeIf(name -> MADE_AT_RUN_TIME.matcher(name).matches() || NOT_ARCHIVED.contains(name));
-        return new Loaded(archived, names, outside);
+        notArchived.removeIf(name -> GENERATED_AT_RUN_TIME.matcher(name).matches() || NOT_ARCHIVED.contains(name));
+        return new LoadedClasses(archivedCount, archivedNames, notArchived);
     }
 
     /**
-     * What depends on timing, as the handling of a request that was not answered in time, may be loaded by one
-     * rehearsal and not by another. What every start loads is missed by each of them.
+     * Classes whose use depends on timing, such as those that handle request timeouts, may be loaded in one training
+     * run and not in another. A class that every start loads is missing from the archive in all runs.
      */
     @Test
-    void whatTheProgramLoadsComesFromTheClassArchive() throws IOException, InterruptedException {
-        Loaded loaded = run(Path.of("."), "--rehearse");
-        assertThat(loaded.archived()).isGreaterThan(MIN_ARCHIVED);
-        assertThat(loaded.outside()).hasSizeLessThanOrEqualTo(MAX_LAMBDAS_LINKED_TWICE);
+    void loadsClassesOfTrainingRunFromArchive() throws IOException, InterruptedException {
+        LoadedClasses loaded = run(Path.of("."), "--rehearse");
+        assertThat(loaded.archivedCount()).isGreaterThan(MIN_ARCHIVED);
+        assertThat(loaded.notArchived()).hasSizeLessThanOrEqualTo(MAX_LAMBDAS_LINKED_TWICE);
         Set<String> missed = missed(loaded);
-        for (int more = 1; more < MAX_REHEARSALS && !missed.isEmpty(); more++) {
+        for (int more = 1; more < MAX_TRAINING_RUNS && !missed.isEmpty(); more++) {
             missed.retainAll(missed(run(Path.of("."), "--rehearse")));
         }
         assertThat(missed).isEmpty();
     }
 
-    private static Set<String> missed(Loaded loaded) {
-        return loaded.outside().stream()
+    private static Set<String> missed(LoadedClasses loaded) {
+        return loaded.notArchived().stream()
                 .filter(name -> !LAMBDA.matcher(name).matches())
                 .collect(Collectors.toCollection(TreeSet::new));
     }
 
     /**
-     * Guards a running daemon: what only a failure needs would be loaded from a jar long after the start, and an event
-     * loop that can't load a class ends. A lambda is made from a class that is loaded already and reads no jar.
+     * Guards a running daemon: a class that only a failure needs would be loaded from a jar long after the start, and
+     * an event loop that can't load a class ends. Lambdas are exempt: they are spun from a class that is already
+     * loaded, and no jar is read.
      */
     @Test
-    void whatFailuresOfConnectionsNeedComesFromTheClassArchive(@TempDir Path folder)
-            throws IOException, InterruptedException {
+    void loadsClassesForConnectionFailuresFromArchive(@TempDir Path folder) throws IOException, InterruptedException {
         int publicPort = ArchiveTrainingRun.freePort();
         int internalPort = ArchiveTrainingRun.freePort();
         int faultyPort = ArchiveTrainingRun.freePort();
@@ -145,21 +145,21 @@
                 .listen(new InetSocketAddress("127.0.0.1", statePort), new TrainingServices()::handle);
         Process daemon = start(config, output);
         try (FaultyPeers peers = new FaultyPeers(faultyPort)) {
-            awaitTrue(() -> answers(publicPort));
+            awaitTrue(() -> isResponding(publicPort));
             new FaultyClients(publicPort).causeAll();
             new FaultyClients(internalPort).causeAll();
-            awaitTrue(peers::allCaused);
-            awaitTrue(() -> answers(publicPort));
+            awaitTrue(peers::allFaultsCaused);
+            awaitTrue(() -> isResponding(publicPort));
         } finally {
             daemon.destroy();
             daemon.waitFor();
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await();
         }
-        assertThat(daemon.exitValue()).isEqualTo(STOPPED_BY_SIGNAL);
+        assertThat(daemon.exitValue()).isEqualTo(SIGTERM_EXIT_STATUS);
         try (BufferedReader lines = Files.newBufferedReader(output)) {
-            Loaded loaded = read(lines);
+            LoadedClasses loaded = parse(lines);
             assertThat(missed(loaded)).isEmpty();
-            assertThat(loaded.names()).contains(ChannelInputShutdownReadComplete.class.getName());
+            assertThat(loaded.archived()).contains(ChannelInputShutdownReadComplete.class.getName());
         }
     }
 
@@ -174,14 +174,14 @@
     }
 
     private static void awaitTrue(BooleanSupplier condition) throws InterruptedException {
-        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_SECONDS);
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (!condition.getAsBoolean()) {
             assertThat(System.nanoTime()).isLessThan(deadline);
             Thread.sleep(POLL_MILLIS);
         }
     }
 
-    private static boolean answers(int port) {
+    private static boolean isResponding(int port) {
         try {
             return JsonClient.get("http://127.0.0.1:" + port + "/up").status() > 0;
         } catch (IOException e) {
@@ -189,32 +189,32 @@
         }
     }
 
-    /** Guards the ceilings of the run command: without its archive the program keeps all classes in the metaspace. */
+    /** Guards the memory limits of the run command: without the archive all classes are kept in the metaspace. */
     @Test
-    void theProgramRunsWithoutItsClassArchive() throws IOException, InterruptedException {
+    void runsWithoutClassArchive() throws IOException, InterruptedException {
         List<String> command = command("--rehearse");
         command.set(command.indexOf("-Xshare:auto"), "-Xshare:off");
         Process process = new ProcessBuilder(command)
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
                 .start();
-        boolean ended = process.waitFor(MAX_SECONDS, TimeUnit.SECONDS);
+        boolean ended = process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         process.destroyForcibly();
         assertThat(ended).isTrue();
         assertThat(process.exitValue()).isZero();
     }
 
-    /** Guards a deployment that builds in one folder and runs in another. */
+    /** Guards deployments that build in one directory and run in another. */
     @Test
-    void aBuildThatIsMovedKeepsItsClassArchive(@TempDir Path elsewhere) throws IOException, InterruptedException {
+    void usesClassArchiveAfterBuildIsMoved(@TempDir Path target) throws IOException, InterruptedException {
         for (String folder : List.of("target", "target/lib")) {
-            Files.createDirectories(elsewhere.resolve(folder));
+            Files.createDirectories(target.resolve(folder));
             try (DirectoryStream<Path> files = Files.newDirectoryStream(Path.of(folder), "*.{jar,jsa}")) {
                 for (Path file : files) {
-                    Files.copy(file, elsewhere.resolve(file), StandardCopyOption.COPY_ATTRIBUTES);
+                    Files.copy(file, target.resolve(file), StandardCopyOption.COPY_ATTRIBUTES);
                 }
             }
         }
-        assertThat(run(elsewhere, "--version").archived()).isGreaterThan(MIN_ARCHIVED);
+        assertThat(run(target, "--version").archivedCount()).isGreaterThan(MIN_ARCHIVED);
     }
 }
--- a/src/test/java/io/sillreel/cli/FaultyPeers.java
+++ b/src/test/java/io/sillreel/cli/FaultyPeers.java
@@ -9,13 +9,13 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A listener that treats each connection in another wrong way, one after the other and over again. */
+/** A server that injects a different fault into each connection, cycling through the list of faults. */
 final class FaultyPeers implements AutoCloseable {
     private static final String OK = "HTTP/1.1 200 OK\r\n";
     private static final String CLOSE = OK + "Connection: close\r\nContent-Length: 2\r\n\r\n{}";
 
     private interface Fault {
-        void cause(Socket connection) throws IOException;
+        void inject(Socket connection) throws IOException;
     }
 
     private static final List<Fault> FAULTS = List.of(
@@ -44,8 +44,8 @@
         thread.start();
     }
 
-    /** True once every fault has been caused at least once. */
-    boolean allCaused() {
+    /** True once every fault has been injected at least once. */
+    boolean allFaultsCaused() {
         return connections.size() > FAULTS.size();
     }
 
@@ -57,21 +57,21 @@
                 connections.add(connection);
                 connection.setSoTimeout(1_000);
                 connection.getInputStream().read(new byte[4_096]);
-                fault.cause(connection);
+                fault.inject(connection);
             } catch (IOException e) {
-                // the daemon has closed the connection first, or the test is over
+                // the daemon closed the connection first, or the test has ended
             }
         }
     }
 
-    private static void send(Socket connection, String answer) throws IOException {
+    private static void send(Socket connection, String response) throws IOException {
         OutputStream output = connection.getOutputStream();
-        output.write(answer.getBytes(StandardCharsets.ISO_8859_1));
+        output.write(response.getBytes(StandardCharsets.ISO_8859_1));
         output.flush();
     }
 
-    private static void sendAndReset(Socket connection, String answer) throws IOException {
-        send(connection, answer);
+    private static void sendAndReset(Socket connection, String response) throws IOException {
+        send(connection, response);
         try {
             Thread.sleep(50);
         } catch (InterruptedException e) {
--- a/src/test/java/io/sillreel/recovery/LostWritesTest.java
+++ b/src/test/java/io/sillreel/recovery/LostWritesTest.java
@@ -42,7 +42,7 @@
     }
 
     private static void assertStageOnAllNodes(SimCluster cluster, int job, String stage) {
-        FailureScenario.everyNodeSays(cluster, uid(job), stage);
+        FailureScenario.assertStageOnAllNodes(cluster, uid(job), stage);
     }
 
     /** Repeats the submission until it is accepted, as users do. */
