--- a/src/test/java/io/sillreel/CancellationFailuresTest.java
+++ b/src/test/java/io/sillreel/CancellationFailuresTest.java
@@ -1,7 +1,7 @@
 package io.sillreel;
 
 import static io.sillreel.FailureScenario.assertNoViolations;
-import static io.sillreel.FailureScenario.assertStageOnAllNodes;
+import static io.sillreel.FailureScenario.assertStageOnRunningNodes;
 import static io.sillreel.FailureScenario.machineNames;
 import static io.sillreel.FailureScenario.otherNode;
 import static io.sillreel.FailureScenario.runningTaskCount;
@@ -48,7 +48,7 @@
             cluster.cloud().machines().values().stream().limit(2).forEach(worker -> worker.pause(9 * SECOND));
             cluster.runSeconds(tenths / 10.0 - 0.1);
             cluster.store().setOutage(true);
-            assertThat(cluster.known("job-000001"))
+            assertThat(cluster.reportedStage("job-000001"))
                     .as("after %d tenths", tenths)
                     .isEqualTo("withdrawn");
             cluster.runSeconds(60);
@@ -56,8 +56,8 @@
             assertThat(runningTaskCount(cluster)).as("after %d tenths", tenths).isZero();
             cluster.store().setOutage(false);
             cluster.runSeconds(20);
-            assertStageOnAllNodes(cluster, "job-000001", "withdrawn");
-            assertStageOnAllNodes(cluster, "job-000002", "withdrawn");
+            assertStageOnRunningNodes(cluster, "job-000001", "withdrawn");
+            assertStageOnRunningNodes(cluster, "job-000002", "withdrawn");
             assertNoViolations(cluster);
         }
     }
@@ -123,7 +123,7 @@
                         : null);
         cluster.runUntil(() -> cluster.leader() >= 0 && cluster.leader() != cancellationsUnknown);
         cluster.runSeconds(60);
-        assertStageOnAllNodes(cluster, "job-000001", "done");
+        assertStageOnRunningNodes(cluster, "job-000001", "done");
         assertNoViolations(cluster);
     }
 
@@ -209,7 +209,7 @@
         cluster.network().removeRule(delayedResponses);
         cluster.runSeconds(40);
         for (int i = 1; i <= 12; i++) {
-            assertStageOnAllNodes(cluster, "job-%06d".formatted(i), i % 2 == 0 ? "withdrawn" : "done");
+            assertStageOnRunningNodes(cluster, "job-%06d".formatted(i), i % 2 == 0 ? "withdrawn" : "done");
         }
         assertNoViolations(cluster);
     }
@@ -235,7 +235,7 @@
             cluster.runSeconds(10);
             for (int i = 1; i <= 20; i++) {
                 String uid = "job-%06d".formatted(i);
-                if (!"withdrawn".equals(cluster.known(uid))) {
+                if (!"withdrawn".equals(cluster.reportedStage(uid))) {
                     cluster.cancel(otherNode(cluster, leader), uid);
                 }
             }
@@ -294,7 +294,7 @@
                 .noneMatch(worker -> worker.runningTasks().stream().anyMatch(task -> task.startsWith("job-000001/")));
         cluster.network().removeRule(isolated);
         cluster.runSeconds(40);
-        assertStageOnAllNodes(cluster, "job-000001", "withdrawn");
+        assertStageOnRunningNodes(cluster, "job-000001", "withdrawn");
         assertNoViolations(cluster);
     }
 }
--- a/src/test/java/io/sillreel/FailoverFailuresTest.java
+++ b/src/test/java/io/sillreel/FailoverFailuresTest.java
@@ -1,7 +1,7 @@
 package io.sillreel;
 
 import static io.sillreel.FailureScenario.assertNoViolations;
-import static io.sillreel.FailureScenario.assertStageOnAllNodes;
+import static io.sillreel.FailureScenario.assertStageOnRunningNodes;
 import static io.sillreel.FailureScenario.busiestWorker;
 import static io.sillreel.FailureScenario.failOver;
 import static io.sillreel.FailureScenario.machineNames;
@@ -39,7 +39,7 @@
             cluster.runSeconds(10);
             assertThat(machineNames(cluster)).as("seed %d", seed).containsAll(before);
             cluster.runSeconds(60);
-            assertStageOnAllNodes(cluster, "job-000001", "done");
+            assertStageOnRunningNodes(cluster, "job-000001", "done");
             assertNoViolations(cluster);
         }
     }
@@ -177,8 +177,8 @@
             cluster.pollAsync(random.nextInt(3), "job-000001");
         }
         cluster.runSeconds(100);
-        assertStageOnAllNodes(cluster, "job-000001", "done");
-        assertStageOnAllNodes(cluster, "job-000002", "done");
+        assertStageOnRunningNodes(cluster, "job-000001", "done");
+        assertStageOnRunningNodes(cluster, "job-000002", "done");
         assertNoViolations(cluster);
     }
 
@@ -202,7 +202,7 @@
         cluster.restart(0);
         cluster.restart(2);
         cluster.runSeconds(3);
-        assertStageOnAllNodes(cluster, "job-000002", "withdrawn");
+        assertStageOnRunningNodes(cluster, "job-000002", "withdrawn");
         assertNoViolations(cluster);
     }
 
@@ -230,8 +230,8 @@
             cluster.network().removeRule(partition);
             cluster.network().releaseHeld();
             cluster.runSeconds(60);
-            assertStageOnAllNodes(cluster, "job-000001", "withdrawn");
-            assertStageOnAllNodes(cluster, "job-000002", "done");
+            assertStageOnRunningNodes(cluster, "job-000001", "withdrawn");
+            assertStageOnRunningNodes(cluster, "job-000002", "done");
             assertNoViolations(cluster);
         }
     }
@@ -253,7 +253,7 @@
         cluster.runSeconds(40);
         cluster.network().removeRule(rule);
         cluster.runSeconds(60);
-        assertStageOnAllNodes(cluster, "job-000001", "done");
+        assertStageOnRunningNodes(cluster, "job-000001", "done");
         assertNoViolations(cluster);
     }
 }
--- a/src/test/java/io/sillreel/FailureScenario.java
+++ b/src/test/java/io/sillreel/FailureScenario.java
@@ -49,7 +49,7 @@
     }
 
     /** Queries every controller that is up. */
-    public static void assertStageOnAllNodes(SimCluster cluster, String uid, String stage) {
+    public static void assertStageOnRunningNodes(SimCluster cluster, String uid, String stage) {
         for (int node = 0; node < cluster.nodes(); node++) {
             if (cluster.isUp(node)) {
                 assertThat(cluster.stage(node, uid)).as("%s at %d", uid, node).isEqualTo(stage);
--- a/src/test/java/io/sillreel/RandomScheduleTest.java
+++ b/src/test/java/io/sillreel/RandomScheduleTest.java
@@ -207,7 +207,8 @@
             submitChains(cluster, random, submitted);
         }
         cluster.cloud().machines().values().forEach(machine -> machine.setRunMicros(3_000_000));
-        submitted.removeIf(uid -> cluster.known(uid) == null && cluster.store().value("plan/" + uid) == null);
+        submitted.removeIf(
+                uid -> cluster.reportedStage(uid) == null && cluster.store().value("plan/" + uid) == null);
         assertAllJobsFinish(cluster, random, submitted, cancelled, seed);
     }
 
@@ -223,7 +224,7 @@
         for (int each = random.nextInt(4); each > 0 && number > 1; each--) {
             int back = random.nextInt(4) == 0 ? random.nextInt(number - 1) : random.nextInt(Math.min(6, number - 1));
             String earlier = "job-%06d".formatted(number - 1 - back);
-            if (cluster.known(earlier) != null) {
+            if (cluster.reportedStage(earlier) != null) {
                 awaits.add(earlier);
             }
         }
--- a/src/test/java/io/sillreel/StoreFailuresTest.java
+++ b/src/test/java/io/sillreel/StoreFailuresTest.java
@@ -1,7 +1,7 @@
 package io.sillreel;
 
 import static io.sillreel.FailureScenario.assertNoViolations;
-import static io.sillreel.FailureScenario.assertStageOnAllNodes;
+import static io.sillreel.FailureScenario.assertStageOnRunningNodes;
 import static io.sillreel.FailureScenario.failOver;
 import static io.sillreel.FailureScenario.machineNames;
 import static io.sillreel.FailureScenario.startCluster;
@@ -83,7 +83,7 @@
             cluster.network().removeRule(lostResponses);
             cluster.runSeconds(40);
             for (int i = 1; i <= 8; i += 2) {
-                assertStageOnAllNodes(cluster, "job-%06d".formatted(i), "done");
+                assertStageOnRunningNodes(cluster, "job-%06d".formatted(i), "done");
             }
             assertNoViolations(cluster);
         }
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -80,13 +80,13 @@
                     + "3a2261206e65776572207265706f727420776173207365656e227d01";
     private static final String CANCELLED = "816a6a6f622d303030343132";
 
-    static JobSpec spec(String uid, int pieces) {
+    static JobSpec spec(String uid, int taskCount) {
         return new JobSpec(
                 uid,
                 "train",
                 "vision",
                 new Urgency(PriorityClass.HIGH, 900_000_000L),
-                pieces,
+                taskCount,
                 new TaskSpec(8.0, 1.0, 64.0, "img-07", 6.2, 240_000_000L, new Checkpointing(30_000_000L, 4_000_000L)),
                 new PlacementRequirements(List.of("g8", "c4"), "a", true, false, true),
                 List.of());
@@ -100,8 +100,8 @@
         return HexFormat.of().parseHex(hex);
     }
 
-    private static ActiveJob job(int pieces) {
-        return new ActiveJob(spec("job-000412", pieces), 7, 0, ValueLimits.fixed(2_048), new NoOpJobListener());
+    private static ActiveJob job(int taskCount) {
+        return new ActiveJob(spec("job-000412", taskCount), 7, 0, ValueLimits.fixed(2_048), new NoOpJobListener());
     }
 
     @Test
--- a/src/test/java/io/sillreel/admission/JobApiHandlerTest.java
+++ b/src/test/java/io/sillreel/admission/JobApiHandlerTest.java
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void returnsOnlyTerminalStatusesDuringAStateStoreOutage() {
+    void returnsOnlyTerminalStatusesDuringStateServiceOutage() {
         cluster.submit(0, SimCluster.job("job-000001", 1));
         cluster.runSeconds(30);
         assertThat(cluster.stage(0, "job-000001")).isEqualTo("done");
@@ -133,7 +133,7 @@
 
     /** After the first timeout of an unresponsive state store, user requests must fail without waiting for it. */
     @Test
-    void failsFastWithoutTheStateStoreAndServesAgainOnceItIsReachable() {
+    void failsFastWithoutStateServiceAndServesAgainOnceItIsReachable() {
         int partitioned = (cluster.leader() + 1) % 3;
         SimNetwork.Rule rule = cluster.network()
                 .addRule((from, to, request) ->
--- a/src/test/java/io/sillreel/heartbeat/MachineFailureTest.java
+++ b/src/test/java/io/sillreel/heartbeat/MachineFailureTest.java
@@ -17,7 +17,7 @@
 class MachineFailureTest {
     private final SimCluster cluster = new SimCluster(11);
 
-    private SimWorker untilMachineRuns(int minTasks) {
+    private SimWorker runUntilMachineRuns(int minTasks) {
         cluster.runUntil(() -> cluster.cloud().machines().values().stream()
                 .anyMatch(worker -> worker.runningTasks().size() >= minTasks));
         return cluster.cloud().machines().values().stream()
@@ -31,7 +31,7 @@
     void replacesUnresponsiveMachine() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 2));
-        SimWorker worker = untilMachineRuns(2);
+        SimWorker worker = runUntilMachineRuns(2);
         cluster.network().addRule(FailureInjector.dropInbound(worker.name()));
         cluster.submit(0, SimCluster.job("job-000002", 2));
         cluster.runSeconds(60);
@@ -113,7 +113,7 @@
     void completesJobAfterWorkerRestartsWithResetSequence() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 2));
-        SimWorker worker = untilMachineRuns(2);
+        SimWorker worker = runUntilMachineRuns(2);
         worker.extendRunningTasks(60_000_000);
         cluster.runSeconds(10);
         worker.reboot();
@@ -206,7 +206,7 @@
         cluster.submit(0, SimCluster.job("job-000001", 20));
         cluster.runUntilStarted(20, 40_000_000);
         assertThat(cluster.cloud().machines().size()).isGreaterThan(3);
-        return untilMachineRuns(2);
+        return runUntilMachineRuns(2);
     }
 
     /** Guards against waiting for the lease of an interrupted spot instance, which delayed its tasks by 12 s. */
@@ -231,7 +231,7 @@
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 20).put("guess_s", 60.0));
         cluster.runUntilStarted(20, 60_000_000);
-        SimWorker worker = untilMachineRuns(2);
+        SimWorker worker = runUntilMachineRuns(2);
         cluster.cloud().reclaimWithNotice(worker.name(), 30_000_000);
         cluster.runSeconds(2);
         assertThat(worker.runningTasks()).isEmpty();
--- a/src/test/java/io/sillreel/leadership/FailoverTest.java
+++ b/src/test/java/io/sillreel/leadership/FailoverTest.java
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void leaderPartitionedFromTheStateStoreIsReplaced() {
+    void leaderPartitionedFromStateServiceIsReplaced() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 4));
         cluster.runSeconds(8);
@@ -192,7 +192,7 @@
 
     /** Tests the grace period: tasks survive a state store outage that is longer than the lease of a machine. */
     @Test
-    void runningTasksSurviveAStateStoreOutage() {
+    void runningTasksSurviveStateServiceOutage() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 2));
         cluster.runUntilStarted(2, 18_000_000);
@@ -212,7 +212,7 @@
      * expire in time.
      */
     @Test
-    void leaderPartitionedFromTheStateStoreDoesNotKeepCancelledTasksAlive() {
+    void leaderPartitionedFromStateServiceDoesNotKeepCancelledTasksAlive() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 2));
         cluster.runUntilStarted(2, 600_000_000);
--- a/src/test/java/io/sillreel/leadership/HeldLeaseTest.java
+++ b/src/test/java/io/sillreel/leadership/HeldLeaseTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void becomesInvalidBeforeTheStateStoreExpiresTheLease() {
+    void becomesInvalidBeforeStateServiceExpiresLease() {
         lease.acquired(7, 1, process.nowMicros());
         time.runFor(DURATION_MICROS - MARGIN_MICROS - 1);
         assertThat(lease.isValid()).isTrue();
--- a/src/test/java/io/sillreel/load/StoredJobs.java
+++ b/src/test/java/io/sillreel/load/StoredJobs.java
@@ -52,12 +52,12 @@
         int first = nextNumber;
         for (int each = 0; each < count; each++) {
             String uid = uid(nextNumber);
-            List<String> awaits =
+            List<String> dependencies =
                     each == 0 ? List.of() : List.of(uid(each % DEPENDENCY_PATTERNS == 0 ? first : nextNumber - 1));
             List<String> builds = each == 0 ? List.of("a-type-that-is-not-there") : null;
             store(
                     PlanRecord.key(uid),
-                    PlanRecordCodec.encode(new PlanRecord(ADMITTED_WALL_MICROS, spec(uid, builds, awaits))));
+                    PlanRecordCodec.encode(new PlanRecord(ADMITTED_WALL_MICROS, spec(uid, builds, dependencies))));
             nextNumber++;
         }
     }
@@ -68,7 +68,7 @@
         stateService.handle(HttpRequest.post("/txn", body)).join();
     }
 
-    private static JobSpec spec(String uid, List<String> builds, List<String> awaits) {
+    private static JobSpec spec(String uid, List<String> builds, List<String> dependencies) {
         return new JobSpec(
                 uid,
                 "a-class-of-jobs",
@@ -77,6 +77,6 @@
                 60,
                 new TaskSpec(1.0, 0.0, 1.6, "img-07", 1.0, 25_000_000L, new Checkpointing(0L, 0L)),
                 new PlacementRequirements(builds, null, false, false, true),
-                awaits);
+                dependencies);
     }
 }
--- a/src/test/java/io/sillreel/pipeline/JobDependencyTest.java
+++ b/src/test/java/io/sillreel/pipeline/JobDependencyTest.java
@@ -33,7 +33,7 @@
         return response.status();
     }
 
-    private void assertStageOnAllNodes(String uid, String stage) {
+    private void assertStageOnRunningNodes(String uid, String stage) {
         for (int node = 0; node < cluster.nodes(); node++) {
             if (cluster.isUp(node)) {
                 assertThat(cluster.stage(node, uid)).as("%s at %d", uid, node).isEqualTo(stage);
@@ -54,12 +54,12 @@
         assertThat(cluster.submit(0, SimCluster.job(uid(4), 2, uid(2), uid(3), uid(1)))
                         .status())
                 .isEqualTo(201);
-        assertStageOnAllNodes(uid(4), "queued");
+        assertStageOnRunningNodes(uid(4), "queued");
         cluster.runUntilStarted(3, 3 * SECOND);
         assertThat(cluster.store().value("run/" + uid(2))).isNull();
         cluster.runSeconds(60);
         for (int job = 1; job <= 4; job++) {
-            assertStageOnAllNodes(uid(job), "done");
+            assertStageOnRunningNodes(uid(job), "done");
         }
         assertThat(cluster.startCount()).isEqualTo(11);
         assertThat(cluster.violations()).isEmpty();
@@ -127,7 +127,7 @@
                     .isEqualTo(201);
         }
         cluster.runSeconds(60);
-        assertStageOnAllNodes(uid(41), "done");
+        assertStageOnRunningNodes(uid(41), "done");
         assertThat(cluster.violations()).isEmpty();
     }
 
@@ -148,7 +148,7 @@
                 .isEqualTo("withdrawn");
         for (int job = 2; job <= 4; job++) {
             assertThat(cluster.store().value("withdraw/" + uid(job))).isNull();
-            assertStageOnAllNodes(uid(job), "withdrawn");
+            assertStageOnRunningNodes(uid(job), "withdrawn");
             assertThat(cluster.cancel(follower, uid(job)).json().path("stage").asText())
                     .isEqualTo("withdrawn");
         }
@@ -156,7 +156,7 @@
         HttpResponse lateSubmission = cluster.submit(follower, SimCluster.job(uid(6), 1, uid(4)));
         assertThat(lateSubmission.status()).isEqualTo(201);
         assertThat(lateSubmission.json().path("stage").asText()).isEqualTo("withdrawn");
-        assertStageOnAllNodes(uid(6), "withdrawn");
+        assertStageOnRunningNodes(uid(6), "withdrawn");
         cluster.runSeconds(15);
         for (int job = 1; job <= 4; job++) {
             assertThat(cluster.store().value("withdraw/" + uid(job)))
@@ -249,7 +249,7 @@
         cluster.submit(0, SimCluster.job(uid(1), 1));
         cluster.submit(0, SimCluster.job(uid(2), 1));
         cluster.runSeconds(25);
-        assertStageOnAllNodes(uid(1), "done");
+        assertStageOnRunningNodes(uid(1), "done");
         cluster.submit(1, SimCluster.job(uid(3), 1, uid(1), uid(2)));
         for (int node = 0; node < 3; node++) {
             cluster.restart(node);
@@ -258,8 +258,8 @@
         assertThat(cluster.submit(2, SimCluster.job(uid(4), 1, uid(1), uid(3))).status())
                 .isEqualTo(201);
         cluster.runSeconds(40);
-        assertStageOnAllNodes(uid(3), "done");
-        assertStageOnAllNodes(uid(4), "done");
+        assertStageOnRunningNodes(uid(3), "done");
+        assertStageOnRunningNodes(uid(4), "done");
         assertThat(cluster.violations()).isEmpty();
     }
 
@@ -299,7 +299,7 @@
         assertThat(cluster.store().value("run/" + uid(999))).isNull();
         cluster.cloud().setOutage(false);
         cluster.runSeconds(60);
-        assertStageOnAllNodes(uid(999), "done");
+        assertStageOnRunningNodes(uid(999), "done");
         assertThat(cluster.violations()).isEmpty();
     }
 
@@ -366,7 +366,7 @@
         cluster.runSeconds(160);
         int done = 0;
         for (int job = 2; job <= 400; job++) {
-            done += cluster.known(uid(job)) != null
+            done += cluster.reportedStage(uid(job)) != null
                             && cluster.stage(job % 3, uid(job)).equals("done")
                     ? 1
                     : 0;
@@ -388,7 +388,7 @@
         }
         cluster.runSeconds(200);
         for (int job = 1; job <= 30; job++) {
-            assertStageOnAllNodes(uid(job), "done");
+            assertStageOnRunningNodes(uid(job), "done");
         }
         assertThat(cluster.store().rejectedForSize()).isZero();
         assertThat(cluster.violations()).isEmpty();
--- a/src/test/java/io/sillreel/pipeline/LongDependencyListTest.java
+++ b/src/test/java/io/sillreel/pipeline/LongDependencyListTest.java
@@ -27,7 +27,7 @@
         return response.status();
     }
 
-    private void assertStageOnAllNodes(String uid, String stage) {
+    private void assertStageOnRunningNodes(String uid, String stage) {
         for (int node = 0; node < cluster.nodes(); node++) {
             if (cluster.isUp(node)) {
                 assertThat(cluster.stage(node, uid)).as("%s at %d", uid, node).isEqualTo(stage);
@@ -48,16 +48,16 @@
         ObjectNode large = SimCluster.job(uid(999), 1, dependencies);
         assertThat(submitUntilAccepted(0, large)).isIn(200, 201);
         assertThat(cluster.store().keysWithPrefix("plan-overflow/" + uid(999))).isNotEmpty();
-        assertStageOnAllNodes(uid(999), "queued");
+        assertStageOnRunningNodes(uid(999), "queued");
         // The next leader and a restarted controller have to read the list again.
         int leader = cluster.leader();
         cluster.restart((leader + 1) % 3);
         cluster.kill(leader);
         cluster.runSeconds(5);
         cluster.restart(leader);
-        cluster.runUntil(() -> cluster.known(uid(300)) != null && cluster.leader() >= 0);
+        cluster.runUntil(() -> cluster.reportedStage(uid(300)) != null && cluster.leader() >= 0);
         cluster.runSeconds(140);
-        assertStageOnAllNodes(uid(999), "done");
+        assertStageOnRunningNodes(uid(999), "done");
         assertThat(cluster.store().rejectedForSize()).isZero();
         assertThat(cluster.violations()).isEmpty();
     }
@@ -76,7 +76,7 @@
         cluster.restart(1);
         cluster.runSeconds(4);
         assertThat(cluster.cancel(2, uid(200)).isOk()).isTrue();
-        assertStageOnAllNodes(uid(999), "withdrawn");
+        assertStageOnRunningNodes(uid(999), "withdrawn");
         cluster.runSeconds(5);
         assertThat(cluster.store().value("withdraw/" + uid(999))).isNotNull();
         assertThat(cluster.violations()).isEmpty();
--- a/src/test/java/io/sillreel/recovery/LostWritesTest.java
+++ b/src/test/java/io/sillreel/recovery/LostWritesTest.java
@@ -1,7 +1,7 @@
 package io.sillreel.recovery;
 
 import static io.sillreel.recovery.RecoveryClusters.NODES;
-import static io.sillreel.recovery.RecoveryClusters.isLossOpen;
+import static io.sillreel.recovery.RecoveryClusters.isRecoveryOpen;
 import static io.sillreel.sim.SimJobs.uid;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -33,16 +33,16 @@
         return record == null ? 0 : record.path("generation").asLong();
     }
 
-    private static void awaitClosed(SimCluster cluster, long generation) {
-        cluster.runUntil(() -> generation(cluster) >= generation && !isLossOpen(cluster));
+    private static void awaitRecoveryClosed(SimCluster cluster, long generation) {
+        cluster.runUntil(() -> generation(cluster) >= generation && !isRecoveryOpen(cluster));
     }
 
-    private static JsonNode status(SimCluster cluster, int node) {
+    private static JsonNode recoveryStatus(SimCluster cluster, int node) {
         return cluster.sendInternal(node, HttpRequest.get("/recovery/status")).json();
     }
 
-    private static void assertStageOnAllNodes(SimCluster cluster, int job, String stage) {
-        FailureScenario.assertStageOnAllNodes(cluster, uid(job), stage);
+    private static void assertStageOnRunningNodes(SimCluster cluster, int job, String stage) {
+        FailureScenario.assertStageOnRunningNodes(cluster, uid(job), stage);
     }
 
     /** Repeats the submission until it is accepted, as users do. */
@@ -56,7 +56,7 @@
         submitUntilAccepted(cluster, 1, SimCluster.job(uid(2), 6));
         submitUntilAccepted(cluster, 2, SimCluster.job(uid(3), 2));
         cluster.runUntilStarted(6, 60 * SECOND);
-        Snapshot image = cluster.store().snapshot();
+        Snapshot snapshot = cluster.store().snapshot();
         cluster.cloud().machines().values().forEach(worker -> worker.setRunMicros(2 * SECOND));
         cluster.runUntil(() -> cluster.cancel(1, uid(3)).isOk());
         submitUntilAccepted(cluster, 2, SimCluster.job(uid(4), 3));
@@ -66,18 +66,18 @@
         cluster.runUntil(() -> cluster.stage(0, uid(1)).equals("done"));
         submitUntilAccepted(cluster, 0, SimCluster.job(uid(7), 12));
         cluster.runUntilStarted(cluster.startCount() + 3, 8 * SECOND);
-        return image;
+        return snapshot;
     }
 
-    private static void assertAllJobsEnd(SimCluster cluster) {
+    private static void assertAllJobsFinish(SimCluster cluster) {
         cluster.cloud().machines().values().forEach(worker -> worker.setRunMicros(3 * SECOND));
         cluster.runSeconds(60);
         for (int job : new int[] {1, 2, 4, 5, 7}) {
-            assertStageOnAllNodes(cluster, job, "done");
+            assertStageOnRunningNodes(cluster, job, "done");
         }
         // Job 3 may have finished before it could be cancelled.
-        assertStageOnAllNodes(cluster, 3, cluster.known(uid(3)));
-        assertStageOnAllNodes(cluster, 6, "withdrawn");
+        assertStageOnRunningNodes(cluster, 3, cluster.reportedStage(uid(3)));
+        assertStageOnRunningNodes(cluster, 6, "withdrawn");
         assertThat(cluster.violations()).isEmpty();
     }
 
@@ -86,14 +86,14 @@
     void restoresLostWritesWithoutRunningTasksTwice() {
         for (long seed = 1; seed <= 4; seed++) {
             SimCluster cluster = startCluster(seed);
-            Snapshot image = createJobsInAllStates(cluster);
+            Snapshot snapshot = createJobsInAllStates(cluster);
             int term = cluster.term();
             long storeRevision = cluster.store().revision();
-            cluster.store().restore(image);
-            awaitClosed(cluster, 1);
+            cluster.store().restore(snapshot);
+            awaitRecoveryClosed(cluster, 1);
             assertThat(cluster.store().revision()).isGreaterThan(storeRevision);
             assertThat(cluster.term()).isGreaterThan(term + 1_000);
-            assertAllJobsEnd(cluster);
+            assertAllJobsFinish(cluster);
             int tasks = 4 + 6 + 2 + 3 + 2 + 2 + 12;
             assertThat(cluster.startCount()).as("each task once").isLessThanOrEqualTo(tasks);
         }
@@ -102,8 +102,8 @@
     @Test
     void returnsNoStaleStatusDuringRecovery() {
         SimCluster cluster = startCluster(5);
-        Snapshot image = createJobsInAllStates(cluster);
-        cluster.store().restore(image);
+        Snapshot snapshot = createJobsInAllStates(cluster);
+        cluster.store().restore(snapshot);
         for (int poll = 0; poll < 200; poll++) {
             for (int node = 0; node < NODES; node++) {
                 for (int job = 1; job <= 7; job++) {
@@ -112,7 +112,7 @@
             }
             cluster.runSeconds(0.05);
         }
-        assertAllJobsEnd(cluster);
+        assertAllJobsFinish(cluster);
     }
 
     /** Guards against false positives: slow, refused, lost and delayed responses are no evidence of a loss. */
@@ -149,75 +149,82 @@
         SimCluster cluster = startCluster(7);
         createJobsInAllStates(cluster);
         cluster.store().misreportRevision(cluster.store().revision() - 3);
-        awaitClosed(cluster, 1);
+        awaitRecoveryClosed(cluster, 1);
         cluster.runSeconds(2);
         for (int node = 0; node < NODES; node++) {
-            assertThat(status(cluster, node).path("suspended").asBoolean()).isFalse();
+            assertThat(recoveryStatus(cluster, node).path("suspended").asBoolean())
+                    .isFalse();
         }
-        assertAllJobsEnd(cluster);
+        assertAllJobsFinish(cluster);
     }
 
     /** Guards writes that are in no remaining change log: the controllers stay suspended until an operator decides. */
     @Test
     void staysSuspendedUntilOperatorAcceptsLossIfLastWriterIsDown() {
         SimCluster cluster = startCluster(8);
-        Snapshot image = createJobsInAllStates(cluster);
+        Snapshot snapshot = createJobsInAllStates(cluster);
         int starts = cluster.startCount();
         int killed = cluster.leader();
         cluster.kill(killed);
-        cluster.store().restore(image);
+        cluster.store().restore(snapshot);
         cluster.runUntil(() -> cluster.leader() >= 0
-                && status(cluster, cluster.leader()).path("step").asText().equals("incomplete"));
+                && recoveryStatus(cluster, cluster.leader())
+                        .path("step")
+                        .asText()
+                        .equals("incomplete"));
         cluster.runSeconds(20);
         assertThat(cluster.startCount()).isEqualTo(starts);
         int leader = cluster.leader();
-        assertThat(status(cluster, leader).path("incomplete").asText()).startsWith("hopper-" + killed);
+        assertThat(recoveryStatus(cluster, leader).path("incomplete").asText()).startsWith("hopper-" + killed);
         assertThat(cluster.poll(leader, uid(1)).status()).isEqualTo(503);
         assertThat(cluster.poll(leader, uid(1)).retryAfterSeconds()).isPositive();
         HttpRequest accept = HttpRequest.post("/recovery/accept-loss", Json.object());
         int other = 3 - leader - killed;
         assertThat(cluster.sendInternal(other, accept).status()).isEqualTo(409);
         assertThat(cluster.sendInternal(leader, accept).status()).isEqualTo(200);
-        awaitClosed(cluster, 1);
-        assertAllJobsEnd(cluster);
+        awaitRecoveryClosed(cluster, 1);
+        assertAllJobsFinish(cluster);
     }
 
     /** Guards the change log of a controller that was only partitioned during the loss and returns later. */
     @Test
     void completesRecoveryOncePartitionedControllerReturns() {
         SimCluster cluster = startCluster(9);
-        Snapshot image = createJobsInAllStates(cluster);
+        Snapshot snapshot = createJobsInAllStates(cluster);
         int partitioned = (cluster.leader() + 1) % NODES;
         Rule partition = cluster.network().addRule(FailureInjector.isolated(partitioned));
         cluster.runSeconds(1);
-        cluster.store().restore(image);
+        cluster.store().restore(snapshot);
         cluster.runUntil(() -> cluster.leader() >= 0
-                && status(cluster, cluster.leader()).path("step").asText().equals("incomplete"));
+                && recoveryStatus(cluster, cluster.leader())
+                        .path("step")
+                        .asText()
+                        .equals("incomplete"));
         cluster.network().removeRule(partition);
-        awaitClosed(cluster, 1);
-        assertAllJobsEnd(cluster);
+        awaitRecoveryClosed(cluster, 1);
+        assertAllJobsFinish(cluster);
     }
 
     @Test
     void recoversFromRepeatedRollbacks() {
         SimCluster cluster = startCluster(10);
-        Snapshot image = createJobsInAllStates(cluster);
-        cluster.store().restore(image);
-        cluster.runUntil(() -> isLossOpen(cluster));
+        Snapshot snapshot = createJobsInAllStates(cluster);
+        cluster.store().restore(snapshot);
+        cluster.runUntil(() -> isRecoveryOpen(cluster));
         cluster.runSeconds(0.3);
-        cluster.store().restore(image);
-        awaitClosed(cluster, 1);
+        cluster.store().restore(snapshot);
+        awaitRecoveryClosed(cluster, 1);
         submitUntilAccepted(cluster, 0, SimCluster.job(uid(8), 2));
-        Snapshot laterImage = cluster.store().snapshot();
+        Snapshot laterSnapshot = cluster.store().snapshot();
         cluster.runSeconds(4);
         submitUntilAccepted(cluster, 1, SimCluster.job(uid(9), 2));
         cluster.runSeconds(0.4);
         long generationBefore = generation(cluster);
-        cluster.store().restore(laterImage);
-        awaitClosed(cluster, generationBefore + 1);
-        assertAllJobsEnd(cluster);
-        assertStageOnAllNodes(cluster, 8, "done");
-        assertStageOnAllNodes(cluster, 9, "done");
+        cluster.store().restore(laterSnapshot);
+        awaitRecoveryClosed(cluster, generationBefore + 1);
+        assertAllJobsFinish(cluster);
+        assertStageOnRunningNodes(cluster, 8, "done");
+        assertStageOnRunningNodes(cluster, 9, "done");
     }
 
     /**
@@ -228,14 +235,14 @@
     void recoversIfLeaderFreezesDuringRebuild() {
         for (int delaySteps = 1; delaySteps <= 12; delaySteps++) {
             SimCluster cluster = startCluster(20 + delaySteps);
-            Snapshot image = createJobsInAllStates(cluster);
-            cluster.store().restore(image);
+            Snapshot snapshot = createJobsInAllStates(cluster);
+            cluster.store().restore(snapshot);
             cluster.runUntil(() -> cluster.leader() >= 0 && generation(cluster) > 0);
             cluster.runSeconds(0.02 * delaySteps);
             int leader = Math.max(0, cluster.leader());
             cluster.pause(leader, 8 * SECOND);
-            awaitClosed(cluster, 1);
-            assertAllJobsEnd(cluster);
+            awaitRecoveryClosed(cluster, 1);
+            assertAllJobsFinish(cluster);
         }
     }
 
@@ -245,13 +252,13 @@
         SimCluster cluster = startCluster(40);
         Rule delayedWrites = cluster.network()
                 .addRule(FailureInjector.transactions("\"set\"", Action.DELAY_AND_DROP_RESPONSE, 0.5, new Random(40)));
-        Snapshot image = createJobsInAllStates(cluster);
+        Snapshot snapshot = createJobsInAllStates(cluster);
         cluster.runSeconds(1);
-        cluster.store().restore(image);
+        cluster.store().restore(snapshot);
         cluster.network().removeRule(delayedWrites);
         cluster.runSeconds(15);
-        awaitClosed(cluster, 1);
-        assertAllJobsEnd(cluster);
+        awaitRecoveryClosed(cluster, 1);
+        assertAllJobsFinish(cluster);
     }
 
     /**
@@ -261,21 +268,21 @@
     @Test
     void controllerStartedAfterLossReturnsNoStaleStatus() {
         SimCluster cluster = startCluster(43);
-        Snapshot image = cluster.store().snapshot();
+        Snapshot snapshot = cluster.store().snapshot();
         submitUntilAccepted(cluster, 0, SimCluster.job(uid(1), 2));
         cluster.runSeconds(1);
         int restarted = (cluster.leader() + 1) % NODES;
         for (int node = 0; node < NODES; node++) {
             cluster.pause(node, SECOND / 2);
         }
-        cluster.store().restore(image);
+        cluster.store().restore(snapshot);
         cluster.restart(restarted);
         for (int poll = 0; poll < 60; poll++) {
             cluster.pollAsync(restarted, uid(1));
             cluster.runSeconds(0.05);
         }
         cluster.runSeconds(10);
-        assertThat(isLossOpen(cluster))
+        assertThat(isRecoveryOpen(cluster))
                 .as("what it had stored before the restart is in no change log")
                 .isTrue();
         assertThat(cluster.violations()).isEmpty();
@@ -287,7 +294,7 @@
         SimCluster cluster = startCluster(41);
         cluster.submit(0, SimCluster.job(uid(1), 4));
         cluster.runUntilStarted(4, 60 * SECOND);
-        Snapshot image = cluster.store().snapshot();
+        Snapshot snapshot = cluster.store().snapshot();
         int starts = cluster.startCount();
         int oldLeader = cluster.leader();
         cluster.kill(oldLeader);
@@ -296,13 +303,13 @@
         for (int node = 0; node < NODES; node++) {
             cluster.kill(node);
         }
-        cluster.store().restore(image);
+        cluster.store().restore(snapshot);
         for (int node = 0; node < NODES; node++) {
             cluster.restart(node);
         }
-        cluster.runUntil(() -> isLossOpen(cluster));
+        cluster.runUntil(() -> isRecoveryOpen(cluster));
         cluster.runSeconds(10);
-        assertThat(isLossOpen(cluster)).isTrue();
+        assertThat(isRecoveryOpen(cluster)).isTrue();
         assertThat(cluster.startCount()).isEqualTo(starts);
         assertThat(cluster.store().value(RecoveryRecord.KEY).path("evidence").asText())
                 .contains("term");
--- a/src/test/java/io/sillreel/recovery/RandomLossTest.java
+++ b/src/test/java/io/sillreel/recovery/RandomLossTest.java
@@ -1,7 +1,7 @@
 package io.sillreel.recovery;
 
 import static io.sillreel.recovery.RecoveryClusters.NODES;
-import static io.sillreel.recovery.RecoveryClusters.isLossOpen;
+import static io.sillreel.recovery.RecoveryClusters.isRecoveryOpen;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.sillreel.sim.FailureInjector;
@@ -90,7 +90,7 @@
         runUserRequests(cluster, random, 3 + random.nextInt(6));
         int losses = 1 + random.nextInt(2);
         for (int loss = 0; loss < losses; loss++) {
-            Snapshot image = cluster.store().snapshot();
+            Snapshot snapshot = cluster.store().snapshot();
             runUserRequests(cluster, random, random.nextInt(6));
             injectFailure(cluster, random, rules);
             cluster.runSeconds(random.nextDouble());
@@ -102,7 +102,7 @@
             LOG.info(
                     "rolling the state service back from revision {}",
                     cluster.store().revision());
-            cluster.store().restore(image);
+            cluster.store().restore(snapshot);
             LOG.info(
                     "rolled the state service back to revision {}",
                     cluster.store().revision());
@@ -120,7 +120,7 @@
         return cluster;
     }
 
-    private void assertAcceptedJobsEnded(SimCluster cluster, long seed) {
+    private void assertAcceptedJobsFinished(SimCluster cluster, long seed) {
         for (String uid : accepted) {
             assertThat(cluster.stage(0, uid)).as("seed %d, %s", seed, uid).isIn("done", "withdrawn");
         }
@@ -154,12 +154,12 @@
     void restoresAllWritesWhileAllControllersRun() {
         for (long seed = Long.getLong("sillreel.seed", 1); seed <= SEEDS; seed++) {
             SimCluster cluster = runScenario(seed, false);
-            if (isLossOpen(cluster)) {
+            if (isRecoveryOpen(cluster)) {
                 assertThat(isDetectedByStoreRevision(cluster))
                         .as("seed %d", seed)
                         .isFalse();
             } else {
-                assertAcceptedJobsEnded(cluster, seed);
+                assertAcceptedJobsFinished(cluster, seed);
             }
         }
     }
@@ -169,10 +169,10 @@
         int suspendedCount = 0;
         for (long seed = 100 + Long.getLong("sillreel.seed", 1); seed <= 100 + SEEDS; seed++) {
             SimCluster cluster = runScenario(seed, true);
-            if (isLossOpen(cluster)) {
+            if (isRecoveryOpen(cluster)) {
                 suspendedCount++;
             } else {
-                assertAcceptedJobsEnded(cluster, seed);
+                assertAcceptedJobsFinished(cluster, seed);
             }
         }
         assertThat(suspendedCount).isPositive();
--- a/src/test/java/io/sillreel/recovery/RecoveryClusters.java
+++ b/src/test/java/io/sillreel/recovery/RecoveryClusters.java
@@ -21,7 +21,7 @@
     }
 
     /** True while the stored recovery record is open. */
-    static boolean isLossOpen(SimCluster cluster) {
+    static boolean isRecoveryOpen(SimCluster cluster) {
         JsonNode record = cluster.store().value(RecoveryRecord.KEY);
         return record != null && record.path("open").asBoolean();
     }
--- a/src/test/java/io/sillreel/sim/InvariantChecker.java
+++ b/src/test/java/io/sillreel/sim/InvariantChecker.java
@@ -42,9 +42,9 @@
     }
 
     /** Records that a user has submitted the job. */
-    void submitted(String uid, int tasks, boolean inOneZone, List<String> awaits) {
-        dependencies.putIfAbsent(uid, awaits);
-        if (taskCounts.putIfAbsent(uid, tasks) == null && inOneZone) {
+    void submitted(String uid, int taskCount, boolean inOneZone, List<String> dependencyIds) {
+        dependencies.putIfAbsent(uid, dependencyIds);
+        if (taskCounts.putIfAbsent(uid, taskCount) == null && inOneZone) {
             singleZoneJobs.add(uid);
         }
     }
@@ -57,8 +57,8 @@
     HttpResponse submissionAnswered(String uid, HttpResponse response, long sentAt) {
         if (response.status() == 201 || response.status() == 200) {
             stageAnswered(uid, response.json().path("stage").asText(), sentAt);
-        } else if (isKnown(uid, sentAt) && (response.status() == 400 || response.status() == 422)) {
-            violated("forgotten " + uid);
+        } else if (isAcceptanceReported(uid, sentAt) && (response.status() == 400 || response.status() == 422)) {
+            recordViolation("forgotten " + uid);
         }
         return response;
     }
@@ -67,8 +67,8 @@
     HttpResponse pollAnswered(String uid, HttpResponse response, long sentAt) {
         if (response.isOk()) {
             stageAnswered(uid, response.json().path("stage").asText(), sentAt);
-        } else if (response.status() == 404 && isKnown(uid, sentAt)) {
-            violated("forgotten " + uid);
+        } else if (response.status() == 404 && isAcceptanceReported(uid, sentAt)) {
+            recordViolation("forgotten " + uid);
         }
         return response;
     }
@@ -87,7 +87,7 @@
     }
 
     /** Records a violation. */
-    void violated(String rule) {
+    void recordViolation(String rule) {
         violations.add(rule);
     }
 
@@ -104,7 +104,7 @@
     }
 
     /** True if a user had learned that the job is accepted before the request was sent. */
-    boolean isKnown(String uid, long sentAt) {
+    boolean isAcceptanceReported(String uid, long sentAt) {
         return answeredStages.containsKey(uid) && answeredMicros.get(uid) <= sentAt;
     }
 
--- a/src/test/java/io/sillreel/sim/SimCloud.java
+++ b/src/test/java/io/sillreel/sim/SimCloud.java
@@ -51,7 +51,7 @@
 
     /** Gives the machine an interruption notice and reclaims it after the given time. */
     public void reclaimWithNotice(String name, long afterMicros) {
-        machines.get(name).noticeInterruption(afterMicros);
+        machines.get(name).receiveInterruptionNotice(afterMicros);
         cluster.time().after(afterMicros, () -> reclaim(name));
     }
 
--- a/src/test/java/io/sillreel/sim/SimCluster.java
+++ b/src/test/java/io/sillreel/sim/SimCluster.java
@@ -105,7 +105,7 @@
         String host = "10.0.0." + node;
         boolean previous = versions[node] == Version.PREVIOUS;
         HttpClient direct = network.clientOf(host, process);
-        HttpClient httpClient = previous ? new PreviousVersion(direct, checker::violated)::send : direct;
+        HttpClient httpClient = previous ? new PreviousVersion(direct, checker::recordViolation)::send : direct;
         Controller controller = new Controller(
                 process,
                 httpClient,
@@ -253,15 +253,15 @@
     // --- Users -----------------------------------------------------------------------------------------------------
 
     /** Returns a valid submission of a job that depends on other jobs. */
-    public static ObjectNode job(String uid, int pieces, String... awaits) {
-        ObjectNode job = job(uid, pieces);
-        List.of(awaits).forEach(job.putArray("awaits")::add);
+    public static ObjectNode job(String uid, int taskCount, String... dependencies) {
+        ObjectNode job = job(uid, taskCount);
+        List.of(dependencies).forEach(job.putArray("awaits")::add);
         return job;
     }
 
     /** Returns a valid submission. */
-    public static ObjectNode job(String uid, int pieces) {
-        return SimJobs.job(uid, pieces);
+    public static ObjectNode job(String uid, int taskCount) {
+        return SimJobs.job(uid, taskCount);
     }
 
     /** Sends a user's request and advances time until it is answered or times out after 2 s. */
@@ -291,10 +291,10 @@
 
     private HttpRequest submission(ObjectNode job) {
         String uid = job.path("uid").asText();
-        List<String> awaits = new ArrayList<>();
-        job.path("awaits").forEach(name -> awaits.add(name.asText()));
+        List<String> dependencies = new ArrayList<>();
+        job.path("awaits").forEach(name -> dependencies.add(name.asText()));
         submitted.putIfAbsent(uid, job);
-        checker.submitted(uid, job.path("pieces").asInt(), job.path("one_zone").asBoolean(), awaits);
+        checker.submitted(uid, job.path("pieces").asInt(), job.path("one_zone").asBoolean(), dependencies);
         return HttpRequest.post("/v2/runs", job);
     }
 
@@ -348,7 +348,7 @@
     }
 
     /** Returns the stage of the job in the last response to a user, or null without one. */
-    public String known(String uid) {
+    public String reportedStage(String uid) {
         return checker.stageAnswered(uid);
     }
 
--- a/src/test/java/io/sillreel/sim/SimJobs.java
+++ b/src/test/java/io/sillreel/sim/SimJobs.java
@@ -13,14 +13,14 @@
     }
 
     /** Returns a valid submission. */
-    static ObjectNode job(String uid, int pieces) {
+    static ObjectNode job(String uid, int taskCount) {
         ObjectNode job = Json.object()
                 .put("uid", uid)
                 .put("lot", "l")
                 .put("crew", "t")
                 .put("form", "sweep")
                 .put("rank", "normal")
-                .put("pieces", pieces)
+                .put("pieces", taskCount)
                 .put("vcpus", 1.0)
                 .put("cards", 0.0)
                 .put("ram_gb", 1.0)
--- a/src/test/java/io/sillreel/sim/SimWorker.java
+++ b/src/test/java/io/sillreel/sim/SimWorker.java
@@ -100,7 +100,7 @@
         runMicros = micros;
     }
 
-    void noticeInterruption(long afterMicros) {
+    void receiveInterruptionNotice(long afterMicros) {
         interruptionAtMicros = cluster.time().nowMicros() + afterMicros;
         scheduleHeartbeat();
     }
--- a/src/test/java/io/sillreel/sim/TaskSteps.java
+++ b/src/test/java/io/sillreel/sim/TaskSteps.java
@@ -14,14 +14,14 @@
      */
     public static String leaveTasksOnOneMachine(SimCluster cluster, int started) {
         cluster.runUntilStarted(started, 8 * SECOND);
-        SimWorker fullest = cluster.cloud().machines().values().stream()
+        SimWorker busiestWorker = cluster.cloud().machines().values().stream()
                 .max(Comparator.comparingInt(worker -> worker.runningTasks().size()))
                 .orElseThrow();
-        fullest.extendRunningTasks(300 * SECOND);
+        busiestWorker.extendRunningTasks(300 * SECOND);
         cluster.runUntil(
-                () -> cluster.runningTaskCount() <= fullest.runningTasks().size());
+                () -> cluster.runningTaskCount() <= busiestWorker.runningTasks().size());
         cluster.cloud().machines().values().forEach(worker -> worker.setRunMicros(3 * SECOND));
         cluster.runSeconds(1.5);
-        return fullest.name();
+        return busiestWorker.name();
     }
 }
--- a/src/test/java/io/sillreel/sim/UpgradeSteps.java
+++ b/src/test/java/io/sillreel/sim/UpgradeSteps.java
@@ -77,8 +77,8 @@
     }
 
     /** Submits a numbered job without waiting for the response. */
-    public static void submitAsync(SimCluster cluster, int number, int pieces) {
-        cluster.submitAsync(number % NODES, SimCluster.job(uid(number), pieces));
+    public static void submitAsync(SimCluster cluster, int number, int taskCount) {
+        cluster.submitAsync(number % NODES, SimCluster.job(uid(number), taskCount));
     }
 
     /** Asserts that every controller reports the stage for the job. */
@@ -93,7 +93,7 @@
         cluster.runSeconds(90);
         for (int number = 1; number <= jobs; number++) {
             String uid = uid(number);
-            if (cluster.known(uid) == null && cluster.store().value("plan/" + uid) == null) {
+            if (cluster.reportedStage(uid) == null && cluster.store().value("plan/" + uid) == null) {
                 continue;
             }
             String stage = cluster.stage(0, uid);
