--- a/src/test/java/io/sillreel/CancellationFailuresTest.java
+++ b/src/test/java/io/sillreel/CancellationFailuresTest.java
@@ -48,7 +48,7 @@
             cluster.cloud().machines().values().stream().limit(2).forEach(worker -> worker.pause(9 * SECOND));
             cluster.runSeconds(tenths / 10.0 - 0.1);
             cluster.store().setOutage(true);
-            assertThat(cluster.reportedStage("job-000001"))
+            assertThat(cluster.lastStage("job-000001"))
                     .as("after %d tenths", tenths)
                     .isEqualTo("withdrawn");
             cluster.runSeconds(60);
@@ -235,7 +235,7 @@
             cluster.runSeconds(10);
             for (int i = 1; i <= 20; i++) {
                 String uid = "job-%06d".formatted(i);
-                if (!"withdrawn".equals(cluster.reportedStage(uid))) {
+                if (!"withdrawn".equals(cluster.lastStage(uid))) {
                     cluster.cancel(otherNode(cluster, leader), uid);
                 }
             }
--- a/src/test/java/io/sillreel/FailureScenario.java
+++ b/src/test/java/io/sillreel/FailureScenario.java
@@ -48,7 +48,7 @@
         cluster.runUntil(() -> cluster.leader() >= 0 && cluster.leader() != formerLeader);
     }
 
-    /** Queries every controller that is up. */
+    /** Asserts that every controller that is up reports the stage for the job. */
     public static void assertStageOnRunningNodes(SimCluster cluster, String uid, String stage) {
         for (int node = 0; node < cluster.nodes(); node++) {
             if (cluster.isUp(node)) {
--- a/src/test/java/io/sillreel/LargeFleetTest.java
+++ b/src/test/java/io/sillreel/LargeFleetTest.java
@@ -17,7 +17,7 @@
 class LargeFleetTest {
     private static final int MACHINES = 4_000;
     private static final int TOTAL_CPUS = 4 * MACHINES;
-    /** Exceeds what fits at once; otherwise the planner would queue tasks rather than rent all machines. */
+    /** Exceeds the capacity of the fleet; otherwise the planner would queue tasks rather than use all machines. */
     private static final int TASKS = 40_000;
 
     private static final long SECOND = 1_000_000;
--- a/src/test/java/io/sillreel/RandomScheduleTest.java
+++ b/src/test/java/io/sillreel/RandomScheduleTest.java
@@ -153,7 +153,7 @@
         runOverlappingFailures(cluster, seed, Workload.UPGRADE);
     }
 
-    /** What runs besides the failures. */
+    /** The jobs and upgrades that run while failures are injected. */
     private enum Workload {
         JOBS,
         CHAINS,
@@ -162,17 +162,17 @@
 
     private static void runOverlappingFailures(SimCluster cluster, long seed, Workload workload) {
         Random random = new Random(seed);
-        Set<String> submitted = new LinkedHashSet<>();
+        Set<String> jobs = new LinkedHashSet<>();
         Set<String> cancelled = new HashSet<>();
         RandomFailures failures = new RandomFailures(cluster, random);
         cluster.runSeconds(2);
         for (int step = 0; step < STEPS / 2; step++) {
             int failureCount = 2 + random.nextInt(2);
             for (int each = 0; each < failureCount; each++) {
-                failures.injectOverlapping(List.copyOf(submitted), cancelled);
+                failures.injectOverlapping(List.copyOf(jobs), cancelled);
                 for (int more = 0; more < 2; more++) {
-                    String uid = "job-%06d".formatted(submitted.size() + 1);
-                    submitted.add(uid);
+                    String uid = "job-%06d".formatted(jobs.size() + 1);
+                    jobs.add(uid);
                     ObjectNode submission = jobFor(uid);
                     if (workload == Workload.CHAINS) {
                         addDependencies(cluster, random, submission);
@@ -183,7 +183,7 @@
                     restartWithRandomVersions(cluster, random);
                 }
                 cluster.runSeconds(random.nextDouble() * 3);
-                failures.cancelRecentJobs(List.copyOf(submitted), cancelled, random.nextInt(3));
+                failures.cancelRecentJobs(List.copyOf(jobs), cancelled, random.nextInt(3));
             }
             cluster.runSeconds(random.nextDouble() * 12);
             if (random.nextInt(3) > 0) {
@@ -204,12 +204,11 @@
         }
         failures.healAll();
         if (workload == Workload.UPGRADE) {
-            submitChains(cluster, random, submitted);
+            submitChains(cluster, random, jobs);
         }
         cluster.cloud().machines().values().forEach(machine -> machine.setRunMicros(3_000_000));
-        submitted.removeIf(
-                uid -> cluster.reportedStage(uid) == null && cluster.store().value("plan/" + uid) == null);
-        assertAllJobsFinish(cluster, random, submitted, cancelled, seed);
+        jobs.removeIf(uid -> cluster.lastStage(uid) == null && cluster.store().value("plan/" + uid) == null);
+        assertAllJobsFinish(cluster, random, jobs, cancelled, seed);
     }
 
     /** Deterministic by id, because submissions are repeated and must be identical. */
@@ -224,7 +223,7 @@
         for (int each = random.nextInt(4); each > 0 && number > 1; each--) {
             int back = random.nextInt(4) == 0 ? random.nextInt(number - 1) : random.nextInt(Math.min(6, number - 1));
             String earlier = "job-%06d".formatted(number - 1 - back);
-            if (cluster.reportedStage(earlier) != null) {
+            if (cluster.lastStage(earlier) != null) {
                 awaits.add(earlier);
             }
         }
--- a/src/test/java/io/sillreel/VersionsTest.java
+++ b/src/test/java/io/sillreel/VersionsTest.java
@@ -121,7 +121,8 @@
     }
 
     /**
-     * Guards the stand-in for that version in the simulated cluster: it must not hide or reject what that version knew.
+     * Guards the emulation of the production version in the simulated cluster: it must not hide or reject what that
+     * version supports.
      */
     @Test
     void previousVersionStandInKeepsSamplesUnchanged() {
@@ -205,8 +206,8 @@
     }
 
     /**
-     * Guards failover to that version: it parses whatever follows a slash under run/ as a number, and lists no other
-     * prefix.
+     * Guards failover to the production version: it parses whatever follows a slash under run/ as a number, and lists
+     * no other prefix.
      */
     @Test
     void storesOnlyKeysKnownToProductionVersion() {
--- a/src/test/java/io/sillreel/cli/ClassArchiveIT.java
+++ b/src/test/java/io/sillreel/cli/ClassArchiveIT.java
@@ -127,7 +127,7 @@
 
     /**
      * Guards a running daemon: a class that only a failure needs would be loaded from a jar long after the start, and
-     * an event loop that can't load a class ends. Lambdas are exempt: they are spun from a class that is already
+     * an event loop that can't load a class ends. Lambdas are exempt: they are generated from a class that is already
      * loaded, and no jar is read.
      */
     @Test
--- a/src/test/java/io/sillreel/pipeline/JobDependencyTest.java
+++ b/src/test/java/io/sillreel/pipeline/JobDependencyTest.java
@@ -366,7 +366,7 @@
         cluster.runSeconds(160);
         int done = 0;
         for (int job = 2; job <= 400; job++) {
-            done += cluster.reportedStage(uid(job)) != null
+            done += cluster.lastStage(uid(job)) != null
                             && cluster.stage(job % 3, uid(job)).equals("done")
                     ? 1
                     : 0;
--- a/src/test/java/io/sillreel/pipeline/LongDependencyListTest.java
+++ b/src/test/java/io/sillreel/pipeline/LongDependencyListTest.java
@@ -55,7 +55,7 @@
         cluster.kill(leader);
         cluster.runSeconds(5);
         cluster.restart(leader);
-        cluster.runUntil(() -> cluster.reportedStage(uid(300)) != null && cluster.leader() >= 0);
+        cluster.runUntil(() -> cluster.lastStage(uid(300)) != null && cluster.leader() >= 0);
         cluster.runSeconds(140);
         assertStageOnRunningNodes(uid(999), "done");
         assertThat(cluster.store().rejectedForSize()).isZero();
--- a/src/test/java/io/sillreel/recovery/LostWritesTest.java
+++ b/src/test/java/io/sillreel/recovery/LostWritesTest.java
@@ -18,7 +18,9 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Recovery of a simulated cluster whose state service is rolled back to an older image, observed through its API. */
+/**
+ * Recovery of a simulated cluster whose state service is rolled back to an older snapshot, observed through its API.
+ */
 class LostWritesTest {
     private static final long SECOND = 1_000_000;
 
@@ -50,7 +52,7 @@
         cluster.runUntil(() -> cluster.submit(node, job).status() / 100 == 2);
     }
 
-    /** Brings jobs into all states, most of them after taking an image of the state service; returns the image. */
+    /** Brings jobs into all states, most of them after taking a snapshot of the state service, which is returned. */
     private static Snapshot createJobsInAllStates(SimCluster cluster) {
         submitUntilAccepted(cluster, 0, SimCluster.job(uid(1), 4));
         submitUntilAccepted(cluster, 1, SimCluster.job(uid(2), 6));
@@ -76,12 +78,12 @@
             assertStageOnRunningNodes(cluster, job, "done");
         }
         // Job 3 may have finished before it could be cancelled.
-        assertStageOnRunningNodes(cluster, 3, cluster.reportedStage(uid(3)));
+        assertStageOnRunningNodes(cluster, 3, cluster.lastStage(uid(3)));
         assertStageOnRunningNodes(cluster, 6, "withdrawn");
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Covers every kind of record: admissions, releases, final stages, cancellations, machine rentals and the term. */
+    /** Covers every kind of record: admissions, releases, final stages, cancellations, scale-out requests, term. */
     @Test
     void restoresLostWritesWithoutRunningTasksTwice() {
         for (long seed = 1; seed <= 4; seed++) {
@@ -283,7 +285,7 @@
         }
         cluster.runSeconds(10);
         assertThat(isRecoveryOpen(cluster))
-                .as("what it had stored before the restart is in no change log")
+                .as("writes of the controller before its restart are in no change log")
                 .isTrue();
         assertThat(cluster.violations()).isEmpty();
     }
--- a/src/test/java/io/sillreel/recovery/RandomLossTest.java
+++ b/src/test/java/io/sillreel/recovery/RandomLossTest.java
@@ -129,7 +129,8 @@
 
     /**
      * The violated invariants that concern users. That a machine is stored as up before tasks are launched on it is not
-     * one of them: until a leader detects the loss, it uses machines whose rentals were lost, and restores them later.
+     * one of them: until a leader detects the loss, it uses machines whose scale-out requests were lost, and restores
+     * these requests later.
      */
     private static List<String> violations(SimCluster cluster) {
         return cluster.violations().stream()
--- a/src/test/java/io/sillreel/sim/InvariantChecker.java
+++ b/src/test/java/io/sillreel/sim/InvariantChecker.java
@@ -81,7 +81,7 @@
         return response;
     }
 
-    /** Returns the stage of the job in the last response to a user, or null without one. */
+    /** Returns the stage of the job last reported to a user, or null if none has been reported. */
     String stageAnswered(String uid) {
         return answeredStages.get(uid);
     }
@@ -103,14 +103,14 @@
         return startsAfterCancellation;
     }
 
-    /** True if a user had learned that the job is accepted before the request was sent. */
+    /** True if the acceptance of the job had been reported to a user before the request was sent. */
     boolean isAcceptanceReported(String uid, long sentAt) {
         return answeredStages.containsKey(uid) && answeredMicros.get(uid) <= sentAt;
     }
 
     /**
-     * Checks a stage that a user was told. A request that was in flight when the job ended may still be answered with
-     * the stage before.
+     * Checks a stage reported to a user. A request that was in flight when the job ended may still be answered with the
+     * previous stage.
      */
     void stageAnswered(String uid, String stage, long sentAt) {
         String previous = answeredStages.get(uid);
--- a/src/test/java/io/sillreel/sim/PreviousVersion.java
+++ b/src/test/java/io/sillreel/sim/PreviousVersion.java
@@ -22,7 +22,7 @@
     /** All keys that version 5806758 was observed to store. */
     private static final Pattern KNOWN_KEYS = Pattern.compile(
             "plan/job-\\d+|run/job-\\d+(/\\d+)?|withdraw/job-\\d+|hire/[a-z0-9.-]+|term|leader|flavors");
-    /** The version parses the text after a second slash as a number, and fails in a takeover if it is none. */
+    /** The version parses the text after a second slash as a number; its failover aborts if that is not one. */
     private static final Pattern READABLE_RECORD_KEY = Pattern.compile("run/job-\\d+(/\\d+)?");
 
     private static final Set<String> NEWER_PLAN_FIELDS = Set.of("awaits");
--- a/src/test/java/io/sillreel/sim/SimCluster.java
+++ b/src/test/java/io/sillreel/sim/SimCluster.java
@@ -347,8 +347,8 @@
         return poll(node, uid).json().path("stage").asText();
     }
 
-    /** Returns the stage of the job in the last response to a user, or null without one. */
-    public String reportedStage(String uid) {
+    /** Returns the stage of the job last reported to a user, or null if none has been reported. */
+    public String lastStage(String uid) {
         return checker.stageAnswered(uid);
     }
 
@@ -388,7 +388,7 @@
         return checker.startCount();
     }
 
-    /** Returns the tasks that started after a user was told that their job is cancelled, each with the delay. */
+    /** Returns the tasks that started after the cancellation of their job was reported, each with the delay. */
     public List<String> startsAfterCancellation() {
         return checker.startsAfterCancellation();
     }
--- a/src/test/java/io/sillreel/sim/UpgradeSteps.java
+++ b/src/test/java/io/sillreel/sim/UpgradeSteps.java
@@ -24,7 +24,7 @@
         return cluster;
     }
 
-    /** Returns the version that is not this one. */
+    /** Returns the other of the two versions. */
     public static Version otherVersion(Version version) {
         return version == Version.PREVIOUS ? Version.CURRENT : Version.PREVIOUS;
     }
@@ -81,7 +81,7 @@
         cluster.submitAsync(number % NODES, SimCluster.job(uid(number), taskCount));
     }
 
-    /** Asserts that every controller reports the stage for the job. */
+    /** Asserts that every controller reports the stage for the job; all of them have to be up. */
     public static void assertStageOnAllNodes(SimCluster cluster, String uid, String stage) {
         for (int node = 0; node < NODES; node++) {
             assertThat(cluster.stage(node, uid)).as("%s at %d", uid, node).isEqualTo(stage);
@@ -93,7 +93,7 @@
         cluster.runSeconds(90);
         for (int number = 1; number <= jobs; number++) {
             String uid = uid(number);
-            if (cluster.reportedStage(uid) == null && cluster.store().value("plan/" + uid) == null) {
+            if (cluster.lastStage(uid) == null && cluster.store().value("plan/" + uid) == null) {
                 continue;
             }
             String stage = cluster.stage(0, uid);
--- a/src/test/java/io/sillreel/statestore/WriteQueueTest.java
+++ b/src/test/java/io/sillreel/statestore/WriteQueueTest.java
@@ -259,8 +259,8 @@
     }
 
     /**
-     * Guards scale-out requests, which are held back while the store falls behind: pending progress writes of many jobs
-     * do not indicate that.
+     * Guards scale-out requests, which are held back while the store falls behind: pending progress writes of many
+     * jobs, which are delayed on purpose, do not count as such a backlog.
      */
     @Test
     void excludesPendingProgressFromUrgentCount() {
