--- a/src/test/java/io/sillreel/recovery/LostWritesTest.java
+++ b/src/test/java/io/sillreel/recovery/LostWritesTest.java
@@ -83,7 +83,7 @@
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Covers every kind of record: admissions, releases, final stages, cancellations, scale-out requests, term. */
+    /** Covers all kinds of records: admissions, releases, final stages, cancellations, scale-out requests and term. */
     @Test
     void restoresLostWritesWithoutRunningTasksTwice() {
         for (long seed = 1; seed <= 4; seed++) {
