--- a/src/main/java/io/sillreel/ActiveTerm.java
+++ b/src/main/java/io/sillreel/ActiveTerm.java
@@ -59,7 +59,7 @@
 
     @Override
     public void leadershipLost(String reason) {
-        protection.termLost();
+        protection.leadershipLost();
         if (leaderTerm != null) {
             leaderTerm.close();
             leaderTerm = null;
--- a/src/main/java/io/sillreel/Controller.java
+++ b/src/main/java/io/sillreel/Controller.java
@@ -52,7 +52,7 @@
     private final MachineTypeCatalog machineTypes;
     private final LeaderElection election;
     private final ActiveTerm activeTerm;
-    private final AdaptiveConcurrencyLimit admissionLimit;
+    private final AdaptiveConcurrencyLimit concurrencyLimit;
     private final HeartbeatRelay heartbeatRelay;
     private final HeartbeatRouter heartbeatRouter;
     private final WorkerLoadBalancer loadBalancer;
@@ -92,7 +92,7 @@
                 peers,
                 election,
                 protection);
-        this.admissionLimit = newAdmission(settings, operator, limits);
+        this.concurrencyLimit = newConcurrencyLimit(settings, operator, limits);
         this.loadBalancer = new WorkerLoadBalancer(
                 eventLoop, peers, settings.nodeName(), settings.workers().heartbeatIntervalMicros());
         this.heartbeatRelay = new HeartbeatRelay(eventLoop, httpClient, loadBalancer::workerCount);
@@ -117,7 +117,7 @@
                 settings,
                 httpClient,
                 limits.recentChangeBytes(),
-                operator.recovery().changePollIntervalMicros()));
+                operator.recovery().watchDelayMicros()));
     }
 
     private static StateStore newStore(
@@ -139,9 +139,9 @@
         return new CloudClient(httpClient, eventLoop, settings.services().cloudAddress(), rateLimiter);
     }
 
-    private AdaptiveConcurrencyLimit newAdmission(
+    private AdaptiveConcurrencyLimit newConcurrencyLimit(
             Settings settings, OperatorProperties operator, ProcessLimits limits) {
-        JobApiHandler admission = new JobApiHandler(
+        JobApiHandler jobApiHandler = new JobApiHandler(
                 store,
                 eventLoop,
                 settings,
@@ -150,7 +150,7 @@
                 activeTerm,
                 activeTerm::notifyLeaderOfCancellation);
         return new AdaptiveConcurrencyLimit(
-                admission, operator.maxRequestsInProgress(), limits.cachedJobStatuses(), eventLoop::nowMicros);
+                jobApiHandler, operator.maxRequestsInProgress(), limits.cachedJobStatuses(), eventLoop::nowMicros);
     }
 
     /** The version that the build wrote into the jar. */
@@ -199,7 +199,7 @@
     public CompletableFuture<HttpResponse> handlePublic(HttpRequest request) {
         String route = request.route();
         if (route.equals(JOBS_ROUTE) || route.startsWith(JOBS_ROUTE + "/")) {
-            return protection.handleUserRequest(request, admissionLimit);
+            return protection.handleUserRequest(request, concurrencyLimit);
         }
         if (route.equals(AgentRoutes.HEARTBEAT)) {
             return request.method().equals("POST")
@@ -249,7 +249,7 @@
             metrics = new ControllerMetrics(
                     heartbeatRouter,
                     election,
-                    admissionLimit,
+                    concurrencyLimit,
                     heartbeatRelay,
                     loadBalancer,
                     eventLoopLag,
--- a/src/main/java/io/sillreel/ControllerMetrics.java
+++ b/src/main/java/io/sillreel/ControllerMetrics.java
@@ -23,7 +23,7 @@
 final class ControllerMetrics implements MeterBinder {
     private final HeartbeatRouter heartbeatRouter;
     private final LeaderElection leadership;
-    private final AdaptiveConcurrencyLimit admissionLimit;
+    private final AdaptiveConcurrencyLimit concurrencyLimit;
     private final HeartbeatRelay heartbeatRelay;
     private final WorkerLoadBalancer loadBalancer;
     private final EventLoopLag eventLoopLag;
@@ -34,14 +34,14 @@
     ControllerMetrics(
             HeartbeatRouter heartbeatRouter,
             LeaderElection leadership,
-            AdaptiveConcurrencyLimit admissionLimit,
+            AdaptiveConcurrencyLimit concurrencyLimit,
             HeartbeatRelay heartbeatRelay,
             WorkerLoadBalancer loadBalancer,
             EventLoopLag eventLoopLag,
             RequestQueue requestQueue) {
         this.heartbeatRouter = heartbeatRouter;
         this.leadership = leadership;
-        this.admissionLimit = admissionLimit;
+        this.concurrencyLimit = concurrencyLimit;
         this.heartbeatRelay = heartbeatRelay;
         this.loadBalancer = loadBalancer;
         this.eventLoopLag = eventLoopLag;
@@ -62,9 +62,9 @@
                 .register(registry);
         FunctionCounter.builder("sillreel.workers.moved", heartbeatRouter, HeartbeatRouter::redirectCount)
                 .register(registry);
-        FunctionCounter.builder("sillreel.requests.refused", admissionLimit, AdaptiveConcurrencyLimit::refusedCount)
+        FunctionCounter.builder("sillreel.requests.refused", concurrencyLimit, AdaptiveConcurrencyLimit::refusedCount)
                 .register(registry);
-        Gauge.builder("sillreel.requests.limit", admissionLimit, AdaptiveConcurrencyLimit::limit)
+        Gauge.builder("sillreel.requests.limit", concurrencyLimit, AdaptiveConcurrencyLimit::limit)
                 .register(registry);
         Gauge.builder("sillreel.workers", loadBalancer, WorkerLoadBalancer::workerCount)
                 .register(registry);
--- a/src/main/java/io/sillreel/LostWriteProtection.java
+++ b/src/main/java/io/sillreel/LostWriteProtection.java
@@ -33,7 +33,7 @@
     void beforeTerm(TermGrant grant, Runnable beginTerm);
 
     /** Called when the term has ended, whether or not it had begun. */
-    void termLost();
+    void leadershipLost();
 
     /** Handles a request of another controller or an operator; empty if the protection does not serve its route. */
     Optional<HttpResponse> handleInternal(HttpRequest request);
--- a/src/main/java/io/sillreel/NoLostWriteProtection.java
+++ b/src/main/java/io/sillreel/NoLostWriteProtection.java
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public void termLost() {}
+    public void leadershipLost() {}
 
     @Override
     public Optional<HttpResponse> handleInternal(HttpRequest request) {
--- a/src/main/java/io/sillreel/RecoveryProtection.java
+++ b/src/main/java/io/sillreel/RecoveryProtection.java
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public void termLost() {
+    public void leadershipLost() {
         recovery.leadershipLost();
     }
 
--- a/src/main/java/io/sillreel/fleet/CloudListReconciler.java
+++ b/src/main/java/io/sillreel/fleet/CloudListReconciler.java
@@ -137,7 +137,8 @@
                 || isRequestPending && requestedMicros - firstRequestedMicros < MAX_PENDING_REQUEST_MICROS) {
             return;
         }
-        Optional<Machine> adopted = registry.adopt(entry.name(), entry.machineType(), entry.zone(), entry.isSpot());
+        Optional<Machine> adopted =
+                registry.adoptMachine(entry.name(), entry.machineType(), entry.zone(), entry.isSpot());
         if (adopted.isPresent()) {
             Machine machine = adopted.get();
             machine.updateAddress(entry.address());
--- a/src/main/java/io/sillreel/fleet/FleetCallbacks.java
+++ b/src/main/java/io/sillreel/fleet/FleetCallbacks.java
@@ -7,7 +7,7 @@
     /**
      * True while machines may be requested and returned: the leader lease is valid and cancellations are up to date.
      */
-    boolean mayAct();
+    boolean mayLaunchOrScale();
 
     /** True if no worker has recently switched controllers, so that heartbeats are not delayed by reconnects. */
     boolean isRoutingStable();
--- a/src/main/java/io/sillreel/fleet/FleetManager.java
+++ b/src/main/java/io/sillreel/fleet/FleetManager.java
@@ -79,22 +79,22 @@
     }
 
     /** Records that the machine sends heartbeats. It is given no tasks before it is stored as up. */
-    public void recordMachineUp(Machine machine) {
+    public void markMachineUp(Machine machine) {
         if (machine.scaleOutRequest().markUp(machine.name())) {
             writeQueue.enqueue(machine.scaleOutRequest());
         }
     }
 
     /** Records that the machine's lease has expired. The next cycle stores this with one write per request. */
-    public void recordMachineDown(Machine machine) {
+    public void markMachineDown(Machine machine) {
         if (machine.scaleOutRequest().markDown(machine.name())) {
             requestsWithMachinesDown.add(machine.scaleOutRequest());
         }
     }
 
     /** Adopts a machine that belongs to no known request. Returns empty if the cloud does not offer its type. */
-    public Optional<Machine> adopt(String name, String machineType, String zone, boolean isSpot) {
-        return registry.adopt(name, machineType, zone, isSpot);
+    public Optional<Machine> adoptMachine(String name, String machineType, String zone, boolean isSpot) {
+        return registry.adoptMachine(name, machineType, zone, isSpot);
     }
 
     /**
--- a/src/main/java/io/sillreel/fleet/FleetRegistry.java
+++ b/src/main/java/io/sillreel/fleet/FleetRegistry.java
@@ -116,7 +116,7 @@
      * Adopts a machine that belongs to no known request, under a new request of its own. Returns empty if the cloud
      * does not offer its type.
      */
-    Optional<Machine> adopt(String name, String machineType, String zone, boolean isSpot) {
+    Optional<Machine> adoptMachine(String name, String machineType, String zone, boolean isSpot) {
         MachineType type = machineTypes.get().get(machineType);
         if (type == null) {
             return Optional.empty();
--- a/src/main/java/io/sillreel/fleet/MachineReturner.java
+++ b/src/main/java/io/sillreel/fleet/MachineReturner.java
@@ -32,7 +32,7 @@
      */
     void returnDrainedMachines() {
         List<Machine> returnable = findReturnableMachines();
-        if (returnable.isEmpty() || isReturnPending || !callbacks.mayAct()) {
+        if (returnable.isEmpty() || isReturnPending || !callbacks.mayLaunchOrScale()) {
             return;
         }
         isReturnPending = true;
--- a/src/main/java/io/sillreel/fleet/ScaleOut.java
+++ b/src/main/java/io/sillreel/fleet/ScaleOut.java
@@ -62,7 +62,7 @@
     /** Stores and sends requests for what the capacity planner proposes, unless too many urgent writes are queued. */
     void requestMachines(long nowMicros) {
         // A request has to be stored before it is sent, so new ones would only add to a backlog of the write queue.
-        if (!callbacks.mayAct()
+        if (!callbacks.mayLaunchOrScale()
                 || writeQueue.urgentCount() > configuration.settings().state().maxTransactionChanges()) {
             return;
         }
@@ -156,7 +156,7 @@
     }
 
     private void sendRequest(ScaleOutRequest request) {
-        if (!callbacks.mayAct() || request.isAnswered() || request.isDiscarded()) {
+        if (!callbacks.mayLaunchOrScale() || request.isAnswered() || request.isDiscarded()) {
             return;
         }
         request.recordSent(eventLoop.nowMicros());
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
@@ -98,7 +98,7 @@
             machine.recordHeartbeatAnswered(leases.leaseExpiryMicros(now));
             AgentCommands commands = new AgentCommands();
             commandWriter.addCommands(machine, commands);
-            if (operations.mayAct()) {
+            if (operations.mayLaunchOrScale()) {
                 commandWriter.addLaunches(machine, heartbeat, commands, now);
             }
             return commands.isEmpty() ? noCommands : commands.toResponse(term);
@@ -111,7 +111,7 @@
      * returned since, never does.
      */
     private HttpResponse handleUnknownMachine(Heartbeat heartbeat) {
-        if (operations.isMachineGone(heartbeat.machine())) {
+        if (operations.wasReturned(heartbeat.machine())) {
             return HttpResponse.retryLater(503, "the machine was returned", 1);
         }
         if (heartbeat.fencingToken() == term && !operations.adoptMachine(heartbeat)) {
--- a/src/main/java/io/sillreel/heartbeat/MachineLeases.java
+++ b/src/main/java/io/sillreel/heartbeat/MachineLeases.java
@@ -56,7 +56,7 @@
     private void expireLease(Machine machine) {
         machine.heartbeatOrder().endEpoch();
         cluster.markReconciled(machine);
-        if (operations.mayAct()) {
+        if (operations.mayLaunchOrScale()) {
             operations.markMachineDown(machine);
         }
         if (!machine.allocations().isEmpty()) {
--- a/src/main/java/io/sillreel/heartbeat/TermOperations.java
+++ b/src/main/java/io/sillreel/heartbeat/TermOperations.java
@@ -11,7 +11,7 @@
     /**
      * True while the leader lease and the known cancellations are recent enough to launch tasks or change the fleet.
      */
-    boolean mayAct();
+    boolean mayLaunchOrScale();
 
     /**
      * Adds the machine of the heartbeat, which belongs to no known scale-out request, to the fleet.
@@ -21,7 +21,7 @@
     boolean adoptMachine(Heartbeat heartbeat);
 
     /** True if the machine was returned to or reclaimed by the cloud: any heartbeat of it is delayed or a duplicate. */
-    boolean isMachineGone(String machine);
+    boolean wasReturned(String machine);
 
     /** Records that the machine sends heartbeats; only the first call for a machine has an effect. */
     void markMachineUp(Machine machine);
--- a/src/main/java/io/sillreel/leadership/LeaderAuthority.java
+++ b/src/main/java/io/sillreel/leadership/LeaderAuthority.java
@@ -55,7 +55,7 @@
     }
 
     /** True while tasks may be launched and machines requested or returned. */
-    boolean mayAct() {
+    boolean mayLaunchOrScale() {
         return isServing()
                 && election.isLeaseValid()
                 && election.heldTerm() == term
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -162,13 +162,18 @@
                 agentClient,
                 scheduling,
                 new SpotInterruptionDrain(cluster, runtimeEstimator),
-                authority::mayAct);
+                authority::mayLaunchOrScale);
     }
 
     private StoredStateLoader newStateLoader(FleetConfiguration configuration) {
-        int firstVersionValueBytes = settings.state().values().currentBytes();
+        int firstVersionMaxValueBytes = settings.state().values().currentBytes();
         return new StoredStateLoader(
-                eventLoop, store, firstVersionValueBytes, configuration.machineTypes(), authority, this::beginLeading);
+                eventLoop,
+                store,
+                firstVersionMaxValueBytes,
+                configuration.machineTypes(),
+                authority,
+                this::beginLeading);
     }
 
     /** Begins to read the stored state; heartbeats are answered once it is loaded. */
@@ -251,7 +256,7 @@
         eventLoop.schedule(TICK_MICROS, this::tick);
         long now = eventLoop.nowMicros();
         schedulingCycle.tick(now);
-        if (authority.mayAct() && now - fleetCycleMicros > FLEET_CYCLE_MICROS) {
+        if (authority.mayLaunchOrScale() && now - fleetCycleMicros > FLEET_CYCLE_MICROS) {
             fleetCycleMicros = now;
             synchronized (cluster) {
                 stragglerDetector.drainStragglers(now);
@@ -283,8 +288,8 @@
     /** The operations that heartbeat processing and fleet management require from each other and from the term. */
     private final class Operations implements TermOperations, FleetCallbacks {
         @Override
-        public boolean mayAct() {
-            return authority.mayAct();
+        public boolean mayLaunchOrScale() {
+            return authority.mayLaunchOrScale();
         }
 
         @Override
@@ -295,23 +300,24 @@
         @Override
         public boolean adoptMachine(Heartbeat heartbeat) {
             MachineDescription description = heartbeat.description();
-            return fleet.adopt(heartbeat.machine(), description.machineType(), description.zone(), description.isSpot())
+            return fleet.adoptMachine(
+                            heartbeat.machine(), description.machineType(), description.zone(), description.isSpot())
                     .isPresent();
         }
 
         @Override
-        public boolean isMachineGone(String machine) {
+        public boolean wasReturned(String machine) {
             return fleet.wasReturned(machine);
         }
 
         @Override
         public void markMachineUp(Machine machine) {
-            fleet.recordMachineUp(machine);
+            fleet.markMachineUp(machine);
         }
 
         @Override
         public void markMachineDown(Machine machine) {
-            fleet.recordMachineDown(machine);
+            fleet.markMachineDown(machine);
         }
 
         @Override
--- a/src/main/java/io/sillreel/leadership/SchedulingCycle.java
+++ b/src/main/java/io/sillreel/leadership/SchedulingCycle.java
@@ -35,13 +35,13 @@
     private final AgentClient agentClient;
     private final SchedulingRequests requests;
     private final SpotInterruptionDrain interruptionDrain;
-    private final BooleanSupplier mayAct;
+    private final BooleanSupplier mayLaunchOrScale;
     private long lastPlanStartMicros;
     private long lastPlanDurationMicros;
     private long totalPlanDurationMicros;
     private long planCount;
 
-    /** @param mayAct true while launches are allowed */
+    /** @param mayLaunchOrScale true while launches are allowed */
     SchedulingCycle(
             EventLoop eventLoop,
             Cluster cluster,
@@ -50,7 +50,7 @@
             AgentClient agentClient,
             SchedulingRequests requests,
             SpotInterruptionDrain interruptionDrain,
-            BooleanSupplier mayAct) {
+            BooleanSupplier mayLaunchOrScale) {
         this.eventLoop = eventLoop;
         this.cluster = cluster;
         this.planner = planner;
@@ -58,7 +58,7 @@
         this.agentClient = agentClient;
         this.requests = requests;
         this.interruptionDrain = interruptionDrain;
-        this.mayAct = mayAct;
+        this.mayLaunchOrScale = mayLaunchOrScale;
     }
 
     /** The number of plans computed in this term. */
@@ -96,7 +96,7 @@
     private void planIfDue() {
         long now = eventLoop.nowMicros();
         if (!requests.isPlanNeeded()
-                || !mayAct.getAsBoolean()
+                || !mayLaunchOrScale.getAsBoolean()
                 || now - lastPlanStartMicros
                         < Math.max(MIN_PLAN_INTERVAL_MICROS, PLAN_INTERVAL_FACTOR * lastPlanDurationMicros)) {
             return;
--- a/src/main/java/io/sillreel/leadership/StoredStateLoader.java
+++ b/src/main/java/io/sillreel/leadership/StoredStateLoader.java
@@ -20,25 +20,25 @@
 
     private final EventLoop eventLoop;
     private final StateStore store;
-    private final int firstVersionValueBytes;
+    private final int firstVersionMaxValueBytes;
     private final Supplier<Map<String, MachineType>> machineTypes;
     private final LeaderAuthority authority;
     private final Receiver receiver;
 
     /**
-     * @param firstVersionValueBytes the value size limit by which the first version split completion bitmaps
+     * @param firstVersionMaxValueBytes the value size limit by which the first version split completion bitmaps
      * @param machineTypes the machine types of the cloud; reading starts once they are known
      */
     StoredStateLoader(
             EventLoop eventLoop,
             StateStore store,
-            int firstVersionValueBytes,
+            int firstVersionMaxValueBytes,
             Supplier<Map<String, MachineType>> machineTypes,
             LeaderAuthority authority,
             Receiver receiver) {
         this.eventLoop = eventLoop;
         this.store = store;
-        this.firstVersionValueBytes = firstVersionValueBytes;
+        this.firstVersionMaxValueBytes = firstVersionMaxValueBytes;
         this.machineTypes = machineTypes;
         this.authority = authority;
         this.receiver = receiver;
@@ -54,7 +54,7 @@
         }
         long sentMicros = eventLoop.nowMicros();
         LongPredicate countsAsDemand = admitted -> DemandEstimator.isWithinWindow(admitted, eventLoop.wallMicros());
-        new StoredStateReader(store, firstVersionValueBytes, countsAsDemand, () -> !authority.isClosed())
+        new StoredStateReader(store, firstVersionMaxValueBytes, countsAsDemand, () -> !authority.isClosed())
                 .read()
                 .thenAccept(state -> {
                     if (authority.isClosed()) {
--- a/src/main/java/io/sillreel/leadership/StoredStateReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredStateReader.java
@@ -34,14 +34,17 @@
     private final BooleanSupplier isStillNeeded;
 
     /**
-     * @param firstVersionValueBytes the value size limit by which the first version split completion bitmaps
+     * @param firstVersionMaxValueBytes the value size limit by which the first version split completion bitmaps
      * @param countsAsDemand true for an admission time (wall clock, in microseconds) that still counts as demand
      * @param isStillNeeded false once the result is no longer needed, which ends the scans early
      */
     StoredStateReader(
-            StateStore store, int firstVersionValueBytes, LongPredicate countsAsDemand, BooleanSupplier isStillNeeded) {
+            StateStore store,
+            int firstVersionMaxValueBytes,
+            LongPredicate countsAsDemand,
+            BooleanSupplier isStillNeeded) {
         this.store = store;
-        this.firstVersionTasksPerChunk = CompletionBitmapCodec.tasksPerChunk(firstVersionValueBytes);
+        this.firstVersionTasksPerChunk = CompletionBitmapCodec.tasksPerChunk(firstVersionMaxValueBytes);
         this.countsAsDemand = countsAsDemand;
         this.isStillNeeded = isStillNeeded;
     }
--- a/src/main/java/io/sillreel/recovery/ChangeLogWatcher.java
+++ b/src/main/java/io/sillreel/recovery/ChangeLogWatcher.java
@@ -31,7 +31,7 @@
     private final StateStore store;
     private final EventLoop eventLoop;
     private final ChangeLog log;
-    private final long batchingDelayMicros;
+    private final long watchDelayMicros;
     private final BooleanSupplier suspended;
     private final Consumer<RecoveryRecord> onRecord;
     private final Consumer<String> onLoss;
@@ -41,7 +41,7 @@
     private long lastWatchMicros;
 
     /**
-     * @param batchingDelayMicros the delay between two watches, in which changes accumulate
+     * @param watchDelayMicros the delay between two watches, in which changes accumulate
      * @param suspended true while nothing is to be watched
      * @param onRecord receives each recovery record that is read or changed
      * @param onLoss receives the evidence when lost writes are detected
@@ -50,14 +50,14 @@
             StateStore store,
             EventLoop eventLoop,
             ChangeLog log,
-            long batchingDelayMicros,
+            long watchDelayMicros,
             BooleanSupplier suspended,
             Consumer<RecoveryRecord> onRecord,
             Consumer<String> onLoss) {
         this.store = store;
         this.eventLoop = eventLoop;
         this.log = log;
-        this.batchingDelayMicros = batchingDelayMicros;
+        this.watchDelayMicros = watchDelayMicros;
         this.suspended = suspended;
         this.onRecord = onRecord;
         this.onLoss = onLoss;
@@ -138,7 +138,7 @@
                 lastWatchMicros = eventLoop.nowMicros();
                 long watchedRevision = Math.max(since, result.storeRevision());
                 recordEvents(result, watchedRevision);
-                eventLoop.schedule(batchingDelayMicros, () -> watch(session, watchedRevision));
+                eventLoop.schedule(watchDelayMicros, () -> watch(session, watchedRevision));
             } else if (result.outcome() == StoreOutcome.COMPACTED) {
                 startSession(session, false);
             } else {
--- a/src/main/java/io/sillreel/settings/OperatorProperties.java
+++ b/src/main/java/io/sillreel/settings/OperatorProperties.java
@@ -33,9 +33,9 @@
      * Recovery of writes that the state service has lost.
      *
      * @param enabled true if lost writes are detected and recovered
-     * @param changePollIntervalMicros interval at which a controller polls the state service for changes
+     * @param watchDelayMicros interval at which a controller polls the state service for changes
      */
-    public record RecoveryProperties(boolean enabled, long changePollIntervalMicros) {}
+    public record RecoveryProperties(boolean enabled, long watchDelayMicros) {}
 
     /** The known properties with their keys, defaults and bounds. */
     private enum Property {
@@ -46,7 +46,7 @@
         RETRY_PARKED_MILLIS("retry.parked.ms", 60_000, 1_000, 86_400_000),
         MAX_REQUESTS("overload.max.requests", 64, 4, 10_000),
         RECOVERY_ENABLED("recovery.enabled", 0, 0, 1),
-        RECOVERY_POLL_INTERVAL_MILLIS("recovery.follow.ms", 250, 20, 10_000);
+        WATCH_DELAY_MILLIS("recovery.follow.ms", 250, 20, 10_000);
 
         private static final long MICROS_PER_MILLI = 1_000;
 
@@ -133,6 +133,6 @@
                 (int) Property.MAX_REQUESTS.valueIn(properties),
                 new RecoveryProperties(
                         Property.RECOVERY_ENABLED.valueIn(properties) == 1,
-                        Property.RECOVERY_POLL_INTERVAL_MILLIS.microsIn(properties)));
+                        Property.WATCH_DELAY_MILLIS.microsIn(properties)));
     }
 }
--- a/src/test/java/io/sillreel/fleet/FleetRegistryTest.java
+++ b/src/test/java/io/sillreel/fleet/FleetRegistryTest.java
@@ -36,7 +36,7 @@
             Machine::clearAllocations);
 
     private void adoptAndRemove(String name) {
-        registry.remove(registry.adopt(name, "c4", "a", true).orElseThrow());
+        registry.remove(registry.adoptMachine(name, "c4", "a", true).orElseThrow());
     }
 
     /** Guards against stale heartbeats that arrive minutes late, and against unbounded growth during a long term. */
