--- a/src/main/java/io/sillreel/ActiveTerm.java
+++ b/src/main/java/io/sillreel/ActiveTerm.java
@@ -84,7 +84,7 @@
 
     /**
      * Notifies the leader, on this or another controller, of a cancellation that this controller has stored. The leader
-     * also watches the stored cancellations, but it may be the only controller that can't reach the state store.
+     * also watches the stored cancellations, but it may be the only controller that can't reach the state service.
      */
     void notifyLeaderOfCancellation(String uid) {
         if (leaderTerm != null) {
--- a/src/main/java/io/sillreel/HealthCheck.java
+++ b/src/main/java/io/sillreel/HealthCheck.java
@@ -25,16 +25,16 @@
         this.startedMicros = eventLoop.nowMicros();
     }
 
-    /** True if the state store has responded recently, and for some time after the start in any case. */
+    /** True if the state service has responded recently, and for some time after the start in any case. */
     boolean isStoreReachable() {
         return eventLoop.nowMicros() - Math.max(store.lastConclusiveResponseMicros(), startedMicros)
                 < MAX_STORE_SILENCE_MICROS;
     }
 
     /**
-     * Responds unhealthy if another controller can reach the state store while this one can't, or while this one has no
-     * machine types yet to validate submissions with: the other controller then serves users better. If no controller
-     * can reach the store, an unhealthy response would not help.
+     * Responds unhealthy if another controller can reach the state service while this one can't, or while this one has
+     * no machine types yet to validate submissions with: the other controller then serves users better. If no
+     * controller can reach the service, an unhealthy response would not help.
      */
     HttpResponse respond() {
         boolean canServe = isStoreReachable() && !machineTypes.types().isEmpty();
--- a/src/main/java/io/sillreel/LostWriteProtection.java
+++ b/src/main/java/io/sillreel/LostWriteProtection.java
@@ -12,9 +12,9 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** Protection against a state store that loses writes. Operators decide whether it is enabled. */
+/** Protection against a state service that loses writes. Operators decide whether it is enabled. */
 interface LostWriteProtection {
-    /** Wraps a client of the state store, so that its responses are checked for signs of a loss. */
+    /** Wraps a client of the state service, so that its responses are checked for signs of a loss. */
     HttpClient monitor(HttpClient client);
 
     /** The observer of agents' heartbeats, which may carry a term that is no longer stored. */
--- a/src/main/java/io/sillreel/NoLostWriteProtection.java
+++ b/src/main/java/io/sillreel/NoLostWriteProtection.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Disabled protection: responses of the state store are not checked, and no class of the recovery package is loaded.
+ * Disabled protection: responses of the state service are not checked, and no class of the recovery package is loaded.
  */
 final class NoLostWriteProtection implements LostWriteProtection {
     @Override
--- a/src/main/java/io/sillreel/RecoveryProtection.java
+++ b/src/main/java/io/sillreel/RecoveryProtection.java
@@ -43,7 +43,7 @@
 
     @Override
     public CompletableFuture<HttpResponse> handleUserRequest(HttpRequest request, HttpHandler handler) {
-        return recovery.guard(() -> handler.handle(request));
+        return recovery.handleUserRequest(() -> handler.handle(request));
     }
 
     @Override
--- a/src/main/java/io/sillreel/admission/JobApiHandler.java
+++ b/src/main/java/io/sillreel/admission/JobApiHandler.java
@@ -16,7 +16,8 @@
 
 /**
  * Handles the HTTP API for users: submits, polls and cancels jobs. Every controller serves it, leader or follower,
- * since each response is either a stored terminal status or was confirmed by the state store after the request arrived.
+ * since each response is either a stored terminal status or was confirmed by the state service after the request
+ * arrived.
  */
 public final class JobApiHandler implements HttpHandler {
     private static final String JOBS_PATH = "/v2/runs";
@@ -82,7 +83,7 @@
             if (answer.isEmpty()) {
                 return JobResponses.storeUnavailable();
             }
-            return answer.get().isAccepted() ? responses.status(answer.get()) : JobResponses.jobNotFound();
+            return answer.get().isAdmitted() ? responses.status(answer.get()) : JobResponses.jobNotFound();
         });
     }
 
--- a/src/main/java/io/sillreel/admission/JobCancellation.java
+++ b/src/main/java/io/sillreel/admission/JobCancellation.java
@@ -53,7 +53,7 @@
             return Optional.of(JobResponses.storeUnavailable());
         }
         JobStatus status = answer.get();
-        if (!status.isAccepted()) {
+        if (!status.isAdmitted()) {
             return Optional.of(JobResponses.jobNotFound());
         }
         return status.isTerminal() ? Optional.of(responses.status(status)) : Optional.empty();
--- a/src/main/java/io/sillreel/admission/JobResponses.java
+++ b/src/main/java/io/sillreel/admission/JobResponses.java
@@ -23,7 +23,7 @@
         this.liveTaskCounts = liveTaskCounts;
     }
 
-    /** The status of an accepted job. */
+    /** The status of an admitted job. */
     HttpResponse status(JobStatus status) {
         return HttpResponse.of(200, encode(status));
     }
@@ -34,7 +34,7 @@
         return HttpResponse.of(201, Json.object().put("uid", status.uid()).put("stage", stage));
     }
 
-    /** The submission can't be accepted unless it is changed. */
+    /** The submission can't be admitted unless it is changed. */
     static HttpResponse rejected(String reason) {
         return HttpResponse.error(422, reason);
     }
@@ -43,7 +43,7 @@
         return HttpResponse.error(400, reason);
     }
 
-    static HttpResponse dependencyNotAccepted(String dependency) {
+    static HttpResponse dependencyNotAdmitted(String dependency) {
         return rejected("awaits: " + dependency + " was never accepted");
     }
 
@@ -66,12 +66,12 @@
         return HttpResponse.error(405, "use " + method);
     }
 
-    /** The state store can't be read now, so the status of the job is unknown. */
+    /** The state service can't be read now, so the status of the job is unknown. */
     static HttpResponse storeUnavailable() {
         return retryLater("the state service can't be asked now");
     }
 
-    /** The state store certainly did not apply the write. */
+    /** The state service certainly did not apply the write. */
     static HttpResponse writeRefused() {
         return retryLater("the state service does not take the job now");
     }
--- a/src/main/java/io/sillreel/admission/JobStatus.java
+++ b/src/main/java/io/sillreel/admission/JobStatus.java
@@ -6,7 +6,7 @@
 /**
  * The stored state of a job as this controller last read it. The revision of a key that did not exist is 0. Immutable.
  *
- * @param planRevision revision of the job's plan; 0 if the job has not been accepted
+ * @param planRevision revision of the job's plan; 0 if the job has not been admitted
  * @param dependencies ids of the jobs that have to be done before this one is released
  * @param runRevision revision of the job's run record; 0 if the job has not been released
  * @param runRecord the run record of that revision, or null if there is none
@@ -32,7 +32,7 @@
         return new JobStatus(uid, planRevision, dependencies, 0, null, 0, false);
     }
 
-    boolean isAccepted() {
+    boolean isAdmitted() {
         return planRevision > 0;
     }
 
@@ -45,7 +45,7 @@
         return cancellationRevision > 0 || dependencyCancelled;
     }
 
-    /** True if the stored state is final, so that it may be returned without confirmation by the state store. */
+    /** True if the stored state is terminal, so that it may be returned without confirmation by the state service. */
     boolean isTerminal() {
         return isDone() || isCancelled();
     }
--- a/src/main/java/io/sillreel/admission/JobStatusCache.java
+++ b/src/main/java/io/sillreel/admission/JobStatusCache.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * LRU cache of job statuses. A cache miss costs three reads of the state store; a hit costs a share of the transaction
- * that compares revisions. Thread-safe.
+ * LRU cache of job statuses. A cache miss costs three reads of the state service; a hit costs a share of the
+ * transaction that compares revisions. Thread-safe.
  */
 final class JobStatusCache {
     private static final int INITIAL_CAPACITY = 64;
@@ -32,10 +32,10 @@
         return status == null ? JobStatus.unknown(uid) : status;
     }
 
-    /** Merges the status into the cached one without replacing newer data; only accepted jobs are cached. */
+    /** Merges the status into the cached one without replacing newer data; only admitted jobs are cached. */
     synchronized void merge(JobStatus status) {
         JobStatus merged = status.mergedWith(get(status.uid()));
-        if (merged.isAccepted()) {
+        if (merged.isAdmitted()) {
             statuses.put(status.uid(), merged);
         }
     }
--- a/src/main/java/io/sillreel/admission/JobStatusConditions.java
+++ b/src/main/java/io/sillreel/admission/JobStatusConditions.java
@@ -53,7 +53,7 @@
     }
 
     private void addOwnKeys(JobStatus status) {
-        if (!status.isAccepted()) {
+        if (!status.isAdmitted()) {
             revisions.put(PlanRecord.key(status.uid()), 0L);
         }
         revisions.put(RunRecord.key(status.uid()), status.runRevision());
@@ -66,7 +66,7 @@
         Set<String> visited = new HashSet<>(pending);
         while (!pending.isEmpty()) {
             JobStatus dependency = cache.get(pending.poll());
-            if (!dependency.isAccepted()) {
+            if (!dependency.isAdmitted()) {
                 unknownDependencies.add(dependency.uid());
             } else if (dependency.isCancelled()) {
                 dependencyCancelled = true;
--- a/src/main/java/io/sillreel/admission/JobStatusReader.java
+++ b/src/main/java/io/sillreel/admission/JobStatusReader.java
@@ -26,7 +26,7 @@
 
 /**
  * Reads the stored state of jobs into the cache. The methods complete with false if a read failed, for example because
- * the state store does not respond. Thread-safe.
+ * the state service does not respond. Thread-safe.
  */
 final class JobStatusReader {
     /** The part of the plan of a job with dependencies that its status requires; plans never change. */
@@ -68,7 +68,7 @@
             DependentPlan plan = plans.get(uid);
             if (plan == null) {
                 withoutPlan.add(uid);
-            } else if (!cache.get(uid).isAccepted()) {
+            } else if (!cache.get(uid).isAdmitted()) {
                 cache.merge(JobStatus.ofPlan(uid, plan.revision(), plan.dependencies()));
                 plan.dependencies().stream().filter(visited::add).forEach(pending::add);
             }
@@ -135,7 +135,7 @@
     /** Completes with the status according to the plan, which is read unless cached; empty if the read failed. */
     private CompletableFuture<Optional<JobStatus>> readPlan(String uid) {
         JobStatus cached = cache.get(uid);
-        if (cached.isAccepted()) {
+        if (cached.isAdmitted()) {
             return CompletableFuture.completedFuture(Optional.of(cached));
         }
         return store.get(PlanRecord.key(uid)).thenCompose(read -> {
--- a/src/main/java/io/sillreel/admission/JobStatusService.java
+++ b/src/main/java/io/sillreel/admission/JobStatusService.java
@@ -17,7 +17,7 @@
 
 /**
  * Answers queries for the status of jobs. The cached revisions of many jobs are confirmed in one transaction that only
- * compares revisions; jobs that have changed are read again. Either way the state store is consulted after the query
+ * compares revisions; jobs that have changed are read again. Either way the state service is consulted after the query
  * has arrived, so that no answer is older than an earlier one.
  *
  * <p>A job counts as cancelled as soon as one of its dependencies is, whether or not its own cancellation has been
@@ -85,7 +85,7 @@
     /** Guarded by {@code this}. */
     private long batchDelayMicros = MIN_BATCH_DELAY_MICROS;
 
-    /** @param maxTransactionChanges the maximum number of changes in one transaction of the state store */
+    /** @param maxTransactionChanges the maximum number of changes in one transaction of the state service */
     JobStatusService(StateStore store, EventLoop eventLoop, int maxTransactionChanges, int maxCachedStatuses) {
         this.store = store;
         this.eventLoop = eventLoop;
@@ -104,7 +104,7 @@
         cache.merge(status);
     }
 
-    /** Completes with a status that is final or was confirmed after this call; empty if the state store failed. */
+    /** Completes with a status that is terminal or was confirmed after this call; empty if the state service failed. */
     CompletableFuture<Optional<JobStatus>> query(String uid) {
         JobStatus cached = cache.get(uid);
         if (cached.isTerminal()) {
--- a/src/main/java/io/sillreel/admission/JobSubmission.java
+++ b/src/main/java/io/sillreel/admission/JobSubmission.java
@@ -17,7 +17,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Admits jobs. Submissions are idempotent by job id: the response to a resubmission of an accepted job is the status of
+ * Admits jobs. Submissions are idempotent by job id: the response to a resubmission of an admitted job is the status of
  * that job, even if the resubmission is invalid.
  */
 final class JobSubmission {
@@ -55,18 +55,18 @@
             spec = SubmissionDecoder.decode(body);
         } catch (MalformedSubmissionException e) {
             HttpResponse malformed = JobResponses.malformed(e.getMessage());
-            return e.uid().isPresent() ? respondUnlessAccepted(e.uid().get(), malformed) : completed(malformed);
+            return e.uid().isPresent() ? respondUnlessAdmitted(e.uid().get(), malformed) : completed(malformed);
         }
         Map<String, MachineType> knownTypes = machineTypes.get();
         if (knownTypes.isEmpty()) {
-            return respondUnlessAccepted(spec.uid(), JobResponses.machineTypesUnknown());
+            return respondUnlessAdmitted(spec.uid(), JobResponses.machineTypesUnknown());
         }
         Optional<String> infeasibilityReason = JobFeasibility.infeasibilityReason(spec, teams, knownTypes.values());
         if (infeasibilityReason.isPresent()) {
-            return respondUnlessAccepted(spec.uid(), JobResponses.rejected(infeasibilityReason.get()));
+            return respondUnlessAdmitted(spec.uid(), JobResponses.rejected(infeasibilityReason.get()));
         }
-        if (statuses.cached(spec.uid()).isAccepted()) {
-            return respondUnlessAccepted(spec.uid(), JobResponses.storeUnavailable());
+        if (statuses.cached(spec.uid()).isAdmitted()) {
+            return respondUnlessAdmitted(spec.uid(), JobResponses.storeUnavailable());
         }
         return admit(spec, MAX_ATTEMPTS);
     }
@@ -79,7 +79,7 @@
             return store(spec, List.of(), attemptsLeft);
         }
         if (!transactions.isStorable(spec)) {
-            return respondUnlessAccepted(spec.uid(), JobResponses.tooLarge(spec));
+            return respondUnlessAdmitted(spec.uid(), JobResponses.tooLarge(spec));
         }
         return statuses.queryAll(spec.dependencies())
                 .thenCompose(dependencies -> dependencies.isEmpty()
@@ -89,8 +89,8 @@
 
     private CompletableFuture<HttpResponse> admit(JobSpec spec, List<JobStatus> dependencies, int attemptsLeft) {
         for (JobStatus dependency : dependencies) {
-            if (!dependency.isAccepted()) {
-                return respondUnlessAccepted(spec.uid(), JobResponses.dependencyNotAccepted(dependency.uid()));
+            if (!dependency.isAdmitted()) {
+                return respondUnlessAdmitted(spec.uid(), JobResponses.dependencyNotAdmitted(dependency.uid()));
             }
         }
         return store(spec, dependencies, attemptsLeft);
@@ -100,12 +100,12 @@
         return transactions.storePlan(spec, dependencies).thenCompose(result -> switch (result.outcome()) {
             case OK -> completed(admitted(spec, dependencies, result.storeRevision()));
             case REFUSED -> completed(JobResponses.writeRefused());
-            case TOO_LARGE -> respondUnlessAccepted(spec.uid(), JobResponses.tooLarge(spec));
+            case TOO_LARGE -> respondUnlessAdmitted(spec.uid(), JobResponses.tooLarge(spec));
             // Either the plan exists already or the outcome is unknown: only a read can distinguish these.
             default ->
                 isDependencyChanged(spec, result) && attemptsLeft > 1
                         ? admit(spec, attemptsLeft - 1)
-                        : respondUnlessAccepted(spec.uid(), JobResponses.writeUncertain());
+                        : respondUnlessAdmitted(spec.uid(), JobResponses.writeUncertain());
         });
     }
 
@@ -141,13 +141,13 @@
                         : String.join(", ", dependencies));
     }
 
-    /** Completes with the status of the job if it has been accepted, otherwise with the given response. */
-    private CompletableFuture<HttpResponse> respondUnlessAccepted(String uid, HttpResponse response) {
+    /** Completes with the status of the job if it has been admitted, otherwise with the given response. */
+    private CompletableFuture<HttpResponse> respondUnlessAdmitted(String uid, HttpResponse response) {
         return statuses.query(uid).thenApply(answer -> {
             if (answer.isEmpty()) {
                 return JobResponses.storeUnavailable();
             }
-            return answer.get().isAccepted() ? responses.status(answer.get()) : response;
+            return answer.get().isAdmitted() ? responses.status(answer.get()) : response;
         });
     }
 
--- a/src/main/java/io/sillreel/admission/JobTransactions.java
+++ b/src/main/java/io/sillreel/admission/JobTransactions.java
@@ -42,7 +42,7 @@
      * otherwise the transaction requires that no dependency is cancelled.
      *
      * <p>Controllers of the previous version can only read plans that are stored as a single value. A plan that such a
-     * controller may still have to read is therefore split only after the state store has rejected its size: by then
+     * controller may still have to read is therefore split only after the state service has rejected its size: by then
      * the announced limits are in force, and no such controller is left. Jobs with dependencies are submitted only
      * after the upgrade.
      *
--- a/src/main/java/io/sillreel/admission/RevisionComparison.java
+++ b/src/main/java/io/sillreel/admission/RevisionComparison.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Compares the revisions of any number of keys with those in the state store, in as many transactions as necessary. The
- * transactions need not see the same snapshot of the store, since a cancellation is final.
+ * Compares the revisions of any number of keys with those in the state service, in as many transactions as necessary.
+ * The transactions need not see the same snapshot of the store, since a cancellation is final.
  */
 final class RevisionComparison {
     /** The protocol of the state service allows this many conditions for each change of a transaction. */
--- a/src/main/java/io/sillreel/agent/Heartbeat.java
+++ b/src/main/java/io/sillreel/agent/Heartbeat.java
@@ -8,7 +8,7 @@
  *
  * @param machine the name of the machine
  * @param address where the agent accepts direct commands, as {@code host:port}
- * @param description the machine type, zone and pricing model of the machine
+ * @param description the machine type, zone and kind (spot or on-demand) of the machine
  * @param epoch the agent epoch, which increases whenever the machine's lease expires
  * @param sequence the sequence number of the message since the start of the agent
  * @param fencingToken the highest term from which the agent has accepted commands
@@ -28,7 +28,7 @@
     /** How long an agent waits for the response to a heartbeat, in microseconds. */
     public static final long RESPONSE_TIMEOUT_MICROS = 4_000_000;
 
-    /** The machine type, zone and pricing model that an agent reports for its machine. */
+    /** The machine type, zone and kind that an agent reports for its machine. */
     public record MachineDescription(String machineType, String zone, boolean isSpot) {}
 
     /**
@@ -46,7 +46,7 @@
      *
      * @param uid the id of the job
      * @param index the number of the task within the job, from 0
-     * @param attempt the id of the launch
+     * @param attempt the attempt id, assigned at the launch
      * @param cause why the task has ended; empty while it is live
      */
     public record TaskStatus(String uid, int index, long attempt, TaskStage stage, String cause) {}
--- a/src/main/java/io/sillreel/cloud/CloudCodec.java
+++ b/src/main/java/io/sillreel/cloud/CloudCodec.java
@@ -72,7 +72,7 @@
         return body.path("truncated").asBoolean();
     }
 
-    /** Reads a list of machine types from the cloud or from the state store; empty if the document has none. */
+    /** Reads a list of machine types from the cloud or from the state service; empty if the document has none. */
     static MachineTypeList readMachineTypes(JsonNode document) {
         Map<String, MachineType> types = new LinkedHashMap<>();
         for (JsonNode node : document.path("builds")) {
--- a/src/main/java/io/sillreel/cloud/MachineTypeCatalog.java
+++ b/src/main/java/io/sillreel/cloud/MachineTypeCatalog.java
@@ -37,8 +37,8 @@
     }
 
     /**
-     * Starts refreshing the catalog: reads the store, and queries the cloud if the catalog is empty or this controller
-     * is the leader. Repeats every second until the catalog is filled, then every minute.
+     * Starts refreshing the catalog: reads the stored list, and queries the cloud if the catalog is empty or this
+     * controller is the leader. Repeats every second until the catalog is filled, then every minute.
      */
     public void start() {
         store.read().thenAccept(stored -> {
--- a/src/main/java/io/sillreel/cloud/MachineTypeList.java
+++ b/src/main/java/io/sillreel/cloud/MachineTypeList.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * The machine types as listed by the cloud or the state store. Keeps the document from which they were read, because
+ * The machine types as listed by the cloud or the state service. Keeps the document from which they were read, because
  * the cloud's response is stored unchanged, including fields that this version does not know.
  */
 final class MachineTypeList {
--- a/src/main/java/io/sillreel/cloud/MachineTypeStore.java
+++ b/src/main/java/io/sillreel/cloud/MachineTypeStore.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reads and writes the machine types in the state store, under one key. */
+/** Reads and writes the machine types in the state service, under one key. */
 final class MachineTypeStore {
     static final String KEY = "flavors";
     private static final Logger LOG = LoggerFactory.getLogger(MachineTypeStore.class);
@@ -16,9 +16,9 @@
     /**
      * The stored machine types.
      *
-     * @param types empty if none are stored or the store did not respond
+     * @param types empty if none are stored or the state service did not respond
      * @param revision revision of the key, for the compare-and-swap that replaces it
-     * @param isConclusive true if the store responded, so that the revision is known
+     * @param isConclusive true if the state service responded, so that the revision is known
      */
     record StoredTypes(MachineTypeList types, long revision, boolean isConclusive) {}
 
@@ -43,7 +43,7 @@
                 .thenAccept(commit -> {
                     if (commit.outcome() == StoreOutcome.TOO_LARGE) {
                         LOG.error(
-                                "state store rejected value of {} ({} bytes) as too large; controllers that start "
+                                "state service rejected value of {} ({} bytes) as too large; controllers that start "
                                         + "while the cloud is unavailable will have no machine types",
                                 KEY,
                                 Json.bytes(types.document()).length);
--- a/src/main/java/io/sillreel/cluster/UnreconciledMachines.java
+++ b/src/main/java/io/sillreel/cluster/UnreconciledMachines.java
@@ -15,18 +15,18 @@
  * Guarded by the lock of the {@link Cluster}.
  */
 final class UnreconciledMachines {
-    private record MachineKind(MachineType type, String zone, boolean spot) {
-        static MachineKind of(Machine machine) {
-            return new MachineKind(machine.type(), machine.zone(), machine.isSpot());
+    private record MachineCategory(MachineType type, String zone, boolean spot) {
+        static MachineCategory of(Machine machine) {
+            return new MachineCategory(machine.type(), machine.zone(), machine.isSpot());
         }
 
         // Explicit, because linking the generated method at run time would delay a failover by milliseconds.
         @Override
         public boolean equals(Object other) {
-            return other instanceof MachineKind kind
-                    && kind.type == type
-                    && kind.zone.equals(zone)
-                    && kind.spot == spot;
+            return other instanceof MachineCategory category
+                    && category.type == type
+                    && category.zone.equals(zone)
+                    && category.spot == spot;
         }
 
         @Override
@@ -36,7 +36,7 @@
     }
 
     private final Set<Machine> machines = new LinkedHashSet<>();
-    private final Map<MachineKind, Integer> kinds = new HashMap<>();
+    private final Map<MachineCategory, Integer> categories = new HashMap<>();
 
     Collection<Machine> machines() {
         return Collections.unmodifiableSet(machines);
@@ -48,21 +48,22 @@
 
     void add(Machine machine) {
         if (machines.add(machine)) {
-            kinds.merge(MachineKind.of(machine), 1, Integer::sum);
+            categories.merge(MachineCategory.of(machine), 1, Integer::sum);
         }
     }
 
     void remove(Machine machine) {
         if (machines.remove(machine)) {
-            kinds.computeIfPresent(MachineKind.of(machine), (kind, count) -> count == 1 ? null : count - 1);
+            categories.computeIfPresent(
+                    MachineCategory.of(machine), (category, count) -> count == 1 ? null : count - 1);
         }
     }
 
     /** True if an unreconciled machine could hold tasks of the job. */
     boolean mayHoldTasksOf(JobSpec spec) {
-        for (MachineKind kind : kinds.keySet()) {
-            if (PlacementConstraints.isEligible(spec, kind.type(), kind.zone(), kind.spot())
-                    && PlacementConstraints.fitsEmptyMachine(spec, kind.type())) {
+        for (MachineCategory category : categories.keySet()) {
+            if (PlacementConstraints.isEligible(spec, category.type(), category.zone(), category.spot())
+                    && PlacementConstraints.fitsEmptyMachine(spec, category.type())) {
                 return true;
             }
         }
@@ -72,8 +73,8 @@
     /** Returns the CPUs of all unreconciled machines. */
     double cpus() {
         double cpus = 0;
-        for (Map.Entry<MachineKind, Integer> kind : kinds.entrySet()) {
-            cpus += kind.getValue() * kind.getKey().type().cpus();
+        for (Map.Entry<MachineCategory, Integer> category : categories.entrySet()) {
+            cpus += category.getValue() * category.getKey().type().cpus();
         }
         return cpus;
     }
@@ -81,8 +82,8 @@
     /** Returns the GPUs of all unreconciled machines. */
     double gpus() {
         double gpus = 0;
-        for (Map.Entry<MachineKind, Integer> kind : kinds.entrySet()) {
-            gpus += kind.getValue() * kind.getKey().type().gpus();
+        for (Map.Entry<MachineCategory, Integer> category : categories.entrySet()) {
+            gpus += category.getValue() * category.getKey().type().gpus();
         }
         return gpus;
     }
--- a/src/main/java/io/sillreel/fleet/ScaleOut.java
+++ b/src/main/java/io/sillreel/fleet/ScaleOut.java
@@ -216,7 +216,7 @@
             retryWithoutTimeout(request, nowMicros);
         } else {
             // The request was certainly not executed; the capacity planner proposes the machines again after the
-            // back-off.
+            // backoff.
             abandon(request, nowMicros + RETRY_DELAY_MICROS);
         }
     }
@@ -232,7 +232,7 @@
         capacityPlanner.markUnavailable(request.machineType(), request.zone(), request.isSpot(), untilMicros);
     }
 
-    /** Schedules a retry after the retry delay alone: the request has ended, so its time-out need not elapse. */
+    /** Schedules a retry after the retry delay alone: the request has ended, so its timeout need not elapse. */
     private static void retryWithoutTimeout(ScaleOutRequest request, long nowMicros) {
         request.recordSent(nowMicros - CloudClient.TIMEOUT_MICROS);
     }
--- a/src/main/java/io/sillreel/heartbeat/AttemptIds.java
+++ b/src/main/java/io/sillreel/heartbeat/AttemptIds.java
@@ -3,7 +3,7 @@
 /**
  * Generates the attempt ids of the tasks that one term launches. Ids are never reused: the high 32 bits hold the term,
  * the low 32 bits a counter. A term that has exhausted the counter must end, since the next id would belong to the
- * following term. Guarded by the lock of the cluster.
+ * following term. Guarded by the cluster lock.
  */
 public final class AttemptIds {
     private static final int TERM_SHIFT = 32;
--- a/src/main/java/io/sillreel/heartbeat/CommandWriter.java
+++ b/src/main/java/io/sillreel/heartbeat/CommandWriter.java
@@ -16,7 +16,7 @@
 
 /**
  * Writes the commands for a machine: acknowledgements, stops and, in the response to a heartbeat only, launches.
- * Guarded by the lock of the cluster.
+ * Guarded by the cluster lock.
  */
 public final class CommandWriter {
     private final EventLoop eventLoop;
--- a/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
+++ b/src/main/java/io/sillreel/heartbeat/HeartbeatProcessor.java
@@ -13,7 +13,7 @@
 /**
  * Processes the heartbeats of workers while this controller leads a term, and answers each with the commands for its
  * machine. Tasks are launched only in these responses. A worker drops a response that arrives late, so a launch that
- * the next heartbeat does not show has not happened and never will. All state is guarded by the lock of the cluster.
+ * the next heartbeat does not show has not happened and never will. All state is guarded by the cluster lock.
  */
 public final class HeartbeatProcessor {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatProcessor.class);
@@ -200,12 +200,12 @@
         commandWriter.addCommands(machine, commands);
     }
 
-    /** Requeues the tasks of all machines whose leases have expired. The caller holds the lock of the cluster. */
+    /** Requeues the tasks of all machines whose leases have expired. The caller holds the cluster lock. */
     public void expireLeases() {
         leases.expireLeases();
     }
 
-    /** Requeues all tasks of a machine on which none can be live. The caller holds the lock of the cluster. */
+    /** Requeues all tasks of a machine on which none can be live. The caller holds the cluster lock. */
     public void clearTasks(Machine machine) {
         reconciler.clearTasks(machine);
     }
--- a/src/main/java/io/sillreel/heartbeat/MachineLeases.java
+++ b/src/main/java/io/sillreel/heartbeat/MachineLeases.java
@@ -9,7 +9,7 @@
 
 /**
  * The leases of the machines. A worker kills its tasks when its lease expires. This class computes the latest time at
- * which that can happen, and requeues the tasks from then on. Guarded by the lock of the cluster.
+ * which that can happen, and requeues the tasks from then on. Guarded by the cluster lock.
  */
 public final class MachineLeases {
     private static final Logger LOG = LoggerFactory.getLogger(MachineLeases.class);
--- a/src/main/java/io/sillreel/heartbeat/TaskEndHandler.java
+++ b/src/main/java/io/sillreel/heartbeat/TaskEndHandler.java
@@ -13,7 +13,7 @@
 
 /**
  * Handles the ends of tasks: queues completions and failed attempts of jobs for storage, updates the runtime estimates,
- * and drains machines that are found faulty. Guarded by the lock of the cluster.
+ * and drains machines that are found faulty. Guarded by the cluster lock.
  */
 public final class TaskEndHandler {
     private static final Logger LOG = LoggerFactory.getLogger(TaskEndHandler.class);
--- a/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
+++ b/src/main/java/io/sillreel/heartbeat/TaskReconciler.java
@@ -12,9 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/**
- * Reconciles the allocations of a machine with the tasks that its heartbeats show. Guarded by the lock of the cluster.
- */
+/** Reconciles the allocations of a machine with the tasks that its heartbeats show. Guarded by the cluster lock. */
 public final class TaskReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(TaskReconciler.class);
     /** Flags for the effects of earlier commands that a heartbeat shows; ints avoid an allocation per heartbeat. */
--- a/src/main/java/io/sillreel/heartbeat/TermOperations.java
+++ b/src/main/java/io/sillreel/heartbeat/TermOperations.java
@@ -5,11 +5,12 @@
 
 /**
  * The operations of the leader's term that the processing of heartbeats needs. All methods are called on the event loop
- * with the lock of the cluster held.
+ * with the cluster lock held.
  */
 public interface TermOperations {
     /**
-     * True while the leader lease and the known cancellations are recent enough to launch tasks or change the fleet.
+     * True while the leader lease and the known cancellations are recent enough to launch tasks and to request or
+     * return machines.
      */
     boolean mayLaunchOrScale();
 
--- a/src/main/java/io/sillreel/heartbeat/UnresponsiveMachines.java
+++ b/src/main/java/io/sillreel/heartbeat/UnresponsiveMachines.java
@@ -9,7 +9,7 @@
 
 /**
  * Handles machines whose heartbeats arrive but which execute no commands, because the responses do not reach them.
- * Guarded by the lock of the cluster.
+ * Guarded by the cluster lock.
  */
 public final class UnresponsiveMachines {
     private static final Logger LOG = LoggerFactory.getLogger(UnresponsiveMachines.class);
--- a/src/main/java/io/sillreel/leadership/DependencyLookup.java
+++ b/src/main/java/io/sillreel/leadership/DependencyLookup.java
@@ -13,8 +13,8 @@
 import java.util.Set;
 
 /**
- * Looks up in the state store whether dependencies that are not active in this term are done. Such a job either
- * completed long ago, or the watch of plans has not delivered its plan yet. Guarded by the lock of the cluster.
+ * Looks up in the state service whether dependencies that are not active in this term are done. Such a job either
+ * completed long ago, or the watch of plans has not delivered its plan yet. Guarded by the cluster lock.
  */
 final class DependencyLookup {
     private static final long RETRY_MICROS = 1_000_000;
@@ -24,7 +24,7 @@
     private final StateStore store;
     private final Cluster cluster;
     private final DependencyGraph dependencies;
-    /** The most recently completed jobs; the complete set is in the state store. */
+    /** The most recently completed jobs; the complete set is in the state service. */
     private final Set<String> doneUids = Collections.newSetFromMap(new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
@@ -52,7 +52,7 @@
         doneUids.add(uid);
     }
 
-    /** Polls the state store until the job is known to be done, and then notifies the dependency graph. */
+    /** Polls the state service until the job is known to be done, and then notifies the dependency graph. */
     void lookUp(String uid) {
         if (closed || !dependencies.isAwaitingLookup(uid)) {
             return;
--- a/src/main/java/io/sillreel/leadership/HeldLease.java
+++ b/src/main/java/io/sillreel/leadership/HeldLease.java
@@ -3,7 +3,7 @@
 import io.sillreel.http.EventLoop;
 
 /**
- * The lease in the state store under which this controller leads its term. All state is guarded by this object's
+ * The lease in the state service under which this controller leads its term. All state is guarded by this object's
  * monitor. Times are readings of the event loop's steady clock, in microseconds.
  */
 final class HeldLease {
@@ -18,13 +18,13 @@
     private long term;
     private long confirmedMicros;
 
-    /** @param durationMicros the time after which the state store expires a lease that is not renewed */
+    /** @param durationMicros the time after which the state service expires a lease that is not renewed */
     HeldLease(EventLoop eventLoop, long durationMicros) {
         this.eventLoop = eventLoop;
         this.durationMicros = durationMicros;
     }
 
-    /** @param sentMicros when the lease was requested; its duration in the state store starts no earlier */
+    /** @param sentMicros when the lease was requested; its duration in the state service starts no earlier */
     synchronized void acquired(long newLeaseId, long newTerm, long sentMicros) {
         leaseId = newLeaseId;
         term = newTerm;
@@ -49,7 +49,7 @@
         return term;
     }
 
-    /** The id of the lease in the state store, or 0. */
+    /** The id of the lease in the state service, or 0. */
     synchronized long leaseId() {
         return leaseId;
     }
@@ -64,7 +64,7 @@
         return confirmedMicros;
     }
 
-    /** True while the lease certainly has not expired, even by the clock of the state store. */
+    /** True while the lease certainly has not expired, even by the clock of the state service. */
     synchronized boolean isValid() {
         return term > 0
                 && eventLoop.nowMicros()
--- a/src/main/java/io/sillreel/leadership/LeaderElection.java
+++ b/src/main/java/io/sillreel/leadership/LeaderElection.java
@@ -13,9 +13,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Elects a single leader among the controllers. The {@code leader} key is bound to a lease in the state store, so it is
- * deleted when the leader stops renewing the lease; the {@code term} key counts the elections. Both are written in one
- * transaction, which at most one candidate can commit. All times are microseconds of the steady clock. Methods are
+ * Elects a single leader among the controllers. The {@code leader} key is bound to a lease in the state service, so it
+ * is deleted when the leader stops renewing the lease; the {@code term} key counts the elections. Both are written in
+ * one transaction, which at most one candidate can commit. All times are microseconds of the steady clock. Methods are
  * called on the event loop; the query methods are safe on any thread.
  */
 public final class LeaderElection {
@@ -67,7 +67,7 @@
     private long candidacyResumesMicros = Long.MIN_VALUE;
 
     /**
-     * @param leaseMicros the time after which a lease that is not renewed expires in the state store
+     * @param leaseMicros the time after which a lease that is not renewed expires in the state service
      * @param termFloor lower bound: the next term is above it, whatever term is stored
      */
     public LeaderElection(
@@ -84,7 +84,7 @@
      * Starts to participate in elections.
      *
      * @param leadershipListener notified when this controller acquires or loses leadership
-     * @param onInitialElectionCompleted called once, as soon as a leader is known or the state store has failed to
+     * @param onInitialElectionCompleted called once, as soon as a leader is known or the state service has failed to
      *     respond
      */
     public void start(Listener leadershipListener, Runnable onInitialElectionCompleted) {
@@ -190,7 +190,7 @@
             if (recordChanges(result)) {
                 campaign(0, result.storeRevision());
             } else if (heldTerm() == 0 && (knownLeader().node() == null || ++watchCount % WATCHES_PER_READ == 0)) {
-                // A key that was removed without an event, as in a restored store, would be watched forever.
+                // A key that was removed without an event, as in a restored state service, would be watched forever.
                 readLeaderKey();
             } else {
                 watchLeaderKey(result.storeRevision());
--- a/src/main/java/io/sillreel/leadership/LeaderJobs.java
+++ b/src/main/java/io/sillreel/leadership/LeaderJobs.java
@@ -24,7 +24,7 @@
 /**
  * The jobs of one term: the unfinished jobs that were stored when it began, and those that have been admitted since.
  * Once the completion or cancellation of a job is stored, its dependents are released or cancelled (ADR 0006, "Edge
- * state"). All state is guarded by the lock of the cluster.
+ * state"). All state is guarded by the cluster lock.
  */
 final class LeaderJobs implements ActiveJob.Listener, DependencyGraph.Callbacks {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderJobs.class);
--- a/src/main/java/io/sillreel/leadership/LeaderReachability.java
+++ b/src/main/java/io/sillreel/leadership/LeaderReachability.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * Detects that this leader is cut off from agents or from the state store and has to resign, so that another controller
- * can lead. Runs on the event loop; times are microseconds of the steady clock.
+ * Detects that this leader is cut off from agents or from the state service and has to resign, so that another
+ * controller can lead. Runs on the event loop; times are microseconds of the steady clock.
  */
 final class LeaderReachability {
     /** The maximum time without heartbeats while other controllers receive some that they can't relay. */
@@ -59,11 +59,11 @@
      * Decides whether to redirect an agent to another controller while the lease of this one may have expired.
      *
      * <ul>
-     *   <li>If another controller reaches the state store, it leads or soon will, and the agent has to find it before
+     *   <li>If another controller reaches the state service, it leads or soon will, and the agent has to find it before
      *       the lease of its machine expires.
      *   <li>If no other controller is reachable, this one is more likely partitioned than all others are down: each
      *       agent is redirected once, and served if it returns.
-     *   <li>If others are reachable but none reaches the store, the outage affects all of them, and tasks survive it
+     *   <li>If others are reachable but none reaches the service, the outage affects all of them, and tasks survive it
      *       only if this leader keeps answering.
      * </ul>
      */
--- a/src/main/java/io/sillreel/leadership/LeaderStatus.java
+++ b/src/main/java/io/sillreel/leadership/LeaderStatus.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Counts of jobs, tasks, machines and CPUs of a term for the log and metrics. Guarded by the lock of the cluster. */
+/** Counts of jobs, tasks, machines and CPUs of a term for the log and metrics. Guarded by the cluster lock. */
 final class LeaderStatus {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderStatus.class);
     private static final long LOG_INTERVAL_MICROS = 10_000_000;
@@ -59,7 +59,7 @@
         return Math.round(gauges.get(name));
     }
 
-    /** The values of the metrics by name; takes the lock of the cluster. */
+    /** The values of the metrics by name; takes the cluster lock. */
     Map<String, Double> gauges() {
         synchronized (cluster) {
             Map<String, Double> gauges = new HashMap<>();
--- a/src/main/java/io/sillreel/leadership/LeaderTerm.java
+++ b/src/main/java/io/sillreel/leadership/LeaderTerm.java
@@ -41,7 +41,7 @@
 /**
  * The state of a leader during one term. It is built from the stored state and from the heartbeats of machines, and
  * discarded when the term ends, so that a former leader has no state left to act on. Runs on the event loop; jobs,
- * machines and allocations are guarded by the lock of the cluster, since status queries read them too.
+ * machines and allocations are guarded by the cluster lock, since status queries read them too.
  */
 public final class LeaderTerm implements LeaderHeartbeats, LiveTaskCounts {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
--- a/src/main/java/io/sillreel/leadership/SchedulingCycle.java
+++ b/src/main/java/io/sillreel/leadership/SchedulingCycle.java
@@ -15,7 +15,7 @@
 
 /**
  * Computes placement plans as often as their cost allows, and sends commands that can't wait for the next heartbeat of
- * their machine. Runs on the event loop, and holds the lock of the cluster except while sending.
+ * their machine. Runs on the event loop, and holds the cluster lock except while sending.
  */
 final class SchedulingCycle {
     private static final Logger LOG = LoggerFactory.getLogger(SchedulingCycle.class);
@@ -41,7 +41,7 @@
     private long totalPlanDurationMicros;
     private long planCount;
 
-    /** @param mayLaunchOrScale true while launches are allowed */
+    /** @param mayLaunchOrScale true while tasks may be launched */
     SchedulingCycle(
             EventLoop eventLoop,
             Cluster cluster,
--- a/src/main/java/io/sillreel/leadership/SchedulingRequests.java
+++ b/src/main/java/io/sillreel/leadership/SchedulingRequests.java
@@ -12,7 +12,7 @@
 
 /**
  * Requests for the next scheduling cycles: whether a new plan is needed, and which machines have commands that can't
- * wait for their next heartbeats. Guarded by the lock of the cluster.
+ * wait for their next heartbeats. Guarded by the cluster lock.
  */
 final class SchedulingRequests {
     private final Cluster cluster;
--- a/src/main/java/io/sillreel/leadership/StoredChangeWatcher.java
+++ b/src/main/java/io/sillreel/leadership/StoredChangeWatcher.java
@@ -10,7 +10,7 @@
 
 /**
  * Watches the plans and cancellations that the controllers store, until the term ends. Runs on the event loop; changes
- * are applied under the lock of the cluster.
+ * are applied under the cluster lock.
  */
 final class StoredChangeWatcher {
     private static final long RETRY_MICROS = 300_000;
@@ -60,7 +60,7 @@
         private final String prefix;
         private final long blockMicros;
 
-        /** @param blockMicros how long the state store may block a request while nothing changes */
+        /** @param blockMicros how long the state service may block a request while nothing changes */
         PrefixWatch(String prefix, long blockMicros) {
             this.prefix = prefix;
             this.blockMicros = blockMicros;
--- a/src/main/java/io/sillreel/leadership/StoredState.java
+++ b/src/main/java/io/sillreel/leadership/StoredState.java
@@ -9,7 +9,7 @@
 import java.util.List;
 
 /**
- * The contents of the state store at the beginning of a term.
+ * The contents of the state service at the beginning of a term.
  *
  * @param unfinished jobs whose completion is not stored, in order of admission
  * @param done ids of the jobs whose completion is stored
--- a/src/main/java/io/sillreel/leadership/StoredStateReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredStateReader.java
@@ -24,8 +24,8 @@
 /**
  * Reads the stored state for a new leader. All prefixes are scanned concurrently, which is consistent because only the
  * leader writes run records and scale-out requests, and plans and cancellations are watched from the revision at which
- * each scan was made. Pages are processed as they arrive. Only the ids of done jobs are kept, since the store may hold
- * many more of those jobs than fit into the memory of a controller. Runs on the event loop.
+ * each scan was made. Pages are processed as they arrive. Only the ids of done jobs are kept, since the state service
+ * may hold many more of those jobs than fit into the memory of a controller. Runs on the event loop.
  */
 final class StoredStateReader {
     private final StateStore store;
--- a/src/main/java/io/sillreel/leadership/TermServices.java
+++ b/src/main/java/io/sillreel/leadership/TermServices.java
@@ -7,7 +7,7 @@
 /**
  * The clients of the services that a leader depends on.
  *
- * @param store the state store
+ * @param store client of the state service
  * @param cloud the cloud provider's API
  * @param httpClient sends requests to agents and to other controllers
  */
--- a/src/main/java/io/sillreel/limits/ProcessLimits.java
+++ b/src/main/java/io/sillreel/limits/ProcessLimits.java
@@ -22,7 +22,7 @@
     private static final int QUEUED_REQUESTS_HEAP_DIVISOR = 12;
 
     private static final int MIN_QUEUED_REQUEST_BYTES = 1 << 20;
-    /** Retained recent changes of the state store may use one 24th of the heap. */
+    /** Retained recent changes of the state service may use one 24th of the heap. */
     private static final int RECENT_CHANGES_HEAP_DIVISOR = 24;
     /** One response may use a twentieth of the heap; the JSON tree parsed from it takes ten times its size. */
     private static final int RESPONSE_HEAP_DIVISOR = 20;
@@ -37,7 +37,7 @@
     private static final int MIN_INTERNAL_CONNECTIONS = 100;
     /**
      * Connections of another controller for heartbeat batches, hellos and cancellations, and as many again that it has
-     * abandoned after a time-out.
+     * abandoned after a timeout.
      */
     private static final int CONNECTIONS_PER_CONTROLLER = 12;
 
--- a/src/main/java/io/sillreel/peer/Hello.java
+++ b/src/main/java/io/sillreel/peer/Hello.java
@@ -6,7 +6,7 @@
  * @param node the name of the controller
  * @param leader the name of the leader that the controller knows; null if it knows none
  * @param term the term of that leader; 0 if it knows none
- * @param isStoreReachable true if the state store has answered the controller recently
+ * @param isStoreReachable true if the state service has answered the controller recently
  * @param workerCount how many workers send their heartbeats to the controller
  * @param isServing true if the controller can get these heartbeats answered, by itself or by the leader
  * @param unansweredHeartbeats how many heartbeats the controller could not get answered in the last two seconds
--- a/src/main/java/io/sillreel/peer/Peers.java
+++ b/src/main/java/io/sillreel/peer/Peers.java
@@ -49,7 +49,7 @@
         return recentHellos().isEmpty();
     }
 
-    /** True if another controller reaches the state store, so that the store is not down for all controllers. */
+    /** True if another controller reaches the state service, so that the service is not down for all controllers. */
     public boolean isStoreReachableElsewhere() {
         return recentHellos().stream().anyMatch(Hello::isStoreReachable);
     }
--- a/src/main/java/io/sillreel/pipeline/DependencyGraph.java
+++ b/src/main/java/io/sillreel/pipeline/DependencyGraph.java
@@ -17,7 +17,7 @@
  * The jobs of a leader's term and their dependencies. A job is released only once the completion of all of its
  * dependencies is stored; jobs that depend on a cancelled job are cancelled. A dependency that is not active in this
  * term, because it was done in an earlier one or its plan has not been read yet, is external: its completion is looked
- * up in the state store.
+ * up in the state service.
  *
  * <p>Guarded by the cluster lock, which is held during callbacks.
  */
--- a/src/main/java/io/sillreel/recovery/LossState.java
+++ b/src/main/java/io/sillreel/recovery/LossState.java
@@ -11,7 +11,7 @@
     private boolean locallyDetected;
     private long lastCollectedGeneration;
     private String evidence = "";
-    private long epoch;
+    private long lossEpoch;
 
     /** The generation of the last known loss; 0 before the first one. */
     long generation() {
@@ -28,9 +28,9 @@
         return evidence;
     }
 
-    /** Incremented with each loss; a request that was started in an earlier epoch may have read state that was lost. */
-    long epoch() {
-        return epoch;
+    /** Incremented with each loss; a request from an earlier loss epoch may have read state that was lost. */
+    long lossEpoch() {
+        return lossEpoch;
     }
 
     /** True while a loss is open whose record is not known to be stored. */
@@ -44,7 +44,7 @@
      * @param alreadyRecorded true if the record of the loss is already stored
      */
     void suspend(long newGeneration, String newEvidence, boolean alreadyRecorded) {
-        epoch++;
+        lossEpoch++;
         suspended = true;
         recordStored = alreadyRecorded;
         locallyDetected = false;
@@ -73,7 +73,7 @@
     /** Skips a loss that was detected and repaired without this controller. */
     void skipToGeneration(long closedGeneration) {
         generation = closedGeneration;
-        epoch++;
+        lossEpoch++;
     }
 
     /** Gives the open loss a generation above one that is already closed. */
--- a/src/main/java/io/sillreel/recovery/Recovery.java
+++ b/src/main/java/io/sillreel/recovery/Recovery.java
@@ -21,8 +21,8 @@
 
 /**
  * Detects that the state service has lost writes, and takes part in restoring them. While a loss is known and has not
- * been repaired, the controller is suspended: it launches no tasks, rents and returns no machines and answers no users'
- * requests.
+ * been repaired, the controller is suspended: it launches no tasks, requests and returns no machines and answers no
+ * users' requests.
  */
 public final class Recovery implements HeartbeatObserver {
     private static final Logger LOG = LoggerFactory.getLogger(Recovery.class);
@@ -106,12 +106,12 @@
      * Handles a user's request unless a loss is known or possible. If a loss is detected before the response is
      * complete, the request is refused as well, since the response may be based on state from which writes are missing.
      */
-    public CompletableFuture<HttpResponse> guard(Supplier<CompletableFuture<HttpResponse>> handler) {
+    public CompletableFuture<HttpResponse> handleUserRequest(Supplier<CompletableFuture<HttpResponse>> handler) {
         if (loss.isSuspended() || !peersConsulted || changeLogWatcher.isLagging()) {
             return CompletableFuture.completedFuture(unavailable());
         }
-        long epochBefore = loss.epoch();
-        return handler.get().thenApply(response -> loss.epoch() == epochBefore ? response : unavailable());
+        long lossEpochBefore = loss.lossEpoch();
+        return handler.get().thenApply(response -> loss.lossEpoch() == lossEpochBefore ? response : unavailable());
     }
 
     private HttpResponse unavailable() {
--- a/src/main/java/io/sillreel/settings/OperatorProperties.java
+++ b/src/main/java/io/sillreel/settings/OperatorProperties.java
@@ -33,7 +33,7 @@
      * Recovery of writes that the state service has lost.
      *
      * @param enabled true if lost writes are detected and recovered
-     * @param watchDelayMicros interval at which a controller polls the state service for changes
+     * @param watchDelayMicros the delay between two watches of the state service, in which changes accumulate
      */
     public record RecoveryProperties(boolean enabled, long watchDelayMicros) {}
 
--- a/src/main/java/io/sillreel/statestore/StateStore.java
+++ b/src/main/java/io/sillreel/statestore/StateStore.java
@@ -54,7 +54,7 @@
     }
 
     /**
-     * True while consecutive requests get no response. Requests that depend on the store should then be refused
+     * True while consecutive requests get no response. Requests that depend on the service should then be refused
      * immediately instead of waiting for a timeout.
      */
     public boolean isUnresponsive() {
--- a/src/main/java/io/sillreel/statestore/WriteQueue.java
+++ b/src/main/java/io/sillreel/statestore/WriteQueue.java
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the leader's state to the store, one transaction at a time. Each transaction requires the revision of the
- * leader key as a fencing token, so that a delayed transaction of a former leader fails. It also requires the known
+ * Writes the leader's state to the state service, one transaction at a time. Each transaction requires the revision of
+ * the leader key as a fencing token, so that a delayed transaction of a former leader fails. It also requires the known
  * revision of each changed key, so that a delayed transaction of this leader whose response was lost cannot undo a
  * later one. Thread-safe; all state is guarded by this.
  */
@@ -80,7 +80,7 @@
 
     /**
      * The number of pending writes other than progress. Progress writes are held back on purpose, so their number does
-     * not indicate whether the store falls behind.
+     * not indicate whether the service falls behind.
      */
     public synchronized int urgentCount() {
         return backlog.countUrgent();
--- a/src/test/java/io/sillreel/admission/JobApiHandlerTest.java
+++ b/src/test/java/io/sillreel/admission/JobApiHandlerTest.java
@@ -131,7 +131,7 @@
         assertThat(cluster.submit(0, SimCluster.job("job-000004", 1)).status()).isEqualTo(503);
     }
 
-    /** After the first timeout of an unresponsive state store, user requests must fail without waiting for it. */
+    /** After the first timeout of an unresponsive state service, user requests must fail without waiting for it. */
     @Test
     void failsFastWithoutTheStateStoreAndServesAgainOnceItIsReachable() {
         int partitioned = (cluster.leader() + 1) % 3;
--- a/src/test/java/io/sillreel/admission/JobStatusCacheTest.java
+++ b/src/test/java/io/sillreel/admission/JobStatusCacheTest.java
@@ -12,7 +12,7 @@
 
     @Test
     void returnsAnUnknownStatusForAJobThatIsNotCached() {
-        assertThat(cache.get(UID).isAccepted()).isFalse();
+        assertThat(cache.get(UID).isAdmitted()).isFalse();
     }
 
     @Test
@@ -35,7 +35,7 @@
         cache.merge(JobStatus.ofPlan("job-000002", 2, List.of()));
         cache.get("job-000001");
         cache.merge(JobStatus.ofPlan("job-000003", 3, List.of()));
-        assertThat(cache.get("job-000001").isAccepted()).isTrue();
-        assertThat(cache.get("job-000002").isAccepted()).isFalse();
+        assertThat(cache.get("job-000001").isAdmitted()).isTrue();
+        assertThat(cache.get("job-000002").isAdmitted()).isFalse();
     }
 }
--- a/src/test/java/io/sillreel/admission/JobStatusServiceTest.java
+++ b/src/test/java/io/sillreel/admission/JobStatusServiceTest.java
@@ -56,7 +56,7 @@
     @Test
     void failsInTimeWhenAScanExceedsTheDependentPlanLimit() throws MalformedSubmissionException {
         assertThat(queryLastJobOfChain())
-                .isCompletedWithValueMatching(answer -> answer.orElseThrow().isAccepted());
+                .isCompletedWithValueMatching(answer -> answer.orElseThrow().isAdmitted());
         for (int index = 0; index <= MAX_DEPENDENT_PLANS; index++) {
             addJob(true);
         }
--- a/src/test/java/io/sillreel/leadership/FailoverTest.java
+++ b/src/test/java/io/sillreel/leadership/FailoverTest.java
@@ -29,7 +29,7 @@
 
     /**
      * The public port opens only after the election, which waiting agents and users would slow down after a restart of
-     * all controllers. An outage of the state store must not keep it closed.
+     * all controllers. An outage of the state service must not keep it closed.
      */
     @Test
     void opensThePublicPortOnceTheLeaderIsKnown() {
@@ -190,7 +190,7 @@
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Tests the grace period: tasks survive a state store outage that is longer than the lease of a machine. */
+    /** Tests the grace period: tasks survive a state service outage that is longer than the lease of a machine. */
     @Test
     void runningTasksSurviveAStateStoreOutage() {
         cluster.runSeconds(2);
