--- a/src/main/java/io/sillreel/fleet/ScaleOut.java
+++ b/src/main/java/io/sillreel/fleet/ScaleOut.java
@@ -62,7 +62,7 @@
     /** Stores and sends requests for what the capacity planner proposes, unless too many urgent writes are queued. */
     void requestMachines(long nowMicros) {
         // A request has to be stored before it is sent, so new ones would only add to a backlog of the write queue.
-        if (!callbacks.mayAct()
+        if (!callbacks.mayLaunchOrScale()
                 || writeQueue.urgentCount() > configuration.settings().state().maxTransactionChanges()) {
             return;
         }
@@ -156,7 +156,7 @@
     }
 
     private void sendRequest(ScaleOutRequest request) {
-        if (!callbacks.mayAct() || request.isAnswered() || request.isDiscarded()) {
+        if (!callbacks.mayLaunchOrScale() || request.isAnswered() || request.isDiscarded()) {
             return;
         }
         request.recordSent(eventLoop.nowMicros());
@@ -216,7 +216,7 @@
             retryWithoutTimeout(request, nowMicros);
         } else {
             // The request was certainly not executed; the capacity planner proposes the machines again after the
-            // back-off.
+            // backoff.
             abandon(request, nowMicros + RETRY_DELAY_MICROS);
         }
     }
@@ -232,7 +232,7 @@
         capacityPlanner.markUnavailable(request.machineType(), request.zone(), request.isSpot(), untilMicros);
     }
 
-    /** Schedules a retry after the retry delay alone: the request has ended, so its time-out need not elapse. */
+    /** Schedules a retry after the retry delay alone: the request has ended, so its timeout need not elapse. */
     private static void retryWithoutTimeout(ScaleOutRequest request, long nowMicros) {
         request.recordSent(nowMicros - CloudClient.TIMEOUT_MICROS);
     }
