--- a/src/main/java/io/sillreel/leadership/StoredStateReader.java
+++ b/src/main/java/io/sillreel/leadership/StoredStateReader.java
@@ -24,8 +24,8 @@
 /**
  * Reads the stored state for a new leader. All prefixes are scanned concurrently, which is consistent because only the
  * leader writes run records and scale-out requests, and plans and cancellations are watched from the revision at which
- * each scan was made. Pages are processed as they arrive. Only the ids of done jobs are kept, since the store may hold
- * many more of those jobs than fit into the memory of a controller. Runs on the event loop.
+ * each scan was made. Pages are processed as they arrive. Only the ids of done jobs are kept, since the state service
+ * may hold many more of those jobs than fit into the memory of a controller. Runs on the event loop.
  */
 final class StoredStateReader {
     private final StateStore store;
@@ -34,14 +34,17 @@
     private final BooleanSupplier isStillNeeded;
 
     /**
-     * @param firstVersionValueBytes the value size limit by which the first version split completion bitmaps
+     * @param firstVersionMaxValueBytes the value size limit by which the first version split completion bitmaps
      * @param countsAsDemand true for an admission time (wall clock, in microseconds) that still counts as demand
      * @param isStillNeeded false once the result is no longer needed, which ends the scans early
      */
     StoredStateReader(
-            StateStore store, int firstVersionValueBytes, LongPredicate countsAsDemand, BooleanSupplier isStillNeeded) {
+            StateStore store,
+            int firstVersionMaxValueBytes,
+            LongPredicate countsAsDemand,
+            BooleanSupplier isStillNeeded) {
         this.store = store;
-        this.firstVersionTasksPerChunk = CompletionBitmapCodec.tasksPerChunk(firstVersionValueBytes);
+        this.firstVersionTasksPerChunk = CompletionBitmapCodec.tasksPerChunk(firstVersionMaxValueBytes);
         this.countsAsDemand = countsAsDemand;
         this.isStillNeeded = isStillNeeded;
     }
--- a/src/test/java/io/sillreel/FailureScenario.java
+++ b/src/test/java/io/sillreel/FailureScenario.java
@@ -48,8 +48,8 @@
         cluster.runUntil(() -> cluster.leader() >= 0 && cluster.leader() != formerLeader);
     }
 
-    /** Queries every controller that is up. */
-    public static void assertStageOnAllNodes(SimCluster cluster, String uid, String stage) {
+    /** Asserts that every controller that is up reports the stage for the job. */
+    public static void assertStageOnRunningNodes(SimCluster cluster, String uid, String stage) {
         for (int node = 0; node < cluster.nodes(); node++) {
             if (cluster.isUp(node)) {
                 assertThat(cluster.stage(node, uid)).as("%s at %d", uid, node).isEqualTo(stage);
--- a/src/test/java/io/sillreel/leadership/FailoverTest.java
+++ b/src/test/java/io/sillreel/leadership/FailoverTest.java
@@ -29,7 +29,7 @@
 
     /**
      * The public port opens only after the election, which waiting agents and users would slow down after a restart of
-     * all controllers. An outage of the state store must not keep it closed.
+     * all controllers. An outage of the state service must not keep it closed.
      */
     @Test
     void opensThePublicPortOnceTheLeaderIsKnown() {
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void leaderPartitionedFromTheStateStoreIsReplaced() {
+    void leaderPartitionedFromStateServiceIsReplaced() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 4));
         cluster.runSeconds(8);
@@ -190,9 +190,9 @@
         assertThat(cluster.violations()).isEmpty();
     }
 
-    /** Tests the grace period: tasks survive a state store outage that is longer than the lease of a machine. */
+    /** Tests the grace period: tasks survive an outage of the state service longer than the lease of a machine. */
     @Test
-    void runningTasksSurviveAStateStoreOutage() {
+    void runningTasksSurviveStateServiceOutage() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 2));
         cluster.runUntilStarted(2, 18_000_000);
@@ -212,7 +212,7 @@
      * expire in time.
      */
     @Test
-    void leaderPartitionedFromTheStateStoreDoesNotKeepCancelledTasksAlive() {
+    void leaderPartitionedFromStateServiceDoesNotKeepCancelledTasksAlive() {
         cluster.runSeconds(2);
         cluster.submit(0, SimCluster.job("job-000001", 2));
         cluster.runUntilStarted(2, 600_000_000);
